--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -273,9 +273,9 @@
                 let kind: u64 = f.num()?;
                 let value = f.real()?.unwrap_or_default();
                 let note = match kind {
-                    1 => Note::Progress(value),
-                    2 => Note::Spills(value),
-                    3 => Note::Waits,
+                    1 => AttemptUpdate::Progress(value),
+                    2 => AttemptUpdate::Spilling(value),
+                    3 => AttemptUpdate::Waiting,
                     _ => return f.end(),
                 };
                 Event::Progress(RequestId(id), attempt, note)
@@ -294,7 +294,7 @@
                     latency_ns,
                     concluded,
                     work_ns: (stats > 0).then_some((stats / 4096) * 1_000_000),
-                    over_by_ns: 0,
+                    may_run_until_ns: 0,
                     memory_mb: (stats > 0).then_some((stats % 4096) as f64 * 4.0),
                     report: f.report()?,
                 })
@@ -368,7 +368,7 @@
         }
         Action::SetTimer { after_ns, token } => writeln!(reply, "DEFER {after_ns} {}", token.0),
         Action::Probe(engine) => writeln!(reply, "ASK_LOAD {}", address(*engine)),
-        Action::Tell(peer, payload) => {
+        Action::SendToPeer(peer, payload) => {
             let to = peer.map_or_else(|| "-1".to_owned(), |p| p.to_string());
             let data = STANDARD.encode(payload);
             writeln!(reply, "MEMO_TO {to} {}", if data.is_empty() { "-" } else { &data })
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -275,14 +275,14 @@
 
 /// Need of a query of a class by settings alone.
 fn prior_need(class: &ClassSettings) -> f64 {
-    class.aim_ns as f64 * class.threads.max(1.0) * PRIOR_NEED
+    class.target_latency_ns as f64 * class.threads.max(1.0) * PRIOR_NEED
 }
 
 /// The lane of a class on a cold engine (0 for light ones, 1 for heavy), the engine's budget for a window as
 /// if it were warm, and what a query of the lane needs at most by settings alone.
 pub fn cold_lane(s: &Settings, cores: f64, class: ClassId) -> Option<(usize, f64, f64)> {
-    let (tip, start, fall_ns) = (s.tip_multiple?, s.start_capacity?, s.fall_ns?);
-    let full = tip * cores * CAPACITY_BUSY * fall_ns as f64 * COLD_SAFETY;
+    let (tip, start, overload_window_ns) = (s.overload_multiple?, s.initial_capacity?, s.overload_window_ns?);
+    let full = tip * cores * CAPACITY_BUSY * overload_window_ns as f64 * COLD_SAFETY;
     let heavy = |need: f64| need * COLD_LIGHT > full * start;
     let lane = heavy(prior_need(&s.classes[class.0]));
     let needs = s.classes.iter().map(prior_need).filter(|need| heavy(*need) == lane);
@@ -338,11 +338,11 @@
             Event::Arrival(request) => self.on_arrival(now_ns, request, out),
             // A started stream belongs to the client: nothing is owed, nothing may be cancelled.
             Event::Started(id, _) => drop(self.pending.get_mut(&id).map(|p| p.concluded = true)),
-            Event::Progress(id, n, Note::Progress(share)) => self.on_note(now_ns, id, n, share, out),
+            Event::Progress(id, n, AttemptUpdate::Progress(share)) => self.on_note(now_ns, id, n, share, out),
             Event::ColdShares(engine, shares) => {
                 self.engines.entry(engine).and_modify(|e| e.cold_shares = Some(shares));
             }
-            Event::Judged(engine, verdict) => self.on_verdict(engine, verdict),
+            Event::VerdictChanged(engine, verdict) => self.on_verdict(engine, verdict),
             Event::Progress(..) | Event::PeerMessage(..) => {}
             Event::Outcome(outcome) => self.on_outcome(now_ns, outcome, out),
             Event::Probed(engine, status, report) => {
@@ -535,7 +535,7 @@
             (all, ready) = (all + e.cores * self.warmth(now, e), ready + 1.0);
         }
         // A second opinion: each peer is taken to hold what this gateway holds in the mean.
-        let peers = self.settings.gateways.saturating_sub(1) as f64;
+        let peers = self.settings.router_count.saturating_sub(1) as f64;
         let alike = (self.own.2 * REPORT_AGE_NS / f64::max(ready, 1.0)).min(1.0);
         let guess = peers * self.own.1 / f64::max(all, 1.0);
         let doubt = if self.told_load { f64::MIN_POSITIVE } else { DOUBT * all / f64::max(ready, 1.0) };
@@ -554,7 +554,7 @@
     /// Threads of other gateways on an engine: as reported, and the older that is, the more as on the average
     /// engine. A cold one holds what its budget lets through, or it would stay unused while others are full.
     fn others(&self, now: u64, e: &Engine, view: &View) -> f64 {
-        let cold = self.warmed(now, e).is_some() && self.settings.tip_multiple.is_some();
+        let cold = self.warmed(now, e).is_some() && self.settings.overload_multiple.is_some();
         let average = view.others.min(if cold { COLD_OTHERS } else { f64::INFINITY });
         self.believed(now, e, e.others, average * e.cores * self.warmth(now, e))
     }
@@ -581,13 +581,13 @@
 
     /// Part of its warming that a cold engine has behind it.
     fn warmed(&self, now: u64, e: &Engine) -> Option<f64> {
-        let part = now.saturating_sub(e.cold_since_ns?) as f64 / self.settings.cold_ns? as f64;
+        let part = now.saturating_sub(e.cold_since_ns?) as f64 / self.settings.warmup_ns? as f64;
         (part < 1.0).then_some(part)
     }
 
     /// Share of its capacity that an engine has: less than one while it is cold.
     fn warmth(&self, now: u64, e: &Engine) -> f64 {
-        let from = self.settings.start_capacity.unwrap_or(1.0);
+        let from = self.settings.initial_capacity.unwrap_or(1.0);
         self.warmed(now, e).map_or(1.0, |part| from + (1.0 - from) * part)
     }
 
@@ -598,7 +598,9 @@
     fn due(&self, now: u64, p: &Pending) -> u64 {
         let class = &self.settings.classes[p.request.class.0];
         let alone = self.need(&p.request) / self.threads(p.request.class);
-        let wanted = p.taken_ns.saturating_add(class.aim_ns + (class.aim_stretch * alone) as u64);
+        let wanted = p
+            .taken_ns
+            .saturating_add(class.target_latency_ns + (class.target_latency_stretch * alone) as u64);
         let last = p.taken_ns.saturating_add(class.deadline_ns).min(p.expires_ns);
         Some(wanted).filter(|w| *w > now.saturating_add(alone as u64)).map_or(last, |w| w.min(last))
     }
@@ -616,7 +618,7 @@
             return Err(f64::INFINITY);
         }
         let usual = self.models[p.request.class.0].usual.or(need);
-        let knee = KNEE[usize::from(self.settings.when_short == WhenShort::Wait)]
+        let knee = KNEE[usize::from(self.settings.memory_shortage == MemoryShortage::Wait)]
             * (usual / need).powf(KNEE_BY_COST[0]).clamp(KNEE_BY_COST[1], 1.0);
         if slowed > knee {
             return Err(slowed / knee);
@@ -624,7 +626,7 @@
         // Memory is room of its own kind: past all of it queries wait, spill, or slow each other down.
         let asked = p.request.memory_estimate_mb.unwrap_or(0.0) * GRANT_MARGIN[0] / e.memory_mb;
         let memory = self.believed(now, e, e.granted, view.granted) + asked * (1.0 + view.peers);
-        let most = MEMORY[usize::from(self.settings.when_short == WhenShort::Shrink)];
+        let most = MEMORY[usize::from(self.settings.memory_shortage == MemoryShortage::Shrink)];
         if memory > most {
             return Err(memory / most);
         }
@@ -667,7 +669,7 @@
         let view = View { due_ns, need_ns, threads: self.threads(p.request.class), ..self.view(now) };
         let ready = |e: &&Engine| e.entry.state == EngineState::Ready && !e.suspended;
         let mut ready: Vec<u64> = self.engines.values().filter(ready).map(|e| self.preference(e)).collect();
-        let first = (SHARED * ready.len() / self.settings.gateways.max(1) as usize).max(FIRST);
+        let first = (SHARED * ready.len() / self.settings.router_count.max(1) as usize).max(FIRST);
         let all = first > ready.len();
         let last = if all { u64::MAX } else { *ready.select_nth_unstable(first - 1).1 };
         let among = first.min(self.engines.len()) as u64;
@@ -731,7 +733,7 @@
         }
         self.extra.extend((attempt > 0).then_some(now));
         self.own.2 += 1.0 / LIFE_NS;
-        let fall_ns = self.settings.fall_ns.unwrap_or(0);
+        let overload_window_ns = self.settings.overload_window_ns.unwrap_or(0);
         let warmth = self.engines.get(&engine).map_or(1.0, |e| self.warmth(now, e));
         let Some(e) = self.engines.get_mut(&engine) else { return };
         let (lane, full, _) = cold_lane(&self.settings, e.cores, request.class).unwrap_or_default();
@@ -747,7 +749,7 @@
         e.warm.extend(request.data_set);
         e.warm.drain(..e.warm.len().saturating_sub(WARM_SETS));
         e.sent.push((now, usual, lane));
-        e.sent.retain(|s| s.0 + fall_ns >= now);
+        e.sent.retain(|s| s.0 + overload_window_ns >= now);
         if e.suspended {
             (self.trials, e.trial_ns) = (0.0, now + e.backoff_ns);
             e.backoff_ns = (e.backoff_ns * 2).min(TRIAL_NS[1]);
@@ -809,7 +811,7 @@
     /// Takes a report; where it tells no load, how many times longer than alone an answer took stands for it.
     fn hear(&mut self, now: u64, engine: EngineId, report: Option<LoadReport>, longer: Option<f64>) {
         let report = report.unwrap_or_default();
-        let longer = longer.filter(|_| self.settings.gateways > 1 && !self.told_load);
+        let longer = longer.filter(|_| self.settings.router_count > 1 && !self.told_load);
         let mean = self.mix[0] / self.mix[1].max(1.0);
         let cores = self.engines.get(&engine).map_or(0.0, |e| e.cores * self.warmth(now, e));
         let Some(e) = self.engines.get_mut(&engine) else { return };
@@ -871,18 +873,18 @@
         }
         let Some(key) = self.order_key(&request) else { return };
         let unsure = matches!(o.status, Status::TimedOut | Status::Reset | Status::Cancelled);
-        if unsure || o.over_by_ns > now {
+        if unsure || o.may_run_until_ns > now {
             // The attempt may still run: later requests of its key wait, its own next try need not.
             let rests_until = now + self.settings.order_pause_ns.unwrap_or(0);
             let turn = self.turns.entry(key).or_default();
-            turn.1 = rests_until.max(o.over_by_ns).max(turn.1);
+            turn.1 = rests_until.max(o.may_run_until_ns).max(turn.1);
         }
         self.advance(now, key, out);
     }
 
     /// Takes what a finished attempt tells of its class.
     fn learn(&mut self, o: &Outcome, ran: &Running) {
-        let told = o.work_ns.filter(|_| self.settings.answers_tell_cost);
+        let told = o.work_ns.filter(|_| self.settings.answers_report_cost);
         let Some(p) = self.pending.get(&o.request) else { return };
         let (request, m) = (p.request, &mut self.models[p.request.class.0]);
         // An engine that showed no sign of life since tells nothing of the class.
@@ -1061,21 +1063,21 @@
         let s = &self.settings;
         let (Some(since), Some(_)) = (e.cold_since_ns, self.warmed(now, e)) else { return true };
         let class = p.request.class;
-        let rules = (s.start_capacity, s.fall_ns, cold_lane(s, e.cores, class));
-        let (Some(start), Some(fall_ns), Some((lane, full, largest))) = rules else { return true };
-        let gateways = u64::from(s.gateways.max(1));
-        let place = (u64::from(s.gateway_index) + mix(e.entry.engine.0) % gateways) % gateways;
-        let unknown = self.born_ns.is_some_and(|b| b > since && now < b.saturating_add(fall_ns));
+        let rules = (s.initial_capacity, s.overload_window_ns, cold_lane(s, e.cores, class));
+        let (Some(start), Some(overload_window_ns), Some((lane, full, largest))) = rules else { return true };
+        let router_count = u64::from(s.router_count.max(1));
+        let place = (u64::from(s.router_index) + mix(e.entry.engine.0) % router_count) % router_count;
+        let unknown = self.born_ns.is_some_and(|b| b > since && now < b.saturating_add(overload_window_ns));
         let half = full * self.warmth(now, e) / 2.0;
         let usual = self.models[class.0].usual.value;
-        let recent = || e.sent.iter().filter(|s| s.0 + fall_ns >= now);
+        let recent = || e.sent.iter().filter(|s| s.0 + overload_window_ns >= now);
         if let Some(shares) = e.cold_shares {
             let sent: f64 = recent().filter(|s| s.2 == lane).map(|s| s.1).sum();
             return sent + usual <= half * shares[lane] || sent <= 0.0 && shares[lane] >= 1.0;
         }
-        let started = e.entry.started_ns.zip(s.cold_ns);
+        let started = e.entry.started_ns.zip(s.warmup_ns);
         let told = started.is_some_and(|(at, cold)| now < at.saturating_add(cold));
-        let most = if told { gateways as f64 } else { 1.0 };
+        let most = if told { router_count as f64 } else { 1.0 };
         let owners = (half / largest).floor().clamp(1.0, most);
         let same = |s: &&(u64, f64, usize)| usize::from(s.1 * COLD_LIGHT > full * start) == lane;
         let sent: f64 = recent().filter(same).map(|s| s.1).sum();
--- a/crates/control/src/interface.rs
+++ b/crates/control/src/interface.rs
@@ -57,9 +57,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassSettings {
     /// Answers within this time (plus the stretch) earn the full worth.
-    pub aim_ns: u64,
+    pub target_latency_ns: u64,
     /// The aim is longer by this times the query's work divided by its threads.
-    pub aim_stretch: f64,
+    pub target_latency_stretch: f64,
     /// Class deadline: how long a client waits in all.
     pub deadline_ns: u64,
     /// Worth of one answer.
@@ -116,7 +116,7 @@
 
 /// What happens when grants pass an engine's memory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum WhenShort {
+pub enum MemoryShortage {
     /// The query waits in line.
     #[default]
     Wait,
@@ -141,9 +141,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Number of this gateway among its peers.
-    pub gateway_index: u32,
+    pub router_index: u32,
     /// Gateways that share the engines.
-    pub gateways: u32,
+    pub router_count: u32,
     /// Zone of this gateway.
     pub zone: Option<ZoneId>,
     /// The request classes.
@@ -161,9 +161,9 @@
     /// Engines may be probed.
     pub may_probe: bool,
     /// Peers may be sent messages.
-    pub may_tell: bool,
+    pub may_message_peers: bool,
     /// A request may have two attempts out.
-    pub second_copies: bool,
+    pub may_hedge: bool,
     /// Longest retry advice that clients honour; absent where they get none.
     pub max_retry_after_ns: Option<u64>,
     /// Where load reports come from.
@@ -175,21 +175,21 @@
     /// Largest share of an engine's memory that one query gets.
     pub max_grant_share: Option<f64>,
     /// What happens when grants pass the memory.
-    pub when_short: WhenShort,
+    pub memory_shortage: MemoryShortage,
     /// Answers tell the query's true work and memory.
-    pub answers_tell_cost: bool,
+    pub answers_report_cost: bool,
     /// Time between progress notes; absent where there are none.
-    pub progress_every_ns: Option<u64>,
+    pub progress_interval_ns: Option<u64>,
     /// Time after a drain notice within which sends must have ended.
     pub drain_grace_ns: Option<u64>,
     /// Share of its capacity that an engine starts with, at least.
-    pub start_capacity: Option<f64>,
+    pub initial_capacity: Option<f64>,
     /// Longest time until an engine is warm.
-    pub cold_ns: Option<u64>,
+    pub warmup_ns: Option<u64>,
     /// A cold engine sent more than this multiple of its capacity falls over...
-    pub tip_multiple: Option<f64>,
+    pub overload_multiple: Option<f64>,
     /// ...when that lasts this long.
-    pub fall_ns: Option<u64>,
+    pub overload_window_ns: Option<u64>,
     /// Rest of a key after an attempt that may still be running.
     pub order_pause_ns: Option<u64>,
     /// Limit on attempts beyond the first, where there is one.
@@ -325,18 +325,18 @@
     /// Load report of the engine, where one came.
     pub report: Option<LoadReport>,
     /// Clock time until which it may still be running, as its engine did not say that it is over; 0 where it is.
-    pub over_by_ns: u64,
+    pub may_run_until_ns: u64,
 }
 
 /// News of a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum AttemptUpdate {
     /// Share of the attempt that is done.
     Progress(f64),
     /// It spills; megabytes missing.
-    Spills(f64),
+    Spilling(f64),
     /// It waits for memory or for a load.
-    Waits,
+    Waiting,
 }
 
 /// What the gateways together believe of an engine.
@@ -363,7 +363,7 @@
     /// A streamed answer has started: the attempt belongs to the client.
     Started(RequestId, u32),
     /// News of a running attempt.
-    Progress(RequestId, u32, Note),
+    Progress(RequestId, u32, AttemptUpdate),
     /// An attempt has ended.
     Outcome(Outcome),
     /// A probe has ended.
@@ -372,7 +372,7 @@
     /// where gateways share them out among themselves.
     ColdShares(EngineId, [f64; 2]),
     /// What the gateways together believe of an engine from here on, where they share it.
-    Judged(EngineId, Verdict),
+    VerdictChanged(EngineId, Verdict),
     /// A peer has sent a message.
     PeerMessage(u32, Vec<u8>),
     /// The client has left.
@@ -441,7 +441,7 @@
     /// Probe an engine.
     Probe(EngineId),
     /// Send a message to one peer, or to all.
-    Tell(Option<u32>, Vec<u8>),
+    SendToPeer(Option<u32>, Vec<u8>),
     /// Subscribe to membership news.
     Subscribe,
     /// Leave a line for the operators.
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -11,14 +11,14 @@
 /// One light class (1 thread) and one heavy (3 threads) on engines of 10 cores; nothing else is allowed.
 pub fn settings() -> Settings {
     let class = |aim_ms: u64, deadline_ms: u64, threads: f64| ClassSettings {
-        aim_ns: aim_ms * MS,
+        target_latency_ns: aim_ms * MS,
         deadline_ns: deadline_ms * MS,
         worth: 1.0,
         threads,
         ..ClassSettings::default()
     };
     Settings {
-        gateways: 1,
+        router_count: 1,
         classes: vec![class(1_000, 4_000, 1.0), class(4_000, 20_000, 3.0)],
         kinds: vec![KindSettings { cores: Some(10.0), memory_mb: Some(10_000.0) }],
         max_attempts: Some(5),
@@ -53,7 +53,7 @@
         concluded: status == Status::Done,
         work_ns: None,
         memory_mb: None,
-        over_by_ns: 0,
+        may_run_until_ns: 0,
         report: None,
     }
 }
--- a/crates/control/tests/demand_check.rs
+++ b/crates/control/tests/demand_check.rs
@@ -53,7 +53,7 @@
     fill(&mut w, 10, 3_900);
     w.at(1_000);
     for id in 0..10 {
-        w.on(Event::Progress(RequestId(id), 0, Note::Progress(0.1)));
+        w.on(Event::Progress(RequestId(id), 0, AttemptUpdate::Progress(0.1)));
     }
     assert!(refused(&w.arrive(request(90, 0, 500))));
     let mut w = world();
@@ -114,7 +114,7 @@
         {
             let mut s = settings();
             s.classes[1].threads = 1.0;
-            s.classes[1].aim_stretch = 1.0;
+            s.classes[1].target_latency_stretch = 1.0;
             s
         },
         7,
@@ -158,7 +158,7 @@
     // told, twenty-one would.
     let mut s = settings();
     s.classes[1].threads = 1.0;
-    s.answers_tell_cost = true;
+    s.answers_report_cost = true;
     let mut w = World::new(s, &[1]);
     for id in 0..20 {
         w.serve(request(id, 1, 500), 1_000, Some(1_000));
@@ -185,8 +185,8 @@
     // Sixty idle engines, one query at a time: spread over all of them, none would be met twice in a minute.
     let engines: Vec<u64> = (1..=60).collect();
     let met = |seed| {
-        let mut w = World::new(Settings { gateways: 100, ..settings() }, &engines);
-        w.c = marljunction_control::Controller::new(Settings { gateways: 100, ..settings() }, seed);
+        let mut w = World::new(Settings { router_count: 100, ..settings() }, &engines);
+        w.c = marljunction_control::Controller::new(Settings { router_count: 100, ..settings() }, seed);
         w.on(Event::Membership(MembershipKind::Cached, engines.iter().map(|e| entry(*e)).collect()));
         let mut met = std::collections::BTreeSet::new();
         for id in 0..200 {
--- a/crates/control/tests/failures.rs
+++ b/crates/control/tests/failures.rs
@@ -77,8 +77,8 @@
 
 #[test]
 fn a_stale_figure_is_split_among_gateways() {
-    let passed = |gateways| {
-        let mut w = World::new(Settings { gateways, ..settings() }, &[1]);
+    let passed = |router_count| {
+        let mut w = World::new(Settings { router_count, ..settings() }, &[1]);
         let report = LoadReport { busy_share: Some(0.2), ..LoadReport::default() };
         w.on(Event::Probed(EngineId(1), Status::Done, Some(report)));
         arrivals(&mut w, 0..40, 0, 50)
@@ -104,10 +104,10 @@
     let mut w = World::new(settings(), &[1]);
     w.arrive(request(1, 1, 9_000));
     w.at(2_000);
-    assert!(!cancelled(&w.on(Event::Progress(RequestId(1), 0, Note::Progress(0.6)))));
+    assert!(!cancelled(&w.on(Event::Progress(RequestId(1), 0, AttemptUpdate::Progress(0.6)))));
     w.arrive(request(2, 1, 9_000));
     w.at(4_000);
-    assert!(cancelled(&w.on(Event::Progress(RequestId(2), 0, Note::Progress(0.05)))));
+    assert!(cancelled(&w.on(Event::Progress(RequestId(2), 0, AttemptUpdate::Progress(0.05)))));
 }
 
 #[test]
@@ -223,7 +223,7 @@
     assert!(w.on(Event::Left(RequestId(77))).is_empty());
     assert!(w.end(outcome(77, 0, 1, Status::Done, 5)).is_empty());
     assert!(w.on(Event::Timer(TimerToken(12_345))).is_empty());
-    assert!(w.on(Event::Progress(RequestId(77), 3, Note::Waits)).is_empty());
+    assert!(w.on(Event::Progress(RequestId(77), 3, AttemptUpdate::Waiting)).is_empty());
     assert!(w.on(Event::PeerMessage(3, vec![1, 2])).is_empty());
 }
 
@@ -243,7 +243,7 @@
 fn an_unheard_cold_engine_is_average_for_what_it_can_do() {
     // The warm engine holds 11 threads of others on 10 cores; taken for as many, a cold one of 4 cores'
     // worth would be past the knee and never be tried.
-    let s = Settings { cold_ns: Some(10 * S), start_capacity: Some(0.4), ..settings() };
+    let s = Settings { warmup_ns: Some(10 * S), initial_capacity: Some(0.4), ..settings() };
     let mut w = World::with(s, vec![entry(1), EngineEntry { started_ns: Some(T0), ..entry(2) }]);
     w.serve(request(99, 0, 100), 100, None);
     let report = LoadReport { in_flight: Some(11.0), ..LoadReport::default() };
@@ -425,7 +425,7 @@
 #[test]
 fn answers_that_take_longer_than_alone_stand_for_load_where_reports_tell_none() {
     // Of two gateways' engines, one answers three times as slowly as alone, as told by the true work.
-    let s = Settings { gateways: 2, answers_tell_cost: true, ..settings() };
+    let s = Settings { router_count: 2, answers_report_cost: true, ..settings() };
     let mut w = World::new(s, &[1, 2]);
     for id in 0..40 {
         let engine = sent(&w.arrive(request(id, 0, 100))).unwrap();
@@ -475,7 +475,7 @@
 fn one_slow_answer_does_not_stand_for_an_engine_beyond_use() {
     // An answer that took ten times as long as alone, in a jam of a moment: the engine is full for a while, and
     // open again within seconds, though nothing newer is heard of it.
-    let s = Settings { gateways: 2, answers_tell_cost: true, ..settings() };
+    let s = Settings { router_count: 2, answers_report_cost: true, ..settings() };
     let mut w = World::new(s, &[1]);
     sent(&w.arrive(request(1, 0, 100))).unwrap();
     w.now += S;
@@ -490,9 +490,11 @@
 #[test]
 fn the_knee_is_lower_where_nothing_waits_for_memory() {
     // 2.5 threads a core where part of them may stand in the engine's line, 2 where all of them run.
-    for (when_short, most) in [(WhenShort::Wait, 25), (WhenShort::Shrink, 20), (WhenShort::Page, 20)] {
-        let mut w = World::new(Settings { when_short, ..settings() }, &[1]);
-        assert_eq!(arrivals(&mut w, 0..40, 0, 10), most, "{when_short:?}");
+    for (memory_shortage, most) in
+        [(MemoryShortage::Wait, 25), (MemoryShortage::Shrink, 20), (MemoryShortage::Page, 20)]
+    {
+        let mut w = World::new(Settings { memory_shortage, ..settings() }, &[1]);
+        assert_eq!(arrivals(&mut w, 0..40, 0, 10), most, "{memory_shortage:?}");
     }
 }
 
@@ -501,7 +503,7 @@
     // Sixty engines, heard idle; a gateway that has just sent one heavy query to each of a few of them still
     // finds room for more on the same. Multiplied by its peers, each would count as hundreds of threads.
     let ids: Vec<u64> = (1..61).collect();
-    let mut w = World::new(Settings { gateways: 300, ..settings() }, &ids);
+    let mut w = World::new(Settings { router_count: 300, ..settings() }, &ids);
     for engine in &ids {
         let report = LoadReport { busy_share: Some(0.3), ..LoadReport::default() };
         w.on(Event::Probed(EngineId(*engine), Status::Done, Some(report)));
@@ -540,15 +542,15 @@
 fn an_engine_whose_memory_is_granted_gets_nothing_more() {
     // Cores are mostly idle, but memory is room of its own kind; where grants are trimmed, queries spill sooner.
     let report = |x| LoadReport { busy_share: Some(0.3), memory_share: Some(x), ..LoadReport::default() };
-    for (when_short, granted, full) in [
-        (WhenShort::Page, 1.2, true),
-        (WhenShort::Page, 0.85, false),
-        (WhenShort::Shrink, 0.85, true),
-        (WhenShort::Shrink, 0.3, false),
+    for (memory_shortage, granted, full) in [
+        (MemoryShortage::Page, 1.2, true),
+        (MemoryShortage::Page, 0.85, false),
+        (MemoryShortage::Shrink, 0.85, true),
+        (MemoryShortage::Shrink, 0.3, false),
     ] {
-        let mut w = World::new(Settings { when_short, ..reporting() }, &[1]);
+        let mut w = World::new(Settings { memory_shortage, ..reporting() }, &[1]);
         tell(&mut w, 1, report(granted));
-        assert_eq!(refused(&w.arrive(request(1, 0, 300))), full, "{when_short:?} at {granted}");
+        assert_eq!(refused(&w.arrive(request(1, 0, 300))), full, "{memory_shortage:?} at {granted}");
     }
 }
 
@@ -658,7 +660,7 @@
             let mut engine = sent(&w.arrive(request(id, 1, 300))).expect("sent");
             for attempt in 0..3 {
                 w.now += 2 * S;
-                w.on(Event::Progress(RequestId(id), attempt, Note::Progress(0.02)));
+                w.on(Event::Progress(RequestId(id), attempt, AttemptUpdate::Progress(0.02)));
                 let again = w.end(outcome(id, attempt, engine, Status::Cancelled, 2_000));
                 engine = sent(&again).expect("sent again");
             }
@@ -666,7 +668,7 @@
         }
         w.arrive(request(900, 1, 3_000));
         w.now += 2 * S;
-        cancelled(&w.on(Event::Progress(RequestId(900), 0, Note::Progress(0.25))))
+        cancelled(&w.on(Event::Progress(RequestId(900), 0, AttemptUpdate::Progress(0.25))))
     };
     assert!(run(0), "a bad plan is cancelled at first");
     assert!(!run(4), "where new attempts outran their need as well, it is let run");
@@ -675,7 +677,7 @@
 #[test]
 fn a_gateway_that_carries_more_than_others_does_not_take_peers_for_its_like() {
     // Engines are a fifth busy with others' work; this one of fifty gateways sends ten queries a second.
-    let mut w = World::new(Settings { gateways: 50, ..reporting() }, &[1, 2, 3]);
+    let mut w = World::new(Settings { router_count: 50, ..reporting() }, &[1, 2, 3]);
     let report = LoadReport { busy_share: Some(0.2), ..LoadReport::default() };
     for id in 0..40 {
         w.now += 100 * MS;
@@ -693,7 +695,7 @@
     let mut w = World::new(Settings { max_attempts: Some(1), ..settings() }, &[1]);
     w.arrive(request(1, 0, 300));
     w.now += 2 * S;
-    let out = w.on(Event::Progress(RequestId(1), 0, Note::Progress(0.05)));
+    let out = w.on(Event::Progress(RequestId(1), 0, AttemptUpdate::Progress(0.05)));
     let advice = out.iter().find_map(|a| match a {
         Action::Refuse { retry_after_ns, .. } => Some(*retry_after_ns),
         _ => None,
@@ -725,9 +727,9 @@
     let mut s = settings();
     s.classes[1].effect = Effect::AtMostOnce;
     let mut w = World::new(s, &[1]);
-    w.on(Event::Judged(EngineId(1), Verdict::Out));
+    w.on(Event::VerdictChanged(EngineId(1), Verdict::Out));
     assert!(refused(&w.arrive(request(1, 0, 100))));
-    w.on(Event::Judged(EngineId(1), Verdict::Trial));
+    w.on(Event::VerdictChanged(EngineId(1), Verdict::Trial));
     assert_eq!(
         sent(&w.arrive(request(2, 1, 100))),
         None,
@@ -737,10 +739,10 @@
     assert!(refused(&w.arrive(request(4, 0, 100))), "one at a time");
     // The trial failed: this gateway would wait for one of its own, but others were served meanwhile.
     w.end(outcome(3, 0, 1, Status::Refused, 5));
-    w.on(Event::Judged(EngineId(1), Verdict::Well));
+    w.on(Event::VerdictChanged(EngineId(1), Verdict::Well));
     assert_eq!(sent(&w.arrive(request(5, 0, 100))), Some(1));
     // A new life of the engine is nobody's verdict yet.
-    w.on(Event::Judged(EngineId(1), Verdict::Out));
+    w.on(Event::VerdictChanged(EngineId(1), Verdict::Out));
     let started = EngineEntry { started_ns: Some(T0 + 1), ..entry(1) };
     w.on(Event::Membership(MembershipKind::Delta, vec![started]));
     assert_eq!(sent(&w.arrive(request(6, 0, 100))), Some(1));
@@ -751,7 +753,7 @@
     let mut counts = [0; 2];
     for (at, verdict) in [Verdict::Well, Verdict::Slow(4.0)].into_iter().enumerate() {
         let mut w = World::new(settings(), &[1, 2]);
-        w.on(Event::Judged(EngineId(1), verdict));
+        w.on(Event::VerdictChanged(EngineId(1), verdict));
         for id in 0..12 {
             counts[at] += usize::from(sent(&w.arrive(request(id, 0, 500))) == Some(1));
         }
--- a/crates/control/tests/rules.rs
+++ b/crates/control/tests/rules.rs
@@ -81,10 +81,10 @@
 
 fn cold() -> Settings {
     Settings {
-        cold_ns: Some(10 * S),
-        start_capacity: Some(0.4),
-        tip_multiple: Some(2.0),
-        fall_ns: Some(S),
+        warmup_ns: Some(10 * S),
+        initial_capacity: Some(0.4),
+        overload_multiple: Some(2.0),
+        overload_window_ns: Some(S),
         ..settings()
     }
 }
@@ -93,9 +93,9 @@
 fn a_cold_engine_gets_no_more_than_this_gateways_share() {
     // 10 cores x 0.85 x 0.4 = 3.4 core-seconds a second; twice that for 1 s is 6.8, for one gateway or all
     // owners together: at most 3.4 for each of two, in any second.
-    for gateways in [1, 2] {
+    for router_count in [1, 2] {
         let list = vec![EngineEntry { started_ns: Some(T0), ..entry(1) }];
-        let mut w = World::with(Settings { gateways, ..cold() }, list);
+        let mut w = World::with(Settings { router_count, ..cold() }, list);
         w.on(Event::Membership(
             MembershipKind::Delta,
             vec![EngineEntry { started_ns: Some(T0 + 1), ..entry(1) }],
@@ -108,7 +108,7 @@
                 sends.push_back(w.now);
             }
             sends.retain(|t| t + S >= w.now);
-            assert!(sends.len() as f64 * 0.1 <= 6.8 / f64::from(gateways), "{gateways} gateways");
+            assert!(sends.len() as f64 * 0.1 <= 6.8 / f64::from(router_count), "{router_count} gateways");
         }
         assert!(!sends.is_empty());
     }
@@ -119,14 +119,14 @@
     // Gateways side by side, all of which would send to nothing but the engine that has just started; one in
     // five restarts meanwhile. In any second the work of all together is at most 6.8 core-seconds, and whole
     // heavy queries (2 core-seconds) get through however many gateways there are.
-    for gateways in [1, 3, 10, 60, 300] {
+    for router_count in [1, 3, 10, 60, 300] {
         for heavy in [false, true] {
             let list = |started| vec![EngineEntry { started_ns: Some(started), ..entry(1) }];
             let build = |index: u32| {
-                let s = Settings { gateways, gateway_index: index, ..cold() };
+                let s = Settings { router_count, router_index: index, ..cold() };
                 World::with(s, list(T0 + 1))
             };
-            let mut worlds: Vec<World> = (0..gateways).map(build).collect();
+            let mut worlds: Vec<World> = (0..router_count).map(build).collect();
             let (class, work_ms) = if heavy { (1, 2_000) } else { (0, 100) };
             let mut sends: VecDeque<u64> = VecDeque::new();
             let (mut total, mut id) = (0, 0);
@@ -134,7 +134,7 @@
                 for (index, w) in worlds.iter_mut().enumerate() {
                     if ms == 1_500 && index % 5 == 0 {
                         w.c = marljunction_control::Controller::new(
-                            Settings { gateways, gateway_index: index as u32, ..cold() },
+                            Settings { router_count, router_index: index as u32, ..cold() },
                             9,
                         );
                         w.now = T0 + ms * MS;
@@ -148,9 +148,9 @@
                 }
                 sends.retain(|at| at + 1_000 >= ms);
                 let work = sends.len() as f64 * work_ms as f64 / 1_000.0;
-                assert!(work <= 6.8, "{gateways} gateways sent {work} core-seconds in a second");
+                assert!(work <= 6.8, "{router_count} gateways sent {work} core-seconds in a second");
             }
-            assert!(total > 0, "{gateways} gateways never used the cold engine");
+            assert!(total > 0, "{router_count} gateways never used the cold engine");
         }
     }
 }
@@ -165,7 +165,7 @@
 
 /// Queries of 0.1 core-seconds that an engine gets at once, having failed three attempts like this.
 fn passed_after(status: Status) -> u32 {
-    let mut w = World::new(Settings { gateways: 4, ..cold() }, &[1]);
+    let mut w = World::new(Settings { router_count: 4, ..cold() }, &[1]);
     for id in 1..4 {
         w.arrive(request(id, 0, 100));
         w.end(outcome(id, 0, 1, status, 1));
@@ -239,7 +239,8 @@
         let mut w = World::new(Settings { max_attempts: Some(attempts), ..serial() }, &[1, 2]);
         let first = sent(&w.arrive(keyed(1, 5))).unwrap();
         w.arrive(keyed(2, 5));
-        let unknown = Outcome { over_by_ns: T0 + 1_500 * MS, ..outcome(1, 0, first, Status::Reset, 100) };
+        let unknown =
+            Outcome { may_run_until_ns: T0 + 1_500 * MS, ..outcome(1, 0, first, Status::Reset, 100) };
         let mut actions = w.at(100).end(unknown);
         if attempts == 2 {
             let second = sent(&actions).expect("its own next attempt need not wait");
@@ -334,7 +335,7 @@
 /// Plays a stream of arrivals, outcomes, drains and restarts, and holds each action against the rules.
 fn play(seed: u64) -> String {
     let mut s = cold();
-    s.gateways = 2;
+    s.router_count = 2;
     s.retry_budget = Some(RetryBudget { floor: 3.0, per_request: 0.3, window_ns: 2 * S });
     s.order_pause_ns = Some(300 * MS);
     s.priorities = true;
@@ -488,7 +489,7 @@
     // gateways then took the engine for one without owners, and could send it half of the budget.
     let mut sent_by_all = 0.0;
     for index in 0..200 {
-        let mut w = World::new(Settings { gateways: 200, gateway_index: index, ..cold() }, &[1]);
+        let mut w = World::new(Settings { router_count: 200, router_index: index, ..cold() }, &[1]);
         w.arrive(request(1, 0, 300));
         w.arrive(request(2, 0, 300));
         let told = EngineEntry { started_ns: Some(T0 + S / 2), ..entry(1) };
@@ -499,8 +500,8 @@
         sent_by_all += (20..40).filter(|id| sent(&w.arrive(request(*id, 0, 300))).is_some()).count() as f64;
     }
     let s = cold();
-    let (tip, start) = (s.tip_multiple.expect("set"), s.start_capacity.expect("set"));
-    let window_s = s.fall_ns.expect("set") as f64 / S as f64;
+    let (tip, start) = (s.overload_multiple.expect("set"), s.initial_capacity.expect("set"));
+    let window_s = s.overload_window_ns.expect("set") as f64 / S as f64;
     assert!(sent_by_all * 0.3 <= tip * start * 10.0 * window_s, "{sent_by_all} queries of 0.3 core-seconds");
 }
 
@@ -510,8 +511,8 @@
     let list = vec![EngineEntry { started_ns: Some(T0 - S / 2), ..entry(1) }];
     let users = (0..100)
         .filter(|index| {
-            let mut s = Settings { gateways: 100, gateway_index: *index, ..cold() };
-            s.classes[0].aim_ns = 400 * MS;
+            let mut s = Settings { router_count: 100, router_index: *index, ..cold() };
+            s.classes[0].target_latency_ns = 400 * MS;
             let mut w = World { c: marljunction_control::Controller::new(s, 7), now: T0 - 3 * S };
             w.on(Event::Membership(MembershipKind::Cached, list.clone()));
             w.now = T0;
@@ -526,7 +527,7 @@
 fn sent_by_hundred(light_ms: u64, heavy_ms: u64) -> [f64; 2] {
     let mut by_class = [0.0; 2];
     for index in 0..100 {
-        let s = Settings { gateways: 100, gateway_index: index, ..cold() };
+        let s = Settings { router_count: 100, router_index: index, ..cold() };
         let list = (1..40).map(entry).chain([EngineEntry { started_ns: Some(T0), ..entry(40) }]);
         let mut w = World::with(s, list.collect());
         let report = LoadReport { busy_share: Some(1.0), in_flight: Some(25.0), ..LoadReport::default() };
@@ -562,7 +563,7 @@
 #[test]
 fn shares_of_a_cold_engines_budget_that_are_told_are_held_to_and_said_as_they_are_used() {
     let list = vec![EngineEntry { started_ns: Some(T0), ..entry(1) }];
-    let mut w = World::with(Settings { gateways: 100, ..cold() }, list);
+    let mut w = World::with(Settings { router_count: 100, ..cold() }, list);
     w.on(Event::ColdShares(EngineId(1), [0.0, 0.0]));
     assert!(refused(&w.arrive(request(0, 0, 100))), "none is told");
     // 10 cores x 0.85 x 0.8 x 2 x 0.4: half of it is 2.7 core-seconds in a second for light ones.
--- a/crates/core/src/cold.rs
+++ b/crates/core/src/cold.rs
@@ -39,7 +39,7 @@
     units: Vec<[u32; LANES]>,
     /// Lane of each class by kind.
     lanes: Vec<Vec<usize>>,
-    cold_ns: u64,
+    warmup_ns: u64,
     window_ns: u64,
     me: u64,
     engines: BTreeMap<EngineId, Cold>,
@@ -63,8 +63,9 @@
     /// The budgets that these settings speak of, and their limits, which are to stand behind `first` others; none where engines
     /// are never cold.
     pub fn new(settings: &Settings, first: usize) -> Option<(ColdBudgets, Vec<Limit>)> {
-        let (cold_ns, window_ns, start) = (settings.cold_ns?, settings.fall_ns?, settings.start_capacity?);
-        settings.tip_multiple?;
+        let (warmup_ns, window_ns, start) =
+            (settings.warmup_ns?, settings.overload_window_ns?, settings.initial_capacity?);
+        settings.overload_multiple?;
         // A kind without cores counts as one core, as for the module.
         let cores = settings.kinds.iter().map(|kind| kind.cores.filter(|c| *c > 0.0).unwrap_or(1.0));
         let cores: Vec<f64> = cores.chain([1.0]).collect();
@@ -85,9 +86,9 @@
             first,
             units,
             lanes,
-            cold_ns,
+            warmup_ns,
             window_ns,
-            me: u64::from(settings.gateway_index),
+            me: u64::from(settings.router_index),
             engines: BTreeMap::new(),
             costs: vec![1.0; settings.classes.len()],
             told_ns: 0,
@@ -119,7 +120,7 @@
             self.engines.values_mut().for_each(|engine| engine.ready = false);
         }
         for entry in entries {
-            let until_ns = entry.started_ns.map_or(0, |at| at.saturating_add(self.cold_ns));
+            let until_ns = entry.started_ns.map_or(0, |at| at.saturating_add(self.warmup_ns));
             if until_ns <= now || entry.state == EngineState::Gone {
                 self.engines.remove(&entry.engine);
                 continue;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -237,7 +237,7 @@
     Arrival(RequestId),
     Left(RequestId, Ending),
     Cancelled(RequestId),
-    Note(Attempt, Note),
+    AttemptUpdate(Attempt, AttemptUpdate),
     Ended(Attempt, Ending, Option<Rows>, Option<LoadReport>),
     Membership(MembershipKind, Vec<EngineEntry>),
 }
@@ -252,7 +252,7 @@
             Inbound::Membership(..) => 1,
             Inbound::Ended(_, Ending::Served, ..) => 2,
             Inbound::Cancelled(_) => 3,
-            Inbound::Arrival(_) | Inbound::Note(..) | Inbound::Ended(..) => 4,
+            Inbound::Arrival(_) | Inbound::AttemptUpdate(..) | Inbound::Ended(..) => 4,
         }
     }
 }
@@ -387,8 +387,8 @@
     }
 
     /// News of a running attempt.
-    pub fn note(&mut self, attempt: Attempt, note: Note) {
-        self.batch.push(Inbound::Note(attempt, note));
+    pub fn note(&mut self, attempt: Attempt, note: AttemptUpdate) {
+        self.batch.push(Inbound::AttemptUpdate(attempt, note));
     }
 
     /// An attempt has ended; only the first ending of an attempt counts.
@@ -499,9 +499,9 @@
     fn at_door(&self, id: RequestId, open: &Open) -> Arrival {
         let (ask, class) = (&open.ask, &self.classes[open.ask.class.0]);
         let threads = class.threads.max(1.0);
-        let usual_ns = class.aim_ns as f64 * threads * USUAL_NEED;
+        let usual_ns = class.target_latency_ns as f64 * threads * USUAL_NEED;
         let need_ns = ask.work_estimate_ns.map_or(usual_ns, |w| w as f64);
-        let stretch_ns = (class.aim_stretch * need_ns / threads) as u64;
+        let stretch_ns = (class.target_latency_stretch * need_ns / threads) as u64;
         Arrival {
             id: id.0,
             tenant: ask.tenant.map_or(usize::MAX, |t| t.0),
@@ -510,7 +510,7 @@
             threads,
             need_ns,
             worth: class.worth,
-            wanted_ns: open.taken_ns.saturating_add(class.aim_ns).saturating_add(stretch_ns),
+            wanted_ns: open.taken_ns.saturating_add(class.target_latency_ns).saturating_add(stretch_ns),
             expires_ns: open.expires_ns,
             bytes: ask.statement.text.len(),
         }
@@ -549,7 +549,7 @@
         let verdicts = self.verdicts.as_mut().map_or_else(Vec::new, |verdicts| verdicts.verdicts(now));
         for (engine, verdict) in verdicts {
             debug!("the fleet's verdict on {:016x} is {verdict:?}", engine.0);
-            self.decide(now, Event::Judged(engine, verdict), out);
+            self.decide(now, Event::VerdictChanged(engine, verdict), out);
         }
     }
 
@@ -603,7 +603,7 @@
                     self.end(now, id, Answer::Failed(Some(Ending::Forgotten), None), out);
                 }
             }
-            Inbound::Note(at, note) => {
+            Inbound::AttemptUpdate(at, note) => {
                 let current = self.open.get(&at.request).and_then(|o| o.out.as_ref());
                 if current.is_some_and(|c| c.number == at.number) {
                     self.decide(now, Event::Progress(at.request, at.number, note), out);
@@ -674,7 +674,7 @@
             }
         }
         let longest_ns = self.classes[open.ask.class.0].deadline_ns.saturating_add(DOUBT_GRACE_NS);
-        let over_by_ns = if ending.leaves_doubt() { ran.sent_ns.saturating_add(longest_ns) } else { 0 };
+        let may_run_until_ns = if ending.leaves_doubt() { ran.sent_ns.saturating_add(longest_ns) } else { 0 };
         let outcome = Outcome {
             request: at.request,
             attempt: at.number,
@@ -685,7 +685,7 @@
             work_ns: None,
             memory_mb: None,
             report,
-            over_by_ns,
+            may_run_until_ns,
         };
         debug!(
             "{} attempt {} on {:016x} ended {ending:?} after {} ms",
@@ -849,7 +849,7 @@
             }
             Action::Log(text) => log::info!("{text}"),
             // This program has no probes, no peers and a feed that needs no asking.
-            Action::Probe(_) | Action::Tell(..) | Action::Subscribe => {}
+            Action::Probe(_) | Action::SendToPeer(..) | Action::Subscribe => {}
         }
     }
 }
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -23,23 +23,23 @@
 
 fn settings(me: u32) -> Settings {
     let class = ClassSettings {
-        aim_ns: 1_200 * MS,
+        target_latency_ns: 1_200 * MS,
         deadline_ns: 4 * S,
         worth: 1.0,
         threads: 1.0,
         ..ClassSettings::default()
     };
     Settings {
-        gateways: ROUTERS,
-        gateway_index: me,
+        router_count: ROUTERS,
+        router_index: me,
         classes: vec![class],
         kinds: vec![KindSettings { cores: Some(CORES), memory_mb: None }],
         max_attempts: Some(4),
         max_retry_after_ns: Some(S),
-        cold_ns: Some(15 * S),
-        start_capacity: Some(0.3),
-        tip_multiple: Some(2.5),
-        fall_ns: Some(S),
+        warmup_ns: Some(15 * S),
+        initial_capacity: Some(0.3),
+        overload_multiple: Some(2.5),
+        overload_window_ns: Some(S),
         ..Settings::default()
     }
 }
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -21,7 +21,7 @@
 
 fn settings() -> Settings {
     let class = ClassSettings {
-        aim_ns: 1_000 * MS,
+        target_latency_ns: 1_000 * MS,
         deadline_ns: 6_000 * MS,
         worth: 1.0,
         threads: 1.0,
@@ -29,7 +29,7 @@
     };
     let load = ClassSettings { effect: Effect::AtMostOnce, serial_by_key: true, ..class.clone() };
     Settings {
-        gateways: 1,
+        router_count: 1,
         classes: vec![class, load],
         kinds: vec![KindSettings { cores: Some(4.0), memory_mb: None }],
         tenants: vec![TenantSettings::default(); 2],
--- a/crates/core/tests/round.rs
+++ b/crates/core/tests/round.rs
@@ -9,7 +9,8 @@
 const WINDOW: u64 = 700 * MS;
 
 fn router(class: ClassSettings) -> Router {
-    let class = ClassSettings { aim_ns: 9_000 * MS, deadline_ns: 9_000 * MS, threads: 1.0, ..class };
+    let class =
+        ClassSettings { target_latency_ns: 9_000 * MS, deadline_ns: 9_000 * MS, threads: 1.0, ..class };
     let kinds = vec![KindSettings { cores: Some(12.0), memory_mb: None }];
     let settings = Settings { classes: vec![class], kinds, may_cancel: true, ..Settings::default() };
     let mut router = Router::new(settings, 1, 64.0);
--- a/crates/engine/tests/give_up.rs
+++ b/crates/engine/tests/give_up.rs
@@ -45,7 +45,11 @@
         let registry = poll.registry().try_clone().unwrap();
         let net = Net::new(registry, 10, room);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let class = ClassSettings { aim_ns: 9_000 * MS, deadline_ns: 9_000 * MS, ..ClassSettings::default() };
+        let class = ClassSettings {
+            target_latency_ns: 9_000 * MS,
+            deadline_ns: 9_000 * MS,
+            ..ClassSettings::default()
+        };
         let settings = Settings { classes: vec![class], may_cancel: true, ..Settings::default() };
         let router = Router::new(settings, 1, 64.0);
         let same = listener.try_clone().unwrap();
--- a/crates/front/tests/quiet.rs
+++ b/crates/front/tests/quiet.rs
@@ -35,8 +35,11 @@
 }
 
 fn world_in(owner: Owner, room: Room) -> World {
-    let class =
-        ClassSettings { aim_ns: 1_000_000_000, deadline_ns: 6_000_000_000, ..ClassSettings::default() };
+    let class = ClassSettings {
+        target_latency_ns: 1_000_000_000,
+        deadline_ns: 6_000_000_000,
+        ..ClassSettings::default()
+    };
     let settings = Settings { classes: vec![class], ..Settings::default() };
     let names = Names { classes: vec!["lookup".into()], ..Names::default() };
     let directory = Directory::new(names, &settings);
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,6 +1,6 @@
 //! Heads and bodies of HTTP answers, as engines and the coordinator send them.
 
-use marljunction_control::interface::{LoadReport, Note};
+use marljunction_control::interface::{AttemptUpdate, LoadReport};
 
 /// Largest head that is read (bytes).
 const HEAD_MOST: usize = 8 << 10;
@@ -27,7 +27,7 @@
     /// `Never-Ran`: the query never ran.
     pub never_ran: bool,
     /// A note: `Outcome` and `Reading`.
-    pub note: Option<Note>,
+    pub note: Option<AttemptUpdate>,
     /// The load report.
     pub report: Option<LoadReport>,
     /// Consul's index of the answer.
@@ -83,12 +83,12 @@
     (report != LoadReport::default()).then_some(report)
 }
 
-fn read_note(name: &str, value: Option<&str>) -> Option<Note> {
+fn read_note(name: &str, value: Option<&str>) -> Option<AttemptUpdate> {
     let value: f64 = value.and_then(|v| v.trim().parse().ok()).filter(|v: &f64| v.is_finite())?;
     match name.trim() {
-        "frac" => Some(Note::Progress(value)),
-        "missing" => Some(Note::Spills(value)),
-        "parked" => Some(Note::Waits),
+        "frac" => Some(AttemptUpdate::Progress(value)),
+        "missing" => Some(AttemptUpdate::Spilling(value)),
+        "parked" => Some(AttemptUpdate::Waiting),
         _ => None,
     }
 }
--- a/crates/lab/src/capacity/decision.rs
+++ b/crates/lab/src/capacity/decision.rs
@@ -144,7 +144,7 @@
         status: Status::Done,
         latency_ns: SERVED_NS,
         concluded: true,
-        over_by_ns: 0,
+        may_run_until_ns: 0,
         work_ns: None,
         memory_mb: None,
         report: None,
--- a/crates/rig/src/engine.rs
+++ b/crates/rig/src/engine.rs
@@ -216,7 +216,7 @@
     /// The multiple of its capacity that tips it over (ratio), sent within this time (ns).
     pub tip: f64,
     /// Window of that (ns).
-    pub fall_ns: u64,
+    pub overload_window_ns: u64,
     window: VecDeque<(u64, f64)>,
     sum: f64,
     /// Most work sent in one window over what tips it (ratio).
@@ -225,9 +225,16 @@
 
 impl Cold {
     /// An engine that started at `since_ns`, with the figures that its routers' settings hold too.
-    pub fn new(since_ns: u64, cores: f64, start: f64, warm_ns: u64, tip: f64, fall_ns: u64) -> Cold {
+    pub fn new(
+        since_ns: u64,
+        cores: f64,
+        start: f64,
+        warm_ns: u64,
+        tip: f64,
+        overload_window_ns: u64,
+    ) -> Cold {
         let window = VecDeque::new();
-        Cold { since_ns, cores, start, warm_ns, tip, fall_ns, window, sum: 0.0, peak: 0.0 }
+        Cold { since_ns, cores, start, warm_ns, tip, overload_window_ns, window, sum: 0.0, peak: 0.0 }
     }
 
     /// Cores that it is worth now.
@@ -243,11 +250,13 @@
         }
         self.window.push_back((now, work));
         self.sum += work;
-        while let Some((_, old)) = self.window.front().copied().filter(|(at, _)| at + self.fall_ns < now) {
+        while let Some((_, old)) =
+            self.window.front().copied().filter(|(at, _)| at + self.overload_window_ns < now)
+        {
             self.window.pop_front();
             self.sum -= old;
         }
-        let limit = self.tip * self.capacity(now) * self.fall_ns as f64;
+        let limit = self.tip * self.capacity(now) * self.overload_window_ns as f64;
         self.peak = self.peak.max(self.sum / limit);
         self.sum <= limit
     }
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -279,9 +279,10 @@
             setup,
         };
         if fleet.setup.cold {
-            let (start, warm_ns, tip, fall_ns) = COLD;
+            let (start, warm_ns, tip, overload_window_ns) = COLD;
             for engine in &mut fleet.engines {
-                engine.cold = Some(Cold::new(now, fleet.setup.cores, start, warm_ns, tip, fall_ns));
+                engine.cold =
+                    Some(Cold::new(now, fleet.setup.cores, start, warm_ns, tip, overload_window_ns));
             }
         }
         let whole = fleet.whole_list();
@@ -599,9 +600,9 @@
     /// All engines start again, cold, and the list says so; what they hold runs on.
     pub fn renew_engines(&mut self) {
         let now = self.clock.now_ns();
-        let (start, warm_ns, tip, fall_ns) = COLD;
+        let (start, warm_ns, tip, overload_window_ns) = COLD;
         for engine in &mut self.engines {
-            engine.cold = Some(Cold::new(now, self.setup.cores, start, warm_ns, tip, fall_ns));
+            engine.cold = Some(Cold::new(now, self.setup.cores, start, warm_ns, tip, overload_window_ns));
         }
         self.tell_again();
     }
--- a/crates/rig/src/hollow/router.rs
+++ b/crates/rig/src/hollow/router.rs
@@ -131,7 +131,7 @@
         let pacing = Pacing { pace: shared.pace(start.number), seed, stale_ns: STALE_NS };
         let (settings, names) = &*shared.settings;
         let mut settings = settings.clone();
-        settings.gateway_index = start.number;
+        settings.router_index = start.number;
         let mut module = Router::new(settings.clone(), seed, MEMORY_MB);
         let mut fleet = None;
         if let Some(setup) = &shared.setup.fleet {
--- a/crates/rig/src/stage.rs
+++ b/crates/rig/src/stage.rs
@@ -125,9 +125,9 @@
     let of = |f: fn(&Class) -> Value| site.classes.iter().map(f).collect::<Vec<Value>>();
     let mut guarantees = json!({"drain_grace_ns": 500_000_000u64});
     if site.cold {
-        let (start, warm_ns, tip, fall_ns) = COLD;
+        let (start, warm_ns, tip, overload_window_ns) = COLD;
         guarantees = json!({"drain_grace_ns": 500_000_000u64, "start_capacity": start, "cold_ns": warm_ns,
-                            "tip_multiple": tip, "fall_ns": fall_ns});
+                            "tip_multiple": tip, "fall_ns": overload_window_ns});
     }
     json!({
         "azs": ["a"], "balancers": site.routers, "me": site.me, "zone": "a", "kinds": ["std"], "membership_mode": "automatic",
--- a/crates/settings/src/atomic_file.rs
+++ b/crates/settings/src/atomic_file.rs
@@ -9,14 +9,14 @@
 /// # Errors
 /// Where it can't be written or renamed; what was there before stays then.
 pub fn write_atomically(path: &Path, text: &str) -> std::io::Result<()> {
-    write_atomically_by(path, |mut file| file.write_all(text.as_bytes()))
+    write_atomically_with(path, |mut file| file.write_all(text.as_bytes()))
 }
 
 /// The same, for a text that is written piece by piece and never held.
 ///
 /// # Errors
 /// Where it can't be written or renamed; what was there before stays then.
-pub fn write_atomically_by(
+pub fn write_atomically_with(
     path: &Path,
     write: impl FnOnce(File) -> std::io::Result<()>,
 ) -> std::io::Result<()> {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -31,8 +31,10 @@
 #[derive(Deserialize)]
 struct RawClass {
     name: String,
-    aim_ns: u64,
-    aim_stretch: Option<f64>,
+    #[serde(rename = "aim_ns")]
+    target_latency_ns: u64,
+    #[serde(rename = "aim_stretch")]
+    target_latency_stretch: Option<f64>,
     give_up_ns: u64,
     effect: String,
     dedup_scope: Option<String>,
@@ -66,25 +68,31 @@
 
 #[derive(Deserialize)]
 struct RawGuarantees {
-    cold_ns: Option<u64>,
+    #[serde(rename = "cold_ns")]
+    warmup_ns: Option<u64>,
     drain_grace_ns: Option<u64>,
     extra_floor: Option<f64>,
     extra_per_request: Option<f64>,
     extra_window_ns: Option<u64>,
-    fall_ns: Option<u64>,
+    #[serde(rename = "fall_ns")]
+    overload_window_ns: Option<u64>,
     order_pause_ns: Option<u64>,
-    start_capacity: Option<f64>,
-    tip_multiple: Option<f64>,
+    #[serde(rename = "start_capacity")]
+    initial_capacity: Option<f64>,
+    #[serde(rename = "tip_multiple")]
+    overload_multiple: Option<f64>,
 }
 
 #[derive(Deserialize)]
 struct RawLimits {
     cancelling: Option<bool>,
-    may_tell: Option<bool>,
+    #[serde(rename = "may_tell")]
+    may_message_peers: Option<bool>,
     max_retry_after_ns: Option<u64>,
     probes: Option<bool>,
     retry_after: Option<bool>,
-    second_copies: Option<bool>,
+    #[serde(rename = "second_copies")]
+    may_hedge: Option<bool>,
     send_cap: Option<u32>,
 }
 
@@ -136,8 +144,8 @@
     let mut classes = Vec::new();
     for (i, c) in raw.request_classes.iter().enumerate() {
         classes.push(ClassSettings {
-            aim_ns: c.aim_ns,
-            aim_stretch: c.aim_stretch.unwrap_or_default(),
+            target_latency_ns: c.target_latency_ns,
+            target_latency_stretch: c.target_latency_stretch.unwrap_or_default(),
             deadline_ns: c.give_up_ns,
             worth: c.worth,
             late_worth: c.late_worth.unwrap_or_default(),
@@ -170,8 +178,8 @@
         _ => None,
     };
     let settings = Settings {
-        gateway_index: raw.me,
-        gateways: raw.balancers,
+        router_index: raw.me,
+        router_count: raw.balancers,
         zone: raw.zone.and_then(|z| index_of(&names.zones, &z)).map(ZoneId),
         classes,
         kinds: (0..names.kinds.len())
@@ -185,8 +193,8 @@
         max_attempts: raw.limits.send_cap,
         may_cancel: raw.limits.cancelling == Some(true),
         may_probe: raw.limits.probes == Some(true),
-        may_tell: raw.limits.may_tell == Some(true),
-        second_copies: raw.limits.second_copies == Some(true),
+        may_message_peers: raw.limits.may_message_peers == Some(true),
+        may_hedge: raw.limits.may_hedge == Some(true),
         max_retry_after_ns: raw.limits.max_retry_after_ns.filter(|_| raw.limits.retry_after == Some(true)),
         report_source: match raw.load_report.as_ref().map(|r| r.how.as_str()) {
             Some("answers") => ReportSource::Answers,
@@ -196,18 +204,18 @@
         grants: family.takes_grants == Some(true),
         priorities: family.lanes_count == Some(true),
         max_grant_share: family.grant_cap,
-        when_short: match family.out_of_memory.as_deref() {
-            Some("trim") => WhenShort::Shrink,
-            Some("swap") => WhenShort::Page,
-            _ => WhenShort::Wait,
+        memory_shortage: match family.out_of_memory.as_deref() {
+            Some("trim") => MemoryShortage::Shrink,
+            Some("swap") => MemoryShortage::Page,
+            _ => MemoryShortage::Wait,
         },
-        answers_tell_cost: family.cost_in_answers == Some(true),
-        progress_every_ns: family.progress_pace_ns.filter(|p| *p > 0),
+        answers_report_cost: family.cost_in_answers == Some(true),
+        progress_interval_ns: family.progress_pace_ns.filter(|p| *p > 0),
         drain_grace_ns: g.drain_grace_ns,
-        start_capacity: g.start_capacity,
-        cold_ns: g.cold_ns,
-        tip_multiple: g.tip_multiple,
-        fall_ns: g.fall_ns,
+        initial_capacity: g.initial_capacity,
+        warmup_ns: g.warmup_ns,
+        overload_multiple: g.overload_multiple,
+        overload_window_ns: g.overload_window_ns,
         order_pause_ns: g.order_pause_ns.filter(|p| *p > 0),
         retry_budget,
         must_subscribe: raw.membership_mode.as_deref() == Some("subscribe"),
--- a/src/config.rs
+++ b/src/config.rs
@@ -149,9 +149,9 @@
 
 impl StartFile {
     /// The pace of router `me` of a fleet that the settings say has `gateways` routers.
-    pub fn pace(&self, gateways: u32, me: u32) -> Pace {
+    pub fn pace(&self, router_count: u32, me: u32) -> Pace {
         let callers = match self.routers {
-            Count::AsInSettings => Some(gateways),
+            Count::AsInSettings => Some(router_count),
             Count::Unknown => None,
             Count::Of(count) => Some(count),
         };
@@ -172,8 +172,8 @@
 
     /// What follows from it for news of the engines, as operators read it; nothing is said of the budget's share where the
     /// count of routers is not known here.
-    pub fn bounds(&self, gateways: Option<u32>) -> String {
-        let pace = self.pace(gateways.unwrap_or(0), 0);
+    pub fn bounds(&self, router_count: Option<u32>) -> String {
+        let pace = self.pace(router_count.unwrap_or(0), 0);
         let callers = pace.callers.filter(|n| *n > 0);
         let seconds = |ns: u64| ns as f64 / 1e9;
         let mut told = format!(
@@ -355,7 +355,7 @@
         let zone = self.settings.zone.and_then(|zone| self.names.zones.get(zone.0)).cloned();
         RouterIdentity {
             name: self.name.clone(),
-            number: self.settings.gateway_index,
+            number: self.settings.router_index,
             zone,
             seed: self.own_seed(),
         }
--- a/src/daemon/relayed_list.rs
+++ b/src/daemon/relayed_list.rs
@@ -39,7 +39,7 @@
 ) -> Option<CellConfig> {
     let fleet = fleet?;
     let cell = fleet.list.as_ref()?.cell(identity, &config.names, fleet.routers)?;
-    (config.settings.gateways, config.settings.gateway_index) = (cell.sharers, cell.rank);
+    (config.settings.router_count, config.settings.router_index) = (cell.sharers, cell.rank);
     start.routers = Count::AsInSettings;
     Some(cell)
 }
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -86,7 +86,7 @@
     }
 
     fn apply_pacing(&mut self, config: &Config, start: &StartFile) {
-        let pace = start.pace(config.settings.gateways, config.settings.gateway_index);
+        let pace = start.pace(config.settings.router_count, config.settings.router_index);
         if let Some(source) = &mut self.engine_list.source {
             source.set_pace(pace, start.stale_ns);
         }
--- a/src/daemon/snapshot.rs
+++ b/src/daemon/snapshot.rs
@@ -8,7 +8,7 @@
 use marljunction_discovery::bound::ListBound;
 use marljunction_discovery::cached_snapshot::{self, CachedSnapshot};
 use marljunction_discovery::Change;
-use marljunction_settings::atomic_file::write_atomically_by;
+use marljunction_settings::atomic_file::write_atomically_with;
 
 use super::Daemon;
 
@@ -80,7 +80,8 @@
         let Snapshot { list, path, .. } = &mut self.engine_list.snapshot;
         let Some(path) = path.as_ref().filter(|_| list.due(now, roster.len())) else { return };
         let names = self.config.directory.names();
-        let written = write_atomically_by(path, |file| cached_snapshot::write(file, roster, names, heard_ns));
+        let written =
+            write_atomically_with(path, |file| cached_snapshot::write(file, roster, names, heard_ns));
         list.written(path, written);
     }
 }
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -74,7 +74,7 @@
             None => build_source(now, &config, &start, postgres.as_ref(), pacing)?,
         };
         // Cold engines' budgets are divided by the same count as the list service's.
-        config.settings.gateways = pacing.pace.sharers();
+        config.settings.router_count = pacing.pace.sharers();
         let engines = build_engines(&config, &start, postgres.as_ref(), pacing);
         let fronts = build_fronts(&config, postgres, &directory)?;
         let (fleet, machines) = start_fleet(now, &registry, fleet, identity, &config, &files)?;
@@ -138,7 +138,7 @@
 
 fn build_pacing(config: &Config, start: &StartFile) -> Pacing {
     Pacing {
-        pace: start.pace(config.settings.gateways, config.settings.gateway_index),
+        pace: start.pace(config.settings.router_count, config.settings.router_index),
         seed: config.own_seed(),
         stale_ns: start.stale_ns,
     }
@@ -168,7 +168,7 @@
         }
         (None, None) => return Ok(None),
     };
-    info!("{}", start.bounds(Some(config.settings.gateways)));
+    info!("{}", start.bounds(Some(config.settings.router_count)));
     Ok(Some(source))
 }
 
--- a/tests/terms_fleet.rs
+++ b/tests/terms_fleet.rs
@@ -23,10 +23,11 @@
 fn most_over_allowed(fleet: &Fleet, engine: usize, cold: &Cold, work_ns: f64, part: f64) -> f64 {
     let times: Vec<u64> = fleet.engines[engine].sends.iter().flatten().map(|sent| sent.at_ns).collect();
     let allowed = |at: u64| {
-        let calls = part * cold.tip * cold.capacity(at) * cold.fall_ns as f64 / work_ns;
+        let calls = part * cold.tip * cold.capacity(at) * cold.overload_window_ns as f64 / work_ns;
         calls + 2.0 * calls.sqrt() + 2.0
     };
-    let within = |at: u64| times.iter().filter(|t| **t <= at && **t + cold.fall_ns > at).count() as f64;
+    let within =
+        |at: u64| times.iter().filter(|t| **t <= at && **t + cold.overload_window_ns > at).count() as f64;
     times.iter().map(|at| within(*at) / allowed(*at)).fold(0.0, f64::max)
 }
 
