--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -9,64 +9,64 @@
 // ---- Constants -----------------------------------------------------------------------------------
 
 /// Weight of one more outcome in a learned mean (share): some thirty outcomes are remembered.
-const LEARN: f64 = 0.03;
+const LEARN_WEIGHT: f64 = 0.03;
 /// The same for the mix of what is sent (share): some two hundred are remembered, as heavy ones are rare.
-const MIX: f64 = 0.005;
+const TRAFFIC_MIX_WEIGHT: f64 = 0.005;
 /// Outcomes before a learned figure is used at all (count): fewer say more of luck than of the class.
-const LEARN_MIN: f64 = 5.0;
+const MIN_OUTCOMES: f64 = 5.0;
 /// One outcome counts for at most this multiple of the present mean (ratio): bad plans are not the usual.
-const OUTLIER: f64 = 6.0;
+const MAX_OUTLIER_RATIO: f64 = 6.0;
 /// Mean need before anything is known (share of aim x threads): most classes aim well past their work.
-const PRIOR_NEED: f64 = 0.25;
+const DEFAULT_NEED_SHARE: f64 = 0.25;
 /// Weight of a new report in the figure of other gateways' threads (share): one report is noisy.
 const REPORT_WEIGHT: f64 = 0.4;
 /// Usual age of what a report shows (ns): this gateway's own part in it is that of so long ago.
 const REPORT_AGE_NS: f64 = 400_000_000.0;
 /// What each peer that reads the same report adds while it is on its way, against this gateway (ratio).
-const PEERS_ADD: f64 = 0.6;
+const PEER_GROWTH: f64 = 0.6;
 /// Peers, and what is guessed of them from own threads, count at most as this multiple of what was heard of
 /// them (ratio): a gateway that carries far more than others must not take all of them to be like itself.
-const UNEVEN: f64 = 3.0;
+const MAX_PEER_RATIO: f64 = 3.0;
 /// Part of a query about to be sent that peers are taken to add with it (share).
-const NEW: f64 = 0.3;
+const NEW_QUERY_SHARE: f64 = 0.3;
 /// Life of what is known of an engine and of this gateway's own load (ns): an old figure gives way to the
 /// fleet's average, an old success to a new failure.
-const LIFE_NS: f64 = 3_500_000_000.0;
+const DECAY_NS: f64 = 3_500_000_000.0;
 /// Where figures come with answers, what this gateway guesses from its own threads weighs as so many engines
 /// heard (count): a second opinion on a few late figures, which falls as it sends less.
-const DOUBT: f64 = 2.0;
+const PEER_ESTIMATE_WEIGHT: f64 = 2.0;
 /// What is left of each figure for every refusal since the last one was heard (share): a gateway that takes
 /// all for full sends nothing and hears nothing, for good.
-const FADE: f64 = 0.97;
+const REFUSAL_DECAY: f64 = 0.97;
 /// Threads a core that the time of an answer over alone stands for at most, and that being turned away as
 /// full stands for (ratio): a jam of seconds, read as more, had gateways refuse most of what came after it.
-const LONGER_MAX: f64 = 2.5;
+const MAX_THREADS_FROM_LATENCY: f64 = 2.5;
 /// Busy share from which what an engine holds is weighed in as threads, fully so at 1 (share).
-const FULL_FROM: f64 = 0.5;
+const SATURATION_START: f64 = 0.5;
 /// Threads a core that an engine holds from which they count though its cores are idle, fully so at one
 /// more (ratio): fewer may just be reading, as queries do for half of their time.
-const JAM_FROM: f64 = 3.0;
+const QUEUEING_START: f64 = 3.0;
 /// Loads on a data set that an engine is taken to hold for each of this gateway's own there (ratio): 2 was
 /// no better, as peers spread theirs too.
-const PEERS_HOLD: f64 = 1.0;
+const PEER_LOADS_PER_OWN: f64 = 1.0;
 /// Age of a figure at which its engine may be probed (ns): about one refresh of a report.
-const PROBE_EVERY_NS: u64 = 500_000_000;
+const PROBE_INTERVAL_NS: u64 = 500_000_000;
 /// Memory over the estimate where the engine grants it, and over the corrected one where this gateway does
 /// (ratio): a spill does several times the work, but idle memory is lost to others.
 const GRANT_MARGIN: [f64; 2] = [1.2, 1.4];
 /// An attempt has outrun its need at this many deviations (of the logarithm) of its class's answers from what
 /// was expected, within these multiples, as rough estimates show a bad plan late. The middle one is first.
-const OUTRUN_DEVIATIONS: f64 = 2.2;
+const OVERRUN_DEVIATIONS: f64 = 2.2;
 const OUTRUN: [f64; 3] = [2.0, 3.0, 5.0];
 /// The same for loads and what waits for them, against other classes (ratio).
-const HELD_PATIENCE: f64 = 3.0;
+const LOAD_OVERRUN_FACTOR: f64 = 3.0;
 /// Share of further attempts that end in time where bad plans are drawn anew, outcomes that this is worth,
 /// and times under it heeded: patience grows as its square where a new attempt takes as long again.
 const HELPED: [f64; 3] = [0.7, 3.0, 3.0];
 /// Data sets sent last to an engine that are taken as warm there (count), and what is left of the need of a
 /// query on one (share): part of its reading is saved.
-const WARM_SETS: usize = 4;
-const WARM_NEED: f64 = 0.7;
+const MAX_WARM_DATA_SETS: usize = 4;
+const WARM_NEED_SHARE: f64 = 0.7;
 /// Threads a core beyond which an engine gets nothing more (ratio), as past it engines do less work in all;
 /// more where queries wait in an engine's line for memory, as part of the threads it holds then do not run.
 const KNEE: [f64; 2] = [2.0, 2.5];
@@ -77,65 +77,65 @@
 /// a heavy query is worth no more than a light one of its class, and holds its threads for longer.
 const KNEE_BY_COST: [f64; 2] = [0.4, 0.6];
 /// Least time before an attempt is looked at (ns): network and scheduling take some of it.
-const REVIEW_MIN_NS: u64 = 400_000_000;
+const MIN_REVIEW_NS: u64 = 400_000_000;
 /// Least weight of an outcome in an engine's failure share (share): three failures in a row suspend it. It is
 /// more where the one before is old, so that an engine met every few seconds is suspended by one.
-const FAIL_WEIGHT: f64 = 0.25;
+const MIN_FAILURE_WEIGHT: f64 = 0.25;
 /// Failure share at which an engine is suspended (share).
-const SUSPEND: f64 = 0.5;
+const SUSPEND_FAILURE_SHARE: f64 = 0.5;
 /// First and longest wait before a suspended engine is tried again (ns); each doubles the one before.
 const TRIAL_NS: [u64; 2] = [1_000_000_000, 8_000_000_000];
 /// Share of this gateway's queries that may try suspended engines (share): many may be out, few queries come.
 const TRIAL_SHARE: f64 = 0.05;
 /// Weight of an answer in an engine's stretch (share).
-const STRETCH_WEIGHT: f64 = 0.15;
+const LATENCY_RATIO_WEIGHT: f64 = 0.15;
 /// Stretch over the average engine's that is still taken for chance (ratio).
-const SLOW_BAND: f64 = 1.2;
+const SLOW_TOLERANCE: f64 = 1.2;
 /// Busy share of the cores at which an engine's capacity is counted (share).
-const CAPACITY_BUSY: f64 = 0.85;
+const CAPACITY_BUSY_SHARE: f64 = 0.85;
 /// Part of a cold engine's budget that is used (share), and queries of a light class that it holds at least
 /// as the engine starts (count).
-const COLD_SAFETY: f64 = 0.8;
-const COLD_LIGHT: f64 = 8.0;
+const COLD_BUDGET_SHARE: f64 = 0.8;
+const MIN_LIGHT_QUERIES: f64 = 8.0;
 /// Threads a core that peers are taken to hold at most on a cold engine that is not heard of (ratio): its
 /// budget keeps them from more.
-const COLD_OTHERS: f64 = 0.5;
+const MAX_COLD_PEER_THREADS: f64 = 0.5;
 /// Load factor added for an engine in another zone (ratio), as crossing has a small price.
-const CROSS_ZONE: f64 = 0.05;
+const CROSS_ZONE_PENALTY: f64 = 0.05;
 /// Engines that a gateway looks at first, the same ones for all of its requests, and gateways at least that
 /// have an engine among their first ones, so that it is not left to a few (counts). Others only where none of
 /// these passes. A hundred gateways that spread their thin traffic over all engines know none of them: their
 /// figures are old, and connections close before they are used again.
-const FIRST: usize = 5;
-const SHARED: usize = 8;
+const MIN_PREFERRED_ENGINES: usize = 5;
+const MIN_ROUTERS_PER_ENGINE: usize = 8;
 /// Of these, engines drawn for a request, of which the lowest factor picks: gateways that read the same
 /// report must not all pick the same.
-const DRAWN: u64 = 6;
+const MAX_CANDIDATES: u64 = 6;
 /// Retry advice at least (ns): sooner than this nothing has changed.
-const ADVICE_MIN_NS: u64 = 100_000_000;
+const MIN_RETRY_AFTER_NS: u64 = 100_000_000;
 /// Wait before membership is asked for again after a failure (ns).
-const RESUBSCRIBE_NS: u64 = 1_000_000_000;
+const RESUBSCRIBE_DELAY_NS: u64 = 1_000_000_000;
 /// Timer token for that; others hold a request, and an attempt or TURN in the low byte.
 const SUBSCRIBE_TOKEN: u64 = u64::MAX >> 1;
-const TURN: u64 = 255;
+const TURN_MARKER: u64 = 255;
 
 // ---- State ---------------------------------------------------------------------------------------
 
 /// A learned mean: its first values count alike, later ones by LEARN.
 #[derive(Clone, Copy, Default)]
-struct Mean {
+struct LearnedMean {
     count: f64,
     value: f64,
 }
 
-impl Mean {
+impl LearnedMean {
     fn add(&mut self, value: f64) {
         self.count += 1.0;
-        self.value = blend(self.value, value, LEARN.max(1.0 / self.count));
+        self.value = blend(self.value, value, LEARN_WEIGHT.max(1.0 / self.count));
     }
 
-    fn or(&self, unknown: f64) -> f64 {
-        Some(self.value).filter(|_| self.count > 0.0).unwrap_or(unknown)
+    fn or(&self, default: f64) -> f64 {
+        Some(self.value).filter(|_| self.count > 0.0).unwrap_or(default)
     }
 }
 
@@ -143,18 +143,18 @@
 /// memory over its estimate, and squared logarithm of time taken over time expected.
 #[derive(Default)]
 struct ClassModel {
-    work: Mean,
-    told: Mean,
-    estimated: Mean,
-    usual: Mean,
-    memory: Mean,
-    scatter: Mean,
+    work: LearnedMean,
+    reported_work: LearnedMean,
+    estimated_work: LearnedMean,
+    typical_need: LearnedMean,
+    memory_ratio: LearnedMean,
+    latency_variance: LearnedMean,
     /// Share of the attempts after an outrun one that did end in time.
-    helped: Mean,
+    retry_success: LearnedMean,
 }
 
 /// An attempt out on an engine.
-struct Running {
+struct RunningAttempt {
     request: RequestId,
     attempt: u32,
     due_ns: u64,
@@ -162,7 +162,7 @@
     threads: f64,
     sent_ns: u64,
     expected_ns: f64,
-    told: Option<(u64, f64)>,
+    progress: Option<(u64, f64)>,
     priority: u8,
     grant_mb: u64,
 }
@@ -174,29 +174,29 @@
     cores: f64,
     memory_mb: f64,
     /// Sorted by due time, then by request.
-    running: Vec<Running>,
+    running: Vec<RunningAttempt>,
     /// When the last report came, and the others' threads that it and earlier ones show.
-    heard_ns: Option<u64>,
-    others: f64,
+    reported_ns: Option<u64>,
+    peer_threads: f64,
     /// Share of its memory that was granted then.
-    granted: f64,
+    granted_share: f64,
     /// Own threads of late: when it was brought up to date, and their mean over a report's age.
-    lagged: (u64, f64),
+    lagged_threads: (u64, f64),
     probing: bool,
-    fail_share: f64,
+    failure_share: f64,
     suspended: bool,
-    trial_ns: u64,
+    next_trial_ns: u64,
     backoff_ns: u64,
-    last_done_ns: u64,
-    judged_ns: u64,
+    last_success_ns: u64,
+    last_outcome_ns: u64,
     /// Time taken against time expected, of late; 0 before its first answer, when it counts as average.
-    stretch: f64,
-    cold_since_ns: Option<u64>,
-    down: bool,
+    latency_ratio: f64,
+    cold_start_ns: Option<u64>,
+    unreachable: bool,
     /// Data sets sent here, the latest last.
-    warm: VecDeque<u64>,
+    warm_data_sets: VecDeque<u64>,
     /// Usual work sent of late, while cold, and its lane.
-    sent: Vec<(u64, f64, usize)>,
+    recent_sends: Vec<(u64, f64, usize)>,
     /// Shares of the light and heavy lane's budget that are this gateway's while cold, where it is told them.
     cold_shares: Option<[f64; 2]>,
     /// What all gateways together believe of it, where that is told.
@@ -207,13 +207,13 @@
 #[derive(Default)]
 struct Pending {
     request: Request,
-    taken_ns: u64,
+    accepted_ns: u64,
     expires_ns: u64,
-    sends: u32,
-    out: Option<EngineId>,
+    attempts: u32,
+    running_on: Option<EngineId>,
     cancelled: bool,
     concluded: bool,
-    failed_at: Option<EngineId>,
+    failed_engine: Option<EngineId>,
     /// When and where an attempt that may have run was sent; its engine may be forgotten since.
     may_have_run: Option<(u64, EngineEntry)>,
 }
@@ -223,36 +223,36 @@
 pub struct Controller {
     settings: Settings,
     seed: u64,
-    born_ns: Option<u64>,
+    first_event_ns: Option<u64>,
     models: Vec<ClassModel>,
     engines: BTreeMap<EngineId, Engine>,
     pending: BTreeMap<RequestId, Pending>,
     /// Time taken against time expected, over all engines.
-    stretch: Mean,
+    latency_ratio: LearnedMean,
     /// Probes tell load: no guess from own threads, nor the time that answers take, stands in for it.
-    told_load: bool,
+    probes_report_load: bool,
     /// Requests refused since a figure was last heard.
-    unheard: i32,
+    refusals_since_report: i32,
     /// Trials of suspended engines that may be made.
-    trials: f64,
-    turns: BTreeMap<u64, (VecDeque<RequestId>, u64)>,
-    taken: VecDeque<u64>,
-    extra: VecDeque<u64>,
+    trial_tokens: f64,
+    key_queues: BTreeMap<u64, (VecDeque<RequestId>, u64)>,
+    arrivals: VecDeque<u64>,
+    retries: VecDeque<u64>,
     /// Work, time alone, memory x time alone sent, decayed: threads that a query or a granted MB stands for.
-    mix: [f64; 3],
+    traffic_mix: [f64; 3],
     /// Own threads in the mean and sends a nanosecond, and when they were brought up to now.
-    own: (u64, f64, f64),
+    own_load: (u64, f64, f64),
 }
 
-type Out = Vec<Action>;
+type Actions = Vec<Action>;
 
 /// What one pick knows of all engines: others' threads a core, mean stretch, peers that do as this gateway
 /// does while a report is on its way; and the d, C and threads of its request.
 #[derive(Default)]
-struct View {
-    others: f64,
-    granted: f64,
-    stretch: f64,
+struct PickContext {
+    peer_threads: f64,
+    granted_share: f64,
+    latency_ratio: f64,
     peers: f64,
     due_ns: u64,
     need_ns: f64,
@@ -260,33 +260,34 @@
 }
 
 /// A pass of the demand check.
-struct Pass {
-    factor: f64,
+struct Admission {
+    load_factor: f64,
     due_ns: u64,
-    crowd: f64,
+    threads_per_core: f64,
     need_ns: f64,
 }
 
-fn mix(mut x: u64) -> u64 {
+fn hash64(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
 /// Need of a query of a class by settings alone.
-fn prior_need(class: &ClassSettings) -> f64 {
-    class.target_latency_ns as f64 * class.threads.max(1.0) * PRIOR_NEED
+fn default_need(class: &ClassSettings) -> f64 {
+    class.target_latency_ns as f64 * class.threads.max(1.0) * DEFAULT_NEED_SHARE
 }
 
 /// The lane of a class on a cold engine (0 for light ones, 1 for heavy), the engine's budget for a window as
 /// if it were warm, and what a query of the lane needs at most by settings alone.
 pub fn cold_lane(s: &Settings, cores: f64, class: ClassId) -> Option<(usize, f64, f64)> {
-    let (tip, start, overload_window_ns) = (s.overload_multiple?, s.initial_capacity?, s.overload_window_ns?);
-    let full = tip * cores * CAPACITY_BUSY * overload_window_ns as f64 * COLD_SAFETY;
-    let heavy = |need: f64| need * COLD_LIGHT > full * start;
-    let lane = heavy(prior_need(&s.classes[class.0]));
-    let needs = s.classes.iter().map(prior_need).filter(|need| heavy(*need) == lane);
-    Some((usize::from(lane), full, needs.fold(1.0, f64::max)))
+    let (overload, start, overload_window_ns) =
+        (s.overload_multiple?, s.initial_capacity?, s.overload_window_ns?);
+    let budget = overload * cores * CAPACITY_BUSY_SHARE * overload_window_ns as f64 * COLD_BUDGET_SHARE;
+    let heavy = |need: f64| need * MIN_LIGHT_QUERIES > budget * start;
+    let lane = heavy(default_need(&s.classes[class.0]));
+    let needs = s.classes.iter().map(default_need).filter(|need| heavy(*need) == lane);
+    Some((usize::from(lane), budget, needs.fold(1.0, f64::max)))
 }
 
 fn review_token(id: RequestId, attempt: u32) -> TimerToken {
@@ -294,19 +295,19 @@
 }
 
 /// How much longer than the average engine this one takes.
-fn slowness(e: &Engine, view: &View) -> f64 {
-    let told = if let Verdict::Slow(ratio) = e.verdict { ratio } else { 0.0 };
-    ((e.stretch / view.stretch).max(told) / SLOW_BAND).max(1.0)
+fn slowness(e: &Engine, context: &PickContext) -> f64 {
+    let reported = if let Verdict::Slow(ratio) = e.verdict { ratio } else { 0.0 };
+    ((e.latency_ratio / context.latency_ratio).max(reported) / SLOW_TOLERANCE).max(1.0)
 }
 
 /// Part of what was known `since` then that still holds, at a life of `life_ns`.
-fn part_left(now: u64, since: u64, life_ns: f64) -> f64 {
-    (-(now.saturating_sub(since) as f64) / life_ns).exp()
+fn decay(now: u64, since: u64, decay_ns: f64) -> f64 {
+    (-(now.saturating_sub(since) as f64) / decay_ns).exp()
 }
 
 /// Weight that the last figure heard of an engine still has; none where nothing was heard.
 fn freshness(now: u64, e: &Engine) -> f64 {
-    e.heard_ns.map_or(0.0, |t| part_left(now, t, LIFE_NS))
+    e.reported_ns.map_or(0.0, |t| decay(now, t, DECAY_NS))
 }
 
 fn blend(old: f64, new: f64, weight: f64) -> f64 {
@@ -318,27 +319,29 @@
 impl Controller {
     /// A controller that knows nothing yet; the seed breaks its ties.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let helped = Mean { count: HELPED[1], value: HELPED[0] };
+        let retry_success = LearnedMean { count: HELPED[1], value: HELPED[0] };
         let models =
-            settings.classes.iter().map(|_| ClassModel { helped, ..ClassModel::default() }).collect();
-        Controller { settings, seed, models, trials: 1.0, ..Controller::default() }
+            settings.classes.iter().map(|_| ClassModel { retry_success, ..ClassModel::default() }).collect();
+        Controller { settings, seed, models, trial_tokens: 1.0, ..Controller::default() }
     }
 
     /// Takes one event, and adds what is to be done to `out`.
     pub fn handle(&mut self, now_ns: u64, event: Event, out: &mut Vec<Action>) {
-        if self.born_ns.is_none() {
-            self.born_ns = Some(now_ns);
+        if self.first_event_ns.is_none() {
+            self.first_event_ns = Some(now_ns);
             out.extend(self.settings.must_subscribe.then_some(Action::Subscribe));
         }
-        let (own, left) = (self.own, part_left(now_ns, self.own.0, LIFE_NS));
+        let (own_load, left) = (self.own_load, decay(now_ns, self.own_load.0, DECAY_NS));
         let threads = self.engines.values().map(Self::own_threads).sum();
-        self.own = (now_ns, blend(threads, own.1, left), own.2 * left);
+        self.own_load = (now_ns, blend(threads, own_load.1, left), own_load.2 * left);
         match event {
             Event::Membership(kind, entries) => self.on_membership(kind, entries, out),
             Event::Arrival(request) => self.on_arrival(now_ns, request, out),
             // A started stream belongs to the client: nothing is owed, nothing may be cancelled.
             Event::Started(id, _) => drop(self.pending.get_mut(&id).map(|p| p.concluded = true)),
-            Event::Progress(id, n, AttemptUpdate::Progress(share)) => self.on_note(now_ns, id, n, share, out),
+            Event::Progress(id, n, AttemptUpdate::Progress(share)) => {
+                self.on_progress(now_ns, id, n, share, out)
+            }
             Event::ColdShares(engine, shares) => {
                 self.engines.entry(engine).and_modify(|e| e.cold_shares = Some(shares));
             }
@@ -347,24 +350,24 @@
             Event::Outcome(outcome) => self.on_outcome(now_ns, outcome, out),
             Event::Probed(engine, status, report) => {
                 self.engines.entry(engine).and_modify(|e| e.probing = false);
-                self.hear(now_ns, engine, report.filter(|_| status == Status::Done), None);
+                self.record_report(now_ns, engine, report.filter(|_| status == Status::Done), None);
             }
             Event::Left(id) => self.on_left(now_ns, id, out),
-            Event::Expired(id) => self.give_up(id, 0.0, out),
+            Event::Expired(id) => self.reject(id, 0.0, out),
             Event::Timer(TimerToken(SUBSCRIBE_TOKEN)) => out.push(Action::Subscribe),
             Event::Timer(TimerToken(token)) => {
                 let id = RequestId(token >> 8);
                 match token & 255 {
-                    TURN => self.on_turn_timer(now_ns, id, out),
-                    attempt => self.review(now_ns, id, attempt as u32, out),
+                    TURN_MARKER => self.on_turn_timer(now_ns, id, out),
+                    attempt => self.review_attempt(now_ns, id, attempt as u32, out),
                 }
             }
         }
     }
 
-    fn on_membership(&mut self, kind: MembershipKind, list: Vec<EngineEntry>, out: &mut Out) {
+    fn on_membership(&mut self, kind: MembershipKind, list: Vec<EngineEntry>, out: &mut Actions) {
         if kind == MembershipKind::Failed {
-            let ask = Action::SetTimer { after_ns: RESUBSCRIBE_NS, token: TimerToken(SUBSCRIBE_TOKEN) };
+            let ask = Action::SetTimer { after_ns: RESUBSCRIBE_DELAY_NS, token: TimerToken(SUBSCRIBE_TOKEN) };
             return out.extend(self.settings.must_subscribe.then_some(ask));
         }
         if kind != MembershipKind::Delta {
@@ -377,20 +380,20 @@
             let e = self.engines.entry(entry.engine).or_insert_with(|| Engine {
                 entry,
                 backoff_ns: TRIAL_NS[0],
-                judged_ns: self.born_ns.unwrap_or(0),
-                cold_since_ns: entry.started_ns,
+                last_outcome_ns: self.first_event_ns.unwrap_or(0),
+                cold_start_ns: entry.started_ns,
                 ..Engine::default()
             });
             if entry.started_ns > e.entry.started_ns {
                 // Told of a restart: what was held against the old process is void, what is cold is not.
-                (e.cold_since_ns, e.suspended, e.down) = (entry.started_ns, false, false);
-                (e.fail_share, e.stretch, e.others, e.heard_ns) = (0.0, 0.0, 0.0, None);
+                (e.cold_start_ns, e.suspended, e.unreachable) = (entry.started_ns, false, false);
+                (e.failure_share, e.latency_ratio, e.peer_threads, e.reported_ns) = (0.0, 0.0, 0.0, None);
                 e.verdict = Verdict::Well;
-                e.warm.clear();
+                e.warm_data_sets.clear();
             }
             (e.entry, e.cores, e.memory_mb) = (entry, cores, memory_mb);
         }
-        self.forget_gone();
+        self.remove_departed();
     }
 
     /// One that was out for all is back for all: this gateway's own trials are not waited for.
@@ -398,46 +401,46 @@
         let Some(e) = self.engines.get_mut(&engine) else { return };
         let was_out = matches!(e.verdict, Verdict::Out | Verdict::Trial);
         if was_out && !matches!(verdict, Verdict::Out | Verdict::Trial) {
-            (e.suspended, e.fail_share, e.backoff_ns) = (false, 0.0, TRIAL_NS[0]);
+            (e.suspended, e.failure_share, e.backoff_ns) = (false, 0.0, TRIAL_NS[0]);
         }
         e.verdict = verdict;
     }
 
     /// Guards against a table that grows with every engine that ever was, and against picks that draw from
     /// engines that are gone: those that no attempt is out on any more are forgotten.
-    fn forget_gone(&mut self) {
+    fn remove_departed(&mut self) {
         self.engines.retain(|_, e| e.entry.state != EngineState::Gone || !e.running.is_empty());
     }
 
-    fn on_arrival(&mut self, now: u64, request: Request, out: &mut Out) {
+    fn on_arrival(&mut self, now: u64, request: Request, out: &mut Actions) {
         let need = self.need(&request);
-        self.models[request.class.0].usual.add(need);
-        self.trials = (self.trials + TRIAL_SHARE).min(1.0);
+        self.models[request.class.0].typical_need.add(need);
+        self.trial_tokens = (self.trial_tokens + TRIAL_SHARE).min(1.0);
         let window_ns = self.settings.retry_budget.map_or(0, |b| b.window_ns);
-        self.taken.push_back(now);
-        for times in [&mut self.taken, &mut self.extra] {
+        self.arrivals.push_back(now);
+        for times in [&mut self.arrivals, &mut self.retries] {
             times.retain(|t| t.saturating_add(window_ns) >= now);
         }
         let expires_ns = now.saturating_add(request.time_left_ns);
-        let taken_ns = now.saturating_sub(request.waited_ns);
-        let pending = Pending { request, taken_ns, expires_ns, ..Pending::default() };
+        let accepted_ns = now.saturating_sub(request.waited_ns);
+        let pending = Pending { request, accepted_ns, expires_ns, ..Pending::default() };
         self.pending.insert(request.id, pending);
         self.probe_one(now, out);
         if let Some(key) = self.order_key(&request) {
-            self.turns.entry(key).or_default().0.push_back(request.id);
+            self.key_queues.entry(key).or_default().0.push_back(request.id);
             return self.on_turn_timer(now, request.id, out);
         }
         self.dispatch(now, request.id, out);
     }
 
-    fn on_left(&mut self, now: u64, id: RequestId, out: &mut Out) {
+    fn on_left(&mut self, now: u64, id: RequestId, out: &mut Actions) {
         let Some(p) = self.pending.get_mut(&id) else { return };
         p.concluded = true;
-        let (request, sends) = (p.request, p.sends);
-        if p.out.is_none() {
+        let (request, attempts) = (p.request, p.attempts);
+        if p.running_on.is_none() {
             self.pending.remove(&id);
         } else if self.settings.may_cancel && !std::mem::replace(&mut p.cancelled, true) {
-            out.push(Action::Cancel { request: id, attempt: sends - 1 });
+            out.push(Action::Cancel { request: id, attempt: attempts - 1 });
         }
         if let Some(key) = self.order_key(&request) {
             self.advance(now, key, out);
@@ -445,32 +448,32 @@
     }
 
     /// An order-bound request has its turn, or is refused as soon as its need no longer fits its time.
-    fn on_turn_timer(&mut self, now: u64, id: RequestId, out: &mut Out) {
+    fn on_turn_timer(&mut self, now: u64, id: RequestId, out: &mut Actions) {
         let Some(request) = self.pending.get(&id).map(|p| p.request) else { return };
         if let Some(key) = self.order_key(&request) {
             self.advance(now, key, out);
         }
-        let Some(p) = self.pending.get(&id).filter(|p| p.sends == 0) else { return };
+        let Some(p) = self.pending.get(&id).filter(|p| p.attempts == 0) else { return };
         let alone = self.need(&request) / self.threads(request.class);
         let slack = p.expires_ns.saturating_sub(now) as f64 - alone;
         if slack <= 1.0 {
-            return self.give_up(id, 0.0, out);
+            return self.reject(id, 0.0, out);
         }
-        out.push(Action::SetTimer { after_ns: slack as u64, token: TimerToken(id.0 << 8 | TURN) });
+        out.push(Action::SetTimer { after_ns: slack as u64, token: TimerToken(id.0 << 8 | TURN_MARKER) });
     }
 
     /// Lets the first unfinished request of a key have its turn.
-    fn advance(&mut self, now: u64, key: u64, out: &mut Out) {
-        while let Some((queue, free_ns)) = self.turns.get_mut(&key) {
+    fn advance(&mut self, now: u64, key: u64, out: &mut Actions) {
+        while let Some((queue, resume_ns)) = self.key_queues.get_mut(&key) {
             let Some(&first) = queue.front() else {
-                return self.turns.retain(|_, turn| !turn.0.is_empty() || turn.1 > now);
+                return self.key_queues.retain(|_, turn| !turn.0.is_empty() || turn.1 > now);
             };
             match self.pending.get(&first) {
                 None => drop(queue.pop_front()),
-                Some(p) if p.out.is_some() || p.concluded => return,
-                Some(_) if *free_ns > now => {
-                    let token = TimerToken(first.0 << 8 | TURN);
-                    out.push(Action::SetTimer { after_ns: *free_ns - now, token });
+                Some(p) if p.running_on.is_some() || p.concluded => return,
+                Some(_) if *resume_ns > now => {
+                    let token = TimerToken(first.0 << 8 | TURN_MARKER);
+                    out.push(Action::SetTimer { after_ns: *resume_ns - now, token });
                     return;
                 }
                 Some(_) => self.dispatch(now, first, out),
@@ -485,31 +488,36 @@
     }
 
     /// Multiple of its expected time at which an attempt of a class has outrun its need.
-    fn outrun(&self, class_id: ClassId) -> f64 {
-        let scatter = self.models[class_id.0].scatter;
-        let known = (OUTRUN_DEVIATIONS * scatter.value.sqrt()).exp().clamp(OUTRUN[0], OUTRUN[2]);
+    fn overrun_multiple(&self, class_id: ClassId) -> f64 {
+        let latency_variance = self.models[class_id.0].latency_variance;
+        let learned = (OVERRUN_DEVIATIONS * latency_variance.value.sqrt()).exp().clamp(OUTRUN[0], OUTRUN[2]);
         // A load, and what waits for loads, stands still behind others' on its data set: no bad plan.
         let class = &self.settings.classes[class_id.0];
-        let held = if class.is_load || class.waits_for_loads { HELD_PATIENCE } else { 1.0 };
-        let vain = (HELPED[0] / self.models[class_id.0].helped.value).clamp(1.0, HELPED[2]).powi(2);
-        Some(known).filter(|_| scatter.count > 0.0).unwrap_or(OUTRUN[1]) * held * vain
+        let load_factor = if class.is_load || class.waits_for_loads { LOAD_OVERRUN_FACTOR } else { 1.0 };
+        let retry_factor =
+            (HELPED[0] / self.models[class_id.0].retry_success.value).clamp(1.0, HELPED[2]).powi(2);
+        Some(learned).filter(|_| latency_variance.count > 0.0).unwrap_or(OUTRUN[1])
+            * load_factor
+            * retry_factor
     }
 
     /// C of a request, in core-nanoseconds.
     fn need(&self, r: &Request) -> f64 {
         let (class, model) = (&self.settings.classes[r.class.0], &self.models[r.class.0]);
         match r.work_estimate_ns {
-            Some(guess) if model.told.count >= LEARN_MIN && model.estimated.value > 0.0 => {
-                guess as f64 * model.told.value / model.estimated.value
+            Some(estimate)
+                if model.reported_work.count >= MIN_OUTCOMES && model.estimated_work.value > 0.0 =>
+            {
+                estimate as f64 * model.reported_work.value / model.estimated_work.value
             }
-            Some(guess) => guess as f64,
-            None => model.work.or(prior_need(class)).max(1.0),
+            Some(estimate) => estimate as f64,
+            None => model.work.or(default_need(class)).max(1.0),
         }
     }
 
     /// R of an attempt: its need less what it has done.
-    fn remaining(r: &Running, now: u64) -> f64 {
-        let spent = match r.told {
+    fn remaining(r: &RunningAttempt, now: u64) -> f64 {
+        let spent = match r.progress {
             Some((at, share)) => share * r.need_ns + now.saturating_sub(at) as f64 * r.threads,
             None => now.saturating_sub(r.sent_ns) as f64 * r.threads,
         };
@@ -521,175 +529,188 @@
     }
 
     /// Brings the lagged own threads up to now; to be called before they change.
-    fn lag(now: u64, e: &mut Engine) {
-        e.lagged = (now, blend(Self::own_threads(e), e.lagged.1, part_left(now, e.lagged.0, REPORT_AGE_NS)));
+    fn update_lagged_threads(now: u64, e: &mut Engine) {
+        e.lagged_threads = (
+            now,
+            blend(Self::own_threads(e), e.lagged_threads.1, decay(now, e.lagged_threads.0, REPORT_AGE_NS)),
+        );
     }
 
     /// What one pick knows of all engines: taken once, as it is the same for each of them.
-    fn view(&self, now: u64) -> View {
-        let (mut heard, mut weight, mut all, mut ready, mut granted) = (0.0, 0.0, 0.0, 0.0, 0.0);
+    fn context(&self, now: u64) -> PickContext {
+        let (mut reported, mut weight, mut all, mut ready, mut granted_share) = (0.0, 0.0, 0.0, 0.0, 0.0);
         for e in self.engines.values().filter(|e| e.entry.state == EngineState::Ready && !e.suspended) {
             let fresh = freshness(now, e);
-            (heard, weight) = (heard + fresh * e.others, weight + fresh * e.cores);
-            granted += fresh * e.granted * e.cores;
-            (all, ready) = (all + e.cores * self.warmth(now, e), ready + 1.0);
+            (reported, weight) = (reported + fresh * e.peer_threads, weight + fresh * e.cores);
+            granted_share += fresh * e.granted_share * e.cores;
+            (all, ready) = (all + e.cores * self.capacity_share(now, e), ready + 1.0);
         }
         // A second opinion: each peer is taken to hold what this gateway holds in the mean.
         let peers = self.settings.router_count.saturating_sub(1) as f64;
-        let alike = (self.own.2 * REPORT_AGE_NS / f64::max(ready, 1.0)).min(1.0);
-        let guess = peers * self.own.1 / f64::max(all, 1.0);
-        let doubt = if self.told_load { f64::MIN_POSITIVE } else { DOUBT * all / f64::max(ready, 1.0) };
-        let most = if weight > 0.0 { UNEVEN * heard / weight } else { guess };
-        let others = (heard + guess.min(most) * doubt) / (weight + doubt);
-        let peers = peers.min(UNEVEN * others * all / self.own.1.max(1.0));
-        View {
-            others,
-            granted: granted / weight.max(f64::MIN_POSITIVE),
-            stretch: self.stretch.or(1.0).max(0.1),
-            peers: peers * PEERS_ADD * alike * alike,
-            ..View::default()
+        let send_share = (self.own_load.2 * REPORT_AGE_NS / f64::max(ready, 1.0)).min(1.0);
+        let estimate = peers * self.own_load.1 / f64::max(all, 1.0);
+        let estimate_weight = if self.probes_report_load {
+            f64::MIN_POSITIVE
+        } else {
+            PEER_ESTIMATE_WEIGHT * all / f64::max(ready, 1.0)
+        };
+        let limit = if weight > 0.0 { MAX_PEER_RATIO * reported / weight } else { estimate };
+        let peer_threads = (reported + estimate.min(limit) * estimate_weight) / (weight + estimate_weight);
+        let peers = peers.min(MAX_PEER_RATIO * peer_threads * all / self.own_load.1.max(1.0));
+        PickContext {
+            peer_threads,
+            granted_share: granted_share / weight.max(f64::MIN_POSITIVE),
+            latency_ratio: self.latency_ratio.or(1.0).max(0.1),
+            peers: peers * PEER_GROWTH * send_share * send_share,
+            ..PickContext::default()
         }
     }
 
     /// Threads of other gateways on an engine: as reported, and the older that is, the more as on the average
     /// engine. A cold one holds what its budget lets through, or it would stay unused while others are full.
-    fn others(&self, now: u64, e: &Engine, view: &View) -> f64 {
-        let cold = self.warmed(now, e).is_some() && self.settings.overload_multiple.is_some();
-        let average = view.others.min(if cold { COLD_OTHERS } else { f64::INFINITY });
-        self.believed(now, e, e.others, average * e.cores * self.warmth(now, e))
+    fn peer_threads(&self, now: u64, e: &Engine, context: &PickContext) -> f64 {
+        let cold = self.warmup_progress(now, e).is_some() && self.settings.overload_multiple.is_some();
+        let average = context.peer_threads.min(if cold { MAX_COLD_PEER_THREADS } else { f64::INFINITY });
+        self.discounted(now, e, e.peer_threads, average * e.cores * self.capacity_share(now, e))
     }
 
     /// What still holds of a figure heard of an engine, against the average of all.
-    fn believed(&self, now: u64, e: &Engine, heard: f64, average: f64) -> f64 {
-        blend(average, heard, freshness(now, e)) * FADE.powi(self.unheard)
+    fn discounted(&self, now: u64, e: &Engine, reported: f64, average: f64) -> f64 {
+        blend(average, reported, freshness(now, e)) * REFUSAL_DECAY.powi(self.refusals_since_report)
     }
 
     /// Threads that peers added since the report was made, as they read the same: the more of them, the more
     /// often this gateway sends to an engine while a report is fresh.
-    fn grown(&self, e: &Engine, new: f64, view: &View) -> f64 {
-        (Self::own_threads(e) + NEW * new - e.lagged.1).max(0.0) * view.peers
+    fn peer_growth(&self, e: &Engine, new: f64, context: &PickContext) -> f64 {
+        (Self::own_threads(e) + NEW_QUERY_SHARE * new - e.lagged_threads.1).max(0.0) * context.peers
     }
 
     /// Cores that this gateway's queries may count on with `new` more threads, and threads a core.
-    fn room(&self, now: u64, e: &Engine, new: f64, view: &View) -> (f64, f64) {
-        let cores = e.cores * self.warmth(now, e);
-        let own = Self::own_threads(e) + new;
-        let others = self.others(now, e, view) + self.grown(e, new, view);
-        let idle = (cores - others).max(cores * own / (own + others).max(1.0));
-        (idle.min(cores) / slowness(e, view), (own + others) / cores)
+    fn available_cores(&self, now: u64, e: &Engine, new: f64, context: &PickContext) -> (f64, f64) {
+        let cores = e.cores * self.capacity_share(now, e);
+        let own_load = Self::own_threads(e) + new;
+        let peer_threads = self.peer_threads(now, e, context) + self.peer_growth(e, new, context);
+        let idle = (cores - peer_threads).max(cores * own_load / (own_load + peer_threads).max(1.0));
+        (idle.min(cores) / slowness(e, context), (own_load + peer_threads) / cores)
     }
 
     /// Part of its warming that a cold engine has behind it.
-    fn warmed(&self, now: u64, e: &Engine) -> Option<f64> {
-        let part = now.saturating_sub(e.cold_since_ns?) as f64 / self.settings.warmup_ns? as f64;
+    fn warmup_progress(&self, now: u64, e: &Engine) -> Option<f64> {
+        let part = now.saturating_sub(e.cold_start_ns?) as f64 / self.settings.warmup_ns? as f64;
         (part < 1.0).then_some(part)
     }
 
     /// Share of its capacity that an engine has: less than one while it is cold.
-    fn warmth(&self, now: u64, e: &Engine) -> f64 {
+    fn capacity_share(&self, now: u64, e: &Engine) -> f64 {
         let from = self.settings.initial_capacity.unwrap_or(1.0);
-        self.warmed(now, e).map_or(1.0, |part| from + (1.0 - from) * part)
+        self.warmup_progress(now, e).map_or(1.0, |part| from + (1.0 - from) * part)
     }
 
     // ---- Demand check ----------------------------------------------------------------------------
 
     /// d of a request: the wanted time rather than the class deadline, which lies far past it and would fill
     /// engines with work that earns little; the deadline where the wanted time can't be met any more.
-    fn due(&self, now: u64, p: &Pending) -> u64 {
+    fn due_ns(&self, now: u64, p: &Pending) -> u64 {
         let class = &self.settings.classes[p.request.class.0];
         let alone = self.need(&p.request) / self.threads(p.request.class);
         let wanted = p
-            .taken_ns
+            .accepted_ns
             .saturating_add(class.target_latency_ns + (class.target_latency_stretch * alone) as u64);
-        let last = p.taken_ns.saturating_add(class.deadline_ns).min(p.expires_ns);
+        let last = p.accepted_ns.saturating_add(class.deadline_ns).min(p.expires_ns);
         Some(wanted).filter(|w| *w > now.saturating_add(alone as u64)).map_or(last, |w| w.min(last))
     }
 
     /// The two-stage check of a request on an engine: its load factor where it passes.
-    fn check(&self, now: u64, p: &Pending, e: &Engine, view: &View) -> Result<Pass, f64> {
-        let (due, threads) = (view.due_ns, view.threads);
+    fn admit(&self, now: u64, p: &Pending, e: &Engine, context: &PickContext) -> Result<Admission, f64> {
+        let (due, threads) = (context.due_ns, context.threads);
         let window = due.saturating_sub(now) as f64;
-        let (room, crowd) = self.room(now, e, threads, view);
+        let (available_cores, threads_per_core) = self.available_cores(now, e, threads, context);
         // A thread of a slowed engine is as good as a part of one: E shrinks R there, the crowd must not.
-        let slowed = crowd * slowness(e, view);
-        let warm = p.request.data_set.is_some_and(|set| e.warm.contains(&set));
-        let need = view.need_ns * if warm { WARM_NEED } else { 1.0 };
+        let slowed = threads_per_core * slowness(e, context);
+        let warm = p.request.data_set.is_some_and(|set| e.warm_data_sets.contains(&set));
+        let need = context.need_ns * if warm { WARM_NEED_SHARE } else { 1.0 };
         if need / threads > window {
             return Err(f64::INFINITY);
         }
-        let usual = self.models[p.request.class.0].usual.or(need);
+        let typical_need = self.models[p.request.class.0].typical_need.or(need);
         let knee = KNEE[usize::from(self.settings.memory_shortage == MemoryShortage::Wait)]
-            * (usual / need).powf(KNEE_BY_COST[0]).clamp(KNEE_BY_COST[1], 1.0);
+            * (typical_need / need).powf(KNEE_BY_COST[0]).clamp(KNEE_BY_COST[1], 1.0);
         if slowed > knee {
             return Err(slowed / knee);
         }
         // Memory is room of its own kind: past all of it queries wait, spill, or slow each other down.
-        let asked = p.request.memory_estimate_mb.unwrap_or(0.0) * GRANT_MARGIN[0] / e.memory_mb;
-        let memory = self.believed(now, e, e.granted, view.granted) + asked * (1.0 + view.peers);
-        let most = MEMORY[usize::from(self.settings.memory_shortage == MemoryShortage::Shrink)];
-        if memory > most {
-            return Err(memory / most);
+        let requested = p.request.memory_estimate_mb.unwrap_or(0.0) * GRANT_MARGIN[0] / e.memory_mb;
+        let memory = self.discounted(now, e, e.granted_share, context.granted_share)
+            + requested * (1.0 + context.peers);
+        let max_memory = MEMORY[usize::from(self.settings.memory_shortage == MemoryShortage::Shrink)];
+        if memory > max_memory {
+            return Err(memory / max_memory);
         }
         // Engines share their cores among threads, whatever the deadlines: the newcomer's part must do too.
         let (mut sum, mut worst) = (need, need / threads * slowed / window.max(1.0));
         let later = e.running.partition_point(|q| q.due_ns <= due);
         sum += e.running[..later].iter().map(|q| Self::remaining(q, now)).sum::<f64>();
-        worst = worst.max(sum / (window * room).max(1.0));
+        worst = worst.max(sum / (window * available_cores).max(1.0));
         for q in &e.running[later..] {
-            let (rest, span) = (Self::remaining(q, now), (q.due_ns - now) as f64 * room);
+            let (rest, span) = (Self::remaining(q, now), (q.due_ns - now) as f64 * available_cores);
             if rest > span {
                 continue;
             }
             sum += rest;
             worst = worst.max(sum / span);
         }
-        worst += self.held_up(p, e, view) / window.max(1.0);
-        (worst <= 1.0).then_some(Pass { factor: worst, due_ns: due, crowd, need_ns: need }).ok_or(worst)
+        worst += self.load_wait_ns(p, e, context) / window.max(1.0);
+        (worst <= 1.0)
+            .then_some(Admission { load_factor: worst, due_ns: due, threads_per_core, need_ns: need })
+            .ok_or(worst)
     }
 
     /// How long a load stands still behind this gateway's own on the same data set of an engine. Guards
     /// against loads that pile up on one while others hold none: each keeps its threads and memory until its
     /// turn.
-    fn held_up(&self, p: &Pending, e: &Engine, view: &View) -> f64 {
+    fn load_wait_ns(&self, p: &Pending, e: &Engine, context: &PickContext) -> f64 {
         let load = |r: &Request| r.data_set.filter(|_| self.settings.classes[r.class.0].is_load);
         let Some(set) = load(&p.request) else { return 0.0 };
-        let same = |q: &&Running| self.pending.get(&q.request).and_then(|p| load(&p.request)) == Some(set);
+        let same =
+            |q: &&RunningAttempt| self.pending.get(&q.request).and_then(|p| load(&p.request)) == Some(set);
         let before: f64 = e.running.iter().filter(same).map(|q| q.expected_ns).sum();
-        before * view.stretch.max(1.0) * PEERS_HOLD
+        before * context.latency_ratio.max(1.0) * PEER_LOADS_PER_OWN
     }
 
     /// This gateway's own order of all engines: lowest first; that of two stays as others come and go.
     fn preference(&self, e: &Engine) -> u64 {
-        mix(self.seed ^ e.entry.engine.0)
+        hash64(self.seed ^ e.entry.engine.0)
     }
 
     /// The usable engine with the lowest passing factor; else the lowest factor that failed.
-    fn pick(&self, now: u64, p: &Pending) -> Result<(EngineId, Pass), f64> {
-        let (due_ns, need_ns) = (self.due(now, p), self.need(&p.request));
-        let view = View { due_ns, need_ns, threads: self.threads(p.request.class), ..self.view(now) };
+    fn pick(&self, now: u64, p: &Pending) -> Result<(EngineId, Admission), f64> {
+        let (due_ns, need_ns) = (self.due_ns(now, p), self.need(&p.request));
+        let context =
+            PickContext { due_ns, need_ns, threads: self.threads(p.request.class), ..self.context(now) };
         let ready = |e: &&Engine| e.entry.state == EngineState::Ready && !e.suspended;
         let mut ready: Vec<u64> = self.engines.values().filter(ready).map(|e| self.preference(e)).collect();
-        let first = (SHARED * ready.len() / self.settings.router_count.max(1) as usize).max(FIRST);
+        let first = (MIN_ROUTERS_PER_ENGINE * ready.len() / self.settings.router_count.max(1) as usize)
+            .max(MIN_PREFERRED_ENGINES);
         let all = first > ready.len();
         let last = if all { u64::MAX } else { *ready.select_nth_unstable(first - 1).1 };
         let among = first.min(self.engines.len()) as u64;
-        let mut best: Option<(f64, u64, EngineId, Pass)> = None;
+        let mut best: Option<(f64, u64, EngineId, Admission)> = None;
         let mut lowest = f64::INFINITY;
         for (id, e) in &self.engines {
-            if !self.usable(now, p, e) {
+            if !self.is_eligible(now, p, e) {
                 continue;
             }
-            match self.check(now, p, e, &view) {
-                Err(factor) => lowest = lowest.min(factor),
+            match self.admit(now, p, e, &context) {
+                Err(load_factor) => lowest = lowest.min(load_factor),
                 Ok(pass) => {
                     let crosses = e.entry.zone != self.settings.zone;
-                    let tie = mix(self.seed ^ id.0 ^ p.request.id.0.rotate_left(32));
+                    let tie = hash64(self.seed ^ id.0 ^ p.request.id.0.rotate_left(32));
                     // Few may send to a cold engine: they always look at it.
-                    let drawn = self.preference(e) <= last && tie % among < DRAWN;
-                    let tried = e.verdict == Verdict::Trial;
-                    let drawn = drawn || self.warmed(now, e).is_some() || tried;
-                    let rank = pass.factor + CROSS_ZONE * f64::from(crosses) + f64::from(!drawn);
-                    let rank = rank - f64::from(tried);
+                    let drawn = self.preference(e) <= last && tie % among < MAX_CANDIDATES;
+                    let on_trial = e.verdict == Verdict::Trial;
+                    let drawn = drawn || self.warmup_progress(now, e).is_some() || on_trial;
+                    let rank = pass.load_factor + CROSS_ZONE_PENALTY * f64::from(crosses) + f64::from(!drawn);
+                    let rank = rank - f64::from(on_trial);
                     if best.as_ref().is_none_or(|b| (rank, tie) < (b.0, b.1)) {
                         best = Some((rank, tie, *id, pass));
                     }
@@ -701,75 +722,81 @@
 
     // ---- Dispatch --------------------------------------------------------------------------------
 
-    fn dispatch(&mut self, now: u64, id: RequestId, out: &mut Out) {
+    fn dispatch(&mut self, now: u64, id: RequestId, out: &mut Actions) {
         let Some(p) = self.pending.get(&id) else { return };
-        if p.expires_ns <= now || !self.may_send(now, p) {
-            return self.give_up(id, 0.0, out);
+        if p.expires_ns <= now || !self.may_attempt(now, p) {
+            return self.reject(id, 0.0, out);
         }
         match self.pick(now, p) {
             Ok((engine, pass)) => self.send(now, id, engine, pass, out),
-            Err(factor) => {
-                let window = self.due(now, p).saturating_sub(now) as f64;
-                self.unheard += i32::from(factor.is_finite());
-                let wait = if factor.is_finite() { (factor - 1.0) * window } else { window };
-                self.give_up(id, wait, out);
+            Err(load_factor) => {
+                let window = self.due_ns(now, p).saturating_sub(now) as f64;
+                self.refusals_since_report += i32::from(load_factor.is_finite());
+                let wait = if load_factor.is_finite() { (load_factor - 1.0) * window } else { window };
+                self.reject(id, wait, out);
             }
         }
     }
 
-    fn send(&mut self, now: u64, id: RequestId, engine: EngineId, pass: Pass, out: &mut Out) {
+    fn send(&mut self, now: u64, id: RequestId, engine: EngineId, pass: Admission, out: &mut Actions) {
         let Some(p) = self.pending.get_mut(&id) else { return };
-        let (request, attempt, due_ns, timeout_ns) = (p.request, p.sends, pass.due_ns, p.expires_ns - now);
-        (p.sends, p.out, p.cancelled) = (attempt + 1, Some(engine), false);
+        let (request, attempt, due_ns, timeout_ns) = (p.request, p.attempts, pass.due_ns, p.expires_ns - now);
+        (p.attempts, p.running_on, p.cancelled) = (attempt + 1, Some(engine), false);
         let threads = self.threads(request.class);
-        let usual = self.models[request.class.0].usual.value;
-        let (alone, outrun) = (pass.need_ns / threads, self.outrun(request.class));
-        let ratio = self.models[request.class.0].memory;
+        let typical_need = self.models[request.class.0].typical_need.value;
+        let (alone, overrun_multiple) = (pass.need_ns / threads, self.overrun_multiple(request.class));
+        let ratio = self.models[request.class.0].memory_ratio;
         let granting = self.settings.grants && ratio.count > 0.0;
         let margin = GRANT_MARGIN[usize::from(granting)];
         let memory = request.memory_estimate_mb.unwrap_or(0.0) * ratio.or(1.0) * margin;
-        for (mix, new) in self.mix.iter_mut().zip([pass.need_ns, alone, memory * alone]) {
-            *mix = blend(*mix, new, MIX);
+        for (mean, new) in self.traffic_mix.iter_mut().zip([pass.need_ns, alone, memory * alone]) {
+            *mean = blend(*mean, new, TRAFFIC_MIX_WEIGHT);
         }
-        self.extra.extend((attempt > 0).then_some(now));
-        self.own.2 += 1.0 / LIFE_NS;
+        self.retries.extend((attempt > 0).then_some(now));
+        self.own_load.2 += 1.0 / DECAY_NS;
         let overload_window_ns = self.settings.overload_window_ns.unwrap_or(0);
-        let warmth = self.engines.get(&engine).map_or(1.0, |e| self.warmth(now, e));
+        let capacity_share = self.engines.get(&engine).map_or(1.0, |e| self.capacity_share(now, e));
         let Some(e) = self.engines.get_mut(&engine) else { return };
-        let (lane, full, _) = cold_lane(&self.settings, e.cores, request.class).unwrap_or_default();
-        if e.cold_shares.is_some() && warmth < 1.0 {
-            let share = usual / (full * warmth / 2.0);
+        let (lane, budget, _) = cold_lane(&self.settings, e.cores, request.class).unwrap_or_default();
+        if e.cold_shares.is_some() && capacity_share < 1.0 {
+            let share = typical_need / (budget * capacity_share / 2.0);
             out.push(Action::ColdSent { request: id, engine, lane, share });
         }
-        // Memory is granted by the estimate, corrected by what answers told; 0 leaves it to the engine.
+        // Memory is granted by the estimate, corrected by what answers progress; 0 leaves it to the engine.
         let most = e.memory_mb * self.settings.max_grant_share.unwrap_or(1.0);
         let grant_mb = if granting { memory.min(most).ceil() as u64 } else { 0 };
-        Self::lag(now, e);
-        e.warm.retain(|set| Some(*set) != request.data_set);
-        e.warm.extend(request.data_set);
-        e.warm.drain(..e.warm.len().saturating_sub(WARM_SETS));
-        e.sent.push((now, usual, lane));
-        e.sent.retain(|s| s.0 + overload_window_ns >= now);
+        Self::update_lagged_threads(now, e);
+        e.warm_data_sets.retain(|set| Some(*set) != request.data_set);
+        e.warm_data_sets.extend(request.data_set);
+        e.warm_data_sets.drain(..e.warm_data_sets.len().saturating_sub(MAX_WARM_DATA_SETS));
+        e.recent_sends.push((now, typical_need, lane));
+        e.recent_sends.retain(|s| s.0 + overload_window_ns >= now);
         if e.suspended {
-            (self.trials, e.trial_ns) = (0.0, now + e.backoff_ns);
+            (self.trial_tokens, e.next_trial_ns) = (0.0, now + e.backoff_ns);
             e.backoff_ns = (e.backoff_ns * 2).min(TRIAL_NS[1]);
         }
-        let expected_ns = alone * pass.crowd.max(1.0);
+        let expected_ns = alone * pass.threads_per_core.max(1.0);
         let at = e.running.partition_point(|q| (q.due_ns, q.request) < (due_ns, id));
-        let (request, sent_ns, need_ns, told, priority) = (id, now, pass.need_ns, None, 1);
+        let (request, sent_ns, need_ns, progress, priority) = (id, now, pass.need_ns, None, 1);
         #[rustfmt::skip]
-        let running = Running {
-            request, attempt, due_ns, need_ns, threads, sent_ns, expected_ns, told, priority, grant_mb,
+        let running = RunningAttempt {
+            request, attempt, due_ns, need_ns, threads, sent_ns, expected_ns, progress, priority, grant_mb,
         };
         e.running.insert(at, running);
-        self.rank(now, engine, (grant_mb > 0).then_some(id), out);
+        self.set_priorities(now, engine, (grant_mb > 0).then_some(id), out);
         out.push(Action::Send { request: id, engine, timeout_ns });
-        let after_ns = ((expected_ns * outrun) as u64).max(REVIEW_MIN_NS);
+        let after_ns = ((expected_ns * overrun_multiple) as u64).max(MIN_REVIEW_NS);
         out.push(Action::SetTimer { after_ns, token: review_token(id, attempt) });
     }
 
     /// Nearer deadlines get higher priority: each quarter of the queries in order has one; late, the lowest.
-    fn rank(&mut self, now: u64, engine: EngineId, fresh: Option<RequestId>, out: &mut Out) {
+    fn set_priorities(
+        &mut self,
+        now: u64,
+        engine: EngineId,
+        new_attempt: Option<RequestId>,
+        out: &mut Actions,
+    ) {
         let Some(e) = self.engines.get_mut(&engine) else { return };
         let late = e.running.partition_point(|q| q.due_ns <= now);
         let count = (e.running.len() - late).max(1);
@@ -777,9 +804,9 @@
             let priority = match i.checked_sub(late) {
                 _ if !self.settings.priorities => 1,
                 None => 0,
-                Some(place) => 3 - (4 * place / count).min(3) as u8,
+                Some(position) => 3 - (4 * position / count).min(3) as u8,
             };
-            if priority != r.priority || fresh == Some(r.request) {
+            if priority != r.priority || new_attempt == Some(r.request) {
                 r.priority = priority;
                 out.push(Action::SetTerms { request: r.request, memory_mb: r.grant_mb, priority });
             }
@@ -787,11 +814,12 @@
     }
 
     /// Probes the engine unheard longest, one an arrival at the most, whatever the fleet's size.
-    fn probe_one(&mut self, now: u64, out: &mut Out) {
-        let asks = self.settings.may_probe && self.settings.report_source == ReportSource::Probes;
-        let old = |e: &Engine| e.heard_ns.is_none_or(|t| t + PROBE_EVERY_NS <= now) && !e.probing;
-        let due = self.engines.values_mut().filter(|e| asks && old(e) && e.entry.state == EngineState::Ready);
-        if let Some(e) = due.min_by_key(|e| (e.heard_ns, mix(self.seed ^ now ^ e.entry.engine.0))) {
+    fn probe_one(&mut self, now: u64, out: &mut Actions) {
+        let enabled = self.settings.may_probe && self.settings.report_source == ReportSource::Probes;
+        let old = |e: &Engine| e.reported_ns.is_none_or(|t| t + PROBE_INTERVAL_NS <= now) && !e.probing;
+        let due =
+            self.engines.values_mut().filter(|e| enabled && old(e) && e.entry.state == EngineState::Ready);
+        if let Some(e) = due.min_by_key(|e| (e.reported_ns, hash64(self.seed ^ now ^ e.entry.engine.0))) {
             e.probing = true;
             out.push(Action::Probe(e.entry.engine));
         }
@@ -799,68 +827,82 @@
 
     // ---- Outcomes --------------------------------------------------------------------------------
 
-    fn on_note(&mut self, now: u64, id: RequestId, attempt: u32, share: f64, out: &mut Out) {
-        let Some(engine) = self.pending.get(&id).and_then(|p| p.out) else { return };
+    fn on_progress(&mut self, now: u64, id: RequestId, attempt: u32, share: f64, out: &mut Actions) {
+        let Some(engine) = self.pending.get(&id).and_then(|p| p.running_on) else { return };
         let Some(e) = self.engines.get_mut(&engine) else { return };
         if let Some(r) = e.running.iter_mut().find(|r| r.request == id && r.attempt == attempt) {
-            r.told = Some((now, share.clamp(0.0, 1.0)));
-            self.review(now, id, attempt, out);
+            r.progress = Some((now, share.clamp(0.0, 1.0)));
+            self.review_attempt(now, id, attempt, out);
         }
     }
 
     /// Takes a report; where it tells no load, how many times longer than alone an answer took stands for it.
-    fn hear(&mut self, now: u64, engine: EngineId, report: Option<LoadReport>, longer: Option<f64>) {
+    fn record_report(
+        &mut self,
+        now: u64,
+        engine: EngineId,
+        report: Option<LoadReport>,
+        latency_over_alone: Option<f64>,
+    ) {
         let report = report.unwrap_or_default();
-        let longer = longer.filter(|_| self.settings.router_count > 1 && !self.told_load);
-        let mean = self.mix[0] / self.mix[1].max(1.0);
-        let cores = self.engines.get(&engine).map_or(0.0, |e| e.cores * self.warmth(now, e));
+        let latency_over_alone =
+            latency_over_alone.filter(|_| self.settings.router_count > 1 && !self.probes_report_load);
+        let threads_per_query = self.traffic_mix[0] / self.traffic_mix[1].max(1.0);
+        let cores = self.engines.get(&engine).map_or(0.0, |e| e.cores * self.capacity_share(now, e));
         let Some(e) = self.engines.get_mut(&engine) else { return };
-        Self::lag(now, e);
+        Self::update_lagged_threads(now, e);
         // Busy cores stop at all of them; granted memory goes on telling how many queries share them.
-        let granted = report.memory_share.filter(|_| self.mix[2] > 0.0 && e.memory_mb.is_finite());
-        let by_memory = granted.map_or(0.0, |x| x * e.memory_mb * self.mix[0] / self.mix[2]);
-        let used = report.busy_share.map_or(0.0, |busy| busy.max(report.disk_share.unwrap_or(0.0)));
-        let full = ((used - FULL_FROM) / (1.0 - FULL_FROM)).clamp(0.0, 1.0);
+        let granted_share =
+            report.memory_share.filter(|_| self.traffic_mix[2] > 0.0 && e.memory_mb.is_finite());
+        let by_memory =
+            granted_share.map_or(0.0, |x| x * e.memory_mb * self.traffic_mix[0] / self.traffic_mix[2]);
+        let busy = report.busy_share.map_or(0.0, |cores| cores.max(report.disk_share.unwrap_or(0.0)));
+        let saturation = ((busy - SATURATION_START) / (1.0 - SATURATION_START)).clamp(0.0, 1.0);
         // A count is no guess: disks may be full where they are not told, and cores idle meanwhile.
-        let held = report.in_flight.map_or(0.0, |n| n * mean);
-        let stuck = full.max((held / e.cores - JAM_FROM).clamp(0.0, 1.0));
-        let used = used * e.cores;
-        let others = match (report.busy_share, report.in_flight, longer) {
-            (Some(_), ..) => used + ((held - used) * stuck).max((by_memory - used) * full).max(0.0),
-            (_, Some(_), _) => held,
-            (.., Some(longer)) => longer.min(LONGER_MAX) * cores,
+        let in_flight_threads = report.in_flight.map_or(0.0, |n| n * threads_per_query);
+        let blocked_share = saturation.max((in_flight_threads / e.cores - QUEUEING_START).clamp(0.0, 1.0));
+        let busy = busy * e.cores;
+        let peer_threads = match (report.busy_share, report.in_flight, latency_over_alone) {
+            (Some(_), ..) => {
+                busy + ((in_flight_threads - busy) * blocked_share)
+                    .max((by_memory - busy) * saturation)
+                    .max(0.0)
+            }
+            (_, Some(_), _) => in_flight_threads,
+            (.., Some(latency_over_alone)) => latency_over_alone.min(MAX_THREADS_FROM_LATENCY) * cores,
             _ => return,
-        } - e.lagged.1;
-        self.told_load |= report.busy_share.or(report.in_flight).is_some()
+        } - e.lagged_threads.1;
+        self.probes_report_load |= report.busy_share.or(report.in_flight).is_some()
             && self.settings.report_source == ReportSource::Probes;
-        self.unheard = 0;
-        e.granted = report.memory_share.unwrap_or(0.0);
+        self.refusals_since_report = 0;
+        e.granted_share = report.memory_share.unwrap_or(0.0);
         let old = freshness(now, e);
-        e.others = blend(others.max(0.0), e.others, old * (1.0 - REPORT_WEIGHT));
-        e.heard_ns = Some(now);
+        e.peer_threads = blend(peer_threads.max(0.0), e.peer_threads, old * (1.0 - REPORT_WEIGHT));
+        e.reported_ns = Some(now);
     }
 
-    fn on_outcome(&mut self, now: u64, o: Outcome, out: &mut Out) {
+    fn on_outcome(&mut self, now: u64, o: Outcome, out: &mut Actions) {
         let ran = self.engines.get_mut(&o.engine).and_then(|e| {
             let at = e.running.iter().position(|r| r.request == o.request && r.attempt == o.attempt)?;
-            Self::lag(now, e);
+            Self::update_lagged_threads(now, e);
             Some(e.running.remove(at))
         });
         let Some(ran) = ran else { return };
         self.learn(&o, &ran);
-        self.judge(now, &o, &ran);
+        self.update_health(now, &o, &ran);
         let entry = self.engines.get(&o.engine).map_or_else(EngineEntry::default, |e| e.entry);
         let alone = o.work_ns.map_or(ran.need_ns, |w| w as f64).max(1.0) / ran.threads;
-        let longer = (o.status == Status::Done).then_some(o.latency_ns as f64 / alone);
-        self.hear(now, o.engine, o.report, longer);
+        let latency_over_alone = (o.status == Status::Done).then_some(o.latency_ns as f64 / alone);
+        self.record_report(now, o.engine, o.report, latency_over_alone);
         if let Some(e) = self.engines.get_mut(&o.engine).filter(|_| o.status == Status::Busy) {
             // Turned away at its session limit: a report of its own, whatever others say.
-            (e.others, e.heard_ns) = (e.others.max(LONGER_MAX * e.cores), Some(now));
+            (e.peer_threads, e.reported_ns) =
+                (e.peer_threads.max(MAX_THREADS_FROM_LATENCY * e.cores), Some(now));
         }
-        self.forget_gone();
+        self.remove_departed();
         let Some(p) = self.pending.get_mut(&o.request) else { return };
-        p.out = None;
-        p.failed_at = (o.status != Status::Done && !p.cancelled).then_some(o.engine);
+        p.running_on = None;
+        p.failed_engine = (o.status != Status::Done && !p.cancelled).then_some(o.engine);
         let never_ran = matches!(o.status, Status::Busy | Status::Refused | Status::Skipped);
         if !never_ran && p.may_have_run.is_none() {
             p.may_have_run = Some((ran.sent_ns, entry));
@@ -872,121 +914,123 @@
             self.dispatch(now, o.request, out);
         }
         let Some(key) = self.order_key(&request) else { return };
-        let unsure = matches!(o.status, Status::TimedOut | Status::Reset | Status::Cancelled);
-        if unsure || o.may_run_until_ns > now {
+        let may_still_run = matches!(o.status, Status::TimedOut | Status::Reset | Status::Cancelled);
+        if may_still_run || o.may_run_until_ns > now {
             // The attempt may still run: later requests of its key wait, its own next try need not.
-            let rests_until = now + self.settings.order_pause_ns.unwrap_or(0);
-            let turn = self.turns.entry(key).or_default();
-            turn.1 = rests_until.max(o.may_run_until_ns).max(turn.1);
+            let paused_until_ns = now + self.settings.order_pause_ns.unwrap_or(0);
+            let turn = self.key_queues.entry(key).or_default();
+            turn.1 = paused_until_ns.max(o.may_run_until_ns).max(turn.1);
         }
         self.advance(now, key, out);
     }
 
     /// Takes what a finished attempt tells of its class.
-    fn learn(&mut self, o: &Outcome, ran: &Running) {
-        let told = o.work_ns.filter(|_| self.settings.answers_report_cost);
+    fn learn(&mut self, o: &Outcome, ran: &RunningAttempt) {
+        let reported = o.work_ns.filter(|_| self.settings.answers_report_cost);
         let Some(p) = self.pending.get(&o.request) else { return };
         let (request, m) = (p.request, &mut self.models[p.request.class.0]);
         // An engine that showed no sign of life since tells nothing of the class.
-        let done = self.engines.get(&o.engine).is_some_and(|e| e.last_done_ns >= ran.sent_ns);
-        if o.attempt > 0 && (p.cancelled && (done || ran.told.is_some()) || o.status == Status::Done) {
-            m.helped.add(f64::from(!p.cancelled));
+        let done = self.engines.get(&o.engine).is_some_and(|e| e.last_success_ns >= ran.sent_ns);
+        if o.attempt > 0 && (p.cancelled && (done || ran.progress.is_some()) || o.status == Status::Done) {
+            m.retry_success.add(f64::from(!p.cancelled));
         }
         if o.status != Status::Done {
             return;
         }
-        let work = told.map_or(o.latency_ns as f64 * ran.threads, |w| w as f64);
-        m.work.add(work.min(m.work.or(work) * OUTLIER));
-        m.scatter.add((o.latency_ns.max(1) as f64 / ran.expected_ns.max(1.0)).ln().powi(2));
-        if let (Some(told), Some(guess)) = (told, request.work_estimate_ns) {
-            let ratio = m.told.or(1.0) / m.estimated.or(1.0).max(1.0);
-            m.told.add((told as f64).min(guess as f64 * ratio * OUTLIER));
-            m.estimated.add(guess as f64);
+        let work = reported.map_or(o.latency_ns as f64 * ran.threads, |w| w as f64);
+        m.work.add(work.min(m.work.or(work) * MAX_OUTLIER_RATIO));
+        m.latency_variance.add((o.latency_ns.max(1) as f64 / ran.expected_ns.max(1.0)).ln().powi(2));
+        if let (Some(reported), Some(estimate)) = (reported, request.work_estimate_ns) {
+            let ratio = m.reported_work.or(1.0) / m.estimated_work.or(1.0).max(1.0);
+            m.reported_work.add((reported as f64).min(estimate as f64 * ratio * MAX_OUTLIER_RATIO));
+            m.estimated_work.add(estimate as f64);
         }
-        if let (Some(told), Some(guess)) = (o.memory_mb, request.memory_estimate_mb) {
-            m.memory.add((told / guess.max(1.0)).min(OUTLIER));
+        if let (Some(reported), Some(estimate)) = (o.memory_mb, request.memory_estimate_mb) {
+            m.memory_ratio.add((reported / estimate.max(1.0)).min(MAX_OUTLIER_RATIO));
         }
     }
 
     /// When a client is told to come back, as far as it would heed that.
-    fn advice(&self, wait_ns: f64) -> Option<u64> {
-        self.settings.max_retry_after_ns.map(|longest| (wait_ns as u64).max(ADVICE_MIN_NS).min(longest))
+    fn retry_after_ns(&self, wait_ns: f64) -> Option<u64> {
+        self.settings.max_retry_after_ns.map(|longest| (wait_ns as u64).max(MIN_RETRY_AFTER_NS).min(longest))
     }
 
     /// Final answer at once: a refusal where a retry does no harm, else a failure. Later ones of its key wait
     /// for an attempt that is still out.
-    fn give_up(&mut self, id: RequestId, wait_ns: f64, out: &mut Out) {
+    fn reject(&mut self, id: RequestId, wait_ns: f64, out: &mut Actions) {
         let Some(p) = self.pending.remove(&id) else { return };
-        let refuse = Action::Refuse { request: id, retry_after_ns: self.advice(wait_ns) };
-        let harmless = self.harmless(p.request.class, p.may_have_run.is_some() || p.out.is_some());
-        out.push(if harmless { refuse } else { Action::Fail(id) });
-        self.pending.extend(p.out.map(|_| (id, Pending { concluded: true, ..p })));
+        let refuse = Action::Refuse { request: id, retry_after_ns: self.retry_after_ns(wait_ns) };
+        let is_repeat_safe =
+            self.is_repeat_safe(p.request.class, p.may_have_run.is_some() || p.running_on.is_some());
+        out.push(if is_repeat_safe { refuse } else { Action::Fail(id) });
+        self.pending.extend(p.running_on.map(|_| (id, Pending { concluded: true, ..p })));
     }
 
     // ---- Health ----------------------------------------------------------------------------------
 
     /// Judges an engine by an outcome against what was expected of it.
-    fn judge(&mut self, now: u64, o: &Outcome, ran: &Running) {
+    fn update_health(&mut self, now: u64, o: &Outcome, ran: &RunningAttempt) {
         let cancelled = self.pending.get(&o.request).is_some_and(|p| p.concluded);
         let Some(e) = self.engines.get_mut(&o.engine) else { return };
-        let silent = e.last_done_ns < ran.sent_ns && !cancelled;
-        let weight = FAIL_WEIGHT.max(1.0 - part_left(now, e.judged_ns, LIFE_NS));
-        e.judged_ns = now;
+        let silent = e.last_success_ns < ran.sent_ns && !cancelled;
+        let weight = MIN_FAILURE_WEIGHT.max(1.0 - decay(now, e.last_outcome_ns, DECAY_NS));
+        e.last_outcome_ns = now;
         match o.status {
             Status::Done => {
-                if e.down {
+                if e.unreachable {
                     // It was out of reach and is back: perhaps restarted, and cold before the list says so.
-                    (e.down, e.cold_since_ns) = (false, Some(now));
+                    (e.unreachable, e.cold_start_ns) = (false, Some(now));
                 }
-                (e.suspended, e.backoff_ns, e.last_done_ns) = (false, TRIAL_NS[0], now);
-                e.fail_share = blend(e.fail_share.min(SUSPEND), 0.0, weight);
-                let ratio = (o.latency_ns as f64 / ran.expected_ns.max(1.0)).min(OUTLIER);
-                let before = if e.stretch > 0.0 { e.stretch } else { self.stretch.or(1.0) };
-                e.stretch = blend(before, ratio, STRETCH_WEIGHT);
-                self.stretch.add(ratio);
+                (e.suspended, e.backoff_ns, e.last_success_ns) = (false, TRIAL_NS[0], now);
+                e.failure_share = blend(e.failure_share.min(SUSPEND_FAILURE_SHARE), 0.0, weight);
+                let ratio = (o.latency_ns as f64 / ran.expected_ns.max(1.0)).min(MAX_OUTLIER_RATIO);
+                let before = if e.latency_ratio > 0.0 { e.latency_ratio } else { self.latency_ratio.or(1.0) };
+                e.latency_ratio = blend(before, ratio, LATENCY_RATIO_WEIGHT);
+                self.latency_ratio.add(ratio);
             }
             // The process is gone or out of reach: no more to it until a trial succeeds. Resets alone may be
             // a bad link; a process that died refuses the next connection.
-            Status::Refused => (e.down, e.fail_share) = (true, 1.0),
+            Status::Refused => (e.unreachable, e.failure_share) = (true, 1.0),
             Status::Busy | Status::Skipped => {}
             Status::TimedOut | Status::Cancelled if !silent => {}
-            _ => e.fail_share = blend(e.fail_share, 1.0, weight),
+            _ => e.failure_share = blend(e.failure_share, 1.0, weight),
         }
-        if e.fail_share >= SUSPEND && !e.suspended {
+        if e.failure_share >= SUSPEND_FAILURE_SHARE && !e.suspended {
             e.suspended = true;
-            e.trial_ns = now + e.backoff_ns;
+            e.next_trial_ns = now + e.backoff_ns;
         }
     }
 
     /// Looks at an attempt that should have ended: bad plan, hung or slowed engine alike. Where a repeat is
     /// safe, or dropped by every engine, it is cancelled whatever comes next, since it would hold its threads
     /// for many times its need; its outcome has the check find it an engine, or refuses it.
-    fn review(&mut self, now: u64, id: RequestId, attempt: u32, out: &mut Out) {
+    fn review_attempt(&mut self, now: u64, id: RequestId, attempt: u32, out: &mut Actions) {
         let Some(p) = self.pending.get(&id) else { return };
-        let Some(e) = p.out.and_then(|engine| self.engines.get(&engine)) else { return };
+        let Some(e) = p.running_on.and_then(|engine| self.engines.get(&engine)) else { return };
         let Some(r) = e.running.iter().find(|r| r.request == id && r.attempt == attempt) else { return };
         if p.concluded || p.cancelled {
             return;
         }
-        let (_, crowd) = self.room(now, e, 0.0, &self.view(now));
-        let expected = r.need_ns / r.threads * crowd.max(1.0) * e.stretch.clamp(1.0, OUTRUN[0]);
+        let (_, threads_per_core) = self.available_cores(now, e, 0.0, &self.context(now));
+        let expected =
+            r.need_ns / r.threads * threads_per_core.max(1.0) * e.latency_ratio.clamp(1.0, OUTRUN[0]);
         let age = now.saturating_sub(r.sent_ns) as f64;
         let progress = |(at, share): (u64, f64)| at.saturating_sub(r.sent_ns) as f64 / share.max(0.01);
-        let projected = r.told.map_or(age, progress);
-        let patience = (expected * self.outrun(p.request.class)).max(REVIEW_MIN_NS as f64);
-        if projected >= patience && self.harmless(p.request.class, true) && self.settings.may_cancel {
+        let projected = r.progress.map_or(age, progress);
+        let patience = (expected * self.overrun_multiple(p.request.class)).max(MIN_REVIEW_NS as f64);
+        if projected >= patience && self.is_repeat_safe(p.request.class, true) && self.settings.may_cancel {
             // Too late for another attempt: the final answer goes out at once, not with the outcome.
             let left = p.expires_ns.saturating_sub(now) as f64;
-            let last = left < r.need_ns / r.threads || !self.may_send(now, p);
+            let last = left < r.need_ns / r.threads || !self.may_attempt(now, p);
             self.pending.entry(id).and_modify(|p| p.cancelled = true);
             out.push(Action::Cancel { request: id, attempt });
             if last {
-                self.give_up(id, expected, out);
+                self.reject(id, expected, out);
             }
             return;
         }
-        let after = if age < patience { patience - age } else { expected.max(REVIEW_MIN_NS as f64) };
-        if r.told.is_none_or(|(at, _)| at != now) {
+        let after = if age < patience { patience - age } else { expected.max(MIN_REVIEW_NS as f64) };
+        if r.progress.is_none_or(|(at, _)| at != now) {
             out.push(Action::SetTimer { after_ns: after as u64 + 1, token: review_token(id, attempt) });
         }
     }
@@ -999,7 +1043,7 @@
     }
 
     /// Whether a repeat does no harm, given that an attempt may have run.
-    fn harmless(&self, class: ClassId, may_have_run: bool) -> bool {
+    fn is_repeat_safe(&self, class: ClassId, may_have_run: bool) -> bool {
         let class = &self.settings.classes[class.0];
         match class.effect {
             Effect::Idempotent => true,
@@ -1010,7 +1054,7 @@
 
     /// Whether an attempt may follow the ones before: what may have run and is not safe to repeat goes again
     /// only while it is remembered, and only to an engine of those that drop its repeats.
-    fn repeats(&self, now: u64, p: &Pending, to: Option<&EngineEntry>) -> bool {
+    fn may_repeat(&self, now: u64, p: &Pending, to: Option<&EngineEntry>) -> bool {
         let class = &self.settings.classes[p.request.class.0];
         let (sent, at) = match (class.effect, p.may_have_run) {
             (_, None) | (Effect::Idempotent, _) => return true,
@@ -1026,31 +1070,32 @@
     }
 
     /// Whether a request may have one more attempt: attempts allowed, effect and retry budget.
-    fn may_send(&self, now: u64, p: &Pending) -> bool {
-        let attempt_ok = self.settings.max_attempts.is_none_or(|most| p.sends < most);
-        let budget_ok = p.sends == 0
+    fn may_attempt(&self, now: u64, p: &Pending) -> bool {
+        let attempt_ok = self.settings.max_attempts.is_none_or(|most| p.attempts < most);
+        let budget_ok = p.attempts == 0
             || self.settings.retry_budget.is_none_or(|b| {
                 let since = now.saturating_sub(b.window_ns);
-                let made = self.extra.iter().filter(|t| **t >= since).count() as f64;
-                let taken = self.taken.iter().filter(|t| **t > since).count() as f64;
-                made + 1.0 <= b.floor + b.per_request * taken
+                let made = self.retries.iter().filter(|t| **t >= since).count() as f64;
+                let arrivals = self.arrivals.iter().filter(|t| **t > since).count() as f64;
+                made + 1.0 <= b.floor + b.per_request * arrivals
             });
-        self.repeats(now, p, None) && attempt_ok && budget_ok
+        self.may_repeat(now, p, None) && attempt_ok && budget_ok
     }
 
     /// Whether an engine may be sent this request at all.
-    fn usable(&self, now: u64, p: &Pending, e: &Engine) -> bool {
+    fn is_eligible(&self, now: u64, p: &Pending, e: &Engine) -> bool {
         let class = &self.settings.classes[p.request.class.0];
-        let placed = class.only_zones.as_ref().is_none_or(|l| e.entry.zone.is_some_and(|z| l.contains(&z)))
-            && class.only_kinds.as_ref().is_none_or(|l| e.entry.kind.is_some_and(|k| l.contains(&k)));
+        let placement_ok =
+            class.only_zones.as_ref().is_none_or(|l| e.entry.zone.is_some_and(|z| l.contains(&z)))
+                && class.only_kinds.as_ref().is_none_or(|l| e.entry.kind.is_some_and(|k| l.contains(&k)));
         let healthy = match e.verdict {
             Verdict::Out => false,
-            Verdict::Trial => e.running.is_empty() && self.harmless(p.request.class, true),
-            _ => !e.suspended || now >= e.trial_ns && self.trials >= 1.0,
+            Verdict::Trial => e.running.is_empty() && self.is_repeat_safe(p.request.class, true),
+            _ => !e.suspended || now >= e.next_trial_ns && self.trial_tokens >= 1.0,
         };
-        let fresh = p.failed_at != Some(e.entry.engine);
-        let ready = e.entry.state == EngineState::Ready && placed && healthy && fresh;
-        ready && self.repeats(now, p, Some(&e.entry)) && self.cold_budget(now, p, e)
+        let not_failed_here = p.failed_engine != Some(e.entry.engine);
+        let ready = e.entry.state == EngineState::Ready && placement_ok && healthy && not_failed_here;
+        ready && self.may_repeat(now, p, Some(&e.entry)) && self.fits_cold_budget(now, p, e)
     }
 
     /// Whether a cold engine stays within this gateway's share of what does not push it over. Light and heavy
@@ -1059,29 +1104,32 @@
     /// the engine's. An owner may send one query in a window, or as many as its share holds. A gateway that
     /// restarted meanwhile waits for a window. An engine back from refused connections has no owners until
     /// told.
-    fn cold_budget(&self, now: u64, p: &Pending, e: &Engine) -> bool {
+    fn fits_cold_budget(&self, now: u64, p: &Pending, e: &Engine) -> bool {
         let s = &self.settings;
-        let (Some(since), Some(_)) = (e.cold_since_ns, self.warmed(now, e)) else { return true };
+        let (Some(since), Some(_)) = (e.cold_start_ns, self.warmup_progress(now, e)) else { return true };
         let class = p.request.class;
         let rules = (s.initial_capacity, s.overload_window_ns, cold_lane(s, e.cores, class));
-        let (Some(start), Some(overload_window_ns), Some((lane, full, largest))) = rules else { return true };
+        let (Some(start), Some(overload_window_ns), Some((lane, budget, largest))) = rules else {
+            return true;
+        };
         let router_count = u64::from(s.router_count.max(1));
-        let place = (u64::from(s.router_index) + mix(e.entry.engine.0) % router_count) % router_count;
-        let unknown = self.born_ns.is_some_and(|b| b > since && now < b.saturating_add(overload_window_ns));
-        let half = full * self.warmth(now, e) / 2.0;
-        let usual = self.models[class.0].usual.value;
-        let recent = || e.sent.iter().filter(|s| s.0 + overload_window_ns >= now);
+        let rank = (u64::from(s.router_index) + hash64(e.entry.engine.0) % router_count) % router_count;
+        let just_restarted =
+            self.first_event_ns.is_some_and(|b| b > since && now < b.saturating_add(overload_window_ns));
+        let half = budget * self.capacity_share(now, e) / 2.0;
+        let typical_need = self.models[class.0].typical_need.value;
+        let recent = || e.recent_sends.iter().filter(|s| s.0 + overload_window_ns >= now);
         if let Some(shares) = e.cold_shares {
             let sent: f64 = recent().filter(|s| s.2 == lane).map(|s| s.1).sum();
-            return sent + usual <= half * shares[lane] || sent <= 0.0 && shares[lane] >= 1.0;
+            return sent + typical_need <= half * shares[lane] || sent <= 0.0 && shares[lane] >= 1.0;
         }
         let started = e.entry.started_ns.zip(s.warmup_ns);
-        let told = started.is_some_and(|(at, cold)| now < at.saturating_add(cold));
-        let most = if told { router_count as f64 } else { 1.0 };
-        let owners = (half / largest).floor().clamp(1.0, most);
-        let same = |s: &&(u64, f64, usize)| usize::from(s.1 * COLD_LIGHT > full * start) == lane;
+        let announced = started.is_some_and(|(at, cold)| now < at.saturating_add(cold));
+        let max_owners = if announced { router_count as f64 } else { 1.0 };
+        let owners = (half / largest).floor().clamp(1.0, max_owners);
+        let same = |s: &&(u64, f64, usize)| usize::from(s.1 * MIN_LIGHT_QUERIES > budget * start) == lane;
         let sent: f64 = recent().filter(same).map(|s| s.1).sum();
-        let fits = sent <= 0.0 || sent + usual <= half / owners;
-        fits && !unknown && (!told || (place as f64) < owners)
+        let fits = sent <= 0.0 || sent + typical_need <= half / owners;
+        fits && !just_restarted && (!announced || (rank as f64) < owners)
     }
 }
