--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -53,29 +53,37 @@
 const PROBE_INTERVAL_NS: u64 = 500_000_000;
 /// Memory over the estimate where the engine grants it, and over the corrected one where this gateway does
 /// (ratio): a spill does several times the work, but idle memory is lost to others.
-const GRANT_MARGIN: [f64; 2] = [1.2, 1.4];
+const ENGINE_GRANT_MARGIN: f64 = 1.2;
+const ROUTER_GRANT_MARGIN: f64 = 1.4;
 /// An attempt has outrun its need at this many deviations (of the logarithm) of its class's answers from what
 /// was expected, within these multiples, as rough estimates show a bad plan late. The middle one is first.
 const OVERRUN_DEVIATIONS: f64 = 2.2;
-const OUTRUN: [f64; 3] = [2.0, 3.0, 5.0];
+const MIN_OVERRUN: f64 = 2.0;
+const DEFAULT_OVERRUN: f64 = 3.0;
+const MAX_OVERRUN: f64 = 5.0;
 /// The same for loads and what waits for them, against other classes (ratio).
 const LOAD_OVERRUN_FACTOR: f64 = 3.0;
 /// Share of further attempts that end in time where bad plans are drawn anew, outcomes that this is worth,
 /// and times under it heeded: patience grows as its square where a new attempt takes as long again.
-const HELPED: [f64; 3] = [0.7, 3.0, 3.0];
+const INITIAL_RETRY_SUCCESS: f64 = 0.7;
+const INITIAL_RETRY_COUNT: f64 = 3.0;
+const MAX_RETRY_FACTOR: f64 = 3.0;
 /// Data sets sent last to an engine that are taken as warm there (count), and what is left of the need of a
 /// query on one (share): part of its reading is saved.
 const MAX_WARM_DATA_SETS: usize = 4;
 const WARM_NEED_SHARE: f64 = 0.7;
 /// Threads a core beyond which an engine gets nothing more (ratio), as past it engines do less work in all;
 /// more where queries wait in an engine's line for memory, as part of the threads it holds then do not run.
-const KNEE: [f64; 2] = [2.0, 2.5];
+const MAX_THREADS_PER_CORE: f64 = 2.0;
+const MAX_THREADS_PER_CORE_QUEUED: f64 = 2.5;
 /// Share of an engine's memory that may be granted (share); less where grants are trimmed when it is short,
 /// as queries then spill well before all of it is granted.
-const MEMORY: [f64; 2] = [0.9, 0.8];
+const MAX_MEMORY_SHARE: f64 = 0.9;
+const MAX_MEMORY_SHARE_SHRUNK: f64 = 0.8;
 /// The knee falls as this power of a query's need over its class's usual need, down to this share of itself:
 /// a heavy query is worth no more than a light one of its class, and holds its threads for longer.
-const KNEE_BY_COST: [f64; 2] = [0.4, 0.6];
+const COST_EXPONENT: f64 = 0.4;
+const MIN_COST_FACTOR: f64 = 0.6;
 /// Least time before an attempt is looked at (ns): network and scheduling take some of it.
 const MIN_REVIEW_NS: u64 = 400_000_000;
 /// Least weight of an outcome in an engine's failure share (share): three failures in a row suspend it. It is
@@ -84,7 +92,8 @@
 /// Failure share at which an engine is suspended (share).
 const SUSPEND_FAILURE_SHARE: f64 = 0.5;
 /// First and longest wait before a suspended engine is tried again (ns); each doubles the one before.
-const TRIAL_NS: [u64; 2] = [1_000_000_000, 8_000_000_000];
+const MIN_TRIAL_BACKOFF_NS: u64 = 1_000_000_000;
+const MAX_TRIAL_BACKOFF_NS: u64 = 8_000_000_000;
 /// Share of this gateway's queries that may try suspended engines (share): many may be out, few queries come.
 const TRIAL_SHARE: f64 = 0.05;
 /// Weight of an answer in an engine's stretch (share).
@@ -319,7 +328,7 @@
 impl Controller {
     /// A controller that knows nothing yet; the seed breaks its ties.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let retry_success = LearnedMean { count: HELPED[1], value: HELPED[0] };
+        let retry_success = LearnedMean { count: INITIAL_RETRY_COUNT, value: INITIAL_RETRY_SUCCESS };
         let models =
             settings.classes.iter().map(|_| ClassModel { retry_success, ..ClassModel::default() }).collect();
         Controller { settings, seed, models, trial_tokens: 1.0, ..Controller::default() }
@@ -379,7 +388,7 @@
             let memory_mb = kind.and_then(|k| k.memory_mb).unwrap_or(f64::INFINITY);
             let e = self.engines.entry(entry.engine).or_insert_with(|| Engine {
                 entry,
-                backoff_ns: TRIAL_NS[0],
+                backoff_ns: MIN_TRIAL_BACKOFF_NS,
                 last_outcome_ns: self.first_event_ns.unwrap_or(0),
                 cold_start_ns: entry.started_ns,
                 ..Engine::default()
@@ -401,7 +410,7 @@
         let Some(e) = self.engines.get_mut(&engine) else { return };
         let was_out = matches!(e.verdict, Verdict::Out | Verdict::Trial);
         if was_out && !matches!(verdict, Verdict::Out | Verdict::Trial) {
-            (e.suspended, e.failure_share, e.backoff_ns) = (false, 0.0, TRIAL_NS[0]);
+            (e.suspended, e.failure_share, e.backoff_ns) = (false, 0.0, MIN_TRIAL_BACKOFF_NS);
         }
         e.verdict = verdict;
     }
@@ -490,13 +499,15 @@
     /// Multiple of its expected time at which an attempt of a class has outrun its need.
     fn overrun_multiple(&self, class_id: ClassId) -> f64 {
         let latency_variance = self.models[class_id.0].latency_variance;
-        let learned = (OVERRUN_DEVIATIONS * latency_variance.value.sqrt()).exp().clamp(OUTRUN[0], OUTRUN[2]);
+        let learned =
+            (OVERRUN_DEVIATIONS * latency_variance.value.sqrt()).exp().clamp(MIN_OVERRUN, MAX_OVERRUN);
         // A load, and what waits for loads, stands still behind others' on its data set: no bad plan.
         let class = &self.settings.classes[class_id.0];
         let load_factor = if class.is_load || class.waits_for_loads { LOAD_OVERRUN_FACTOR } else { 1.0 };
-        let retry_factor =
-            (HELPED[0] / self.models[class_id.0].retry_success.value).clamp(1.0, HELPED[2]).powi(2);
-        Some(learned).filter(|_| latency_variance.count > 0.0).unwrap_or(OUTRUN[1])
+        let retry_factor = (INITIAL_RETRY_SUCCESS / self.models[class_id.0].retry_success.value)
+            .clamp(1.0, MAX_RETRY_FACTOR)
+            .powi(2);
+        Some(learned).filter(|_| latency_variance.count > 0.0).unwrap_or(DEFAULT_OVERRUN)
             * load_factor
             * retry_factor
     }
@@ -633,16 +644,24 @@
             return Err(f64::INFINITY);
         }
         let typical_need = self.models[p.request.class.0].typical_need.or(need);
-        let knee = KNEE[usize::from(self.settings.memory_shortage == MemoryShortage::Wait)]
-            * (typical_need / need).powf(KNEE_BY_COST[0]).clamp(KNEE_BY_COST[1], 1.0);
-        if slowed > knee {
-            return Err(slowed / knee);
+        let base_limit = if self.settings.memory_shortage == MemoryShortage::Wait {
+            MAX_THREADS_PER_CORE_QUEUED
+        } else {
+            MAX_THREADS_PER_CORE
+        };
+        let limit = base_limit * (typical_need / need).powf(COST_EXPONENT).clamp(MIN_COST_FACTOR, 1.0);
+        if slowed > limit {
+            return Err(slowed / limit);
         }
         // Memory is room of its own kind: past all of it queries wait, spill, or slow each other down.
-        let requested = p.request.memory_estimate_mb.unwrap_or(0.0) * GRANT_MARGIN[0] / e.memory_mb;
+        let requested = p.request.memory_estimate_mb.unwrap_or(0.0) * ENGINE_GRANT_MARGIN / e.memory_mb;
         let memory = self.discounted(now, e, e.granted_share, context.granted_share)
             + requested * (1.0 + context.peers);
-        let max_memory = MEMORY[usize::from(self.settings.memory_shortage == MemoryShortage::Shrink)];
+        let max_memory = if self.settings.memory_shortage == MemoryShortage::Shrink {
+            MAX_MEMORY_SHARE_SHRUNK
+        } else {
+            MAX_MEMORY_SHARE
+        };
         if memory > max_memory {
             return Err(memory / max_memory);
         }
@@ -747,7 +766,7 @@
         let (alone, overrun_multiple) = (pass.need_ns / threads, self.overrun_multiple(request.class));
         let ratio = self.models[request.class.0].memory_ratio;
         let granting = self.settings.grants && ratio.count > 0.0;
-        let margin = GRANT_MARGIN[usize::from(granting)];
+        let margin = if granting { ROUTER_GRANT_MARGIN } else { ENGINE_GRANT_MARGIN };
         let memory = request.memory_estimate_mb.unwrap_or(0.0) * ratio.or(1.0) * margin;
         for (mean, new) in self.traffic_mix.iter_mut().zip([pass.need_ns, alone, memory * alone]) {
             *mean = blend(*mean, new, TRAFFIC_MIX_WEIGHT);
@@ -773,7 +792,7 @@
         e.recent_sends.retain(|s| s.0 + overload_window_ns >= now);
         if e.suspended {
             (self.trial_tokens, e.next_trial_ns) = (0.0, now + e.backoff_ns);
-            e.backoff_ns = (e.backoff_ns * 2).min(TRIAL_NS[1]);
+            e.backoff_ns = (e.backoff_ns * 2).min(MAX_TRIAL_BACKOFF_NS);
         }
         let expected_ns = alone * pass.threads_per_core.max(1.0);
         let at = e.running.partition_point(|q| (q.due_ns, q.request) < (due_ns, id));
@@ -981,7 +1000,7 @@
                     // It was out of reach and is back: perhaps restarted, and cold before the list says so.
                     (e.unreachable, e.cold_start_ns) = (false, Some(now));
                 }
-                (e.suspended, e.backoff_ns, e.last_success_ns) = (false, TRIAL_NS[0], now);
+                (e.suspended, e.backoff_ns, e.last_success_ns) = (false, MIN_TRIAL_BACKOFF_NS, now);
                 e.failure_share = blend(e.failure_share.min(SUSPEND_FAILURE_SHARE), 0.0, weight);
                 let ratio = (o.latency_ns as f64 / ran.expected_ns.max(1.0)).min(MAX_OUTLIER_RATIO);
                 let before = if e.latency_ratio > 0.0 { e.latency_ratio } else { self.latency_ratio.or(1.0) };
@@ -1013,7 +1032,7 @@
         }
         let (_, threads_per_core) = self.available_cores(now, e, 0.0, &self.context(now));
         let expected =
-            r.need_ns / r.threads * threads_per_core.max(1.0) * e.latency_ratio.clamp(1.0, OUTRUN[0]);
+            r.need_ns / r.threads * threads_per_core.max(1.0) * e.latency_ratio.clamp(1.0, MIN_OVERRUN);
         let age = now.saturating_sub(r.sent_ns) as f64;
         let progress = |(at, share): (u64, f64)| at.saturating_sub(r.sent_ns) as f64 / share.max(0.01);
         let projected = r.progress.map_or(age, progress);
