--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -1,6 +1,8 @@
-//! Every decision of marljunction, and every number behind one. Its types, events and actions are in
-//! `src/interface.rs`; how the paper's check became this one is told in `docs/design.md`.
-//! Work is in core-nanoseconds, time in nanoseconds, room in cores.
+//! The decision module: admission control, engine choice, retries and cancellation. Types, events
+//! and actions are defined in `src/interface.rs`. It reads no clock: the time is an argument of
+//! each event.
+//!
+//! Units: work in core-nanoseconds, time in nanoseconds, capacity in cores, memory in megabytes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,129 +10,133 @@
 
 // ---- Constants -----------------------------------------------------------------------------------
 
-/// Weight of one more outcome in a learned mean (share): some thirty outcomes are remembered.
+/// Weight of a new sample in a learned mean.
 const LEARN_WEIGHT: f64 = 0.03;
-/// The same for the mix of what is sent (share): some two hundred are remembered, as heavy ones are rare.
+/// Weight of a new attempt in the traffic mix: smaller than [`LEARN_WEIGHT`], since heavy queries
+/// are rare.
 const TRAFFIC_MIX_WEIGHT: f64 = 0.005;
-/// Outcomes before a learned figure is used at all (count): fewer say more of luck than of the class.
+/// Samples required before estimates are corrected by reported work.
 const MIN_OUTCOMES: f64 = 5.0;
-/// One outcome counts for at most this multiple of the present mean (ratio): bad plans are not the usual.
+/// A sample is capped at this multiple of the current mean, so that one bad plan does not dominate
+/// it.
 const MAX_OUTLIER_RATIO: f64 = 6.0;
-/// Mean need before anything is known (share of aim x threads): most classes aim well past their work.
+/// Need of a class without samples, as a share of target latency times threads.
 const DEFAULT_NEED_SHARE: f64 = 0.25;
-/// Weight of a new report in the figure of other gateways' threads (share): one report is noisy.
+/// Weight of a new load report in an engine's peer threads.
 const REPORT_WEIGHT: f64 = 0.4;
-/// Usual age of what a report shows (ns): this gateway's own part in it is that of so long ago.
+/// Typical age of the state that a load report describes (ns).
 const REPORT_AGE_NS: f64 = 400_000_000.0;
-/// What each peer that reads the same report adds while it is on its way, against this gateway (ratio).
+/// Load that each peer adds between two reports, as a multiple of what this router adds.
 const PEER_GROWTH: f64 = 0.6;
-/// Peers, and what is guessed of them from own threads, count at most as this multiple of what was heard of
-/// them (ratio): a gateway that carries far more than others must not take all of them to be like itself.
+/// Cap on the peers' load inferred from this router's own, as a multiple of their reported load: a
+/// router with much traffic must not assume that all peers have as much.
 const MAX_PEER_RATIO: f64 = 3.0;
-/// Part of a query about to be sent that peers are taken to add with it (share).
+/// Share of a query about to be sent that peers are assumed to send along with it.
 const NEW_QUERY_SHARE: f64 = 0.3;
-/// Life of what is known of an engine and of this gateway's own load (ns): an old figure gives way to the
-/// fleet's average, an old success to a new failure.
+/// Decay time of engine state and of this router's own load (ns).
 const DECAY_NS: f64 = 3_500_000_000.0;
-/// Where figures come with answers, what this gateway guesses from its own threads weighs as so many engines
-/// heard (count): a second opinion on a few late figures, which falls as it sends less.
+/// Weight of the peers' load inferred from this router's own, in engines with a fresh report.
+/// Unused where probes report load.
 const PEER_ESTIMATE_WEIGHT: f64 = 2.0;
-/// What is left of each figure for every refusal since the last one was heard (share): a gateway that takes
-/// all for full sends nothing and hears nothing, for good.
+/// Factor on reported load for each refusal since the last report. Without it a router that
+/// considers every engine full would send nothing, receive no reports, and refuse forever.
 const REFUSAL_DECAY: f64 = 0.97;
-/// Threads a core that the time of an answer over alone stands for at most, and that being turned away as
-/// full stands for (ratio): a jam of seconds, read as more, had gateways refuse most of what came after it.
+/// Maximum threads per core inferred from latency alone; assumed for an engine that rejects with
+/// `Busy`.
 const MAX_THREADS_FROM_LATENCY: f64 = 2.5;
-/// Busy share from which what an engine holds is weighed in as threads, fully so at 1 (share).
+/// Busy share above which in-flight queries and granted memory count as threads, in full at 1.
 const SATURATION_START: f64 = 0.5;
-/// Threads a core that an engine holds from which they count though its cores are idle, fully so at one
-/// more (ratio): fewer may just be reading, as queries do for half of their time.
+/// In-flight threads per core above which they count despite idle cores, in full at one more. Below
+/// it queries may just be reading.
 const QUEUEING_START: f64 = 3.0;
-/// Loads on a data set that an engine is taken to hold for each of this gateway's own there (ratio): 2 was
-/// no better, as peers spread theirs too.
+/// Loads on a data set that peers are assumed to have on an engine for each of this router's own
+/// there.
 const PEER_LOADS_PER_OWN: f64 = 1.0;
-/// Age of a figure at which its engine may be probed (ns): about one refresh of a report.
+/// Age of a report after which its engine may be probed (ns).
 const PROBE_INTERVAL_NS: u64 = 500_000_000;
-/// Memory over the estimate where the engine grants it, and over the corrected one where this gateway does
-/// (ratio): a spill does several times the work, but idle memory is lost to others.
+/// Memory granted over the estimate where the engine grants it, and over the corrected estimate
+/// where this router does. A spill costs several times the work, an unused grant is lost to other
+/// queries.
 const ENGINE_GRANT_MARGIN: f64 = 1.2;
 const ROUTER_GRANT_MARGIN: f64 = 1.4;
-/// An attempt has outrun its need at this many deviations (of the logarithm) of its class's answers from what
-/// was expected, within these multiples, as rough estimates show a bad plan late. The middle one is first.
+/// An attempt is overrun at this many standard deviations (of log latency) over its expected time.
 const OVERRUN_DEVIATIONS: f64 = 2.2;
+/// Bounds of that multiple of the expected time, and its value without samples.
 const MIN_OVERRUN: f64 = 2.0;
 const DEFAULT_OVERRUN: f64 = 3.0;
 const MAX_OVERRUN: f64 = 5.0;
-/// The same for loads and what waits for them, against other classes (ratio).
+/// Factor on the overrun multiple for loads and queries that wait for loads.
 const LOAD_OVERRUN_FACTOR: f64 = 3.0;
-/// Share of further attempts that end in time where bad plans are drawn anew, outcomes that this is worth,
-/// and times under it heeded: patience grows as its square where a new attempt takes as long again.
+/// Prior for the share of retries that are not overrun themselves, and its weight in samples.
 const INITIAL_RETRY_SUCCESS: f64 = 0.7;
 const INITIAL_RETRY_COUNT: f64 = 3.0;
+/// Cap on the prior over the learned share; the overrun multiple grows with its square, since
+/// cancelling is useless where a retry takes as long.
 const MAX_RETRY_FACTOR: f64 = 3.0;
-/// Data sets sent last to an engine that are taken as warm there (count), and what is left of the need of a
-/// query on one (share): part of its reading is saved.
+/// Data sets per engine assumed to be cached: the latest ones sent to it.
 const MAX_WARM_DATA_SETS: usize = 4;
+/// Need of a query on a cached data set, as a share of its full need.
 const WARM_NEED_SHARE: f64 = 0.7;
-/// Threads a core beyond which an engine gets nothing more (ratio), as past it engines do less work in all;
-/// more where queries wait in an engine's line for memory, as part of the threads it holds then do not run.
+/// Threads per core above which an engine receives nothing more, as its throughput falls beyond.
+/// The limit is higher where queries queue for memory, since queued threads do not run.
 const MAX_THREADS_PER_CORE: f64 = 2.0;
 const MAX_THREADS_PER_CORE_QUEUED: f64 = 2.5;
-/// Share of an engine's memory that may be granted (share); less where grants are trimmed when it is short,
-/// as queries then spill well before all of it is granted.
+/// Share of an engine's memory that may be granted; lower where grants shrink under pressure, since
+/// queries spill before all of it is granted.
 const MAX_MEMORY_SHARE: f64 = 0.9;
 const MAX_MEMORY_SHARE_SHRUNK: f64 = 0.8;
-/// The knee falls as this power of a query's need over its class's usual need, down to this share of itself:
-/// a heavy query is worth no more than a light one of its class, and holds its threads for longer.
+/// The thread limit falls with this power of a query's need over the typical need of its class,
+/// down to the minimum factor: a heavy query has the worth of a light one but occupies its threads
+/// for longer.
 const COST_EXPONENT: f64 = 0.4;
 const MIN_COST_FACTOR: f64 = 0.6;
-/// Least time before an attempt is looked at (ns): network and scheduling take some of it.
+/// Minimum time before an attempt is reviewed (ns), to allow for network and scheduling delays.
 const MIN_REVIEW_NS: u64 = 400_000_000;
-/// Least weight of an outcome in an engine's failure share (share): three failures in a row suspend it. It is
-/// more where the one before is old, so that an engine met every few seconds is suspended by one.
+/// Minimum weight of an outcome in an engine's failure share. The weight grows with the time since
+/// the previous outcome, so that one failure suspends an engine that is rarely used.
 const MIN_FAILURE_WEIGHT: f64 = 0.25;
-/// Failure share at which an engine is suspended (share).
+/// Failure share at which an engine is suspended.
 const SUSPEND_FAILURE_SHARE: f64 = 0.5;
-/// First and longest wait before a suspended engine is tried again (ns); each doubles the one before.
+/// Bounds of the exponential backoff between trials of a suspended engine (ns).
 const MIN_TRIAL_BACKOFF_NS: u64 = 1_000_000_000;
 const MAX_TRIAL_BACKOFF_NS: u64 = 8_000_000_000;
-/// Share of this gateway's queries that may try suspended engines (share): many may be out, few queries come.
+/// Trials of suspended engines allowed per arrival (token bucket with a capacity of one).
 const TRIAL_SHARE: f64 = 0.05;
-/// Weight of an answer in an engine's stretch (share).
+/// Weight of a new sample in an engine's latency ratio.
 const LATENCY_RATIO_WEIGHT: f64 = 0.15;
-/// Stretch over the average engine's that is still taken for chance (ratio).
+/// Latency ratio over the average engine's that is attributed to chance.
 const SLOW_TOLERANCE: f64 = 1.2;
-/// Busy share of the cores at which an engine's capacity is counted (share).
+/// Busy share of the cores that defines an engine's capacity.
 const CAPACITY_BUSY_SHARE: f64 = 0.85;
-/// Part of a cold engine's budget that is used (share), and queries of a light class that it holds at least
-/// as the engine starts (count).
+/// Share of a cold engine's budget that is used.
 const COLD_BUDGET_SHARE: f64 = 0.8;
+/// A class is light if this many of its queries fit the budget of an engine that has just started.
 const MIN_LIGHT_QUERIES: f64 = 8.0;
-/// Threads a core that peers are taken to hold at most on a cold engine that is not heard of (ratio): its
-/// budget keeps them from more.
+/// Cap on the peer threads per core assumed on a cold engine without a report.
 const MAX_COLD_PEER_THREADS: f64 = 0.5;
-/// Load factor added for an engine in another zone (ratio), as crossing has a small price.
+/// Load factor added for an engine in another zone.
 const CROSS_ZONE_PENALTY: f64 = 0.05;
-/// Engines that a gateway looks at first, the same ones for all of its requests, and gateways at least that
-/// have an engine among their first ones, so that it is not left to a few (counts). Others only where none of
-/// these passes. A hundred gateways that spread their thin traffic over all engines know none of them: their
-/// figures are old, and connections close before they are used again.
+/// Minimum engines in a router's preferred subset, which is the same for all of its requests. Other
+/// engines are used only if none of the subset passes. A subset keeps reports recent and
+/// connections open where each router has little traffic.
 const MIN_PREFERRED_ENGINES: usize = 5;
+/// Average number of routers, at least, whose subset contains a given engine.
 const MIN_ROUTERS_PER_ENGINE: usize = 8;
-/// Of these, engines drawn for a request, of which the lowest factor picks: gateways that read the same
-/// report must not all pick the same.
+/// Engines of the subset compared for one request, drawn at random on average: routers with the
+/// same report must not all choose the same engine.
 const MAX_CANDIDATES: u64 = 6;
-/// Retry advice at least (ns): sooner than this nothing has changed.
+/// Minimum retry advice (ns).
 const MIN_RETRY_AFTER_NS: u64 = 100_000_000;
-/// Wait before membership is asked for again after a failure (ns).
+/// Delay before a failed membership subscription is repeated (ns).
 const RESUBSCRIBE_DELAY_NS: u64 = 1_000_000_000;
-/// Timer token for that; others hold a request, and an attempt or TURN in the low byte.
+/// Timer token of that delay. Other tokens hold a request, and in the low byte an attempt or
+/// `TURN_MARKER`.
 const SUBSCRIBE_TOKEN: u64 = u64::MAX >> 1;
 const TURN_MARKER: u64 = 255;
 
 // ---- State ---------------------------------------------------------------------------------------
 
-/// A learned mean: its first values count alike, later ones by LEARN.
+/// A running mean: arithmetic at first, exponentially weighted by [`LEARN_WEIGHT`] later.
 #[derive(Clone, Copy, Default)]
 struct LearnedMean {
     count: f64,
@@ -148,21 +154,25 @@
     }
 }
 
-/// What has been learned of a class: work, work told and estimated of the same queries, need of what arrives,
-/// memory over its estimate, and squared logarithm of time taken over time expected.
+/// Statistics of one request class.
 #[derive(Default)]
 struct ClassModel {
+    /// Work of completed attempts: as reported, else latency times threads.
     work: LearnedMean,
+    /// Reported and estimated work of the queries that have both.
     reported_work: LearnedMean,
     estimated_work: LearnedMean,
+    /// Need of the requests that arrived.
     typical_need: LearnedMean,
+    /// Reported memory over the estimate.
     memory_ratio: LearnedMean,
+    /// Squared logarithm of latency over expected time.
     latency_variance: LearnedMean,
-    /// Share of the attempts after an outrun one that did end in time.
+    /// Share of retries after an overrun attempt that completed in time.
     retry_success: LearnedMean,
 }
 
-/// An attempt out on an engine.
+/// An attempt that is running on an engine.
 struct RunningAttempt {
     request: RequestId,
     attempt: u32,
@@ -171,12 +181,13 @@
     threads: f64,
     sent_ns: u64,
     expected_ns: f64,
+    /// Time and completed share of the last progress update.
     progress: Option<(u64, f64)>,
     priority: u8,
     grant_mb: u64,
 }
 
-/// An engine, as this gateway sees it.
+/// State of an engine as observed by this router.
 #[derive(Default)]
 struct Engine {
     entry: EngineEntry,
@@ -184,12 +195,12 @@
     memory_mb: f64,
     /// Sorted by due time, then by request.
     running: Vec<RunningAttempt>,
-    /// When the last report came, and the others' threads that it and earlier ones show.
+    /// Time of the last load report.
     reported_ns: Option<u64>,
     peer_threads: f64,
-    /// Share of its memory that was granted then.
+    /// Granted share of the memory in the last report.
     granted_share: f64,
-    /// Own threads of late: when it was brought up to date, and their mean over a report's age.
+    /// Time of the last update, and own threads averaged over the age of a report.
     lagged_threads: (u64, f64),
     probing: bool,
     failure_share: f64,
@@ -198,21 +209,22 @@
     backoff_ns: u64,
     last_success_ns: u64,
     last_outcome_ns: u64,
-    /// Time taken against time expected, of late; 0 before its first answer, when it counts as average.
+    /// Recent latency over expected time; 0 before the first success (counts as average).
     latency_ratio: f64,
     cold_start_ns: Option<u64>,
     unreachable: bool,
-    /// Data sets sent here, the latest last.
+    /// Data sets of the last attempts, the latest one last.
     warm_data_sets: VecDeque<u64>,
-    /// Usual work sent of late, while cold, and its lane.
+    /// Time, typical need and lane of the attempts sent within the overload window.
     recent_sends: Vec<(u64, f64, usize)>,
-    /// Shares of the light and heavy lane's budget that are this gateway's while cold, where it is told them.
+    /// This router's shares of the light and heavy lane's budget while the engine is cold, where
+    /// assigned.
     cold_shares: Option<[f64; 2]>,
-    /// What all gateways together believe of it, where that is told.
+    /// Shared verdict of all routers, where they exchange verdicts.
     verdict: Verdict,
 }
 
-/// A request that is owed an answer, or has an attempt out.
+/// A request that awaits its final answer or has an attempt running.
 #[derive(Default)]
 struct Pending {
     request: Request,
@@ -223,11 +235,12 @@
     cancelled: bool,
     concluded: bool,
     failed_engine: Option<EngineId>,
-    /// When and where an attempt that may have run was sent; its engine may be forgotten since.
+    /// Send time and engine of the first attempt that may have run; the engine may have been
+    /// removed since.
     may_have_run: Option<(u64, EngineEntry)>,
 }
 
-/// The decisions of one gateway.
+/// The decision state of one router.
 #[derive(Default)]
 pub struct Controller {
     settings: Settings,
@@ -236,27 +249,30 @@
     models: Vec<ClassModel>,
     engines: BTreeMap<EngineId, Engine>,
     pending: BTreeMap<RequestId, Pending>,
-    /// Time taken against time expected, over all engines.
+    /// Latency over expected time, across all engines.
     latency_ratio: LearnedMean,
-    /// Probes tell load: no guess from own threads, nor the time that answers take, stands in for it.
+    /// Probes report load, so it is not inferred from own threads or latency.
     probes_report_load: bool,
-    /// Requests refused since a figure was last heard.
+    /// Requests refused since the last load report.
     refusals_since_report: i32,
-    /// Trials of suspended engines that may be made.
+    /// Token bucket for trials of suspended engines.
     trial_tokens: f64,
+    /// Per order key: the queued requests, and the time from which the next may be sent.
     key_queues: BTreeMap<u64, (VecDeque<RequestId>, u64)>,
     arrivals: VecDeque<u64>,
     retries: VecDeque<u64>,
-    /// Work, time alone, memory x time alone sent, decayed: threads that a query or a granted MB stands for.
+    /// Decayed means of the work, the time alone, and memory times time alone of sent attempts:
+    /// converts queries and granted memory to threads.
     traffic_mix: [f64; 3],
-    /// Own threads in the mean and sends a nanosecond, and when they were brought up to now.
+    /// Time of the last update, decayed mean of own threads, and decayed sends per nanosecond.
     own_load: (u64, f64, f64),
 }
 
 type Actions = Vec<Action>;
 
-/// What one pick knows of all engines: others' threads a core, mean stretch, peers that do as this gateway
-/// does while a report is on its way; and the d, C and threads of its request.
+/// Inputs of one engine choice that are the same for all engines: peer threads per core, mean
+/// granted share and latency ratio, number of peers assumed to send alike between reports; due
+/// time, need and threads of the request.
 #[derive(Default)]
 struct PickContext {
     peer_threads: f64,
@@ -268,7 +284,7 @@
     threads: f64,
 }
 
-/// A pass of the demand check.
+/// Result of an admission check that passed.
 struct Admission {
     load_factor: f64,
     due_ns: u64,
@@ -276,19 +292,21 @@
     need_ns: f64,
 }
 
+/// Finalizer of a 64-bit hash.
 fn hash64(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-/// Need of a query of a class by settings alone.
+/// Need of a query of a class without samples.
 fn default_need(class: &ClassSettings) -> f64 {
     class.target_latency_ns as f64 * class.threads.max(1.0) * DEFAULT_NEED_SHARE
 }
 
-/// The lane of a class on a cold engine (0 for light ones, 1 for heavy), the engine's budget for a window as
-/// if it were warm, and what a query of the lane needs at most by settings alone.
+/// Returns a class's lane on a cold engine (0 light, 1 heavy), the engine's budget for one overload
+/// window at full capacity, and the largest default need in the lane. None if the settings have no
+/// overload limit.
 pub fn cold_lane(s: &Settings, cores: f64, class: ClassId) -> Option<(usize, f64, f64)> {
     let (overload, start, overload_window_ns) =
         (s.overload_multiple?, s.initial_capacity?, s.overload_window_ns?);
@@ -303,18 +321,18 @@
     TimerToken(id.0 << 8 | u64::from(attempt.min(254)))
 }
 
-/// How much longer than the average engine this one takes.
+/// Latency ratio of an engine over the average engine's, at least 1.
 fn slowness(e: &Engine, context: &PickContext) -> f64 {
     let reported = if let Verdict::Slow(ratio) = e.verdict { ratio } else { 0.0 };
     ((e.latency_ratio / context.latency_ratio).max(reported) / SLOW_TOLERANCE).max(1.0)
 }
 
-/// Part of what was known `since` then that still holds, at a life of `life_ns`.
+/// Exponential decay factor for the time between `since` and `now`.
 fn decay(now: u64, since: u64, decay_ns: f64) -> f64 {
     (-(now.saturating_sub(since) as f64) / decay_ns).exp()
 }
 
-/// Weight that the last figure heard of an engine still has; none where nothing was heard.
+/// Weight of the last load report of an engine; 0 without one.
 fn freshness(now: u64, e: &Engine) -> f64 {
     e.reported_ns.map_or(0.0, |t| decay(now, t, DECAY_NS))
 }
@@ -323,10 +341,10 @@
     old + weight * (new - old)
 }
 
-// ---- Event entry ---------------------------------------------------------------------------------
+// ---- Event handling ------------------------------------------------------------------------------
 
 impl Controller {
-    /// A controller that knows nothing yet; the seed breaks its ties.
+    /// Creates a controller without engines; the seed breaks ties.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let retry_success = LearnedMean { count: INITIAL_RETRY_COUNT, value: INITIAL_RETRY_SUCCESS };
         let models =
@@ -334,7 +352,7 @@
         Controller { settings, seed, models, trial_tokens: 1.0, ..Controller::default() }
     }
 
-    /// Takes one event, and adds what is to be done to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now_ns: u64, event: Event, out: &mut Vec<Action>) {
         if self.first_event_ns.is_none() {
             self.first_event_ns = Some(now_ns);
@@ -346,7 +364,8 @@
         match event {
             Event::Membership(kind, entries) => self.on_membership(kind, entries, out),
             Event::Arrival(request) => self.on_arrival(now_ns, request, out),
-            // A started stream belongs to the client: nothing is owed, nothing may be cancelled.
+            // The stream belongs to the client: no final answer is due, and it must not be
+            // cancelled.
             Event::Started(id, _) => drop(self.pending.get_mut(&id).map(|p| p.concluded = true)),
             Event::Progress(id, n, AttemptUpdate::Progress(share)) => {
                 self.on_progress(now_ns, id, n, share, out)
@@ -394,7 +413,7 @@
                 ..Engine::default()
             });
             if entry.started_ns > e.entry.started_ns {
-                // Told of a restart: what was held against the old process is void, what is cold is not.
+                // The process restarted: its failure and load state no longer applies.
                 (e.cold_start_ns, e.suspended, e.unreachable) = (entry.started_ns, false, false);
                 (e.failure_share, e.latency_ratio, e.peer_threads, e.reported_ns) = (0.0, 0.0, 0.0, None);
                 e.verdict = Verdict::Well;
@@ -405,7 +424,7 @@
         self.remove_departed();
     }
 
-    /// One that was out for all is back for all: this gateway's own trials are not waited for.
+    /// Applies a shared verdict. A readmission also ends the local suspension.
     fn on_verdict(&mut self, engine: EngineId, verdict: Verdict) {
         let Some(e) = self.engines.get_mut(&engine) else { return };
         let was_out = matches!(e.verdict, Verdict::Out | Verdict::Trial);
@@ -415,8 +434,7 @@
         e.verdict = verdict;
     }
 
-    /// Guards against a table that grows with every engine that ever was, and against picks that draw from
-    /// engines that are gone: those that no attempt is out on any more are forgotten.
+    /// Removes departed engines that have no running attempt.
     fn remove_departed(&mut self) {
         self.engines.retain(|_, e| e.entry.state != EngineState::Gone || !e.running.is_empty());
     }
@@ -456,7 +474,8 @@
         }
     }
 
-    /// An order-bound request has its turn, or is refused as soon as its need no longer fits its time.
+    /// Dispatches an ordered request if it is its turn, or refuses it once its need exceeds its
+    /// remaining time.
     fn on_turn_timer(&mut self, now: u64, id: RequestId, out: &mut Actions) {
         let Some(request) = self.pending.get(&id).map(|p| p.request) else { return };
         if let Some(key) = self.order_key(&request) {
@@ -471,7 +490,7 @@
         out.push(Action::SetTimer { after_ns: slack as u64, token: TimerToken(id.0 << 8 | TURN_MARKER) });
     }
 
-    /// Lets the first unfinished request of a key have its turn.
+    /// Dispatches the first unfinished request of a key.
     fn advance(&mut self, now: u64, key: u64, out: &mut Actions) {
         while let Some((queue, resume_ns)) = self.key_queues.get_mut(&key) {
             let Some(&first) = queue.front() else {
@@ -490,18 +509,18 @@
         }
     }
 
-    // ---- Need and room ---------------------------------------------------------------------------
+    // ---- Need and capacity -----------------------------------------------------------------------
 
     fn threads(&self, class: ClassId) -> f64 {
         self.settings.classes[class.0].threads.max(1.0)
     }
 
-    /// Multiple of its expected time at which an attempt of a class has outrun its need.
+    /// Multiple of the expected time at which an attempt of a class is overrun.
     fn overrun_multiple(&self, class_id: ClassId) -> f64 {
         let latency_variance = self.models[class_id.0].latency_variance;
         let learned =
             (OVERRUN_DEVIATIONS * latency_variance.value.sqrt()).exp().clamp(MIN_OVERRUN, MAX_OVERRUN);
-        // A load, and what waits for loads, stands still behind others' on its data set: no bad plan.
+        // Loads, and queries that wait for loads, block on their data set: no sign of a bad plan.
         let class = &self.settings.classes[class_id.0];
         let load_factor = if class.is_load || class.waits_for_loads { LOAD_OVERRUN_FACTOR } else { 1.0 };
         let retry_factor = (INITIAL_RETRY_SUCCESS / self.models[class_id.0].retry_success.value)
@@ -512,7 +531,7 @@
             * retry_factor
     }
 
-    /// C of a request, in core-nanoseconds.
+    /// Expected work of a request (core-nanoseconds).
     fn need(&self, r: &Request) -> f64 {
         let (class, model) = (&self.settings.classes[r.class.0], &self.models[r.class.0]);
         match r.work_estimate_ns {
@@ -526,7 +545,7 @@
         }
     }
 
-    /// R of an attempt: its need less what it has done.
+    /// Remaining work of an attempt (core-nanoseconds).
     fn remaining(r: &RunningAttempt, now: u64) -> f64 {
         let spent = match r.progress {
             Some((at, share)) => share * r.need_ns + now.saturating_sub(at) as f64 * r.threads,
@@ -539,7 +558,7 @@
         e.running.iter().map(|r| r.threads).sum()
     }
 
-    /// Brings the lagged own threads up to now; to be called before they change.
+    /// Updates the lagged own threads; must be called before own threads change.
     fn update_lagged_threads(now: u64, e: &mut Engine) {
         e.lagged_threads = (
             now,
@@ -547,7 +566,7 @@
         );
     }
 
-    /// What one pick knows of all engines: taken once, as it is the same for each of them.
+    /// Computes the engine-independent inputs of a choice.
     fn context(&self, now: u64) -> PickContext {
         let (mut reported, mut weight, mut all, mut ready, mut granted_share) = (0.0, 0.0, 0.0, 0.0, 0.0);
         for e in self.engines.values().filter(|e| e.entry.state == EngineState::Ready && !e.suspended) {
@@ -556,7 +575,7 @@
             granted_share += fresh * e.granted_share * e.cores;
             (all, ready) = (all + e.cores * self.capacity_share(now, e), ready + 1.0);
         }
-        // A second opinion: each peer is taken to hold what this gateway holds in the mean.
+        // Infers the peers' load from this router's own, as if all sent the same.
         let peers = self.settings.router_count.saturating_sub(1) as f64;
         let send_share = (self.own_load.2 * REPORT_AGE_NS / f64::max(ready, 1.0)).min(1.0);
         let estimate = peers * self.own_load.1 / f64::max(all, 1.0);
@@ -577,26 +596,27 @@
         }
     }
 
-    /// Threads of other gateways on an engine: as reported, and the older that is, the more as on the average
-    /// engine. A cold one holds what its budget lets through, or it would stay unused while others are full.
+    /// Estimated threads of other routers on an engine: the last report, decaying towards the
+    /// average engine. The average is capped for a cold engine, which would otherwise stay unused
+    /// while others are full.
     fn peer_threads(&self, now: u64, e: &Engine, context: &PickContext) -> f64 {
         let cold = self.warmup_progress(now, e).is_some() && self.settings.overload_multiple.is_some();
         let average = context.peer_threads.min(if cold { MAX_COLD_PEER_THREADS } else { f64::INFINITY });
         self.discounted(now, e, e.peer_threads, average * e.cores * self.capacity_share(now, e))
     }
 
-    /// What still holds of a figure heard of an engine, against the average of all.
+    /// A reported figure, decayed towards the average and reduced for refusals since the last
+    /// report.
     fn discounted(&self, now: u64, e: &Engine, reported: f64, average: f64) -> f64 {
         blend(average, reported, freshness(now, e)) * REFUSAL_DECAY.powi(self.refusals_since_report)
     }
 
-    /// Threads that peers added since the report was made, as they read the same: the more of them, the more
-    /// often this gateway sends to an engine while a report is fresh.
+    /// Estimated threads that peers have added since the last report.
     fn peer_growth(&self, e: &Engine, new: f64, context: &PickContext) -> f64 {
         (Self::own_threads(e) + NEW_QUERY_SHARE * new - e.lagged_threads.1).max(0.0) * context.peers
     }
 
-    /// Cores that this gateway's queries may count on with `new` more threads, and threads a core.
+    /// Cores available to this router's queries with `new` more threads, and threads per core.
     fn available_cores(&self, now: u64, e: &Engine, new: f64, context: &PickContext) -> (f64, f64) {
         let cores = e.cores * self.capacity_share(now, e);
         let own_load = Self::own_threads(e) + new;
@@ -605,22 +625,22 @@
         (idle.min(cores) / slowness(e, context), (own_load + peer_threads) / cores)
     }
 
-    /// Part of its warming that a cold engine has behind it.
+    /// Completed share of the warm-up; none if the engine is warm.
     fn warmup_progress(&self, now: u64, e: &Engine) -> Option<f64> {
         let part = now.saturating_sub(e.cold_start_ns?) as f64 / self.settings.warmup_ns? as f64;
         (part < 1.0).then_some(part)
     }
 
-    /// Share of its capacity that an engine has: less than one while it is cold.
+    /// Share of its full capacity that an engine has; below 1 while cold.
     fn capacity_share(&self, now: u64, e: &Engine) -> f64 {
         let from = self.settings.initial_capacity.unwrap_or(1.0);
         self.warmup_progress(now, e).map_or(1.0, |part| from + (1.0 - from) * part)
     }
 
-    // ---- Demand check ----------------------------------------------------------------------------
+    // ---- Admission check -------------------------------------------------------------------------
 
-    /// d of a request: the wanted time rather than the class deadline, which lies far past it and would fill
-    /// engines with work that earns little; the deadline where the wanted time can't be met any more.
+    /// Due time of a request: its latency target, or the deadline once the target cannot be met.
+    /// Planning for the deadline alone would fill engines with work of little worth.
     fn due_ns(&self, now: u64, p: &Pending) -> u64 {
         let class = &self.settings.classes[p.request.class.0];
         let alone = self.need(&p.request) / self.threads(p.request.class);
@@ -631,12 +651,13 @@
         Some(wanted).filter(|w| *w > now.saturating_add(alone as u64)).map_or(last, |w| w.min(last))
     }
 
-    /// The two-stage check of a request on an engine: its load factor where it passes.
+    /// Checks whether an engine can complete its attempts in time with the request added. Returns
+    /// the load factor, as an error if it exceeds 1 or another limit.
     fn admit(&self, now: u64, p: &Pending, e: &Engine, context: &PickContext) -> Result<Admission, f64> {
         let (due, threads) = (context.due_ns, context.threads);
         let window = due.saturating_sub(now) as f64;
         let (available_cores, threads_per_core) = self.available_cores(now, e, threads, context);
-        // A thread of a slowed engine is as good as a part of one: E shrinks R there, the crowd must not.
+        // A slow engine reaches the thread limit earlier, in proportion to its slowness.
         let slowed = threads_per_core * slowness(e, context);
         let warm = p.request.data_set.is_some_and(|set| e.warm_data_sets.contains(&set));
         let need = context.need_ns * if warm { WARM_NEED_SHARE } else { 1.0 };
@@ -653,7 +674,7 @@
         if slowed > limit {
             return Err(slowed / limit);
         }
-        // Memory is room of its own kind: past all of it queries wait, spill, or slow each other down.
+        // Beyond the memory limit queries wait, spill, or slow each other down.
         let requested = p.request.memory_estimate_mb.unwrap_or(0.0) * ENGINE_GRANT_MARGIN / e.memory_mb;
         let memory = self.discounted(now, e, e.granted_share, context.granted_share)
             + requested * (1.0 + context.peers);
@@ -665,7 +686,8 @@
         if memory > max_memory {
             return Err(memory / max_memory);
         }
-        // Engines share their cores among threads, whatever the deadlines: the newcomer's part must do too.
+        // Engines share cores among threads regardless of due times, so the request must also fit
+        // at an equal share.
         let (mut sum, mut worst) = (need, need / threads * slowed / window.max(1.0));
         let later = e.running.partition_point(|q| q.due_ns <= due);
         sum += e.running[..later].iter().map(|q| Self::remaining(q, now)).sum::<f64>();
@@ -684,9 +706,8 @@
             .ok_or(worst)
     }
 
-    /// How long a load stands still behind this gateway's own on the same data set of an engine. Guards
-    /// against loads that pile up on one while others hold none: each keeps its threads and memory until its
-    /// turn.
+    /// Time that a load waits for this router's loads on the same data set of an engine. Prevents
+    /// loads from piling up on one engine, each holding threads and memory until its turn.
     fn load_wait_ns(&self, p: &Pending, e: &Engine, context: &PickContext) -> f64 {
         let load = |r: &Request| r.data_set.filter(|_| self.settings.classes[r.class.0].is_load);
         let Some(set) = load(&p.request) else { return 0.0 };
@@ -696,12 +717,14 @@
         before * context.latency_ratio.max(1.0) * PEER_LOADS_PER_OWN
     }
 
-    /// This gateway's own order of all engines: lowest first; that of two stays as others come and go.
+    /// This router's rank of an engine, lowest first; the order of two engines does not change as
+    /// others come and go.
     fn preference(&self, e: &Engine) -> u64 {
         hash64(self.seed ^ e.entry.engine.0)
     }
 
-    /// The usable engine with the lowest passing factor; else the lowest factor that failed.
+    /// Returns the eligible engine with the lowest passing load factor, else the lowest factor that
+    /// failed.
     fn pick(&self, now: u64, p: &Pending) -> Result<(EngineId, Admission), f64> {
         let (due_ns, need_ns) = (self.due_ns(now, p), self.need(&p.request));
         let context =
@@ -724,7 +747,7 @@
                 Ok(pass) => {
                     let crosses = e.entry.zone != self.settings.zone;
                     let tie = hash64(self.seed ^ id.0 ^ p.request.id.0.rotate_left(32));
-                    // Few may send to a cold engine: they always look at it.
+                    // Few routers may send to a cold engine, so these always consider it.
                     let drawn = self.preference(e) <= last && tie % among < MAX_CANDIDATES;
                     let on_trial = e.verdict == Verdict::Trial;
                     let drawn = drawn || self.warmup_progress(now, e).is_some() || on_trial;
@@ -781,7 +804,8 @@
             let share = typical_need / (budget * capacity_share / 2.0);
             out.push(Action::ColdSent { request: id, engine, lane, share });
         }
-        // Memory is granted by the estimate, corrected by what answers progress; 0 leaves it to the engine.
+        // The grant is the estimate corrected by reported memory; 0 leaves the choice to the
+        // engine.
         let most = e.memory_mb * self.settings.max_grant_share.unwrap_or(1.0);
         let grant_mb = if granting { memory.min(most).ceil() as u64 } else { 0 };
         Self::update_lagged_threads(now, e);
@@ -808,7 +832,7 @@
         out.push(Action::SetTimer { after_ns, token: review_token(id, attempt) });
     }
 
-    /// Nearer deadlines get higher priority: each quarter of the queries in order has one; late, the lowest.
+    /// Assigns priorities by due time, one per quartile; overdue attempts get the lowest.
     fn set_priorities(
         &mut self,
         now: u64,
@@ -832,7 +856,7 @@
         }
     }
 
-    /// Probes the engine unheard longest, one an arrival at the most, whatever the fleet's size.
+    /// Probes the engine with the oldest report: at most one per arrival, regardless of fleet size.
     fn probe_one(&mut self, now: u64, out: &mut Actions) {
         let enabled = self.settings.may_probe && self.settings.report_source == ReportSource::Probes;
         let old = |e: &Engine| e.reported_ns.is_none_or(|t| t + PROBE_INTERVAL_NS <= now) && !e.probing;
@@ -855,7 +879,7 @@
         }
     }
 
-    /// Takes a report; where it tells no load, how many times longer than alone an answer took stands for it.
+    /// Records a load report. Without load figures, latency over the time alone stands in for them.
     fn record_report(
         &mut self,
         now: u64,
@@ -870,14 +894,15 @@
         let cores = self.engines.get(&engine).map_or(0.0, |e| e.cores * self.capacity_share(now, e));
         let Some(e) = self.engines.get_mut(&engine) else { return };
         Self::update_lagged_threads(now, e);
-        // Busy cores stop at all of them; granted memory goes on telling how many queries share them.
+        // The busy share saturates at 1; granted memory still shows how many queries share the
+        // cores.
         let granted_share =
             report.memory_share.filter(|_| self.traffic_mix[2] > 0.0 && e.memory_mb.is_finite());
         let by_memory =
             granted_share.map_or(0.0, |x| x * e.memory_mb * self.traffic_mix[0] / self.traffic_mix[2]);
         let busy = report.busy_share.map_or(0.0, |cores| cores.max(report.disk_share.unwrap_or(0.0)));
         let saturation = ((busy - SATURATION_START) / (1.0 - SATURATION_START)).clamp(0.0, 1.0);
-        // A count is no guess: disks may be full where they are not told, and cores idle meanwhile.
+        // In-flight counts also show full disks that are not reported while cores are idle.
         let in_flight_threads = report.in_flight.map_or(0.0, |n| n * threads_per_query);
         let blocked_share = saturation.max((in_flight_threads / e.cores - QUEUEING_START).clamp(0.0, 1.0));
         let busy = busy * e.cores;
@@ -914,7 +939,7 @@
         let latency_over_alone = (o.status == Status::Done).then_some(o.latency_ns as f64 / alone);
         self.record_report(now, o.engine, o.report, latency_over_alone);
         if let Some(e) = self.engines.get_mut(&o.engine).filter(|_| o.status == Status::Busy) {
-            // Turned away at its session limit: a report of its own, whatever others say.
+            // Rejected at its session limit: counts as a report of a full engine.
             (e.peer_threads, e.reported_ns) =
                 (e.peer_threads.max(MAX_THREADS_FROM_LATENCY * e.cores), Some(now));
         }
@@ -935,7 +960,7 @@
         let Some(key) = self.order_key(&request) else { return };
         let may_still_run = matches!(o.status, Status::TimedOut | Status::Reset | Status::Cancelled);
         if may_still_run || o.may_run_until_ns > now {
-            // The attempt may still run: later requests of its key wait, its own next try need not.
+            // The attempt may still run: later requests of its key wait, its own retry does not.
             let paused_until_ns = now + self.settings.order_pause_ns.unwrap_or(0);
             let turn = self.key_queues.entry(key).or_default();
             turn.1 = paused_until_ns.max(o.may_run_until_ns).max(turn.1);
@@ -943,12 +968,12 @@
         self.advance(now, key, out);
     }
 
-    /// Takes what a finished attempt tells of its class.
+    /// Updates the statistics of a class with a finished attempt.
     fn learn(&mut self, o: &Outcome, ran: &RunningAttempt) {
         let reported = o.work_ns.filter(|_| self.settings.answers_report_cost);
         let Some(p) = self.pending.get(&o.request) else { return };
         let (request, m) = (p.request, &mut self.models[p.request.class.0]);
-        // An engine that showed no sign of life since tells nothing of the class.
+        // A cancelled attempt counts only if the engine was responsive since it was sent.
         let done = self.engines.get(&o.engine).is_some_and(|e| e.last_success_ns >= ran.sent_ns);
         if o.attempt > 0 && (p.cancelled && (done || ran.progress.is_some()) || o.status == Status::Done) {
             m.retry_success.add(f64::from(!p.cancelled));
@@ -969,13 +994,13 @@
         }
     }
 
-    /// When a client is told to come back, as far as it would heed that.
+    /// Retry advice, bounded by what clients honour; none if they get no advice.
     fn retry_after_ns(&self, wait_ns: f64) -> Option<u64> {
         self.settings.max_retry_after_ns.map(|longest| (wait_ns as u64).max(MIN_RETRY_AFTER_NS).min(longest))
     }
 
-    /// Final answer at once: a refusal where a retry does no harm, else a failure. Later ones of its key wait
-    /// for an attempt that is still out.
+    /// Sends the final answer: a refusal if a repeat is safe, else a failure. Later requests of its
+    /// key wait for an attempt that is still running.
     fn reject(&mut self, id: RequestId, wait_ns: f64, out: &mut Actions) {
         let Some(p) = self.pending.remove(&id) else { return };
         let refuse = Action::Refuse { request: id, retry_after_ns: self.retry_after_ns(wait_ns) };
@@ -987,7 +1012,7 @@
 
     // ---- Health ----------------------------------------------------------------------------------
 
-    /// Judges an engine by an outcome against what was expected of it.
+    /// Updates the health of an engine with the outcome of an attempt.
     fn update_health(&mut self, now: u64, o: &Outcome, ran: &RunningAttempt) {
         let cancelled = self.pending.get(&o.request).is_some_and(|p| p.concluded);
         let Some(e) = self.engines.get_mut(&o.engine) else { return };
@@ -997,7 +1022,7 @@
         match o.status {
             Status::Done => {
                 if e.unreachable {
-                    // It was out of reach and is back: perhaps restarted, and cold before the list says so.
+                    // It may have restarted: treated as cold before the list reports a start.
                     (e.unreachable, e.cold_start_ns) = (false, Some(now));
                 }
                 (e.suspended, e.backoff_ns, e.last_success_ns) = (false, MIN_TRIAL_BACKOFF_NS, now);
@@ -1007,8 +1032,8 @@
                 e.latency_ratio = blend(before, ratio, LATENCY_RATIO_WEIGHT);
                 self.latency_ratio.add(ratio);
             }
-            // The process is gone or out of reach: no more to it until a trial succeeds. Resets alone may be
-            // a bad link; a process that died refuses the next connection.
+            // No connection: suspended until a trial succeeds. Resets alone may be due to a bad
+            // link; a dead process refuses the next connection.
             Status::Refused => (e.unreachable, e.failure_share) = (true, 1.0),
             Status::Busy | Status::Skipped => {}
             Status::TimedOut | Status::Cancelled if !silent => {}
@@ -1020,9 +1045,9 @@
         }
     }
 
-    /// Looks at an attempt that should have ended: bad plan, hung or slowed engine alike. Where a repeat is
-    /// safe, or dropped by every engine, it is cancelled whatever comes next, since it would hold its threads
-    /// for many times its need; its outcome has the check find it an engine, or refuses it.
+    /// Reviews an attempt, and cancels it if it is overrun (bad plan, hung or slow engine) and a
+    /// repeat is safe. It is cancelled even if no retry is possible, since it would hold its
+    /// threads for many times its need; its outcome leads to a retry or a refusal.
     fn review_attempt(&mut self, now: u64, id: RequestId, attempt: u32, out: &mut Actions) {
         let Some(p) = self.pending.get(&id) else { return };
         let Some(e) = p.running_on.and_then(|engine| self.engines.get(&engine)) else { return };
@@ -1038,7 +1063,7 @@
         let projected = r.progress.map_or(age, progress);
         let patience = (expected * self.overrun_multiple(p.request.class)).max(MIN_REVIEW_NS as f64);
         if projected >= patience && self.is_repeat_safe(p.request.class, true) && self.settings.may_cancel {
-            // Too late for another attempt: the final answer goes out at once, not with the outcome.
+            // Too late for a retry: the final answer is sent now rather than with the outcome.
             let left = p.expires_ns.saturating_sub(now) as f64;
             let last = left < r.need_ns / r.threads || !self.may_attempt(now, p);
             self.pending.entry(id).and_modify(|p| p.cancelled = true);
@@ -1054,14 +1079,14 @@
         }
     }
 
-    // ---- Rule guards -----------------------------------------------------------------------------
+    // ---- Retry and placement rules ---------------------------------------------------------------
 
-    /// The key that a request waits its turn for.
+    /// The key by which a request is ordered; none if its class is not serial by key.
     fn order_key(&self, r: &Request) -> Option<u64> {
         r.key.filter(|_| self.settings.classes[r.class.0].serial_by_key)
     }
 
-    /// Whether a repeat does no harm, given that an attempt may have run.
+    /// Whether a repeat is safe, given that an earlier attempt may have run.
     fn is_repeat_safe(&self, class: ClassId, may_have_run: bool) -> bool {
         let class = &self.settings.classes[class.0];
         match class.effect {
@@ -1071,8 +1096,8 @@
         }
     }
 
-    /// Whether an attempt may follow the ones before: what may have run and is not safe to repeat goes again
-    /// only while it is remembered, and only to an engine of those that drop its repeats.
+    /// Whether another attempt is safe. A deduplicated request that may have run is repeated only
+    /// within its deduplication window, and only on an engine in the same scope.
     fn may_repeat(&self, now: u64, p: &Pending, to: Option<&EngineEntry>) -> bool {
         let class = &self.settings.classes[p.request.class.0];
         let (sent, at) = match (class.effect, p.may_have_run) {
@@ -1088,7 +1113,7 @@
         group && class.dedup_window_ns.is_some_and(|w| now < sent.saturating_add(w))
     }
 
-    /// Whether a request may have one more attempt: attempts allowed, effect and retry budget.
+    /// Whether a request may have another attempt: maximum attempts, effect, retry budget.
     fn may_attempt(&self, now: u64, p: &Pending) -> bool {
         let attempt_ok = self.settings.max_attempts.is_none_or(|most| p.attempts < most);
         let budget_ok = p.attempts == 0
@@ -1101,7 +1126,7 @@
         self.may_repeat(now, p, None) && attempt_ok && budget_ok
     }
 
-    /// Whether an engine may be sent this request at all.
+    /// Whether an engine may receive a request, apart from its load.
     fn is_eligible(&self, now: u64, p: &Pending, e: &Engine) -> bool {
         let class = &self.settings.classes[p.request.class.0];
         let placement_ok =
@@ -1117,12 +1142,12 @@
         ready && self.may_repeat(now, p, Some(&e.entry)) && self.fits_cold_budget(now, p, e)
     }
 
-    /// Whether a cold engine stays within this gateway's share of what does not push it over. Light and heavy
-    /// classes have half of the budget each: the share that is told, or else it is owned by as many gateways
-    /// as whole queries of theirs fit in by settings alone, so that all know the owners by their numbers and
-    /// the engine's. An owner may send one query in a window, or as many as its share holds. A gateway that
-    /// restarted meanwhile waits for a window. An engine back from refused connections has no owners until
-    /// told.
+    /// Whether a request fits this router's share of a cold engine's budget. Light and heavy
+    /// classes have half of the budget each. Without assigned shares, a subset of routers owns the
+    /// engine: as many as whole queries fit by the settings alone, chosen by router and engine
+    /// number so that all routers agree. An owner may send one query per overload window, or as
+    /// many as its part holds. A router that restarted meanwhile waits for one window. An engine
+    /// back from refused connections has no owners until its start is announced.
     fn fits_cold_budget(&self, now: u64, p: &Pending, e: &Engine) -> bool {
         let s = &self.settings;
         let (Some(since), Some(_)) = (e.cold_start_ns, self.warmup_progress(now, e)) else { return true };
