--- a/crates/control/src/interface.rs
+++ b/crates/control/src/interface.rs
@@ -1,11 +1,11 @@
-//! The module's interface: settings in, events in, actions out. Times are nanoseconds, work is
-//! core-nanoseconds (the time of all threads of a query, as if on one core), memory is megabytes.
+//! Settings, events and actions of the decision module. Times are in nanoseconds, work in
+//! core-nanoseconds (time summed over all threads of a query), memory in megabytes.
 
-/// A client request, as this gateway knows it.
+/// A client request; unique within a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct RequestId(pub u64);
 
-/// An engine; the same number at every gateway, and over restarts of its process.
+/// An engine; the same id on all routers and across restarts of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct EngineId(pub u64);
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct TenantId(pub usize);
 
-/// A zone (machine room), numbered by whoever embeds the module.
+/// A zone; numbered by the embedding program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct ZoneId(pub usize);
 
@@ -25,87 +25,87 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct KindId(pub usize);
 
-/// A number for a timer, given back in [`Event::Timer`].
+/// Identifies a timer; returned in [`Event::Timer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
 
-/// What repeating a request of a class does.
+/// Effect of repeating a request of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
     /// Safe to repeat.
     #[default]
     Idempotent,
-    /// Repeats are dropped by the engines of a group while they remember the first.
+    /// Engines in the deduplication scope drop repeats within the deduplication window.
     Deduplicated,
     /// Unsafe to repeat.
     AtMostOnce,
 }
 
-/// The engines that drop each other's repeats.
+/// The engines among which repeats are dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All of them.
+    /// All engines.
     #[default]
     All,
-    /// Those of one zone.
+    /// Engines of one zone.
     Zone,
-    /// Those of one cell.
+    /// Engines of one cell.
     Cell,
 }
 
 /// Settings of one request class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassSettings {
-    /// Answers within this time (plus the stretch) earn the full worth.
+    /// Target latency: answers within it, plus the stretch, have full worth.
     pub target_latency_ns: u64,
-    /// The aim is longer by this times the query's work divided by its threads.
+    /// Adds this multiple of work divided by threads to the target latency.
     pub target_latency_stretch: f64,
-    /// Class deadline: how long a client waits in all.
+    /// Time after which the client gives up.
     pub deadline_ns: u64,
     /// Worth of one answer.
     pub worth: f64,
-    /// Fraction of the worth that an answer earns between aim and deadline.
+    /// Share of the worth of an answer between target and deadline.
     pub late_worth: f64,
-    /// Threads that a query runs on.
+    /// Threads per query.
     pub threads: f64,
-    /// What a repeat does.
+    /// Effect of a repeat.
     pub effect: Effect,
-    /// For deduplicated classes, who drops repeats.
+    /// Engines that drop repeats, for deduplicated classes.
     pub dedup_scope: DedupScope,
-    /// For deduplicated classes, how long repeats are dropped.
+    /// How long repeats are dropped, for deduplicated classes.
     pub dedup_window_ns: Option<u64>,
-    /// Requests with one key run one at a time, in the order taken.
+    /// Requests with the same key run one at a time, in order of acceptance.
     pub serial_by_key: bool,
-    /// The only zones that may serve the class, where bound.
+    /// Zones that may serve the class; any if absent.
     pub only_zones: Option<Vec<ZoneId>>,
-    /// The only machine kinds that may serve the class, where bound.
+    /// Machine kinds that may serve the class; any if absent.
     pub only_kinds: Option<Vec<KindId>>,
-    /// A query of the class holds its data set on its engine.
+    /// Queries of the class load (lock) their data set on the engine.
     pub is_load: bool,
-    /// A query of the class stands still while a load holds its data set.
+    /// Queries of the class block while a load holds their data set.
     pub waits_for_loads: bool,
 }
 
-/// What is known of one machine kind.
+/// Settings of one machine kind.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KindSettings {
-    /// Cores, where told.
+    /// Cores; absent if unknown.
     pub cores: Option<f64>,
-    /// Memory, where told.
+    /// Memory; absent if unknown.
     pub memory_mb: Option<f64>,
 }
 
-/// What is known of one tenant.
+/// Settings of one tenant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantSettings {
-    /// Requests a second, over all gateways, within its share.
+    /// Requests per second, summed over all routers, within its share.
     pub allowance_per_s: Option<f64>,
 }
 
-/// Where load reports come from.
+/// Source of load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportSource {
-    /// Nowhere.
+    /// No reports.
     #[default]
     None,
     /// Outcomes and probe results.
@@ -114,146 +114,146 @@
     Probes,
 }
 
-/// What happens when grants pass an engine's memory.
+/// What happens when grants exceed an engine's memory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum MemoryShortage {
-    /// The query waits in line.
+    /// The query queues for memory.
     #[default]
     Wait,
-    /// It gets what is left, and spills.
+    /// The grant is reduced to what is left, and the query spills.
     Shrink,
-    /// It is let in, and all slow down.
+    /// Memory is overcommitted, and all queries slow down.
     Page,
 }
 
-/// Limit on attempts beyond a request's first.
+/// Limit on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Attempts allowed whatever the traffic.
+    /// Retries allowed regardless of traffic.
     pub floor: f64,
-    /// Attempts allowed for each request taken.
+    /// Retries allowed per accepted request.
     pub per_request: f64,
-    /// The window over which both are counted.
+    /// Window over which requests and retries are counted.
     pub window_ns: u64,
 }
 
-/// All that a controller is told at its start.
+/// Settings of a controller.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Number of this gateway among its peers.
+    /// Index of this router among its peers.
     pub router_index: u32,
-    /// Gateways that share the engines.
+    /// Routers that share the engines.
     pub router_count: u32,
-    /// Zone of this gateway.
+    /// Zone of this router.
     pub zone: Option<ZoneId>,
     /// The request classes.
     pub classes: Vec<ClassSettings>,
     /// The machine kinds.
     pub kinds: Vec<KindSettings>,
-    /// The tenants; empty where there are none.
+    /// The tenants; empty if there are none.
     pub tenants: Vec<TenantSettings>,
-    /// Worth of a request over its tenant's share, against its class's.
+    /// Worth of a request beyond its tenant's share, as a multiple of its class's worth.
     pub over_share_worth: Option<f64>,
-    /// Attempts allowed for a request.
+    /// Maximum attempts per request.
     pub max_attempts: Option<u32>,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
     /// Engines may be probed.
     pub may_probe: bool,
-    /// Peers may be sent messages.
+    /// Messages may be sent to peers.
     pub may_message_peers: bool,
-    /// A request may have two attempts out.
+    /// A request may have two attempts running (hedging).
     pub may_hedge: bool,
-    /// Longest retry advice that clients honour; absent where they get none.
+    /// Longest retry advice that clients honour; absent if they honour none.
     pub max_retry_after_ns: Option<u64>,
-    /// Where load reports come from.
+    /// Source of load reports.
     pub report_source: ReportSource,
-    /// Memory grants are heeded.
+    /// Engines honour memory grants.
     pub grants: bool,
-    /// Priorities are heeded.
+    /// Engines honour priorities.
     pub priorities: bool,
-    /// Largest share of an engine's memory that one query gets.
+    /// Maximum share of an engine's memory that one query is granted.
     pub max_grant_share: Option<f64>,
-    /// What happens when grants pass the memory.
+    /// What happens when grants exceed the memory.
     pub memory_shortage: MemoryShortage,
-    /// Answers tell the query's true work and memory.
+    /// Answers report the actual work and memory of the query.
     pub answers_report_cost: bool,
-    /// Time between progress notes; absent where there are none.
+    /// Interval of progress updates; absent if there are none.
     pub progress_interval_ns: Option<u64>,
-    /// Time after a drain notice within which sends must have ended.
+    /// Time after a drain notice until sends must have ended.
     pub drain_grace_ns: Option<u64>,
-    /// Share of its capacity that an engine starts with, at least.
+    /// Minimum share of its capacity that an engine starts with.
     pub initial_capacity: Option<f64>,
-    /// Longest time until an engine is warm.
+    /// Maximum time until an engine is warm.
     pub warmup_ns: Option<u64>,
-    /// A cold engine sent more than this multiple of its capacity falls over...
+    /// A cold engine fails if sent more than this multiple of its capacity for the overload window.
     pub overload_multiple: Option<f64>,
-    /// ...when that lasts this long.
+    /// How long a cold engine withstands an overload.
     pub overload_window_ns: Option<u64>,
-    /// Rest of a key after an attempt that may still be running.
+    /// Pause of a key after an attempt that may still be running.
     pub order_pause_ns: Option<u64>,
-    /// Limit on attempts beyond the first, where there is one.
+    /// Limit on retries; unlimited if absent.
     pub retry_budget: Option<RetryBudget>,
-    /// Membership news must be asked for.
+    /// Membership updates must be subscribed to.
     pub must_subscribe: bool,
 }
 
-/// Load report of an engine; what it does not hold is absent.
+/// Load report of an engine; unreported figures are absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Queries in hand.
+    /// Queries that are running or waiting.
     pub in_flight: Option<f64>,
     /// Queries waiting for memory.
     pub queued: Option<f64>,
-    /// Share of the cores that is busy.
+    /// Busy share of the cores.
     pub busy_share: Option<f64>,
-    /// Share of the memory that is granted.
+    /// Granted share of the memory.
     pub memory_share: Option<f64>,
-    /// Share of the disks that is busy.
+    /// Busy share of the disks.
     pub disk_share: Option<f64>,
 }
 
-/// What membership says of an engine.
+/// Membership state of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EngineState {
-    /// Takes queries.
+    /// Accepts queries.
     #[default]
     Ready,
-    /// Finishes what it holds; gets nothing new.
+    /// Finishes its queries, accepts no new ones.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One line of the list of engines.
+/// Entry of the engine list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineEntry {
     /// The engine.
     pub engine: EngineId,
-    /// Its zone, where known.
+    /// Its zone; absent if unknown.
     pub zone: Option<ZoneId>,
-    /// Its machine kind, where known.
+    /// Its machine kind; absent if unknown.
     pub kind: Option<KindId>,
     /// Its cell.
     pub cell: Option<u64>,
     /// Its state.
     pub state: EngineState,
-    /// A figure to compare it with other engines.
+    /// Relative capacity.
     pub weight: f64,
-    /// Clock time of its latest start; absent for long ago.
+    /// Clock time of its latest start; absent if long ago.
     pub started_ns: Option<u64>,
 }
 
-/// How a membership message is to be read.
+/// Kind of a membership message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipKind {
     /// Changed entries only.
     Delta,
     /// The whole list.
     Full,
-    /// The whole list as last held, perhaps stale.
+    /// The whole list from a cache, possibly stale.
     Cached,
-    /// Asking for it failed.
+    /// The subscription failed.
     Failed,
 }
 
@@ -264,34 +264,34 @@
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// Its tenant, where there are tenants.
+    /// Its tenant; absent if there are none.
     pub tenant: Option<TenantId>,
-    /// Time until its client gives up.
+    /// Time left until the client gives up.
     pub time_left_ns: u64,
-    /// How long ago it was taken: it waited for its turn since.
+    /// Time spent in the admission queue.
     pub waited_ns: u64,
-    /// Its order key, where it has one.
+    /// Its order key, if any.
     pub key: Option<u64>,
-    /// The data set that it reads or writes.
+    /// The data set that it accesses.
     pub data_set: Option<u64>,
     /// Estimated work in core-nanoseconds.
     pub work_estimate_ns: Option<u64>,
     /// Estimated memory.
     pub memory_estimate_mb: Option<f64>,
-    /// The client marks it as a repeat.
+    /// The client marked it as a repeat.
     pub is_repeat: bool,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Served.
+    /// Completed.
     Done,
-    /// Error answer; may have run.
+    /// Error response; may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected before running.
     Busy,
-    /// No answer in time; may run still.
+    /// No response in time; may still run.
     TimedOut,
     /// No connection; never ran.
     Refused,
@@ -303,7 +303,7 @@
     Skipped,
 }
 
-/// How an attempt ended, with what came along.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outcome {
     /// The request.
@@ -316,86 +316,87 @@
     pub status: Status,
     /// Time since sending.
     pub latency_ns: u64,
-    /// The request has concluded.
+    /// The request needs no final answer any more.
     pub concluded: bool,
-    /// True work in core-nanoseconds, where told.
+    /// Actual work in core-nanoseconds; absent if not reported.
     pub work_ns: Option<u64>,
-    /// True memory, where told.
+    /// Actual memory; absent if not reported.
     pub memory_mb: Option<f64>,
-    /// Load report of the engine, where one came.
+    /// Load report of the engine, if one came along.
     pub report: Option<LoadReport>,
-    /// Clock time until which it may still be running, as its engine did not say that it is over; 0 where it is.
+    /// Clock time until which the attempt may still be running on its engine; 0 if it has ended.
     pub may_run_until_ns: u64,
 }
 
-/// News of a running attempt.
+/// Update of a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptUpdate {
-    /// Share of the attempt that is done.
+    /// Completed share of the attempt.
     Progress(f64),
-    /// It spills; megabytes missing.
+    /// It spills; the value is the missing megabytes.
     Spilling(f64),
     /// It waits for memory or for a load.
     Waiting,
 }
 
-/// What the gateways together believe of an engine.
+/// Health of an engine as agreed by all routers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Verdict {
-    /// Nothing against it.
+    /// Healthy.
     #[default]
     Well,
-    /// It gets nothing.
+    /// Excluded: receives no requests.
     Out,
-    /// It is out, and this gateway may try it with one request that a repeat does not harm.
+    /// Excluded, but this router may try it with one request that is safe to repeat.
     Trial,
-    /// It takes so much longer than others (ratio).
+    /// Slow: latency as a multiple of that of other engines.
     Slow(f64),
 }
 
-/// What happens to a controller.
+/// Input of a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the engines.
+    /// The engine list has changed.
     Membership(MembershipKind, Vec<EngineEntry>),
-    /// A request has arrived; it is owed one final answer.
+    /// A request has arrived; it requires exactly one final answer.
     Arrival(Request),
-    /// A streamed answer has started: the attempt belongs to the client.
+    /// A streamed answer has started: the attempt can no longer be cancelled or repeated.
     Started(RequestId, u32),
-    /// News of a running attempt.
+    /// Update of a running attempt.
     Progress(RequestId, u32, AttemptUpdate),
     /// An attempt has ended.
     Outcome(Outcome),
     /// A probe has ended.
     Probed(EngineId, Status, Option<LoadReport>),
-    /// Parts of a cold engine's budgets for light and heavy classes that are this gateway's from here on (shares),
-    /// where gateways share them out among themselves.
+    /// This router's shares of a cold engine's budgets for light and heavy classes have changed,
+    /// where routers divide these among themselves.
     ColdShares(EngineId, [f64; 2]),
-    /// What the gateways together believe of an engine from here on, where they share it.
+    /// The shared verdict on an engine has changed.
     VerdictChanged(EngineId, Verdict),
     /// A peer has sent a message.
     PeerMessage(u32, Vec<u8>),
-    /// The client has left.
+    /// The client has disconnected.
     Left(RequestId),
-    /// The request's time is over while an attempt is out whose outcome comes once it is over: its final answer is due.
+    /// The request has expired while an attempt is running whose outcome will follow: a final
+    /// answer is due.
     Expired(RequestId),
     /// A timer is due.
     Timer(TimerToken),
 }
 
-/// What a controller wants done.
+/// Output of a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The engine.
         engine: EngineId,
-        /// Time-out of the attempt.
+        /// Timeout of the attempt.
         timeout_ns: u64,
     },
-    /// The attempt that follows takes so much of a cold engine's budget, where its shares were told.
+    /// The attempt that follows uses part of a cold engine's assigned budget.
     ColdSent {
         /// The request.
         request: RequestId,
@@ -403,47 +404,48 @@
         engine: EngineId,
         /// 0 for light classes, 1 for heavy ones.
         lane: usize,
-        /// Part of the lane's budget (share).
+        /// Share of the lane's budget.
         share: f64,
     },
-    /// Cease waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: refused, a retry does no harm.
+    /// Final answer: refused; a retry is safe.
     Refuse {
         /// The request.
         request: RequestId,
-        /// When the client should come back.
+        /// When the client should retry; absent if it gets no advice.
         retry_after_ns: Option<u64>,
     },
     /// Final answer: failed.
     Fail(RequestId),
-    /// Memory grant and priority (0 to 3) of the next attempts; the priority also of running ones.
+    /// Memory grant and priority of a request's next attempts; the priority also applies to running
+    /// ones.
     SetTerms {
         /// The request.
         request: RequestId,
-        /// Memory; 0 leaves it to the engine.
+        /// Memory grant; 0 leaves the choice to the engine.
         memory_mb: u64,
-        /// Priority.
+        /// Priority, 0 (lowest) to 3.
         priority: u8,
     },
-    /// Ask for [`Event::Timer`].
+    /// Request an [`Event::Timer`].
     SetTimer {
-        /// From now.
+        /// Delay from now.
         after_ns: u64,
-        /// Given back.
+        /// Returned in the event.
         token: TimerToken,
     },
     /// Probe an engine.
     Probe(EngineId),
-    /// Send a message to one peer, or to all.
+    /// Send a message to one peer, or to all peers if absent.
     SendToPeer(Option<u32>, Vec<u8>),
-    /// Subscribe to membership news.
+    /// Subscribe to membership updates.
     Subscribe,
-    /// Leave a line for the operators.
+    /// Write a line to the operators' log.
     Log(String),
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,4 @@
-//! The decision module and its interface: every decision and every number behind one. It reads no clock and does
-//! no I/O.
+//! The decision module and its interface. It reads no clock and performs no I/O.
 
 #![forbid(unsafe_code)]
 
--- a/crates/settings/src/atomic_file.rs
+++ b/crates/settings/src/atomic_file.rs
@@ -1,21 +1,21 @@
-//! Replaces a file as a whole.
+//! Atomic replacement of files.
 
 use std::fs::File;
 use std::io::Write;
 use std::path::Path;
 
-/// Writes a file aside (`PATH.new`) and renames it, so that no reader sees half of it.
+/// Writes `PATH.new` and renames it to `PATH`, so that readers never see a partial file.
 ///
 /// # Errors
-/// Where it can't be written or renamed; what was there before stays then.
+/// If it can't be written or renamed. The previous file is left in place.
 pub fn write_atomically(path: &Path, text: &str) -> std::io::Result<()> {
     write_atomically_with(path, |mut file| file.write_all(text.as_bytes()))
 }
 
-/// The same, for a text that is written piece by piece and never held.
+/// Like [`write_atomically`], with the content written by a function.
 ///
 /// # Errors
-/// Where it can't be written or renamed; what was there before stays then.
+/// If it can't be written or renamed. The previous file is left in place.
 pub fn write_atomically_with(
     path: &Path,
     write: impl FnOnce(File) -> std::io::Result<()>,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The settings object that the simulator's first message and the configuration both hold, and the names behind
-//! the module's numbers.
+//! Reads the settings object, which has the same form in the configuration file and in the
+//! simulator's first message.
 
 #![forbid(unsafe_code)]
 
@@ -107,7 +107,7 @@
     allowance_per_s: Option<f64>,
 }
 
-/// The names behind the module's numbers, of one instance.
+/// Names of the classes, tenants, zones and machine kinds that the settings refer to by index.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     /// Request classes.
@@ -120,12 +120,15 @@
     pub kinds: Vec<String>,
 }
 
-/// The number of a name in its list.
+/// Index of a name in a list.
 pub fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|n| n == name)
 }
 
-/// Reads the settings object: the simulator's first message and the configuration hold the same one.
+/// Parses the settings object.
+///
+/// # Errors
+/// If it is malformed, or an effect or deduplication scope is unknown.
 pub fn read_settings(text: &str) -> Result<(Settings, Names), String> {
     let raw: RawSettings = serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?;
     let names = Names {
