--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -59,18 +59,18 @@
 }
 
 /// A controller with a clock that the test moves.
-pub struct World {
+pub struct Harness {
     pub c: Controller,
     pub now: u64,
 }
 
-impl World {
-    pub fn new(settings: Settings, engines: &[u64]) -> World {
+impl Harness {
+    pub fn new(settings: Settings, engines: &[u64]) -> Harness {
         let list = engines.iter().map(|e| entry(*e)).collect();
-        World::with(settings, list)
+        Harness::with(settings, list)
     }
-    pub fn with(settings: Settings, list: Vec<EngineEntry>) -> World {
-        let mut w = World { c: Controller::new(settings, 7), now: T0 };
+    pub fn with(settings: Settings, list: Vec<EngineEntry>) -> Harness {
+        let mut w = Harness { c: Controller::new(settings, 7), now: T0 };
         w.on(Event::Membership(MembershipKind::Cached, list));
         w
     }
@@ -79,28 +79,28 @@
         self.c.handle(self.now, event, &mut out);
         out
     }
-    pub fn at(&mut self, ms: u64) -> &mut World {
+    pub fn at(&mut self, ms: u64) -> &mut Harness {
         self.now = T0 + ms * MS;
         self
     }
-    pub fn arrive(&mut self, r: Request) -> Vec<Action> {
+    pub fn send_request(&mut self, r: Request) -> Vec<Action> {
         self.on(Event::Arrival(r))
     }
-    pub fn end(&mut self, o: Outcome) -> Vec<Action> {
+    pub fn finish(&mut self, o: Outcome) -> Vec<Action> {
         self.on(Event::Outcome(o))
     }
     /// Runs a request to its end on whatever engine it goes to.
     pub fn serve(&mut self, r: Request, latency_ms: u64, work_ms: Option<u64>) {
-        let sent = sent(&self.arrive(r)).expect("sent");
+        let sent_to = sent_to(&self.send_request(r)).expect("sent");
         self.now += latency_ms * MS;
-        let mut o = outcome(r.id.0, 0, sent, Status::Done, latency_ms);
+        let mut o = outcome(r.id.0, 0, sent_to, Status::Done, latency_ms);
         o.work_ns = work_ms.map(|w| w * MS);
-        self.end(o);
+        self.finish(o);
     }
 }
 
 /// The engine of the first send.
-pub fn sent(actions: &[Action]) -> Option<u64> {
+pub fn sent_to(actions: &[Action]) -> Option<u64> {
     actions.iter().find_map(|a| match a {
         Action::Send { engine, .. } => Some(engine.0),
         _ => None,
--- a/crates/control/tests/demand_check.rs
+++ b/crates/control/tests/demand_check.rs
@@ -6,99 +6,99 @@
 use marljunction_control::interface::*;
 
 /// Class 0 is wanted within 1 s, class 1 within 4 s, both on one thread.
-fn world() -> World {
+fn harness() -> Harness {
     let mut s = settings();
     s.classes[1].threads = 1.0;
-    World::new(s, &[1])
+    Harness::new(s, &[1])
 }
 
-fn fill(w: &mut World, count: u64, work_ms: u64) {
+fn send_queries(w: &mut Harness, count: u64, work_ms: u64) {
     for id in 0..count {
-        assert_eq!(sent(&w.arrive(request(id, 1, work_ms))), Some(1), "query {id}");
+        assert_eq!(sent_to(&w.send_request(request(id, 1, work_ms))), Some(1), "query {id}");
     }
 }
 
 #[test]
-fn stage_one_sums_what_is_due_by_then() {
+fn work_due_by_the_same_time_is_summed() {
     // 10 x 3.9 = 39 core-seconds of 40: 0.9 more is 39.9 / 40, 1.1 more is 40.1 / 40.
-    let mut w = world();
-    fill(&mut w, 10, 3_900);
-    assert!(refused(&w.arrive(request(90, 1, 1_100))));
-    assert_eq!(sent(&w.arrive(request(91, 1, 900))), Some(1));
+    let mut w = harness();
+    send_queries(&mut w, 10, 3_900);
+    assert!(refused(&w.send_request(request(90, 1, 1_100))));
+    assert_eq!(sent_to(&w.send_request(request(91, 1, 900))), Some(1));
 }
 
 #[test]
-fn stage_two_guards_queries_due_later() {
+fn queries_due_later_keep_their_capacity() {
     // The newcomer is due in 1 s: 0.9 / 10 passes stage one; through the last query due in 4 s the sum
     // is 39.5 + 0.9 = 40.4 of 40. With 0.4 it is 39.9.
-    let mut w = world();
-    fill(&mut w, 10, 3_950);
-    assert!(refused(&w.arrive(request(90, 0, 900))));
-    assert_eq!(sent(&w.arrive(request(91, 0, 400))), Some(1));
+    let mut w = harness();
+    send_queries(&mut w, 10, 3_950);
+    assert!(refused(&w.send_request(request(90, 0, 900))));
+    assert_eq!(sent_to(&w.send_request(request(91, 0, 400))), Some(1));
 }
 
 #[test]
-fn elapsed_time_is_taken_off_what_remains() {
+fn elapsed_time_reduces_remaining_work() {
     // After 1 s the ten have 10 x 2.9 = 29 left: 3.9 more by a deadline 4 s off is 32.9 / 40.
-    let mut w = world();
-    fill(&mut w, 10, 3_900);
-    assert_eq!(sent(&w.at(1_000).arrive(request(90, 1, 3_000))), Some(1));
+    let mut w = harness();
+    send_queries(&mut w, 10, 3_900);
+    assert_eq!(sent_to(&w.at(1_000).send_request(request(90, 1, 3_000))), Some(1));
 }
 
 #[test]
-fn progress_notes_replace_elapsed_time() {
+fn progress_updates_replace_elapsed_time() {
     // After 1 s by the clock 29 are left; notes say that a tenth is done: 10 x 3.51 = 35.1. Through the
     // ten, due in 3 s, that is already 35.1 / 30 with nothing new, where 29 / 30 passes.
-    let mut w = world();
-    fill(&mut w, 10, 3_900);
+    let mut w = harness();
+    send_queries(&mut w, 10, 3_900);
     w.at(1_000);
     for id in 0..10 {
         w.on(Event::Progress(RequestId(id), 0, AttemptUpdate::Progress(0.1)));
     }
-    assert!(refused(&w.arrive(request(90, 0, 500))));
-    let mut w = world();
-    fill(&mut w, 10, 3_900);
-    assert_eq!(sent(&w.at(1_000).arrive(request(90, 0, 500))), Some(1));
+    assert!(refused(&w.send_request(request(90, 0, 500))));
+    let mut w = harness();
+    send_queries(&mut w, 10, 3_900);
+    assert_eq!(sent_to(&w.at(1_000).send_request(request(90, 0, 500))), Some(1));
 }
 
 #[test]
-fn need_over_threads_must_fit_the_time_left() {
-    let mut w = world();
-    assert!(refused(&w.arrive(request(1, 0, 5_000))));
+fn need_must_fit_the_remaining_time() {
+    let mut w = harness();
+    assert!(refused(&w.send_request(request(1, 0, 5_000))));
     let mut short = request(2, 0, 500);
     short.time_left_ns = 400 * MS;
-    assert!(refused(&w.arrive(short)));
+    assert!(refused(&w.send_request(short)));
 }
 
 #[test]
-fn the_clients_time_left_bounds_the_deadline() {
+fn client_time_limit_bounds_the_deadline() {
     // 2 s left in place of 4: 20 core-seconds, of which 18 are taken; 2.5 do not fit, 1.5 do.
-    let mut w = world();
+    let mut w = harness();
     for id in 0..10 {
         let mut r = request(id, 1, 1_800);
         r.time_left_ns = 2 * S;
-        assert_eq!(sent(&w.arrive(r)), Some(1));
+        assert_eq!(sent_to(&w.send_request(r)), Some(1));
     }
     let short = |id, ms| Request { time_left_ns: 2 * S, ..request(id, 1, ms) };
-    assert!(refused(&w.arrive(short(90, 2_500))));
-    assert_eq!(sent(&w.arrive(short(91, 1_500))), Some(1));
+    assert!(refused(&w.send_request(short(90, 2_500))));
+    assert_eq!(sent_to(&w.send_request(short(91, 1_500))), Some(1));
 }
 
 #[test]
-fn the_lowest_factor_picks_the_engine() {
+fn engine_with_the_lowest_load_factor_is_chosen() {
     let mut s = settings();
     s.classes[1].threads = 1.0;
-    let mut w = World::new(s, &[1, 2]);
-    let first = sent(&w.arrive(request(1, 1, 3_000))).unwrap();
-    let second = sent(&w.arrive(request(2, 1, 3_000))).unwrap();
+    let mut w = Harness::new(s, &[1, 2]);
+    let first = sent_to(&w.send_request(request(1, 1, 3_000))).unwrap();
+    let second = sent_to(&w.send_request(request(2, 1, 3_000))).unwrap();
     assert_ne!(first, second);
 }
 
 #[test]
-fn refusal_is_immediate_with_advice_within_what_clients_honour() {
-    let mut w = world();
-    fill(&mut w, 10, 3_900);
-    let actions = w.arrive(request(90, 1, 3_000));
+fn refusal_is_immediate_with_bounded_retry_advice() {
+    let mut w = harness();
+    send_queries(&mut w, 10, 3_900);
+    let actions = w.send_request(request(90, 1, 3_000));
     let advice = actions.iter().find_map(|a| match a {
         Action::Refuse { retry_after_ns, .. } => *retry_after_ns,
         _ => None,
@@ -107,9 +107,9 @@
 }
 
 #[test]
-fn wanted_time_rather_than_class_deadline_is_the_window() {
+fn target_latency_bounds_demand_rather_than_the_deadline() {
     // 5 s alone would fit the deadline of 20 s, but not the wanted 4 s; with a stretch of 1 it does.
-    let mut w = world();
+    let mut w = harness();
     w.c = marljunction_control::Controller::new(
         {
             let mut s = settings();
@@ -121,78 +121,78 @@
     );
     w.on(Event::Membership(MembershipKind::Cached, vec![entry(1)]));
     // Demand: wanted within 4 + 3.9 = 7.9 s, 79 core-seconds; 17 x 3.9 = 66.3 pass, the knee allows 25.
-    fill(&mut w, 17, 3_900);
-    let mut strict = world();
-    fill(&mut strict, 10, 3_900);
-    assert!(refused(&strict.arrive(request(90, 1, 3_900))));
+    send_queries(&mut w, 17, 3_900);
+    let mut strict = harness();
+    send_queries(&mut strict, 10, 3_900);
+    assert!(refused(&strict.send_request(request(90, 1, 3_900))));
 }
 
 #[test]
-fn reported_idle_share_bounds_the_room() {
+fn reported_busy_share_limits_capacity() {
     // Nine of ten cores are busy with others' work. With n own threads the room is the greater of the idle
     // core and a fair part, 10 x n / (n + 9): 3n core-seconds against 4 s of it are 12 / 12.3 for the
     // fourth query and 15 / 14.3 for the fifth. Without the report all five pass.
-    let mut w = world();
+    let mut w = harness();
     let report = LoadReport { busy_share: Some(0.9), ..LoadReport::default() };
     w.on(Event::Probed(EngineId(1), Status::Done, Some(report)));
-    fill(&mut w, 4, 3_000);
-    assert!(refused(&w.arrive(request(90, 1, 3_000))));
-    fill(&mut world(), 5, 3_000);
+    send_queries(&mut w, 4, 3_000);
+    assert!(refused(&w.send_request(request(90, 1, 3_000))));
+    send_queries(&mut harness(), 5, 3_000);
 }
 
 #[test]
-fn unheard_engines_count_as_average() {
+fn engines_without_reports_count_as_average() {
     // Engine 2 was never heard: it is taken to be as busy as engine 1, not idle.
     let mut s = Settings { report_source: ReportSource::Probes, ..settings() };
     s.classes[1].threads = 1.0;
-    let mut w = World::new(s, &[1, 2]);
+    let mut w = Harness::new(s, &[1, 2]);
     let report = LoadReport { busy_share: Some(1.0), ..LoadReport::default() };
     w.on(Event::Probed(EngineId(1), Status::Done, Some(report)));
-    let placed = (0..12).filter(|id| sent(&w.arrive(request(*id, 1, 3_800))) == Some(2)).count();
+    let placed = (0..12).filter(|id| sent_to(&w.send_request(request(*id, 1, 3_800))) == Some(2)).count();
     assert!(placed <= 2, "{placed} queries of 3.8 core-seconds on an engine taken as busy");
 }
 
 #[test]
-fn estimates_are_corrected_by_what_answers_tell() {
+fn estimates_are_corrected_by_reported_work() {
     // Answers tell twice the estimate: 1.9 estimated is 3.8 true, so ten fit 40 core-seconds; taken as
     // told, twenty-one would.
     let mut s = settings();
     s.classes[1].threads = 1.0;
     s.answers_report_cost = true;
-    let mut w = World::new(s, &[1]);
+    let mut w = Harness::new(s, &[1]);
     for id in 0..20 {
         w.serve(request(id, 1, 500), 1_000, Some(1_000));
     }
-    let passed = (100..130).filter(|id| sent(&w.arrive(request(*id, 1, 1_900))).is_some()).count();
+    let passed = (100..130).filter(|id| sent_to(&w.send_request(request(*id, 1, 1_900))).is_some()).count();
     assert_eq!(passed, 10);
 }
 
 #[test]
-fn without_estimates_the_learned_mean_is_the_need() {
+fn learned_mean_replaces_missing_estimates() {
     // Latency x threads: 3 s on one thread. Thirteen fit 40 core-seconds, the fourteenth does not.
     let mut s = settings();
     s.classes[1].threads = 1.0;
-    let mut w = World::new(s, &[1]);
+    let mut w = Harness::new(s, &[1]);
     for id in 0..20 {
         w.serve(request(id, 1, 0), 3_000, None);
     }
-    let passed = (100..130).filter(|id| sent(&w.arrive(request(*id, 1, 0))).is_some()).count();
+    let passed = (100..130).filter(|id| sent_to(&w.send_request(request(*id, 1, 0))).is_some()).count();
     assert!((11..=13).contains(&passed), "{passed}");
 }
 
 #[test]
-fn thin_traffic_keeps_to_a_few_engines_of_the_gateways_own() {
+fn light_traffic_uses_a_small_subset_of_engines() {
     // Sixty idle engines, one query at a time: spread over all of them, none would be met twice in a minute.
     let engines: Vec<u64> = (1..=60).collect();
     let met = |seed| {
-        let mut w = World::new(Settings { router_count: 100, ..settings() }, &engines);
+        let mut w = Harness::new(Settings { router_count: 100, ..settings() }, &engines);
         w.c = marljunction_control::Controller::new(Settings { router_count: 100, ..settings() }, seed);
         w.on(Event::Membership(MembershipKind::Cached, engines.iter().map(|e| entry(*e)).collect()));
         let mut met = std::collections::BTreeSet::new();
         for id in 0..200 {
             w.now += 200 * MS;
-            let engine = sent(&w.arrive(request(id, 0, 100))).expect("all are idle");
-            w.end(outcome(id, 0, engine, Status::Done, 100));
+            let engine = sent_to(&w.send_request(request(id, 0, 100))).expect("all are idle");
+            w.finish(outcome(id, 0, engine, Status::Done, 100));
             met.insert(engine);
         }
         met
@@ -203,10 +203,10 @@
 }
 
 #[test]
-fn engines_beyond_a_gateways_own_few_are_used_once_those_are_full() {
+fn other_engines_are_used_once_the_subset_is_full() {
     let engines: Vec<u64> = (1..=20).collect();
-    let mut w = World::new(settings(), &engines);
-    let used = (0..200).filter_map(|id| sent(&w.arrive(request(id, 0, 900))));
+    let mut w = Harness::new(settings(), &engines);
+    let used = (0..200).filter_map(|id| sent_to(&w.send_request(request(id, 0, 900))));
     let used: std::collections::BTreeSet<u64> = used.collect();
     assert!(used.len() >= 9, "200 queries of a thread each on {used:?}");
 }
--- a/crates/control/tests/failures.rs
+++ b/crates/control/tests/failures.rs
@@ -4,34 +4,34 @@
 use common::*;
 use marljunction_control::interface::*;
 
-fn arrivals(w: &mut World, ids: std::ops::Range<u64>, class: usize, work_ms: u64) -> u64 {
-    ids.filter(|id| sent(&w.arrive(request(*id, class, work_ms))).is_some()).count() as u64
+fn count_sent(w: &mut Harness, ids: std::ops::Range<u64>, class: usize, work_ms: u64) -> u64 {
+    ids.filter(|id| sent_to(&w.send_request(request(*id, class, work_ms))).is_some()).count() as u64
 }
 
 #[test]
-fn threads_past_the_knee_make_an_engine_ineligible() {
+fn threads_per_core_are_limited() {
     // Tiny queries leave the demand near zero, yet 2.5 threads a core are the end: 25 on 10 cores.
-    let mut w = World::new(settings(), &[1]);
-    assert_eq!(arrivals(&mut w, 0..40, 0, 10), 25);
+    let mut w = Harness::new(settings(), &[1]);
+    assert_eq!(count_sent(&mut w, 0..40, 0, 10), 25);
 }
 
 #[test]
-fn heavier_queries_of_a_class_need_a_less_crowded_engine() {
-    let mut w = World::new(settings(), &[1]);
+fn thread_limit_is_lower_for_heavier_queries_of_a_class() {
+    let mut w = Harness::new(settings(), &[1]);
     for id in 0..300 {
         w.serve(request(id, 0, 10), 10, None);
     }
-    arrivals(&mut w, 1_000..1_015, 0, 10);
-    assert!(refused(&w.arrive(request(2_000, 0, 100))));
-    assert!(sent(&w.arrive(request(2_001, 0, 10))).is_some());
+    count_sent(&mut w, 1_000..1_015, 0, 10);
+    assert!(refused(&w.send_request(request(2_000, 0, 100))));
+    assert!(sent_to(&w.send_request(request(2_001, 0, 10))).is_some());
 }
 
 #[test]
-fn granted_memory_shows_a_crowd_that_busy_hides() {
+fn granted_memory_shows_load_beyond_saturated_cores() {
     // Busy at 1 is 10 threads and leaves room for some; a memory share of 0.9 at 500 MB x 1.2 a query
     // is 15, which leaves fewer.
     let passed = |memory| {
-        let mut w = World::new(settings(), &[1]);
+        let mut w = Harness::new(settings(), &[1]);
         let r = |id| Request { memory_estimate_mb: Some(500.0), ..request(id, 0, 300) };
         for id in 0..10 {
             w.serve(r(id), 300, None);
@@ -39,161 +39,162 @@
         w.now += 10 * S;
         let report = LoadReport { busy_share: Some(1.0), memory_share: memory, ..LoadReport::default() };
         w.on(Event::Probed(EngineId(1), Status::Done, Some(report)));
-        arrivals(&mut w, 100..140, 0, 300)
+        count_sent(&mut w, 100..140, 0, 300)
     };
     assert!(passed(Some(0.9)) < passed(None));
 }
 
 #[test]
-fn light_queries_go_to_the_emptier_engine() {
+fn light_queries_are_spread_over_engines() {
     // Both engines pass with room to spare; the fair share of the cores tells them apart.
-    let mut w = World::new(settings(), &[1, 2]);
-    let busy = sent(&w.arrive(request(1, 1, 3_000))).unwrap();
+    let mut w = Harness::new(settings(), &[1, 2]);
+    let busy = sent_to(&w.send_request(request(1, 1, 3_000))).unwrap();
     for id in 2..4 {
-        w.arrive(request(id, 1, 3_000));
+        w.send_request(request(id, 1, 3_000));
     }
-    let free = sent(&w.arrive(request(10, 0, 900)));
+    let free = sent_to(&w.send_request(request(10, 0, 900)));
     assert!(free.is_some() && busy > 0);
     let mut loads = [0, 0];
     for id in 20..32 {
-        loads[sent(&w.arrive(request(id, 0, 100))).unwrap() as usize - 1] += 1;
+        loads[sent_to(&w.send_request(request(id, 0, 100))).unwrap() as usize - 1] += 1;
     }
     assert!(loads[0] > 0 && loads[1] > 0, "{loads:?}");
 }
 
 #[test]
-fn own_sends_do_not_make_an_engine_look_emptied_of_others() {
+fn own_new_attempts_are_not_subtracted_from_reported_load() {
     // 12 in flight were reported before this gateway sent 8: the others are 12, not 4.
-    let mut w = World::new(settings(), &[1]);
+    let mut w = Harness::new(settings(), &[1]);
     w.serve(request(1, 0, 300), 300, None);
     w.now += 10 * S;
-    let placed = arrivals(&mut w, 10..18, 0, 300);
+    let placed = count_sent(&mut w, 10..18, 0, 300);
     assert_eq!(placed, 8);
     let report = LoadReport { in_flight: Some(12.0), ..LoadReport::default() };
     w.on(Event::Probed(EngineId(1), Status::Done, Some(report)));
-    assert_eq!(arrivals(&mut w, 20..25, 0, 300), 5, "12 + 8 + 5 threads are 2.5 a core");
-    assert_eq!(arrivals(&mut w, 25..26, 0, 300), 0, "the next would be past the knee");
+    assert_eq!(count_sent(&mut w, 20..25, 0, 300), 5, "12 + 8 + 5 threads are 2.5 a core");
+    assert_eq!(count_sent(&mut w, 25..26, 0, 300), 0, "the next would be past the knee");
 }
 
 #[test]
-fn a_stale_figure_is_split_among_gateways() {
+fn peer_growth_is_counted_on_top_of_a_report() {
     let passed = |router_count| {
-        let mut w = World::new(Settings { router_count, ..settings() }, &[1]);
+        let mut w = Harness::new(Settings { router_count, ..settings() }, &[1]);
         let report = LoadReport { busy_share: Some(0.2), ..LoadReport::default() };
         w.on(Event::Probed(EngineId(1), Status::Done, Some(report)));
-        arrivals(&mut w, 0..40, 0, 50)
+        count_sent(&mut w, 0..40, 0, 50)
     };
     assert!(passed(6) < passed(1));
 }
 
 #[test]
-fn an_attempt_that_outruns_its_need_is_cancelled_and_sent_anew() {
-    let mut w = World::new(settings(), &[1, 2]);
-    let actions = w.arrive(request(1, 1, 3_000));
-    let first = sent(&actions).unwrap();
+fn overrun_attempt_is_cancelled_and_retried() {
+    let mut w = Harness::new(settings(), &[1, 2]);
+    let actions = w.send_request(request(1, 1, 3_000));
+    let first = sent_to(&actions).unwrap();
     let (after, token) = timers(&actions)[0];
     assert_eq!(after, 3_000 * MS, "3 x 3 core-seconds on 3 threads, as nothing is learned yet");
     w.now += after;
     assert!(cancelled(&w.on(Event::Timer(token))));
-    let again = w.end(outcome(1, 0, first, Status::Cancelled, 3_000));
-    assert!(sent(&again).is_some(), "{again:?}");
+    let again = w.finish(outcome(1, 0, first, Status::Cancelled, 3_000));
+    assert!(sent_to(&again).is_some(), "{again:?}");
 }
 
 #[test]
-fn a_note_that_shows_a_bad_plan_cancels_early_and_one_on_course_does_not() {
-    let mut w = World::new(settings(), &[1]);
-    w.arrive(request(1, 1, 9_000));
+fn slow_progress_cancels_early_and_normal_progress_does_not() {
+    let mut w = Harness::new(settings(), &[1]);
+    w.send_request(request(1, 1, 9_000));
     w.at(2_000);
     assert!(!cancelled(&w.on(Event::Progress(RequestId(1), 0, AttemptUpdate::Progress(0.6)))));
-    w.arrive(request(2, 1, 9_000));
+    w.send_request(request(2, 1, 9_000));
     w.at(4_000);
     assert!(cancelled(&w.on(Event::Progress(RequestId(2), 0, AttemptUpdate::Progress(0.05)))));
 }
 
 #[test]
-fn an_unsafe_request_is_never_cancelled_and_sent_anew() {
+fn at_most_once_attempt_is_not_cancelled_when_overrun() {
     let mut s = settings();
     s.classes[1].effect = Effect::AtMostOnce;
-    let mut w = World::new(s, &[1, 2]);
-    let (after, token) = timers(&w.arrive(request(1, 1, 3_000)))[0];
+    let mut w = Harness::new(s, &[1, 2]);
+    let (after, token) = timers(&w.send_request(request(1, 1, 3_000)))[0];
     w.now += after;
     assert!(!cancelled(&w.on(Event::Timer(token))));
 }
 
 #[test]
-fn an_engine_that_fails_fast_is_suspended_and_readmitted_by_trial() {
-    let mut w = World::new(settings(), &[1, 2]);
+fn failing_engine_is_suspended_and_readmitted_by_a_trial() {
+    let mut w = Harness::new(settings(), &[1, 2]);
     for id in 0..12 {
-        let engine = sent(&w.arrive(request(id, 0, 100))).unwrap();
+        let engine = sent_to(&w.send_request(request(id, 0, 100))).unwrap();
         w.now += 5 * MS;
         if engine == 1 {
-            let again = w.end(outcome(id, 0, 1, Status::Error, 5));
-            assert_eq!(sent(&again), Some(2), "an error is tried on another engine");
-            w.end(outcome(id, 1, 2, Status::Done, 100));
+            let again = w.finish(outcome(id, 0, 1, Status::Error, 5));
+            assert_eq!(sent_to(&again), Some(2), "an error is tried on another engine");
+            w.finish(outcome(id, 1, 2, Status::Done, 100));
         } else {
-            w.end(outcome(id, 0, 2, Status::Done, 100));
+            w.finish(outcome(id, 0, 2, Status::Done, 100));
         }
     }
     for id in 20..30 {
-        assert_eq!(sent(&w.arrive(request(id, 0, 100))), Some(2), "suspended");
+        assert_eq!(sent_to(&w.send_request(request(id, 0, 100))), Some(2), "suspended");
     }
     // After the wait one query tries it, and no second while that is out.
     w.now += 2 * S;
-    let tried: Vec<u64> = (30..40).filter(|id| sent(&w.arrive(request(*id, 0, 100))) == Some(1)).collect();
+    let tried: Vec<u64> =
+        (30..40).filter(|id| sent_to(&w.send_request(request(*id, 0, 100))) == Some(1)).collect();
     assert_eq!(tried.len(), 1);
-    w.end(outcome(tried[0], 0, 1, Status::Done, 100));
-    let back = (40..50).filter(|id| sent(&w.arrive(request(*id, 0, 100))) == Some(1)).count();
+    w.finish(outcome(tried[0], 0, 1, Status::Done, 100));
+    let back = (40..50).filter(|id| sent_to(&w.send_request(request(*id, 0, 100))) == Some(1)).count();
     assert!(back > 1, "readmitted");
 }
 
 #[test]
-fn a_refused_connection_suspends_at_once_and_the_request_goes_on() {
-    let mut w = World::new(settings(), &[1, 2]);
-    let first = sent(&w.arrive(request(1, 0, 100))).unwrap();
+fn refused_connection_suspends_at_once_and_the_request_is_retried() {
+    let mut w = Harness::new(settings(), &[1, 2]);
+    let first = sent_to(&w.send_request(request(1, 0, 100))).unwrap();
     let other = 3 - first;
-    assert_eq!(sent(&w.end(outcome(1, 0, first, Status::Refused, 1))), Some(other));
-    assert_eq!(sent(&w.arrive(request(2, 0, 100))), Some(other));
+    assert_eq!(sent_to(&w.finish(outcome(1, 0, first, Status::Refused, 1))), Some(other));
+    assert_eq!(sent_to(&w.send_request(request(2, 0, 100))), Some(other));
 }
 
 #[test]
-fn a_silent_engine_is_suspended_by_attempts_that_outran_their_need() {
-    let mut w = World::new(settings(), &[1, 2]);
+fn unresponsive_engine_is_suspended_by_overrun_attempts() {
+    let mut w = Harness::new(settings(), &[1, 2]);
     w.on(Event::Membership(
         MembershipKind::Delta,
         vec![EngineEntry { state: EngineState::Draining, ..entry(2) }],
     ));
     for id in 0..3 {
-        let actions = w.arrive(request(id, 0, 100));
-        assert_eq!(sent(&actions), Some(1));
+        let actions = w.send_request(request(id, 0, 100));
+        assert_eq!(sent_to(&actions), Some(1));
         let (after, token) = timers(&actions)[0];
         w.now += after;
         assert!(cancelled(&w.on(Event::Timer(token))));
-        w.end(outcome(id, 0, 1, Status::Cancelled, 400));
+        w.finish(outcome(id, 0, 1, Status::Cancelled, 400));
     }
-    assert!(refused(&w.arrive(request(9, 0, 100))), "nothing goes to an engine that answers nothing");
+    assert!(refused(&w.send_request(request(9, 0, 100))), "nothing goes to an engine that answers nothing");
 }
 
 #[test]
-fn a_slow_engine_has_less_room() {
-    let mut w = World::new(settings(), &[1, 2, 3]);
+fn slow_engine_receives_less() {
+    let mut w = Harness::new(settings(), &[1, 2, 3]);
     for id in 0..60 {
-        let engine = sent(&w.arrive(request(id, 0, 100))).unwrap();
+        let engine = sent_to(&w.send_request(request(id, 0, 100))).unwrap();
         let latency = if engine == 1 { 800 } else { 100 };
         w.now += latency * MS;
-        w.end(outcome(id, 0, engine, Status::Done, latency));
+        w.finish(outcome(id, 0, engine, Status::Done, latency));
     }
     let mut to_slow = 0;
     for id in 100..130 {
-        to_slow += u32::from(sent(&w.arrive(request(id, 1, 2_000))) == Some(1));
+        to_slow += u32::from(sent_to(&w.send_request(request(id, 1, 2_000))) == Some(1));
     }
     assert!(to_slow < 8, "{to_slow} of 30 to an engine eight times slower; an even part is 10");
 }
 
 #[test]
-fn nearer_deadlines_get_higher_priority_where_heeded() {
-    let mut w = World::new(Settings { priorities: true, ..settings() }, &[1]);
-    w.arrive(request(1, 1, 3_000));
-    let actions = w.arrive(request(2, 0, 100));
+fn earlier_due_times_get_higher_priority_where_supported() {
+    let mut w = Harness::new(Settings { priorities: true, ..settings() }, &[1]);
+    w.send_request(request(1, 1, 3_000));
+    let actions = w.send_request(request(2, 0, 100));
     let mut priority = [None; 3];
     for a in &actions {
         if let Action::SetTerms { request, priority: p, .. } = a {
@@ -202,122 +203,122 @@
     }
     assert_eq!(priority[2], Some(3));
     assert!(priority[1] < Some(3) && priority[1].is_some());
-    let mut w = World::new(settings(), &[1]);
-    w.arrive(request(1, 1, 3_000));
-    assert!(!w.arrive(request(2, 0, 100)).iter().any(|a| matches!(a, Action::SetTerms { .. })));
+    let mut w = Harness::new(settings(), &[1]);
+    w.send_request(request(1, 1, 3_000));
+    assert!(!w.send_request(request(2, 0, 100)).iter().any(|a| matches!(a, Action::SetTerms { .. })));
 }
 
 #[test]
-fn a_restarted_gateway_decides_from_its_cached_list() {
-    let mut w = World::new(settings(), &[1, 2]);
-    assert!(sent(&w.arrive(request(1, 0, 0))).is_some());
+fn restarted_router_uses_the_cached_engine_list() {
+    let mut w = Harness::new(settings(), &[1, 2]);
+    assert!(sent_to(&w.send_request(request(1, 0, 0))).is_some());
 }
 
 #[test]
-fn odd_but_legal_input_is_handled() {
-    let mut w = World::new(settings(), &[]);
-    assert!(refused(&w.arrive(request(1, 0, 100))), "no engines");
-    let mut w = World::with(settings(), vec![EngineEntry { kind: None, weight: 0.0, ..entry(1) }]);
+fn unusual_valid_input_is_handled() {
+    let mut w = Harness::new(settings(), &[]);
+    assert!(refused(&w.send_request(request(1, 0, 100))), "no engines");
+    let mut w = Harness::with(settings(), vec![EngineEntry { kind: None, weight: 0.0, ..entry(1) }]);
     let dead = Request { time_left_ns: 0, ..request(1, 0, 100) };
-    assert!(refused(&w.arrive(dead)));
+    assert!(refused(&w.send_request(dead)));
     assert!(w.on(Event::Left(RequestId(77))).is_empty());
-    assert!(w.end(outcome(77, 0, 1, Status::Done, 5)).is_empty());
+    assert!(w.finish(outcome(77, 0, 1, Status::Done, 5)).is_empty());
     assert!(w.on(Event::Timer(TimerToken(12_345))).is_empty());
     assert!(w.on(Event::Progress(RequestId(77), 3, AttemptUpdate::Waiting)).is_empty());
     assert!(w.on(Event::PeerMessage(3, vec![1, 2])).is_empty());
 }
 
 #[test]
-fn one_reset_does_not_suspend_an_engine_but_resets_in_a_row_do() {
+fn repeated_resets_suspend_an_engine_but_one_does_not() {
     for (resets, out) in [(1, false), (3, true)] {
-        let mut w = World::new(settings(), &[1]);
+        let mut w = Harness::new(settings(), &[1]);
         w.serve(request(99, 0, 100), 100, None);
         let ids: Vec<u64> = (0..resets).collect();
-        ids.iter().for_each(|id| drop(w.arrive(request(*id, 0, 100))));
-        ids.iter().for_each(|id| drop(w.end(outcome(*id, 0, 1, Status::Reset, 5))));
-        assert_eq!(refused(&w.arrive(request(50, 0, 100))), out, "{resets} resets");
+        ids.iter().for_each(|id| drop(w.send_request(request(*id, 0, 100))));
+        ids.iter().for_each(|id| drop(w.finish(outcome(*id, 0, 1, Status::Reset, 5))));
+        assert_eq!(refused(&w.send_request(request(50, 0, 100))), out, "{resets} resets");
     }
 }
 
 #[test]
-fn an_unheard_cold_engine_is_average_for_what_it_can_do() {
+fn cold_engine_without_report_is_used() {
     // The warm engine holds 11 threads of others on 10 cores; taken for as many, a cold one of 4 cores'
     // worth would be past the knee and never be tried.
     let s = Settings { warmup_ns: Some(10 * S), initial_capacity: Some(0.4), ..settings() };
-    let mut w = World::with(s, vec![entry(1), EngineEntry { started_ns: Some(T0), ..entry(2) }]);
+    let mut w = Harness::with(s, vec![entry(1), EngineEntry { started_ns: Some(T0), ..entry(2) }]);
     w.serve(request(99, 0, 100), 100, None);
     let report = LoadReport { in_flight: Some(11.0), ..LoadReport::default() };
     w.on(Event::Probed(EngineId(1), Status::Done, Some(report)));
-    let cold = (0..8).filter(|id| sent(&w.arrive(request(*id, 0, 100))) == Some(2)).count();
+    let cold = (0..8).filter(|id| sent_to(&w.send_request(request(*id, 0, 100))) == Some(2)).count();
     assert!(cold > 0);
 }
 
 #[test]
-fn an_outrun_attempt_too_late_for_another_gets_its_final_answer_at_once() {
-    let mut w = World::new(settings(), &[1, 2]);
-    let (_, token) = timers(&w.arrive(Request { time_left_ns: 3_500 * MS, ..request(1, 1, 3_000) }))[0];
+fn overrun_attempt_too_late_for_a_retry_is_refused_at_once() {
+    let mut w = Harness::new(settings(), &[1, 2]);
+    let (_, token) = timers(&w.send_request(Request { time_left_ns: 3_500 * MS, ..request(1, 1, 3_000) }))[0];
     let actions = w.at(3_100).on(Event::Timer(token));
     assert!(cancelled(&actions) && refused(&actions), "0.4 s are left, another attempt needs 1 s");
 }
 
 #[test]
-fn patience_follows_the_scatter_of_a_classs_answers() {
+fn overrun_limit_follows_latency_variance() {
     // Answers that take as long as expected: cancelled at 2x. Off by a factor of two either way: at
     // exp(2.2 x ln 2), 4.6x.
     for (latencies, multiple) in [([100, 100], 2.0), ([50, 200], 4.59)] {
-        let mut w = World::new(settings(), &[1]);
+        let mut w = Harness::new(settings(), &[1]);
         for id in 0..200 {
             w.serve(request(id, 0, 100), latencies[id as usize % 2], None);
         }
-        let (after, _) = timers(&w.arrive(request(900, 0, 400)))[0];
+        let (after, _) = timers(&w.send_request(request(900, 0, 400)))[0];
         let seen = after as f64 / (400 * MS) as f64;
         assert!((seen - multiple).abs() < 0.05, "{seen} for {multiple}");
     }
 }
 
 #[test]
-fn a_keyed_request_stuck_on_an_engine_is_cancelled_where_all_engines_drop_repeats() {
+fn overrun_deduplicated_request_is_cancelled_if_all_engines_drop_repeats() {
     for (scope, moved) in [(DedupScope::All, true), (DedupScope::Cell, false)] {
         let mut s = settings();
         s.classes[1].effect = Effect::Deduplicated;
         s.classes[1].dedup_scope = scope;
         s.classes[1].dedup_window_ns = Some(20 * S);
-        let mut w = World::new(s, &[1, 2]);
-        let (after, token) = timers(&w.arrive(request(1, 1, 3_000)))[0];
+        let mut w = Harness::new(s, &[1, 2]);
+        let (after, token) = timers(&w.send_request(request(1, 1, 3_000)))[0];
         w.now += after;
         assert_eq!(cancelled(&w.on(Event::Timer(token))), moved, "{scope:?}");
     }
 }
 
 #[test]
-fn a_query_goes_where_its_data_set_is_warm() {
+fn query_goes_to_an_engine_with_its_data_set_cached() {
     // Every engine is as empty as the others; only the data sets sent before tell them apart.
-    let mut w = World::new(settings(), &[1, 2, 3]);
+    let mut w = Harness::new(settings(), &[1, 2, 3]);
     let on = |id, set| Request { data_set: Some(set), ..request(id, 1, 1_000) };
-    let home: Vec<u64> = (0..3).map(|set| sent(&w.arrive(on(set, set))).unwrap()).collect();
+    let home: Vec<u64> = (0..3).map(|set| sent_to(&w.send_request(on(set, set))).unwrap()).collect();
     assert_eq!(home.iter().sum::<u64>(), 6, "one each");
     for (set, engine) in home.iter().enumerate() {
-        w.end(outcome(set as u64, 0, *engine, Status::Done, 333));
+        w.finish(outcome(set as u64, 0, *engine, Status::Done, 333));
     }
     for round in 1..6 {
         for set in [2, 0, 1] {
             let id = round * 10 + set as u64;
-            assert_eq!(sent(&w.arrive(on(id, set as u64))), Some(home[set]));
-            w.end(outcome(id, 0, home[set], Status::Done, 333));
+            assert_eq!(sent_to(&w.send_request(on(id, set as u64))), Some(home[set]));
+            w.finish(outcome(id, 0, home[set], Status::Done, 333));
         }
     }
 }
 
 #[test]
-fn probes_do_not_grow_with_the_fleet() {
+fn probe_rate_is_independent_of_fleet_size() {
     // Sixty engines that only probes report on: each arrival probes one, and each engine has its turn.
     let s = Settings { report_source: ReportSource::Probes, ..settings() };
     let ids: Vec<u64> = (1..61).collect();
-    let mut w = World::new(s, &ids);
+    let mut w = Harness::new(s, &ids);
     let mut probed = std::collections::BTreeSet::new();
     for id in 0..60 {
         w.now += 10 * MS;
-        let probes = w.arrive(request(id, 0, 100));
+        let probes = w.send_request(request(id, 0, 100));
         let probes: Vec<_> = probes.iter().filter(|a| matches!(a, Action::Probe(_))).collect();
         assert_eq!(probes.len(), 1);
         if let Action::Probe(engine) = probes[0] {
@@ -333,18 +334,18 @@
 }
 
 #[test]
-fn a_gateway_that_refuses_all_asks_again_whether_all_is_full() {
+fn refusing_router_recovers_by_probing() {
     // Both engines were reported full. Without probes nothing would be sent, and so nothing heard, for good.
-    let mut w = World::new(Settings { report_source: ReportSource::Answers, ..settings() }, &[1, 2]);
+    let mut w = Harness::new(Settings { report_source: ReportSource::Answers, ..settings() }, &[1, 2]);
     let report = |all| Some(LoadReport { in_flight: Some(all), ..LoadReport::default() });
     w.serve(request(1, 0, 100), 100, None);
     for engine in [1, 2] {
         w.on(Event::Probed(EngineId(engine), Status::Done, report(60.0)));
     }
-    assert!(refused(&w.arrive(request(2, 0, 100))));
+    assert!(refused(&w.send_request(request(2, 0, 100))));
     for id in 3..30 {
         w.now += 300 * MS;
-        for action in w.arrive(request(id, 0, 100)) {
+        for action in w.send_request(request(id, 0, 100)) {
             match action {
                 Action::Probe(engine) => drop(w.on(Event::Probed(engine, Status::Done, report(2.0)))),
                 Action::Send { .. } => return,
@@ -356,23 +357,23 @@
 }
 
 #[test]
-fn an_engine_met_seldom_is_suspended_by_one_failure() {
+fn rarely_used_engine_is_suspended_by_one_failure() {
     // Three in a row where it is met often; where the last outcome is long past, the latest says most.
     for (gap_ms, out) in [(100, false), (10_000, true)] {
-        let mut w = World::new(settings(), &[1]);
+        let mut w = Harness::new(settings(), &[1]);
         w.serve(request(1, 0, 100), 100, None);
         w.now += gap_ms * MS;
-        w.arrive(request(2, 0, 100));
-        w.end(outcome(2, 0, 1, Status::Reset, 5));
-        assert_eq!(refused(&w.arrive(request(3, 0, 100))), out, "{gap_ms} ms after the last outcome");
+        w.send_request(request(2, 0, 100));
+        w.finish(outcome(2, 0, 1, Status::Reset, 5));
+        assert_eq!(refused(&w.send_request(request(3, 0, 100))), out, "{gap_ms} ms after the last outcome");
     }
 }
 
 #[test]
-fn trials_of_suspended_engines_are_a_small_share_of_the_queries() {
+fn trials_of_suspended_engines_are_rate_limited() {
     // Nineteen of twenty engines hang: without a ration each of them would cost a query every few seconds.
     let ids: Vec<u64> = (1..21).collect();
-    let mut w = World::new(settings(), &ids);
+    let mut w = Harness::new(settings(), &ids);
     for engine in 2..21 {
         w.on(Event::Membership(
             MembershipKind::Delta,
@@ -383,33 +384,33 @@
                 })
                 .collect(),
         ));
-        assert_eq!(sent(&w.arrive(request(engine, 0, 100))), Some(engine));
-        w.end(outcome(engine, 0, engine, Status::Refused, 1));
+        assert_eq!(sent_to(&w.send_request(request(engine, 0, 100))), Some(engine));
+        w.finish(outcome(engine, 0, engine, Status::Refused, 1));
     }
     w.on(Event::Membership(MembershipKind::Full, ids.iter().map(|e| entry(*e)).collect()));
     w.now += 2 * S;
     let mut tried = 0;
     for id in 100..200 {
         w.now += 100 * MS;
-        let actions = w.arrive(request(id, 0, 50));
-        let engine = sent(&actions).unwrap();
+        let actions = w.send_request(request(id, 0, 50));
+        let engine = sent_to(&actions).unwrap();
         if engine == 1 {
-            w.end(outcome(id, 0, 1, Status::Done, 50));
+            w.finish(outcome(id, 0, 1, Status::Done, 50));
         } else {
             tried += 1;
-            w.end(outcome(id, 0, engine, Status::Refused, 1));
+            w.finish(outcome(id, 0, engine, Status::Refused, 1));
         }
     }
     assert!((1..=6).contains(&tried), "{tried} of 100 queries tried an engine that is out");
 }
 
 #[test]
-fn gateways_that_read_the_same_do_not_pick_the_same_engine() {
+fn routers_with_equal_reports_choose_different_engines() {
     // Forty engines, one a little emptier than the others: of forty gateways that all know it, few go there.
     let ids: Vec<u64> = (1..41).collect();
     let mut picked = std::collections::BTreeMap::new();
     for seed in 0..40 {
-        let mut w = World { c: marljunction_control::Controller::new(settings(), seed), now: T0 };
+        let mut w = Harness { c: marljunction_control::Controller::new(settings(), seed), now: T0 };
         w.on(Event::Membership(MembershipKind::Cached, ids.iter().map(|e| entry(*e)).collect()));
         w.serve(request(1, 0, 100), 100, None);
         for engine in &ids {
@@ -417,38 +418,38 @@
             let report = LoadReport { in_flight, ..LoadReport::default() };
             w.on(Event::Probed(EngineId(*engine), Status::Done, Some(report)));
         }
-        *picked.entry(sent(&w.arrive(request(2, 0, 300))).unwrap()).or_insert(0) += 1;
+        *picked.entry(sent_to(&w.send_request(request(2, 0, 300))).unwrap()).or_insert(0) += 1;
     }
     assert!(picked.len() >= 15 && picked.get(&7).is_none_or(|n| *n <= 12), "{picked:?}");
 }
 
 #[test]
-fn answers_that_take_longer_than_alone_stand_for_load_where_reports_tell_none() {
+fn latency_indicates_load_without_reports() {
     // Of two gateways' engines, one answers three times as slowly as alone, as told by the true work.
     let s = Settings { router_count: 2, answers_report_cost: true, ..settings() };
-    let mut w = World::new(s, &[1, 2]);
+    let mut w = Harness::new(s, &[1, 2]);
     for id in 0..40 {
-        let engine = sent(&w.arrive(request(id, 0, 100))).unwrap();
+        let engine = sent_to(&w.send_request(request(id, 0, 100))).unwrap();
         let latency = if engine == 1 { 240 } else { 100 };
         w.now += latency * MS;
         let work_ns = Some(100 * MS);
-        w.end(Outcome { work_ns, ..outcome(id, 0, engine, Status::Done, latency) });
+        w.finish(Outcome { work_ns, ..outcome(id, 0, engine, Status::Done, latency) });
     }
-    let crowded = (100..120).filter(|id| sent(&w.arrive(request(*id, 1, 1_500))) == Some(1)).count();
+    let crowded = (100..120).filter(|id| sent_to(&w.send_request(request(*id, 1, 1_500))) == Some(1)).count();
     assert!(crowded <= 3, "{crowded} of 20 on the engine that answers show as crowded");
 }
 
 #[test]
-fn grants_leave_a_margin_over_the_corrected_estimate() {
+fn memory_grants_exceed_the_corrected_estimate_by_a_margin() {
     // Answers tell twice the estimated memory: 100 MB estimated is granted 2 x 1.4; before any answer told it,
     // and where answers don't, the engine chooses.
     for (told, grant) in [(Some(200.0), 280), (None, 0)] {
         let s = Settings { grants: true, priorities: true, max_grant_share: Some(0.5), ..settings() };
-        let mut w = World::new(s, &[1]);
+        let mut w = Harness::new(s, &[1]);
         let r = |id| Request { memory_estimate_mb: Some(100.0), ..request(id, 0, 100) };
-        assert_eq!(sent(&w.arrive(r(1))), Some(1));
-        w.end(Outcome { memory_mb: told, ..outcome(1, 0, 1, Status::Done, 100) });
-        let granted = w.arrive(r(2)).iter().find_map(|a| match a {
+        assert_eq!(sent_to(&w.send_request(r(1))), Some(1));
+        w.finish(Outcome { memory_mb: told, ..outcome(1, 0, 1, Status::Done, 100) });
+        let granted = w.send_request(r(2)).iter().find_map(|a| match a {
             Action::SetTerms { memory_mb, .. } => Some(*memory_mb),
             _ => None,
         });
@@ -457,14 +458,14 @@
 }
 
 #[test]
-fn a_load_that_stands_still_behind_another_is_not_taken_for_a_bad_plan() {
+fn blocked_loads_have_a_higher_overrun_limit() {
     // One second of work alone: 3 s are past the patience with other queries, but a load may have to wait for
     // another's to end. In the end it is cancelled all the same, as its engine may hang.
     for (is_load, waits_for_loads, patience) in [(false, false, 3), (true, false, 9), (false, true, 9)] {
         let mut s = settings();
         (s.classes[1].is_load, s.classes[1].waits_for_loads) = (is_load, waits_for_loads);
-        let mut w = World::new(s, &[1, 2]);
-        let (after, token) = timers(&w.arrive(request(1, 1, 3_000)))[0];
+        let mut w = Harness::new(s, &[1, 2]);
+        let (after, token) = timers(&w.send_request(request(1, 1, 3_000)))[0];
         assert_eq!(after, patience * S);
         w.now += after;
         assert!(cancelled(&w.on(Event::Timer(token))));
@@ -472,74 +473,74 @@
 }
 
 #[test]
-fn one_slow_answer_does_not_stand_for_an_engine_beyond_use() {
+fn one_slow_answer_does_not_block_an_engine_for_long() {
     // An answer that took ten times as long as alone, in a jam of a moment: the engine is full for a while, and
     // open again within seconds, though nothing newer is heard of it.
     let s = Settings { router_count: 2, answers_report_cost: true, ..settings() };
-    let mut w = World::new(s, &[1]);
-    sent(&w.arrive(request(1, 0, 100))).unwrap();
+    let mut w = Harness::new(s, &[1]);
+    sent_to(&w.send_request(request(1, 0, 100))).unwrap();
     w.now += S;
-    w.end(Outcome { work_ns: Some(100 * MS), ..outcome(1, 0, 1, Status::Done, 1_000) });
+    w.finish(Outcome { work_ns: Some(100 * MS), ..outcome(1, 0, 1, Status::Done, 1_000) });
     let open = (0..40).find(|i| {
         w.now += 100 * MS;
-        sent(&w.arrive(request(10 + i, 0, 100))).is_some()
+        sent_to(&w.send_request(request(10 + i, 0, 100))).is_some()
     });
     assert!(open.is_some_and(|i| i <= 10), "{open:?} tenths of a second");
 }
 
 #[test]
-fn the_knee_is_lower_where_nothing_waits_for_memory() {
+fn thread_limit_is_lower_where_queries_do_not_queue_for_memory() {
     // 2.5 threads a core where part of them may stand in the engine's line, 2 where all of them run.
     for (memory_shortage, most) in
         [(MemoryShortage::Wait, 25), (MemoryShortage::Shrink, 20), (MemoryShortage::Page, 20)]
     {
-        let mut w = World::new(Settings { memory_shortage, ..settings() }, &[1]);
-        assert_eq!(arrivals(&mut w, 0..40, 0, 10), most, "{memory_shortage:?}");
+        let mut w = Harness::new(Settings { memory_shortage, ..settings() }, &[1]);
+        assert_eq!(count_sent(&mut w, 0..40, 0, 10), most, "{memory_shortage:?}");
     }
 }
 
 #[test]
-fn a_query_of_ones_own_says_nothing_of_three_hundred_peers() {
+fn one_own_query_is_not_multiplied_by_all_peers() {
     // Sixty engines, heard idle; a gateway that has just sent one heavy query to each of a few of them still
     // finds room for more on the same. Multiplied by its peers, each would count as hundreds of threads.
     let ids: Vec<u64> = (1..61).collect();
-    let mut w = World::new(Settings { router_count: 300, ..settings() }, &ids);
+    let mut w = Harness::new(Settings { router_count: 300, ..settings() }, &ids);
     for engine in &ids {
         let report = LoadReport { busy_share: Some(0.3), ..LoadReport::default() };
         w.on(Event::Probed(EngineId(*engine), Status::Done, Some(report)));
     }
     w.on(Event::Membership(MembershipKind::Full, vec![entry(1)]));
-    assert_eq!(sent(&w.arrive(request(1, 1, 3_000))), Some(1));
+    assert_eq!(sent_to(&w.send_request(request(1, 1, 3_000))), Some(1));
     let mut list: Vec<EngineEntry> = ids.iter().map(|e| entry(*e)).collect();
     list[1..].iter_mut().for_each(|e| e.state = EngineState::Draining);
     w.on(Event::Membership(MembershipKind::Full, list));
-    assert_eq!(sent(&w.arrive(request(2, 0, 100))), Some(1));
+    assert_eq!(sent_to(&w.send_request(request(2, 0, 100))), Some(1));
 }
 
 /// Settings where probes report load.
-fn reporting() -> Settings {
+fn settings_with_probes() -> Settings {
     Settings { report_source: ReportSource::Probes, ..settings() }
 }
 
-fn tell(w: &mut World, engine: u64, report: LoadReport) {
+fn report_load(w: &mut Harness, engine: u64, report: LoadReport) {
     w.on(Event::Probed(EngineId(engine), Status::Done, Some(report)));
 }
 
 #[test]
-fn idle_cores_are_believed_though_much_memory_is_granted() {
+fn granted_memory_does_not_outweigh_idle_cores() {
     // A fifth of the cores is busy while 0.8 of the memory is granted: read as threads by this gateway's own few
     // queries, that had quiet engines refused.
-    let mut w = World::new(reporting(), &[1]);
+    let mut w = Harness::new(settings_with_probes(), &[1]);
     let with_memory = |id| Request { memory_estimate_mb: Some(100.0), ..request(id, 0, 300) };
     w.serve(with_memory(1), 300, None);
     w.now += 10 * S;
     let report = LoadReport { busy_share: Some(0.2), memory_share: Some(0.8), ..LoadReport::default() };
-    tell(&mut w, 1, report);
-    assert_eq!(sent(&w.arrive(with_memory(2))), Some(1));
+    report_load(&mut w, 1, report);
+    assert_eq!(sent_to(&w.send_request(with_memory(2))), Some(1));
 }
 
 #[test]
-fn an_engine_whose_memory_is_granted_gets_nothing_more() {
+fn engine_with_granted_memory_receives_nothing_more() {
     // Cores are mostly idle, but memory is room of its own kind; where grants are trimmed, queries spill sooner.
     let report = |x| LoadReport { busy_share: Some(0.3), memory_share: Some(x), ..LoadReport::default() };
     for (memory_shortage, granted, full) in [
@@ -548,9 +549,9 @@
         (MemoryShortage::Shrink, 0.85, true),
         (MemoryShortage::Shrink, 0.3, false),
     ] {
-        let mut w = World::new(Settings { memory_shortage, ..reporting() }, &[1]);
-        tell(&mut w, 1, report(granted));
-        assert_eq!(refused(&w.arrive(request(1, 0, 300))), full, "{memory_shortage:?} at {granted}");
+        let mut w = Harness::new(Settings { memory_shortage, ..settings_with_probes() }, &[1]);
+        report_load(&mut w, 1, report(granted));
+        assert_eq!(refused(&w.send_request(request(1, 0, 300))), full, "{memory_shortage:?} at {granted}");
     }
 }
 
@@ -558,115 +559,115 @@
 fn busy_disks_count_as_busy_cores() {
     // All of the disks are busy and few of the cores: what is sent there waits all the same.
     for (busy, idle) in [(1, 2), (2, 1)] {
-        let mut w = World::new(reporting(), &[1, 2]);
+        let mut w = Harness::new(settings_with_probes(), &[1, 2]);
         let report =
             |disks| LoadReport { busy_share: Some(0.3), disk_share: Some(disks), ..LoadReport::default() };
-        tell(&mut w, busy, report(0.95));
-        tell(&mut w, idle, report(0.4));
-        assert_eq!(sent(&w.arrive(request(1, 0, 300))), Some(idle));
+        report_load(&mut w, busy, report(0.95));
+        report_load(&mut w, idle, report(0.4));
+        assert_eq!(sent_to(&w.send_request(request(1, 0, 300))), Some(idle));
     }
 }
 
 #[test]
-fn queries_in_hand_tell_a_jam_that_busy_cores_hide() {
+fn many_in_flight_queries_indicate_overload_despite_idle_cores() {
     // Six queries a core in hand and cores at 0.6: the disks, which are not told, are full.
-    let mut w = World::new(reporting(), &[1]);
+    let mut w = Harness::new(settings_with_probes(), &[1]);
     w.serve(request(1, 0, 300), 300, None);
     let report = LoadReport { busy_share: Some(0.6), in_flight: Some(60.0), ..LoadReport::default() };
     w.now += 10 * S;
-    tell(&mut w, 1, report);
-    assert!(refused(&w.arrive(request(2, 0, 300))));
+    report_load(&mut w, 1, report);
+    assert!(refused(&w.send_request(request(2, 0, 300))));
 }
 
 #[test]
-fn engines_that_are_gone_are_not_drawn_from() {
+fn removed_engines_are_not_candidates() {
     // Hundreds of engines came and went; of the two that are left the idle one is picked, not one by chance.
-    let mut w = World::new(reporting(), &[1, 2]);
+    let mut w = Harness::new(settings_with_probes(), &[1, 2]);
     let gone = |id| EngineEntry { state: EngineState::Gone, ..entry(id) };
     let (came, went) = ((100..500).map(entry).collect(), (100..500).map(gone).collect());
     w.on(Event::Membership(MembershipKind::Delta, came));
     w.on(Event::Membership(MembershipKind::Delta, went));
     let report = |busy| LoadReport { busy_share: Some(busy), ..LoadReport::default() };
     for id in 1..400 {
-        tell(&mut w, 1, report(0.5));
-        tell(&mut w, 2, report(0.0));
-        assert_eq!(sent(&w.arrive(request(id, 0, 10))), Some(2), "request {id}");
-        w.end(outcome(id, 0, 2, Status::Done, 10));
+        report_load(&mut w, 1, report(0.5));
+        report_load(&mut w, 2, report(0.0));
+        assert_eq!(sent_to(&w.send_request(request(id, 0, 10))), Some(2), "request {id}");
+        w.finish(outcome(id, 0, 2, Status::Done, 10));
     }
 }
 
 #[test]
-fn loads_on_one_data_set_do_not_pile_up_on_one_engine() {
+fn loads_on_one_data_set_are_spread_over_engines() {
     // The second load on a set would stand still behind the first, though its engine is idler; the third, which
     // would stand behind either for longer than it has, is refused, and one on another set is not.
-    let mut s = reporting();
+    let mut s = settings_with_probes();
     s.classes[0].is_load = true;
-    let mut w = World::new(s, &[1, 2]);
+    let mut w = Harness::new(s, &[1, 2]);
     let load = |id, set| Request { data_set: Some(set), ..request(id, 0, 900) };
     let report = |busy| LoadReport { busy_share: Some(busy), ..LoadReport::default() };
-    tell(&mut w, 1, report(0.0));
-    tell(&mut w, 2, report(0.3));
-    assert_eq!(sent(&w.arrive(load(1, 7))), Some(1));
-    assert_eq!(sent(&w.arrive(load(2, 7))), Some(2));
-    assert!(refused(&w.arrive(load(3, 7))));
-    assert_eq!(sent(&w.arrive(load(4, 8))), Some(1));
+    report_load(&mut w, 1, report(0.0));
+    report_load(&mut w, 2, report(0.3));
+    assert_eq!(sent_to(&w.send_request(load(1, 7))), Some(1));
+    assert_eq!(sent_to(&w.send_request(load(2, 7))), Some(2));
+    assert!(refused(&w.send_request(load(3, 7))));
+    assert_eq!(sent_to(&w.send_request(load(4, 8))), Some(1));
 }
 
 #[test]
-fn queries_that_read_leave_their_cores_to_others() {
+fn moderate_in_flight_counts_do_not_hide_idle_cores() {
     // Nearly three threads a core in hand and cores at 0.4: most of them read, and cores are free.
-    let mut w = World::new(reporting(), &[1]);
+    let mut w = Harness::new(settings_with_probes(), &[1]);
     w.serve(request(1, 0, 300), 300, None);
     let report = LoadReport { busy_share: Some(0.4), in_flight: Some(28.0), ..LoadReport::default() };
     w.now += 10 * S;
-    tell(&mut w, 1, report);
-    assert!(sent(&w.arrive(request(2, 0, 300))).is_some());
+    report_load(&mut w, 1, report);
+    assert!(sent_to(&w.send_request(request(2, 0, 300))).is_some());
 }
 
 #[test]
-fn a_gateway_without_probes_that_refuses_all_looks_again() {
+fn refusing_router_without_probes_recovers() {
     // Figures come with answers alone. Refusing all, it would hear of no engine again, for good.
     let s = Settings { report_source: ReportSource::Answers, may_probe: false, ..settings() };
-    let mut w = World::new(s, &[1]);
-    w.arrive(request(1, 0, 300));
+    let mut w = Harness::new(s, &[1]);
+    w.send_request(request(1, 0, 300));
     let mut full = outcome(1, 0, 1, Status::Done, 300);
     full.report =
         Some(LoadReport { busy_share: Some(1.0), memory_share: Some(1.3), ..LoadReport::default() });
-    w.end(full);
-    let tries = (2..80).find(|id| sent(&w.arrive(request(*id, 0, 300))).is_some());
+    w.finish(full);
+    let tries = (2..80).find(|id| sent_to(&w.send_request(request(*id, 0, 300))).is_some());
     let tries = tries.expect("refused for good");
     assert!(tries > 5, "a figure just heard holds: sent at request {tries}");
 }
 
 #[test]
-fn an_engine_that_turned_a_query_away_as_full_is_left_alone_for_a_while() {
+fn rejecting_engine_is_avoided_for_a_while() {
     // It answers in milliseconds and tells no load: judged by that it would look the emptiest of all.
-    let mut w = World::new(settings(), &[1, 2]);
-    let first = sent(&w.arrive(request(1, 0, 300))).expect("sent");
-    let next = sent(&w.end(outcome(1, 0, first, Status::Busy, 2))).expect("sent again");
+    let mut w = Harness::new(settings(), &[1, 2]);
+    let first = sent_to(&w.send_request(request(1, 0, 300))).expect("sent");
+    let next = sent_to(&w.finish(outcome(1, 0, first, Status::Busy, 2))).expect("sent again");
     assert_ne!(first, next);
     for id in 2..8 {
-        assert_eq!(sent(&w.arrive(request(id, 0, 300))), Some(next));
+        assert_eq!(sent_to(&w.send_request(request(id, 0, 300))), Some(next));
     }
 }
 
 #[test]
-fn patience_grows_where_a_new_attempt_takes_as_long_again() {
+fn overrun_limit_grows_if_retries_are_overrun_too() {
     // The class's estimates are too low; it has no bad plans, so cancelling it only loses what was done.
     let run = |vain: u64| {
         let engines: Vec<u64> = (1..41).collect();
-        let mut w = World::new(Settings { max_attempts: Some(9), ..settings() }, &engines);
+        let mut w = Harness::new(Settings { max_attempts: Some(9), ..settings() }, &engines);
         for id in 0..vain {
-            let mut engine = sent(&w.arrive(request(id, 1, 300))).expect("sent");
+            let mut engine = sent_to(&w.send_request(request(id, 1, 300))).expect("sent");
             for attempt in 0..3 {
                 w.now += 2 * S;
                 w.on(Event::Progress(RequestId(id), attempt, AttemptUpdate::Progress(0.02)));
-                let again = w.end(outcome(id, attempt, engine, Status::Cancelled, 2_000));
-                engine = sent(&again).expect("sent again");
+                let again = w.finish(outcome(id, attempt, engine, Status::Cancelled, 2_000));
+                engine = sent_to(&again).expect("sent again");
             }
             w.on(Event::Left(RequestId(id)));
         }
-        w.arrive(request(900, 1, 3_000));
+        w.send_request(request(900, 1, 3_000));
         w.now += 2 * S;
         cancelled(&w.on(Event::Progress(RequestId(900), 0, AttemptUpdate::Progress(0.25))))
     };
@@ -675,25 +676,26 @@
 }
 
 #[test]
-fn a_gateway_that_carries_more_than_others_does_not_take_peers_for_its_like() {
+fn busy_router_does_not_assume_equally_busy_peers() {
     // Engines are a fifth busy with others' work; this one of fifty gateways sends ten queries a second.
-    let mut w = World::new(Settings { router_count: 50, ..reporting() }, &[1, 2, 3]);
+    let mut w = Harness::new(Settings { router_count: 50, ..settings_with_probes() }, &[1, 2, 3]);
     let report = LoadReport { busy_share: Some(0.2), ..LoadReport::default() };
     for id in 0..40 {
         w.now += 100 * MS;
         for engine in 1..4 {
-            tell(&mut w, engine, report);
+            report_load(&mut w, engine, report);
         }
-        let engine = sent(&w.arrive(request(id, 1, 600))).unwrap_or_else(|| panic!("query {id} refused"));
-        w.end(outcome(id, 0, engine, Status::Done, 200));
+        let engine =
+            sent_to(&w.send_request(request(id, 1, 600))).unwrap_or_else(|| panic!("query {id} refused"));
+        w.finish(outcome(id, 0, engine, Status::Done, 200));
     }
 }
 
 #[test]
-fn every_refusal_tells_when_to_come_back() {
+fn refusal_after_an_overrun_has_retry_advice() {
     // An attempt that outran its need too late for another is refused with advice, as any other.
-    let mut w = World::new(Settings { max_attempts: Some(1), ..settings() }, &[1]);
-    w.arrive(request(1, 0, 300));
+    let mut w = Harness::new(Settings { max_attempts: Some(1), ..settings() }, &[1]);
+    w.send_request(request(1, 0, 300));
     w.now += 2 * S;
     let out = w.on(Event::Progress(RequestId(1), 0, AttemptUpdate::Progress(0.05)));
     let advice = out.iter().find_map(|a| match a {
@@ -704,58 +706,58 @@
 }
 
 #[test]
-fn engines_not_met_yet_are_not_slow_because_the_first_answer_was_quick() {
+fn unused_engines_are_not_slow_after_one_fast_answer() {
     // The first answer took a tenth of what was expected: against that mean every other engine looked slow.
-    let mut w = World::new(settings(), &[1, 2, 3]);
-    let first = sent(&w.arrive(request(1, 0, 500))).expect("sent");
+    let mut w = Harness::new(settings(), &[1, 2, 3]);
+    let first = sent_to(&w.send_request(request(1, 0, 500))).expect("sent");
     w.now += 40 * MS;
-    w.end(outcome(1, 0, first, Status::Done, 40));
+    w.finish(outcome(1, 0, first, Status::Done, 40));
     w.on(Event::Membership(
         MembershipKind::Delta,
         vec![EngineEntry { state: EngineState::Draining, ..entry(first) }],
     ));
     for id in 2..6 {
         assert!(
-            sent(&w.arrive(request(id, 0, 900))).is_some(),
+            sent_to(&w.send_request(request(id, 0, 900))).is_some(),
             "{id} refused by engines that have not answered"
         );
     }
 }
 
 #[test]
-fn an_engine_that_the_gateways_left_out_gets_nothing_but_one_trial_at_a_time_and_is_back_at_once() {
+fn excluded_engine_gets_one_trial_at_a_time_and_is_readmitted_at_once() {
     let mut s = settings();
     s.classes[1].effect = Effect::AtMostOnce;
-    let mut w = World::new(s, &[1]);
+    let mut w = Harness::new(s, &[1]);
     w.on(Event::VerdictChanged(EngineId(1), Verdict::Out));
-    assert!(refused(&w.arrive(request(1, 0, 100))));
+    assert!(refused(&w.send_request(request(1, 0, 100))));
     w.on(Event::VerdictChanged(EngineId(1), Verdict::Trial));
     assert_eq!(
-        sent(&w.arrive(request(2, 1, 100))),
+        sent_to(&w.send_request(request(2, 1, 100))),
         None,
         "nothing that a repeat may harm is sent as a trial"
     );
-    assert_eq!(sent(&w.arrive(request(3, 0, 100))), Some(1));
-    assert!(refused(&w.arrive(request(4, 0, 100))), "one at a time");
+    assert_eq!(sent_to(&w.send_request(request(3, 0, 100))), Some(1));
+    assert!(refused(&w.send_request(request(4, 0, 100))), "one at a time");
     // The trial failed: this gateway would wait for one of its own, but others were served meanwhile.
-    w.end(outcome(3, 0, 1, Status::Refused, 5));
+    w.finish(outcome(3, 0, 1, Status::Refused, 5));
     w.on(Event::VerdictChanged(EngineId(1), Verdict::Well));
-    assert_eq!(sent(&w.arrive(request(5, 0, 100))), Some(1));
+    assert_eq!(sent_to(&w.send_request(request(5, 0, 100))), Some(1));
     // A new life of the engine is nobody's verdict yet.
     w.on(Event::VerdictChanged(EngineId(1), Verdict::Out));
     let started = EngineEntry { started_ns: Some(T0 + 1), ..entry(1) };
     w.on(Event::Membership(MembershipKind::Delta, vec![started]));
-    assert_eq!(sent(&w.arrive(request(6, 0, 100))), Some(1));
+    assert_eq!(sent_to(&w.send_request(request(6, 0, 100))), Some(1));
 }
 
 #[test]
-fn an_engine_that_others_found_slow_gets_less_than_its_part() {
+fn engine_with_slow_verdict_receives_less() {
     let mut counts = [0; 2];
     for (at, verdict) in [Verdict::Well, Verdict::Slow(4.0)].into_iter().enumerate() {
-        let mut w = World::new(settings(), &[1, 2]);
+        let mut w = Harness::new(settings(), &[1, 2]);
         w.on(Event::VerdictChanged(EngineId(1), verdict));
         for id in 0..12 {
-            counts[at] += usize::from(sent(&w.arrive(request(id, 0, 500))) == Some(1));
+            counts[at] += usize::from(sent_to(&w.send_request(request(id, 0, 500))) == Some(1));
         }
     }
     assert!(counts[1] * 2 <= counts[0], "{counts:?} of twelve");
--- a/crates/control/tests/rules.rs
+++ b/crates/control/tests/rules.rs
@@ -16,35 +16,35 @@
 }
 
 #[test]
-fn a_time_out_at_the_deadline_gets_its_final_answer_at_once() {
+fn timeout_at_the_deadline_is_answered_at_once() {
     let mut s = settings();
     s.classes[0].effect = Effect::AtMostOnce;
-    let mut w = World::new(s, &[1, 2]);
-    let engine = sent(&w.arrive(request(1, 0, 100))).unwrap();
-    assert!(failed(&w.at(4_000).end(outcome(1, 0, engine, Status::TimedOut, 4_000))));
-    let mut w = World::new(settings(), &[1, 2]);
-    let engine = sent(&w.arrive(request(1, 0, 100))).unwrap();
-    assert!(refused(&w.at(4_000).end(outcome(1, 0, engine, Status::TimedOut, 4_000))));
+    let mut w = Harness::new(s, &[1, 2]);
+    let engine = sent_to(&w.send_request(request(1, 0, 100))).unwrap();
+    assert!(failed(&w.at(4_000).finish(outcome(1, 0, engine, Status::TimedOut, 4_000))));
+    let mut w = Harness::new(settings(), &[1, 2]);
+    let engine = sent_to(&w.send_request(request(1, 0, 100))).unwrap();
+    assert!(refused(&w.at(4_000).finish(outcome(1, 0, engine, Status::TimedOut, 4_000))));
 }
 
 #[test]
-fn an_unsafe_request_goes_again_only_if_it_never_ran() {
+fn at_most_once_request_is_retried_only_if_it_never_ran() {
     let mut s = settings();
     s.classes[0].effect = Effect::AtMostOnce;
     for (status, again) in
         [(Status::Busy, true), (Status::Refused, true), (Status::Error, false), (Status::Reset, false)]
     {
-        let mut w = World::new(s.clone(), &[1, 2]);
-        let engine = sent(&w.arrive(request(1, 0, 100))).unwrap();
-        let actions = w.end(outcome(1, 0, engine, status, 5));
-        assert_eq!(sent(&actions).is_some(), again, "{status:?}");
+        let mut w = Harness::new(s.clone(), &[1, 2]);
+        let engine = sent_to(&w.send_request(request(1, 0, 100))).unwrap();
+        let actions = w.finish(outcome(1, 0, engine, status, 5));
+        assert_eq!(sent_to(&actions).is_some(), again, "{status:?}");
         assert_eq!(failed(&actions), !again, "{status:?}");
         assert!(!refused(&actions), "{status:?}: a refusal promises that a retry does no harm");
     }
 }
 
 #[test]
-fn a_keyed_request_goes_again_only_to_its_group_and_while_it_is_remembered() {
+fn deduplicated_request_is_retried_only_in_its_scope_and_window() {
     let cell = |id, cell| EngineEntry { cell: Some(cell), zone: Some(ZoneId(cell as usize)), ..entry(id) };
     for scope in [DedupScope::Cell, DedupScope::Zone] {
         let mut s = settings();
@@ -56,26 +56,30 @@
             if !other {
                 list = vec![cell(1, 0), cell(2, 1)];
             }
-            let mut w = World::with(s.clone(), list);
-            let engine = sent(&w.arrive(request(1, 0, 100))).unwrap();
-            let actions = w.at(if late { 1_500 } else { 5 }).end(outcome(1, 0, engine, Status::Error, 5));
-            assert_eq!(sent(&actions), (!late && other).then_some(3 - engine), "{scope:?} {late} {other}");
+            let mut w = Harness::with(s.clone(), list);
+            let engine = sent_to(&w.send_request(request(1, 0, 100))).unwrap();
+            let actions = w.at(if late { 1_500 } else { 5 }).finish(outcome(1, 0, engine, Status::Error, 5));
+            assert_eq!(sent_to(&actions), (!late && other).then_some(3 - engine), "{scope:?} {late} {other}");
             assert_eq!(failed(&actions), late || !other);
         }
     }
 }
 
 #[test]
-fn nothing_goes_to_a_draining_or_gone_engine() {
+fn draining_and_removed_engines_receive_nothing() {
     for state in [EngineState::Draining, EngineState::Gone] {
-        let mut w = World::new(settings(), &[1]);
+        let mut w = Harness::new(settings(), &[1]);
         w.on(Event::Membership(MembershipKind::Delta, vec![EngineEntry { state, ..entry(1) }]));
-        assert!(refused(&w.arrive(request(1, 0, 100))));
+        assert!(refused(&w.send_request(request(1, 0, 100))));
     }
-    let mut w = World::new(settings(), &[1, 2]);
+    let mut w = Harness::new(settings(), &[1, 2]);
     w.on(Event::Membership(MembershipKind::Full, vec![entry(2)]));
     for id in 0..8 {
-        assert_eq!(sent(&w.arrive(request(id, 0, 100))), Some(2), "absent from a whole list is gone");
+        assert_eq!(
+            sent_to(&w.send_request(request(id, 0, 100))),
+            Some(2),
+            "absent from a whole list is gone"
+        );
     }
 }
 
@@ -90,12 +94,12 @@
 }
 
 #[test]
-fn a_cold_engine_gets_no_more_than_this_gateways_share() {
+fn router_stays_within_its_share_of_a_cold_engine() {
     // 10 cores x 0.85 x 0.4 = 3.4 core-seconds a second; twice that for 1 s is 6.8, for one gateway or all
     // owners together: at most 3.4 for each of two, in any second.
     for router_count in [1, 2] {
         let list = vec![EngineEntry { started_ns: Some(T0), ..entry(1) }];
-        let mut w = World::with(Settings { router_count, ..cold() }, list);
+        let mut w = Harness::with(Settings { router_count, ..cold() }, list);
         w.on(Event::Membership(
             MembershipKind::Delta,
             vec![EngineEntry { started_ns: Some(T0 + 1), ..entry(1) }],
@@ -103,8 +107,8 @@
         let mut sends: VecDeque<u64> = VecDeque::new();
         for id in 0..400 {
             w.now += 10 * MS;
-            if let Some(engine) = sent(&w.arrive(request(id, 0, 100))) {
-                w.end(outcome(id, 0, engine, Status::Done, 1));
+            if let Some(engine) = sent_to(&w.send_request(request(id, 0, 100))) {
+                w.finish(outcome(id, 0, engine, Status::Done, 1));
                 sends.push_back(w.now);
             }
             sends.retain(|t| t + S >= w.now);
@@ -115,7 +119,7 @@
 }
 
 #[test]
-fn all_gateways_together_stay_within_a_cold_engines_budget_and_yet_use_it() {
+fn routers_together_use_a_cold_engine_within_its_budget() {
     // Gateways side by side, all of which would send to nothing but the engine that has just started; one in
     // five restarts meanwhile. In any second the work of all together is at most 6.8 core-seconds, and whole
     // heavy queries (2 core-seconds) get through however many gateways there are.
@@ -124,9 +128,9 @@
             let list = |started| vec![EngineEntry { started_ns: Some(started), ..entry(1) }];
             let build = |index: u32| {
                 let s = Settings { router_count, router_index: index, ..cold() };
-                World::with(s, list(T0 + 1))
+                Harness::with(s, list(T0 + 1))
             };
-            let mut worlds: Vec<World> = (0..router_count).map(build).collect();
+            let mut worlds: Vec<Harness> = (0..router_count).map(build).collect();
             let (class, work_ms) = if heavy { (1, 2_000) } else { (0, 100) };
             let mut sends: VecDeque<u64> = VecDeque::new();
             let (mut total, mut id) = (0, 0);
@@ -141,8 +145,8 @@
                         w.on(Event::Membership(MembershipKind::Cached, list(T0 + 1)));
                     }
                     id += 1;
-                    if sent(&w.at(ms).arrive(request(id, class, work_ms))).is_some() {
-                        w.end(outcome(id, 0, 1, Status::Done, 1));
+                    if sent_to(&w.at(ms).send_request(request(id, class, work_ms))).is_some() {
+                        w.finish(outcome(id, 0, 1, Status::Done, 1));
                         (total, _) = (total + 1, sends.push_back(ms));
                     }
                 }
@@ -156,27 +160,27 @@
 }
 
 #[test]
-fn a_restarted_gateway_sends_nothing_to_a_cold_engine_for_one_window() {
+fn restarted_router_waits_one_window_for_a_cold_engine() {
     let list = vec![EngineEntry { started_ns: Some(T0 - S), ..entry(1) }];
-    let mut w = World::with(cold(), list);
-    assert!(refused(&w.at(900).arrive(request(1, 0, 100))));
-    assert_eq!(sent(&w.at(1_001).arrive(request(2, 0, 100))), Some(1));
+    let mut w = Harness::with(cold(), list);
+    assert!(refused(&w.at(900).send_request(request(1, 0, 100))));
+    assert_eq!(sent_to(&w.at(1_001).send_request(request(2, 0, 100))), Some(1));
 }
 
 /// Queries of 0.1 core-seconds that an engine gets at once, having failed three attempts like this.
-fn passed_after(status: Status) -> u32 {
-    let mut w = World::new(Settings { router_count: 4, ..cold() }, &[1]);
+fn sent_after_failures(status: Status) -> u32 {
+    let mut w = Harness::new(Settings { router_count: 4, ..cold() }, &[1]);
     for id in 1..4 {
-        w.arrive(request(id, 0, 100));
-        w.end(outcome(id, 0, 1, status, 1));
+        w.send_request(request(id, 0, 100));
+        w.finish(outcome(id, 0, 1, status, 1));
     }
     w.now += 2 * S;
-    assert_eq!(sent(&w.arrive(request(5, 0, 100))), Some(1));
-    w.end(outcome(5, 0, 1, Status::Done, 100));
+    assert_eq!(sent_to(&w.send_request(request(5, 0, 100))), Some(1));
+    w.finish(outcome(5, 0, 1, Status::Done, 100));
     let mut passed = 0;
     for id in 10..50 {
-        if sent(&w.arrive(request(id, 0, 100))).is_some() {
-            w.end(outcome(id, 0, 1, Status::Done, 100));
+        if sent_to(&w.send_request(request(id, 0, 100))).is_some() {
+            w.finish(outcome(id, 0, 1, Status::Done, 100));
             passed += 1;
         }
     }
@@ -184,93 +188,94 @@
 }
 
 #[test]
-fn an_engine_back_from_refused_connections_is_taken_as_cold() {
+fn engine_back_from_refused_connections_is_cold() {
     // Half of 5.4 core-seconds in the window: 27 queries of 0.1 with the trial, however fast they are answered.
-    let passed = passed_after(Status::Refused);
+    let passed = sent_after_failures(Status::Refused);
     assert!((20..=26).contains(&passed), "{passed}");
 }
 
 #[test]
-fn an_engine_back_from_resets_is_not_taken_as_cold() {
-    assert_eq!(passed_after(Status::Reset), 40);
+fn engine_back_from_resets_is_not_cold() {
+    assert_eq!(sent_after_failures(Status::Reset), 40);
 }
 
 #[test]
-fn requests_of_one_key_run_singly_and_in_order() {
-    let mut w = World::new(serial(), &[1, 2]);
-    let first = sent(&w.arrive(keyed(1, 5))).unwrap();
-    assert_eq!(sent(&w.arrive(keyed(2, 5))), None);
-    assert!(sent(&w.arrive(keyed(3, 6))).is_some(), "another key");
-    assert!(sent(&w.end(outcome(1, 0, first, Status::Done, 300))).is_some());
+fn requests_with_one_key_run_one_at_a_time_in_order() {
+    let mut w = Harness::new(serial(), &[1, 2]);
+    let first = sent_to(&w.send_request(keyed(1, 5))).unwrap();
+    assert_eq!(sent_to(&w.send_request(keyed(2, 5))), None);
+    assert!(sent_to(&w.send_request(keyed(3, 6))).is_some(), "another key");
+    assert!(sent_to(&w.finish(outcome(1, 0, first, Status::Done, 300))).is_some());
 }
 
 #[test]
-fn a_key_rests_after_an_attempt_that_may_still_run() {
-    let mut w = World::new(Settings { order_pause_ns: Some(S), max_attempts: Some(1), ..serial() }, &[1, 2]);
-    let first = sent(&w.arrive(keyed(1, 5))).unwrap();
-    w.arrive(keyed(2, 5));
-    let actions = w.at(100).end(outcome(1, 0, first, Status::Reset, 100));
-    assert!(refused(&actions) && sent(&actions).is_none());
+fn key_pauses_after_an_attempt_that_may_still_run() {
+    let mut w =
+        Harness::new(Settings { order_pause_ns: Some(S), max_attempts: Some(1), ..serial() }, &[1, 2]);
+    let first = sent_to(&w.send_request(keyed(1, 5))).unwrap();
+    w.send_request(keyed(2, 5));
+    let actions = w.at(100).finish(outcome(1, 0, first, Status::Reset, 100));
+    assert!(refused(&actions) && sent_to(&actions).is_none());
     let (after, token) = timers(&actions)[0];
     assert_eq!(after, S);
-    assert!(sent(&w.at(1_100).on(Event::Timer(token))).is_some());
+    assert!(sent_to(&w.at(1_100).on(Event::Timer(token))).is_some());
 }
 
 #[test]
-fn a_request_whose_time_is_over_is_answered_at_once_and_its_key_waits_for_its_attempt() {
+fn expired_request_is_answered_at_once_and_its_key_waits() {
     for (effect, harmless) in [(Effect::Deduplicated, true), (Effect::AtMostOnce, false)] {
         let mut s = serial();
         s.classes[1].effect = effect;
-        let mut w = World::new(s, &[1, 2]);
-        let first = sent(&w.arrive(keyed(1, 5))).unwrap();
-        w.arrive(keyed(2, 5));
+        let mut w = Harness::new(s, &[1, 2]);
+        let first = sent_to(&w.send_request(keyed(1, 5))).unwrap();
+        w.send_request(keyed(2, 5));
         let actions = w.at(2_000).on(Event::Expired(RequestId(1)));
         assert_eq!((refused(&actions), failed(&actions)), (harmless, !harmless));
-        assert_eq!(sent(&actions), None, "its attempt is out");
+        assert_eq!(sent_to(&actions), None, "its attempt is out");
         let ended = Outcome { concluded: true, ..outcome(1, 0, first, Status::Cancelled, 2_100) };
-        assert!(sent(&w.at(2_100).end(ended)).is_some());
+        assert!(sent_to(&w.at(2_100).finish(ended)).is_some());
     }
 }
 
 #[test]
-fn a_key_rests_until_an_attempt_whose_end_is_not_known_must_be_over() {
+fn key_pauses_until_an_unconfirmed_attempt_must_have_ended() {
     // The request has no further attempt, or one that is served: the first one may still run.
     for attempts in [1, 2] {
-        let mut w = World::new(Settings { max_attempts: Some(attempts), ..serial() }, &[1, 2]);
-        let first = sent(&w.arrive(keyed(1, 5))).unwrap();
-        w.arrive(keyed(2, 5));
+        let mut w = Harness::new(Settings { max_attempts: Some(attempts), ..serial() }, &[1, 2]);
+        let first = sent_to(&w.send_request(keyed(1, 5))).unwrap();
+        w.send_request(keyed(2, 5));
         let unknown =
             Outcome { may_run_until_ns: T0 + 1_500 * MS, ..outcome(1, 0, first, Status::Reset, 100) };
-        let mut actions = w.at(100).end(unknown);
+        let mut actions = w.at(100).finish(unknown);
         if attempts == 2 {
-            let second = sent(&actions).expect("its own next attempt need not wait");
-            actions = w.at(500).end(outcome(1, 1, second, Status::Done, 400));
+            let second = sent_to(&actions).expect("its own next attempt need not wait");
+            actions = w.at(500).finish(outcome(1, 1, second, Status::Done, 400));
         }
-        assert_eq!(sent(&actions), None);
+        assert_eq!(sent_to(&actions), None);
         let (after, token) = timers(&actions)[0];
         assert_eq!(w.now + after, T0 + 1_500 * MS);
-        assert!(sent(&w.at(1_500).on(Event::Timer(token))).is_some());
+        assert!(sent_to(&w.at(1_500).on(Event::Timer(token))).is_some());
     }
 }
 
 #[test]
-fn a_waiting_request_is_refused_as_soon_as_its_need_no_longer_fits() {
-    let mut w = World::new(serial(), &[1, 2]);
-    w.arrive(keyed(1, 5));
-    let (after, token) = timers(&w.arrive(Request { time_left_ns: 2 * S, ..keyed(2, 5) }))[0];
+fn queued_request_is_refused_once_its_need_no_longer_fits() {
+    let mut w = Harness::new(serial(), &[1, 2]);
+    w.send_request(keyed(1, 5));
+    let (after, token) = timers(&w.send_request(Request { time_left_ns: 2 * S, ..keyed(2, 5) }))[0];
     w.now += after;
     assert!(w.now < T0 + 2 * S);
     assert!(refused(&w.on(Event::Timer(token))));
 }
 
 #[test]
-fn a_waiting_request_is_not_lost_when_its_need_shrinks_meanwhile() {
+fn queued_request_is_answered_after_its_need_shrinks() {
     let mut s = serial();
     s.max_attempts = Some(1);
-    let mut w = World::new(s, &[1, 2]);
+    let mut w = Harness::new(s, &[1, 2]);
     let r = |id| Request { key: Some(5), ..request(id, 1, 0) };
-    let first = sent(&w.arrive(r(1))).unwrap();
-    let (after, token) = timers(&w.arrive(r(2)))[0];
+    let first = sent_to(&w.send_request(r(1))).unwrap();
+    let (after, token) = timers(&w.send_request(r(2)))[0];
     w.serve(request(50, 1, 0), 10, None);
     let _ = first;
     w.now = T0 + after;
@@ -280,40 +285,41 @@
 }
 
 #[test]
-fn placement_is_kept_even_when_every_allowed_engine_is_down() {
+fn placement_holds_when_all_allowed_engines_are_down() {
     let mut s = settings();
     s.classes[0].only_zones = Some(vec![ZoneId(1)]);
     s.classes[1].only_kinds = Some(vec![KindId(9)]);
     let at = |id, zone| EngineEntry { zone: Some(ZoneId(zone)), ..entry(id) };
-    let mut w = World::with(s, vec![at(1, 0), at(2, 1)]);
-    assert_eq!(sent(&w.arrive(request(1, 0, 100))), Some(2));
-    assert!(refused(&w.end(outcome(1, 0, 2, Status::Refused, 1))));
-    assert!(refused(&w.arrive(request(2, 1, 100))));
+    let mut w = Harness::with(s, vec![at(1, 0), at(2, 1)]);
+    assert_eq!(sent_to(&w.send_request(request(1, 0, 100))), Some(2));
+    assert!(refused(&w.finish(outcome(1, 0, 2, Status::Refused, 1))));
+    assert!(refused(&w.send_request(request(2, 1, 100))));
 }
 
 #[test]
-fn further_attempts_stay_within_their_budget() {
+fn retries_stay_within_the_retry_budget() {
     let retry_budget = Some(RetryBudget { floor: 2.0, per_request: 0.1, window_ns: S });
-    let mut w = World::new(Settings { retry_budget, ..settings() }, &[1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12]);
+    let mut w =
+        Harness::new(Settings { retry_budget, ..settings() }, &[1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12]);
     let mut again = 0;
     for id in 0..10 {
-        let engine = sent(&w.arrive(request(id, 0, 100))).unwrap();
-        again += u32::from(sent(&w.end(outcome(id, 0, engine, Status::Error, 1))).is_some());
+        let engine = sent_to(&w.send_request(request(id, 0, 100))).unwrap();
+        again += u32::from(sent_to(&w.finish(outcome(id, 0, engine, Status::Error, 1))).is_some());
     }
     assert!(again <= 3 && again > 0, "{again}");
 }
 
 #[test]
-fn attempts_stay_within_what_a_request_may_have() {
-    let mut w = World::new(Settings { max_attempts: Some(2), ..settings() }, &[1, 2, 3]);
-    let one = sent(&w.arrive(request(1, 0, 100))).unwrap();
-    let two = sent(&w.end(outcome(1, 0, one, Status::Error, 1))).unwrap();
-    assert!(refused(&w.end(outcome(1, 1, two, Status::Error, 1))));
+fn attempts_stay_within_the_maximum() {
+    let mut w = Harness::new(Settings { max_attempts: Some(2), ..settings() }, &[1, 2, 3]);
+    let one = sent_to(&w.send_request(request(1, 0, 100))).unwrap();
+    let two = sent_to(&w.finish(outcome(1, 0, one, Status::Error, 1))).unwrap();
+    assert!(refused(&w.finish(outcome(1, 1, two, Status::Error, 1))));
 }
 
 #[test]
-fn membership_is_asked_for_where_it_must_be_and_again_after_a_failure() {
-    let mut w = World {
+fn membership_subscription_is_repeated_after_a_failure() {
+    let mut w = Harness {
         c: marljunction_control::Controller::new(Settings { must_subscribe: true, ..settings() }, 1),
         now: T0,
     };
@@ -323,17 +329,17 @@
 }
 
 /// A small generator for streams of events.
-struct Dice(u64);
+struct Random(u64);
 
-impl Dice {
-    fn roll(&mut self, sides: u64) -> u64 {
+impl Random {
+    fn below(&mut self, sides: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % sides
     }
 }
 
 /// Plays a stream of arrivals, outcomes, drains and restarts, and holds each action against the rules.
-fn play(seed: u64) -> String {
+fn run_stream(seed: u64) -> String {
     let mut s = cold();
     s.router_count = 2;
     s.retry_budget = Some(RetryBudget { floor: 3.0, per_request: 0.3, window_ns: 2 * S });
@@ -347,8 +353,8 @@
     unsafe_class.only_zones = Some(vec![ZoneId(0)]);
     s.classes.push(unsafe_class);
     let in_zone = |id| EngineEntry { zone: Some(ZoneId(id as usize % 2)), ..entry(id) };
-    let mut w = World::with(s.clone(), (1..7).map(in_zone).collect());
-    let mut dice = Dice(seed);
+    let mut w = Harness::with(s.clone(), (1..7).map(in_zone).collect());
+    let mut random = Random(seed);
     let mut due: BTreeMap<(u64, u64), Event> = BTreeMap::new();
     let mut open: BTreeMap<u64, (Request, u64)> = BTreeMap::new();
     let mut out_on: BTreeMap<u64, (u32, u64)> = BTreeMap::new();
@@ -359,10 +365,10 @@
     let (mut taken, mut extra): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
     let (mut serial_no, mut log) = (0_u64, String::new());
     for id in 1..600_u64 {
-        let class = [0, 0, 0, 1, 2][dice.roll(5) as usize];
-        let key = (class == 1).then(|| dice.roll(3));
-        let time_left_ns = (500 + dice.roll(4_000)) * MS;
-        let r = Request { key, time_left_ns, ..request(id, class, 50 + dice.roll(1_500)) };
+        let class = [0, 0, 0, 1, 2][random.below(5) as usize];
+        let key = (class == 1).then(|| random.below(3));
+        let time_left_ns = (500 + random.below(4_000)) * MS;
+        let r = Request { key, time_left_ns, ..request(id, class, 50 + random.below(1_500)) };
         due.insert((T0 + id * 20 * MS, id), Event::Arrival(r));
     }
     for (at, engine, state) in
@@ -438,10 +444,10 @@
                         Status::Refused,
                         Status::Reset,
                         Status::TimedOut,
-                    ][dice.roll(8) as usize];
+                    ][random.below(8) as usize];
                     let takes = match status {
                         Status::TimedOut => timeout_ns,
-                        _ => (1 + dice.roll(1_200)) * MS,
+                        _ => (1 + random.below(1_200)) * MS,
                     };
                     let (status, takes) =
                         if takes >= timeout_ns { (Status::TimedOut, timeout_ns) } else { (status, takes) };
@@ -475,29 +481,30 @@
 }
 
 #[test]
-fn seeded_streams_keep_the_rules_and_repeat_to_the_letter() {
+fn random_streams_satisfy_the_rules_and_are_deterministic() {
     for seed in 1..40 {
-        let log = play(seed);
+        let log = run_stream(seed);
         assert!(log.contains("Send") && log.contains("Refuse"));
-        assert_eq!(log, play(seed), "same events, same actions");
+        assert_eq!(log, run_stream(seed), "same events, same actions");
     }
 }
 
 #[test]
-fn a_told_cold_engine_keeps_its_owners_when_it_refuses_a_connection() {
+fn announced_cold_engine_keeps_its_owners_after_a_refused_connection() {
     // Attempts were out when the start was told; one found no connection, one was answered. Each of two hundred
     // gateways then took the engine for one without owners, and could send it half of the budget.
     let mut sent_by_all = 0.0;
     for index in 0..200 {
-        let mut w = World::new(Settings { router_count: 200, router_index: index, ..cold() }, &[1]);
-        w.arrive(request(1, 0, 300));
-        w.arrive(request(2, 0, 300));
+        let mut w = Harness::new(Settings { router_count: 200, router_index: index, ..cold() }, &[1]);
+        w.send_request(request(1, 0, 300));
+        w.send_request(request(2, 0, 300));
         let told = EngineEntry { started_ns: Some(T0 + S / 2), ..entry(1) };
         w.at(800).on(Event::Membership(MembershipKind::Delta, vec![told]));
-        w.end(outcome(1, 0, 1, Status::Refused, 800));
-        w.at(900).end(outcome(2, 0, 1, Status::Done, 900));
+        w.finish(outcome(1, 0, 1, Status::Refused, 800));
+        w.at(900).finish(outcome(2, 0, 1, Status::Done, 900));
         w.at(2_500);
-        sent_by_all += (20..40).filter(|id| sent(&w.arrive(request(*id, 0, 300))).is_some()).count() as f64;
+        sent_by_all +=
+            (20..40).filter(|id| sent_to(&w.send_request(request(*id, 0, 300))).is_some()).count() as f64;
     }
     let s = cold();
     let (tip, start) = (s.overload_multiple.expect("set"), s.initial_capacity.expect("set"));
@@ -506,17 +513,17 @@
 }
 
 #[test]
-fn the_owners_of_a_cold_engine_grow_with_the_whole_queries_that_fit() {
+fn owners_of_a_cold_engine_grow_with_the_queries_that_fit() {
     // Light queries: more than two of a hundred gateways may use the engine, and their shares stay within it.
     let list = vec![EngineEntry { started_ns: Some(T0 - S / 2), ..entry(1) }];
     let users = (0..100)
         .filter(|index| {
             let mut s = Settings { router_count: 100, router_index: *index, ..cold() };
             s.classes[0].target_latency_ns = 400 * MS;
-            let mut w = World { c: marljunction_control::Controller::new(s, 7), now: T0 - 3 * S };
+            let mut w = Harness { c: marljunction_control::Controller::new(s, 7), now: T0 - 3 * S };
             w.on(Event::Membership(MembershipKind::Cached, list.clone()));
             w.now = T0;
-            sent(&w.arrive(request(1, 0, 50))).is_some()
+            sent_to(&w.send_request(request(1, 0, 50))).is_some()
         })
         .count();
     assert!((3..=60).contains(&users), "{users} gateways use it");
@@ -524,19 +531,19 @@
 
 /// Core-seconds of both classes that a hundred gateways send a cold engine in its first window, where the 39 others
 /// hold 25 threads on 10 cores and nobody has heard of the cold one.
-fn sent_by_hundred(light_ms: u64, heavy_ms: u64) -> [f64; 2] {
+fn work_sent_by_hundred_routers(light_ms: u64, heavy_ms: u64) -> [f64; 2] {
     let mut by_class = [0.0; 2];
     for index in 0..100 {
         let s = Settings { router_count: 100, router_index: index, ..cold() };
         let list = (1..40).map(entry).chain([EngineEntry { started_ns: Some(T0), ..entry(40) }]);
-        let mut w = World::with(s, list.collect());
+        let mut w = Harness::with(s, list.collect());
         let report = LoadReport { busy_share: Some(1.0), in_flight: Some(25.0), ..LoadReport::default() };
         w.serve(request(99, 0, 100), 100, None);
         (1..40).for_each(|e| drop(w.on(Event::Probed(EngineId(e), Status::Done, Some(report)))));
         for id in 0..30 {
             w.now += 20 * MS;
             let (class, work_ms) = [(0, light_ms), (1, heavy_ms)][id as usize % 2];
-            if sent(&w.arrive(request(id, class, work_ms))) == Some(40) {
+            if sent_to(&w.send_request(request(id, class, work_ms))) == Some(40) {
                 by_class[class] += work_ms as f64 / 1_000.0;
             }
         }
@@ -545,32 +552,32 @@
 }
 
 #[test]
-fn a_cold_engine_gets_whole_queries_that_no_gateways_part_of_its_budget_would_hold() {
+fn cold_engine_receives_queries_larger_than_one_routers_share() {
     // The heavy class's half of the budget is 2.72 core-seconds; its queries are of 3.9, above what the settings let
     // expect.
-    let [_, heavy] = sent_by_hundred(200, 3_900);
+    let [_, heavy] = work_sent_by_hundred_routers(200, 3_900);
     assert!(heavy >= 3.9, "no heavy query came through");
 }
 
 #[test]
-fn a_cold_engine_is_used_while_the_others_are_full_and_stays_within_its_budget() {
+fn cold_engine_is_used_within_its_budget_while_others_are_full() {
     // Taken for as full as the others, it stayed unused; and its owners look at it whichever few engines are drawn.
-    let [light, heavy] = sent_by_hundred(200, 3_000);
+    let [light, heavy] = work_sent_by_hundred_routers(200, 3_000);
     assert!(light >= 1.5, "{light} core-seconds of light queries: less than half of its capacity");
     assert!(light + heavy <= 6.8, "{light} and {heavy} core-seconds in a window");
 }
 
 #[test]
-fn shares_of_a_cold_engines_budget_that_are_told_are_held_to_and_said_as_they_are_used() {
+fn assigned_cold_shares_are_respected_and_their_use_is_reported() {
     let list = vec![EngineEntry { started_ns: Some(T0), ..entry(1) }];
-    let mut w = World::with(Settings { router_count: 100, ..cold() }, list);
+    let mut w = Harness::with(Settings { router_count: 100, ..cold() }, list);
     w.on(Event::ColdShares(EngineId(1), [0.0, 0.0]));
-    assert!(refused(&w.arrive(request(0, 0, 100))), "none is told");
+    assert!(refused(&w.send_request(request(0, 0, 100))), "none is told");
     // 10 cores x 0.85 x 0.8 x 2 x 0.4: half of it is 2.7 core-seconds in a second for light ones.
     w.on(Event::ColdShares(EngineId(1), [1.0, 0.0]));
     let (mut used, mut count) = (0.0, 0);
     for id in 1..200 {
-        for action in w.arrive(request(id, 0, 100)) {
+        for action in w.send_request(request(id, 0, 100)) {
             match action {
                 Action::ColdSent { request, engine, lane, share } => {
                     assert_eq!((request, engine, lane), (RequestId(id), EngineId(1), 0));
@@ -585,6 +592,6 @@
     // A tenth of it holds a tenth as many.
     w.now += S + 1;
     w.on(Event::ColdShares(EngineId(1), [0.1, 0.0]));
-    let tenth = (200..400).filter(|id| sent(&w.arrive(request(*id, 0, 100))).is_some()).count();
+    let tenth = (200..400).filter(|id| sent_to(&w.send_request(request(*id, 0, 100))).is_some()).count();
     assert!(tenth * 5 <= count, "{tenth} of {count}");
 }
