--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small hand-driven world for the module: settings, requests and outcomes by hand.
+//! Test harness: default settings, requests and outcomes, and a controller with a manual clock.
 #![allow(dead_code)]
 
 use marljunction_control::interface::*;
@@ -8,7 +8,7 @@
 pub const S: u64 = 1_000_000_000;
 pub const T0: u64 = 1_000 * S;
 
-/// One light class (1 thread) and one heavy (3 threads) on engines of 10 cores; nothing else is allowed.
+/// Settings with a light class (1 thread) and a heavy one (3 threads), and engines of 10 cores.
 pub fn settings() -> Settings {
     let class = |aim_ms: u64, deadline_ms: u64, threads: f64| ClassSettings {
         target_latency_ns: aim_ms * MS,
@@ -58,7 +58,7 @@
     }
 }
 
-/// A controller with a clock that the test moves.
+/// A controller and the current time.
 pub struct Harness {
     pub c: Controller,
     pub now: u64,
@@ -89,7 +89,7 @@
     pub fn finish(&mut self, o: Outcome) -> Vec<Action> {
         self.on(Event::Outcome(o))
     }
-    /// Runs a request to its end on whatever engine it goes to.
+    /// Sends a request and completes it on the chosen engine.
     pub fn serve(&mut self, r: Request, latency_ms: u64, work_ms: Option<u64>) {
         let sent_to = sent_to(&self.send_request(r)).expect("sent");
         self.now += latency_ms * MS;
@@ -99,7 +99,7 @@
     }
 }
 
-/// The engine of the first send.
+/// The engine of the first send, if any.
 pub fn sent_to(actions: &[Action]) -> Option<u64> {
     actions.iter().find_map(|a| match a {
         Action::Send { engine, .. } => Some(engine.0),
@@ -119,7 +119,7 @@
     actions.iter().any(|a| matches!(a, Action::Cancel { .. }))
 }
 
-/// The timers asked for, earliest first: time from now, token.
+/// Requested timers as delay and token, earliest first.
 pub fn timers(actions: &[Action]) -> Vec<(u64, TimerToken)> {
     let mut all: Vec<_> = actions
         .iter()
--- a/crates/control/tests/demand_check.rs
+++ b/crates/control/tests/demand_check.rs
@@ -1,11 +1,11 @@
-//! The two-stage check by hand: one engine of 10 cores, no reports, one gateway, so room is 10 cores.
-//! Single-thread queries wanted within 4 s: demand may reach 40 core-seconds by then.
+//! Admission check with one engine of 10 cores, one router and no load reports. Single-thread
+//! queries with a target of 4 s may demand 40 core-seconds.
 
 mod common;
 use common::*;
 use marljunction_control::interface::*;
 
-/// Class 0 is wanted within 1 s, class 1 within 4 s, both on one thread.
+/// Both classes use one thread; their targets are 1 s and 4 s.
 fn harness() -> Harness {
     let mut s = settings();
     s.classes[1].threads = 1.0;
@@ -29,8 +29,8 @@
 
 #[test]
 fn queries_due_later_keep_their_capacity() {
-    // The newcomer is due in 1 s: 0.9 / 10 passes stage one; through the last query due in 4 s the sum
-    // is 39.5 + 0.9 = 40.4 of 40. With 0.4 it is 39.9.
+    // The new query is due in 1 s: 0.9 / 10 passes on its own, but the demand until 4 s becomes
+    // 39.5 + 0.9 = 40.4 of 40. With 0.4 it is 39.9.
     let mut w = harness();
     send_queries(&mut w, 10, 3_950);
     assert!(refused(&w.send_request(request(90, 0, 900))));
@@ -39,7 +39,7 @@
 
 #[test]
 fn elapsed_time_reduces_remaining_work() {
-    // After 1 s the ten have 10 x 2.9 = 29 left: 3.9 more by a deadline 4 s off is 32.9 / 40.
+    // After 1 s, 10 x 2.9 = 29 remain: with 3 more, due in 4 s, the demand is 32 / 40.
     let mut w = harness();
     send_queries(&mut w, 10, 3_900);
     assert_eq!(sent_to(&w.at(1_000).send_request(request(90, 1, 3_000))), Some(1));
@@ -47,8 +47,8 @@
 
 #[test]
 fn progress_updates_replace_elapsed_time() {
-    // After 1 s by the clock 29 are left; notes say that a tenth is done: 10 x 3.51 = 35.1. Through the
-    // ten, due in 3 s, that is already 35.1 / 30 with nothing new, where 29 / 30 passes.
+    // By elapsed time 29 remain after 1 s; updates report a tenth done, so 10 x 3.51 = 35.1 remain.
+    // The ten are due in 3 s: 35.1 / 30 fails without a new query, 29 / 30 passes.
     let mut w = harness();
     send_queries(&mut w, 10, 3_900);
     w.at(1_000);
@@ -72,7 +72,7 @@
 
 #[test]
 fn client_time_limit_bounds_the_deadline() {
-    // 2 s left in place of 4: 20 core-seconds, of which 18 are taken; 2.5 do not fit, 1.5 do.
+    // 2 s rather than 4: 20 core-seconds, 18 in use; 2.5 do not fit, 1.5 do.
     let mut w = harness();
     for id in 0..10 {
         let mut r = request(id, 1, 1_800);
@@ -108,7 +108,7 @@
 
 #[test]
 fn target_latency_bounds_demand_rather_than_the_deadline() {
-    // 5 s alone would fit the deadline of 20 s, but not the wanted 4 s; with a stretch of 1 it does.
+    // With a stretch of 1 the target of 4 s is extended by the time alone.
     let mut w = harness();
     w.c = marljunction_control::Controller::new(
         {
@@ -120,7 +120,8 @@
         7,
     );
     w.on(Event::Membership(MembershipKind::Cached, vec![entry(1)]));
-    // Demand: wanted within 4 + 3.9 = 7.9 s, 79 core-seconds; 17 x 3.9 = 66.3 pass, the knee allows 25.
+    // Target 4 + 3.9 = 7.9 s: 17 x 3.9 = 66.3 of 79 core-seconds, and within the limit of 25
+    // threads.
     send_queries(&mut w, 17, 3_900);
     let mut strict = harness();
     send_queries(&mut strict, 10, 3_900);
@@ -129,9 +130,9 @@
 
 #[test]
 fn reported_busy_share_limits_capacity() {
-    // Nine of ten cores are busy with others' work. With n own threads the room is the greater of the idle
-    // core and a fair part, 10 x n / (n + 9): 3n core-seconds against 4 s of it are 12 / 12.3 for the
-    // fourth query and 15 / 14.3 for the fifth. Without the report all five pass.
+    // Peers use nine of ten cores. With n own threads the available cores are the greater of the
+    // idle core and a fair share, 10 x n / (n + 9): 3n core-seconds within 4 s are 12 / 12.3 for
+    // the fourth query and 15 / 14.3 for the fifth. Without the report all five pass.
     let mut w = harness();
     let report = LoadReport { busy_share: Some(0.9), ..LoadReport::default() };
     w.on(Event::Probed(EngineId(1), Status::Done, Some(report)));
@@ -142,20 +143,20 @@
 
 #[test]
 fn engines_without_reports_count_as_average() {
-    // Engine 2 was never heard: it is taken to be as busy as engine 1, not idle.
+    // Engine 2 has no report: it counts as busy as engine 1, not as idle.
     let mut s = Settings { report_source: ReportSource::Probes, ..settings() };
     s.classes[1].threads = 1.0;
     let mut w = Harness::new(s, &[1, 2]);
     let report = LoadReport { busy_share: Some(1.0), ..LoadReport::default() };
     w.on(Event::Probed(EngineId(1), Status::Done, Some(report)));
     let placed = (0..12).filter(|id| sent_to(&w.send_request(request(*id, 1, 3_800))) == Some(2)).count();
-    assert!(placed <= 2, "{placed} queries of 3.8 core-seconds on an engine taken as busy");
+    assert!(placed <= 2, "{placed} queries of 3.8 core-seconds on an engine without a report");
 }
 
 #[test]
 fn estimates_are_corrected_by_reported_work() {
-    // Answers tell twice the estimate: 1.9 estimated is 3.8 true, so ten fit 40 core-seconds; taken as
-    // told, twenty-one would.
+    // Reported work is twice the estimate: 1.9 estimated is 3.8 actual, so ten fit 40 core-seconds;
+    // uncorrected, twenty-one would.
     let mut s = settings();
     s.classes[1].threads = 1.0;
     s.answers_report_cost = true;
@@ -169,7 +170,8 @@
 
 #[test]
 fn learned_mean_replaces_missing_estimates() {
-    // Latency x threads: 3 s on one thread. Thirteen fit 40 core-seconds, the fourteenth does not.
+    // Latency times threads is 3 core-seconds: thirteen fit 40 core-seconds, the fourteenth does
+    // not.
     let mut s = settings();
     s.classes[1].threads = 1.0;
     let mut w = Harness::new(s, &[1]);
@@ -182,7 +184,8 @@
 
 #[test]
 fn light_traffic_uses_a_small_subset_of_engines() {
-    // Sixty idle engines, one query at a time: spread over all of them, none would be met twice in a minute.
+    // Sixty idle engines, one query at a time: spread over all, reports and connections would be
+    // stale.
     let engines: Vec<u64> = (1..=60).collect();
     let met = |seed| {
         let mut w = Harness::new(Settings { router_count: 100, ..settings() }, &engines);
@@ -199,7 +202,7 @@
     };
     assert!(met(1).len() <= 6, "{:?}", met(1));
     let all: std::collections::BTreeSet<u64> = (0..100).flat_map(met).collect();
-    assert!(all.len() >= 58, "a hundred gateways leave {} of 60 engines unused", 60 - all.len());
+    assert!(all.len() >= 58, "a hundred routers leave {} of 60 engines unused", 60 - all.len());
 }
 
 #[test]
--- a/crates/control/tests/failures.rs
+++ b/crates/control/tests/failures.rs
@@ -1,4 +1,4 @@
-//! One small test for each failure found; each fails when its guard is taken out.
+//! Regression tests for load estimation, health, cancellation and engine choice.
 
 mod common;
 use common::*;
@@ -10,7 +10,7 @@
 
 #[test]
 fn threads_per_core_are_limited() {
-    // Tiny queries leave the demand near zero, yet 2.5 threads a core are the end: 25 on 10 cores.
+    // Tiny queries create little demand, but 2.5 threads per core are the limit: 25 on 10 cores.
     let mut w = Harness::new(settings(), &[1]);
     assert_eq!(count_sent(&mut w, 0..40, 0, 10), 25);
 }
@@ -28,8 +28,8 @@
 
 #[test]
 fn granted_memory_shows_load_beyond_saturated_cores() {
-    // Busy at 1 is 10 threads and leaves room for some; a memory share of 0.9 at 500 MB x 1.2 a query
-    // is 15, which leaves fewer.
+    // A busy share of 1 indicates 10 threads; a memory share of 0.9 at 500 MB x 1.2 per query
+    // indicates 15, so fewer queries are sent.
     let passed = |memory| {
         let mut w = Harness::new(settings(), &[1]);
         let r = |id| Request { memory_estimate_mb: Some(500.0), ..request(id, 0, 300) };
@@ -46,7 +46,7 @@
 
 #[test]
 fn light_queries_are_spread_over_engines() {
-    // Both engines pass with room to spare; the fair share of the cores tells them apart.
+    // Both engines pass; the lower load factor decides, so both are used.
     let mut w = Harness::new(settings(), &[1, 2]);
     let busy = sent_to(&w.send_request(request(1, 1, 3_000))).unwrap();
     for id in 2..4 {
@@ -63,7 +63,8 @@
 
 #[test]
 fn own_new_attempts_are_not_subtracted_from_reported_load() {
-    // 12 in flight were reported before this gateway sent 8: the others are 12, not 4.
+    // 12 in flight are reported while 8 new attempts are not yet included: the peers have 12, not
+    // 4.
     let mut w = Harness::new(settings(), &[1]);
     w.serve(request(1, 0, 300), 300, None);
     w.now += 10 * S;
@@ -71,8 +72,8 @@
     assert_eq!(placed, 8);
     let report = LoadReport { in_flight: Some(12.0), ..LoadReport::default() };
     w.on(Event::Probed(EngineId(1), Status::Done, Some(report)));
-    assert_eq!(count_sent(&mut w, 20..25, 0, 300), 5, "12 + 8 + 5 threads are 2.5 a core");
-    assert_eq!(count_sent(&mut w, 25..26, 0, 300), 0, "the next would be past the knee");
+    assert_eq!(count_sent(&mut w, 20..25, 0, 300), 5, "12 + 8 + 5 threads are 2.5 per core");
+    assert_eq!(count_sent(&mut w, 25..26, 0, 300), 0, "the next would exceed the thread limit");
 }
 
 #[test]
@@ -92,7 +93,7 @@
     let actions = w.send_request(request(1, 1, 3_000));
     let first = sent_to(&actions).unwrap();
     let (after, token) = timers(&actions)[0];
-    assert_eq!(after, 3_000 * MS, "3 x 3 core-seconds on 3 threads, as nothing is learned yet");
+    assert_eq!(after, 3_000 * MS, "3 times the expected 1 s, without samples");
     w.now += after;
     assert!(cancelled(&w.on(Event::Timer(token))));
     let again = w.finish(outcome(1, 0, first, Status::Cancelled, 3_000));
@@ -128,7 +129,7 @@
         w.now += 5 * MS;
         if engine == 1 {
             let again = w.finish(outcome(id, 0, 1, Status::Error, 5));
-            assert_eq!(sent_to(&again), Some(2), "an error is tried on another engine");
+            assert_eq!(sent_to(&again), Some(2), "an error is retried on another engine");
             w.finish(outcome(id, 1, 2, Status::Done, 100));
         } else {
             w.finish(outcome(id, 0, 2, Status::Done, 100));
@@ -137,7 +138,7 @@
     for id in 20..30 {
         assert_eq!(sent_to(&w.send_request(request(id, 0, 100))), Some(2), "suspended");
     }
-    // After the wait one query tries it, and no second while that is out.
+    // After the backoff one query is a trial; no second one is sent while it runs.
     w.now += 2 * S;
     let tried: Vec<u64> =
         (30..40).filter(|id| sent_to(&w.send_request(request(*id, 0, 100))) == Some(1)).collect();
@@ -171,7 +172,7 @@
         assert!(cancelled(&w.on(Event::Timer(token))));
         w.finish(outcome(id, 0, 1, Status::Cancelled, 400));
     }
-    assert!(refused(&w.send_request(request(9, 0, 100))), "nothing goes to an engine that answers nothing");
+    assert!(refused(&w.send_request(request(9, 0, 100))), "nothing is sent to an unresponsive engine");
 }
 
 #[test]
@@ -187,7 +188,7 @@
     for id in 100..130 {
         to_slow += u32::from(sent_to(&w.send_request(request(id, 1, 2_000))) == Some(1));
     }
-    assert!(to_slow < 8, "{to_slow} of 30 to an engine eight times slower; an even part is 10");
+    assert!(to_slow < 8, "{to_slow} of 30 to an engine eight times slower; an even share is 10");
 }
 
 #[test]
@@ -242,8 +243,8 @@
 
 #[test]
 fn cold_engine_without_report_is_used() {
-    // The warm engine holds 11 threads of others on 10 cores; taken for as many, a cold one of 4 cores'
-    // worth would be past the knee and never be tried.
+    // Peers have 11 threads on the 10 cores of the warm engine. With as many assumed, the cold one,
+    // with the capacity of 4 cores, would exceed the thread limit and stay unused.
     let s = Settings { warmup_ns: Some(10 * S), initial_capacity: Some(0.4), ..settings() };
     let mut w = Harness::with(s, vec![entry(1), EngineEntry { started_ns: Some(T0), ..entry(2) }]);
     w.serve(request(99, 0, 100), 100, None);
@@ -258,13 +259,13 @@
     let mut w = Harness::new(settings(), &[1, 2]);
     let (_, token) = timers(&w.send_request(Request { time_left_ns: 3_500 * MS, ..request(1, 1, 3_000) }))[0];
     let actions = w.at(3_100).on(Event::Timer(token));
-    assert!(cancelled(&actions) && refused(&actions), "0.4 s are left, another attempt needs 1 s");
+    assert!(cancelled(&actions) && refused(&actions), "0.4 s remain, a retry needs 1 s");
 }
 
 #[test]
 fn overrun_limit_follows_latency_variance() {
-    // Answers that take as long as expected: cancelled at 2x. Off by a factor of two either way: at
-    // exp(2.2 x ln 2), 4.6x.
+    // Latencies as expected: cancelled at 2x. Off by a factor of two either way: at exp(2.2 x ln
+    // 2), 4.6x.
     for (latencies, multiple) in [([100, 100], 2.0), ([50, 200], 4.59)] {
         let mut w = Harness::new(settings(), &[1]);
         for id in 0..200 {
@@ -292,11 +293,11 @@
 
 #[test]
 fn query_goes_to_an_engine_with_its_data_set_cached() {
-    // Every engine is as empty as the others; only the data sets sent before tell them apart.
+    // All engines are equally loaded; only the cached data sets differ.
     let mut w = Harness::new(settings(), &[1, 2, 3]);
     let on = |id, set| Request { data_set: Some(set), ..request(id, 1, 1_000) };
     let home: Vec<u64> = (0..3).map(|set| sent_to(&w.send_request(on(set, set))).unwrap()).collect();
-    assert_eq!(home.iter().sum::<u64>(), 6, "one each");
+    assert_eq!(home.iter().sum::<u64>(), 6, "one on each engine");
     for (set, engine) in home.iter().enumerate() {
         w.finish(outcome(set as u64, 0, *engine, Status::Done, 333));
     }
@@ -311,7 +312,8 @@
 
 #[test]
 fn probe_rate_is_independent_of_fleet_size() {
-    // Sixty engines that only probes report on: each arrival probes one, and each engine has its turn.
+    // Load is reported by probes only: each arrival probes one of sixty engines, and all have their
+    // turn.
     let s = Settings { report_source: ReportSource::Probes, ..settings() };
     let ids: Vec<u64> = (1..61).collect();
     let mut w = Harness::new(s, &ids);
@@ -335,7 +337,7 @@
 
 #[test]
 fn refusing_router_recovers_by_probing() {
-    // Both engines were reported full. Without probes nothing would be sent, and so nothing heard, for good.
+    // Both engines are reported full. Without probes nothing would be sent and no report received.
     let mut w = Harness::new(Settings { report_source: ReportSource::Answers, ..settings() }, &[1, 2]);
     let report = |all| Some(LoadReport { in_flight: Some(all), ..LoadReport::default() });
     w.serve(request(1, 0, 100), 100, None);
@@ -353,12 +355,12 @@
             }
         }
     }
-    panic!("refused for eight seconds after the engines had emptied");
+    panic!("refused for eight seconds after the engines became idle");
 }
 
 #[test]
 fn rarely_used_engine_is_suspended_by_one_failure() {
-    // Three in a row where it is met often; where the last outcome is long past, the latest says most.
+    // A recent success outweighs one failure; after a long gap the failure dominates.
     for (gap_ms, out) in [(100, false), (10_000, true)] {
         let mut w = Harness::new(settings(), &[1]);
         w.serve(request(1, 0, 100), 100, None);
@@ -371,7 +373,7 @@
 
 #[test]
 fn trials_of_suspended_engines_are_rate_limited() {
-    // Nineteen of twenty engines hang: without a ration each of them would cost a query every few seconds.
+    // Nineteen of twenty engines fail: unlimited, each would cost a query every few seconds.
     let ids: Vec<u64> = (1..21).collect();
     let mut w = Harness::new(settings(), &ids);
     for engine in 2..21 {
@@ -401,12 +403,12 @@
             w.finish(outcome(id, 0, engine, Status::Refused, 1));
         }
     }
-    assert!((1..=6).contains(&tried), "{tried} of 100 queries tried an engine that is out");
+    assert!((1..=6).contains(&tried), "{tried} of 100 queries were trials of suspended engines");
 }
 
 #[test]
 fn routers_with_equal_reports_choose_different_engines() {
-    // Forty engines, one a little emptier than the others: of forty gateways that all know it, few go there.
+    // Of forty routers with the same reports, few choose the one engine with a lower load.
     let ids: Vec<u64> = (1..41).collect();
     let mut picked = std::collections::BTreeMap::new();
     for seed in 0..40 {
@@ -425,7 +427,7 @@
 
 #[test]
 fn latency_indicates_load_without_reports() {
-    // Of two gateways' engines, one answers three times as slowly as alone, as told by the true work.
+    // Engine 1 answers 2.4 times as slowly as its reported work takes alone.
     let s = Settings { router_count: 2, answers_report_cost: true, ..settings() };
     let mut w = Harness::new(s, &[1, 2]);
     for id in 0..40 {
@@ -436,13 +438,13 @@
         w.finish(Outcome { work_ns, ..outcome(id, 0, engine, Status::Done, latency) });
     }
     let crowded = (100..120).filter(|id| sent_to(&w.send_request(request(*id, 1, 1_500))) == Some(1)).count();
-    assert!(crowded <= 3, "{crowded} of 20 on the engine that answers show as crowded");
+    assert!(crowded <= 3, "{crowded} of 20 on the engine with high latency");
 }
 
 #[test]
 fn memory_grants_exceed_the_corrected_estimate_by_a_margin() {
-    // Answers tell twice the estimated memory: 100 MB estimated is granted 2 x 1.4; before any answer told it,
-    // and where answers don't, the engine chooses.
+    // Reported memory is twice the estimate: 100 MB estimated is granted 2 x 1.4. Without reported
+    // memory the engine chooses.
     for (told, grant) in [(Some(200.0), 280), (None, 0)] {
         let s = Settings { grants: true, priorities: true, max_grant_share: Some(0.5), ..settings() };
         let mut w = Harness::new(s, &[1]);
@@ -459,8 +461,8 @@
 
 #[test]
 fn blocked_loads_have_a_higher_overrun_limit() {
-    // One second of work alone: 3 s are past the patience with other queries, but a load may have to wait for
-    // another's to end. In the end it is cancelled all the same, as its engine may hang.
+    // An expected 1 s is overrun at 3 s, but a load may wait for another one. It is still cancelled
+    // at 9 s, since its engine may hang.
     for (is_load, waits_for_loads, patience) in [(false, false, 3), (true, false, 9), (false, true, 9)] {
         let mut s = settings();
         (s.classes[1].is_load, s.classes[1].waits_for_loads) = (is_load, waits_for_loads);
@@ -474,8 +476,8 @@
 
 #[test]
 fn one_slow_answer_does_not_block_an_engine_for_long() {
-    // An answer that took ten times as long as alone, in a jam of a moment: the engine is full for a while, and
-    // open again within seconds, though nothing newer is heard of it.
+    // One answer takes ten times as long as alone: the engine counts as full at first, but is used
+    // again within a second without a newer report.
     let s = Settings { router_count: 2, answers_report_cost: true, ..settings() };
     let mut w = Harness::new(s, &[1]);
     sent_to(&w.send_request(request(1, 0, 100))).unwrap();
@@ -490,7 +492,7 @@
 
 #[test]
 fn thread_limit_is_lower_where_queries_do_not_queue_for_memory() {
-    // 2.5 threads a core where part of them may stand in the engine's line, 2 where all of them run.
+    // 2.5 threads per core where some may queue for memory, 2 where all run.
     for (memory_shortage, most) in
         [(MemoryShortage::Wait, 25), (MemoryShortage::Shrink, 20), (MemoryShortage::Page, 20)]
     {
@@ -501,8 +503,8 @@
 
 #[test]
 fn one_own_query_is_not_multiplied_by_all_peers() {
-    // Sixty engines, heard idle; a gateway that has just sent one heavy query to each of a few of them still
-    // finds room for more on the same. Multiplied by its peers, each would count as hundreds of threads.
+    // One heavy query was sent to an engine reported as mostly idle. Multiplied by 300 peers it
+    // would count as hundreds of threads, and the engine would be refused.
     let ids: Vec<u64> = (1..61).collect();
     let mut w = Harness::new(Settings { router_count: 300, ..settings() }, &ids);
     for engine in &ids {
@@ -517,7 +519,7 @@
     assert_eq!(sent_to(&w.send_request(request(2, 0, 100))), Some(1));
 }
 
-/// Settings where probes report load.
+/// Settings in which probes report load.
 fn settings_with_probes() -> Settings {
     Settings { report_source: ReportSource::Probes, ..settings() }
 }
@@ -528,8 +530,8 @@
 
 #[test]
 fn granted_memory_does_not_outweigh_idle_cores() {
-    // A fifth of the cores is busy while 0.8 of the memory is granted: read as threads by this gateway's own few
-    // queries, that had quiet engines refused.
+    // Granted memory of 0.8, converted to threads by this router's few queries, would indicate a
+    // full engine although only a fifth of its cores is busy.
     let mut w = Harness::new(settings_with_probes(), &[1]);
     let with_memory = |id| Request { memory_estimate_mb: Some(100.0), ..request(id, 0, 300) };
     w.serve(with_memory(1), 300, None);
@@ -541,7 +543,7 @@
 
 #[test]
 fn engine_with_granted_memory_receives_nothing_more() {
-    // Cores are mostly idle, but memory is room of its own kind; where grants are trimmed, queries spill sooner.
+    // Memory limits an engine despite idle cores; the limit is lower where grants shrink.
     let report = |x| LoadReport { busy_share: Some(0.3), memory_share: Some(x), ..LoadReport::default() };
     for (memory_shortage, granted, full) in [
         (MemoryShortage::Page, 1.2, true),
@@ -557,7 +559,7 @@
 
 #[test]
 fn busy_disks_count_as_busy_cores() {
-    // All of the disks are busy and few of the cores: what is sent there waits all the same.
+    // Queries on an engine with busy disks wait even if its cores are idle.
     for (busy, idle) in [(1, 2), (2, 1)] {
         let mut w = Harness::new(settings_with_probes(), &[1, 2]);
         let report =
@@ -570,7 +572,7 @@
 
 #[test]
 fn many_in_flight_queries_indicate_overload_despite_idle_cores() {
-    // Six queries a core in hand and cores at 0.6: the disks, which are not told, are full.
+    // Six queries per core and a busy share of 0.6: the disks, which are not reported, are full.
     let mut w = Harness::new(settings_with_probes(), &[1]);
     w.serve(request(1, 0, 300), 300, None);
     let report = LoadReport { busy_share: Some(0.6), in_flight: Some(60.0), ..LoadReport::default() };
@@ -581,7 +583,8 @@
 
 #[test]
 fn removed_engines_are_not_candidates() {
-    // Hundreds of engines came and went; of the two that are left the idle one is picked, not one by chance.
+    // After hundreds of engines were added and removed, the idle one of the remaining two is always
+    // chosen.
     let mut w = Harness::new(settings_with_probes(), &[1, 2]);
     let gone = |id| EngineEntry { state: EngineState::Gone, ..entry(id) };
     let (came, went) = ((100..500).map(entry).collect(), (100..500).map(gone).collect());
@@ -598,8 +601,8 @@
 
 #[test]
 fn loads_on_one_data_set_are_spread_over_engines() {
-    // The second load on a set would stand still behind the first, though its engine is idler; the third, which
-    // would stand behind either for longer than it has, is refused, and one on another set is not.
+    // The second load on a data set would wait for the first, so it goes to the busier engine. The
+    // third would wait too long on either and is refused; a load on another data set is not.
     let mut s = settings_with_probes();
     s.classes[0].is_load = true;
     let mut w = Harness::new(s, &[1, 2]);
@@ -615,7 +618,7 @@
 
 #[test]
 fn moderate_in_flight_counts_do_not_hide_idle_cores() {
-    // Nearly three threads a core in hand and cores at 0.4: most of them read, and cores are free.
+    // Nearly three queries per core and a busy share of 0.4: most of them read, and cores are free.
     let mut w = Harness::new(settings_with_probes(), &[1]);
     w.serve(request(1, 0, 300), 300, None);
     let report = LoadReport { busy_share: Some(0.4), in_flight: Some(28.0), ..LoadReport::default() };
@@ -626,7 +629,7 @@
 
 #[test]
 fn refusing_router_without_probes_recovers() {
-    // Figures come with answers alone. Refusing all, it would hear of no engine again, for good.
+    // Reports only come with answers, so a router that refuses everything would receive none.
     let s = Settings { report_source: ReportSource::Answers, may_probe: false, ..settings() };
     let mut w = Harness::new(s, &[1]);
     w.send_request(request(1, 0, 300));
@@ -635,13 +638,13 @@
         Some(LoadReport { busy_share: Some(1.0), memory_share: Some(1.3), ..LoadReport::default() });
     w.finish(full);
     let tries = (2..80).find(|id| sent_to(&w.send_request(request(*id, 0, 300))).is_some());
-    let tries = tries.expect("refused for good");
-    assert!(tries > 5, "a figure just heard holds: sent at request {tries}");
+    let tries = tries.expect("refused indefinitely");
+    assert!(tries > 5, "a recent report still counts: sent at request {tries}");
 }
 
 #[test]
 fn rejecting_engine_is_avoided_for_a_while() {
-    // It answers in milliseconds and tells no load: judged by that it would look the emptiest of all.
+    // It rejects within milliseconds without a load report: by latency it would look idle.
     let mut w = Harness::new(settings(), &[1, 2]);
     let first = sent_to(&w.send_request(request(1, 0, 300))).expect("sent");
     let next = sent_to(&w.finish(outcome(1, 0, first, Status::Busy, 2))).expect("sent again");
@@ -653,7 +656,7 @@
 
 #[test]
 fn overrun_limit_grows_if_retries_are_overrun_too() {
-    // The class's estimates are too low; it has no bad plans, so cancelling it only loses what was done.
+    // The estimates of the class are too low, so cancelling only wastes work.
     let run = |vain: u64| {
         let engines: Vec<u64> = (1..41).collect();
         let mut w = Harness::new(Settings { max_attempts: Some(9), ..settings() }, &engines);
@@ -671,13 +674,13 @@
         w.now += 2 * S;
         cancelled(&w.on(Event::Progress(RequestId(900), 0, AttemptUpdate::Progress(0.25))))
     };
-    assert!(run(0), "a bad plan is cancelled at first");
-    assert!(!run(4), "where new attempts outran their need as well, it is let run");
+    assert!(run(0), "an overrun attempt is cancelled at first");
+    assert!(!run(4), "it may continue if retries were overrun as well");
 }
 
 #[test]
 fn busy_router_does_not_assume_equally_busy_peers() {
-    // Engines are a fifth busy with others' work; this one of fifty gateways sends ten queries a second.
+    // Peers use a fifth of the engines; this one of fifty routers sends ten queries per second.
     let mut w = Harness::new(Settings { router_count: 50, ..settings_with_probes() }, &[1, 2, 3]);
     let report = LoadReport { busy_share: Some(0.2), ..LoadReport::default() };
     for id in 0..40 {
@@ -693,7 +696,7 @@
 
 #[test]
 fn refusal_after_an_overrun_has_retry_advice() {
-    // An attempt that outran its need too late for another is refused with advice, as any other.
+    // An attempt that is overrun too late for a retry is refused with advice.
     let mut w = Harness::new(Settings { max_attempts: Some(1), ..settings() }, &[1]);
     w.send_request(request(1, 0, 300));
     w.now += 2 * S;
@@ -707,7 +710,8 @@
 
 #[test]
 fn unused_engines_are_not_slow_after_one_fast_answer() {
-    // The first answer took a tenth of what was expected: against that mean every other engine looked slow.
+    // The first latency is a tenth of the expected one; relative to it, unused engines must not
+    // look slow.
     let mut w = Harness::new(settings(), &[1, 2, 3]);
     let first = sent_to(&w.send_request(request(1, 0, 500))).expect("sent");
     w.now += 40 * MS;
@@ -735,15 +739,15 @@
     assert_eq!(
         sent_to(&w.send_request(request(2, 1, 100))),
         None,
-        "nothing that a repeat may harm is sent as a trial"
+        "at-most-once requests are not used as trials"
     );
     assert_eq!(sent_to(&w.send_request(request(3, 0, 100))), Some(1));
     assert!(refused(&w.send_request(request(4, 0, 100))), "one at a time");
-    // The trial failed: this gateway would wait for one of its own, but others were served meanwhile.
+    // The local trial failed, but the shared verdict readmits the engine.
     w.finish(outcome(3, 0, 1, Status::Refused, 5));
     w.on(Event::VerdictChanged(EngineId(1), Verdict::Well));
     assert_eq!(sent_to(&w.send_request(request(5, 0, 100))), Some(1));
-    // A new life of the engine is nobody's verdict yet.
+    // A restart of the engine clears the verdict.
     w.on(Event::VerdictChanged(EngineId(1), Verdict::Out));
     let started = EngineEntry { started_ns: Some(T0 + 1), ..entry(1) };
     w.on(Event::Membership(MembershipKind::Delta, vec![started]));
--- a/crates/control/tests/rules.rs
+++ b/crates/control/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The seven rules, directly and over seeded event streams.
+//! Tests of the hard rules: final answers, effects, placement, draining, cold engines, ordering and
+//! retry budget; individually, and with random event streams.
 
 mod common;
 use common::*;
@@ -39,7 +40,7 @@
         let actions = w.finish(outcome(1, 0, engine, status, 5));
         assert_eq!(sent_to(&actions).is_some(), again, "{status:?}");
         assert_eq!(failed(&actions), !again, "{status:?}");
-        assert!(!refused(&actions), "{status:?}: a refusal promises that a retry does no harm");
+        assert!(!refused(&actions), "{status:?}: a refusal promises that a retry is safe");
     }
 }
 
@@ -78,7 +79,7 @@
         assert_eq!(
             sent_to(&w.send_request(request(id, 0, 100))),
             Some(2),
-            "absent from a whole list is gone"
+            "an engine missing from a full list is removed"
         );
     }
 }
@@ -95,8 +96,8 @@
 
 #[test]
 fn router_stays_within_its_share_of_a_cold_engine() {
-    // 10 cores x 0.85 x 0.4 = 3.4 core-seconds a second; twice that for 1 s is 6.8, for one gateway or all
-    // owners together: at most 3.4 for each of two, in any second.
+    // 10 cores x 0.85 x 0.4 = 3.4 core-seconds per second, twice that for 1 s is 6.8: the limit for
+    // one router, or 3.4 for each of two, in any second.
     for router_count in [1, 2] {
         let list = vec![EngineEntry { started_ns: Some(T0), ..entry(1) }];
         let mut w = Harness::with(Settings { router_count, ..cold() }, list);
@@ -112,7 +113,7 @@
                 sends.push_back(w.now);
             }
             sends.retain(|t| t + S >= w.now);
-            assert!(sends.len() as f64 * 0.1 <= 6.8 / f64::from(router_count), "{router_count} gateways");
+            assert!(sends.len() as f64 * 0.1 <= 6.8 / f64::from(router_count), "{router_count} routers");
         }
         assert!(!sends.is_empty());
     }
@@ -120,9 +121,9 @@
 
 #[test]
 fn routers_together_use_a_cold_engine_within_its_budget() {
-    // Gateways side by side, all of which would send to nothing but the engine that has just started; one in
-    // five restarts meanwhile. In any second the work of all together is at most 6.8 core-seconds, and whole
-    // heavy queries (2 core-seconds) get through however many gateways there are.
+    // All routers send to the one engine, which has just started; every fifth restarts meanwhile.
+    // Their work stays within 6.8 core-seconds in any second, and heavy queries (2 core-seconds)
+    // are sent too.
     for router_count in [1, 3, 10, 60, 300] {
         for heavy in [false, true] {
             let list = |started| vec![EngineEntry { started_ns: Some(started), ..entry(1) }];
@@ -152,9 +153,9 @@
                 }
                 sends.retain(|at| at + 1_000 >= ms);
                 let work = sends.len() as f64 * work_ms as f64 / 1_000.0;
-                assert!(work <= 6.8, "{router_count} gateways sent {work} core-seconds in a second");
+                assert!(work <= 6.8, "{router_count} routers sent {work} core-seconds in a second");
             }
-            assert!(total > 0, "{router_count} gateways never used the cold engine");
+            assert!(total > 0, "{router_count} routers never used the cold engine");
         }
     }
 }
@@ -167,7 +168,8 @@
     assert_eq!(sent_to(&w.at(1_001).send_request(request(2, 0, 100))), Some(1));
 }
 
-/// Queries of 0.1 core-seconds that an engine gets at once, having failed three attempts like this.
+/// Number of queries of 0.1 core-seconds sent to an engine after three attempts ended with
+/// `status`.
 fn sent_after_failures(status: Status) -> u32 {
     let mut w = Harness::new(Settings { router_count: 4, ..cold() }, &[1]);
     for id in 1..4 {
@@ -189,7 +191,7 @@
 
 #[test]
 fn engine_back_from_refused_connections_is_cold() {
-    // Half of 5.4 core-seconds in the window: 27 queries of 0.1 with the trial, however fast they are answered.
+    // Half of 5.4 core-seconds per window: 27 queries of 0.1 with the trial, regardless of latency.
     let passed = sent_after_failures(Status::Refused);
     assert!((20..=26).contains(&passed), "{passed}");
 }
@@ -231,7 +233,7 @@
         w.send_request(keyed(2, 5));
         let actions = w.at(2_000).on(Event::Expired(RequestId(1)));
         assert_eq!((refused(&actions), failed(&actions)), (harmless, !harmless));
-        assert_eq!(sent_to(&actions), None, "its attempt is out");
+        assert_eq!(sent_to(&actions), None, "its attempt is still running");
         let ended = Outcome { concluded: true, ..outcome(1, 0, first, Status::Cancelled, 2_100) };
         assert!(sent_to(&w.at(2_100).finish(ended)).is_some());
     }
@@ -239,7 +241,7 @@
 
 #[test]
 fn key_pauses_until_an_unconfirmed_attempt_must_have_ended() {
-    // The request has no further attempt, or one that is served: the first one may still run.
+    // The first attempt may still run, whether or not the request has a second, successful one.
     for attempts in [1, 2] {
         let mut w = Harness::new(Settings { max_attempts: Some(attempts), ..serial() }, &[1, 2]);
         let first = sent_to(&w.send_request(keyed(1, 5))).unwrap();
@@ -248,7 +250,7 @@
             Outcome { may_run_until_ns: T0 + 1_500 * MS, ..outcome(1, 0, first, Status::Reset, 100) };
         let mut actions = w.at(100).finish(unknown);
         if attempts == 2 {
-            let second = sent_to(&actions).expect("its own next attempt need not wait");
+            let second = sent_to(&actions).expect("its own retry need not wait");
             actions = w.at(500).finish(outcome(1, 1, second, Status::Done, 400));
         }
         assert_eq!(sent_to(&actions), None);
@@ -328,7 +330,7 @@
     assert_eq!(w.on(Event::Timer(token)), vec![Action::Subscribe]);
 }
 
-/// A small generator for streams of events.
+/// A linear congruential generator.
 struct Random(u64);
 
 impl Random {
@@ -338,7 +340,8 @@
     }
 }
 
-/// Plays a stream of arrivals, outcomes, drains and restarts, and holds each action against the rules.
+/// Runs a random stream of arrivals, outcomes, drains and restarts, checking each action against
+/// the rules. Returns a log of the actions.
 fn run_stream(seed: u64) -> String {
     let mut s = cold();
     s.router_count = 2;
@@ -418,20 +421,29 @@
                     let (r, expires) = open[&request.0];
                     let (made, ran) = *tries.entry(request.0).or_default();
                     let class = &s.classes[r.class.0];
-                    assert!(!out_on.contains_key(&request.0), "two attempts out");
-                    assert!(!down.contains(&engine.0), "sent to a draining engine");
-                    assert!(made == 0 || !ran || class.effect != Effect::AtMostOnce, "effect twice");
-                    assert!(class.only_zones.is_none() || engine.0 % 2 == 0, "placement");
-                    assert!(at + timeout_ns <= expires, "time-out past the deadline");
+                    assert!(!out_on.contains_key(&request.0), "two attempts at once");
+                    assert!(!down.contains(&engine.0), "sent to a draining or removed engine");
+                    assert!(
+                        made == 0 || !ran || class.effect != Effect::AtMostOnce,
+                        "at-most-once request repeated"
+                    );
+                    assert!(class.only_zones.is_none() || engine.0 % 2 == 0, "placement violated");
+                    assert!(at + timeout_ns <= expires, "timeout past the deadline");
                     if made > 0 {
                         extra.push(at);
                         let since = |t: &&u64| **t + 2 * S > at;
                         let allowed = 3.0 + 0.3 * taken.iter().filter(since).count() as f64;
-                        assert!(extra.iter().filter(since).count() as f64 <= allowed, "retry budget");
+                        assert!(
+                            extra.iter().filter(since).count() as f64 <= allowed,
+                            "retry budget exceeded"
+                        );
                     }
                     if let Some(key) = r.key {
-                        assert_eq!(order[&key][0], request.0, "out of turn");
-                        assert!(made > 0 || rests.get(&key).is_none_or(|t| *t <= at), "key at rest");
+                        assert_eq!(order[&key][0], request.0, "sent out of order");
+                        assert!(
+                            made > 0 || rests.get(&key).is_none_or(|t| *t <= at),
+                            "sent while the key is paused"
+                        );
                     }
                     tries.insert(request.0, (made + 1, ran));
                     out_on.insert(request.0, (made, engine.0));
@@ -462,11 +474,14 @@
                     due.insert((at + MS, 1 << 41 | serial_no), Event::Outcome(o));
                 }
                 Action::Refuse { request, .. } | Action::Fail(request) => {
-                    let (r, expires) = open.remove(&request.0).expect("one final answer only");
+                    let (r, expires) = open.remove(&request.0).expect("more than one final answer");
                     assert!(at <= expires, "answered after the deadline");
                     let ran = tries.get(&request.0).is_some_and(|t| t.1);
                     let unsafe_ran = ran && s.classes[r.class.0].effect == Effect::AtMostOnce;
-                    assert!(!unsafe_ran || matches!(action, Action::Fail(_)), "refused what may have run");
+                    assert!(
+                        !unsafe_ran || matches!(action, Action::Fail(_)),
+                        "refused an at-most-once request that may have run"
+                    );
                     order.values_mut().for_each(|q| q.retain(|x| *x != request.0));
                 }
                 Action::SetTimer { after_ns, token } => {
@@ -476,7 +491,7 @@
             }
         }
     }
-    assert!(open.is_empty(), "lost: {:?}", open.keys());
+    assert!(open.is_empty(), "requests without a final answer: {:?}", open.keys());
     log
 }
 
@@ -485,14 +500,15 @@
     for seed in 1..40 {
         let log = run_stream(seed);
         assert!(log.contains("Send") && log.contains("Refuse"));
-        assert_eq!(log, run_stream(seed), "same events, same actions");
+        assert_eq!(log, run_stream(seed), "equal events must yield equal actions");
     }
 }
 
 #[test]
 fn announced_cold_engine_keeps_its_owners_after_a_refused_connection() {
-    // Attempts were out when the start was told; one found no connection, one was answered. Each of two hundred
-    // gateways then took the engine for one without owners, and could send it half of the budget.
+    // Attempts are running when the start is announced; one connection is refused, one attempt
+    // succeeds. If each of two hundred routers took the engine for one without owners, it could
+    // send half of the budget.
     let mut sent_by_all = 0.0;
     for index in 0..200 {
         let mut w = Harness::new(Settings { router_count: 200, router_index: index, ..cold() }, &[1]);
@@ -514,7 +530,7 @@
 
 #[test]
 fn owners_of_a_cold_engine_grow_with_the_queries_that_fit() {
-    // Light queries: more than two of a hundred gateways may use the engine, and their shares stay within it.
+    // Light queries are small, so more than two of a hundred routers own a part of the budget.
     let list = vec![EngineEntry { started_ns: Some(T0 - S / 2), ..entry(1) }];
     let users = (0..100)
         .filter(|index| {
@@ -526,11 +542,11 @@
             sent_to(&w.send_request(request(1, 0, 50))).is_some()
         })
         .count();
-    assert!((3..=60).contains(&users), "{users} gateways use it");
+    assert!((3..=60).contains(&users), "{users} routers use it");
 }
 
-/// Core-seconds of both classes that a hundred gateways send a cold engine in its first window, where the 39 others
-/// hold 25 threads on 10 cores and nobody has heard of the cold one.
+/// Core-seconds per class that a hundred routers send to a cold engine without reports in its first
+/// window, while 39 other engines are reported with 25 threads on 10 cores.
 fn work_sent_by_hundred_routers(light_ms: u64, heavy_ms: u64) -> [f64; 2] {
     let mut by_class = [0.0; 2];
     for index in 0..100 {
@@ -553,17 +569,17 @@
 
 #[test]
 fn cold_engine_receives_queries_larger_than_one_routers_share() {
-    // The heavy class's half of the budget is 2.72 core-seconds; its queries are of 3.9, above what the settings let
-    // expect.
+    // The heavy half of the budget is 2.72 core-seconds; its queries need 3.9, more than by the
+    // settings.
     let [_, heavy] = work_sent_by_hundred_routers(200, 3_900);
-    assert!(heavy >= 3.9, "no heavy query came through");
+    assert!(heavy >= 3.9, "no heavy query was sent");
 }
 
 #[test]
 fn cold_engine_is_used_within_its_budget_while_others_are_full() {
-    // Taken for as full as the others, it stayed unused; and its owners look at it whichever few engines are drawn.
+    // The cold engine must not count as full as the others, and its owners must always consider it.
     let [light, heavy] = work_sent_by_hundred_routers(200, 3_000);
-    assert!(light >= 1.5, "{light} core-seconds of light queries: less than half of its capacity");
+    assert!(light >= 1.5, "{light} core-seconds of light queries: less than half of the capacity");
     assert!(light + heavy <= 6.8, "{light} and {heavy} core-seconds in a window");
 }
 
@@ -572,8 +588,8 @@
     let list = vec![EngineEntry { started_ns: Some(T0), ..entry(1) }];
     let mut w = Harness::with(Settings { router_count: 100, ..cold() }, list);
     w.on(Event::ColdShares(EngineId(1), [0.0, 0.0]));
-    assert!(refused(&w.send_request(request(0, 0, 100))), "none is told");
-    // 10 cores x 0.85 x 0.8 x 2 x 0.4: half of it is 2.7 core-seconds in a second for light ones.
+    assert!(refused(&w.send_request(request(0, 0, 100))), "no share is assigned");
+    // Half of 10 cores x 0.85 x 0.8 x 2 x 0.4 is 2.7 core-seconds per second for light classes.
     w.on(Event::ColdShares(EngineId(1), [1.0, 0.0]));
     let (mut used, mut count) = (0.0, 0);
     for id in 1..200 {
@@ -588,8 +604,8 @@
             }
         }
     }
-    assert!(count > 3 && used <= 1.0, "{count} sent that took {used} of the share");
-    // A tenth of it holds a tenth as many.
+    assert!(count > 3 && used <= 1.0, "{count} sent, {used} of the share used");
+    // With a tenth of the share a tenth as many are sent.
     w.now += S + 1;
     w.on(Event::ColdShares(EngineId(1), [0.1, 0.0]));
     let tenth = (200..400).filter(|id| sent_to(&w.send_request(request(*id, 0, 100))).is_some()).count();
