--- a/crates/control/tests/demand_check.rs
+++ b/crates/control/tests/demand_check.rs
@@ -187,21 +187,21 @@
     // Sixty idle engines, one query at a time: spread over all, reports and connections would be
     // stale.
     let engines: Vec<u64> = (1..=60).collect();
-    let met = |seed| {
+    let used_engines = |seed| {
         let mut w = Harness::new(Settings { router_count: 100, ..settings() }, &engines);
         w.c = marljunction_control::Controller::new(Settings { router_count: 100, ..settings() }, seed);
         w.on(Event::Membership(MembershipKind::Cached, engines.iter().map(|e| entry(*e)).collect()));
-        let mut met = std::collections::BTreeSet::new();
+        let mut used_engines = std::collections::BTreeSet::new();
         for id in 0..200 {
             w.now += 200 * MS;
             let engine = sent_to(&w.send_request(request(id, 0, 100))).expect("all are idle");
             w.finish(outcome(id, 0, engine, Status::Done, 100));
-            met.insert(engine);
+            used_engines.insert(engine);
         }
-        met
+        used_engines
     };
-    assert!(met(1).len() <= 6, "{:?}", met(1));
-    let all: std::collections::BTreeSet<u64> = (0..100).flat_map(met).collect();
+    assert!(used_engines(1).len() <= 6, "{:?}", used_engines(1));
+    let all: std::collections::BTreeSet<u64> = (0..100).flat_map(used_engines).collect();
     assert!(all.len() >= 58, "a hundred routers leave {} of 60 engines unused", 60 - all.len());
 }
 
--- a/crates/control/tests/failures.rs
+++ b/crates/control/tests/failures.rs
@@ -220,8 +220,8 @@
     let mut w = Harness::new(settings(), &[]);
     assert!(refused(&w.send_request(request(1, 0, 100))), "no engines");
     let mut w = Harness::with(settings(), vec![EngineEntry { kind: None, weight: 0.0, ..entry(1) }]);
-    let dead = Request { time_left_ns: 0, ..request(1, 0, 100) };
-    assert!(refused(&w.send_request(dead)));
+    let expired = Request { time_left_ns: 0, ..request(1, 0, 100) };
+    assert!(refused(&w.send_request(expired)));
     assert!(w.on(Event::Left(RequestId(77))).is_empty());
     assert!(w.finish(outcome(77, 0, 1, Status::Done, 5)).is_empty());
     assert!(w.on(Event::Timer(TimerToken(12_345))).is_empty());
@@ -296,16 +296,16 @@
     // All engines are equally loaded; only the cached data sets differ.
     let mut w = Harness::new(settings(), &[1, 2, 3]);
     let on = |id, set| Request { data_set: Some(set), ..request(id, 1, 1_000) };
-    let home: Vec<u64> = (0..3).map(|set| sent_to(&w.send_request(on(set, set))).unwrap()).collect();
-    assert_eq!(home.iter().sum::<u64>(), 6, "one on each engine");
-    for (set, engine) in home.iter().enumerate() {
+    let home_engine: Vec<u64> = (0..3).map(|set| sent_to(&w.send_request(on(set, set))).unwrap()).collect();
+    assert_eq!(home_engine.iter().sum::<u64>(), 6, "one on each engine");
+    for (set, engine) in home_engine.iter().enumerate() {
         w.finish(outcome(set as u64, 0, *engine, Status::Done, 333));
     }
     for round in 1..6 {
         for set in [2, 0, 1] {
             let id = round * 10 + set as u64;
-            assert_eq!(sent_to(&w.send_request(on(id, set as u64))), Some(home[set]));
-            w.finish(outcome(id, 0, home[set], Status::Done, 333));
+            assert_eq!(sent_to(&w.send_request(on(id, set as u64))), Some(home_engine[set]));
+            w.finish(outcome(id, 0, home_engine[set], Status::Done, 333));
         }
     }
 }
@@ -445,17 +445,17 @@
 fn memory_grants_exceed_the_corrected_estimate_by_a_margin() {
     // Reported memory is twice the estimate: 100 MB estimated is granted 2 x 1.4. Without reported
     // memory the engine chooses.
-    for (told, grant) in [(Some(200.0), 280), (None, 0)] {
+    for (reported, grant) in [(Some(200.0), 280), (None, 0)] {
         let s = Settings { grants: true, priorities: true, max_grant_share: Some(0.5), ..settings() };
         let mut w = Harness::new(s, &[1]);
         let r = |id| Request { memory_estimate_mb: Some(100.0), ..request(id, 0, 100) };
         assert_eq!(sent_to(&w.send_request(r(1))), Some(1));
-        w.finish(Outcome { memory_mb: told, ..outcome(1, 0, 1, Status::Done, 100) });
+        w.finish(Outcome { memory_mb: reported, ..outcome(1, 0, 1, Status::Done, 100) });
         let granted = w.send_request(r(2)).iter().find_map(|a| match a {
             Action::SetTerms { memory_mb, .. } => Some(*memory_mb),
             _ => None,
         });
-        assert_eq!(granted.unwrap_or(0), grant, "{told:?}");
+        assert_eq!(granted.unwrap_or(0), grant, "{reported:?}");
     }
 }
 
@@ -587,9 +587,9 @@
     // chosen.
     let mut w = Harness::new(settings_with_probes(), &[1, 2]);
     let gone = |id| EngineEntry { state: EngineState::Gone, ..entry(id) };
-    let (came, went) = ((100..500).map(entry).collect(), (100..500).map(gone).collect());
-    w.on(Event::Membership(MembershipKind::Delta, came));
-    w.on(Event::Membership(MembershipKind::Delta, went));
+    let (added, removed) = ((100..500).map(entry).collect(), (100..500).map(gone).collect());
+    w.on(Event::Membership(MembershipKind::Delta, added));
+    w.on(Event::Membership(MembershipKind::Delta, removed));
     let report = |busy| LoadReport { busy_share: Some(busy), ..LoadReport::default() };
     for id in 1..400 {
         report_load(&mut w, 1, report(0.5));
@@ -657,10 +657,10 @@
 #[test]
 fn overrun_limit_grows_if_retries_are_overrun_too() {
     // The estimates of the class are too low, so cancelling only wastes work.
-    let run = |vain: u64| {
+    let run = |overrun_requests: u64| {
         let engines: Vec<u64> = (1..41).collect();
         let mut w = Harness::new(Settings { max_attempts: Some(9), ..settings() }, &engines);
-        for id in 0..vain {
+        for id in 0..overrun_requests {
             let mut engine = sent_to(&w.send_request(request(id, 1, 300))).expect("sent");
             for attempt in 0..3 {
                 w.now += 2 * S;
--- a/crates/control/tests/rules.rs
+++ b/crates/control/tests/rules.rs
@@ -360,12 +360,12 @@
     let mut random = Random(seed);
     let mut due: BTreeMap<(u64, u64), Event> = BTreeMap::new();
     let mut open: BTreeMap<u64, (Request, u64)> = BTreeMap::new();
-    let mut out_on: BTreeMap<u64, (u32, u64)> = BTreeMap::new();
-    let mut tries: BTreeMap<u64, (u32, bool)> = BTreeMap::new();
+    let mut running_on: BTreeMap<u64, (u32, u64)> = BTreeMap::new();
+    let mut attempts_made: BTreeMap<u64, (u32, bool)> = BTreeMap::new();
     let mut order: BTreeMap<u64, VecDeque<u64>> = BTreeMap::new();
-    let mut rests: BTreeMap<u64, u64> = BTreeMap::new();
-    let mut down: BTreeSet<u64> = BTreeSet::new();
-    let (mut taken, mut extra): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
+    let mut paused_until: BTreeMap<u64, u64> = BTreeMap::new();
+    let mut unavailable: BTreeSet<u64> = BTreeSet::new();
+    let (mut arrivals, mut retries): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
     let (mut serial_no, mut log) = (0_u64, String::new());
     for id in 1..600_u64 {
         let class = [0, 0, 0, 1, 2][random.below(5) as usize];
@@ -384,7 +384,7 @@
         w.now = at;
         if let Event::Arrival(r) = &event {
             open.insert(r.id.0, (*r, at + r.time_left_ns));
-            taken.push(at);
+            arrivals.push(at);
             if let Some(key) = r.key {
                 order.entry(key).or_default().push_back(r.id.0);
             }
@@ -392,21 +392,21 @@
         if let Event::Membership(_, list) = &event {
             for e in list {
                 let _ = if e.state == EngineState::Ready {
-                    down.remove(&e.engine.0)
+                    unavailable.remove(&e.engine.0)
                 } else {
-                    down.insert(e.engine.0)
+                    unavailable.insert(e.engine.0)
                 };
             }
         }
         if let Event::Outcome(o) = &event {
             let id = o.request.0;
-            out_on.remove(&id);
+            running_on.remove(&id);
             if !matches!(o.status, Status::Busy | Status::Refused) {
-                tries.entry(id).or_default().1 = true;
+                attempts_made.entry(id).or_default().1 = true;
             }
             let key = open.get(&id).and_then(|(r, _)| r.key);
             if let (Some(key), Status::Cancelled | Status::TimedOut | Status::Reset) = (key, o.status) {
-                rests.insert(key, at + 300 * MS);
+                paused_until.insert(key, at + 300 * MS);
             }
             if o.status == Status::Done {
                 open.remove(&id);
@@ -419,34 +419,34 @@
             match action {
                 Action::Send { request, engine, timeout_ns } => {
                     let (r, expires) = open[&request.0];
-                    let (made, ran) = *tries.entry(request.0).or_default();
+                    let (made, may_have_run) = *attempts_made.entry(request.0).or_default();
                     let class = &s.classes[r.class.0];
-                    assert!(!out_on.contains_key(&request.0), "two attempts at once");
-                    assert!(!down.contains(&engine.0), "sent to a draining or removed engine");
+                    assert!(!running_on.contains_key(&request.0), "two attempts at once");
+                    assert!(!unavailable.contains(&engine.0), "sent to a draining or removed engine");
                     assert!(
-                        made == 0 || !ran || class.effect != Effect::AtMostOnce,
+                        made == 0 || !may_have_run || class.effect != Effect::AtMostOnce,
                         "at-most-once request repeated"
                     );
                     assert!(class.only_zones.is_none() || engine.0 % 2 == 0, "placement violated");
                     assert!(at + timeout_ns <= expires, "timeout past the deadline");
                     if made > 0 {
-                        extra.push(at);
+                        retries.push(at);
                         let since = |t: &&u64| **t + 2 * S > at;
-                        let allowed = 3.0 + 0.3 * taken.iter().filter(since).count() as f64;
+                        let allowed = 3.0 + 0.3 * arrivals.iter().filter(since).count() as f64;
                         assert!(
-                            extra.iter().filter(since).count() as f64 <= allowed,
+                            retries.iter().filter(since).count() as f64 <= allowed,
                             "retry budget exceeded"
                         );
                     }
                     if let Some(key) = r.key {
                         assert_eq!(order[&key][0], request.0, "sent out of order");
                         assert!(
-                            made > 0 || rests.get(&key).is_none_or(|t| *t <= at),
+                            made > 0 || paused_until.get(&key).is_none_or(|t| *t <= at),
                             "sent while the key is paused"
                         );
                     }
-                    tries.insert(request.0, (made + 1, ran));
-                    out_on.insert(request.0, (made, engine.0));
+                    attempts_made.insert(request.0, (made + 1, may_have_run));
+                    running_on.insert(request.0, (made, engine.0));
                     let status = [
                         Status::Done,
                         Status::Done,
@@ -457,27 +457,30 @@
                         Status::Reset,
                         Status::TimedOut,
                     ][random.below(8) as usize];
-                    let takes = match status {
+                    let delay_ns = match status {
                         Status::TimedOut => timeout_ns,
                         _ => (1 + random.below(1_200)) * MS,
                     };
-                    let (status, takes) =
-                        if takes >= timeout_ns { (Status::TimedOut, timeout_ns) } else { (status, takes) };
-                    let o = outcome(request.0, made, engine.0, status, takes / MS);
-                    due.insert((at + takes, 1 << 41 | serial_no), Event::Outcome(o));
+                    let (status, delay_ns) = if delay_ns >= timeout_ns {
+                        (Status::TimedOut, timeout_ns)
+                    } else {
+                        (status, delay_ns)
+                    };
+                    let o = outcome(request.0, made, engine.0, status, delay_ns / MS);
+                    due.insert((at + delay_ns, 1 << 41 | serial_no), Event::Outcome(o));
                 }
                 Action::Cancel { request, attempt } => {
                     let ours = |e: &Event| matches!(e, Event::Outcome(o) if o.request == request && o.attempt == attempt);
                     due.retain(|_, e| !ours(e));
-                    let engine = out_on[&request.0].1;
+                    let engine = running_on[&request.0].1;
                     let o = outcome(request.0, attempt, engine, Status::Cancelled, 1);
                     due.insert((at + MS, 1 << 41 | serial_no), Event::Outcome(o));
                 }
                 Action::Refuse { request, .. } | Action::Fail(request) => {
                     let (r, expires) = open.remove(&request.0).expect("more than one final answer");
                     assert!(at <= expires, "answered after the deadline");
-                    let ran = tries.get(&request.0).is_some_and(|t| t.1);
-                    let unsafe_ran = ran && s.classes[r.class.0].effect == Effect::AtMostOnce;
+                    let may_have_run = attempts_made.get(&request.0).is_some_and(|t| t.1);
+                    let unsafe_ran = may_have_run && s.classes[r.class.0].effect == Effect::AtMostOnce;
                     assert!(
                         !unsafe_ran || matches!(action, Action::Fail(_)),
                         "refused an at-most-once request that may have run"
@@ -514,8 +517,8 @@
         let mut w = Harness::new(Settings { router_count: 200, router_index: index, ..cold() }, &[1]);
         w.send_request(request(1, 0, 300));
         w.send_request(request(2, 0, 300));
-        let told = EngineEntry { started_ns: Some(T0 + S / 2), ..entry(1) };
-        w.at(800).on(Event::Membership(MembershipKind::Delta, vec![told]));
+        let announced = EngineEntry { started_ns: Some(T0 + S / 2), ..entry(1) };
+        w.at(800).on(Event::Membership(MembershipKind::Delta, vec![announced]));
         w.finish(outcome(1, 0, 1, Status::Refused, 800));
         w.at(900).finish(outcome(2, 0, 1, Status::Done, 900));
         w.at(2_500);
