--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -395,8 +395,9 @@
 
     fn on_membership(&mut self, kind: MembershipKind, list: Vec<EngineEntry>, out: &mut Actions) {
         if kind == MembershipKind::Failed {
-            let ask = Action::SetTimer { after_ns: RESUBSCRIBE_DELAY_NS, token: TimerToken(SUBSCRIBE_TOKEN) };
-            return out.extend(self.settings.must_subscribe.then_some(ask));
+            let resubscribe =
+                Action::SetTimer { after_ns: RESUBSCRIBE_DELAY_NS, token: TimerToken(SUBSCRIBE_TOKEN) };
+            return out.extend(self.settings.must_subscribe.then_some(resubscribe));
         }
         if kind != MembershipKind::Delta {
             self.engines.values_mut().for_each(|e| e.entry.state = EngineState::Gone);
@@ -644,11 +645,11 @@
     fn due_ns(&self, now: u64, p: &Pending) -> u64 {
         let class = &self.settings.classes[p.request.class.0];
         let alone = self.need(&p.request) / self.threads(p.request.class);
-        let wanted = p
+        let target = p
             .accepted_ns
             .saturating_add(class.target_latency_ns + (class.target_latency_stretch * alone) as u64);
-        let last = p.accepted_ns.saturating_add(class.deadline_ns).min(p.expires_ns);
-        Some(wanted).filter(|w| *w > now.saturating_add(alone as u64)).map_or(last, |w| w.min(last))
+        let deadline = p.accepted_ns.saturating_add(class.deadline_ns).min(p.expires_ns);
+        Some(target).filter(|w| *w > now.saturating_add(alone as u64)).map_or(deadline, |w| w.min(deadline))
     }
 
     /// Checks whether an engine can complete its attempts in time with the request added. Returns
@@ -688,22 +689,23 @@
         }
         // Engines share cores among threads regardless of due times, so the request must also fit
         // at an equal share.
-        let (mut sum, mut worst) = (need, need / threads * slowed / window.max(1.0));
+        let (mut sum, mut max_load) = (need, need / threads * slowed / window.max(1.0));
         let later = e.running.partition_point(|q| q.due_ns <= due);
         sum += e.running[..later].iter().map(|q| Self::remaining(q, now)).sum::<f64>();
-        worst = worst.max(sum / (window * available_cores).max(1.0));
+        max_load = max_load.max(sum / (window * available_cores).max(1.0));
         for q in &e.running[later..] {
-            let (rest, span) = (Self::remaining(q, now), (q.due_ns - now) as f64 * available_cores);
-            if rest > span {
+            let (remaining_work, capacity) =
+                (Self::remaining(q, now), (q.due_ns - now) as f64 * available_cores);
+            if remaining_work > capacity {
                 continue;
             }
-            sum += rest;
-            worst = worst.max(sum / span);
+            sum += remaining_work;
+            max_load = max_load.max(sum / capacity);
         }
-        worst += self.load_wait_ns(p, e, context) / window.max(1.0);
-        (worst <= 1.0)
-            .then_some(Admission { load_factor: worst, due_ns: due, threads_per_core, need_ns: need })
-            .ok_or(worst)
+        max_load += self.load_wait_ns(p, e, context) / window.max(1.0);
+        (max_load <= 1.0)
+            .then_some(Admission { load_factor: max_load, due_ns: due, threads_per_core, need_ns: need })
+            .ok_or(max_load)
     }
 
     /// Time that a load waits for this router's loads on the same data set of an engine. Prevents
@@ -731,11 +733,12 @@
             PickContext { due_ns, need_ns, threads: self.threads(p.request.class), ..self.context(now) };
         let ready = |e: &&Engine| e.entry.state == EngineState::Ready && !e.suspended;
         let mut ready: Vec<u64> = self.engines.values().filter(ready).map(|e| self.preference(e)).collect();
-        let first = (MIN_ROUTERS_PER_ENGINE * ready.len() / self.settings.router_count.max(1) as usize)
+        let preferred_count = (MIN_ROUTERS_PER_ENGINE * ready.len()
+            / self.settings.router_count.max(1) as usize)
             .max(MIN_PREFERRED_ENGINES);
-        let all = first > ready.len();
-        let last = if all { u64::MAX } else { *ready.select_nth_unstable(first - 1).1 };
-        let among = first.min(self.engines.len()) as u64;
+        let all = preferred_count > ready.len();
+        let max_preference = if all { u64::MAX } else { *ready.select_nth_unstable(preferred_count - 1).1 };
+        let draw_range = preferred_count.min(self.engines.len()) as u64;
         let mut best: Option<(f64, u64, EngineId, Admission)> = None;
         let mut lowest = f64::INFINITY;
         for (id, e) in &self.engines {
@@ -744,22 +747,24 @@
             }
             match self.admit(now, p, e, &context) {
                 Err(load_factor) => lowest = lowest.min(load_factor),
-                Ok(pass) => {
-                    let crosses = e.entry.zone != self.settings.zone;
+                Ok(admission) => {
+                    let other_zone = e.entry.zone != self.settings.zone;
                     let tie = hash64(self.seed ^ id.0 ^ p.request.id.0.rotate_left(32));
                     // Few routers may send to a cold engine, so these always consider it.
-                    let drawn = self.preference(e) <= last && tie % among < MAX_CANDIDATES;
+                    let candidate = self.preference(e) <= max_preference && tie % draw_range < MAX_CANDIDATES;
                     let on_trial = e.verdict == Verdict::Trial;
-                    let drawn = drawn || self.warmup_progress(now, e).is_some() || on_trial;
-                    let rank = pass.load_factor + CROSS_ZONE_PENALTY * f64::from(crosses) + f64::from(!drawn);
+                    let candidate = candidate || self.warmup_progress(now, e).is_some() || on_trial;
+                    let rank = admission.load_factor
+                        + CROSS_ZONE_PENALTY * f64::from(other_zone)
+                        + f64::from(!candidate);
                     let rank = rank - f64::from(on_trial);
                     if best.as_ref().is_none_or(|b| (rank, tie) < (b.0, b.1)) {
-                        best = Some((rank, tie, *id, pass));
+                        best = Some((rank, tie, *id, admission));
                     }
                 }
             }
         }
-        best.map(|(_, _, id, pass)| (id, pass)).ok_or(lowest)
+        best.map(|(_, _, id, admission)| (id, admission)).ok_or(lowest)
     }
 
     // ---- Dispatch --------------------------------------------------------------------------------
@@ -770,7 +775,7 @@
             return self.reject(id, 0.0, out);
         }
         match self.pick(now, p) {
-            Ok((engine, pass)) => self.send(now, id, engine, pass, out),
+            Ok((engine, admission)) => self.send(now, id, engine, admission, out),
             Err(load_factor) => {
                 let window = self.due_ns(now, p).saturating_sub(now) as f64;
                 self.refusals_since_report += i32::from(load_factor.is_finite());
@@ -780,18 +785,19 @@
         }
     }
 
-    fn send(&mut self, now: u64, id: RequestId, engine: EngineId, pass: Admission, out: &mut Actions) {
+    fn send(&mut self, now: u64, id: RequestId, engine: EngineId, admission: Admission, out: &mut Actions) {
         let Some(p) = self.pending.get_mut(&id) else { return };
-        let (request, attempt, due_ns, timeout_ns) = (p.request, p.attempts, pass.due_ns, p.expires_ns - now);
+        let (request, attempt, due_ns, timeout_ns) =
+            (p.request, p.attempts, admission.due_ns, p.expires_ns - now);
         (p.attempts, p.running_on, p.cancelled) = (attempt + 1, Some(engine), false);
         let threads = self.threads(request.class);
         let typical_need = self.models[request.class.0].typical_need.value;
-        let (alone, overrun_multiple) = (pass.need_ns / threads, self.overrun_multiple(request.class));
+        let (alone, overrun_multiple) = (admission.need_ns / threads, self.overrun_multiple(request.class));
         let ratio = self.models[request.class.0].memory_ratio;
         let granting = self.settings.grants && ratio.count > 0.0;
         let margin = if granting { ROUTER_GRANT_MARGIN } else { ENGINE_GRANT_MARGIN };
         let memory = request.memory_estimate_mb.unwrap_or(0.0) * ratio.or(1.0) * margin;
-        for (mean, new) in self.traffic_mix.iter_mut().zip([pass.need_ns, alone, memory * alone]) {
+        for (mean, new) in self.traffic_mix.iter_mut().zip([admission.need_ns, alone, memory * alone]) {
             *mean = blend(*mean, new, TRAFFIC_MIX_WEIGHT);
         }
         self.retries.extend((attempt > 0).then_some(now));
@@ -806,8 +812,8 @@
         }
         // The grant is the estimate corrected by reported memory; 0 leaves the choice to the
         // engine.
-        let most = e.memory_mb * self.settings.max_grant_share.unwrap_or(1.0);
-        let grant_mb = if granting { memory.min(most).ceil() as u64 } else { 0 };
+        let max_grant_mb = e.memory_mb * self.settings.max_grant_share.unwrap_or(1.0);
+        let grant_mb = if granting { memory.min(max_grant_mb).ceil() as u64 } else { 0 };
         Self::update_lagged_threads(now, e);
         e.warm_data_sets.retain(|set| Some(*set) != request.data_set);
         e.warm_data_sets.extend(request.data_set);
@@ -818,9 +824,9 @@
             (self.trial_tokens, e.next_trial_ns) = (0.0, now + e.backoff_ns);
             e.backoff_ns = (e.backoff_ns * 2).min(MAX_TRIAL_BACKOFF_NS);
         }
-        let expected_ns = alone * pass.threads_per_core.max(1.0);
+        let expected_ns = alone * admission.threads_per_core.max(1.0);
         let at = e.running.partition_point(|q| (q.due_ns, q.request) < (due_ns, id));
-        let (request, sent_ns, need_ns, progress, priority) = (id, now, pass.need_ns, None, 1);
+        let (request, sent_ns, need_ns, progress, priority) = (id, now, admission.need_ns, None, 1);
         #[rustfmt::skip]
         let running = RunningAttempt {
             request, attempt, due_ns, need_ns, threads, sent_ns, expected_ns, progress, priority, grant_mb,
@@ -900,7 +906,7 @@
             report.memory_share.filter(|_| self.traffic_mix[2] > 0.0 && e.memory_mb.is_finite());
         let by_memory =
             granted_share.map_or(0.0, |x| x * e.memory_mb * self.traffic_mix[0] / self.traffic_mix[2]);
-        let busy = report.busy_share.map_or(0.0, |cores| cores.max(report.disk_share.unwrap_or(0.0)));
+        let busy = report.busy_share.map_or(0.0, |share| share.max(report.disk_share.unwrap_or(0.0)));
         let saturation = ((busy - SATURATION_START) / (1.0 - SATURATION_START)).clamp(0.0, 1.0);
         // In-flight counts also show full disks that are not reported while cores are idle.
         let in_flight_threads = report.in_flight.map_or(0.0, |n| n * threads_per_query);
@@ -962,8 +968,8 @@
         if may_still_run || o.may_run_until_ns > now {
             // The attempt may still run: later requests of its key wait, its own retry does not.
             let paused_until_ns = now + self.settings.order_pause_ns.unwrap_or(0);
-            let turn = self.key_queues.entry(key).or_default();
-            turn.1 = paused_until_ns.max(o.may_run_until_ns).max(turn.1);
+            let key_queue = self.key_queues.entry(key).or_default();
+            key_queue.1 = paused_until_ns.max(o.may_run_until_ns).max(key_queue.1);
         }
         self.advance(now, key, out);
     }
@@ -1016,7 +1022,7 @@
     fn update_health(&mut self, now: u64, o: &Outcome, ran: &RunningAttempt) {
         let cancelled = self.pending.get(&o.request).is_some_and(|p| p.concluded);
         let Some(e) = self.engines.get_mut(&o.engine) else { return };
-        let silent = e.last_success_ns < ran.sent_ns && !cancelled;
+        let unresponsive = e.last_success_ns < ran.sent_ns && !cancelled;
         let weight = MIN_FAILURE_WEIGHT.max(1.0 - decay(now, e.last_outcome_ns, DECAY_NS));
         e.last_outcome_ns = now;
         match o.status {
@@ -1028,15 +1034,16 @@
                 (e.suspended, e.backoff_ns, e.last_success_ns) = (false, MIN_TRIAL_BACKOFF_NS, now);
                 e.failure_share = blend(e.failure_share.min(SUSPEND_FAILURE_SHARE), 0.0, weight);
                 let ratio = (o.latency_ns as f64 / ran.expected_ns.max(1.0)).min(MAX_OUTLIER_RATIO);
-                let before = if e.latency_ratio > 0.0 { e.latency_ratio } else { self.latency_ratio.or(1.0) };
-                e.latency_ratio = blend(before, ratio, LATENCY_RATIO_WEIGHT);
+                let previous =
+                    if e.latency_ratio > 0.0 { e.latency_ratio } else { self.latency_ratio.or(1.0) };
+                e.latency_ratio = blend(previous, ratio, LATENCY_RATIO_WEIGHT);
                 self.latency_ratio.add(ratio);
             }
             // No connection: suspended until a trial succeeds. Resets alone may be due to a bad
             // link; a dead process refuses the next connection.
             Status::Refused => (e.unreachable, e.failure_share) = (true, 1.0),
             Status::Busy | Status::Skipped => {}
-            Status::TimedOut | Status::Cancelled if !silent => {}
+            Status::TimedOut | Status::Cancelled if !unresponsive => {}
             _ => e.failure_share = blend(e.failure_share, 1.0, weight),
         }
         if e.failure_share >= SUSPEND_FAILURE_SHARE && !e.suspended {
@@ -1061,19 +1068,19 @@
         let age = now.saturating_sub(r.sent_ns) as f64;
         let progress = |(at, share): (u64, f64)| at.saturating_sub(r.sent_ns) as f64 / share.max(0.01);
         let projected = r.progress.map_or(age, progress);
-        let patience = (expected * self.overrun_multiple(p.request.class)).max(MIN_REVIEW_NS as f64);
-        if projected >= patience && self.is_repeat_safe(p.request.class, true) && self.settings.may_cancel {
+        let overrun_ns = (expected * self.overrun_multiple(p.request.class)).max(MIN_REVIEW_NS as f64);
+        if projected >= overrun_ns && self.is_repeat_safe(p.request.class, true) && self.settings.may_cancel {
             // Too late for a retry: the final answer is sent now rather than with the outcome.
-            let left = p.expires_ns.saturating_sub(now) as f64;
-            let last = left < r.need_ns / r.threads || !self.may_attempt(now, p);
+            let time_left = p.expires_ns.saturating_sub(now) as f64;
+            let no_retry = time_left < r.need_ns / r.threads || !self.may_attempt(now, p);
             self.pending.entry(id).and_modify(|p| p.cancelled = true);
             out.push(Action::Cancel { request: id, attempt });
-            if last {
+            if no_retry {
                 self.reject(id, expected, out);
             }
             return;
         }
-        let after = if age < patience { patience - age } else { expected.max(MIN_REVIEW_NS as f64) };
+        let after = if age < overrun_ns { overrun_ns - age } else { expected.max(MIN_REVIEW_NS as f64) };
         if r.progress.is_none_or(|(at, _)| at != now) {
             out.push(Action::SetTimer { after_ns: after as u64 + 1, token: review_token(id, attempt) });
         }
@@ -1105,12 +1112,12 @@
             (Effect::AtMostOnce, Some(_)) => return false,
             (Effect::Deduplicated, Some(first)) => first,
         };
-        let group = to.is_none_or(|to| match class.dedup_scope {
+        let in_scope = to.is_none_or(|to| match class.dedup_scope {
             DedupScope::All => true,
             DedupScope::Zone => at.zone == to.zone,
             DedupScope::Cell => at.cell == to.cell,
         });
-        group && class.dedup_window_ns.is_some_and(|w| now < sent.saturating_add(w))
+        in_scope && class.dedup_window_ns.is_some_and(|w| now < sent.saturating_add(w))
     }
 
     /// Whether a request may have another attempt: maximum attempts, effect, retry budget.
