--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small hand-driven world for the module: settings, requests and outcomes by hand.
+//! Test harness: default settings, requests and outcomes, and a controller with a manual clock.
 #![allow(dead_code)]
 
 use marljunction_control::interface::*;
@@ -8,17 +8,17 @@
 pub const S: u64 = 1_000_000_000;
 pub const T0: u64 = 1_000 * S;
 
-/// One light class (1 thread) and one heavy (3 threads) on engines of 10 cores; nothing else is allowed.
+/// Settings with a light class (1 thread) and a heavy one (3 threads), and engines of 10 cores.
 pub fn settings() -> Settings {
     let class = |aim_ms: u64, deadline_ms: u64, threads: f64| ClassSettings {
-        aim_ns: aim_ms * MS,
+        target_latency_ns: aim_ms * MS,
         deadline_ns: deadline_ms * MS,
         worth: 1.0,
         threads,
         ..ClassSettings::default()
     };
     Settings {
-        gateways: 1,
+        router_count: 1,
         classes: vec![class(1_000, 4_000, 1.0), class(4_000, 20_000, 3.0)],
         kinds: vec![KindSettings { cores: Some(10.0), memory_mb: Some(10_000.0) }],
         max_attempts: Some(5),
@@ -53,24 +53,24 @@
         concluded: status == Status::Done,
         work_ns: None,
         memory_mb: None,
-        over_by_ns: 0,
+        may_run_until_ns: 0,
         report: None,
     }
 }
 
-/// A controller with a clock that the test moves.
-pub struct World {
+/// A controller and the current time.
+pub struct Harness {
     pub c: Controller,
     pub now: u64,
 }
 
-impl World {
-    pub fn new(settings: Settings, engines: &[u64]) -> World {
+impl Harness {
+    pub fn new(settings: Settings, engines: &[u64]) -> Harness {
         let list = engines.iter().map(|e| entry(*e)).collect();
-        World::with(settings, list)
+        Harness::with(settings, list)
     }
-    pub fn with(settings: Settings, list: Vec<EngineEntry>) -> World {
-        let mut w = World { c: Controller::new(settings, 7), now: T0 };
+    pub fn with(settings: Settings, list: Vec<EngineEntry>) -> Harness {
+        let mut w = Harness { c: Controller::new(settings, 7), now: T0 };
         w.on(Event::Membership(MembershipKind::Cached, list));
         w
     }
@@ -79,28 +79,28 @@
         self.c.handle(self.now, event, &mut out);
         out
     }
-    pub fn at(&mut self, ms: u64) -> &mut World {
+    pub fn at(&mut self, ms: u64) -> &mut Harness {
         self.now = T0 + ms * MS;
         self
     }
-    pub fn arrive(&mut self, r: Request) -> Vec<Action> {
+    pub fn send_request(&mut self, r: Request) -> Vec<Action> {
         self.on(Event::Arrival(r))
     }
-    pub fn end(&mut self, o: Outcome) -> Vec<Action> {
+    pub fn finish(&mut self, o: Outcome) -> Vec<Action> {
         self.on(Event::Outcome(o))
     }
-    /// Runs a request to its end on whatever engine it goes to.
+    /// Sends a request and completes it on the chosen engine.
     pub fn serve(&mut self, r: Request, latency_ms: u64, work_ms: Option<u64>) {
-        let sent = sent(&self.arrive(r)).expect("sent");
+        let sent_to = sent_to(&self.send_request(r)).expect("sent");
         self.now += latency_ms * MS;
-        let mut o = outcome(r.id.0, 0, sent, Status::Done, latency_ms);
+        let mut o = outcome(r.id.0, 0, sent_to, Status::Done, latency_ms);
         o.work_ns = work_ms.map(|w| w * MS);
-        self.end(o);
+        self.finish(o);
     }
 }
 
-/// The engine of the first send.
-pub fn sent(actions: &[Action]) -> Option<u64> {
+/// The engine of the first send, if any.
+pub fn sent_to(actions: &[Action]) -> Option<u64> {
     actions.iter().find_map(|a| match a {
         Action::Send { engine, .. } => Some(engine.0),
         _ => None,
@@ -119,7 +119,7 @@
     actions.iter().any(|a| matches!(a, Action::Cancel { .. }))
 }
 
-/// The timers asked for, earliest first: time from now, token.
+/// Requested timers as delay and token, earliest first.
 pub fn timers(actions: &[Action]) -> Vec<(u64, TimerToken)> {
     let mut all: Vec<_> = actions
         .iter()
