--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::ending::{Ending, ENDINGS};
+use super::ending::{EndReason, END_REASONS};
 
 /// The counters of one process; they only grow.
 #[derive(Clone, Debug, Default)]
@@ -37,17 +37,17 @@
     pub reloads: u64,
     /// Times that a new configuration could not be read.
     pub reloads_failed: u64,
-    endings: BTreeMap<Ending, u64>,
+    endings: BTreeMap<EndReason, u64>,
 }
 
 impl Counters {
     /// Counts one ending.
-    pub fn ended(&mut self, ending: Ending) {
+    pub fn ended(&mut self, ending: EndReason) {
         *self.endings.entry(ending).or_default() += 1;
     }
 
     /// How often something ended so.
-    pub fn endings(&self, ending: Ending) -> u64 {
+    pub fn endings(&self, ending: EndReason) -> u64 {
         self.endings.get(&ending).copied().unwrap_or(0)
     }
 
@@ -72,7 +72,7 @@
             self.reloads,
             self.reloads_failed
         );
-        for (ending, name) in ENDINGS {
+        for (ending, name) in END_REASONS {
             line.push_str(&format!(" ended_{name}={}", self.endings(ending)));
         }
         line
--- a/crates/core/src/ending.rs
+++ b/crates/core/src/ending.rs
@@ -4,7 +4,7 @@
 
 /// How a connection, a call or an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Ending {
+pub enum EndReason {
     /// The engine gave the whole result.
     Served,
     /// The engine answered that the query failed, or that it does not know it.
@@ -51,7 +51,7 @@
 
 /// What an ending is to the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meaning {
+pub enum ControlEvent {
     /// The outcome of an attempt.
     Outcome(Status),
     /// The client has left.
@@ -62,7 +62,7 @@
 
 /// What an ending shows of the engine itself, as evidence for all routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sight {
+pub enum HealthSignal {
     /// It served.
     Served,
     /// It gave no sign of life, as far as this shows.
@@ -74,99 +74,103 @@
 }
 
 /// All endings, for counters.
-pub const ENDINGS: [(Ending, &str); 21] = [
-    (Ending::Served, "served"),
-    (Ending::EngineError, "engine_error"),
-    (Ending::Full, "full"),
-    (Ending::Over, "over"),
-    (Ending::Refused, "refused"),
-    (Ending::Unreachable, "unreachable"),
-    (Ending::Reset, "reset"),
-    (Ending::Unsent, "unsent"),
-    (Ending::NoDescriptor, "no_descriptor"),
-    (Ending::Paced, "paced"),
-    (Ending::Cut, "cut"),
-    (Ending::Garbled, "garbled"),
-    (Ending::TimedOut, "timed_out"),
-    (Ending::GivenUp, "given_up"),
-    (Ending::Abandoned, "abandoned"),
-    (Ending::Withdrawn, "withdrawn"),
-    (Ending::ClientGone, "client_gone"),
-    (Ending::Forgotten, "forgotten"),
-    (Ending::Idle, "idle"),
-    (Ending::Silent, "silent"),
-    (Ending::Shutdown, "shutdown"),
+pub const END_REASONS: [(EndReason, &str); 21] = [
+    (EndReason::Served, "served"),
+    (EndReason::EngineError, "engine_error"),
+    (EndReason::Full, "full"),
+    (EndReason::Over, "over"),
+    (EndReason::Refused, "refused"),
+    (EndReason::Unreachable, "unreachable"),
+    (EndReason::Reset, "reset"),
+    (EndReason::Unsent, "unsent"),
+    (EndReason::NoDescriptor, "no_descriptor"),
+    (EndReason::Paced, "paced"),
+    (EndReason::Cut, "cut"),
+    (EndReason::Garbled, "garbled"),
+    (EndReason::TimedOut, "timed_out"),
+    (EndReason::GivenUp, "given_up"),
+    (EndReason::Abandoned, "abandoned"),
+    (EndReason::Withdrawn, "withdrawn"),
+    (EndReason::ClientGone, "client_gone"),
+    (EndReason::Forgotten, "forgotten"),
+    (EndReason::Idle, "idle"),
+    (EndReason::Silent, "silent"),
+    (EndReason::Shutdown, "shutdown"),
 ];
 
-impl Ending {
+impl EndReason {
     /// The one place where an ending becomes what the module is told.
-    pub fn meaning(self) -> Meaning {
+    pub fn meaning(self) -> ControlEvent {
         match self {
-            Ending::Served => Meaning::Outcome(Status::Done),
-            Ending::EngineError | Ending::Garbled => Meaning::Outcome(Status::Error),
-            Ending::Full => Meaning::Outcome(Status::Busy),
-            Ending::Refused | Ending::Unreachable => Meaning::Outcome(Status::Refused),
+            EndReason::Served => ControlEvent::Outcome(Status::Done),
+            EndReason::EngineError | EndReason::Garbled => ControlEvent::Outcome(Status::Error),
+            EndReason::Full => ControlEvent::Outcome(Status::Busy),
+            EndReason::Refused | EndReason::Unreachable => ControlEvent::Outcome(Status::Refused),
             // Guards against a bad link that is taken for a dead process: the module would leave the engine out
             // and take it for cold afterwards.
-            Ending::Over | Ending::Reset | Ending::Unsent | Ending::NoDescriptor | Ending::Paced => {
-                Meaning::Outcome(Status::Skipped)
+            EndReason::Over
+            | EndReason::Reset
+            | EndReason::Unsent
+            | EndReason::NoDescriptor
+            | EndReason::Paced => ControlEvent::Outcome(Status::Skipped),
+            EndReason::Cut => ControlEvent::Outcome(Status::Reset),
+            EndReason::TimedOut => ControlEvent::Outcome(Status::TimedOut),
+            EndReason::GivenUp | EndReason::Abandoned | EndReason::Withdrawn => {
+                ControlEvent::Outcome(Status::Cancelled)
             }
-            Ending::Cut => Meaning::Outcome(Status::Reset),
-            Ending::TimedOut => Meaning::Outcome(Status::TimedOut),
-            Ending::GivenUp | Ending::Abandoned | Ending::Withdrawn => Meaning::Outcome(Status::Cancelled),
-            Ending::ClientGone | Ending::Forgotten => Meaning::Left,
-            Ending::Idle | Ending::Silent | Ending::Shutdown => Meaning::Nothing,
+            EndReason::ClientGone | EndReason::Forgotten => ControlEvent::Left,
+            EndReason::Idle | EndReason::Silent | EndReason::Shutdown => ControlEvent::Nothing,
         }
     }
 
     /// What the end of a client's connection is: it has gone, unless more waited for it than is allowed.
-    pub fn of_client(self) -> Ending {
+    pub fn for_client_connection(self) -> EndReason {
         match self {
-            Ending::Garbled => Ending::Garbled,
-            _ => Ending::ClientGone,
+            EndReason::Garbled => EndReason::Garbled,
+            _ => EndReason::ClientGone,
         }
     }
 
     /// Whether an attempt that ended so may have run.
     pub fn may_have_run(self) -> bool {
         match self.meaning() {
-            Meaning::Outcome(Status::Busy | Status::Refused | Status::Skipped) => false,
-            Meaning::Outcome(_) => self != Ending::Withdrawn,
-            Meaning::Left | Meaning::Nothing => false,
+            ControlEvent::Outcome(Status::Busy | Status::Refused | Status::Skipped) => false,
+            ControlEvent::Outcome(_) => self != EndReason::Withdrawn,
+            ControlEvent::Left | ControlEvent::Nothing => false,
         }
     }
 
     /// Whether an attempt that ended so may still be running until its class's time is over: its engine did not say that it ended, and
     /// one that stands still may go on with it later.
-    pub fn leaves_doubt(self) -> bool {
-        matches!(self, Ending::Cut | Ending::Garbled | Ending::TimedOut | Ending::Abandoned)
+    pub fn may_still_run(self) -> bool {
+        matches!(self, EndReason::Cut | EndReason::Garbled | EndReason::TimedOut | EndReason::Abandoned)
     }
 
     /// The one place where an ending becomes evidence of its engine.
-    pub fn sight(self) -> Sight {
+    pub fn sight(self) -> HealthSignal {
         match self {
-            Ending::Served => Sight::Served,
-            Ending::Refused
-            | Ending::Unreachable
-            | Ending::Cut
-            | Ending::TimedOut
-            | Ending::GivenUp
-            | Ending::Abandoned
-            | Ending::Withdrawn => Sight::Silent,
-            Ending::Garbled => Sight::Spoilt,
+            EndReason::Served => HealthSignal::Served,
+            EndReason::Refused
+            | EndReason::Unreachable
+            | EndReason::Cut
+            | EndReason::TimedOut
+            | EndReason::GivenUp
+            | EndReason::Abandoned
+            | EndReason::Withdrawn => HealthSignal::Silent,
+            EndReason::Garbled => HealthSignal::Spoilt,
             // It answered, or was never reached for reasons of this router's own.
-            Ending::EngineError
-            | Ending::Full
-            | Ending::Over
-            | Ending::Reset
-            | Ending::Unsent
-            | Ending::NoDescriptor
-            | Ending::Paced
-            | Ending::ClientGone
-            | Ending::Forgotten
-            | Ending::Idle
-            | Ending::Silent
-            | Ending::Shutdown => Sight::Nothing,
+            EndReason::EngineError
+            | EndReason::Full
+            | EndReason::Over
+            | EndReason::Reset
+            | EndReason::Unsent
+            | EndReason::NoDescriptor
+            | EndReason::Paced
+            | EndReason::ClientGone
+            | EndReason::Forgotten
+            | EndReason::Idle
+            | EndReason::Silent
+            | EndReason::Shutdown => HealthSignal::Nothing,
         }
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -20,14 +20,14 @@
 use log::{debug, warn};
 
 use counters::Counters;
-use ending::{Ending, Meaning};
+use ending::{ControlEvent, EndReason};
 use limits::FleetLimits;
 use marljunction_control::interface::*;
 use marljunction_control::Controller;
 use marljunction_door::{Advice, Arrival, Door, Verdict};
 use marljunction_limits::node::Ticket;
 use statement::Statement;
-use verdicts::FleetVerdicts;
+use verdicts::FleetHealth;
 
 /// Time past a request's own within which its answer must have been given, or the core gives it (ns).
 const FINAL_GRACE_NS: u64 = 5_000_000;
@@ -152,12 +152,12 @@
         /// When to come back, in milliseconds.
         backoff_ms: u64,
         /// How the last attempt ended, where there was one.
-        after: Option<Ending>,
+        after: Option<EndReason>,
         /// The engine's own words, where it gave any.
         fault: Option<Fault>,
     },
     /// Failed; the last attempt's ending, where there was one, and the engine's own words.
-    Failed(Option<Ending>, Option<Fault>),
+    Failed(Option<EndReason>, Option<Fault>),
 }
 
 /// An engine's words on why a statement failed.
@@ -224,7 +224,7 @@
     may_have_run_ns: Option<u64>,
     attempts: u32,
     out: Option<Out>,
-    last: Option<Ending>,
+    last: Option<EndReason>,
     fault: Option<Fault>,
     priority: u8,
     taken_ns: u64,
@@ -235,10 +235,10 @@
 
 enum Inbound {
     Arrival(RequestId),
-    Left(RequestId, Ending),
+    Left(RequestId, EndReason),
     Cancelled(RequestId),
     Note(Attempt, Note),
-    Ended(Attempt, Ending, Option<Rows>, Option<LoadReport>),
+    Ended(Attempt, EndReason, Option<Rows>, Option<LoadReport>),
     Membership(MembershipKind, Vec<EngineEntry>),
 }
 
@@ -250,7 +250,7 @@
         match self {
             Inbound::Left(..) => 0,
             Inbound::Membership(..) => 1,
-            Inbound::Ended(_, Ending::Served, ..) => 2,
+            Inbound::Ended(_, EndReason::Served, ..) => 2,
             Inbound::Cancelled(_) => 3,
             Inbound::Arrival(_) | Inbound::Note(..) | Inbound::Ended(..) => 4,
         }
@@ -270,7 +270,7 @@
     classes: Vec<ClassSettings>,
     door: Option<Door>,
     limits: Option<FleetLimits>,
-    verdicts: Option<FleetVerdicts>,
+    verdicts: Option<FleetHealth>,
     open: HashMap<RequestId, Open>,
     timers: BinaryHeap<Reverse<(u64, u64, Timer)>>,
     batch: Vec<Inbound>,
@@ -319,13 +319,13 @@
     }
 
     /// Shares what is believed of engines with the fleet.
-    pub fn with_verdicts(mut self, verdicts: Option<FleetVerdicts>) -> Self {
+    pub fn with_health(mut self, verdicts: Option<FleetHealth>) -> Self {
         self.verdicts = verdicts;
         self
     }
 
     /// What the fleet believes of engines, where it shares that.
-    pub fn verdicts(&mut self) -> Option<&mut FleetVerdicts> {
+    pub fn verdicts(&mut self) -> Option<&mut FleetHealth> {
         self.verdicts.as_mut()
     }
 
@@ -369,7 +369,7 @@
     }
 
     /// The client waits no longer: nothing is owed.
-    pub fn leave(&mut self, id: RequestId, ending: Ending) {
+    pub fn leave(&mut self, id: RequestId, ending: EndReason) {
         self.batch.push(Inbound::Left(id, ending));
     }
 
@@ -392,7 +392,7 @@
     }
 
     /// An attempt has ended; only the first ending of an attempt counts.
-    pub fn ended(&mut self, at: Attempt, ending: Ending, rows: Option<Rows>, report: Option<LoadReport>) {
+    pub fn ended(&mut self, at: Attempt, ending: EndReason, rows: Option<Rows>, report: Option<LoadReport>) {
         self.batch.push(Inbound::Ended(at, ending, rows, report));
     }
 
@@ -410,7 +410,7 @@
     }
 
     /// Bytes of statements that may wait at a door: half of what all may hold.
-    pub fn door_bytes(memory_mb: f64) -> usize {
+    pub fn max_queued_bytes(memory_mb: f64) -> usize {
         (memory_mb * HELD_MOST * 1e6 / 2.0) as usize
     }
 
@@ -425,7 +425,7 @@
         open.sort_unstable();
         for id in open {
             if let Some(open) = self.open.get_mut(&id).filter(|o| !o.concluded) {
-                open.last = Some(Ending::Shutdown);
+                open.last = Some(EndReason::Shutdown);
                 self.overdue(now_ns, id, out);
             }
         }
@@ -444,7 +444,7 @@
     }
 
     /// Whether something waits for the module.
-    pub fn has_news(&self) -> bool {
+    pub fn has_pending_events(&self) -> bool {
         !self.batch.is_empty()
     }
 
@@ -593,14 +593,14 @@
                     self.counters.left += 1;
                     self.counters.left_unsent += u64::from(open.out.is_none());
                     self.counters.ended(ending);
-                    debug_assert_eq!(ending.meaning(), Meaning::Left);
+                    debug_assert_eq!(ending.meaning(), ControlEvent::Left);
                     self.left(now, id, out);
                 }
             }
             Inbound::Cancelled(id) => {
                 if self.open.get(&id).is_some_and(|o| !o.concluded) {
-                    self.counters.ended(Ending::Forgotten);
-                    self.end(now, id, Answer::Failed(Some(Ending::Forgotten), None), out);
+                    self.counters.ended(EndReason::Forgotten);
+                    self.end(now, id, Answer::Failed(Some(EndReason::Forgotten), None), out);
                 }
             }
             Inbound::Note(at, note) => {
@@ -649,7 +649,7 @@
         &mut self,
         now: u64,
         at: Attempt,
-        ending: Ending,
+        ending: EndReason,
         rows: Option<Rows>,
         report: Option<LoadReport>,
         out: &mut Vec<Command>,
@@ -659,13 +659,13 @@
         let Some(ran) = open.out.take_if(|o| o.number == at.number) else { return };
         self.counters.ended(ending);
         open.last = Some(ending);
-        self.counters.left_unsent += u64::from(open.left && ending == Ending::Withdrawn);
+        self.counters.left_unsent += u64::from(open.left && ending == EndReason::Withdrawn);
         open.may_have_run_ns = open.may_have_run_ns.or(Some(ran.sent_ns).filter(|_| ending.may_have_run()));
         if let Some(verdicts) = &mut self.verdicts {
             verdicts.ended(now, (ran.engine, open.ask.class), (ran.sent_ns, ran.given_up_ns), ending);
         }
-        let Meaning::Outcome(status) = ending.meaning() else { return };
-        if let (Ending::Served, Some(rows), false) = (ending, rows, open.concluded) {
+        let ControlEvent::Outcome(status) = ending.meaning() else { return };
+        if let (EndReason::Served, Some(rows), false) = (ending, rows, open.concluded) {
             open.concluded = true;
             self.counters.served += 1;
             out.push(Command::Answer(open.client, Answer::Served(rows)));
@@ -674,7 +674,7 @@
             }
         }
         let longest_ns = self.classes[open.ask.class.0].deadline_ns.saturating_add(DOUBT_GRACE_NS);
-        let over_by_ns = if ending.leaves_doubt() { ran.sent_ns.saturating_add(longest_ns) } else { 0 };
+        let over_by_ns = if ending.may_still_run() { ran.sent_ns.saturating_add(longest_ns) } else { 0 };
         let outcome = Outcome {
             request: at.request,
             attempt: at.number,
@@ -704,7 +704,7 @@
         let (concluded, given_up) = (open.concluded, ran.given_up_ns.is_some());
         if !self.takes_turns(&open.ask) {
             out.push(Command::GiveUp(at));
-            return self.end_attempt(now, at, Ending::TimedOut, None, None, out);
+            return self.end_attempt(now, at, EndReason::TimedOut, None, None, out);
         }
         // Guards against the next request of the key running beside this attempt: it is out until its engine has been told.
         if !concluded {
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -12,7 +12,7 @@
 
 /// Whom a limit is for, each of them alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum By {
+pub enum LimitScope {
     /// All requests together.
     All,
     /// Each tenant.
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rule {
     /// Whom it is for.
-    pub by: By,
+    pub by: LimitScope,
     /// Only this tenant's; none for all.
     pub tenant: Option<TenantId>,
     /// Only this class; none for all.
@@ -102,7 +102,7 @@
     }
 
     /// Requests that were refused so far by all limits.
-    pub fn refused_in_all(&self) -> u64 {
+    pub fn total_refused(&self) -> u64 {
         self.refused.values().sum()
     }
 
@@ -128,11 +128,11 @@
         let (tenant, class) =
             (of(&self.tenants, ask.tenant.map(|t| t.0)), of(&self.classes, Some(ask.class.0)));
         match rule.by {
-            By::All => 0,
-            By::Tenant => tenant,
-            By::Class => class,
-            By::TenantAndClass => both(tenant, class),
-            By::Client => both(tenant, ask.client),
+            LimitScope::All => 0,
+            LimitScope::Tenant => tenant,
+            LimitScope::Class => class,
+            LimitScope::TenantAndClass => both(tenant, class),
+            LimitScope::Client => both(tenant, ask.client),
         }
     }
 
--- a/crates/core/src/verdicts.rs
+++ b/crates/core/src/verdicts.rs
@@ -7,7 +7,7 @@
 use marljunction_verdicts::witness::Went;
 use marljunction_verdicts::{Judgement, Node};
 
-use crate::ending::{Ending, Sight};
+use crate::ending::{EndReason, HealthSignal};
 
 /// The end of a given-up attempt that comes sooner was told by its engine (ns): one that can't be told is taken to have ended it
 /// by itself after 2 s.
@@ -17,7 +17,7 @@
 const JUDGED_NS: u64 = 50_000_000;
 
 /// The verdicts of one router.
-pub struct FleetVerdicts {
+pub struct FleetHealth {
     node: Node,
     /// When each engine of the list started (ms), by what the list says.
     engines: BTreeMap<EngineId, u64>,
@@ -28,10 +28,10 @@
     next_ns: u64,
 }
 
-impl FleetVerdicts {
+impl FleetHealth {
     /// What `node` keeps, before any list of engines.
-    pub fn new(node: Node) -> FleetVerdicts {
-        FleetVerdicts {
+    pub fn new(node: Node) -> FleetHealth {
+        FleetHealth {
             node,
             engines: BTreeMap::new(),
             told: BTreeMap::new(),
@@ -72,17 +72,19 @@
         now: u64,
         (engine, class): (EngineId, ClassId),
         (sent_ns, given_up_ns): (u64, Option<u64>),
-        ending: Ending,
+        ending: EndReason,
     ) {
         let Some(started) = self.engines.get(&engine) else { return };
         let soon = |at: u64| now < at.saturating_add(ANSWERED_NS);
         let went = match ending.sight() {
             // The engine answered the call that ends it: else its end is taken for granted later.
-            Sight::Silent if ending == Ending::GivenUp && given_up_ns.is_some_and(soon) => Went::Alive,
-            Sight::Served => Went::Served(now.saturating_sub(sent_ns)),
-            Sight::Silent => Went::Silent,
-            Sight::Spoilt => Went::Spoilt,
-            Sight::Nothing => Went::Nothing,
+            HealthSignal::Silent if ending == EndReason::GivenUp && given_up_ns.is_some_and(soon) => {
+                Went::Alive
+            }
+            HealthSignal::Served => Went::Served(now.saturating_sub(sent_ns)),
+            HealthSignal::Silent => Went::Silent,
+            HealthSignal::Spoilt => Went::Spoilt,
+            HealthSignal::Nothing => Went::Nothing,
         };
         self.node.ended(now, (engine.0, *started), class.0, sent_ns, went);
     }
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -6,7 +6,7 @@
 use marljunction_control::control::cold_lane;
 use marljunction_control::interface::*;
 use marljunction_core::cold::ColdBudgets;
-use marljunction_core::ending::Ending;
+use marljunction_core::ending::EndReason;
 use marljunction_core::limits::FleetLimits;
 use marljunction_core::{Answer, Ask, Attempt, Client, Command, Router, Rows};
 use marljunction_limits::escrow::Peer;
@@ -123,7 +123,7 @@
         self.out = out;
         let over: Vec<(u64, usize, Attempt)> = over;
         for (_, at, attempt) in over {
-            self.routers[at].ended(attempt, Ending::Served, Some(Rows::Text(Vec::new())), None);
+            self.routers[at].ended(attempt, EndReason::Served, Some(Rows::Text(Vec::new())), None);
         }
         for at in 0..self.routers.len() {
             let mut commands = Vec::new();
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use marljunction_control::interface::*;
-use marljunction_core::ending::Ending;
+use marljunction_core::ending::EndReason;
 use marljunction_core::{Answer, Ask, Attempt, Client, Command, Router, Rows};
 use marljunction_door::settings::DoorSettings;
 use marljunction_door::{Door, Site};
@@ -46,7 +46,7 @@
             weights: vec![1.0, 1.0],
             classes: 2,
             longest_ns: Some(1_000 * MS),
-            bytes_most: Router::door_bytes(64.0),
+            bytes_most: Router::max_queued_bytes(64.0),
             seed: 3,
         };
         let router = Router::new(settings(), 1, 64.0).with_door(Some(Door::new(T0, door, site)));
@@ -96,22 +96,22 @@
                     }
                     Command::GiveUp(at) => {
                         self.out.retain(|(a, _)| *a != at);
-                        self.router.ended(at, Ending::GivenUp, None, None);
+                        self.router.ended(at, EndReason::GivenUp, None, None);
                     }
                     // Engines have their calls whole at once here.
                     Command::Rank(..) | Command::Withdraw(_) => {}
                 }
             }
-            if !self.router.has_news() {
+            if !self.router.has_pending_events() {
                 return;
             }
         }
     }
 
     /// The oldest attempt ends.
-    fn end(&mut self, ending: Ending) {
+    fn end(&mut self, ending: EndReason) {
         let (at, _) = self.out.remove(0);
-        let rows = (ending == Ending::Served).then(|| Rows::Text(b"1\n".to_vec()));
+        let rows = (ending == EndReason::Served).then(|| Rows::Text(b"1\n".to_vec()));
         self.router.ended(at, ending, rows, None);
         self.turn();
     }
@@ -146,7 +146,7 @@
             if self.out.is_empty() {
                 break;
             }
-            self.end(Ending::Served);
+            self.end(EndReason::Served);
         }
         self.wait(7_000);
         assert_eq!((self.router.owed(), self.queued()), (0, 0));
@@ -163,7 +163,7 @@
     let before = w.router.counters.sent;
     for _ in 0..10 {
         w.now += 20 * MS;
-        w.end(Ending::Served);
+        w.end(EndReason::Served);
     }
     let door = w.router.door().unwrap();
     let told = format!("{:?} {:?}", door.room(), door.counters().collect::<Vec<_>>());
@@ -181,7 +181,7 @@
     let sent = w.router.counters.sent;
     for (i, (_, id)) in waits.iter().enumerate() {
         if i % 2 == 0 {
-            w.router.leave(*id, Ending::Forgotten);
+            w.router.leave(*id, EndReason::Forgotten);
         } else {
             w.router.cancel(*id);
         }
@@ -228,11 +228,11 @@
     let mut w = World::new(DoorSettings::default());
     let (call, _) = w.take(0, 1);
     w.turn();
-    w.end(Ending::Cut);
+    w.end(EndReason::Cut);
     assert!(matches!(w.answers[&call], Answer::Failed(..)));
     let (call, _) = w.take(0, 1);
     w.turn();
-    w.end(Ending::Refused);
+    w.end(EndReason::Refused);
     assert!(matches!(w.answers[&call], Answer::Refused { .. }), "it never ran, and there is no other engine");
     w.finish();
 }
--- a/crates/core/tests/round.rs
+++ b/crates/core/tests/round.rs
@@ -1,7 +1,7 @@
 //! What one round brings, in whatever order it was read.
 
 use marljunction_control::interface::*;
-use marljunction_core::ending::Ending;
+use marljunction_core::ending::EndReason;
 use marljunction_core::{Answer, Ask, Attempt, Client, Command, Router, Rows};
 
 const MS: u64 = 1_000_000;
@@ -48,7 +48,7 @@
     assert_eq!(starts(&turn(&mut router, T0)).len(), 1);
     router.cancel(request);
     let rows = Some(Rows::Text(b"1\n".to_vec()));
-    router.ended(Attempt { request, number: 0 }, Ending::Served, rows, None);
+    router.ended(Attempt { request, number: 0 }, EndReason::Served, rows, None);
     let commands = turn(&mut router, T0 + MS);
     assert!(matches!(commands[..], [Command::Answer(_, Answer::Served(_)), ..]), "{commands:?}");
     assert_eq!((router.counters.served, router.counters.failed), (1, 0));
@@ -59,8 +59,8 @@
     let mut router = router(ClassSettings::default());
     let request = take(&mut router, 1);
     turn(&mut router, T0);
-    router.ended(Attempt { request, number: 0 }, Ending::Full, None, None);
-    router.leave(request, Ending::ClientGone);
+    router.ended(Attempt { request, number: 0 }, EndReason::Full, None, None);
+    router.leave(request, EndReason::ClientGone);
     assert!(starts(&turn(&mut router, T0 + MS)).is_empty());
     assert_eq!((router.counters.left, router.owed()), (1, 0));
 }
@@ -76,9 +76,9 @@
     let request = take(&mut router, 1);
     assert_eq!(starts(&turn(&mut router, T0)), [None]);
     // The first never ran, the second may have: the window is counted from that one.
-    router.ended(Attempt { request, number: 0 }, Ending::Full, None, None);
+    router.ended(Attempt { request, number: 0 }, EndReason::Full, None, None);
     assert_eq!(starts(&turn(&mut router, T0 + 100 * MS)), [None]);
-    router.ended(Attempt { request, number: 1 }, Ending::Cut, None, None);
+    router.ended(Attempt { request, number: 1 }, EndReason::Cut, None, None);
     let again = starts(&turn(&mut router, T0 + 200 * MS));
     assert!(again.is_empty() || again == [Some(T0 + 100 * MS + WINDOW)], "{again:?}");
     assert!(!again.is_empty(), "the module sends it again");
@@ -88,7 +88,7 @@
 fn what_is_taken_and_left_in_one_round_is_never_sent() {
     let mut router = router(ClassSettings::default());
     let request = take(&mut router, 1);
-    router.leave(request, Ending::Forgotten);
+    router.leave(request, EndReason::Forgotten);
     assert!(starts(&turn(&mut router, T0)).is_empty());
     assert_eq!((router.counters.left_unsent, router.counters.sent, router.owed()), (1, 0, 0));
 }
@@ -118,7 +118,7 @@
     assert!(commands.iter().any(|c| matches!(c, Command::Answer(_, Answer::Failed(..)))), "{commands:?}");
     assert!(commands.iter().any(|c| matches!(c, Command::GiveUp(_))), "{commands:?}");
     assert!(starts(&commands).is_empty(), "its engine has not been told yet");
-    router.ended(Attempt { request: first, number: 0 }, Ending::GivenUp, None, None);
+    router.ended(Attempt { request: first, number: 0 }, EndReason::GivenUp, None, None);
     assert_eq!(starts(&turn(&mut router, T0 + 1_010 * MS)).len(), 1);
     assert_eq!((router.counters.failed, router.owed()), (1, 1));
 }
@@ -129,21 +129,21 @@
     let first = take_in_order(&mut router, 1, 1_000 * MS);
     take_in_order(&mut router, 2, 8_000 * MS);
     turn(&mut router, T0);
-    router.leave(first, Ending::ClientGone);
+    router.leave(first, EndReason::ClientGone);
     assert!(starts(&turn(&mut router, T0 + 900 * MS)).is_empty());
     assert!(starts(&turn(&mut router, T0 + 1_100 * MS)).is_empty(), "its engine has not been told yet");
-    router.ended(Attempt { request: first, number: 0 }, Ending::GivenUp, None, None);
+    router.ended(Attempt { request: first, number: 0 }, EndReason::GivenUp, None, None);
     assert_eq!(starts(&turn(&mut router, T0 + 1_200 * MS)).len(), 1);
 }
 
 #[test]
 fn the_next_of_a_key_waits_until_an_attempt_whose_end_is_not_known_must_be_over() {
     for (ending, waits) in [
-        (Ending::Cut, true),
-        (Ending::Garbled, true),
-        (Ending::Abandoned, true),
-        (Ending::EngineError, false),
-        (Ending::GivenUp, false),
+        (EndReason::Cut, true),
+        (EndReason::Garbled, true),
+        (EndReason::Abandoned, true),
+        (EndReason::EngineError, false),
+        (EndReason::GivenUp, false),
     ] {
         let mut router = in_order();
         let first = take_in_order(&mut router, 1, 1_000 * MS);
--- a/crates/core/tests/verdicts.rs
+++ b/crates/core/tests/verdicts.rs
@@ -1,7 +1,7 @@
 //! What the module is told of what the fleet believes, whatever else is told meanwhile.
 
 use marljunction_control::interface::{EngineEntry, EngineId, MembershipKind, Verdict};
-use marljunction_core::verdicts::FleetVerdicts;
+use marljunction_core::verdicts::FleetHealth;
 use marljunction_verdicts::evidence::{Evidence, Finding};
 use marljunction_verdicts::words::Words;
 use marljunction_verdicts::{Message, Node, Terms};
@@ -10,7 +10,7 @@
 const T0: u64 = 1_000 * S;
 const ENGINE: EngineId = EngineId(5);
 
-fn says(verdicts: &mut FleetVerdicts, now: u64, witness: u32, number: u32, finding: Finding) {
+fn says(verdicts: &mut FleetHealth, now: u64, witness: u32, number: u32, finding: Finding) {
     let (engine, started_ms, life, zone) = (ENGINE.0, 0, 1, 0);
     let said = Evidence { engine, started_ms, witness, life, number, zone, finding, since_ms: 0, age_ms: 0 };
     verdicts.node().hear(now, witness, Message::News { words: Vec::new(), evidence: vec![said] });
@@ -19,7 +19,7 @@
 #[test]
 fn an_engine_that_comes_back_as_the_list_names_it_again_does_not_stay_out() {
     let terms = Terms { routers: 8, ..Terms::default() };
-    let mut verdicts = FleetVerdicts::new(Node::new(T0, (0, T0, 0), terms, (Words::default(), T0)));
+    let mut verdicts = FleetHealth::new(Node::new(T0, (0, T0, 0), terms, (Words::default(), T0)));
     let entries: Vec<EngineEntry> =
         (5..10).map(|id| EngineEntry { engine: EngineId(id), ..EngineEntry::default() }).collect();
     verdicts.change(MembershipKind::Full, entries.iter().copied());
--- a/crates/engine/src/http.rs
+++ b/crates/engine/src/http.rs
@@ -8,7 +8,7 @@
 
 use super::{Backend, Context, Start, Targets};
 use marljunction_control::interface::{EngineId, LoadReport};
-use marljunction_core::ending::Ending;
+use marljunction_core::ending::EndReason;
 use marljunction_core::{Ask, Attempt, Rows};
 use marljunction_discovery::Change;
 use marljunction_http1::head::{read_answer, whole_rows, Head};
@@ -137,8 +137,14 @@
     }
 
     /// A connection for one call: an idle one that was of use just now, else a new one.
-    fn line(&mut self, cx: &mut Context, engine: EngineId, role: Role, fresh: bool) -> Result<u64, Ending> {
-        let to = self.targets.get(engine).ok_or(Ending::NoDescriptor)?.address;
+    fn line(
+        &mut self,
+        cx: &mut Context,
+        engine: EngineId,
+        role: Role,
+        fresh: bool,
+    ) -> Result<u64, EndReason> {
+        let to = self.targets.get(engine).ok_or(EndReason::NoDescriptor)?.address;
         while let Some(conn) = if fresh { None } else { self.idle(cx.now, engine) } {
             // Guards against a call on a connection that its engine has closed since it was last looked at: nobody could tell
             // whether it came.
@@ -171,7 +177,7 @@
         bytes.extend_from_slice(body);
         if !cx.net.send(conn, &bytes) {
             // Guards against a call that passes for written, as nothing of it waits.
-            self.lost(cx, conn, Ending::Unsent);
+            self.lost(cx, conn, EndReason::Unsent);
         }
     }
 
@@ -195,9 +201,9 @@
     }
 
     /// Reports the one ending of an attempt, and lets its connections go.
-    fn end(&mut self, cx: &mut Context, at: Attempt, ending: Ending) {
+    fn end(&mut self, cx: &mut Context, at: Attempt, ending: EndReason) {
         let Some(run) = self.runs.remove(&at) else { return };
-        let rows = (ending == Ending::Served).then_some(Rows::Text(run.rows));
+        let rows = (ending == EndReason::Served).then_some(Rows::Text(run.rows));
         cx.router.ended(at, ending, rows, run.report);
         let conns = run.conn.into_iter().chain(run.leaving.and_then(|l| l.conn));
         for conn in conns.collect::<Vec<_>>() {
@@ -208,7 +214,7 @@
     }
 
     /// Ends an attempt whose call was not wholly written: without the rest it never runs, so closing its connection is enough.
-    fn take_back(&mut self, cx: &mut Context, at: Attempt, ending: Ending) {
+    fn take_back(&mut self, cx: &mut Context, at: Attempt, ending: EndReason) {
         let conn = self.runs.get_mut(&at).and_then(|r| r.conn.take());
         self.end(cx, at, ending);
         conn.into_iter().for_each(|conn| self.close(cx, conn));
@@ -218,7 +224,7 @@
     fn take_back_unbegun(&mut self, cx: &mut Context, which: impl Fn(&Targets<Vec<u64>>, &Run) -> bool) {
         let which = |run: &Run| unbegun(cx, run) && which(&self.targets, run);
         let over: Vec<Attempt> = self.runs.iter().filter(|(_, run)| which(run)).map(|(at, _)| *at).collect();
-        over.into_iter().for_each(|at| self.take_back(cx, at, Ending::Unsent));
+        over.into_iter().for_each(|at| self.take_back(cx, at, EndReason::Unsent));
     }
 
     fn post(&mut self, cx: &mut Context, at: Attempt, fresh: bool) {
@@ -226,7 +232,7 @@
         let engine = run.engine;
         // Guards against new work for an engine that began to drain while the connections before came to nothing.
         if !self.targets.serves(engine) {
-            return self.end(cx, at, Ending::Unsent);
+            return self.end(cx, at, EndReason::Unsent);
         }
         // An idle connection may close as it is written to, and then nobody knows what came of it.
         let conn = match self.line(cx, engine, Role::Post(at), fresh || run.once) {
@@ -244,7 +250,7 @@
             run.priority
         );
         run.told_priority = run.priority;
-        let Some(body) = run.ask.statement.inlined() else { return self.end(cx, at, Ending::Unsent) };
+        let Some(body) = run.ask.statement.inlined() else { return self.end(cx, at, EndReason::Unsent) };
         self.call(cx, conn, "POST", "/o", &fields, &body);
         self.written(cx, conn);
     }
@@ -298,7 +304,7 @@
                 self.call(cx, conn, "GET", &path, "", b"");
                 self.written(cx, conn);
             }
-            Err(Ending::Refused) => self.end(cx, at, Ending::Cut),
+            Err(EndReason::Refused) => self.end(cx, at, EndReason::Cut),
             Err(_) => (run.conn, run.again_ns) = (None, cx.now + ASK_AGAIN_NS),
         }
     }
@@ -321,9 +327,9 @@
         let found = self.line(cx, engine, Role::GiveUp(at), false);
         match found {
             Ok(conn) => self.tell_leaving_on(cx, at, conn),
-            Err(Ending::Refused) if !self.heard_on(at) => self.end(cx, at, Ending::Abandoned),
+            Err(EndReason::Refused) if !self.heard_on(at) => self.end(cx, at, EndReason::Abandoned),
             // A query that nobody asks for ends by itself.
-            Err(_) if cx.now >= asked_ns + FORGOTTEN_NS => self.end(cx, at, Ending::Abandoned),
+            Err(_) if cx.now >= asked_ns + FORGOTTEN_NS => self.end(cx, at, EndReason::Abandoned),
             Err(_) => {
                 if let Some(leaving) = self.runs.get_mut(&at).and_then(|r| r.leaving.as_mut()) {
                     (leaving.conn, leaving.again_ns) = (None, cx.now + ASK_AGAIN_NS / 2);
@@ -374,7 +380,7 @@
                         (leaving.conn, leaving.told) = (None, true);
                         leaving.again_ns = if waits { u64::MAX } else { cx.now + ASK_AGAIN_NS / 2 };
                     }
-                    None => self.end(cx, at, Ending::GivenUp),
+                    None => self.end(cx, at, EndReason::GivenUp),
                 }
             }
             Role::Rank(at) => {
@@ -415,16 +421,16 @@
                         (run.pages, run.next_page, run.rows) = (head.pages.unwrap_or(1), 1, body);
                         self.page_or_end(cx, at, conn);
                     }
-                    (503, true) => self.over(cx, at, conn, Ending::Full),
-                    (504, true) => self.over(cx, at, conn, Ending::Over),
-                    (500, _) => self.over(cx, at, conn, Ending::EngineError),
+                    (503, true) => self.over(cx, at, conn, EndReason::Full),
+                    (504, true) => self.over(cx, at, conn, EndReason::Over),
+                    (500, _) => self.over(cx, at, conn, EndReason::EngineError),
                     _ => self.spoilt(cx, conn, role, "no answer that the protocol knows"),
                 }
             }
             Role::Page(at, number) => {
                 let Some(run) = self.runs.get_mut(&at) else { return self.rest(cx, conn) };
                 if head.status == 500 {
-                    return self.over(cx, at, conn, Ending::EngineError);
+                    return self.over(cx, at, conn, EndReason::EngineError);
                 }
                 let fits = head.status == 200 && head.page == Some(number) && whole_rows(&body);
                 if !fits || run.rows.len() + body.len() > RESULT_MOST {
@@ -441,19 +447,19 @@
     fn page_or_end(&mut self, cx: &mut Context, at: Attempt, conn: Option<u64>) {
         let Some(run) = self.runs.get(&at) else { return };
         if run.next_page >= run.pages {
-            self.over(cx, at, conn, Ending::Served);
+            self.over(cx, at, conn, EndReason::Served);
         } else {
             self.ask(cx, at, conn);
         }
     }
 
-    fn over(&mut self, cx: &mut Context, at: Attempt, conn: Option<u64>, ending: Ending) {
+    fn over(&mut self, cx: &mut Context, at: Attempt, conn: Option<u64>, ending: EndReason) {
         self.rest(cx, conn);
         // Guards against a cancel that counts as the engine's failure: the call that waits for news is answered so
         // once the engine has given the query up, before the DELETE's own answer.
         let given_up =
-            ending == Ending::EngineError && self.runs.get(&at).is_some_and(|r| r.leaving.is_some());
-        self.end(cx, at, if given_up { Ending::GivenUp } else { ending });
+            ending == EndReason::EngineError && self.runs.get(&at).is_some_and(|r| r.leaving.is_some());
+        self.end(cx, at, if given_up { EndReason::GivenUp } else { ending });
     }
 
     /// An answer can't be read, or can't be this call's: its connection is of no use any more. The engine still
@@ -467,14 +473,14 @@
             // It has answered, so it has the query.
             (run.spoilt, run.whole) = (run.spoilt + 1, true);
             if run.spoilt > SPOILT_MOST {
-                return self.end(cx, at, Ending::Garbled);
+                return self.end(cx, at, EndReason::Garbled);
             }
         }
-        self.broken(cx, role, true, Ending::Garbled);
+        self.broken(cx, role, true, EndReason::Garbled);
     }
 
     /// A connection is over.
-    fn lost(&mut self, cx: &mut Context, conn: u64, ending: Ending) {
+    fn lost(&mut self, cx: &mut Context, conn: u64, ending: EndReason) {
         let Some(line) = self.lines.get(&conn) else { return };
         let (role, up) = (line.role, line.up);
         self.targets.broke(cx.now, line.engine, up, ending);
@@ -483,7 +489,7 @@
     }
 
     /// What the end of a connection means depends on what it was used for.
-    fn broken(&mut self, cx: &mut Context, role: Role, up: bool, ending: Ending) {
+    fn broken(&mut self, cx: &mut Context, role: Role, up: bool, ending: EndReason) {
         debug!("{role:?}: connection {} ended {ending:?}", if up { "that was up" } else { "not yet up" });
         match role {
             Role::Idle | Role::Discard => {}
@@ -491,12 +497,12 @@
                 self.runs.entry(at).and_modify(|r| r.ranking = false);
             }
             Role::GiveUp(at) => {
-                if !up && ending == Ending::Refused && !self.heard_on(at) {
-                    return self.end(cx, at, Ending::Abandoned);
+                if !up && ending == EndReason::Refused && !self.heard_on(at) {
+                    return self.end(cx, at, EndReason::Abandoned);
                 }
                 let asked_ns = self.runs.get(&at).map_or(0, |r| r.asked_ns);
                 if cx.now >= asked_ns + FORGOTTEN_NS {
-                    return self.end(cx, at, Ending::Abandoned);
+                    return self.end(cx, at, EndReason::Abandoned);
                 }
                 if let Some(leaving) = self.runs.get_mut(&at).and_then(|r| r.leaving.as_mut()) {
                     (leaving.conn, leaving.again_ns) =
@@ -512,12 +518,12 @@
                 }
                 let again = run.starts < STARTS_MOST;
                 match ending {
-                    Ending::Reset if !up && !again => self.end(cx, at, Ending::Refused),
-                    Ending::Reset if !up => self.post(cx, at, true),
+                    EndReason::Reset if !up && !again => self.end(cx, at, EndReason::Refused),
+                    EndReason::Reset if !up => self.post(cx, at, true),
                     _ if !up => self.end(cx, at, ending),
                     // Guards against a connection that closed as the call was written to it: it never ran.
                     _ if !run.whole && again => self.post(cx, at, true),
-                    _ if !run.whole => self.end(cx, at, Ending::Unsent),
+                    _ if !run.whole => self.end(cx, at, EndReason::Unsent),
                     _ => {
                         run.asked_ns = cx.now;
                         self.again(cx, at);
@@ -530,10 +536,10 @@
                 if run.leaving.is_some() {
                     return;
                 }
-                if !up && ending == Ending::Refused {
+                if !up && ending == EndReason::Refused {
                     // The process is gone, and the query with it: it may have run.
-                    self.end(cx, at, Ending::Cut);
-                } else if !up && ending != Ending::Reset {
+                    self.end(cx, at, EndReason::Cut);
+                } else if !up && ending != EndReason::Reset {
                     run.again_ns = cx.now + ASK_AGAIN_NS;
                 } else {
                     self.again(cx, at);
@@ -606,7 +612,7 @@
 
     fn withdraw(&mut self, cx: &mut Context, at: Attempt) {
         if self.runs.get(&at).is_some_and(|r| !r.whole) {
-            self.take_back(cx, at, Ending::Withdrawn);
+            self.take_back(cx, at, EndReason::Withdrawn);
         }
     }
 
@@ -666,8 +672,8 @@
             match line.role {
                 Role::Idle if age > self.idle_ns.min(REUSE_NS) => stale.push(*conn),
                 Role::Idle => {}
-                _ if !line.up && age > self.connect_ns => late.push((*conn, Ending::Unreachable)),
-                _ if line.up && age > SILENT_NS => late.push((*conn, Ending::Cut)),
+                _ if !line.up && age > self.connect_ns => late.push((*conn, EndReason::Unreachable)),
+                _ if line.up && age > SILENT_NS => late.push((*conn, EndReason::Cut)),
                 _ => {}
             }
         }
@@ -687,7 +693,7 @@
         // has ended the query by itself, if it ever took it up.
         let over = |r: &Run| r.whole && r.leaving.is_none() && cx.now > r.asked_ns + FORGOTTEN_NS;
         let forgotten: Vec<Attempt> = self.runs.iter().filter(|(_, r)| over(r)).map(|(at, _)| *at).collect();
-        forgotten.into_iter().for_each(|at| self.end(cx, at, Ending::Cut));
+        forgotten.into_iter().for_each(|at| self.end(cx, at, EndReason::Cut));
         let due: Vec<(Attempt, bool)> = self
             .runs
             .iter()
@@ -703,7 +709,7 @@
             let asked_ns = self.runs.get(&at).map_or(0, |r| r.asked_ns);
             match leaving {
                 false => self.ask(cx, at, None),
-                true if cx.now > asked_ns + FORGOTTEN_NS => self.end(cx, at, Ending::Abandoned),
+                true if cx.now > asked_ns + FORGOTTEN_NS => self.end(cx, at, EndReason::Abandoned),
                 true => self.tell_leaving(cx, at),
             }
         }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 use marljunction_control::interface::EngineId;
-use marljunction_core::ending::Ending;
+use marljunction_core::ending::EndReason;
 use marljunction_core::{Ask, Attempt, Router};
 use marljunction_discovery::Change;
 use marljunction_net::{Net, Owner};
@@ -129,12 +129,12 @@
 
     /// Starts a connection for new work, where the pace allows one more. Those that ask for news of a query or give one up
     /// are never held back.
-    pub fn connect_for_work(&mut self, cx: &mut Context, engine: EngineId) -> Result<u64, Ending> {
+    pub fn connect_for_work(&mut self, cx: &mut Context, engine: EngineId) -> Result<u64, EndReason> {
         if let Some((openings, seed)) = self.openings {
-            let known = self.all.get_mut(&engine).ok_or(Ending::NoDescriptor)?;
+            let known = self.all.get_mut(&engine).ok_or(EndReason::NoDescriptor)?;
             let new = || Box::new(Opening::new(openings, seed ^ engine.0, cx.now));
             if !known.opening.get_or_insert_with(new).may_open(cx.now) {
-                return Err(Ending::Paced);
+                return Err(EndReason::Paced);
             }
         }
         let connected = self.connect(cx, engine);
@@ -151,8 +151,8 @@
     }
 
     /// A connection to one of them ended, which was up or not: refused, or never up, speaks against the engine.
-    pub fn broke(&mut self, now: u64, engine: EngineId, up: bool, ending: Ending) {
-        if up || !matches!(ending, Ending::Refused | Ending::Unreachable) {
+    pub fn broke(&mut self, now: u64, engine: EngineId, up: bool, ending: EndReason) {
+        if up || !matches!(ending, EndReason::Refused | EndReason::Unreachable) {
             return;
         }
         let opening = self.all.get_mut(&engine).and_then(|k| k.opening.as_mut());
@@ -160,10 +160,10 @@
     }
 
     /// Starts a connection to one of them, and counts it.
-    pub fn connect(&mut self, cx: &mut Context, engine: EngineId) -> Result<u64, Ending> {
-        let to = self.get(engine).ok_or(Ending::NoDescriptor)?.address;
+    pub fn connect(&mut self, cx: &mut Context, engine: EngineId) -> Result<u64, EndReason> {
+        let to = self.get(engine).ok_or(EndReason::NoDescriptor)?.address;
         let conn = cx.net.connect(to, Owner::Engine).inspect_err(|e| {
-            cx.router.counters.short_of_descriptors += u64::from(*e == Ending::NoDescriptor);
+            cx.router.counters.short_of_descriptors += u64::from(*e == EndReason::NoDescriptor);
         })?;
         cx.router.counters.opened += 1;
         Ok(conn)
--- a/crates/engine/src/postgres.rs
+++ b/crates/engine/src/postgres.rs
@@ -16,7 +16,7 @@
 
 use super::{Backend, Context, Start, Targets};
 use marljunction_control::interface::EngineId;
-use marljunction_core::ending::Ending;
+use marljunction_core::ending::EndReason;
 use marljunction_core::{Ask, Attempt, Column, Fault, Row, Rows};
 use marljunction_discovery::Change;
 use marljunction_pacing::opening::Openings;
@@ -142,8 +142,8 @@
         PostgresEngines { targets, lines, runs, user, database, connect_ns }
     }
 
-    fn connect(&mut self, cx: &mut Context, engine: EngineId, role: Role) -> Result<u64, Ending> {
-        let to = self.targets.get(engine).ok_or(Ending::NoDescriptor)?.address;
+    fn connect(&mut self, cx: &mut Context, engine: EngineId, role: Role) -> Result<u64, EndReason> {
+        let to = self.targets.get(engine).ok_or(EndReason::NoDescriptor)?.address;
         let conn = match role {
             Role::Opens(_) => self.targets.connect_for_work(cx, engine)?,
             _ => self.targets.connect(cx, engine)?,
@@ -159,7 +159,7 @@
         at: Attempt,
         engine: EngineId,
         once: bool,
-    ) -> Result<u64, Ending> {
+    ) -> Result<u64, EndReason> {
         // Guards against a load that is written to a session which is closing: nobody could tell what came of it.
         while let Some(conn) = if once { None } else { self.targets.get(engine).and_then(|k| k.own.pop()) } {
             match self.lines.get_mut(&conn) {
@@ -178,10 +178,10 @@
             ("database", &self.database),
             ("application_name", "marljunction"),
         ];
-        frontend::startup_message(params, &mut bytes).map_err(|_| Ending::Unsent)?;
+        frontend::startup_message(params, &mut bytes).map_err(|_| EndReason::Unsent)?;
         if !cx.net.send(conn, &bytes) {
             self.close(cx, conn);
-            return Err(Ending::Unsent);
+            return Err(EndReason::Unsent);
         }
         Ok(conn)
     }
@@ -193,12 +193,12 @@
         cx.net.close(conn);
     }
 
-    fn end(&mut self, cx: &mut Context, at: Attempt, ending: Ending) {
+    fn end(&mut self, cx: &mut Context, at: Attempt, ending: EndReason) {
         let Some(run) = self.runs.remove(&at) else { return };
         if let Some(fault) = run.failed {
             cx.router.fault(at, fault);
         }
-        let rows = (ending == Ending::Served).then_some(Rows::Cells(run.columns, run.rows));
+        let rows = (ending == EndReason::Served).then_some(Rows::Cells(run.columns, run.rows));
         cx.router.ended(at, ending, rows, None);
     }
 
@@ -211,12 +211,12 @@
                 match cx.net.send(conn, &bytes) {
                     true => self.written(cx, conn),
                     // Guards against a query that passes for written, as nothing of it waits.
-                    false => self.lost(cx, conn, Ending::Unsent),
+                    false => self.lost(cx, conn, EndReason::Unsent),
                 }
             }
             None => {
                 run.failed = Some(Fault { state: "22021".into(), message: "the text is not UTF-8".into() });
-                self.end(cx, at, Ending::Unsent);
+                self.end(cx, at, EndReason::Unsent);
                 self.rest(cx, conn);
             }
         }
@@ -232,7 +232,7 @@
 
     /// Ends an attempt whose query was not wholly written: it never ran, and without the rest it never will. A session that
     /// still opens is kept for others.
-    fn take_back(&mut self, cx: &mut Context, at: Attempt, ending: Ending) {
+    fn take_back(&mut self, cx: &mut Context, at: Attempt, ending: EndReason) {
         let Some((conn, sent)) = self.runs.get(&at).map(|r| (r.conn, r.sent)) else { return };
         self.end(cx, at, ending);
         match self.lines.get_mut(&conn) {
@@ -245,7 +245,7 @@
     fn take_back_unbegun(&mut self, cx: &mut Context, which: impl Fn(&Targets<Vec<u64>>, &Run) -> bool) {
         let which = |run: &Run| unbegun(cx, run) && which(&self.targets, run);
         let over: Vec<Attempt> = self.runs.iter().filter(|(_, run)| which(run)).map(|(at, _)| *at).collect();
-        over.into_iter().for_each(|at| self.take_back(cx, at, Ending::Unsent));
+        over.into_iter().for_each(|at| self.take_back(cx, at, EndReason::Unsent));
     }
 
     fn rest(&mut self, cx: &mut Context, conn: u64) {
@@ -268,10 +268,10 @@
             Role::Runs(at) => {
                 let Some(run) = self.runs.get(&at) else { return self.close(cx, conn) };
                 let ending = match (run.complete, &run.failed, run.leaving_ns) {
-                    (true, None, _) => Ending::Served,
-                    (_, _, Some(_)) => Ending::GivenUp,
-                    (_, Some(_), None) => Ending::EngineError,
-                    (false, None, None) => Ending::Garbled,
+                    (true, None, _) => EndReason::Served,
+                    (_, _, Some(_)) => EndReason::GivenUp,
+                    (_, Some(_), None) => EndReason::EngineError,
+                    (false, None, None) => EndReason::Garbled,
                 };
                 let cancelled = run.leaving_ns.is_some();
                 self.end(cx, at, ending);
@@ -288,7 +288,7 @@
         }
     }
 
-    fn message(&mut self, cx: &mut Context, conn: u64, message: Message) -> Result<(), Ending> {
+    fn message(&mut self, cx: &mut Context, conn: u64, message: Message) -> Result<(), EndReason> {
         let Some(line) = self.lines.get_mut(&conn) else { return Ok(()) };
         let role = line.role;
         let run = match role {
@@ -305,16 +305,16 @@
                 // The session was refused: nothing ran.
                 let full = fault.state == "53300";
                 if let Some(at) = at {
-                    self.end(cx, at, if full { Ending::Full } else { Ending::Refused });
+                    self.end(cx, at, if full { EndReason::Full } else { EndReason::Refused });
                 }
-                return Err(Ending::Refused);
+                return Err(EndReason::Refused);
             }
             (Message::ErrorResponse(body), _, Some(run)) => run.failed = Some(fields(&body)),
             (Message::DataRow(body), _, Some(run)) => {
-                let row = cells(&body).ok_or(Ending::Garbled)?;
+                let row = cells(&body).ok_or(EndReason::Garbled)?;
                 run.bytes += row.iter().map(|c| c.as_ref().map_or(0, Vec::len) + 24).sum::<usize>();
                 if run.bytes > 4 * RESULT_MOST {
-                    return Err(Ending::Garbled);
+                    return Err(EndReason::Garbled);
                 }
                 run.rows.push(row);
             }
@@ -322,10 +322,10 @@
             (Message::ParseComplete | Message::BindComplete, _, Some(_)) => {}
             (Message::NoData, _, Some(_)) => {}
             (Message::RowDescription(body), _, Some(run)) => {
-                run.columns = columns(&body).ok_or(Ending::Garbled)?;
+                run.columns = columns(&body).ok_or(EndReason::Garbled)?;
             }
             // A password, a copy, or what nobody asked for.
-            _ => return Err(Ending::Garbled),
+            _ => return Err(EndReason::Garbled),
         }
         Ok(())
     }
@@ -335,7 +335,7 @@
         self.runs.get(&at).is_some_and(|r| r.starts < STARTS_MOST)
     }
 
-    fn lost(&mut self, cx: &mut Context, conn: u64, ending: Ending) {
+    fn lost(&mut self, cx: &mut Context, conn: u64, ending: EndReason) {
         let Some(line) = self.lines.get(&conn) else { return };
         let (role, up) = (line.role, line.up);
         self.targets.broke(cx.now, line.engine, up, ending);
@@ -343,7 +343,9 @@
         match role {
             // Guards against a bad link that is taken for a dead engine: a session that broke as it opened is
             // opened again, as nothing ran.
-            Role::Opens(Some(at)) if matches!(ending, Ending::Cut | Ending::Reset) && self.starts(at) => {
+            Role::Opens(Some(at))
+                if matches!(ending, EndReason::Cut | EndReason::Reset) && self.starts(at) =>
+            {
                 let Some(engine) = self.runs.get(&at).map(|r| r.engine) else { return };
                 match self.session(cx, at, engine, true) {
                     Ok(conn) => {
@@ -353,16 +355,18 @@
                 }
             }
             // A session that was refused, or that never opened: nothing ran.
-            Role::Opens(Some(at)) if ending == Ending::Reset => self.end(cx, at, Ending::Refused),
-            Role::Opens(Some(at)) if up && ending != Ending::Unreachable => self.end(cx, at, Ending::Refused),
+            Role::Opens(Some(at)) if ending == EndReason::Reset => self.end(cx, at, EndReason::Refused),
+            Role::Opens(Some(at)) if up && ending != EndReason::Unreachable => {
+                self.end(cx, at, EndReason::Refused)
+            }
             Role::Opens(Some(at)) => self.end(cx, at, ending),
             Role::Runs(at) => {
                 let Some(run) = self.runs.get(&at) else { return };
                 let ending = match (run.leaving_ns, run.whole) {
-                    (Some(_), _) => Ending::GivenUp,
-                    (None, false) => Ending::Unsent,
-                    (None, true) if ending == Ending::Garbled => Ending::Garbled,
-                    (None, true) => Ending::Cut,
+                    (Some(_), _) => EndReason::GivenUp,
+                    (None, false) => EndReason::Unsent,
+                    (None, true) if ending == EndReason::Garbled => EndReason::Garbled,
+                    (None, true) => EndReason::Cut,
                 };
                 self.end(cx, at, ending);
             }
@@ -407,7 +411,7 @@
         let (conn, engine) = (run.conn, run.engine);
         run.leaving_ns = Some(cx.now);
         let Some((number, key)) = self.lines.get(&conn).and_then(|l| l.key) else {
-            return self.lost(cx, conn, Ending::Cut);
+            return self.lost(cx, conn, EndReason::Cut);
         };
         if let Ok(cancel) = self.connect(cx, engine, Role::Cancels(at)) {
             let mut bytes = BytesMut::new();
@@ -418,7 +422,7 @@
 
     fn withdraw(&mut self, cx: &mut Context, at: Attempt) {
         if self.runs.get(&at).is_some_and(|r| !r.whole) {
-            self.take_back(cx, at, Ending::Withdrawn);
+            self.take_back(cx, at, EndReason::Withdrawn);
         }
     }
 
@@ -444,14 +448,14 @@
             let size = match Header::parse(input) {
                 Ok(None) => break,
                 Ok(Some(header)) if header.len() as usize <= RESULT_MOST => header.len() as usize + 1,
-                _ => return self.lost(cx, conn, Ending::Garbled),
+                _ => return self.lost(cx, conn, EndReason::Garbled),
             };
             if input.len() < size {
                 break;
             }
             let mut bytes = BytesMut::from(&input[..size]);
             cx.net.consume(conn, size);
-            let parsed = Message::parse(&mut bytes).ok().flatten().ok_or(Ending::Garbled);
+            let parsed = Message::parse(&mut bytes).ok().flatten().ok_or(EndReason::Garbled);
             if let Err(ending) = parsed.and_then(|message| self.message(cx, conn, message)) {
                 return self.lost(cx, conn, ending);
             }
@@ -462,20 +466,20 @@
     }
 
     fn tick(&mut self, cx: &mut Context) {
-        let mut over: Vec<(u64, Ending)> = Vec::new();
+        let mut over: Vec<(u64, EndReason)> = Vec::new();
         for (conn, line) in &self.lines {
             let age = cx.now.saturating_sub(line.since_ns);
             match line.role {
                 Role::Opens(_) if !line.up && age > self.connect_ns => {
-                    over.push((*conn, Ending::Unreachable))
+                    over.push((*conn, EndReason::Unreachable))
                 }
-                Role::Opens(_) if age > OPEN_NS => over.push((*conn, Ending::Unreachable)),
-                Role::Idle if age > REUSE_NS => over.push((*conn, Ending::Idle)),
-                Role::Cancels(_) if age > CANCEL_NS => over.push((*conn, Ending::Idle)),
+                Role::Opens(_) if age > OPEN_NS => over.push((*conn, EndReason::Unreachable)),
+                Role::Idle if age > REUSE_NS => over.push((*conn, EndReason::Idle)),
+                Role::Cancels(_) if age > CANCEL_NS => over.push((*conn, EndReason::Idle)),
                 Role::Runs(at) => {
                     let leaving = self.runs.get(&at).and_then(|r| r.leaving_ns);
                     if leaving.is_some_and(|since| cx.now > since + CANCEL_NS) {
-                        over.push((*conn, Ending::Cut));
+                        over.push((*conn, EndReason::Cut));
                     }
                 }
                 _ => {}
--- a/crates/engine/tests/give_up.rs
+++ b/crates/engine/tests/give_up.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use marljunction_control::interface::*;
-use marljunction_core::ending::{Ending, ENDINGS};
+use marljunction_core::ending::{EndReason, END_REASONS};
 use marljunction_core::statement::Statement;
 use marljunction_core::{Ask, Attempt, Client, Router};
 use marljunction_discovery::{Change, Target};
@@ -174,19 +174,19 @@
     }
 
     /// The attempt's ending, once it has been reported.
-    fn ending(&mut self) -> Ending {
-        self.until(|w| w.router.has_news());
+    fn ending(&mut self) -> EndReason {
+        self.until(|w| w.router.has_pending_events());
         self.router.turn(self.now, &mut Vec::new());
-        let counted = ENDINGS.iter().find(|(ending, _)| self.router.counters.endings(*ending) > 0);
+        let counted = END_REASONS.iter().find(|(ending, _)| self.router.counters.endings(*ending) > 0);
         counted.expect("an ending is counted").0
     }
 
     /// The query ends once the engine has been told on this connection that it is given up, and has said so.
     fn told_on(&mut self, mut stream: TcpStream) {
         self.read(&mut stream, "DELETE /o/aaaabbbbccccdddd ");
-        assert!(!self.router.has_news());
+        assert!(!self.router.has_pending_events());
         stream.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
-        assert_eq!(self.ending(), Ending::GivenUp);
+        assert_eq!(self.ending(), EndReason::GivenUp);
     }
 
     /// A query that the engine has whole, and that was given up: the end of the connection that tells it so.
@@ -204,7 +204,7 @@
     let mut w = World::new();
     let (mut first, _second) = w.given_up();
     first.write_all(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n").unwrap();
-    assert_eq!(w.ending(), Ending::GivenUp, "the engine must not pass for a failing one");
+    assert_eq!(w.ending(), EndReason::GivenUp, "the engine must not pass for a failing one");
 }
 
 #[test]
@@ -216,7 +216,10 @@
     for ms in [20, 40, 150, 240] {
         w.tick(ms);
         w.turn_sockets();
-        assert!(!w.router.has_news(), "after {ms} ms the query may still run: its connection stands");
+        assert!(
+            !w.router.has_pending_events(),
+            "after {ms} ms the query may still run: its connection stands"
+        );
     }
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
     w.told_on(first);
@@ -231,7 +234,7 @@
     drop(first);
     w.turn_sockets();
     w.tick(240);
-    assert_eq!(w.ending(), Ending::Abandoned);
+    assert_eq!(w.ending(), EndReason::Abandoned);
 }
 
 #[test]
@@ -240,11 +243,11 @@
     let (mut first, mut second) = w.given_up();
     for ms in [100, 260, 400, 490] {
         w.tick(ms);
-        assert!(!w.router.has_news(), "after {ms} ms the query may still run");
+        assert!(!w.router.has_pending_events(), "after {ms} ms the query may still run");
     }
     first.write_all(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n").unwrap();
     second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
-    assert_eq!(w.ending(), Ending::GivenUp);
+    assert_eq!(w.ending(), EndReason::GivenUp);
 }
 
 #[test]
@@ -256,7 +259,10 @@
     w.turn_sockets();
     for ms in [320, 400, 490] {
         w.tick(ms);
-        assert!(!w.router.has_news(), "after {ms} ms the call that starts the query still waits there");
+        assert!(
+            !w.router.has_pending_events(),
+            "after {ms} ms the call that starts the query still waits there"
+        );
     }
     // It takes the query up now, and is told once more.
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
@@ -273,7 +279,7 @@
     let mut cx = Context { now: w.now, net: &mut w.net, router: &mut w.router };
     w.engines.ready(&mut cx, 11);
     w.turn_sockets();
-    assert!(!w.router.has_news(), "the query may run");
+    assert!(!w.router.has_pending_events(), "the query may run");
     w.told_on(first);
 }
 
@@ -287,7 +293,7 @@
         w.read(&mut second, "GET /o/aaaabbbbccccdddd/0 ");
         second.write_all(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n").unwrap();
         w.turn_sockets();
-        assert!(!w.router.has_news(), "the call that starts it may still stand there");
+        assert!(!w.router.has_pending_events(), "the call that starts it may still stand there");
         w.tick(610);
         let mut third = w.accept();
         w.read(&mut third, "GET /o/aaaabbbbccccdddd/0 ");
@@ -296,7 +302,7 @@
             false => b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
         };
         third.write_all(answer).unwrap();
-        assert_eq!(w.ending(), if takes_it_up { Ending::Served } else { Ending::EngineError });
+        assert_eq!(w.ending(), if takes_it_up { EndReason::Served } else { EndReason::EngineError });
     }
 }
 
@@ -318,12 +324,12 @@
         }
         second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
         w.turn_sockets();
-        assert!(!w.router.has_news());
+        assert!(!w.router.has_pending_events());
         w.tick(502);
         w.tick(620);
         w.read(&mut second, "DELETE /o/aaaabbbbccccdddd ");
         second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
-        assert_eq!(w.ending(), Ending::GivenUp);
+        assert_eq!(w.ending(), EndReason::GivenUp);
     }
 }
 
@@ -333,11 +339,11 @@
     let _ends = w.given_up();
     for ms in [600, 1_200, 2_000, 2_240, 2_340] {
         w.tick(ms);
-        assert!(!w.router.has_news(), "after {ms} ms the query may still run");
+        assert!(!w.router.has_pending_events(), "after {ms} ms the query may still run");
     }
     w.tick(2_360);
     assert!(
-        w.router.has_news(),
+        w.router.has_pending_events(),
         "nobody has asked for it for 2 s, the time that a call is held, and the allowance"
     );
 }
@@ -358,10 +364,10 @@
         w.tick(ms);
         w.turn_sockets();
         w.release();
-        assert!(!w.router.has_news(), "after {ms} ms the query may still run");
+        assert!(!w.router.has_pending_events(), "after {ms} ms the query may still run");
     }
     w.tick(2_560);
-    assert_eq!(w.ending(), Ending::Abandoned);
+    assert_eq!(w.ending(), EndReason::Abandoned);
 }
 
 #[test]
@@ -375,7 +381,7 @@
     let mut cx = Context { now: w.now, net: &mut w.net, router: &mut w.router };
     w.engines.ready(&mut cx, 11);
     w.turn_sockets();
-    assert!(!w.router.has_news(), "the engine is there, and may still run the query");
+    assert!(!w.router.has_pending_events(), "the engine is there, and may still run the query");
     w.told_on(first);
 }
 
@@ -384,7 +390,7 @@
     let mut w = World::new();
     let (_attempt, mut first) = w.started();
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n").unwrap();
-    assert_eq!(w.ending(), Ending::Served);
+    assert_eq!(w.ending(), EndReason::Served);
     // Thin traffic: a router's next query for the same engine comes seconds later. Each handshake is priced.
     w.tick(1_900);
     w.start();
@@ -402,7 +408,7 @@
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n").unwrap();
     w.until(|w| {
         w.router.turn(w.now, &mut Vec::new());
-        w.router.counters.endings(Ending::Served) == 1
+        w.router.counters.endings(EndReason::Served) == 1
     });
     // Long enough for a connection to be used again, and not too long.
     w.tick(100);
@@ -424,7 +430,7 @@
 fn a_repeat_that_engines_would_not_drop_any_more_does_not_begin_to_go_out() {
     let (mut w, mut stream) = held_repeat();
     w.tick(101);
-    assert_eq!(w.ending(), Ending::Unsent);
+    assert_eq!(w.ending(), EndReason::Unsent);
     w.net.release();
     w.until(|_| match stream.read(&mut [0; 16]) {
         Ok(n) if n > 0 => panic!("bytes came of it"),
@@ -470,7 +476,7 @@
     let mut w = World::new();
     let (_attempt, mut first) = w.started();
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n").unwrap();
-    assert_eq!(w.ending(), Ending::Served);
+    assert_eq!(w.ending(), EndReason::Served);
     w.tick(100);
     drop(first);
     unheard_end(&mut w);
@@ -488,7 +494,7 @@
 fn a_call_that_finds_no_room_to_wait_has_never_run() {
     let mut w = World::of(Box::new(HttpEngines::new(30_000 * MS, 250 * MS)), cramped(100));
     w.start();
-    assert_eq!(w.ending(), Ending::Unsent);
+    assert_eq!(w.ending(), EndReason::Unsent);
 }
 
 const READY: &[u8] = b"Z\0\0\0\x05I";
@@ -498,7 +504,7 @@
 fn a_session_that_finds_no_room_to_wait_has_run_nothing() {
     let mut w = World::of_sessions(cramped(60));
     w.start();
-    assert_eq!(w.ending(), Ending::Unsent);
+    assert_eq!(w.ending(), EndReason::Unsent);
 }
 
 #[test]
@@ -509,7 +515,7 @@
     let mut session = w.accept();
     w.read(&mut session, "marljunction\0");
     session.write_all(WELCOME).unwrap();
-    assert_eq!(w.ending(), Ending::Unsent);
+    assert_eq!(w.ending(), EndReason::Unsent);
 }
 
 #[test]
@@ -522,7 +528,7 @@
     w.read(&mut first, "S\0\0\0\x04");
     first.write_all(b"1\0\0\0\x042\0\0\0\x04n\0\0\0\x04C\0\0\0\x0dSELECT 0\0").unwrap();
     first.write_all(READY).unwrap();
-    assert_eq!(w.ending(), Ending::Served);
+    assert_eq!(w.ending(), EndReason::Served);
     drop(first);
     unheard_end(&mut w);
     w.start();
@@ -537,7 +543,7 @@
     let mut session = w.accept();
     w.read(&mut session, "marljunction\0");
     w.tick(101);
-    assert_eq!(w.ending(), Ending::Unsent);
+    assert_eq!(w.ending(), EndReason::Unsent);
     // The session is kept for others, and carries nothing of that one.
     session.write_all(WELCOME).unwrap();
     w.turn_sockets();
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use marljunction_control::interface::{ClassId, Settings as ModuleSettings, TenantId};
-use marljunction_core::limits::{By, Rule};
+use marljunction_core::limits::{LimitScope, Rule};
 use marljunction_limits::bound::{bound, Bound, Fault, FAULTS};
 use marljunction_limits::{Kind, Limit, Mode, Terms};
 use marljunction_peers::{Keys, Settings as MembershipSettings};
@@ -28,7 +28,7 @@
     /// What is limited, and how it fails.
     pub limit: Limit,
     /// What each unit of the limit is for.
-    pub scope: By,
+    pub scope: LimitScope,
     /// Only this tenant's requests; none for all.
     pub tenant: Option<String>,
     /// Only this class's requests; none for all.
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -12,7 +12,7 @@
 use marljunction_control::interface::Settings;
 use marljunction_core::cold::ColdBudgets;
 use marljunction_core::limits::FleetLimits;
-use marljunction_core::verdicts::FleetVerdicts;
+use marljunction_core::verdicts::FleetHealth;
 use marljunction_core::Router;
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::terms::stable_hash;
@@ -62,7 +62,7 @@
     /// The limits, which go to the [`Router`].
     pub limits: FleetLimits,
     /// Engines' health where it is shared, which goes to the [`Router`].
-    pub health: Option<FleetVerdicts>,
+    pub health: Option<FleetHealth>,
 }
 
 /// The socket, the membership, and what is kept for the next start.
@@ -209,7 +209,7 @@
     }
 
     /// What the fleet agrees on engines' health, as text for operators.
-    pub fn view_health(&self, now: u64, health: &mut FleetVerdicts) -> String {
+    pub fn view_health(&self, now: u64, health: &mut FleetHealth) -> String {
         view::describe_health(now, health.node())
     }
 
@@ -362,9 +362,9 @@
     terms: HealthTerms,
     identity: &RouterIdentity,
     overrides_file: Option<&OverridesFile>,
-) -> FleetVerdicts {
+) -> FleetHealth {
     let kept = overrides_file.map_or((Words::default(), now), |file| file.load(now));
     let zone = identity.zone.as_deref().unwrap_or("");
     let zone = stable_hash([zone.as_bytes()]);
-    FleetVerdicts::new(HealthNode::new(now, (identity.number, now, zone), terms, kept))
+    FleetHealth::new(HealthNode::new(now, (identity.number, now, zone), terms, kept))
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -83,6 +83,6 @@
     format!(
         "fleet_peers={} fleet_datagrams={datagrams} fleet_bytes={bytes} fleet_spoilt={rejected} fleet_limited={}",
         members.up().count(),
-        limits.refused_in_all(),
+        limits.total_refused(),
     )
 }
--- a/crates/front/src/msgpack.rs
+++ b/crates/front/src/msgpack.rs
@@ -9,7 +9,7 @@
 
 use super::{Directory, ANSWER_MARGIN_NS, MESSAGE_MOST};
 use marljunction_control::interface::RequestId;
-use marljunction_core::ending::Ending;
+use marljunction_core::ending::EndReason;
 use marljunction_core::statement::Statement;
 use marljunction_core::{Answer, Ask, Client, Router};
 use marljunction_door::settings::Who;
@@ -220,7 +220,7 @@
         for conn in over {
             if self.is_still(now, net, router, conn, silent) {
                 router.counters.rejected += 1;
-                self.close(net, router, conn, Ending::Silent);
+                self.close(net, router, conn, EndReason::Silent);
             }
         }
     }
@@ -255,7 +255,7 @@
         for conn in over {
             if self.is_still(now, net, router, conn, quiet) && net.input(conn).is_empty() && net.drained(conn)
             {
-                self.forget(router, conn, Ending::Idle);
+                self.forget(router, conn, EndReason::Idle);
                 net.finish(now, conn);
             }
         }
@@ -267,24 +267,24 @@
         router.counters.rejected += 1;
         // Numbers start at 1: 0 is no call's.
         if net.send(conn, &error(0, "Malformed", &[("why", why.to_owned())])) {
-            self.forget(router, conn, Ending::Garbled);
+            self.forget(router, conn, EndReason::Garbled);
             net.finish(now, conn);
         } else {
-            self.close(net, router, conn, Ending::Garbled);
+            self.close(net, router, conn, EndReason::Garbled);
         }
     }
 
     /// A connection is over: nobody waits for what was open on it.
-    pub fn close(&mut self, net: &mut Net, router: &mut Router, conn: u64, ending: Ending) {
+    pub fn close(&mut self, net: &mut Net, router: &mut Router, conn: u64, ending: EndReason) {
         self.forget(router, conn, ending);
         net.close(conn);
     }
 
-    fn forget(&mut self, router: &mut Router, conn: u64, ending: Ending) {
+    fn forget(&mut self, router: &mut Router, conn: u64, ending: EndReason) {
         if let Some(caller) = self.callers.remove(&conn) {
             let mut open: Vec<RequestId> = caller.open.into_values().collect();
             open.sort_unstable();
-            open.into_iter().for_each(|id| router.leave(id, Ending::ClientGone));
+            open.into_iter().for_each(|id| router.leave(id, EndReason::ClientGone));
             router.counters.ended(ending);
         }
     }
@@ -293,7 +293,7 @@
     pub fn ready(&mut self, now: u64, net: &mut Net, router: &mut Router, conn: u64) {
         // Guards against running what a client sent that has gone since: nobody waits for it.
         if let Some(ending) = net.service(conn).ended {
-            return self.close(net, router, conn, ending.of_client());
+            return self.close(net, router, conn, ending.for_client_connection());
         }
         // Guards against a client that sends without end: others have their turn between its messages.
         for _ in 0..TAKEN_MOST {
@@ -334,7 +334,7 @@
             Message::Forget(id) => {
                 caller.rejected = rejected;
                 if let Some(request) = caller.open.remove(&id) {
-                    router.leave(request, Ending::Forgotten);
+                    router.leave(request, EndReason::Forgotten);
                 }
                 return;
             }
@@ -379,7 +379,7 @@
             }
         };
         if !net.send(conn, &answer) {
-            self.close(net, router, conn, Ending::Garbled);
+            self.close(net, router, conn, EndReason::Garbled);
         }
     }
 
@@ -404,7 +404,7 @@
             }
         };
         if !net.send(client.conn, &bytes) {
-            self.close(net, router, client.conn, Ending::Garbled);
+            self.close(net, router, client.conn, EndReason::Garbled);
         }
     }
 }
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -12,7 +12,7 @@
 use self::session::{is_text, Held, Kind, Settings};
 use super::{Directory, ANSWER_MARGIN_NS};
 use marljunction_control::interface::{ClassId, RequestId};
-use marljunction_core::ending::Ending;
+use marljunction_core::ending::EndReason;
 use marljunction_core::statement::Statement;
 use marljunction_core::{Answer, Ask, Client, Column, Router, Row};
 use marljunction_door::settings::Who;
@@ -92,32 +92,31 @@
     let (ending, backoff) = match answer {
         Answer::Refused { after, backoff_ms, .. } => (*after, Some(*backoff_ms)),
         Answer::Failed(after, _) => (*after, None),
-        Answer::Served(_) => (Some(Ending::Served), None),
+        Answer::Served(_) => (Some(EndReason::Served), None),
     };
     let told = match answer {
         Answer::Refused { fault, .. } | Answer::Failed(_, fault) => fault.clone(),
         Answer::Served(_) => None,
     };
     let (state, message) = match (ending, told) {
-        (Some(Ending::EngineError), Some(told)) => (told.state, told.message),
-        (Some(Ending::TimedOut), _) => {
+        (Some(EndReason::EngineError), Some(told)) => (told.state, told.message),
+        (Some(EndReason::TimedOut), _) => {
             ("57014".into(), "canceling statement due to statement timeout".into())
         }
-        (Some(Ending::Forgotten), _) => ("57014".into(), "canceling statement due to user request".into()),
-        (Some(Ending::Cut), _) => {
+        (Some(EndReason::Forgotten), _) => ("57014".into(), "canceling statement due to user request".into()),
+        (Some(EndReason::Cut), _) => {
             ("08007".into(), "the engine was lost: the statement may have run".to_owned())
         }
-        (Some(Ending::GivenUp | Ending::Abandoned | Ending::Withdrawn), _) => {
+        (Some(EndReason::GivenUp | EndReason::Abandoned | EndReason::Withdrawn), _) => {
             ("57014".into(), "the statement took too long and was given up".into())
         }
-        (Some(Ending::EngineError), None) => ("58000".into(), "the engine reported an error".into()),
-        (Some(Ending::Garbled), _) => ("08P01".into(), "the engine's answer cannot be read".into()),
-        (Some(Ending::Refused | Ending::Unreachable | Ending::Reset | Ending::Unsent), _) => {
+        (Some(EndReason::EngineError), None) => ("58000".into(), "the engine reported an error".into()),
+        (Some(EndReason::Garbled), _) => ("08P01".into(), "the engine's answer cannot be read".into()),
+        (Some(EndReason::Refused | EndReason::Unreachable | EndReason::Reset | EndReason::Unsent), _) => {
             ("57P03".into(), "no engine could be reached: the statement never ran".into())
         }
-        (Some(Ending::Full | Ending::Over | Ending::NoDescriptor | Ending::Paced), _) | (None, _) => {
-            ("53000".into(), "no engine can run the statement in time".into())
-        }
+        (Some(EndReason::Full | EndReason::Over | EndReason::NoDescriptor | EndReason::Paced), _)
+        | (None, _) => ("53000".into(), "no engine can run the statement in time".into()),
         (Some(other), _) => ("58000".into(), format!("the statement ended: {other:?}")),
     };
     let hint = backoff.map_or_else(String::new, |ms| format!("retry after {ms} ms"));
@@ -161,15 +160,15 @@
     }
 
     /// A session is over; what runs for it is given up.
-    pub fn close(&mut self, net: &mut Net, router: &mut Router, conn: u64, ending: Ending) {
+    pub fn close(&mut self, net: &mut Net, router: &mut Router, conn: u64, ending: EndReason) {
         self.forget(router, conn, ending);
         net.close(conn);
     }
 
-    fn forget(&mut self, router: &mut Router, conn: u64, ending: Ending) {
+    fn forget(&mut self, router: &mut Router, conn: u64, ending: EndReason) {
         if let Some(session) = self.sessions.remove(&conn) {
             if let Some(running) = session.running {
-                router.leave(running.request, Ending::ClientGone);
+                router.leave(running.request, EndReason::ClientGone);
             }
             router.counters.ended(ending);
         }
@@ -186,7 +185,7 @@
         for conn in over {
             if self.is_still(now, net, router, conn, late) {
                 router.counters.rejected += 1;
-                self.close(net, router, conn, Ending::Silent);
+                self.close(net, router, conn, EndReason::Silent);
             }
         }
     }
@@ -228,7 +227,7 @@
             }
             let mut reply = Reply::default();
             reply.error(&fault("57P01", "terminating connection: the router is drained or stops"), true);
-            self.write(now, net, router, conn, reply, Some(Ending::Idle));
+            self.write(now, net, router, conn, reply, Some(EndReason::Idle));
         }
     }
 
@@ -236,7 +235,7 @@
     pub fn ready(&mut self, now: u64, net: &mut Net, router: &mut Router, conn: u64) {
         // Guards against running what a client sent that has gone since: nobody waits for it.
         if let Some(ending) = net.service(conn).ended {
-            return self.close(net, router, conn, ending.of_client());
+            return self.close(net, router, conn, ending.for_client_connection());
         }
         self.advance(now, net, router, conn);
     }
@@ -265,7 +264,7 @@
                     debug!("a client's message: {why}");
                     router.counters.rejected += 1;
                     reply.error(&fault("08P01", why), true);
-                    over = Some(Ending::Garbled);
+                    over = Some(EndReason::Garbled);
                 }
             }
             if over.is_some() {
@@ -282,14 +281,14 @@
         router: &mut Router,
         conn: u64,
         reply: Reply,
-        over: Option<Ending>,
+        over: Option<EndReason>,
     ) {
         let sent = reply.bytes.is_empty() || net.send(conn, &reply.bytes);
         if let Some(ending) = over.filter(|_| sent && !reply.bytes.is_empty()) {
             self.forget(router, conn, ending);
             return net.finish(now, conn);
         }
-        if let Some(ending) = over.or((!sent).then_some(Ending::Garbled)) {
+        if let Some(ending) = over.or((!sent).then_some(EndReason::Garbled)) {
             self.close(net, router, conn, ending);
         }
     }
@@ -301,7 +300,7 @@
         conn: u64,
         message: ClientMessage,
         reply: &mut Reply,
-    ) -> Option<Ending> {
+    ) -> Option<EndReason> {
         self.settle_describe(conn, &message, reply);
         match message {
             ClientMessage::Encrypt => reply.no_encryption(),
@@ -311,10 +310,10 @@
                 if let Some(running) = found.and_then(|(_, s)| s.running.as_ref()) {
                     router.cancel(running.request);
                 }
-                return Some(Ending::Idle);
+                return Some(EndReason::Idle);
             }
             ClientMessage::Startup(minor, params) => return self.startup(router, conn, minor, params, reply),
-            ClientMessage::Terminate => return Some(Ending::ClientGone),
+            ClientMessage::Terminate => return Some(EndReason::ClientGone),
             ClientMessage::Sync => {
                 if let Some(session) = self.sessions.get_mut(&conn) {
                     (session.skipping, session.suspended) = (false, 0);
@@ -366,7 +365,7 @@
         minor: u16,
         params: Vec<(String, String)>,
         reply: &mut Reply,
-    ) -> Option<Ending> {
+    ) -> Option<EndReason> {
         let key = self.random() as i32;
         let full = self.sessions.len() > self.setup.sessions_most;
         let session = self.sessions.get_mut(&conn)?;
@@ -395,7 +394,7 @@
         if let Err(fault) = result {
             router.counters.rejected += 1;
             reply.error(&fault, true);
-            return Some(Ending::Garbled);
+            return Some(EndReason::Garbled);
         }
         (session.started, session.key, session.start) = (true, key, session.settings.clone());
         if minor > 0 {
--- a/crates/front/tests/quiet.rs
+++ b/crates/front/tests/quiet.rs
@@ -4,7 +4,7 @@
 use std::net::{TcpListener, TcpStream};
 
 use marljunction_control::interface::{ClassId, ClassSettings, Settings};
-use marljunction_core::ending::Ending;
+use marljunction_core::ending::EndReason;
 use marljunction_core::Router;
 use marljunction_front::msgpack::MsgpackFront;
 use marljunction_front::postgres::{PostgresFront, PostgresSetup};
@@ -132,7 +132,10 @@
     s.sessions.tick(LATE_NS, &mut s.net, &mut s.router);
     for world in [w, s] {
         assert_eq!(world.router.counters.rejected, 1);
-        assert_eq!((world.router.counters.endings(Ending::Silent), world.net.owner(world.conn)), (1, None));
+        assert_eq!(
+            (world.router.counters.endings(EndReason::Silent), world.net.owner(world.conn)),
+            (1, None)
+        );
     }
 }
 
@@ -156,7 +159,7 @@
     w.read();
     assert_eq!(w.front.idle(LATE_NS, &w.net), Some(w.conn));
     w.close_quiet();
-    assert_eq!(w.router.counters.endings(Ending::Idle), 1);
+    assert_eq!(w.router.counters.endings(EndReason::Idle), 1);
 }
 
 #[test]
@@ -167,7 +170,7 @@
     assert_eq!(w.net.owner(w.conn), Some(Owner::Postgres));
     w.read();
     w.close_quiet();
-    assert_eq!(w.router.counters.endings(Ending::Idle), 1);
+    assert_eq!(w.router.counters.endings(EndReason::Idle), 1);
 }
 
 #[test]
@@ -185,6 +188,6 @@
             Owner::Msgpack => w.front.ready(0, &mut w.net, &mut w.router, w.conn),
             _ => w.sessions.ready(0, &mut w.net, &mut w.router, w.conn),
         }
-        assert_eq!((w.router.counters.endings(Ending::Garbled), w.net.owner(w.conn)), (1, None));
+        assert_eq!((w.router.counters.endings(EndReason::Garbled), w.net.owner(w.conn)), (1, None));
     }
 }
--- a/crates/http1/tests/endings.rs
+++ b/crates/http1/tests/endings.rs
@@ -1,13 +1,13 @@
 //! What endings mean to the module, and what an engine's answer must be like.
 
 use marljunction_control::interface::Status;
-use marljunction_core::ending::{Ending, Meaning};
+use marljunction_core::ending::{ControlEvent, EndReason};
 use marljunction_http1::head::{read_answer, whole_rows};
 
 #[test]
 fn a_reset_link_says_nothing_of_the_engine() {
-    assert_eq!(Ending::Reset.meaning(), Meaning::Outcome(Status::Skipped));
-    assert_eq!(Ending::Refused.meaning(), Meaning::Outcome(Status::Refused));
+    assert_eq!(EndReason::Reset.meaning(), ControlEvent::Outcome(Status::Skipped));
+    assert_eq!(EndReason::Refused.meaning(), ControlEvent::Outcome(Status::Refused));
 }
 
 #[test]
--- a/crates/lab/src/scale/decide.rs
+++ b/crates/lab/src/scale/decide.rs
@@ -5,7 +5,7 @@
 use marljunction_control::interface::{
     ClassId, EngineEntry, EngineId, EngineState, MembershipKind, TenantId,
 };
-use marljunction_core::ending::Ending;
+use marljunction_core::ending::EndReason;
 use marljunction_core::statement::Statement;
 use marljunction_core::{Ask, Attempt, Client, Command, Router};
 use marljunction_settings::read_settings;
@@ -75,7 +75,7 @@
         let decided_us = processor_us();
         let attempts: Vec<Attempt> = commands.drain(..).filter_map(started).collect();
         for attempt in attempts {
-            router.ended(attempt, Ending::Served, None, None);
+            router.ended(attempt, EndReason::Served, None, None);
         }
         router.turn(now + BETWEEN_NS / 2, &mut commands);
         commands.clear();
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -14,7 +14,7 @@
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 
-use marljunction_core::ending::Ending;
+use marljunction_core::ending::EndReason;
 
 /// Output that one connection may have waiting (bytes): 32 results of the largest size and some room; and the
 /// part of what all may have.
@@ -80,7 +80,7 @@
     more: bool,
     /// Its peer has closed its side, whatever it sent before that was not read yet.
     closed: bool,
-    ended: Option<Ending>,
+    ended: Option<EndReason>,
     /// While it is being ended: what it may still send, and until when.
     discard: (usize, u64),
 }
@@ -111,7 +111,7 @@
     /// All output has been written to it.
     pub drained: bool,
     /// It is over; its input may still hold something.
-    pub ended: Option<Ending>,
+    pub ended: Option<EndReason>,
 }
 
 impl Net {
@@ -176,27 +176,27 @@
     }
 
     /// Starts a connection. No descriptor to be had is an ending like others.
-    pub fn connect(&mut self, to: SocketAddr, owner: Owner) -> Result<u64, Ending> {
+    pub fn connect(&mut self, to: SocketAddr, owner: Owner) -> Result<u64, EndReason> {
         if owner == Owner::Engine && self.engine_conns >= self.room.engines {
-            return Err(Ending::NoDescriptor);
+            return Err(EndReason::NoDescriptor);
         }
         let stream = TcpStream::connect(to).map_err(|e| match e.kind() {
-            ErrorKind::ConnectionRefused => Ending::Refused,
-            _ => Ending::NoDescriptor,
+            ErrorKind::ConnectionRefused => EndReason::Refused,
+            _ => EndReason::NoDescriptor,
         })?;
         self.add(stream, owner, true)
     }
 
     /// Takes over a connection that a client opened.
-    pub fn adopt(&mut self, stream: TcpStream, owner: Owner) -> Result<u64, Ending> {
+    pub fn adopt(&mut self, stream: TcpStream, owner: Owner) -> Result<u64, EndReason> {
         self.add(stream, owner, false)
     }
 
-    fn add(&mut self, mut stream: TcpStream, owner: Owner, connecting: bool) -> Result<u64, Ending> {
+    fn add(&mut self, mut stream: TcpStream, owner: Owner, connecting: bool) -> Result<u64, EndReason> {
         self.serial += 1;
         let interest = Interest::READABLE | Interest::WRITABLE;
         let registered = self.registry.register(&mut stream, Token(self.serial as usize), interest);
-        registered.map_err(|_| Ending::NoDescriptor)?;
+        registered.map_err(|_| EndReason::NoDescriptor)?;
         // Small messages must not wait for the acknowledgement of the ones before.
         let _ = stream.set_nodelay(true);
         self.engine_conns += usize::from(owner == Owner::Engine);
@@ -329,7 +329,7 @@
         let most = clients.max_by_key(|(other, conn)| (waits_for(conn), **other));
         let Some((_, conn)) = most.filter(|(_, conn)| waits_for(conn) >= waits.max(1)) else { return false };
         self.waiting -= waits_for(conn);
-        (conn.output, conn.written, conn.ended) = (Vec::new(), 0, conn.ended.or(Some(Ending::Garbled)));
+        (conn.output, conn.written, conn.ended) = (Vec::new(), 0, conn.ended.or(Some(EndReason::Garbled)));
         // The machine tells of its end then, and its owner looks at it.
         let _ = conn.stream.shutdown(std::net::Shutdown::Both);
         true
@@ -370,7 +370,7 @@
 
     /// Moves what is ready in both directions.
     pub fn service(&mut self, id: u64) -> Look {
-        let lost = Look { up: false, drained: false, ended: Some(Ending::Cut) };
+        let lost = Look { up: false, drained: false, ended: Some(EndReason::Cut) };
         let Some(conn) = self.conns.get_mut(&id) else { return lost };
         if conn.connecting {
             match conn.stream.take_error() {
@@ -380,9 +380,9 @@
                 },
                 Ok(Some(e)) | Err(e) => {
                     conn.ended = Some(match e.kind() {
-                        ErrorKind::ConnectionRefused => Ending::Refused,
-                        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Ending::Reset,
-                        _ => Ending::Unreachable,
+                        ErrorKind::ConnectionRefused => EndReason::Refused,
+                        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => EndReason::Reset,
+                        _ => EndReason::Unreachable,
                     });
                 }
             }
@@ -391,7 +391,7 @@
         let Some(conn) = self.conns.get_mut(&id) else { return lost };
         conn.more = false;
         if conn.closed {
-            conn.ended = conn.ended.or(Some(Ending::Cut));
+            conn.ended = conn.ended.or(Some(EndReason::Cut));
         }
         while conn.ended.is_none() {
             if conn.input.len() >= INPUT_MOST {
@@ -399,14 +399,14 @@
                 break;
             }
             match conn.stream.read(&mut self.scratch) {
-                Ok(0) => conn.ended = Some(Ending::Cut),
+                Ok(0) => conn.ended = Some(EndReason::Cut),
                 Ok(n) => {
                     self.received += n as u64;
                     conn.input.extend_from_slice(&self.scratch[..n]);
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => conn.ended = Some(Ending::Cut),
+                Err(_) => conn.ended = Some(EndReason::Cut),
             }
         }
         Look { up: !conn.connecting, drained: conn.output.is_empty() && !conn.connecting, ended: conn.ended }
--- a/crates/net/tests/close.rs
+++ b/crates/net/tests/close.rs
@@ -2,7 +2,7 @@
 
 use std::io::Read;
 
-use marljunction_core::ending::Ending;
+use marljunction_core::ending::EndReason;
 use marljunction_net::{Net, Owner, Room};
 
 /// A client, and its connection's number.
@@ -101,5 +101,5 @@
         net.send(call, &vec![b'z'; 900 << 10]),
         "a call to an engine finds room, though it can't be written yet"
     );
-    assert_eq!(net.service(more.1).ended, Some(Ending::Garbled));
+    assert_eq!(net.service(more.1).ended, Some(EndReason::Garbled));
 }
--- a/crates/rig/src/hollow/fleet_side.rs
+++ b/crates/rig/src/hollow/fleet_side.rs
@@ -5,7 +5,7 @@
 
 use marljunction_cells::{CellPlan, Numbers};
 use marljunction_control::interface::Settings;
-use marljunction_core::limits::By;
+use marljunction_core::limits::LimitScope;
 use marljunction_core::Router;
 use marljunction_discovery::stream::SILENT_NS;
 use marljunction_fleet::{
@@ -111,7 +111,7 @@
                 kind: LimitKind::Rate { per_s, burst: per_s as u32 },
                 mode: Mode::Strict,
             },
-            scope: By::Tenant,
+            scope: LimitScope::Tenant,
             tenant: None,
             class: None,
         };
@@ -164,7 +164,7 @@
             FleetRuntime::start(now, registry, token, config.clone(), identity, settings, names, None);
         let FleetStart { runtime, limits, health } =
             started.map_err(|fault| HollowError::Fleet { number, reason: fault.to_string() })?;
-        let router = router.with_limits(Some(limits)).with_verdicts(health);
+        let router = router.with_limits(Some(limits)).with_health(health);
         Ok((FleetSide { runtime, config, cell: cell.map(|cell| cell.id.cell) }, router))
     }
 
--- a/src/daemon/clients.rs
+++ b/src/daemon/clients.rs
@@ -7,7 +7,7 @@
 use std::net::IpAddr;
 
 use log::warn;
-use marljunction_core::ending::Ending;
+use marljunction_core::ending::EndReason;
 use marljunction_net::Owner;
 
 use super::Daemon;
@@ -167,6 +167,6 @@
     }
 
     fn close_idle(&mut self, conn: u64) {
-        self.fronts.msgpack.close(&mut self.net, &mut self.router, conn, Ending::Idle);
+        self.fronts.msgpack.close(&mut self.net, &mut self.router, conn, EndReason::Idle);
     }
 }
--- a/src/daemon/iteration.rs
+++ b/src/daemon/iteration.rs
@@ -86,7 +86,7 @@
 
     /// How long the loop may wait for events.
     fn poll_timeout(&self) -> Duration {
-        if !self.event_loop.unread.is_empty() || self.router.has_news() {
+        if !self.event_loop.unread.is_empty() || self.router.has_pending_events() {
             return Duration::ZERO;
         }
         let now = self.clock.now_ns();
@@ -198,7 +198,7 @@
                 self.execute(now, command);
             }
             self.event_loop.commands = commands;
-            if !self.router.has_news() {
+            if !self.router.has_pending_events() {
                 return;
             }
         }
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -7,7 +7,7 @@
 
 use log::info;
 use marljunction_core::limits::FleetLimits;
-use marljunction_core::verdicts::FleetVerdicts;
+use marljunction_core::verdicts::FleetHealth;
 use marljunction_core::Router;
 use marljunction_discovery::bound::ListBound;
 use marljunction_discovery::consul::Consul;
@@ -129,7 +129,7 @@
         weights: config.weights(&settings),
         classes: config.settings.classes.len(),
         longest_ns: config.settings.max_retry_after_ns,
-        bytes_most: Router::door_bytes(config.limits.memory_mb),
+        bytes_most: Router::max_queued_bytes(config.limits.memory_mb),
         seed: config.seed,
     };
     info!("a door stands before the module");
@@ -211,7 +211,7 @@
 }
 
 /// The machines that the router shares with its fleet; none where there is no fleet.
-type FleetMachines = (Option<FleetLimits>, Option<FleetVerdicts>);
+type FleetMachines = (Option<FleetLimits>, Option<FleetHealth>);
 
 fn start_fleet(
     now: u64,
@@ -239,7 +239,7 @@
     Router::new(config.settings.clone(), seed, config.limits.memory_mb)
         .with_door(door)
         .with_limits(limits)
-        .with_verdicts(health)
+        .with_health(health)
 }
 
 fn build_net(registry: Registry, config: &Config) -> Net {
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -11,7 +11,7 @@
 use marljunction_language::{read, Outcome};
 
 use marljunction_cells::{CellPlan, DivideBy, Numbers};
-use marljunction_core::limits::By;
+use marljunction_core::limits::LimitScope;
 use marljunction_fleet::config::{failure_mode, limit_kind};
 use marljunction_fleet::{FleetConfig, HealthConfig, LimitConfig, ListConfig, ListRole, ListTiming};
 use marljunction_limits::Limit;
@@ -264,11 +264,11 @@
             mode: failure_mode(of("over"), of("for")),
         },
         scope: match text(limit, "by")?.as_str() {
-            "all" => By::All,
-            "class" => By::Class,
-            "tenant and class" => By::TenantAndClass,
-            "client" => By::Client,
-            _ => By::Tenant,
+            "all" => LimitScope::All,
+            "class" => LimitScope::Class,
+            "tenant and class" => LimitScope::TenantAndClass,
+            "client" => LimitScope::Client,
+            _ => LimitScope::Tenant,
         },
         tenant: text(limit, "tenant"),
         class: text(limit, "class"),
