--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -197,11 +197,11 @@
         begin_by_ns: Option<u64>,
     },
     /// Give an attempt up; it stays out until its ending is reported.
-    GiveUp(Attempt),
+    CancelAttempt(Attempt),
     /// Take an attempt back where its call was not wholly written yet; else leave it alone.
-    Withdraw(Attempt),
+    CancelIfUnsent(Attempt),
     /// Change the priority of an attempt that is out.
-    Rank(Attempt, u8),
+    SetPriority(Attempt, u8),
     /// Give a client its final answer.
     Answer(Client, Answer),
 }
@@ -641,7 +641,7 @@
         self.decide(now, Event::Left(id), out);
         if let Some(ran) = self.open.get(&id).and_then(|o| o.out.as_ref()).filter(|o| o.given_up_ns.is_none())
         {
-            out.push(Command::Withdraw(Attempt { request: id, number: ran.number }));
+            out.push(Command::CancelIfUnsent(Attempt { request: id, number: ran.number }));
         }
     }
 
@@ -703,7 +703,7 @@
         let Some(ran) = open.out.as_ref().filter(|ran| ran.number == at.number) else { return };
         let (concluded, given_up) = (open.concluded, ran.given_up_ns.is_some());
         if !self.takes_turns(&open.ask) {
-            out.push(Command::GiveUp(at));
+            out.push(Command::CancelAttempt(at));
             return self.end_attempt(now, at, EndReason::TimedOut, None, None, out);
         }
         // Guards against the next request of the key running beside this attempt: it is out until its engine has been told.
@@ -819,7 +819,7 @@
                         }
                     }
                 }
-                out.push(Command::GiveUp(Attempt { request, number: attempt }))
+                out.push(Command::CancelAttempt(Attempt { request, number: attempt }))
             }
             Action::Refuse { request, retry_after_ns } => {
                 let Some(open) = self.open.get(&request) else { return };
@@ -841,7 +841,7 @@
                 let Some(open) = self.open.get_mut(&request) else { return };
                 open.priority = priority;
                 if let Some(ran) = &open.out {
-                    out.push(Command::Rank(Attempt { request, number: ran.number }, priority));
+                    out.push(Command::SetPriority(Attempt { request, number: ran.number }, priority));
                 }
             }
             Action::SetTimer { after_ns, token } => {
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -94,12 +94,12 @@
                         let twice = self.answers.insert(client.call, answer);
                         assert!(twice.is_none(), "call {} has one final answer", client.call);
                     }
-                    Command::GiveUp(at) => {
+                    Command::CancelAttempt(at) => {
                         self.out.retain(|(a, _)| *a != at);
                         self.router.ended(at, EndReason::GivenUp, None, None);
                     }
                     // Engines have their calls whole at once here.
-                    Command::Rank(..) | Command::Withdraw(_) => {}
+                    Command::SetPriority(..) | Command::CancelIfUnsent(_) => {}
                 }
             }
             if !self.router.has_pending_events() {
--- a/crates/core/tests/round.rs
+++ b/crates/core/tests/round.rs
@@ -116,7 +116,7 @@
     assert_eq!(starts(&turn(&mut router, T0)).len(), 1);
     let commands = turn(&mut router, T0 + 1_000 * MS);
     assert!(commands.iter().any(|c| matches!(c, Command::Answer(_, Answer::Failed(..)))), "{commands:?}");
-    assert!(commands.iter().any(|c| matches!(c, Command::GiveUp(_))), "{commands:?}");
+    assert!(commands.iter().any(|c| matches!(c, Command::CancelAttempt(_))), "{commands:?}");
     assert!(starts(&commands).is_empty(), "its engine has not been told yet");
     router.ended(Attempt { request: first, number: 0 }, EndReason::GivenUp, None, None);
     assert_eq!(starts(&turn(&mut router, T0 + 1_010 * MS)).len(), 1);
--- a/src/daemon/iteration.rs
+++ b/src/daemon/iteration.rs
@@ -214,9 +214,9 @@
                 let start = Start { attempt, engine, timeout_ns, priority, ask, class, once, begin_by_ns };
                 self.engines.start(&mut context, start);
             }
-            Command::GiveUp(attempt) => self.engines.give_up(&mut context, attempt),
-            Command::Withdraw(attempt) => self.engines.withdraw(&mut context, attempt),
-            Command::Rank(attempt, priority) => self.engines.rank(&mut context, attempt, priority),
+            Command::CancelAttempt(attempt) => self.engines.give_up(&mut context, attempt),
+            Command::CancelIfUnsent(attempt) => self.engines.withdraw(&mut context, attempt),
+            Command::SetPriority(attempt, priority) => self.engines.rank(&mut context, attempt, priority),
             Command::Answer(client, answer) => self.answer(now, client, answer),
         }
     }
