--- a/crates/core/src/verdicts.rs
+++ b/crates/core/src/health.rs
@@ -103,7 +103,7 @@
     }
 
     /// What the module is to be told anew.
-    pub fn verdicts(&mut self, now: u64) -> Vec<(EngineId, Verdict)> {
+    pub fn health(&mut self, now: u64) -> Vec<(EngineId, Verdict)> {
         if now < self.next_ns {
             return Vec::new();
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -9,9 +9,9 @@
 pub mod cold;
 pub mod counters;
 pub mod ending;
+pub mod health;
 pub mod limits;
 pub mod statement;
-pub mod verdicts;
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -21,13 +21,13 @@
 
 use counters::Counters;
 use ending::{ControlEvent, EndReason};
+use health::FleetHealth;
 use limits::FleetLimits;
 use marljunction_control::interface::*;
 use marljunction_control::Controller;
 use marljunction_door::{Advice, Arrival, Door, Verdict};
 use marljunction_limits::node::Ticket;
 use statement::Statement;
-use verdicts::FleetHealth;
 
 /// Time past a request's own within which its answer must have been given, or the core gives it (ns).
 const FINAL_GRACE_NS: u64 = 5_000_000;
@@ -270,7 +270,7 @@
     classes: Vec<ClassSettings>,
     door: Option<Door>,
     limits: Option<FleetLimits>,
-    verdicts: Option<FleetHealth>,
+    health: Option<FleetHealth>,
     open: HashMap<RequestId, Open>,
     timers: BinaryHeap<Reverse<(u64, u64, Timer)>>,
     batch: Vec<Inbound>,
@@ -292,7 +292,7 @@
             classes: settings.classes.clone(),
             door: None,
             limits: None,
-            verdicts: None,
+            health: None,
             control: Controller::new(settings, seed),
             open: HashMap::new(),
             timers: BinaryHeap::new(),
@@ -319,14 +319,14 @@
     }
 
     /// Shares what is believed of engines with the fleet.
-    pub fn with_health(mut self, verdicts: Option<FleetHealth>) -> Self {
-        self.verdicts = verdicts;
+    pub fn with_health(mut self, health: Option<FleetHealth>) -> Self {
+        self.health = health;
         self
     }
 
     /// What the fleet believes of engines, where it shares that.
-    pub fn verdicts(&mut self) -> Option<&mut FleetHealth> {
-        self.verdicts.as_mut()
+    pub fn health(&mut self) -> Option<&mut FleetHealth> {
+        self.health.as_mut()
     }
 
     /// The limits that hold for the fleet, where there are some.
@@ -546,8 +546,8 @@
 
     /// Tells the module what the fleet believes of engines by now, where that has changed.
     fn tell_verdicts(&mut self, now: u64, out: &mut Vec<Command>) {
-        let verdicts = self.verdicts.as_mut().map_or_else(Vec::new, |verdicts| verdicts.verdicts(now));
-        for (engine, verdict) in verdicts {
+        let health = self.health.as_mut().map_or_else(Vec::new, |health| health.health(now));
+        for (engine, verdict) in health {
             debug!("the fleet's verdict on {:016x} is {verdict:?}", engine.0);
             self.decide(now, Event::Judged(engine, verdict), out);
         }
@@ -617,8 +617,8 @@
                     debug!("{kind:?} list: engine {:016x} {:?} started {started_ms:?}", e.engine.0, e.state);
                 }
                 self.limits.iter_mut().for_each(|limits| limits.change(now, kind, &entries));
-                if let Some(verdicts) = &mut self.verdicts {
-                    entries.iter().for_each(|entry| verdicts.tell_again(entry.engine));
+                if let Some(health) = &mut self.health {
+                    entries.iter().for_each(|entry| health.tell_again(entry.engine));
                 }
                 self.decide(now, Event::Membership(kind, entries), out);
                 self.tell_shares(now, out);
@@ -661,8 +661,8 @@
         open.last = Some(ending);
         self.counters.left_unsent += u64::from(open.left && ending == EndReason::Withdrawn);
         open.may_have_run_ns = open.may_have_run_ns.or(Some(ran.sent_ns).filter(|_| ending.may_have_run()));
-        if let Some(verdicts) = &mut self.verdicts {
-            verdicts.ended(now, (ran.engine, open.ask.class), (ran.sent_ns, ran.given_up_ns), ending);
+        if let Some(health) = &mut self.health {
+            health.ended(now, (ran.engine, open.ask.class), (ran.sent_ns, ran.given_up_ns), ending);
         }
         let ControlEvent::Outcome(status) = ending.meaning() else { return };
         if let (EndReason::Served, Some(rows), false) = (ending, rows, open.concluded) {
@@ -814,8 +814,8 @@
                     let class = open.ask.class;
                     if let Some(ran) = open.out.as_mut().filter(|ran| ran.number == attempt) {
                         ran.given_up_ns = Some(now);
-                        if let Some(verdicts) = &mut self.verdicts {
-                            verdicts.given_up(now, ran.engine, class, ran.sent_ns);
+                        if let Some(health) = &mut self.health {
+                            health.given_up(now, ran.engine, class, ran.sent_ns);
                         }
                     }
                 }
--- a/crates/fleet/src/payloads.rs
+++ b/crates/fleet/src/payloads.rs
@@ -84,7 +84,7 @@
         if now < self.ignore_health_until_ns {
             return;
         }
-        let Some(health) = router.verdicts() else { return };
+        let Some(health) = router.health() else { return };
         let Ok(messages) = rmp_serde::from_slice::<Vec<HealthMessage>>(&payload.bytes) else { return };
         let mut answers = Vec::new();
         for message in messages {
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -11,8 +11,8 @@
 use marljunction_cells::PartNews;
 use marljunction_control::interface::Settings;
 use marljunction_core::cold::ColdBudgets;
+use marljunction_core::health::FleetHealth;
 use marljunction_core::limits::FleetLimits;
-use marljunction_core::verdicts::FleetHealth;
 use marljunction_core::Router;
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::terms::stable_hash;
@@ -180,7 +180,7 @@
             let messages = limits.node().tick(now);
             self.send(Kind::Limits, messages);
         }
-        if let Some(health) = router.verdicts() {
+        if let Some(health) = router.health() {
             let messages = health.node().tick(now);
             self.send(Kind::Verdicts, messages);
             self.log_suspicion(health.node().is_suspect());
@@ -257,7 +257,7 @@
         }
         self.log_change(event);
         let reachable: BTreeSet<u32> = self.members.up().map(|peer| peer.number).collect();
-        if let Some(health) = router.verdicts() {
+        if let Some(health) = router.health() {
             health.node().set_peers(reachable.iter().copied().collect());
         }
         if let Some(limits) = router.limits() {
--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -112,7 +112,7 @@
     }
 
     fn describe_health(&mut self, now: u64) -> Reply {
-        match (&self.fleet, self.router.verdicts()) {
+        match (&self.fleet, self.router.health()) {
             (Some(fleet), Some(health)) => Reply::new(200, fleet.view_health(now, health)),
             _ => Reply::new(404, "this router shares no verdicts"),
         }
--- a/src/daemon/counters.rs
+++ b/src/daemon/counters.rs
@@ -18,7 +18,7 @@
         if let (Some(fleet), Some(limits)) = (&self.fleet, self.router.limits()) {
             parts.push(fleet.line(now, limits));
         }
-        parts.extend(self.router.verdicts().map(|health| health.line()));
+        parts.extend(self.router.health().map(|health| health.line()));
         parts.join(" ")
     }
 
--- a/src/daemon/engine_list.rs
+++ b/src/daemon/engine_list.rs
@@ -63,7 +63,7 @@
     /// News of the source: kept, and told through the exclusions.
     pub(super) fn engines_changed(&mut self, change: Change) {
         self.engine_list.snapshot.list.changed();
-        if let Some(health) = self.router.verdicts() {
+        if let Some(health) = self.router.health() {
             health.change(change.kind, change.targets.iter().map(|target| target.entry));
         }
         let change = self.engine_list.bans().pass(change);
--- a/src/daemon/overrides.rs
+++ b/src/daemon/overrides.rs
@@ -21,13 +21,13 @@
 impl Daemon {
     /// Whether this router knows which engines the fleet was told to leave out.
     pub(super) fn knows_overrides(&mut self, now: u64) -> bool {
-        self.router.verdicts().is_none_or(|health| health.node().knows(now))
+        self.router.health().is_none_or(|health| health.node().knows(now))
     }
 
     /// Publishes an override to the fleet, and gives its version.
     pub(super) fn publish_override(&mut self, now: u64, id: &str, excluded: bool) -> Result<Stamp, Reply> {
         let listed = self.engine_list.bans().knows(id);
-        let Some(health) = self.router.verdicts() else {
+        let Some(health) = self.router.health() else {
             return Err(Reply::new(404, "this router shares no verdicts"));
         };
         if !listed && health.node().words().get(id).is_none() {
@@ -40,7 +40,7 @@
 
     /// Excludes the engines that the fleet's overrides exclude, and no others.
     pub(super) fn apply_overrides(&mut self, now: u64) {
-        let Some(health) = self.router.verdicts() else { return };
+        let Some(health) = self.router.health() else { return };
         let exclusions = &mut self.engine_list.exclusions;
         let revision = health.node().revision();
         if revision == exclusions.applied_revision {
@@ -68,7 +68,7 @@
     /// Answers clients whose override all peers have heard, and those that have waited long enough.
     pub(super) fn confirm_overrides(&mut self, now: u64) {
         for pending in std::mem::take(&mut self.admin.pending) {
-            let Some(health) = self.router.verdicts() else { continue };
+            let Some(health) = self.router.health() else { continue };
             let (heard, peers) = (health.node().heard_by(pending.version), health.node().peers());
             if heard < peers && now < pending.deadline_ns {
                 self.admin.pending.push(pending);
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 
 use log::info;
+use marljunction_core::health::FleetHealth;
 use marljunction_core::limits::FleetLimits;
-use marljunction_core::verdicts::FleetHealth;
 use marljunction_core::Router;
 use marljunction_discovery::bound::ListBound;
 use marljunction_discovery::consul::Consul;
