--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -27,7 +27,7 @@
 
 /// Which requests a limit counts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rule {
+pub struct LimitRule {
     /// Whom it is for.
     pub by: LimitScope,
     /// Only this tenant's; none for all.
@@ -40,7 +40,7 @@
 pub struct FleetLimits {
     node: Node,
     /// Which requests each limit counts, and its place in the node.
-    rules: Vec<(u16, Rule)>,
+    rules: Vec<(u16, LimitRule)>,
     /// Hashes of names: the same in all routers, whatever their numbers.
     tenants: Vec<u64>,
     classes: Vec<u64>,
@@ -52,7 +52,7 @@
 
 impl FleetLimits {
     /// The limits that `node` keeps, by these rules in its order; names of tenants and classes by their numbers.
-    pub fn new(node: Node, rules: Vec<Rule>, tenants: &[String], classes: &[String]) -> FleetLimits {
+    pub fn new(node: Node, rules: Vec<LimitRule>, tenants: &[String], classes: &[String]) -> FleetLimits {
         let hashes = |names: &[String]| names.iter().map(|name| stable_hash([name.as_bytes()])).collect();
         let (tenants, classes) = (hashes(tenants), hashes(classes));
         let rules = (0..).zip(rules).collect();
@@ -113,8 +113,8 @@
 
     /// The operator's file says other limits, with the rules of each: requests that come count under these. What is out and
     /// lent by the ones before stays counted.
-    pub fn resize(&mut self, now: u64, limits: Vec<(Limit, Rule)>) {
-        let (mut limits, rules): (Vec<Limit>, Vec<Rule>) = limits.into_iter().unzip();
+    pub fn resize(&mut self, now: u64, limits: Vec<(Limit, LimitRule)>) {
+        let (mut limits, rules): (Vec<Limit>, Vec<LimitRule>) = limits.into_iter().unzip();
         // Budgets of cold engines stay, behind the others in the file and in their place in the node.
         limits.extend(self.cold.iter().flat_map(ColdBudgets::limits));
         let places = self.node.resize(now, limits);
@@ -122,7 +122,7 @@
     }
 
     /// The key that a limit is for where it is for one alone, by its rule.
-    fn key(&self, rule: &Rule, ask: &Ask) -> u64 {
+    fn key(&self, rule: &LimitRule, ask: &Ask) -> u64 {
         let of = |hashes: &[u64], at: Option<usize>| at.and_then(|at| hashes.get(at).copied()).unwrap_or(0);
         let both = |a: u64, b: u64| stable_hash([&a.to_le_bytes()[..], &b.to_le_bytes()[..]]);
         let (tenant, class) =
@@ -141,7 +141,7 @@
     /// # Errors
     /// When it is worth coming back (ns from now).
     pub fn admit(&mut self, now: u64, ask: &Ask) -> Result<Ticket, u64> {
-        let counts = |rule: &Rule| {
+        let counts = |rule: &LimitRule| {
             rule.tenant.is_none_or(|t| ask.tenant == Some(t)) && rule.class.is_none_or(|c| ask.class == c)
         };
         let rules = self.rules.iter().filter(|(_, rule)| counts(rule));
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use marljunction_control::interface::{ClassId, Settings as ModuleSettings, TenantId};
-use marljunction_core::limits::{LimitScope, Rule};
+use marljunction_core::limits::{LimitRule, LimitScope};
 use marljunction_limits::bound::{bound, Bound, Fault, FAULTS};
 use marljunction_limits::{Kind, Limit, Mode, Terms};
 use marljunction_peers::{Keys, Settings as MembershipSettings};
@@ -137,10 +137,10 @@
     ///
     /// # Errors
     /// Where it names a tenant or class that is not in the settings.
-    pub fn rule(&self, names: &Names) -> Result<Rule, FleetError> {
+    pub fn rule(&self, names: &Names) -> Result<LimitRule, FleetError> {
         let tenant = self.resolve(NameKind::Tenant, &names.tenants, self.tenant.as_deref())?;
         let class = self.resolve(NameKind::Class, &names.classes, self.class.as_deref())?;
-        Ok(Rule { by: self.scope, tenant: tenant.map(TenantId), class: class.map(ClassId) })
+        Ok(LimitRule { by: self.scope, tenant: tenant.map(TenantId), class: class.map(ClassId) })
     }
 
     fn resolve(
--- a/crates/fleet/src/reload.rs
+++ b/crates/fleet/src/reload.rs
@@ -4,7 +4,7 @@
 
 use log::{info, warn};
 use marljunction_control::interface::Settings;
-use marljunction_core::limits::{FleetLimits, Rule};
+use marljunction_core::limits::{FleetLimits, LimitRule};
 use marljunction_limits::bound::change;
 use marljunction_limits::{Limit, Terms};
 use marljunction_settings::Names;
@@ -52,7 +52,8 @@
         limits: &mut FleetLimits,
     ) {
         let with_rule = |entry: &LimitConfig| entry.rule(names).map(|rule| (entry.limit.clone(), rule));
-        let resized: Result<Vec<(Limit, Rule)>, FleetError> = config.limits.iter().map(with_rule).collect();
+        let resized: Result<Vec<(Limit, LimitRule)>, FleetError> =
+            config.limits.iter().map(with_rule).collect();
         let resized = match resized {
             Ok(resized) => resized,
             Err(fault) => return warn!("the limits stay as they were: {fault}"),
