--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitRule {
     /// Whom it is for.
-    pub by: LimitScope,
+    pub scope: LimitScope,
     /// Only this tenant's; none for all.
     pub tenant: Option<TenantId>,
     /// Only this class; none for all.
@@ -127,7 +127,7 @@
         let both = |a: u64, b: u64| stable_hash([&a.to_le_bytes()[..], &b.to_le_bytes()[..]]);
         let (tenant, class) =
             (of(&self.tenants, ask.tenant.map(|t| t.0)), of(&self.classes, Some(ask.class.0)));
-        match rule.by {
+        match rule.scope {
             LimitScope::All => 0,
             LimitScope::Tenant => tenant,
             LimitScope::Class => class,
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -140,7 +140,7 @@
     pub fn rule(&self, names: &Names) -> Result<LimitRule, FleetError> {
         let tenant = self.resolve(NameKind::Tenant, &names.tenants, self.tenant.as_deref())?;
         let class = self.resolve(NameKind::Class, &names.classes, self.class.as_deref())?;
-        Ok(LimitRule { by: self.scope, tenant: tenant.map(TenantId), class: class.map(ClassId) })
+        Ok(LimitRule { scope: self.scope, tenant: tenant.map(TenantId), class: class.map(ClassId) })
     }
 
     fn resolve(
