--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -107,7 +107,7 @@
     }
 
     /// The place of each of the operator's limits, in the order of the file.
-    pub fn places(&self) -> impl Iterator<Item = u16> + '_ {
+    pub fn limit_indices(&self) -> impl Iterator<Item = u16> + '_ {
         self.rules.iter().map(|(place, _)| *place)
     }
 
@@ -117,8 +117,8 @@
         let (mut limits, rules): (Vec<Limit>, Vec<LimitRule>) = limits.into_iter().unzip();
         // Budgets of cold engines stay, behind the others in the file and in their place in the node.
         limits.extend(self.cold.iter().flat_map(ColdBudgets::limits));
-        let places = self.node.resize(now, limits);
-        self.rules = places.into_iter().zip(rules).collect();
+        let limit_indices = self.node.resize(now, limits);
+        self.rules = limit_indices.into_iter().zip(rules).collect();
     }
 
     /// The key that a limit is for where it is for one alone, by its rule.
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -37,8 +37,8 @@
 
 fn describe_limits(now: u64, config: &FleetConfig, limits: &mut FleetLimits) -> Vec<String> {
     let mut lines = Vec::new();
-    let places: Vec<u16> = limits.places().collect();
-    for (place, entry) in places.into_iter().zip(&config.limits) {
+    let limit_indices: Vec<u16> = limits.limit_indices().collect();
+    for (place, entry) in limit_indices.into_iter().zip(&config.limits) {
         let (kind, refused) = (entry.limit.kind, limits.refused(place));
         lines.push(format!("limit {} {kind:?} refused {refused}", entry.limit.name));
         for (key, state) in limits.node().busiest(now, place) {
