--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -454,7 +454,7 @@
     }
 
     /// Hands all that was gathered, and all timers that are due, to the module; adds to `out` what is to be done.
-    pub fn turn(&mut self, now_ns: u64, out: &mut Vec<Command>) {
+    pub fn process_events(&mut self, now_ns: u64, out: &mut Vec<Command>) {
         self.tell_shares(now_ns, out);
         self.tell_verdicts(now_ns, out);
         let mut batch = std::mem::take(&mut self.batch);
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -127,7 +127,7 @@
         }
         for at in 0..self.routers.len() {
             let mut commands = Vec::new();
-            self.routers[at].turn(now, &mut commands);
+            self.routers[at].process_events(now, &mut commands);
             for command in commands {
                 match command {
                     Command::Start { attempt, .. } => {
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -59,7 +59,7 @@
             ..EngineEntry::default()
         };
         w.router.membership(MembershipKind::Full, vec![entry]);
-        w.turn();
+        w.process_events();
         w
     }
 
@@ -83,10 +83,10 @@
         (self.calls, id)
     }
 
-    fn turn(&mut self) {
+    fn process_events(&mut self) {
         let mut commands = Vec::new();
         loop {
-            self.router.turn(self.now, &mut commands);
+            self.router.process_events(self.now, &mut commands);
             for command in commands.drain(..) {
                 match command {
                     Command::Start { attempt, engine, .. } => self.out.push((attempt, engine)),
@@ -113,17 +113,17 @@
         let (at, _) = self.out.remove(0);
         let rows = (ending == EndReason::Served).then(|| Rows::Text(b"1\n".to_vec()));
         self.router.ended(at, ending, rows, None);
-        self.turn();
+        self.process_events();
     }
 
     fn wait(&mut self, ms: u64) {
         let to = self.now + ms * MS;
         while let Some(due) = self.router.next_due_ns().filter(|due| *due <= to) {
             self.now = self.now.max(due) + 1;
-            self.turn();
+            self.process_events();
         }
         self.now = to;
-        self.turn();
+        self.process_events();
     }
 
     fn queued(&mut self) -> usize {
@@ -134,9 +134,9 @@
     fn fill(&mut self) -> Vec<(u64, RequestId)> {
         // So many at once that a quarter of them is refused: from then on there is a queue.
         let mut all: Vec<_> = (0..40).map(|i| self.take(i % 2, 0)).collect();
-        self.turn();
+        self.process_events();
         all.extend((0..40).map(|i| self.take(i % 2, 0)));
-        self.turn();
+        self.process_events();
         assert!(self.queued() >= 20 && self.out.len() >= 4, "{} {}", self.queued(), self.out.len());
         all
     }
@@ -186,7 +186,7 @@
             w.router.cancel(*id);
         }
     }
-    w.turn();
+    w.process_events();
     assert_eq!((w.queued(), w.router.counters.sent), (0, sent));
     for (i, (call, _)) in waits.iter().enumerate() {
         assert_eq!(w.answers.contains_key(call), i % 2 == 1, "only the cancelled hear of it");
@@ -227,11 +227,11 @@
 fn a_load_that_may_have_run_fails_and_its_room_is_free() {
     let mut w = World::new(DoorSettings::default());
     let (call, _) = w.take(0, 1);
-    w.turn();
+    w.process_events();
     w.end(EndReason::Cut);
     assert!(matches!(w.answers[&call], Answer::Failed(..)));
     let (call, _) = w.take(0, 1);
-    w.turn();
+    w.process_events();
     w.end(EndReason::Refused);
     assert!(matches!(w.answers[&call], Answer::Refused { .. }), "it never ran, and there is no other engine");
     w.finish();
@@ -250,7 +250,7 @@
     fn fill_some(&mut self) {
         for i in 0..200 {
             self.take(i % 2, 0);
-            self.turn();
+            self.process_events();
         }
     }
 }
@@ -262,9 +262,9 @@
     let queued = w.queued();
     assert!(queued > 0);
     w.take_in_turn(0, 1, Some(7));
-    w.turn();
+    w.process_events();
     assert_eq!(w.queued(), queued);
     w.take(0, 1);
-    w.turn();
+    w.process_events();
     assert!(w.queued() > queued, "others queue");
 }
--- a/crates/core/tests/round.rs
+++ b/crates/core/tests/round.rs
@@ -20,13 +20,13 @@
         ..EngineEntry::default()
     };
     router.membership(MembershipKind::Full, vec![engine(1), engine(2), engine(3)]);
-    turn(&mut router, T0);
+    process_events(&mut router, T0);
     router
 }
 
-fn turn(router: &mut Router, now: u64) -> Vec<Command> {
+fn process_events(router: &mut Router, now: u64) -> Vec<Command> {
     let mut commands = Vec::new();
-    router.turn(now, &mut commands);
+    router.process_events(now, &mut commands);
     commands
 }
 
@@ -45,11 +45,11 @@
 fn a_wish_to_end_a_request_comes_too_late_for_a_result_that_came_in_its_round() {
     let mut router = router(ClassSettings::default());
     let request = take(&mut router, 1);
-    assert_eq!(starts(&turn(&mut router, T0)).len(), 1);
+    assert_eq!(starts(&process_events(&mut router, T0)).len(), 1);
     router.cancel(request);
     let rows = Some(Rows::Text(b"1\n".to_vec()));
     router.ended(Attempt { request, number: 0 }, EndReason::Served, rows, None);
-    let commands = turn(&mut router, T0 + MS);
+    let commands = process_events(&mut router, T0 + MS);
     assert!(matches!(commands[..], [Command::Answer(_, Answer::Served(_)), ..]), "{commands:?}");
     assert_eq!((router.counters.served, router.counters.failed), (1, 0));
 }
@@ -58,10 +58,10 @@
 fn who_left_in_a_round_gets_no_further_attempt_in_it() {
     let mut router = router(ClassSettings::default());
     let request = take(&mut router, 1);
-    turn(&mut router, T0);
+    process_events(&mut router, T0);
     router.ended(Attempt { request, number: 0 }, EndReason::Full, None, None);
     router.leave(request, EndReason::ClientGone);
-    assert!(starts(&turn(&mut router, T0 + MS)).is_empty());
+    assert!(starts(&process_events(&mut router, T0 + MS)).is_empty());
     assert_eq!((router.counters.left, router.owed()), (1, 0));
 }
 
@@ -74,12 +74,12 @@
     };
     let mut router = router(class);
     let request = take(&mut router, 1);
-    assert_eq!(starts(&turn(&mut router, T0)), [None]);
+    assert_eq!(starts(&process_events(&mut router, T0)), [None]);
     // The first never ran, the second may have: the window is counted from that one.
     router.ended(Attempt { request, number: 0 }, EndReason::Full, None, None);
-    assert_eq!(starts(&turn(&mut router, T0 + 100 * MS)), [None]);
+    assert_eq!(starts(&process_events(&mut router, T0 + 100 * MS)), [None]);
     router.ended(Attempt { request, number: 1 }, EndReason::Cut, None, None);
-    let again = starts(&turn(&mut router, T0 + 200 * MS));
+    let again = starts(&process_events(&mut router, T0 + 200 * MS));
     assert!(again.is_empty() || again == [Some(T0 + 100 * MS + WINDOW)], "{again:?}");
     assert!(!again.is_empty(), "the module sends it again");
 }
@@ -89,7 +89,7 @@
     let mut router = router(ClassSettings::default());
     let request = take(&mut router, 1);
     router.leave(request, EndReason::Forgotten);
-    assert!(starts(&turn(&mut router, T0)).is_empty());
+    assert!(starts(&process_events(&mut router, T0)).is_empty());
     assert_eq!((router.counters.left_unsent, router.counters.sent, router.owed()), (1, 0, 0));
 }
 
@@ -113,13 +113,13 @@
     let mut router = in_order();
     let first = take_in_order(&mut router, 1, 1_000 * MS);
     take_in_order(&mut router, 2, 8_000 * MS);
-    assert_eq!(starts(&turn(&mut router, T0)).len(), 1);
-    let commands = turn(&mut router, T0 + 1_000 * MS);
+    assert_eq!(starts(&process_events(&mut router, T0)).len(), 1);
+    let commands = process_events(&mut router, T0 + 1_000 * MS);
     assert!(commands.iter().any(|c| matches!(c, Command::Answer(_, Answer::Failed(..)))), "{commands:?}");
     assert!(commands.iter().any(|c| matches!(c, Command::CancelAttempt(_))), "{commands:?}");
     assert!(starts(&commands).is_empty(), "its engine has not been told yet");
     router.ended(Attempt { request: first, number: 0 }, EndReason::GivenUp, None, None);
-    assert_eq!(starts(&turn(&mut router, T0 + 1_010 * MS)).len(), 1);
+    assert_eq!(starts(&process_events(&mut router, T0 + 1_010 * MS)).len(), 1);
     assert_eq!((router.counters.failed, router.owed()), (1, 1));
 }
 
@@ -128,12 +128,15 @@
     let mut router = in_order();
     let first = take_in_order(&mut router, 1, 1_000 * MS);
     take_in_order(&mut router, 2, 8_000 * MS);
-    turn(&mut router, T0);
+    process_events(&mut router, T0);
     router.leave(first, EndReason::ClientGone);
-    assert!(starts(&turn(&mut router, T0 + 900 * MS)).is_empty());
-    assert!(starts(&turn(&mut router, T0 + 1_100 * MS)).is_empty(), "its engine has not been told yet");
+    assert!(starts(&process_events(&mut router, T0 + 900 * MS)).is_empty());
+    assert!(
+        starts(&process_events(&mut router, T0 + 1_100 * MS)).is_empty(),
+        "its engine has not been told yet"
+    );
     router.ended(Attempt { request: first, number: 0 }, EndReason::GivenUp, None, None);
-    assert_eq!(starts(&turn(&mut router, T0 + 1_200 * MS)).len(), 1);
+    assert_eq!(starts(&process_events(&mut router, T0 + 1_200 * MS)).len(), 1);
 }
 
 #[test]
@@ -147,11 +150,11 @@
     ] {
         let mut router = in_order();
         let first = take_in_order(&mut router, 1, 1_000 * MS);
-        turn(&mut router, T0);
+        process_events(&mut router, T0);
         router.ended(Attempt { request: first, number: 0 }, ending, None, None);
-        turn(&mut router, T0 + 100 * MS);
+        process_events(&mut router, T0 + 100 * MS);
         take_in_order_at(&mut router, T0 + 5_000 * MS, 2, 8_000 * MS);
-        let mut started = |ms: u64| starts(&turn(&mut router, T0 + ms * MS)).len();
+        let mut started = |ms: u64| starts(&process_events(&mut router, T0 + ms * MS)).len();
         // All of the class's time from when it was sent, and a little more.
         let (soon, later) = (started(5_000) + started(9_000) + started(9_240), started(9_250));
         assert_eq!((soon, later), if waits { (0, 1) } else { (1, 0) }, "{ending:?}");
--- a/crates/engine/tests/give_up.rs
+++ b/crates/engine/tests/give_up.rs
@@ -51,7 +51,7 @@
         let same = listener.try_clone().unwrap();
         let mut world = World { poll, net, router, engines, listener, now: T0, statement: Vec::new() };
         world.lists(same, EngineState::Ready);
-        world.router.turn(T0, &mut Vec::new());
+        world.router.process_events(T0, &mut Vec::new());
         world
     }
 
@@ -143,7 +143,7 @@
         let name = "aaaabbbbccccdddd".into();
         let ask = Ask { name, time_left_ns: 9_000 * MS, statement, ..Ask::default() };
         let request = self.router.take(self.now, Client { conn: 1, call: 1 }, ask.clone());
-        self.router.turn(self.now, &mut Vec::new());
+        self.router.process_events(self.now, &mut Vec::new());
         let attempt = Attempt { request, number: 0 };
         let start = Start {
             attempt,
@@ -176,7 +176,7 @@
     /// The attempt's ending, once it has been reported.
     fn ending(&mut self) -> EndReason {
         self.until(|w| w.router.has_pending_events());
-        self.router.turn(self.now, &mut Vec::new());
+        self.router.process_events(self.now, &mut Vec::new());
         let counted = END_REASONS.iter().find(|(ending, _)| self.router.counters.endings(*ending) > 0);
         counted.expect("an ending is counted").0
     }
@@ -407,7 +407,7 @@
     w.lists(TcpListener::bind("127.0.0.1:0").unwrap(), EngineState::Ready);
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n").unwrap();
     w.until(|w| {
-        w.router.turn(w.now, &mut Vec::new());
+        w.router.process_events(w.now, &mut Vec::new());
         w.router.counters.endings(EndReason::Served) == 1
     });
     // Long enough for a connection to be used again, and not too long.
--- a/crates/lab/src/scale/decide.rs
+++ b/crates/lab/src/scale/decide.rs
@@ -63,7 +63,7 @@
         ..EngineEntry::default()
     };
     router.membership(MembershipKind::Full, (1..=engines).map(entry).collect());
-    router.turn(FIRST_NS, &mut commands);
+    router.process_events(FIRST_NS, &mut commands);
     commands.clear();
     let mut decisions = Vec::new();
     let mut spent_us = 0.0;
@@ -71,13 +71,13 @@
         let now = FIRST_NS + (request + 1) * BETWEEN_NS;
         let began_us = processor_us();
         router.take(now, Client { conn: 1, call: request }, ask(request));
-        router.turn(now, &mut commands);
+        router.process_events(now, &mut commands);
         let decided_us = processor_us();
         let attempts: Vec<Attempt> = commands.drain(..).filter_map(started).collect();
         for attempt in attempts {
             router.ended(attempt, EndReason::Served, None, None);
         }
-        router.turn(now + BETWEEN_NS / 2, &mut commands);
+        router.process_events(now + BETWEEN_NS / 2, &mut commands);
         commands.clear();
         if request >= WARM_UP {
             decisions.push(decided_us - began_us);
--- a/crates/rig/src/hollow/router.rs
+++ b/crates/rig/src/hollow/router.rs
@@ -211,7 +211,7 @@
             }
         }
         self.follow_relays(now);
-        self.turn(now);
+        self.process_events(now);
     }
 
     /// Takes what relays told of its cell's part.
@@ -269,11 +269,11 @@
         }
         self.list_since_ns = now;
         self.learned_ns = self.learned_ns.or(Some(now));
-        self.turn(now);
+        self.process_events(now);
     }
 
-    fn turn(&mut self, now: u64) {
-        self.module.turn(now, &mut self.commands);
+    fn process_events(&mut self, now: u64) {
+        self.module.process_events(now, &mut self.commands);
         // Without clients there is nothing to carry out.
         self.commands.clear();
     }
--- a/src/daemon/iteration.rs
+++ b/src/daemon/iteration.rs
@@ -193,7 +193,7 @@
         loop {
             let now = self.clock.now_ns();
             let mut commands = std::mem::take(&mut self.event_loop.commands);
-            self.router.turn(now, &mut commands);
+            self.router.process_events(now, &mut commands);
             for command in commands.drain(..) {
                 self.execute(now, command);
             }
