--- a/crates/core/src/ending.rs
+++ b/crates/core/src/ending.rs
@@ -100,7 +100,7 @@
 
 impl EndReason {
     /// The one place where an ending becomes what the module is told.
-    pub fn meaning(self) -> ControlEvent {
+    pub fn control_event(self) -> ControlEvent {
         match self {
             EndReason::Served => ControlEvent::Outcome(Status::Done),
             EndReason::EngineError | EndReason::Garbled => ControlEvent::Outcome(Status::Error),
@@ -133,7 +133,7 @@
 
     /// Whether an attempt that ended so may have run.
     pub fn may_have_run(self) -> bool {
-        match self.meaning() {
+        match self.control_event() {
             ControlEvent::Outcome(Status::Busy | Status::Refused | Status::Skipped) => false,
             ControlEvent::Outcome(_) => self != EndReason::Withdrawn,
             ControlEvent::Left | ControlEvent::Nothing => false,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -402,7 +402,7 @@
     }
 
     /// Whether one more request may be taken: each may hold a statement and a result.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         // What waits at the door has a bound of its own, past which the door itself makes room.
         let (queued, bytes, bytes_most) =
             self.door.as_ref().map_or((0, 0, 0), |d| (d.queued(), d.held_bytes(), d.bytes_most()));
@@ -415,7 +415,7 @@
     }
 
     /// Whether a request with this id is open: engines know queries by it.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn has_open_request(&self, name: &str) -> bool {
         self.names.contains(name)
     }
 
@@ -432,7 +432,7 @@
     }
 
     /// Requests that are owed an answer.
-    pub fn owed(&self) -> usize {
+    pub fn unanswered(&self) -> usize {
         self.open.values().filter(|o| !o.concluded).count()
     }
 
@@ -593,7 +593,7 @@
                     self.counters.left += 1;
                     self.counters.left_unsent += u64::from(open.out.is_none());
                     self.counters.ended(ending);
-                    debug_assert_eq!(ending.meaning(), ControlEvent::Left);
+                    debug_assert_eq!(ending.control_event(), ControlEvent::Left);
                     self.left(now, id, out);
                 }
             }
@@ -664,7 +664,7 @@
         if let Some(health) = &mut self.health {
             health.ended(now, (ran.engine, open.ask.class), (ran.sent_ns, ran.given_up_ns), ending);
         }
-        let ControlEvent::Outcome(status) = ending.meaning() else { return };
+        let ControlEvent::Outcome(status) = ending.control_event() else { return };
         if let (EndReason::Served, Some(rows), false) = (ending, rows, open.concluded) {
             open.concluded = true;
             self.counters.served += 1;
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -149,7 +149,7 @@
             self.end(EndReason::Served);
         }
         self.wait(7_000);
-        assert_eq!((self.router.owed(), self.queued()), (0, 0));
+        assert_eq!((self.router.unanswered(), self.queued()), (0, 0));
         let c = &self.router.counters;
         assert_eq!(c.taken, c.served + c.refused + c.failed + c.left);
         assert_eq!(self.router.door().unwrap().room().used(), 0.0, "all room is free again");
@@ -219,7 +219,7 @@
             assert!(w.answers.insert(client.call, answer).is_none());
         }
     }
-    assert_eq!((w.router.owed(), w.queued()), (0, 0));
+    assert_eq!((w.router.unanswered(), w.queued()), (0, 0));
     assert_eq!(w.answers.len() as u64, w.router.counters.taken);
 }
 
@@ -242,7 +242,7 @@
     let mut w = World::new(DoorSettings { queued: 10, ..DoorSettings::default() });
     w.fill_some();
     assert!(w.queued() <= 10);
-    assert!(w.router.has_room(), "what waits has a bound of its own");
+    assert!(w.router.has_capacity(), "what waits has a bound of its own");
     w.finish();
 }
 
--- a/crates/core/tests/round.rs
+++ b/crates/core/tests/round.rs
@@ -62,7 +62,7 @@
     router.ended(Attempt { request, number: 0 }, EndReason::Full, None, None);
     router.leave(request, EndReason::ClientGone);
     assert!(starts(&process_events(&mut router, T0 + MS)).is_empty());
-    assert_eq!((router.counters.left, router.owed()), (1, 0));
+    assert_eq!((router.counters.left, router.unanswered()), (1, 0));
 }
 
 #[test]
@@ -90,7 +90,7 @@
     let request = take(&mut router, 1);
     router.leave(request, EndReason::Forgotten);
     assert!(starts(&process_events(&mut router, T0)).is_empty());
-    assert_eq!((router.counters.left_unsent, router.counters.sent, router.owed()), (1, 0, 0));
+    assert_eq!((router.counters.left_unsent, router.counters.sent, router.unanswered()), (1, 0, 0));
 }
 
 /// Takes a request of a class in order, of the one key that there is.
@@ -120,7 +120,7 @@
     assert!(starts(&commands).is_empty(), "its engine has not been told yet");
     router.ended(Attempt { request: first, number: 0 }, EndReason::GivenUp, None, None);
     assert_eq!(starts(&process_events(&mut router, T0 + 1_010 * MS)).len(), 1);
-    assert_eq!((router.counters.failed, router.owed()), (1, 1));
+    assert_eq!((router.counters.failed, router.unanswered()), (1, 1));
 }
 
 #[test]
--- a/crates/front/src/msgpack.rs
+++ b/crates/front/src/msgpack.rs
@@ -358,11 +358,11 @@
                         error(id.into(), "Malformed", &[("why", fault)])
                     }
                     // Guards against a query that is taken for another client's: engines know it by this id alone.
-                    Ok(ask) if router.knows(&ask.name) => {
+                    Ok(ask) if router.has_open_request(&ask.name) => {
                         router.counters.rejected += 1;
                         error(id.into(), "Malformed", &[("why", "the rid is an open request's".into())])
                     }
-                    Ok(_) if caller.open.len() >= OPEN_ON_CONN || !router.has_room() => {
+                    Ok(_) if caller.open.len() >= OPEN_ON_CONN || !router.has_capacity() => {
                         if caller.open.len() < OPEN_ON_CONN {
                             caller.rejected = rejected;
                         }
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -547,7 +547,7 @@
         kind: Kind,
         portal: Option<(String, u32)>,
     ) -> Result<(), SqlFault> {
-        if !router.has_room() {
+        if !router.has_capacity() {
             router.counters.rejected += 1;
             return Err(SqlFault {
                 hint: "retry after 200 ms".into(),
--- a/crates/front/tests/quiet.rs
+++ b/crates/front/tests/quiet.rs
@@ -96,7 +96,7 @@
     // It comes behind the events of the round that finds its connection quiet for long.
     w.client.write_all(CALL).unwrap();
     w.close_quiet();
-    assert_eq!((w.router.counters.taken, w.router.owed()), (1, 1));
+    assert_eq!((w.router.counters.taken, w.router.unanswered()), (1, 1));
     assert_eq!(w.net.owner(w.conn), Some(Owner::Msgpack));
 }
 
@@ -105,7 +105,7 @@
     let mut w = World::session();
     w.client.write_all(QUERY).unwrap();
     w.close_quiet();
-    assert_eq!((w.router.counters.taken, w.router.owed()), (1, 1));
+    assert_eq!((w.router.counters.taken, w.router.unanswered()), (1, 1));
     assert_eq!(w.net.owner(w.conn), Some(Owner::Postgres));
 }
 
@@ -114,7 +114,7 @@
     let mut w = world(Owner::Msgpack);
     w.client.write_all(CALL).unwrap();
     w.front.tick(LATE_NS, &mut w.net, &mut w.router);
-    assert_eq!((w.router.counters.taken, w.router.owed(), w.router.counters.rejected), (1, 1, 0));
+    assert_eq!((w.router.counters.taken, w.router.unanswered(), w.router.counters.rejected), (1, 1, 0));
 }
 
 #[test]
--- a/crates/http1/tests/endings.rs
+++ b/crates/http1/tests/endings.rs
@@ -6,8 +6,8 @@
 
 #[test]
 fn a_reset_link_says_nothing_of_the_engine() {
-    assert_eq!(EndReason::Reset.meaning(), ControlEvent::Outcome(Status::Skipped));
-    assert_eq!(EndReason::Refused.meaning(), ControlEvent::Outcome(Status::Refused));
+    assert_eq!(EndReason::Reset.control_event(), ControlEvent::Outcome(Status::Skipped));
+    assert_eq!(EndReason::Refused.control_event(), ControlEvent::Outcome(Status::Refused));
 }
 
 #[test]
--- a/src/daemon/stop.rs
+++ b/src/daemon/stop.rs
@@ -65,7 +65,7 @@
 
     /// Guards against requests that SIGKILL finds unanswered: they get an answer while there is time.
     pub(super) fn end_all(&mut self, now: u64) {
-        if !self.answers_all(now) || self.router.owed() == 0 {
+        if !self.answers_all(now) || self.router.unanswered() == 0 {
             return;
         }
         let mut commands = Vec::new();
@@ -103,7 +103,8 @@
     /// Whether all has been answered and written for long enough. Guards against an answer that is reset away: an exit with unread
     /// input resets its connection, so the client gets time to read what was just written.
     fn is_quiet(&mut self, now: u64) -> bool {
-        let answered = self.router.owed() == 0 && self.net.all_written() && self.event_loop.unread.is_empty();
+        let answered =
+            self.router.unanswered() == 0 && self.net.all_written() && self.event_loop.unread.is_empty();
         if !answered {
             self.stop.quiet_since_ns = None;
         }
