--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -59,7 +59,7 @@
 
 /// What a client asks for.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct ClientRequest {
     /// The client's own id of the request, passed on to engines.
     pub name: String,
     /// The token by which engines drop its repeats, passed on to them; none where its class has no such thing.
@@ -192,7 +192,7 @@
         /// Its priority.
         priority: u8,
         /// What to send.
-        ask: Rc<Ask>,
+        ask: Rc<ClientRequest>,
         /// It must not begin to go out later, as a repeat that engines would not drop any more (ns); none for any time.
         begin_by_ns: Option<u64>,
     },
@@ -214,7 +214,7 @@
 }
 
 struct Open {
-    ask: Rc<Ask>,
+    ask: Rc<ClientRequest>,
     client: Client,
     /// The final answer was given, or is owed to nobody any more.
     concluded: bool,
@@ -340,7 +340,7 @@
     }
 
     /// Takes a request; it is owed one final answer from here on.
-    pub fn take(&mut self, now_ns: u64, client: Client, ask: Ask) -> RequestId {
+    pub fn take(&mut self, now_ns: u64, client: Client, ask: ClientRequest) -> RequestId {
         self.serial += 1;
         let id = RequestId(self.serial);
         let expires_ns = now_ns.saturating_add(ask.time_left_ns);
@@ -716,7 +716,7 @@
     }
 
     /// Whether a request takes turns with others of its key.
-    fn takes_turns(&self, ask: &Ask) -> bool {
+    fn takes_turns(&self, ask: &ClientRequest) -> bool {
         ask.order_key.is_some() && self.classes[ask.class.0].serial_by_key
     }
 
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -8,7 +8,7 @@
 use marljunction_limits::Node;
 
 use crate::cold::ColdBudgets;
-use crate::Ask;
+use crate::ClientRequest;
 
 /// Whom a limit is for, each of them alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -122,7 +122,7 @@
     }
 
     /// The key that a limit is for where it is for one alone, by its rule.
-    fn key(&self, rule: &LimitRule, ask: &Ask) -> u64 {
+    fn key(&self, rule: &LimitRule, ask: &ClientRequest) -> u64 {
         let of = |hashes: &[u64], at: Option<usize>| at.and_then(|at| hashes.get(at).copied()).unwrap_or(0);
         let both = |a: u64, b: u64| stable_hash([&a.to_le_bytes()[..], &b.to_le_bytes()[..]]);
         let (tenant, class) =
@@ -140,7 +140,7 @@
     ///
     /// # Errors
     /// When it is worth coming back (ns from now).
-    pub fn admit(&mut self, now: u64, ask: &Ask) -> Result<Ticket, u64> {
+    pub fn admit(&mut self, now: u64, ask: &ClientRequest) -> Result<Ticket, u64> {
         let counts = |rule: &LimitRule| {
             rule.tenant.is_none_or(|t| ask.tenant == Some(t)) && rule.class.is_none_or(|c| ask.class == c)
         };
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -8,7 +8,7 @@
 use marljunction_core::cold::ColdBudgets;
 use marljunction_core::ending::EndReason;
 use marljunction_core::limits::FleetLimits;
-use marljunction_core::{Answer, Ask, Attempt, Client, Command, Router, Rows};
+use marljunction_core::{Answer, Attempt, Client, ClientRequest, Command, Router, Rows};
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::{Message, Node, Terms};
 
@@ -101,7 +101,11 @@
     /// One router asks at this one, as a client would.
     fn ask(&mut self, at: usize) {
         self.calls += 1;
-        let ask = Ask { name: format!("{:016x}", self.calls), time_left_ns: 3 * S, ..Ask::default() };
+        let ask = ClientRequest {
+            name: format!("{:016x}", self.calls),
+            time_left_ns: 3 * S,
+            ..ClientRequest::default()
+        };
         self.routers[at].take(self.now, Client { conn: 1, call: self.calls }, ask);
     }
 
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -4,7 +4,7 @@
 
 use marljunction_control::interface::*;
 use marljunction_core::ending::EndReason;
-use marljunction_core::{Answer, Ask, Attempt, Client, Command, Router, Rows};
+use marljunction_core::{Answer, Attempt, Client, ClientRequest, Command, Router, Rows};
 use marljunction_door::settings::DoorSettings;
 use marljunction_door::{Door, Site};
 
@@ -69,7 +69,7 @@
 
     fn take_in_turn(&mut self, tenant: usize, class: usize, order_key: Option<u64>) -> (u64, RequestId) {
         self.calls += 1;
-        let ask = Ask {
+        let ask = ClientRequest {
             name: format!("{:016x}", self.calls),
             class: ClassId(class),
             order_key,
@@ -77,7 +77,7 @@
             client: self.calls % 7,
             time_left_ns: 5_000 * MS,
             work_estimate_ns: Some(200 * MS),
-            ..Ask::default()
+            ..ClientRequest::default()
         };
         let id = self.router.take(self.now, Client { conn: 1, call: self.calls }, ask);
         (self.calls, id)
--- a/crates/core/tests/round.rs
+++ b/crates/core/tests/round.rs
@@ -2,7 +2,7 @@
 
 use marljunction_control::interface::*;
 use marljunction_core::ending::EndReason;
-use marljunction_core::{Answer, Ask, Attempt, Client, Command, Router, Rows};
+use marljunction_core::{Answer, Attempt, Client, ClientRequest, Command, Router, Rows};
 
 const MS: u64 = 1_000_000;
 const T0: u64 = 1_700_000_000_000 * MS;
@@ -31,7 +31,8 @@
 }
 
 fn take(router: &mut Router, call: u64) -> RequestId {
-    let ask = Ask { name: format!("{call:016x}"), time_left_ns: 8_000 * MS, ..Ask::default() };
+    let ask =
+        ClientRequest { name: format!("{call:016x}"), time_left_ns: 8_000 * MS, ..ClientRequest::default() };
     router.take(T0, Client { conn: 1, call }, ask)
 }
 
@@ -100,7 +101,13 @@
 
 fn take_in_order_at(router: &mut Router, now: u64, call: u64, time_left_ns: u64) -> RequestId {
     let (name, work_estimate_ns) = (format!("{call:016x}"), Some(100 * MS));
-    let ask = Ask { name, order_key: Some(5), time_left_ns, work_estimate_ns, ..Ask::default() };
+    let ask = ClientRequest {
+        name,
+        order_key: Some(5),
+        time_left_ns,
+        work_estimate_ns,
+        ..ClientRequest::default()
+    };
     router.take(now, Client { conn: 1, call }, ask)
 }
 
--- a/crates/engine/src/http.rs
+++ b/crates/engine/src/http.rs
@@ -9,7 +9,7 @@
 use super::{Backend, Context, Start, Targets};
 use marljunction_control::interface::{EngineId, LoadReport};
 use marljunction_core::ending::EndReason;
-use marljunction_core::{Ask, Attempt, Rows};
+use marljunction_core::{Attempt, ClientRequest as Ask, Rows};
 use marljunction_discovery::Change;
 use marljunction_http1::head::{read_answer, whole_rows, Head};
 use marljunction_pacing::opening::Openings;
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -10,7 +10,7 @@
 
 use marljunction_control::interface::EngineId;
 use marljunction_core::ending::EndReason;
-use marljunction_core::{Ask, Attempt, Router};
+use marljunction_core::{Attempt, ClientRequest, Router};
 use marljunction_discovery::Change;
 use marljunction_net::{Net, Owner};
 use marljunction_pacing::opening::{Opening, Openings};
@@ -26,7 +26,7 @@
     /// Its priority.
     pub priority: u8,
     /// What to send.
-    pub ask: Rc<Ask>,
+    pub ask: Rc<ClientRequest>,
     /// Name of its class.
     pub class: String,
     /// It must never run twice.
--- a/crates/engine/src/postgres.rs
+++ b/crates/engine/src/postgres.rs
@@ -17,7 +17,7 @@
 use super::{Backend, Context, Start, Targets};
 use marljunction_control::interface::EngineId;
 use marljunction_core::ending::EndReason;
-use marljunction_core::{Ask, Attempt, Column, Fault, Row, Rows};
+use marljunction_core::{Attempt, ClientRequest, Column, Fault, Row, Rows};
 use marljunction_discovery::Change;
 use marljunction_pacing::opening::Openings;
 
@@ -57,7 +57,7 @@
 
 struct Run {
     engine: EngineId,
-    ask: Rc<Ask>,
+    ask: Rc<ClientRequest>,
     conn: u64,
     begin_by_ns: Option<u64>,
     /// The query was handed to the connection, and wholly written to it.
@@ -112,7 +112,7 @@
 }
 
 /// The extended query of a request; absent where its text can't be sent.
-fn query(ask: &Ask) -> Option<BytesMut> {
+fn query(ask: &ClientRequest) -> Option<BytesMut> {
     let (statement, mut bytes) = (&ask.statement, BytesMut::new());
     let text = std::str::from_utf8(&statement.text).ok()?;
     frontend::parse("", text, statement.params.iter().map(|p| p.type_id), &mut bytes).ok()?;
--- a/crates/engine/tests/give_up.rs
+++ b/crates/engine/tests/give_up.rs
@@ -8,7 +8,7 @@
 use marljunction_control::interface::*;
 use marljunction_core::ending::{EndReason, END_REASONS};
 use marljunction_core::statement::Statement;
-use marljunction_core::{Ask, Attempt, Client, Router};
+use marljunction_core::{Attempt, Client, ClientRequest, Router};
 use marljunction_discovery::{Change, Target};
 use marljunction_engine::http::HttpEngines;
 use marljunction_engine::postgres::PostgresEngines;
@@ -141,7 +141,7 @@
     fn start_by(&mut self, begin_by_ns: Option<u64>) -> Attempt {
         let statement = Statement::plain(self.statement.clone());
         let name = "aaaabbbbccccdddd".into();
-        let ask = Ask { name, time_left_ns: 9_000 * MS, statement, ..Ask::default() };
+        let ask = ClientRequest { name, time_left_ns: 9_000 * MS, statement, ..ClientRequest::default() };
         let request = self.router.take(self.now, Client { conn: 1, call: 1 }, ask.clone());
         self.router.process_events(self.now, &mut Vec::new());
         let attempt = Attempt { request, number: 0 };
--- a/crates/front/src/msgpack.rs
+++ b/crates/front/src/msgpack.rs
@@ -11,7 +11,7 @@
 use marljunction_control::interface::RequestId;
 use marljunction_core::ending::EndReason;
 use marljunction_core::statement::Statement;
-use marljunction_core::{Answer, Ask, Client, Router};
+use marljunction_core::{Answer, Client, ClientRequest, Router};
 use marljunction_door::settings::Who;
 use marljunction_net::Net;
 use std::net::IpAddr;
@@ -417,7 +417,7 @@
         method: &str,
         fields: &[(String, String)],
         body: Option<Vec<u8>>,
-    ) -> Result<Ask, String> {
+    ) -> Result<ClientRequest, String> {
         let class = self.class(method).ok_or_else(|| format!("unknown class {method:?}"))?;
         let field = |name: &str| fields.iter().find(|(k, _)| k == name).map(|(_, v)| v.as_str());
         let number = |name: &str| match field(name) {
@@ -453,7 +453,7 @@
             None => None,
             Some(name) => Some(self.tenant(name).ok_or_else(|| format!("unknown tenant {name:?}"))?),
         };
-        Ok(Ask {
+        Ok(ClientRequest {
             name: name.to_owned(),
             token,
             class,
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -14,7 +14,7 @@
 use marljunction_control::interface::{ClassId, RequestId};
 use marljunction_core::ending::EndReason;
 use marljunction_core::statement::Statement;
-use marljunction_core::{Answer, Ask, Client, Column, Router, Row};
+use marljunction_core::{Answer, Client, ClientRequest, Column, Router, Row};
 use marljunction_door::settings::Who;
 use marljunction_net::Net;
 use std::net::IpAddr;
@@ -569,7 +569,7 @@
             Who::ApplicationName => settings.others.get("application_name").map(String::as_str),
             _ => None,
         });
-        let ask = Ask {
+        let ask = ClientRequest {
             // Its clients give none; each statement is one of its own.
             token: self.directory.drops_repeats(class).then(|| name.clone()),
             name,
--- a/crates/lab/src/scale/decide.rs
+++ b/crates/lab/src/scale/decide.rs
@@ -7,7 +7,7 @@
 };
 use marljunction_core::ending::EndReason;
 use marljunction_core::statement::Statement;
-use marljunction_core::{Ask, Attempt, Client, Command, Router};
+use marljunction_core::{Attempt, Client, ClientRequest, Command, Router};
 use marljunction_settings::read_settings;
 use nix::time::{clock_gettime, ClockId};
 
@@ -101,8 +101,8 @@
     }
 }
 
-fn ask(request: u64) -> Ask {
-    Ask {
+fn ask(request: u64) -> ClientRequest {
+    ClientRequest {
         name: request.to_string(),
         class: ClassId(0),
         tenant: Some(TenantId(0)),
@@ -110,6 +110,6 @@
         time_left_ns: 4_000_000_000,
         work_estimate_ns: Some(60_000_000),
         statement: Statement::plain(b"SELECT 1 FROM orders".to_vec()),
-        ..Ask::default()
+        ..ClientRequest::default()
     }
 }
