--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -369,7 +369,7 @@
     }
 
     /// The client waits no longer: nothing is owed.
-    pub fn leave(&mut self, id: RequestId, ending: EndReason) {
+    pub fn client_left(&mut self, id: RequestId, ending: EndReason) {
         self.batch.push(Inbound::Left(id, ending));
     }
 
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -181,7 +181,7 @@
     let sent = w.router.counters.sent;
     for (i, (_, id)) in waits.iter().enumerate() {
         if i % 2 == 0 {
-            w.router.leave(*id, EndReason::Forgotten);
+            w.router.client_left(*id, EndReason::Forgotten);
         } else {
             w.router.cancel(*id);
         }
--- a/crates/core/tests/round.rs
+++ b/crates/core/tests/round.rs
@@ -61,7 +61,7 @@
     let request = take(&mut router, 1);
     process_events(&mut router, T0);
     router.ended(Attempt { request, number: 0 }, EndReason::Full, None, None);
-    router.leave(request, EndReason::ClientGone);
+    router.client_left(request, EndReason::ClientGone);
     assert!(starts(&process_events(&mut router, T0 + MS)).is_empty());
     assert_eq!((router.counters.left, router.unanswered()), (1, 0));
 }
@@ -89,7 +89,7 @@
 fn what_is_taken_and_left_in_one_round_is_never_sent() {
     let mut router = router(ClassSettings::default());
     let request = take(&mut router, 1);
-    router.leave(request, EndReason::Forgotten);
+    router.client_left(request, EndReason::Forgotten);
     assert!(starts(&process_events(&mut router, T0)).is_empty());
     assert_eq!((router.counters.left_unsent, router.counters.sent, router.unanswered()), (1, 0, 0));
 }
@@ -136,7 +136,7 @@
     let first = take_in_order(&mut router, 1, 1_000 * MS);
     take_in_order(&mut router, 2, 8_000 * MS);
     process_events(&mut router, T0);
-    router.leave(first, EndReason::ClientGone);
+    router.client_left(first, EndReason::ClientGone);
     assert!(starts(&process_events(&mut router, T0 + 900 * MS)).is_empty());
     assert!(
         starts(&process_events(&mut router, T0 + 1_100 * MS)).is_empty(),
--- a/crates/front/src/msgpack.rs
+++ b/crates/front/src/msgpack.rs
@@ -284,7 +284,7 @@
         if let Some(caller) = self.callers.remove(&conn) {
             let mut open: Vec<RequestId> = caller.open.into_values().collect();
             open.sort_unstable();
-            open.into_iter().for_each(|id| router.leave(id, EndReason::ClientGone));
+            open.into_iter().for_each(|id| router.client_left(id, EndReason::ClientGone));
             router.counters.ended(ending);
         }
     }
@@ -334,7 +334,7 @@
             Message::Forget(id) => {
                 caller.rejected = rejected;
                 if let Some(request) = caller.open.remove(&id) {
-                    router.leave(request, EndReason::Forgotten);
+                    router.client_left(request, EndReason::Forgotten);
                 }
                 return;
             }
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -168,7 +168,7 @@
     fn forget(&mut self, router: &mut Router, conn: u64, ending: EndReason) {
         if let Some(session) = self.sessions.remove(&conn) {
             if let Some(running) = session.running {
-                router.leave(running.request, EndReason::ClientGone);
+                router.client_left(running.request, EndReason::ClientGone);
             }
             router.counters.ended(ending);
         }
