--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::ending::{EndReason, END_REASONS};
+use super::end_reason::{EndReason, END_REASONS};
 
 /// The counters of one process; they only grow.
 #[derive(Clone, Debug, Default)]
@@ -42,13 +42,13 @@
 
 impl Counters {
     /// Counts one ending.
-    pub fn ended(&mut self, ending: EndReason) {
-        *self.endings.entry(ending).or_default() += 1;
+    pub fn ended(&mut self, end_reason: EndReason) {
+        *self.endings.entry(end_reason).or_default() += 1;
     }
 
     /// How often something ended so.
-    pub fn endings(&self, ending: EndReason) -> u64 {
-        self.endings.get(&ending).copied().unwrap_or(0)
+    pub fn endings(&self, end_reason: EndReason) -> u64 {
+        self.endings.get(&end_reason).copied().unwrap_or(0)
     }
 
     /// One line with all of them.
@@ -72,8 +72,8 @@
             self.reloads,
             self.reloads_failed
         );
-        for (ending, name) in END_REASONS {
-            line.push_str(&format!(" ended_{name}={}", self.endings(ending)));
+        for (end_reason, name) in END_REASONS {
+            line.push_str(&format!(" ended_{name}={}", self.endings(end_reason)));
         }
         line
     }
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -7,7 +7,7 @@
 use marljunction_verdicts::witness::Went;
 use marljunction_verdicts::{Judgement, Node};
 
-use crate::ending::{EndReason, HealthSignal};
+use crate::end_reason::{EndReason, HealthSignal};
 
 /// The end of a given-up attempt that comes sooner was told by its engine (ns): one that can't be told is taken to have ended it
 /// by itself after 2 s.
@@ -72,13 +72,13 @@
         now: u64,
         (engine, class): (EngineId, ClassId),
         (sent_ns, given_up_ns): (u64, Option<u64>),
-        ending: EndReason,
+        end_reason: EndReason,
     ) {
         let Some(started) = self.engines.get(&engine) else { return };
         let soon = |at: u64| now < at.saturating_add(ANSWERED_NS);
-        let went = match ending.sight() {
+        let went = match end_reason.sight() {
             // The engine answered the call that ends it: else its end is taken for granted later.
-            HealthSignal::Silent if ending == EndReason::GivenUp && given_up_ns.is_some_and(soon) => {
+            HealthSignal::Silent if end_reason == EndReason::GivenUp && given_up_ns.is_some_and(soon) => {
                 Went::Alive
             }
             HealthSignal::Served => Went::Served(now.saturating_sub(sent_ns)),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,7 +8,7 @@
 
 pub mod cold;
 pub mod counters;
-pub mod ending;
+pub mod end_reason;
 pub mod health;
 pub mod limits;
 pub mod statement;
@@ -20,7 +20,7 @@
 use log::{debug, warn};
 
 use counters::Counters;
-use ending::{ControlEvent, EndReason};
+use end_reason::{ControlEvent, EndReason};
 use health::FleetHealth;
 use limits::FleetLimits;
 use marljunction_control::interface::*;
@@ -369,8 +369,8 @@
     }
 
     /// The client waits no longer: nothing is owed.
-    pub fn client_left(&mut self, id: RequestId, ending: EndReason) {
-        self.batch.push(Inbound::Left(id, ending));
+    pub fn client_left(&mut self, id: RequestId, end_reason: EndReason) {
+        self.batch.push(Inbound::Left(id, end_reason));
     }
 
     /// The client waits for the answer, but asks that the request be ended.
@@ -392,8 +392,14 @@
     }
 
     /// An attempt has ended; only the first ending of an attempt counts.
-    pub fn ended(&mut self, at: Attempt, ending: EndReason, rows: Option<Rows>, report: Option<LoadReport>) {
-        self.batch.push(Inbound::Ended(at, ending, rows, report));
+    pub fn ended(
+        &mut self,
+        at: Attempt,
+        end_reason: EndReason,
+        rows: Option<Rows>,
+        report: Option<LoadReport>,
+    ) {
+        self.batch.push(Inbound::Ended(at, end_reason, rows, report));
     }
 
     /// News of the engines.
@@ -586,14 +592,14 @@
                     door.arrive(now, arrival);
                 }
             }
-            Inbound::Left(id, ending) => {
+            Inbound::Left(id, end_reason) => {
                 let Some(open) = self.open.get_mut(&id) else { return };
                 if !std::mem::replace(&mut open.concluded, true) {
                     open.left = true;
                     self.counters.left += 1;
                     self.counters.left_unsent += u64::from(open.out.is_none());
-                    self.counters.ended(ending);
-                    debug_assert_eq!(ending.control_event(), ControlEvent::Left);
+                    self.counters.ended(end_reason);
+                    debug_assert_eq!(end_reason.control_event(), ControlEvent::Left);
                     self.left(now, id, out);
                 }
             }
@@ -609,7 +615,9 @@
                     self.decide(now, Event::Progress(at.request, at.number, note), out);
                 }
             }
-            Inbound::Ended(at, ending, rows, report) => self.end_attempt(now, at, ending, rows, report, out),
+            Inbound::Ended(at, end_reason, rows, report) => {
+                self.end_attempt(now, at, end_reason, rows, report, out)
+            }
             Inbound::Membership(kind, entries) => {
                 self.counters.membership += 1;
                 for e in &entries {
@@ -649,7 +657,7 @@
         &mut self,
         now: u64,
         at: Attempt,
-        ending: EndReason,
+        end_reason: EndReason,
         rows: Option<Rows>,
         report: Option<LoadReport>,
         out: &mut Vec<Command>,
@@ -657,15 +665,16 @@
         let Some(open) = self.open.get_mut(&at.request) else { return };
         // Guards against a second ending of one attempt, as when its time ran out while it was being given up.
         let Some(ran) = open.out.take_if(|o| o.number == at.number) else { return };
-        self.counters.ended(ending);
-        open.last = Some(ending);
-        self.counters.left_unsent += u64::from(open.left && ending == EndReason::Withdrawn);
-        open.may_have_run_ns = open.may_have_run_ns.or(Some(ran.sent_ns).filter(|_| ending.may_have_run()));
+        self.counters.ended(end_reason);
+        open.last = Some(end_reason);
+        self.counters.left_unsent += u64::from(open.left && end_reason == EndReason::Withdrawn);
+        open.may_have_run_ns =
+            open.may_have_run_ns.or(Some(ran.sent_ns).filter(|_| end_reason.may_have_run()));
         if let Some(health) = &mut self.health {
-            health.ended(now, (ran.engine, open.ask.class), (ran.sent_ns, ran.given_up_ns), ending);
+            health.ended(now, (ran.engine, open.ask.class), (ran.sent_ns, ran.given_up_ns), end_reason);
         }
-        let ControlEvent::Outcome(status) = ending.control_event() else { return };
-        if let (EndReason::Served, Some(rows), false) = (ending, rows, open.concluded) {
+        let ControlEvent::Outcome(status) = end_reason.control_event() else { return };
+        if let (EndReason::Served, Some(rows), false) = (end_reason, rows, open.concluded) {
             open.concluded = true;
             self.counters.served += 1;
             out.push(Command::Answer(open.client, Answer::Served(rows)));
@@ -674,7 +683,7 @@
             }
         }
         let longest_ns = self.classes[open.ask.class.0].deadline_ns.saturating_add(DOUBT_GRACE_NS);
-        let over_by_ns = if ending.may_still_run() { ran.sent_ns.saturating_add(longest_ns) } else { 0 };
+        let over_by_ns = if end_reason.may_still_run() { ran.sent_ns.saturating_add(longest_ns) } else { 0 };
         let outcome = Outcome {
             request: at.request,
             attempt: at.number,
@@ -688,7 +697,7 @@
             over_by_ns,
         };
         debug!(
-            "{} attempt {} on {:016x} ended {ending:?} after {} ms",
+            "{} attempt {} on {:016x} ended {end_reason:?} after {} ms",
             open.ask.name,
             at.number,
             ran.engine.0,
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -6,7 +6,7 @@
 use marljunction_control::control::cold_lane;
 use marljunction_control::interface::*;
 use marljunction_core::cold::ColdBudgets;
-use marljunction_core::ending::EndReason;
+use marljunction_core::end_reason::EndReason;
 use marljunction_core::limits::FleetLimits;
 use marljunction_core::{Answer, Attempt, Client, ClientRequest, Command, Router, Rows};
 use marljunction_limits::escrow::Peer;
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use marljunction_control::interface::*;
-use marljunction_core::ending::EndReason;
+use marljunction_core::end_reason::EndReason;
 use marljunction_core::{Answer, Attempt, Client, ClientRequest, Command, Router, Rows};
 use marljunction_door::settings::DoorSettings;
 use marljunction_door::{Door, Site};
@@ -109,10 +109,10 @@
     }
 
     /// The oldest attempt ends.
-    fn end(&mut self, ending: EndReason) {
+    fn end(&mut self, end_reason: EndReason) {
         let (at, _) = self.out.remove(0);
-        let rows = (ending == EndReason::Served).then(|| Rows::Text(b"1\n".to_vec()));
-        self.router.ended(at, ending, rows, None);
+        let rows = (end_reason == EndReason::Served).then(|| Rows::Text(b"1\n".to_vec()));
+        self.router.ended(at, end_reason, rows, None);
         self.process_events();
     }
 
--- a/crates/core/tests/round.rs
+++ b/crates/core/tests/round.rs
@@ -1,7 +1,7 @@
 //! What one round brings, in whatever order it was read.
 
 use marljunction_control::interface::*;
-use marljunction_core::ending::EndReason;
+use marljunction_core::end_reason::EndReason;
 use marljunction_core::{Answer, Attempt, Client, ClientRequest, Command, Router, Rows};
 
 const MS: u64 = 1_000_000;
@@ -148,7 +148,7 @@
 
 #[test]
 fn the_next_of_a_key_waits_until_an_attempt_whose_end_is_not_known_must_be_over() {
-    for (ending, waits) in [
+    for (end_reason, waits) in [
         (EndReason::Cut, true),
         (EndReason::Garbled, true),
         (EndReason::Abandoned, true),
@@ -158,12 +158,12 @@
         let mut router = in_order();
         let first = take_in_order(&mut router, 1, 1_000 * MS);
         process_events(&mut router, T0);
-        router.ended(Attempt { request: first, number: 0 }, ending, None, None);
+        router.ended(Attempt { request: first, number: 0 }, end_reason, None, None);
         process_events(&mut router, T0 + 100 * MS);
         take_in_order_at(&mut router, T0 + 5_000 * MS, 2, 8_000 * MS);
         let mut started = |ms: u64| starts(&process_events(&mut router, T0 + ms * MS)).len();
         // All of the class's time from when it was sent, and a little more.
         let (soon, later) = (started(5_000) + started(9_000) + started(9_240), started(9_250));
-        assert_eq!((soon, later), if waits { (0, 1) } else { (1, 0) }, "{ending:?}");
+        assert_eq!((soon, later), if waits { (0, 1) } else { (1, 0) }, "{end_reason:?}");
     }
 }
--- a/crates/engine/src/http.rs
+++ b/crates/engine/src/http.rs
@@ -8,7 +8,7 @@
 
 use super::{Backend, Context, Start, Targets};
 use marljunction_control::interface::{EngineId, LoadReport};
-use marljunction_core::ending::EndReason;
+use marljunction_core::end_reason::EndReason;
 use marljunction_core::{Attempt, ClientRequest as Ask, Rows};
 use marljunction_discovery::Change;
 use marljunction_http1::head::{read_answer, whole_rows, Head};
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 use marljunction_control::interface::EngineId;
-use marljunction_core::ending::EndReason;
+use marljunction_core::end_reason::EndReason;
 use marljunction_core::{Attempt, ClientRequest, Router};
 use marljunction_discovery::Change;
 use marljunction_net::{Net, Owner};
--- a/crates/engine/src/postgres.rs
+++ b/crates/engine/src/postgres.rs
@@ -16,7 +16,7 @@
 
 use super::{Backend, Context, Start, Targets};
 use marljunction_control::interface::EngineId;
-use marljunction_core::ending::EndReason;
+use marljunction_core::end_reason::EndReason;
 use marljunction_core::{Attempt, ClientRequest, Column, Fault, Row, Rows};
 use marljunction_discovery::Change;
 use marljunction_pacing::opening::Openings;
--- a/crates/engine/tests/give_up.rs
+++ b/crates/engine/tests/give_up.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use marljunction_control::interface::*;
-use marljunction_core::ending::{EndReason, END_REASONS};
+use marljunction_core::end_reason::{EndReason, END_REASONS};
 use marljunction_core::statement::Statement;
 use marljunction_core::{Attempt, Client, ClientRequest, Router};
 use marljunction_discovery::{Change, Target};
--- a/crates/front/src/msgpack.rs
+++ b/crates/front/src/msgpack.rs
@@ -9,7 +9,7 @@
 
 use super::{Directory, ANSWER_MARGIN_NS, MESSAGE_MOST};
 use marljunction_control::interface::RequestId;
-use marljunction_core::ending::EndReason;
+use marljunction_core::end_reason::EndReason;
 use marljunction_core::statement::Statement;
 use marljunction_core::{Answer, Client, ClientRequest, Router};
 use marljunction_door::settings::Who;
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -12,7 +12,7 @@
 use self::session::{is_text, Held, Kind, Settings};
 use super::{Directory, ANSWER_MARGIN_NS};
 use marljunction_control::interface::{ClassId, RequestId};
-use marljunction_core::ending::EndReason;
+use marljunction_core::end_reason::EndReason;
 use marljunction_core::statement::Statement;
 use marljunction_core::{Answer, Client, ClientRequest, Column, Router, Row};
 use marljunction_door::settings::Who;
--- a/crates/front/tests/quiet.rs
+++ b/crates/front/tests/quiet.rs
@@ -4,7 +4,7 @@
 use std::net::{TcpListener, TcpStream};
 
 use marljunction_control::interface::{ClassId, ClassSettings, Settings};
-use marljunction_core::ending::EndReason;
+use marljunction_core::end_reason::EndReason;
 use marljunction_core::Router;
 use marljunction_front::msgpack::MsgpackFront;
 use marljunction_front::postgres::{PostgresFront, PostgresSetup};
--- a/crates/http1/tests/endings.rs
+++ b/crates/http1/tests/endings.rs
@@ -1,7 +1,7 @@
 //! What endings mean to the module, and what an engine's answer must be like.
 
 use marljunction_control::interface::Status;
-use marljunction_core::ending::{ControlEvent, EndReason};
+use marljunction_core::end_reason::{ControlEvent, EndReason};
 use marljunction_http1::head::{read_answer, whole_rows};
 
 #[test]
--- a/crates/lab/src/scale/decide.rs
+++ b/crates/lab/src/scale/decide.rs
@@ -5,7 +5,7 @@
 use marljunction_control::interface::{
     ClassId, EngineEntry, EngineId, EngineState, MembershipKind, TenantId,
 };
-use marljunction_core::ending::EndReason;
+use marljunction_core::end_reason::EndReason;
 use marljunction_core::statement::Statement;
 use marljunction_core::{Attempt, Client, ClientRequest, Command, Router};
 use marljunction_settings::read_settings;
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -14,7 +14,7 @@
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 
-use marljunction_core::ending::EndReason;
+use marljunction_core::end_reason::EndReason;
 
 /// Output that one connection may have waiting (bytes): 32 results of the largest size and some room; and the
 /// part of what all may have.
--- a/crates/net/tests/close.rs
+++ b/crates/net/tests/close.rs
@@ -2,7 +2,7 @@
 
 use std::io::Read;
 
-use marljunction_core::ending::EndReason;
+use marljunction_core::end_reason::EndReason;
 use marljunction_net::{Net, Owner, Room};
 
 /// A client, and its connection's number.
--- a/src/daemon/clients.rs
+++ b/src/daemon/clients.rs
@@ -7,7 +7,7 @@
 use std::net::IpAddr;
 
 use log::warn;
-use marljunction_core::ending::EndReason;
+use marljunction_core::end_reason::EndReason;
 use marljunction_net::Owner;
 
 use super::Daemon;
