--- a/crates/core/src/statement.rs
+++ b/crates/core/src/statement.rs
@@ -23,7 +23,7 @@
 }
 
 /// A piece of SQL text, as far as routing tells pieces apart.
-enum Piece {
+enum Token {
     /// A name, folded to lower case unless it was quoted.
     Name(String),
     /// A parameter's number.
@@ -34,21 +34,21 @@
     Other,
 }
 
-struct Pieces<'a> {
+struct Tokenizer<'a> {
     rest: &'a [u8],
 }
 
-fn until(text: &[u8], end: &[u8], from: usize) -> usize {
+fn end_of(text: &[u8], end: &[u8], from: usize) -> usize {
     let found = text.get(from..).and_then(|t| t.windows(end.len()).position(|w| w == end));
     found.map_or(text.len(), |at| from + at + end.len())
 }
 
-fn is_name(b: u8) -> bool {
+fn is_name_byte(b: u8) -> bool {
     b.is_ascii_alphanumeric() || b == b'_' || b >= 0x80
 }
 
 /// The end of a quoted text that starts at 0; a doubled quote stands for itself.
-fn quoted(text: &[u8], quote: u8, escapes: bool) -> usize {
+fn quoted_end(text: &[u8], quote: u8, escapes: bool) -> usize {
     let mut at = 1;
     while at < text.len() {
         let doubled = text[at] == quote && text.get(at + 1) == Some(&quote);
@@ -64,7 +64,7 @@
 }
 
 /// The end of a block comment that starts at 0; they nest.
-fn block_comment(text: &[u8]) -> usize {
+fn block_comment_end(text: &[u8]) -> usize {
     let (mut at, mut depth) = (2, 1);
     while at < text.len() && depth > 0 {
         match text[at..].get(..2) {
@@ -76,57 +76,57 @@
     at.min(text.len())
 }
 
-impl<'a> Iterator for Pieces<'a> {
-    type Item = (Piece, &'a [u8]);
+impl<'a> Iterator for Tokenizer<'a> {
+    type Item = (Token, &'a [u8]);
 
     fn next(&mut self) -> Option<Self::Item> {
         let text = self.rest;
         let (first, second) = (*text.first()?, text.get(1).copied().unwrap_or(0));
-        let word = text.iter().position(|b| !is_name(*b)).unwrap_or(text.len());
-        let (end, piece) = match first {
-            b'\'' => (quoted(text, b'\'', false), None),
-            b'e' | b'E' if second == b'\'' => (1 + quoted(&text[1..], b'\'', true), None),
-            b'-' if second == b'-' => (until(text, b"\n", 0), None),
-            b'/' if second == b'*' => (block_comment(text), None),
+        let name_len = text.iter().position(|b| !is_name_byte(*b)).unwrap_or(text.len());
+        let (end, token) = match first {
+            b'\'' => (quoted_end(text, b'\'', false), None),
+            b'e' | b'E' if second == b'\'' => (1 + quoted_end(&text[1..], b'\'', true), None),
+            b'-' if second == b'-' => (end_of(text, b"\n", 0), None),
+            b'/' if second == b'*' => (block_comment_end(text), None),
             b'"' => {
-                let end = quoted(text, b'"', false);
+                let end = quoted_end(text, b'"', false);
                 let inner = &text[1..end.max(2) - 1];
-                (end, Some(Piece::Name(String::from_utf8_lossy(inner).into_owned())))
+                (end, Some(Token::Name(String::from_utf8_lossy(inner).into_owned())))
             }
             b'$' if second.is_ascii_digit() => {
                 let digits = text[1..].iter().position(|b| !b.is_ascii_digit()).unwrap_or(text.len() - 1);
                 let number = std::str::from_utf8(&text[1..=digits]).ok().and_then(|t| t.parse().ok());
-                (digits + 1, Some(Piece::Param(number.unwrap_or(0))))
+                (digits + 1, Some(Token::Param(number.unwrap_or(0))))
             }
             b'$' => {
-                let tag = text[1..].iter().position(|b| !is_name(*b)).map_or(0, |n| n + 1);
+                let tag = text[1..].iter().position(|b| !is_name_byte(*b)).map_or(0, |n| n + 1);
                 match text.get(tag) {
-                    Some(b'$') if tag > 0 => (until(text, &text[..=tag], tag + 1), None),
-                    _ => (1, Some(Piece::Code(b'$'))),
+                    Some(b'$') if tag > 0 => (end_of(text, &text[..=tag], tag + 1), None),
+                    _ => (1, Some(Token::Code(b'$'))),
                 }
             }
-            _ if word > 0 => {
-                (word, Some(Piece::Name(String::from_utf8_lossy(&text[..word]).to_ascii_lowercase())))
+            _ if name_len > 0 => {
+                (name_len, Some(Token::Name(String::from_utf8_lossy(&text[..name_len]).to_ascii_lowercase())))
             }
             _ if first.is_ascii_whitespace() => (1, None),
-            _ => (1, Some(Piece::Code(first))),
+            _ => (1, Some(Token::Code(first))),
         };
-        let (taken, rest) = text.split_at(end.min(text.len()));
+        let (token_text, rest) = text.split_at(end.min(text.len()));
         self.rest = rest;
-        Some((piece.unwrap_or(Piece::Other), taken))
+        Some((token.unwrap_or(Token::Other), token_text))
     }
 }
 
-fn pieces(text: &[u8]) -> Pieces<'_> {
-    Pieces { rest: text }
+fn tokens(text: &[u8]) -> Tokenizer<'_> {
+    Tokenizer { rest: text }
 }
 
 /// The group of tables that a statement reads or writes: the number behind the underscore of the first
 /// schema named outside strings and comments, other than `staging`.
 pub fn table_group(text: &[u8]) -> Option<u64> {
-    let code: Vec<Piece> = pieces(text).map(|p| p.0).filter(|p| !matches!(p, Piece::Other)).collect();
+    let code: Vec<Token> = tokens(text).map(|p| p.0).filter(|p| !matches!(p, Token::Other)).collect();
     code.windows(2).find_map(|pair| match pair {
-        [Piece::Name(name), Piece::Code(b'.')] if name != "staging" => {
+        [Token::Name(name), Token::Code(b'.')] if name != "staging" => {
             name.rsplit_once('_').and_then(|(_, number)| number.parse().ok())
         }
         _ => None,
@@ -137,14 +137,14 @@
 /// left out.
 pub fn split(text: &[u8]) -> Vec<(Vec<u8>, Vec<String>)> {
     let mut all: Vec<(Vec<u8>, Vec<String>)> = vec![Default::default()];
-    for (piece, bytes) in pieces(text) {
-        if matches!(piece, Piece::Code(b';')) {
+    for (token, bytes) in tokens(text) {
+        if matches!(token, Token::Code(b';')) {
             all.push(Default::default());
         } else if let Some((statement, words)) = all.last_mut() {
             statement.extend_from_slice(bytes);
-            match piece {
-                Piece::Name(name) if words.len() < 4 => words.push(name),
-                Piece::Code(_) | Piece::Param(..) if words.is_empty() => words.push(String::new()),
+            match token {
+                Token::Name(name) if words.len() < 4 => words.push(name),
+                Token::Code(_) | Token::Param(..) if words.is_empty() => words.push(String::new()),
                 _ => {}
             }
         }
@@ -155,8 +155,8 @@
 
 /// How many parameters a statement names.
 pub fn param_count(text: &[u8]) -> usize {
-    let number = |p: (Piece, &[u8])| if let Piece::Param(n) = p.0 { n } else { 0 };
-    pieces(text).map(number).max().unwrap_or(0)
+    let number = |p: (Token, &[u8])| if let Token::Param(n) = p.0 { n } else { 0 };
+    tokens(text).map(number).max().unwrap_or(0)
 }
 
 impl Statement {
@@ -172,8 +172,8 @@
             return Some(self.text.clone());
         }
         let mut out = Vec::with_capacity(self.text.len());
-        for (piece, bytes) in pieces(&self.text) {
-            let Piece::Param(number) = piece else {
+        for (token, bytes) in tokens(&self.text) {
+            let Token::Param(number) = token else {
                 out.extend_from_slice(bytes);
                 continue;
             };
