--- a/crates/core/src/cold.rs
+++ b/crates/core/src/cold.rs
@@ -12,22 +12,22 @@
 /// Lanes of an engine: light classes and heavy ones.
 const LANES: usize = 2;
 /// Shares are told for so long ahead (ns): a loan that ends sooner is not counted on.
-const AHEAD_NS: u64 = 5_000_000;
+const SHARE_HORIZON_NS: u64 = 5_000_000;
 /// Weight of one query in what its class is known to cost (share).
-const COST_WEIGHT: f64 = 0.1;
+const COST_EWMA_WEIGHT: f64 = 0.1;
 /// Parts of an engine's units that one router wants at most where it owns fewer (share): its clients go to several engines.
-const WANTED_MOST: f64 = 0.25;
+const MAX_WANTED_SHARE: f64 = 0.25;
 /// Units of a lane for each whole query that its budget holds, as settings tell its need (count): most need less.
-const PARTS: u32 = 4;
+const UNITS_PER_QUERY: u32 = 4;
 
 /// An engine that is cold.
 #[derive(Clone, Copy, Debug)]
-struct Cold {
+struct ColdEngine {
     kind: usize,
     /// Takes queries.
     ready: bool,
     until_ns: u64,
-    told: Option<[f64; LANES]>,
+    reported: Option<[f64; LANES]>,
 }
 
 /// What one router keeps of the cold engines' budgets.
@@ -41,20 +41,20 @@
     lanes: Vec<Vec<usize>>,
     cold_ns: u64,
     window_ns: u64,
-    me: u64,
-    engines: BTreeMap<EngineId, Cold>,
+    router_index: u64,
+    engines: BTreeMap<EngineId, ColdEngine>,
     /// What a query of each class takes (units of its lane).
     costs: Vec<f64>,
-    told_ns: u64,
+    reported_ns: u64,
     stale: bool,
 }
 
 /// The place of a lane's limit among all, where those of cold engines begin at `first`.
-fn place(first: usize, kind: usize, lane: usize) -> u16 {
+fn limit_index(first: usize, kind: usize, lane: usize) -> u16 {
     (first + kind * LANES + lane) as u16
 }
 
-fn mix(x: u64) -> u64 {
+fn mix_hash(x: u64) -> u64 {
     let x = (x ^ (x >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (x ^ (x >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
@@ -75,7 +75,7 @@
             let mut of = [1; LANES];
             for (at, full, largest) in classes().map(|class| lane(*cores, class)) {
                 let queries = (full * start / 2.0 / largest).floor().max(1.0) as u32;
-                of[at] = queries.saturating_mul(PARTS);
+                of[at] = queries.saturating_mul(UNITS_PER_QUERY);
             }
             units.push(of);
         }
@@ -87,10 +87,10 @@
             lanes,
             cold_ns,
             window_ns,
-            me: u64::from(settings.gateway_index),
+            router_index: u64::from(settings.gateway_index),
             engines: BTreeMap::new(),
             costs: vec![1.0; settings.classes.len()],
-            told_ns: 0,
+            reported_ns: 0,
             stale: true,
         };
         let limits = budgets.limits();
@@ -110,7 +110,7 @@
     }
 
     fn limit(&self, kind: usize, lane: usize) -> u16 {
-        place(self.first, kind, lane)
+        limit_index(self.first, kind, lane)
     }
 
     /// News of the engines.
@@ -124,17 +124,17 @@
                 self.engines.remove(&entry.engine);
                 continue;
             }
-            let named = |KindId(kind): KindId| (kind + 1 < self.units.len()).then_some(kind);
-            let kind = entry.kind.and_then(named).unwrap_or(self.units.len() - 1);
+            let known_kind = |KindId(kind): KindId| (kind + 1 < self.units.len()).then_some(kind);
+            let kind = entry.kind.and_then(known_kind).unwrap_or(self.units.len() - 1);
             // What the module is told again, as it may have forgotten the engine meanwhile.
             let ready = entry.state == EngineState::Ready;
-            self.engines.insert(entry.engine, Cold { kind, ready, until_ns, told: None });
+            self.engines.insert(entry.engine, ColdEngine { kind, ready, until_ns, reported: None });
         }
         self.stale = true;
     }
 
     /// Something was heard or has run out: shares may be others.
-    pub fn touch(&mut self) {
+    pub fn mark_stale(&mut self) {
         self.stale = true;
     }
 
@@ -145,12 +145,19 @@
             let Some(lane) = self.lanes[engine.kind].get(class.0) else { return };
             let limit = self.limit(engine.kind, *lane);
             let (units, owned) = (self.units[engine.kind][*lane], node.owned(limit, id.0));
-            order.push((owned == 0, mix(self.me.rotate_left(32) ^ id.0), limit, id.0, units, owned));
+            order.push((
+                owned == 0,
+                mix_hash(self.router_index.rotate_left(32) ^ id.0),
+                limit,
+                id.0,
+                units,
+                owned,
+            ));
         }
         order.sort_unstable();
         let cost = self.costs[class.0];
         let fits = |(.., limit, key, units, owned): &&(bool, u64, u16, u64, u32, u32)| {
-            let most = f64::from(*owned).max((f64::from(*units) * WANTED_MOST).ceil());
+            let most = f64::from(*owned).max((f64::from(*units) * MAX_WANTED_SHARE).ceil());
             node.wants(now, *limit, *key) + cost <= most
         };
         let found = order.iter().find(fits).or(order.first()).copied();
@@ -173,28 +180,28 @@
         let units = share * f64::from(self.units[cold.kind][lane]);
         node.sent(now, self.limit(cold.kind, lane), engine.0, units);
         if let Some(cost) = self.costs.get_mut(class.0) {
-            *cost += (units - *cost) * COST_WEIGHT;
+            *cost += (units - *cost) * COST_EWMA_WEIGHT;
         }
     }
 
     /// The shares that the module is to be told anew.
     pub fn shares(&mut self, now: u64, node: &mut Node) -> Vec<(EngineId, [f64; LANES])> {
-        if !self.stale && now < self.told_ns.saturating_add(AHEAD_NS) {
+        if !self.stale && now < self.reported_ns.saturating_add(SHARE_HORIZON_NS) {
             return Vec::new();
         }
-        (self.told_ns, self.stale) = (now, false);
+        (self.reported_ns, self.stale) = (now, false);
         self.engines.retain(|_, engine| now < engine.until_ns);
         let mut changed = Vec::new();
         let first = self.first;
         for (id, engine) in &mut self.engines {
             let mut share = |lane: usize| {
-                let limit = place(first, engine.kind, lane);
-                let usable = node.budget(now, now.saturating_add(AHEAD_NS), limit, id.0);
+                let limit = limit_index(first, engine.kind, lane);
+                let usable = node.budget(now, now.saturating_add(SHARE_HORIZON_NS), limit, id.0);
                 f64::from(usable) / f64::from(self.units[engine.kind][lane])
             };
             let shares = [share(0), share(1)];
-            if engine.told != Some(shares) {
-                engine.told = Some(shares);
+            if engine.reported != Some(shares) {
+                engine.reported = Some(shares);
                 changed.push((*id, shares));
             }
         }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -92,13 +92,13 @@
 
     /// What this router keeps of the limits; what is done to it may change shares.
     pub fn node(&mut self) -> &mut Node {
-        self.cold.iter_mut().for_each(ColdBudgets::touch);
+        self.cold.iter_mut().for_each(ColdBudgets::mark_stale);
         &mut self.node
     }
 
     /// Requests that were refused so far by the limit in this place.
-    pub fn refused(&self, place: u16) -> u64 {
-        self.refused.get(&usize::from(place)).copied().unwrap_or(0)
+    pub fn refused(&self, limit_index: u16) -> u64 {
+        self.refused.get(&usize::from(limit_index)).copied().unwrap_or(0)
     }
 
     /// Requests that were refused so far by all limits.
@@ -108,7 +108,7 @@
 
     /// The place of each of the operator's limits, in the order of the file.
     pub fn limit_indices(&self) -> impl Iterator<Item = u16> + '_ {
-        self.rules.iter().map(|(place, _)| *place)
+        self.rules.iter().map(|(limit_index, _)| *limit_index)
     }
 
     /// The operator's file says other limits, with the rules of each: requests that come count under these. What is out and
