--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -11,21 +11,21 @@
 
 /// The end of a given-up attempt that comes sooner was told by its engine (ns): one that can't be told is taken to have ended it
 /// by itself after 2 s.
-const ANSWERED_NS: u64 = 1_500_000_000;
+const CANCEL_REPLY_NS: u64 = 1_500_000_000;
 
 /// All evidence is judged this often at most (ns).
-const JUDGED_NS: u64 = 50_000_000;
+const EVALUATION_INTERVAL_NS: u64 = 50_000_000;
 
 /// The verdicts of one router.
 pub struct FleetHealth {
     node: Node,
     /// When each engine of the list started (ms), by what the list says.
     engines: BTreeMap<EngineId, u64>,
-    told: BTreeMap<EngineId, Verdict>,
+    reported: BTreeMap<EngineId, Verdict>,
     /// Engines of which the module is to be told once more, whatever it was told last.
-    again: BTreeSet<EngineId>,
+    resend: BTreeSet<EngineId>,
     /// When all evidence is judged next (ns): news comes in many datagrams.
-    next_ns: u64,
+    next_evaluation_ns: u64,
 }
 
 impl FleetHealth {
@@ -34,9 +34,9 @@
         FleetHealth {
             node,
             engines: BTreeMap::new(),
-            told: BTreeMap::new(),
-            again: BTreeSet::new(),
-            next_ns: 0,
+            reported: BTreeMap::new(),
+            resend: BTreeSet::new(),
+            next_evaluation_ns: 0,
         }
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// An attempt is given up: that it is silent is known now, and not once the engine has had its time to be told so.
-    pub fn given_up(&mut self, now: u64, engine: EngineId, class: ClassId, sent_ns: u64) {
+    pub fn attempt_cancelled(&mut self, now: u64, engine: EngineId, class: ClassId, sent_ns: u64) {
         if let Some(started) = self.engines.get(&engine) {
             self.node.ended(now, (engine.0, *started), class.0, sent_ns, Went::Silent);
         }
@@ -71,14 +71,16 @@
         &mut self,
         now: u64,
         (engine, class): (EngineId, ClassId),
-        (sent_ns, given_up_ns): (u64, Option<u64>),
+        (sent_ns, cancelled_ns): (u64, Option<u64>),
         end_reason: EndReason,
     ) {
         let Some(started) = self.engines.get(&engine) else { return };
-        let soon = |at: u64| now < at.saturating_add(ANSWERED_NS);
-        let went = match end_reason.sight() {
+        let within_reply_time = |at: u64| now < at.saturating_add(CANCEL_REPLY_NS);
+        let observation = match end_reason.sight() {
             // The engine answered the call that ends it: else its end is taken for granted later.
-            HealthSignal::Silent if end_reason == EndReason::GivenUp && given_up_ns.is_some_and(soon) => {
+            HealthSignal::Silent
+                if end_reason == EndReason::GivenUp && cancelled_ns.is_some_and(within_reply_time) =>
+            {
                 Went::Alive
             }
             HealthSignal::Served => Went::Served(now.saturating_sub(sent_ns)),
@@ -86,7 +88,7 @@
             HealthSignal::Spoilt => Went::Spoilt,
             HealthSignal::Nothing => Went::Nothing,
         };
-        self.node.ended(now, (engine.0, *started), class.0, sent_ns, went);
+        self.node.ended(now, (engine.0, *started), class.0, sent_ns, observation);
     }
 
     /// Counters, as one line.
@@ -104,13 +106,13 @@
 
     /// What the module is to be told anew.
     pub fn health(&mut self, now: u64) -> Vec<(EngineId, Verdict)> {
-        if now < self.next_ns {
+        if now < self.next_evaluation_ns {
             return Vec::new();
         }
-        self.next_ns = now + JUDGED_NS;
+        self.next_evaluation_ns = now + EVALUATION_INTERVAL_NS;
         let judged = self.node.judged().engines.clone();
-        if judged.is_empty() && self.told.is_empty() {
-            self.again.clear();
+        if judged.is_empty() && self.reported.is_empty() {
+            self.resend.clear();
             return Vec::new();
         }
         let verdict = |(engine, judgement): (&u64, &Judgement)| {
@@ -123,24 +125,24 @@
             (EngineId(*engine), verdict)
         };
         let now_so: BTreeMap<EngineId, Verdict> = judged.iter().map(verdict).collect();
-        let ended = self.told.keys().filter(|id| !now_so.contains_key(id)).map(|id| (*id, Verdict::Well));
+        let ended = self.reported.keys().filter(|id| !now_so.contains_key(id)).map(|id| (*id, Verdict::Well));
         let mut changed: Vec<(EngineId, Verdict)> = ended.collect();
-        let again = std::mem::take(&mut self.again);
-        let news = |id: &EngineId, v: &Verdict| self.told.get(id) != Some(v) || again.contains(id);
+        let resend = std::mem::take(&mut self.resend);
+        let news = |id: &EngineId, v: &Verdict| self.reported.get(id) != Some(v) || resend.contains(id);
         changed.extend(now_so.iter().filter(|(id, v)| news(id, v)).map(|(id, v)| (*id, *v)));
         let out = |v: Option<&Verdict>| matches!(v, Some(Verdict::Out | Verdict::Trial));
         // Turns to try it are no change of state.
-        for (engine, verdict) in changed.iter().filter(|(id, v)| out(Some(v)) != out(self.told.get(id))) {
+        for (engine, verdict) in changed.iter().filter(|(id, v)| out(Some(v)) != out(self.reported.get(id))) {
             let what = if out(Some(verdict)) { "out" } else { "back" };
             info!("engine {:016x} is {what} by what the fleet has seen", engine.0);
         }
-        self.told = now_so;
+        self.reported = now_so;
         changed
     }
 
     /// An engine starts again, or comes back to the module: it is told what is believed of it once more.
-    pub fn tell_again(&mut self, engine: EngineId) {
-        self.again.insert(engine);
-        self.next_ns = 0;
+    pub fn resend_verdict(&mut self, engine: EngineId) {
+        self.resend.insert(engine);
+        self.next_evaluation_ns = 0;
     }
 }
