--- a/crates/core/src/end_reason.rs
+++ b/crates/core/src/end_reason.rs
@@ -147,7 +147,7 @@
     }
 
     /// The one place where an ending becomes evidence of its engine.
-    pub fn sight(self) -> HealthSignal {
+    pub fn health_signal(self) -> HealthSignal {
         match self {
             EndReason::Served => HealthSignal::Served,
             EndReason::Refused
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -76,7 +76,7 @@
     ) {
         let Some(started) = self.engines.get(&engine) else { return };
         let within_reply_time = |at: u64| now < at.saturating_add(CANCEL_REPLY_NS);
-        let observation = match end_reason.sight() {
+        let observation = match end_reason.health_signal() {
             // The engine answered the call that ends it: else its end is taken for granted later.
             HealthSignal::Silent
                 if end_reason == EndReason::GivenUp && cancelled_ns.is_some_and(within_reply_time) =>
