--- a/crates/core/src/cold.rs
+++ b/crates/core/src/cold.rs
@@ -114,7 +114,7 @@
     }
 
     /// News of the engines.
-    pub fn change(&mut self, now: u64, kind: MembershipKind, entries: &[EngineEntry]) {
+    pub fn update_engines(&mut self, now: u64, kind: MembershipKind, entries: &[EngineEntry]) {
         if matches!(kind, MembershipKind::Full | MembershipKind::Cached) {
             self.engines.values_mut().for_each(|engine| engine.ready = false);
         }
@@ -139,7 +139,7 @@
     }
 
     /// A client asks for a query of a class: units are wanted where this router owns some, then in its own order of engines.
-    pub fn want(&mut self, now: u64, node: &mut Node, class: ClassId) {
+    pub fn record_demand(&mut self, now: u64, node: &mut Node, class: ClassId) {
         let mut order: Vec<(bool, u64, u16, u64, u32, u32)> = Vec::new();
         for (id, engine) in self.engines.iter().filter(|(_, e)| e.ready && now < e.until_ns) {
             let Some(lane) = self.lanes[engine.kind].get(class.0) else { return };
@@ -167,7 +167,7 @@
     }
 
     /// A query was sent that takes so much of a lane's budget.
-    pub fn sent(
+    pub fn record_sent(
         &mut self,
         now: u64,
         node: &mut Node,
@@ -185,7 +185,7 @@
     }
 
     /// The shares that the module is to be told anew.
-    pub fn shares(&mut self, now: u64, node: &mut Node) -> Vec<(EngineId, [f64; LANES])> {
+    pub fn changed_shares(&mut self, now: u64, node: &mut Node) -> Vec<(EngineId, [f64; LANES])> {
         if !self.stale && now < self.reported_ns.saturating_add(SHARE_HORIZON_NS) {
             return Vec::new();
         }
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -67,7 +67,7 @@
     }
 
     /// An attempt has ended, which was given up at a time (ns) or not.
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: u64,
         (engine, class): (EngineId, ClassId),
@@ -105,7 +105,7 @@
     }
 
     /// What the module is to be told anew.
-    pub fn health(&mut self, now: u64) -> Vec<(EngineId, Verdict)> {
+    pub fn changed_verdicts(&mut self, now: u64) -> Vec<(EngineId, Verdict)> {
         if now < self.next_evaluation_ns {
             return Vec::new();
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -30,21 +30,21 @@
 use statement::Statement;
 
 /// Time past a request's own within which its answer must have been given, or the core gives it (ns).
-const FINAL_GRACE_NS: u64 = 5_000_000;
+const ANSWER_GRACE_NS: u64 = 5_000_000;
 
 /// Time past its class's whole one by which an attempt whose end is not known must be over (ns): its engine counts from when the
 /// call came, and sockets are allowed 50 ms.
-const DOUBT_GRACE_NS: u64 = 250_000_000;
+const UNCONFIRMED_END_GRACE_NS: u64 = 250_000_000;
 
 /// Requests that may be open in all (count), and the bytes of their statements (share of the memory limit).
-const OPEN_MOST: usize = 1_000;
-const HELD_MOST: f64 = 0.15;
+const MAX_OPEN_REQUESTS: usize = 1_000;
+const MAX_STATEMENT_MEMORY_SHARE: f64 = 0.15;
 
 /// Need of a request without an estimate (share of its class's aim x threads).
-const USUAL_NEED: f64 = 0.25;
+const DEFAULT_NEED_SHARE: f64 = 0.25;
 
 /// Advice as clients are told it.
-fn milliseconds(advice: Advice) -> u64 {
+fn retry_after_ms(advice: Advice) -> u64 {
     advice.after_ns.div_ceil(1_000_000).max(1)
 }
 
@@ -206,53 +206,53 @@
     Answer(Client, Answer),
 }
 
-struct Out {
+struct InFlight {
     number: u32,
     engine: EngineId,
     sent_ns: u64,
-    given_up_ns: Option<u64>,
+    cancelled_ns: Option<u64>,
 }
 
-struct Open {
-    ask: Rc<ClientRequest>,
+struct OpenRequest {
+    client_request: Rc<ClientRequest>,
     client: Client,
     /// The final answer was given, or is owed to nobody any more.
     concluded: bool,
     /// Its client left before the final answer.
-    left: bool,
+    client_left: bool,
     /// When the first attempt that may have run was sent (ns).
     may_have_run_ns: Option<u64>,
     attempts: u32,
-    out: Option<Out>,
-    last: Option<EndReason>,
+    in_flight: Option<InFlight>,
+    last_end: Option<EndReason>,
     fault: Option<Fault>,
     priority: u8,
-    taken_ns: u64,
+    received_ns: u64,
     expires_ns: u64,
     /// What it was admitted by, under limits that hold for the fleet.
     ticket: Option<Ticket>,
 }
 
-enum Inbound {
+enum InboundEvent {
     Arrival(RequestId),
-    Left(RequestId, EndReason),
-    Cancelled(RequestId),
+    ClientLeft(RequestId, EndReason),
+    ClientCancelled(RequestId),
     Note(Attempt, Note),
     Ended(Attempt, EndReason, Option<Rows>, Option<LoadReport>),
     Membership(MembershipKind, Vec<EngineEntry>),
 }
 
-impl Inbound {
+impl InboundEvent {
     /// Its place among what one round brought. Who left is heard first, and then which engines there are: guards against an
     /// attempt that goes out for nobody, or to an engine that drains, as its cause happened to be read before. A result that
     /// came goes before a wish to end the request, which came too late then.
-    fn place(&self) -> u8 {
+    fn processing_order(&self) -> u8 {
         match self {
-            Inbound::Left(..) => 0,
-            Inbound::Membership(..) => 1,
-            Inbound::Ended(_, EndReason::Served, ..) => 2,
-            Inbound::Cancelled(_) => 3,
-            Inbound::Arrival(_) | Inbound::Note(..) | Inbound::Ended(..) => 4,
+            InboundEvent::ClientLeft(..) => 0,
+            InboundEvent::Membership(..) => 1,
+            InboundEvent::Ended(_, EndReason::Served, ..) => 2,
+            InboundEvent::ClientCancelled(_) => 3,
+            InboundEvent::Arrival(_) | InboundEvent::Note(..) | InboundEvent::Ended(..) => 4,
         }
     }
 }
@@ -271,16 +271,16 @@
     door: Option<Door>,
     limits: Option<FleetLimits>,
     health: Option<FleetHealth>,
-    open: HashMap<RequestId, Open>,
+    open: HashMap<RequestId, OpenRequest>,
     timers: BinaryHeap<Reverse<(u64, u64, Timer)>>,
-    batch: Vec<Inbound>,
+    batch: Vec<InboundEvent>,
     actions: Vec<Action>,
     serial: u64,
     /// Bytes of the open requests' statements.
-    held: usize,
-    held_most: usize,
+    statement_bytes: usize,
+    max_statement_bytes: usize,
     /// Ids of the open requests.
-    names: HashSet<String>,
+    open_names: HashSet<String>,
     /// The counters.
     pub counters: Counters,
 }
@@ -299,9 +299,9 @@
             batch: Vec::new(),
             actions: Vec::new(),
             serial: 0,
-            held: 0,
-            held_most: (memory_mb * HELD_MOST * 1e6) as usize,
-            names: HashSet::new(),
+            statement_bytes: 0,
+            max_statement_bytes: (memory_mb * MAX_STATEMENT_MEMORY_SHARE * 1e6) as usize,
+            open_names: HashSet::new(),
             counters: Counters::default(),
         }
     }
@@ -340,55 +340,55 @@
     }
 
     /// Takes a request; it is owed one final answer from here on.
-    pub fn take(&mut self, now_ns: u64, client: Client, ask: ClientRequest) -> RequestId {
+    pub fn take(&mut self, now_ns: u64, client: Client, client_request: ClientRequest) -> RequestId {
         self.serial += 1;
         let id = RequestId(self.serial);
-        let expires_ns = now_ns.saturating_add(ask.time_left_ns);
-        self.held += ask.statement.text.len();
-        self.names.insert(ask.name.clone());
-        let open = Open {
-            ask: Rc::new(ask),
+        let expires_ns = now_ns.saturating_add(client_request.time_left_ns);
+        self.statement_bytes += client_request.statement.text.len();
+        self.open_names.insert(client_request.name.clone());
+        let open = OpenRequest {
+            client_request: Rc::new(client_request),
             client,
             concluded: false,
-            left: false,
+            client_left: false,
             may_have_run_ns: None,
             attempts: 0,
-            out: None,
-            last: None,
+            in_flight: None,
+            last_end: None,
             fault: None,
             priority: 1,
-            taken_ns: now_ns,
+            received_ns: now_ns,
             expires_ns,
             ticket: None,
         };
         self.open.insert(id, open);
         self.counters.taken += 1;
-        self.set_timer(expires_ns.saturating_add(FINAL_GRACE_NS), Timer::Final(id));
-        self.batch.push(Inbound::Arrival(id));
+        self.set_timer(expires_ns.saturating_add(ANSWER_GRACE_NS), Timer::Final(id));
+        self.batch.push(InboundEvent::Arrival(id));
         id
     }
 
     /// The client waits no longer: nothing is owed.
     pub fn client_left(&mut self, id: RequestId, end_reason: EndReason) {
-        self.batch.push(Inbound::Left(id, end_reason));
+        self.batch.push(InboundEvent::ClientLeft(id, end_reason));
     }
 
     /// The client waits for the answer, but asks that the request be ended.
     pub fn cancel(&mut self, id: RequestId) {
-        self.batch.push(Inbound::Cancelled(id));
+        self.batch.push(InboundEvent::ClientCancelled(id));
     }
 
     /// An engine's words on why an attempt fails; its ending follows.
     pub fn fault(&mut self, at: Attempt, fault: Fault) {
         let open = self.open.get_mut(&at.request);
-        if let Some(open) = open.filter(|o| o.out.as_ref().is_some_and(|c| c.number == at.number)) {
+        if let Some(open) = open.filter(|o| o.in_flight.as_ref().is_some_and(|c| c.number == at.number)) {
             open.fault = Some(fault);
         }
     }
 
     /// News of a running attempt.
     pub fn note(&mut self, attempt: Attempt, note: Note) {
-        self.batch.push(Inbound::Note(attempt, note));
+        self.batch.push(InboundEvent::Note(attempt, note));
     }
 
     /// An attempt has ended; only the first ending of an attempt counts.
@@ -399,12 +399,12 @@
         rows: Option<Rows>,
         report: Option<LoadReport>,
     ) {
-        self.batch.push(Inbound::Ended(at, end_reason, rows, report));
+        self.batch.push(InboundEvent::Ended(at, end_reason, rows, report));
     }
 
     /// News of the engines.
     pub fn membership(&mut self, kind: MembershipKind, entries: Vec<EngineEntry>) {
-        self.batch.push(Inbound::Membership(kind, entries));
+        self.batch.push(InboundEvent::Membership(kind, entries));
     }
 
     /// Whether one more request may be taken: each may hold a statement and a result.
@@ -412,27 +412,28 @@
         // What waits at the door has a bound of its own, past which the door itself makes room.
         let (queued, bytes, bytes_most) =
             self.door.as_ref().map_or((0, 0, 0), |d| (d.queued(), d.held_bytes(), d.bytes_most()));
-        self.open.len() - queued < OPEN_MOST && self.held - bytes < self.held_most - bytes_most
+        self.open.len() - queued < MAX_OPEN_REQUESTS
+            && self.statement_bytes - bytes < self.max_statement_bytes - bytes_most
     }
 
     /// Bytes of statements that may wait at a door: half of what all may hold.
     pub fn max_queued_bytes(memory_mb: f64) -> usize {
-        (memory_mb * HELD_MOST * 1e6 / 2.0) as usize
+        (memory_mb * MAX_STATEMENT_MEMORY_SHARE * 1e6 / 2.0) as usize
     }
 
     /// Whether a request with this id is open: engines know queries by it.
     pub fn has_open_request(&self, name: &str) -> bool {
-        self.names.contains(name)
+        self.open_names.contains(name)
     }
 
     /// Ends all that is open, as the program has no more time to wait for it.
-    pub fn end_all(&mut self, out: &mut Vec<Command>, now_ns: u64) {
+    pub fn end_all(&mut self, commands: &mut Vec<Command>, now_ns: u64) {
         let mut open: Vec<RequestId> = self.open.keys().copied().collect();
         open.sort_unstable();
         for id in open {
             if let Some(open) = self.open.get_mut(&id).filter(|o| !o.concluded) {
-                open.last = Some(EndReason::Shutdown);
-                self.overdue(now_ns, id, out);
+                open.last_end = Some(EndReason::Shutdown);
+                self.answer_expired(now_ns, id, commands);
             }
         }
     }
@@ -460,196 +461,197 @@
     }
 
     /// Hands all that was gathered, and all timers that are due, to the module; adds to `out` what is to be done.
-    pub fn process_events(&mut self, now_ns: u64, out: &mut Vec<Command>) {
-        self.tell_shares(now_ns, out);
-        self.tell_verdicts(now_ns, out);
+    pub fn process_events(&mut self, now_ns: u64, commands: &mut Vec<Command>) {
+        self.send_cold_shares(now_ns, commands);
+        self.send_verdicts(now_ns, commands);
         let mut batch = std::mem::take(&mut self.batch);
-        batch.sort_by_key(Inbound::place);
-        for inbound in batch.drain(..) {
-            self.inbound(now_ns, inbound, out);
+        batch.sort_by_key(InboundEvent::processing_order);
+        for handle_inbound in batch.drain(..) {
+            self.handle_inbound(now_ns, handle_inbound, commands);
         }
         self.batch = batch;
         while self.timers.peek().is_some_and(|Reverse((due, ..))| *due <= now_ns) {
             let Some(Reverse((_, _, timer))) = self.timers.pop() else { break };
             match timer {
-                Timer::Module(token) => self.decide(now_ns, Event::Timer(token), out),
-                Timer::TimeOut(at) => self.time_out(now_ns, at, out),
-                Timer::Final(id) => self.overdue(now_ns, id, out),
+                Timer::Module(token) => self.decide(now_ns, Event::Timer(token), commands),
+                Timer::TimeOut(at) => self.handle_timeout(now_ns, at, commands),
+                Timer::Final(id) => self.answer_expired(now_ns, id, commands),
             }
         }
-        self.open_door(now_ns, out);
+        self.poll_door(now_ns, commands);
     }
 
     /// Shows the module what the door lets through, and answers what the door refuses. The module's own refusals teach
     /// the door meanwhile, so that it is asked again after each.
-    fn open_door(&mut self, now: u64, out: &mut Vec<Command>) {
+    fn poll_door(&mut self, now: u64, commands: &mut Vec<Command>) {
         while let Some(verdict) = self.door.as_mut().and_then(|d| d.open(now)) {
             match verdict {
                 Verdict::Show(id) => {
-                    self.show(now, RequestId(id), out);
+                    self.submit_to_controller(now, RequestId(id), commands);
                     if let Some(door) = &mut self.door {
                         door.accepted(now, id);
                     }
                 }
                 Verdict::Refuse(id, advice) => {
-                    let backoff_ms = milliseconds(advice);
+                    let backoff_ms = retry_after_ms(advice);
                     let answer = Answer::Refused { backoff_ms, after: None, fault: None };
-                    self.conclude(now, RequestId(id), answer, out);
-                    self.tidy(RequestId(id));
+                    self.conclude(now, RequestId(id), answer, commands);
+                    self.remove_if_done(RequestId(id));
                 }
             }
         }
     }
 
     /// What the door is told of a request.
-    fn at_door(&self, id: RequestId, open: &Open) -> Arrival {
-        let (ask, class) = (&open.ask, &self.classes[open.ask.class.0]);
+    fn door_arrival(&self, id: RequestId, open: &OpenRequest) -> Arrival {
+        let (client_request, class) = (&open.client_request, &self.classes[open.client_request.class.0]);
         let threads = class.threads.max(1.0);
-        let usual_ns = class.aim_ns as f64 * threads * USUAL_NEED;
-        let need_ns = ask.work_estimate_ns.map_or(usual_ns, |w| w as f64);
+        let default_need_ns = class.aim_ns as f64 * threads * DEFAULT_NEED_SHARE;
+        let need_ns = client_request.work_estimate_ns.map_or(default_need_ns, |w| w as f64);
         let stretch_ns = (class.aim_stretch * need_ns / threads) as u64;
         Arrival {
             id: id.0,
-            tenant: ask.tenant.map_or(usize::MAX, |t| t.0),
-            client: ask.client,
-            class: ask.class.0,
+            tenant: client_request.tenant.map_or(usize::MAX, |t| t.0),
+            client: client_request.client,
+            class: client_request.class.0,
             threads,
             need_ns,
             worth: class.worth,
-            wanted_ns: open.taken_ns.saturating_add(class.aim_ns).saturating_add(stretch_ns),
+            wanted_ns: open.received_ns.saturating_add(class.aim_ns).saturating_add(stretch_ns),
             expires_ns: open.expires_ns,
-            bytes: ask.statement.text.len(),
+            bytes: client_request.statement.text.len(),
         }
     }
 
     /// Hands a request to the module.
-    fn show(&mut self, now: u64, id: RequestId, out: &mut Vec<Command>) {
+    fn submit_to_controller(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) {
         let Some(open) = self.open.get(&id) else { return };
-        let ask = &open.ask;
-        self.limits.iter_mut().for_each(|limits| limits.want(now, ask.class));
+        let client_request = &open.client_request;
+        self.limits.iter_mut().for_each(|limits| limits.record_demand(now, client_request.class));
         let request = Request {
             id,
-            class: ask.class,
-            key: ask.order_key,
-            tenant: ask.tenant,
+            class: client_request.class,
+            key: client_request.order_key,
+            tenant: client_request.tenant,
             time_left_ns: open.expires_ns.saturating_sub(now),
-            waited_ns: now.saturating_sub(open.taken_ns),
-            data_set: statement::table_group(&ask.statement.text),
-            work_estimate_ns: ask.work_estimate_ns,
-            memory_estimate_mb: ask.memory_estimate_mb,
+            waited_ns: now.saturating_sub(open.received_ns),
+            data_set: statement::table_group(&client_request.statement.text),
+            work_estimate_ns: client_request.work_estimate_ns,
+            memory_estimate_mb: client_request.memory_estimate_mb,
             ..Request::default()
         };
-        self.decide(now, Event::Arrival(request), out);
+        self.decide(now, Event::Arrival(request), commands);
     }
 
     /// Tells the module what it may count on of cold engines' budgets, where the fleet shares them.
-    fn tell_shares(&mut self, now: u64, out: &mut Vec<Command>) {
-        let shares = self.limits.as_mut().map_or_else(Vec::new, |limits| limits.shares(now));
+    fn send_cold_shares(&mut self, now: u64, commands: &mut Vec<Command>) {
+        let shares = self.limits.as_mut().map_or_else(Vec::new, |limits| limits.changed_shares(now));
         for (engine, shares) in shares {
-            self.decide(now, Event::ColdShares(engine, shares), out);
+            self.decide(now, Event::ColdShares(engine, shares), commands);
         }
     }
 
     /// Tells the module what the fleet believes of engines by now, where that has changed.
-    fn tell_verdicts(&mut self, now: u64, out: &mut Vec<Command>) {
-        let health = self.health.as_mut().map_or_else(Vec::new, |health| health.health(now));
+    fn send_verdicts(&mut self, now: u64, commands: &mut Vec<Command>) {
+        let health = self.health.as_mut().map_or_else(Vec::new, |health| health.changed_verdicts(now));
         for (engine, verdict) in health {
             debug!("the fleet's verdict on {:016x} is {verdict:?}", engine.0);
-            self.decide(now, Event::Judged(engine, verdict), out);
+            self.decide(now, Event::Judged(engine, verdict), commands);
         }
     }
 
     /// Whether the fleet's limits admit a request; one that they do not is refused, with the time when its share is due.
-    fn admitted(&mut self, now: u64, id: RequestId, out: &mut Vec<Command>) -> bool {
+    fn admit_under_limits(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) -> bool {
         let (Some(limits), Some(open)) = (&mut self.limits, self.open.get_mut(&id)) else { return true };
-        match limits.admit(now, &open.ask) {
+        match limits.admit(now, &open.client_request) {
             Ok(ticket) => {
                 open.ticket = Some(ticket);
                 true
             }
             Err(after_ns) => {
                 let backoff_ms = after_ns.div_ceil(1_000_000).max(1);
-                self.conclude(now, id, Answer::Refused { backoff_ms, after: None, fault: None }, out);
-                self.tidy(id);
+                self.conclude(now, id, Answer::Refused { backoff_ms, after: None, fault: None }, commands);
+                self.remove_if_done(id);
                 false
             }
         }
     }
 
-    fn inbound(&mut self, now: u64, inbound: Inbound, out: &mut Vec<Command>) {
-        match inbound {
-            Inbound::Arrival(id) => {
-                if !self.admitted(now, id, out) {
+    fn handle_inbound(&mut self, now: u64, handle_inbound: InboundEvent, commands: &mut Vec<Command>) {
+        match handle_inbound {
+            InboundEvent::Arrival(id) => {
+                if !self.admit_under_limits(now, id, commands) {
                     return;
                 }
                 let Some(open) = self.open.get(&id) else { return };
                 // Guards against a request that passes an earlier one of its key at the door: the module keeps their order.
-                if self.door.is_none() || self.takes_turns(&open.ask) {
-                    return self.show(now, id, out);
+                if self.door.is_none() || self.runs_serially(&open.client_request) {
+                    return self.submit_to_controller(now, id, commands);
                 }
-                let arrival = self.at_door(id, open);
+                let arrival = self.door_arrival(id, open);
                 if let Some(door) = &mut self.door {
                     door.arrive(now, arrival);
                 }
             }
-            Inbound::Left(id, end_reason) => {
+            InboundEvent::ClientLeft(id, end_reason) => {
                 let Some(open) = self.open.get_mut(&id) else { return };
                 if !std::mem::replace(&mut open.concluded, true) {
-                    open.left = true;
+                    open.client_left = true;
                     self.counters.left += 1;
-                    self.counters.left_unsent += u64::from(open.out.is_none());
+                    self.counters.left_unsent += u64::from(open.in_flight.is_none());
                     self.counters.ended(end_reason);
                     debug_assert_eq!(end_reason.control_event(), ControlEvent::Left);
-                    self.left(now, id, out);
+                    self.handle_client_left(now, id, commands);
                 }
             }
-            Inbound::Cancelled(id) => {
+            InboundEvent::ClientCancelled(id) => {
                 if self.open.get(&id).is_some_and(|o| !o.concluded) {
                     self.counters.ended(EndReason::Forgotten);
-                    self.end(now, id, Answer::Failed(Some(EndReason::Forgotten), None), out);
+                    self.end_request(now, id, Answer::Failed(Some(EndReason::Forgotten), None), commands);
                 }
             }
-            Inbound::Note(at, note) => {
-                let current = self.open.get(&at.request).and_then(|o| o.out.as_ref());
+            InboundEvent::Note(at, note) => {
+                let current = self.open.get(&at.request).and_then(|o| o.in_flight.as_ref());
                 if current.is_some_and(|c| c.number == at.number) {
-                    self.decide(now, Event::Progress(at.request, at.number, note), out);
+                    self.decide(now, Event::Progress(at.request, at.number, note), commands);
                 }
             }
-            Inbound::Ended(at, end_reason, rows, report) => {
-                self.end_attempt(now, at, end_reason, rows, report, out)
+            InboundEvent::Ended(at, end_reason, rows, report) => {
+                self.end_attempt(now, at, end_reason, rows, report, commands)
             }
-            Inbound::Membership(kind, entries) => {
+            InboundEvent::Membership(kind, entries) => {
                 self.counters.membership += 1;
                 for e in &entries {
                     let started_ms = e.started_ns.map(|ns| ns / 1_000_000);
                     debug!("{kind:?} list: engine {:016x} {:?} started {started_ms:?}", e.engine.0, e.state);
                 }
-                self.limits.iter_mut().for_each(|limits| limits.change(now, kind, &entries));
+                self.limits.iter_mut().for_each(|limits| limits.update_engines(now, kind, &entries));
                 if let Some(health) = &mut self.health {
-                    entries.iter().for_each(|entry| health.tell_again(entry.engine));
+                    entries.iter().for_each(|entry| health.resend_verdict(entry.engine));
                 }
-                self.decide(now, Event::Membership(kind, entries), out);
-                self.tell_shares(now, out);
-                self.tell_verdicts(now, out);
+                self.decide(now, Event::Membership(kind, entries), commands);
+                self.send_cold_shares(now, commands);
+                self.send_verdicts(now, commands);
             }
         }
     }
 
     /// Nobody waits for a request any more: the module hears of it where it was shown it.
-    fn left(&mut self, now: u64, id: RequestId, out: &mut Vec<Command>) {
+    fn handle_client_left(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) {
         if !self.door.as_mut().is_some_and(|d| d.leave(now, id.0)) {
-            self.unwanted(now, id, out);
+            self.notify_client_left(now, id, commands);
         }
-        self.tidy(id);
+        self.remove_if_done(id);
     }
 
     /// The module hears that nobody waits for a request. Where it may not, or does not, give up what is out, that is still
     /// taken back while it waits to be sent.
-    fn unwanted(&mut self, now: u64, id: RequestId, out: &mut Vec<Command>) {
-        self.decide(now, Event::Left(id), out);
-        if let Some(ran) = self.open.get(&id).and_then(|o| o.out.as_ref()).filter(|o| o.given_up_ns.is_none())
+    fn notify_client_left(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) {
+        self.decide(now, Event::Left(id), commands);
+        if let Some(in_flight) =
+            self.open.get(&id).and_then(|o| o.in_flight.as_ref()).filter(|o| o.cancelled_ns.is_none())
         {
-            out.push(Command::CancelIfUnsent(Attempt { request: id, number: ran.number }));
+            commands.push(Command::CancelIfUnsent(Attempt { request: id, number: in_flight.number }));
         }
     }
 
@@ -660,36 +662,43 @@
         end_reason: EndReason,
         rows: Option<Rows>,
         report: Option<LoadReport>,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         let Some(open) = self.open.get_mut(&at.request) else { return };
         // Guards against a second ending of one attempt, as when its time ran out while it was being given up.
-        let Some(ran) = open.out.take_if(|o| o.number == at.number) else { return };
+        let Some(in_flight) = open.in_flight.take_if(|o| o.number == at.number) else { return };
         self.counters.ended(end_reason);
-        open.last = Some(end_reason);
-        self.counters.left_unsent += u64::from(open.left && end_reason == EndReason::Withdrawn);
+        open.last_end = Some(end_reason);
+        self.counters.left_unsent += u64::from(open.client_left && end_reason == EndReason::Withdrawn);
         open.may_have_run_ns =
-            open.may_have_run_ns.or(Some(ran.sent_ns).filter(|_| end_reason.may_have_run()));
+            open.may_have_run_ns.or(Some(in_flight.sent_ns).filter(|_| end_reason.may_have_run()));
         if let Some(health) = &mut self.health {
-            health.ended(now, (ran.engine, open.ask.class), (ran.sent_ns, ran.given_up_ns), end_reason);
+            health.attempt_ended(
+                now,
+                (in_flight.engine, open.client_request.class),
+                (in_flight.sent_ns, in_flight.cancelled_ns),
+                end_reason,
+            );
         }
         let ControlEvent::Outcome(status) = end_reason.control_event() else { return };
         if let (EndReason::Served, Some(rows), false) = (end_reason, rows, open.concluded) {
             open.concluded = true;
             self.counters.served += 1;
-            out.push(Command::Answer(open.client, Answer::Served(rows)));
+            commands.push(Command::Answer(open.client, Answer::Served(rows)));
             if let Some(door) = &mut self.door {
                 door.over(now, at.request.0, Some(true));
             }
         }
-        let longest_ns = self.classes[open.ask.class.0].deadline_ns.saturating_add(DOUBT_GRACE_NS);
-        let over_by_ns = if end_reason.may_still_run() { ran.sent_ns.saturating_add(longest_ns) } else { 0 };
+        let longest_ns =
+            self.classes[open.client_request.class.0].deadline_ns.saturating_add(UNCONFIRMED_END_GRACE_NS);
+        let over_by_ns =
+            if end_reason.may_still_run() { in_flight.sent_ns.saturating_add(longest_ns) } else { 0 };
         let outcome = Outcome {
             request: at.request,
             attempt: at.number,
-            engine: ran.engine,
+            engine: in_flight.engine,
             status,
-            latency_ns: now.saturating_sub(ran.sent_ns),
+            latency_ns: now.saturating_sub(in_flight.sent_ns),
             concluded: open.concluded,
             work_ns: None,
             memory_mb: None,
@@ -698,68 +707,71 @@
         };
         debug!(
             "{} attempt {} on {:016x} ended {end_reason:?} after {} ms",
-            open.ask.name,
+            open.client_request.name,
             at.number,
-            ran.engine.0,
+            in_flight.engine.0,
             outcome.latency_ns / 1_000_000
         );
-        self.decide(now, Event::Outcome(outcome), out);
-        self.tidy(at.request);
+        self.decide(now, Event::Outcome(outcome), commands);
+        self.remove_if_done(at.request);
     }
 
-    fn time_out(&mut self, now: u64, at: Attempt, out: &mut Vec<Command>) {
+    fn handle_timeout(&mut self, now: u64, at: Attempt, commands: &mut Vec<Command>) {
         let Some(open) = self.open.get(&at.request) else { return };
-        let Some(ran) = open.out.as_ref().filter(|ran| ran.number == at.number) else { return };
-        let (concluded, given_up) = (open.concluded, ran.given_up_ns.is_some());
-        if !self.takes_turns(&open.ask) {
-            out.push(Command::CancelAttempt(at));
-            return self.end_attempt(now, at, EndReason::TimedOut, None, None, out);
+        let Some(in_flight) = open.in_flight.as_ref().filter(|in_flight| in_flight.number == at.number)
+        else {
+            return;
+        };
+        let (concluded, cancelled) = (open.concluded, in_flight.cancelled_ns.is_some());
+        if !self.runs_serially(&open.client_request) {
+            commands.push(Command::CancelAttempt(at));
+            return self.end_attempt(now, at, EndReason::TimedOut, None, None, commands);
         }
         // Guards against the next request of the key running beside this attempt: it is out until its engine has been told.
         if !concluded {
-            self.decide(now, Event::Expired(at.request), out);
+            self.decide(now, Event::Expired(at.request), commands);
         }
-        if !given_up {
-            self.act(now, Action::Cancel { request: at.request, attempt: at.number }, out);
+        if !cancelled {
+            self.act(now, Action::Cancel { request: at.request, attempt: at.number }, commands);
         }
     }
 
     /// Whether a request takes turns with others of its key.
-    fn takes_turns(&self, ask: &ClientRequest) -> bool {
-        ask.order_key.is_some() && self.classes[ask.class.0].serial_by_key
+    fn runs_serially(&self, client_request: &ClientRequest) -> bool {
+        client_request.order_key.is_some() && self.classes[client_request.class.0].serial_by_key
     }
 
     /// Guards against a request that nobody answers: its time is over, so it fails, or is refused where no
     /// attempt was made.
-    fn overdue(&mut self, now: u64, id: RequestId, out: &mut Vec<Command>) {
+    fn answer_expired(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) {
         let Some(open) = self.open.get(&id).filter(|o| !o.concluded) else { return };
         warn!("request {} had no answer at its end", id.0);
         let answer = match open.attempts {
             0 => Answer::Refused { backoff_ms: 100, after: None, fault: None },
-            _ => Answer::Failed(open.last, open.fault.clone()),
+            _ => Answer::Failed(open.last_end, open.fault.clone()),
         };
-        self.end(now, id, answer, out);
+        self.end_request(now, id, answer, commands);
     }
 
     /// Ends a request that the module did not end: it hears of it where it was shown it.
-    fn end(&mut self, now: u64, id: RequestId, answer: Answer, out: &mut Vec<Command>) {
+    fn end_request(&mut self, now: u64, id: RequestId, answer: Answer, commands: &mut Vec<Command>) {
         let waits = self.door.as_ref().is_some_and(|d| d.waits(id.0));
-        self.conclude(now, id, answer, out);
+        self.conclude(now, id, answer, commands);
         if !waits {
-            self.unwanted(now, id, out);
+            self.notify_client_left(now, id, commands);
         }
-        self.tidy(id);
+        self.remove_if_done(id);
     }
 
     /// The one place where a request that was not served gets its final answer.
-    fn conclude(&mut self, now: u64, id: RequestId, answer: Answer, out: &mut Vec<Command>) {
+    fn conclude(&mut self, now: u64, id: RequestId, answer: Answer, commands: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&id).filter(|o| !o.concluded) else { return };
         open.concluded = true;
         match answer {
             Answer::Refused { .. } => self.counters.refused += 1,
             _ => self.counters.failed += 1,
         }
-        out.push(Command::Answer(open.client, answer));
+        commands.push(Command::Answer(open.client, answer));
         if let Some(door) = &mut self.door {
             if door.waits(id.0) {
                 door.leave(now, id.0);
@@ -769,38 +781,42 @@
         }
     }
 
-    fn tidy(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(|o| o.concluded && o.out.is_none()) {
+    fn remove_if_done(&mut self, id: RequestId) {
+        if self.open.get(&id).is_some_and(|o| o.concluded && o.in_flight.is_none()) {
             let Some(open) = self.open.remove(&id) else { return };
-            self.held -= open.ask.statement.text.len();
-            self.names.remove(&open.ask.name);
+            self.statement_bytes -= open.client_request.statement.text.len();
+            self.open_names.remove(&open.client_request.name);
             if let (Some(limits), Some(ticket)) = (&mut self.limits, open.ticket) {
-                limits.over(ticket);
+                limits.release(ticket);
             }
         }
     }
 
     /// Hands one event to the module and takes its actions.
-    fn decide(&mut self, now: u64, event: Event, out: &mut Vec<Command>) {
+    fn decide(&mut self, now: u64, event: Event, commands: &mut Vec<Command>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.control.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(now, action, out);
+            self.act(now, action, commands);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, now: u64, action: Action, out: &mut Vec<Command>) {
+    fn act(&mut self, now: u64, action: Action, commands: &mut Vec<Command>) {
         match action {
             Action::Send { request, engine, timeout_ns } => {
                 let Some(open) = self.open.get_mut(&request) else { return };
                 let attempt = Attempt { request, number: open.attempts };
                 open.attempts += 1;
-                open.out = Some(Out { number: attempt.number, engine, sent_ns: now, given_up_ns: None });
-                let (priority, ask, may_have_run_ns) =
-                    (open.priority, open.ask.clone(), open.may_have_run_ns);
-                let class = ask.class.0;
-                debug!("{} attempt {} of class {class} goes to {:016x}", ask.name, attempt.number, engine.0);
+                open.in_flight =
+                    Some(InFlight { number: attempt.number, engine, sent_ns: now, cancelled_ns: None });
+                let (priority, client_request, may_have_run_ns) =
+                    (open.priority, open.client_request.clone(), open.may_have_run_ns);
+                let class = client_request.class.0;
+                debug!(
+                    "{} attempt {} of class {class} goes to {:016x}",
+                    client_request.name, attempt.number, engine.0
+                );
                 let due = now.saturating_add(timeout_ns).min(open.expires_ns);
                 self.counters.sent += 1;
                 self.set_timer(due, Timer::TimeOut(attempt));
@@ -809,48 +825,59 @@
                 let window_ns = class.dedup_window_ns.filter(|_| class.effect == Effect::Deduplicated);
                 let begin_by_ns =
                     may_have_run_ns.zip(window_ns).map(|(sent, window)| sent.saturating_add(window));
-                out.push(Command::Start { attempt, engine, timeout_ns, priority, ask, begin_by_ns });
+                commands.push(Command::Start {
+                    attempt,
+                    engine,
+                    timeout_ns,
+                    priority,
+                    ask: client_request,
+                    begin_by_ns,
+                });
             }
             Action::ColdSent { request, engine, lane, share } => {
-                let class = self.open.get(&request).map(|open| open.ask.class);
+                let class = self.open.get(&request).map(|open| open.client_request.class);
                 if let (Some(limits), Some(class)) = (&mut self.limits, class) {
-                    limits.sent(now, class, engine, lane, share);
+                    limits.record_sent(now, class, engine, lane, share);
                 }
             }
             Action::Cancel { request, attempt } => {
                 if let Some(open) = self.open.get_mut(&request) {
-                    debug!("{} attempt {attempt} is given up", open.ask.name);
-                    let class = open.ask.class;
-                    if let Some(ran) = open.out.as_mut().filter(|ran| ran.number == attempt) {
-                        ran.given_up_ns = Some(now);
+                    debug!("{} attempt {attempt} is given up", open.client_request.name);
+                    let class = open.client_request.class;
+                    if let Some(in_flight) =
+                        open.in_flight.as_mut().filter(|in_flight| in_flight.number == attempt)
+                    {
+                        in_flight.cancelled_ns = Some(now);
                         if let Some(health) = &mut self.health {
-                            health.given_up(now, ran.engine, class, ran.sent_ns);
+                            health.cancelled(now, in_flight.engine, class, in_flight.sent_ns);
                         }
                     }
                 }
-                out.push(Command::CancelAttempt(Attempt { request, number: attempt }))
+                commands.push(Command::CancelAttempt(Attempt { request, number: attempt }))
             }
             Action::Refuse { request, retry_after_ns } => {
                 let Some(open) = self.open.get(&request) else { return };
-                let (after, fault) = (open.last, open.fault.clone());
+                let (after, fault) = (open.last_end, open.fault.clone());
                 let sent = open.attempts > 0;
                 let advice = self.door.as_mut().and_then(|d| d.refused(now, request.0, sent));
                 let module_ms = retry_after_ns.unwrap_or(100_000_000).div_ceil(1_000_000).max(1);
-                let backoff_ms = advice.filter(|_| retry_after_ns.is_some()).map_or(module_ms, milliseconds);
-                self.conclude(now, request, Answer::Refused { backoff_ms, after, fault }, out);
-                self.tidy(request);
+                let backoff_ms =
+                    advice.filter(|_| retry_after_ns.is_some()).map_or(module_ms, retry_after_ms);
+                self.conclude(now, request, Answer::Refused { backoff_ms, after, fault }, commands);
+                self.remove_if_done(request);
             }
             Action::Fail(request) => {
                 let Some(open) = self.open.get(&request) else { return };
-                let answer = Answer::Failed(open.last, open.fault.clone());
-                self.conclude(now, request, answer, out);
-                self.tidy(request);
+                let answer = Answer::Failed(open.last_end, open.fault.clone());
+                self.conclude(now, request, answer, commands);
+                self.remove_if_done(request);
             }
             Action::SetTerms { request, priority, .. } => {
                 let Some(open) = self.open.get_mut(&request) else { return };
                 open.priority = priority;
-                if let Some(ran) = &open.out {
-                    out.push(Command::SetPriority(Attempt { request, number: ran.number }, priority));
+                if let Some(in_flight) = &open.in_flight {
+                    commands
+                        .push(Command::SetPriority(Attempt { request, number: in_flight.number }, priority));
                 }
             }
             Action::SetTimer { after_ns, token } => {
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -66,28 +66,28 @@
     }
 
     /// News of the engines.
-    pub fn change(&mut self, now: u64, kind: MembershipKind, entries: &[EngineEntry]) {
-        self.cold.iter_mut().for_each(|cold| cold.change(now, kind, entries));
+    pub fn update_engines(&mut self, now: u64, kind: MembershipKind, entries: &[EngineEntry]) {
+        self.cold.iter_mut().for_each(|cold| cold.update_engines(now, kind, entries));
     }
 
     /// A request is about to be shown to the module.
-    pub fn want(&mut self, now: u64, class: ClassId) {
+    pub fn record_demand(&mut self, now: u64, class: ClassId) {
         if let Some(cold) = &mut self.cold {
-            cold.want(now, &mut self.node, class);
+            cold.record_demand(now, &mut self.node, class);
         }
     }
 
     /// A query was sent to a cold engine.
-    pub fn sent(&mut self, now: u64, class: ClassId, engine: EngineId, lane: usize, share: f64) {
+    pub fn record_sent(&mut self, now: u64, class: ClassId, engine: EngineId, lane: usize, share: f64) {
         if let Some(cold) = &mut self.cold {
-            cold.sent(now, &mut self.node, class, engine, lane, share);
+            cold.record_sent(now, &mut self.node, class, engine, lane, share);
         }
     }
 
     /// Shares of cold engines' budgets that the module is to be told.
-    pub fn shares(&mut self, now: u64) -> Vec<(EngineId, [f64; 2])> {
+    pub fn changed_shares(&mut self, now: u64) -> Vec<(EngineId, [f64; 2])> {
         let node = &mut self.node;
-        self.cold.as_mut().map_or_else(Vec::new, |cold| cold.shares(now, node))
+        self.cold.as_mut().map_or_else(Vec::new, |cold| cold.changed_shares(now, node))
     }
 
     /// What this router keeps of the limits; what is done to it may change shares.
@@ -153,7 +153,7 @@
     }
 
     /// A request is over, and all that it had out.
-    pub fn over(&mut self, ticket: Ticket) {
+    pub fn release(&mut self, ticket: Ticket) {
         self.node.over(ticket);
     }
 }
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -10,10 +10,11 @@
 const T0: u64 = 1_000 * S;
 const ENGINE: EngineId = EngineId(5);
 
-fn says(health: &mut FleetHealth, now: u64, witness: u32, number: u32, finding: Finding) {
+fn report(health: &mut FleetHealth, now: u64, witness: u32, number: u32, finding: Finding) {
     let (engine, started_ms, life, zone) = (ENGINE.0, 0, 1, 0);
-    let said = Evidence { engine, started_ms, witness, life, number, zone, finding, since_ms: 0, age_ms: 0 };
-    health.node().hear(now, witness, Message::News { words: Vec::new(), evidence: vec![said] });
+    let evidence =
+        Evidence { engine, started_ms, witness, life, number, zone, finding, since_ms: 0, age_ms: 0 };
+    health.node().hear(now, witness, Message::News { words: Vec::new(), evidence: vec![evidence] });
 }
 
 #[test]
@@ -23,16 +24,16 @@
     let entries: Vec<EngineEntry> =
         (5..10).map(|id| EngineEntry { engine: EngineId(id), ..EngineEntry::default() }).collect();
     health.change(MembershipKind::Full, entries.iter().copied());
-    assert!(health.health(T0).is_empty());
-    (1..4).for_each(|witness| says(&mut health, T0 + S, witness, 1, Finding::Silent));
-    let told = health.health(T0 + S);
+    assert!(health.changed_verdicts(T0).is_empty());
+    (1..4).for_each(|witness| report(&mut health, T0 + S, witness, 1, Finding::Silent));
+    let told = health.changed_verdicts(T0 + S);
     assert!(matches!(told[..], [(ENGINE, Verdict::Out | Verdict::Trial)]), "{told:?}");
     // The module may have forgotten it: it is told what is so once more.
-    health.tell_again(ENGINE);
-    assert_eq!(health.health(T0 + S), told);
+    health.resend_verdict(ENGINE);
+    assert_eq!(health.changed_verdicts(T0 + S), told);
     // Two are served, and a list names the engine before the module has heard of that.
-    (4..6).for_each(|witness| says(&mut health, T0 + 3 * S, witness, 1, Finding::Well));
-    health.tell_again(ENGINE);
-    assert_eq!(health.health(T0 + 3 * S), [(ENGINE, Verdict::Well)]);
-    assert!(health.health(T0 + 4 * S).is_empty());
+    (4..6).for_each(|witness| report(&mut health, T0 + 3 * S, witness, 1, Finding::Well));
+    health.resend_verdict(ENGINE);
+    assert_eq!(health.changed_verdicts(T0 + 3 * S), [(ENGINE, Verdict::Well)]);
+    assert!(health.changed_verdicts(T0 + 4 * S).is_empty());
 }
