--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -466,8 +466,8 @@
         self.send_verdicts(now_ns, commands);
         let mut batch = std::mem::take(&mut self.batch);
         batch.sort_by_key(InboundEvent::processing_order);
-        for handle_inbound in batch.drain(..) {
-            self.handle_inbound(now_ns, handle_inbound, commands);
+        for event in batch.drain(..) {
+            self.handle_inbound(now_ns, event, commands);
         }
         self.batch = batch;
         while self.timers.peek().is_some_and(|Reverse((due, ..))| *due <= now_ns) {
@@ -553,8 +553,8 @@
 
     /// Tells the module what the fleet believes of engines by now, where that has changed.
     fn send_verdicts(&mut self, now: u64, commands: &mut Vec<Command>) {
-        let health = self.health.as_mut().map_or_else(Vec::new, |health| health.changed_verdicts(now));
-        for (engine, verdict) in health {
+        let changed = self.health.as_mut().map_or_else(Vec::new, |health| health.changed_verdicts(now));
+        for (engine, verdict) in changed {
             debug!("the fleet's verdict on {:016x} is {verdict:?}", engine.0);
             self.decide(now, Event::Judged(engine, verdict), commands);
         }
@@ -577,8 +577,8 @@
         }
     }
 
-    fn handle_inbound(&mut self, now: u64, handle_inbound: InboundEvent, commands: &mut Vec<Command>) {
-        match handle_inbound {
+    fn handle_inbound(&mut self, now: u64, event: InboundEvent, commands: &mut Vec<Command>) {
+        match event {
             InboundEvent::Arrival(id) => {
                 if !self.admit_under_limits(now, id, commands) {
                     return;
