--- a/crates/core/src/cold.rs
+++ b/crates/core/src/cold.rs
@@ -157,8 +157,8 @@
         order.sort_unstable();
         let cost = self.costs[class.0];
         let fits = |(.., limit, key, units, owned): &&(bool, u64, u16, u64, u32, u32)| {
-            let most = f64::from(*owned).max((f64::from(*units) * MAX_WANTED_SHARE).ceil());
-            node.wants(now, *limit, *key) + cost <= most
+            let max_units = f64::from(*owned).max((f64::from(*units) * MAX_WANTED_SHARE).ceil());
+            node.wants(now, *limit, *key) + cost <= max_units
         };
         let found = order.iter().find(fits).or(order.first()).copied();
         if let Some((.., limit, key, _, _)) = found {
--- a/crates/core/src/end_reason.rs
+++ b/crates/core/src/end_reason.rs
@@ -57,7 +57,7 @@
     /// The client has left.
     Left,
     /// Nothing: no request is touched.
-    Nothing,
+    NoEvent,
 }
 
 /// What an ending shows of the engine itself, as evidence for all routers.
@@ -66,11 +66,11 @@
     /// It served.
     Served,
     /// It gave no sign of life, as far as this shows.
-    Silent,
+    NoResponse,
     /// It answered what can't be read.
-    Spoilt,
+    InvalidResponse,
     /// Nothing of it.
-    Nothing,
+    Inconclusive,
 }
 
 /// All endings, for counters.
@@ -119,7 +119,7 @@
                 ControlEvent::Outcome(Status::Cancelled)
             }
             EndReason::ClientGone | EndReason::Forgotten => ControlEvent::Left,
-            EndReason::Idle | EndReason::Silent | EndReason::Shutdown => ControlEvent::Nothing,
+            EndReason::Idle | EndReason::Silent | EndReason::Shutdown => ControlEvent::NoEvent,
         }
     }
 
@@ -136,7 +136,7 @@
         match self.control_event() {
             ControlEvent::Outcome(Status::Busy | Status::Refused | Status::Skipped) => false,
             ControlEvent::Outcome(_) => self != EndReason::Withdrawn,
-            ControlEvent::Left | ControlEvent::Nothing => false,
+            ControlEvent::Left | ControlEvent::NoEvent => false,
         }
     }
 
@@ -156,8 +156,8 @@
             | EndReason::TimedOut
             | EndReason::GivenUp
             | EndReason::Abandoned
-            | EndReason::Withdrawn => HealthSignal::Silent,
-            EndReason::Garbled => HealthSignal::Spoilt,
+            | EndReason::Withdrawn => HealthSignal::NoResponse,
+            EndReason::Garbled => HealthSignal::InvalidResponse,
             // It answered, or was never reached for reasons of this router's own.
             EndReason::EngineError
             | EndReason::Full
@@ -170,7 +170,7 @@
             | EndReason::Forgotten
             | EndReason::Idle
             | EndReason::Silent
-            | EndReason::Shutdown => HealthSignal::Nothing,
+            | EndReason::Shutdown => HealthSignal::Inconclusive,
         }
     }
 }
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -78,15 +78,15 @@
         let within_reply_time = |at: u64| now < at.saturating_add(CANCEL_REPLY_NS);
         let observation = match end_reason.health_signal() {
             // The engine answered the call that ends it: else its end is taken for granted later.
-            HealthSignal::Silent
+            HealthSignal::NoResponse
                 if end_reason == EndReason::GivenUp && cancelled_ns.is_some_and(within_reply_time) =>
             {
                 Went::Alive
             }
             HealthSignal::Served => Went::Served(now.saturating_sub(sent_ns)),
-            HealthSignal::Silent => Went::Silent,
-            HealthSignal::Spoilt => Went::Spoilt,
-            HealthSignal::Nothing => Went::Nothing,
+            HealthSignal::NoResponse => Went::Silent,
+            HealthSignal::InvalidResponse => Went::Spoilt,
+            HealthSignal::Inconclusive => Went::Nothing,
         };
         self.node.ended(now, (engine.0, *started), class.0, sent_ns, observation);
     }
@@ -124,19 +124,20 @@
             };
             (EngineId(*engine), verdict)
         };
-        let now_so: BTreeMap<EngineId, Verdict> = judged.iter().map(verdict).collect();
-        let ended = self.reported.keys().filter(|id| !now_so.contains_key(id)).map(|id| (*id, Verdict::Well));
-        let mut changed: Vec<(EngineId, Verdict)> = ended.collect();
+        let current: BTreeMap<EngineId, Verdict> = judged.iter().map(verdict).collect();
+        let recovered =
+            self.reported.keys().filter(|id| !current.contains_key(id)).map(|id| (*id, Verdict::Well));
+        let mut changed: Vec<(EngineId, Verdict)> = recovered.collect();
         let resend = std::mem::take(&mut self.resend);
-        let news = |id: &EngineId, v: &Verdict| self.reported.get(id) != Some(v) || resend.contains(id);
-        changed.extend(now_so.iter().filter(|(id, v)| news(id, v)).map(|(id, v)| (*id, *v)));
+        let is_changed = |id: &EngineId, v: &Verdict| self.reported.get(id) != Some(v) || resend.contains(id);
+        changed.extend(current.iter().filter(|(id, v)| is_changed(id, v)).map(|(id, v)| (*id, *v)));
         let out = |v: Option<&Verdict>| matches!(v, Some(Verdict::Out | Verdict::Trial));
         // Turns to try it are no change of state.
         for (engine, verdict) in changed.iter().filter(|(id, v)| out(Some(v)) != out(self.reported.get(id))) {
-            let what = if out(Some(verdict)) { "out" } else { "back" };
-            info!("engine {:016x} is {what} by what the fleet has seen", engine.0);
+            let state_name = if out(Some(verdict)) { "out" } else { "back" };
+            info!("engine {:016x} is {state_name} by what the fleet has seen", engine.0);
         }
-        self.reported = now_so;
+        self.reported = current;
         changed
     }
 
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -122,17 +122,19 @@
     }
 
     /// The key that a limit is for where it is for one alone, by its rule.
-    fn key(&self, rule: &LimitRule, ask: &ClientRequest) -> u64 {
+    fn key(&self, rule: &LimitRule, client_request: &ClientRequest) -> u64 {
         let of = |hashes: &[u64], at: Option<usize>| at.and_then(|at| hashes.get(at).copied()).unwrap_or(0);
         let both = |a: u64, b: u64| stable_hash([&a.to_le_bytes()[..], &b.to_le_bytes()[..]]);
-        let (tenant, class) =
-            (of(&self.tenants, ask.tenant.map(|t| t.0)), of(&self.classes, Some(ask.class.0)));
+        let (tenant, class) = (
+            of(&self.tenants, client_request.tenant.map(|t| t.0)),
+            of(&self.classes, Some(client_request.class.0)),
+        );
         match rule.scope {
             LimitScope::All => 0,
             LimitScope::Tenant => tenant,
             LimitScope::Class => class,
             LimitScope::TenantAndClass => both(tenant, class),
-            LimitScope::Client => both(tenant, ask.client),
+            LimitScope::Client => both(tenant, client_request.client),
         }
     }
 
@@ -140,12 +142,13 @@
     ///
     /// # Errors
     /// When it is worth coming back (ns from now).
-    pub fn admit(&mut self, now: u64, ask: &ClientRequest) -> Result<Ticket, u64> {
+    pub fn admit(&mut self, now: u64, client_request: &ClientRequest) -> Result<Ticket, u64> {
         let counts = |rule: &LimitRule| {
-            rule.tenant.is_none_or(|t| ask.tenant == Some(t)) && rule.class.is_none_or(|c| ask.class == c)
+            rule.tenant.is_none_or(|t| client_request.tenant == Some(t))
+                && rule.class.is_none_or(|c| client_request.class == c)
         };
         let rules = self.rules.iter().filter(|(_, rule)| counts(rule));
-        let wants: Vec<(u16, u64)> = rules.map(|(at, rule)| (*at, self.key(rule, ask))).collect();
+        let wants: Vec<(u16, u64)> = rules.map(|(at, rule)| (*at, self.key(rule, client_request))).collect();
         self.node.admit(now, &wants).map_err(|refused| {
             *self.refused.entry(refused.limit).or_default() += 1;
             refused.after_ns
