--- a/crates/core/src/cold.rs
+++ b/crates/core/src/cold.rs
@@ -1,5 +1,6 @@
-//! Budgets of engines that have just started, shared by the fleet: which units of which limit an engine's lanes are, how many a
-//! router's own clients want and where, and what share of them the module may count on.
+//! Query budgets of cold (recently started) engines, shared by the fleet through limits: each lane
+//! of an engine kind is a limit with the engine as key. Records demand and use, and gives the
+//! decision module this router's usable share.
 
 use std::collections::BTreeMap;
 
@@ -9,47 +10,49 @@
 };
 use marljunction_limits::{Kind, Limit, Mode, Node};
 
-/// Lanes of an engine: light classes and heavy ones.
+/// Lanes of an engine: light and heavy classes.
 const LANES: usize = 2;
-/// Shares are told for so long ahead (ns): a loan that ends sooner is not counted on.
+/// Shares are computed for this time ahead (ns); units borrowed for less do not count.
 const SHARE_HORIZON_NS: u64 = 5_000_000;
-/// Weight of one query in what its class is known to cost (share).
+/// Weight of one query in the moving average of its class's cost.
 const COST_EWMA_WEIGHT: f64 = 0.1;
-/// Parts of an engine's units that one router wants at most where it owns fewer (share): its clients go to several engines.
+/// Largest share of an engine's units that one router requests beyond those it owns; its demand
+/// spreads over several engines.
 const MAX_WANTED_SHARE: f64 = 0.25;
-/// Units of a lane for each whole query that its budget holds, as settings tell its need (count): most need less.
+/// Units per query of the largest need by settings; most queries need fewer.
 const UNITS_PER_QUERY: u32 = 4;
 
-/// An engine that is cold.
+/// A cold engine.
 #[derive(Clone, Copy, Debug)]
 struct ColdEngine {
     kind: usize,
-    /// Takes queries.
     ready: bool,
+    /// When it counts as warm (ns).
     until_ns: u64,
+    /// Shares last given to the module.
     reported: Option<[f64; LANES]>,
 }
 
-/// What one router keeps of the cold engines' budgets.
+/// One router's state of the budgets of cold engines.
 #[derive(Clone, Debug)]
 pub struct ColdBudgets {
-    /// Place of the first of their limits among all.
+    /// Index of the first budget among all limits.
     first: usize,
-    /// Units by kind and lane; kinds that the settings do not name come last.
+    /// Units by kind and lane; the last entry is for kinds that the settings do not name.
     units: Vec<[u32; LANES]>,
-    /// Lane of each class by kind.
+    /// Lane by kind and class.
     lanes: Vec<Vec<usize>>,
     cold_ns: u64,
     window_ns: u64,
     router_index: u64,
     engines: BTreeMap<EngineId, ColdEngine>,
-    /// What a query of each class takes (units of its lane).
+    /// Average cost of a query by class (units of its lane).
     costs: Vec<f64>,
     reported_ns: u64,
     stale: bool,
 }
 
-/// The place of a lane's limit among all, where those of cold engines begin at `first`.
+/// Index of a lane's limit, where the limits of cold engines begin at `first`.
 fn limit_index(first: usize, kind: usize, lane: usize) -> u16 {
     (first + kind * LANES + lane) as u16
 }
@@ -60,12 +63,12 @@
 }
 
 impl ColdBudgets {
-    /// The budgets that these settings speak of, and their limits, which are to stand behind `first` others; none where engines
-    /// are never cold.
+    /// Builds the budgets and their limits, which must follow the first `first` limits. `None` if
+    /// the settings define no cold start.
     pub fn new(settings: &Settings, first: usize) -> Option<(ColdBudgets, Vec<Limit>)> {
         let (cold_ns, window_ns, start) = (settings.cold_ns?, settings.fall_ns?, settings.start_capacity?);
         settings.tip_multiple?;
-        // A kind without cores counts as one core, as for the module.
+        // A kind without a core count has one core, as in the decision module.
         let cores = settings.kinds.iter().map(|kind| kind.cores.filter(|c| *c > 0.0).unwrap_or(1.0));
         let cores: Vec<f64> = cores.chain([1.0]).collect();
         let classes = || (0..settings.classes.len()).map(ClassId);
@@ -97,7 +100,7 @@
         Some((budgets, limits))
     }
 
-    /// Their limits: light and heavy ones of each kind.
+    /// The limits of the budgets: light and heavy for each kind.
     pub fn limits(&self) -> Vec<Limit> {
         let limit = |kind: usize, at: usize| Limit {
             name: format!("cold engines of kind {kind}, {} classes", ["light", "heavy"][at]),
@@ -113,7 +116,7 @@
         limit_index(self.first, kind, lane)
     }
 
-    /// News of the engines.
+    /// Applies a change of the engine list.
     pub fn update_engines(&mut self, now: u64, kind: MembershipKind, entries: &[EngineEntry]) {
         if matches!(kind, MembershipKind::Full | MembershipKind::Cached) {
             self.engines.values_mut().for_each(|engine| engine.ready = false);
@@ -126,19 +129,20 @@
             }
             let known_kind = |KindId(kind): KindId| (kind + 1 < self.units.len()).then_some(kind);
             let kind = entry.kind.and_then(known_kind).unwrap_or(self.units.len() - 1);
-            // What the module is told again, as it may have forgotten the engine meanwhile.
+            // `reported: None` repeats the shares: the module may have forgotten the engine.
             let ready = entry.state == EngineState::Ready;
             self.engines.insert(entry.engine, ColdEngine { kind, ready, until_ns, reported: None });
         }
         self.stale = true;
     }
 
-    /// Something was heard or has run out: shares may be others.
+    /// Recomputes the shares at the next call of [`Self::changed_shares`].
     pub fn mark_stale(&mut self) {
         self.stale = true;
     }
 
-    /// A client asks for a query of a class: units are wanted where this router owns some, then in its own order of engines.
+    /// Records demand for one query of a class. Engines of which this router owns units come first,
+    /// the others in an order particular to this router.
     pub fn record_demand(&mut self, now: u64, node: &mut Node, class: ClassId) {
         let mut order: Vec<(bool, u64, u16, u64, u32, u32)> = Vec::new();
         for (id, engine) in self.engines.iter().filter(|(_, e)| e.ready && now < e.until_ns) {
@@ -166,7 +170,7 @@
         }
     }
 
-    /// A query was sent that takes so much of a lane's budget.
+    /// Records a query sent to an engine, which takes `share` of its lane's budget.
     pub fn record_sent(
         &mut self,
         now: u64,
@@ -184,7 +188,7 @@
         }
     }
 
-    /// The shares that the module is to be told anew.
+    /// Returns the light and heavy shares that changed since they were last returned.
     pub fn changed_shares(&mut self, now: u64, node: &mut Node) -> Vec<(EngineId, [f64; LANES])> {
         if !self.stale && now < self.reported_ns.saturating_add(SHARE_HORIZON_NS) {
             return Vec::new();
--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -1,57 +1,57 @@
-//! What the router took in, sent, answered and saw end.
+//! Counters of requests, attempts, connections and end reasons.
 
 use std::collections::BTreeMap;
 
 use super::end_reason::{EndReason, END_REASONS};
 
-/// The counters of one process; they only grow.
+/// The counters of one process. They never decrease; fields have the names of the metrics.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
-    /// Requests taken.
+    /// Requests accepted.
     pub taken: u64,
     /// Attempts sent to engines.
     pub sent: u64,
-    /// Answers: all rows.
+    /// Requests answered with a result.
     pub served: u64,
-    /// Answers: trying again is harmless.
+    /// Requests refused; a retry is safe.
     pub refused: u64,
-    /// Answers: failed.
+    /// Requests answered with a failure.
     pub failed: u64,
-    /// Requests whose client left before its answer.
+    /// Requests whose client disconnected or cancelled before the answer.
     pub left: u64,
-    /// Those of them that waited: nothing of them had wholly gone to an engine, and nothing did any more.
+    /// Requests counted in `left` that were never fully sent to an engine.
     pub left_unsent: u64,
-    /// Messages of clients that were turned away before they became requests.
+    /// Client messages rejected before they became requests.
     pub rejected: u64,
     /// Client connections accepted.
     pub accepted: u64,
     /// Connections opened to engines.
     pub opened: u64,
-    /// Times that no descriptor was to be had.
+    /// Times that no file descriptor was available.
     pub short_of_descriptors: u64,
-    /// Membership events taken.
+    /// Membership events processed.
     pub membership: u64,
-    /// Answers of engines that were spoilt.
+    /// Engine responses that could not be parsed.
     pub spoilt: u64,
-    /// Times that the configuration was read again.
+    /// Successful reloads of the configuration.
     pub reloads: u64,
-    /// Times that a new configuration could not be read.
+    /// Failed reloads of the configuration.
     pub reloads_failed: u64,
     endings: BTreeMap<EndReason, u64>,
 }
 
 impl Counters {
-    /// Counts one ending.
+    /// Counts one end of a connection, call or attempt.
     pub fn ended(&mut self, end_reason: EndReason) {
         *self.endings.entry(end_reason).or_default() += 1;
     }
 
-    /// How often something ended so.
+    /// Returns how often this end reason occurred.
     pub fn endings(&self, end_reason: EndReason) -> u64 {
         self.endings.get(&end_reason).copied().unwrap_or(0)
     }
 
-    /// One line with all of them.
+    /// Formats all counters as one line of `name=value` pairs.
     pub fn line(&self) -> String {
         let mut line = format!(
             "taken={} sent={} served={} refused={} failed={} left={} left_unsent={} rejected={} accepted={} opened={} \
--- a/crates/core/src/end_reason.rs
+++ b/crates/core/src/end_reason.rs
@@ -1,79 +1,81 @@
-//! Every way in which a connection, or what was under way on it, can end, and what each means.
+//! Reasons for which a connection, call or attempt ends, and what each implies for control and
+//! engine health.
 
 use marljunction_control::interface::Status;
 
-/// How a connection, a call or an attempt ended.
+/// Why a connection, a call or an attempt ended. Clients receive the names of variants as text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndReason {
-    /// The engine gave the whole result.
+    /// The engine returned the complete result.
     Served,
-    /// The engine answered that the query failed, or that it does not know it.
+    /// The engine reported that the query failed or is unknown to it.
     EngineError,
-    /// The engine is full: the query never ran.
+    /// The engine was at capacity; the query never ran.
     Full,
-    /// The engine found the request over already: it never ran.
+    /// The request's deadline had passed when the engine received it; it never ran.
     Over,
-    /// The engine refused the connection, or the session on it: nothing ran.
+    /// The engine refused the connection or the session; nothing ran.
     Refused,
-    /// No connection came up in time: nothing ran.
+    /// No connection was established in time; nothing ran.
     Unreachable,
-    /// The connection was reset as it came up: nothing ran, and the engine may be well.
+    /// The connection was reset while being established; nothing ran, and the engine may be
+    /// healthy.
     Reset,
-    /// The connection broke before the call was wholly written: it never ran.
+    /// The connection broke before the call was completely written; it never ran.
     Unsent,
-    /// No descriptor, or no known address, for the call: it was never sent.
+    /// No file descriptor or no known address for the call; it was never sent.
     NoDescriptor,
-    /// The router's part of the connections that an engine may be sent is used up: nothing was sent.
+    /// The router's limit on new connections to the engine was reached; nothing was sent.
     Paced,
-    /// The connection broke after the call was wholly written, and nobody knows the query any more.
+    /// The connection broke after the call was completely written; the query may have run.
     Cut,
-    /// The peer sent what cannot be read, or more than is allowed.
+    /// The peer sent malformed or too much data.
     Garbled,
-    /// The attempt's time ran out.
+    /// The attempt timed out.
     TimedOut,
-    /// The attempt was given up.
+    /// The attempt was cancelled.
     GivenUp,
-    /// The attempt was given up, and its engine could not be told.
+    /// The attempt was cancelled, but its engine could not be notified.
     Abandoned,
-    /// The attempt was given up before its call was wholly written: it never ran.
+    /// The attempt was cancelled before its call was completely written; it never ran.
     Withdrawn,
-    /// The client closed its connection, or it broke.
+    /// The client's connection was closed or lost.
     ClientGone,
-    /// The client took back one request, or asked for its cancellation.
+    /// The client withdrew or cancelled one request.
     Forgotten,
-    /// The connection had nothing to do, or was closed to free a descriptor.
+    /// The connection was idle, or was closed to free a descriptor.
     Idle,
-    /// The client never made a call, or sent half of one and no more.
+    /// The client sent no complete call in time.
     Silent,
-    /// The program is ending.
+    /// The process is shutting down.
     Shutdown,
 }
 
-/// What an ending is to the decision module.
+/// How an end reason is reported to the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlEvent {
     /// The outcome of an attempt.
     Outcome(Status),
-    /// The client has left.
+    /// The client disconnected or withdrew.
     Left,
-    /// Nothing: no request is touched.
+    /// Not reported: no request is affected.
     NoEvent,
 }
 
-/// What an ending shows of the engine itself, as evidence for all routers.
+/// What an end reason shows about the engine's health, as evidence shared between routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthSignal {
-    /// It served.
+    /// The engine returned a result.
     Served,
-    /// It gave no sign of life, as far as this shows.
+    /// The engine showed no sign of life.
     NoResponse,
-    /// It answered what can't be read.
+    /// The engine's response could not be parsed.
     InvalidResponse,
-    /// Nothing of it.
+    /// No conclusion about the engine.
     Inconclusive,
 }
 
-/// All endings, for counters.
+/// All end reasons with their counter names.
 pub const END_REASONS: [(EndReason, &str); 21] = [
     (EndReason::Served, "served"),
     (EndReason::EngineError, "engine_error"),
@@ -99,15 +101,15 @@
 ];
 
 impl EndReason {
-    /// The one place where an ending becomes what the module is told.
+    /// Maps the end reason to its report to the decision module.
     pub fn control_event(self) -> ControlEvent {
         match self {
             EndReason::Served => ControlEvent::Outcome(Status::Done),
             EndReason::EngineError | EndReason::Garbled => ControlEvent::Outcome(Status::Error),
             EndReason::Full => ControlEvent::Outcome(Status::Busy),
             EndReason::Refused | EndReason::Unreachable => ControlEvent::Outcome(Status::Refused),
-            // Guards against a bad link that is taken for a dead process: the module would leave the engine out
-            // and take it for cold afterwards.
+            // Not `Refused`: a bad link is not a dead process. The module would exclude the engine
+            // and then treat it as cold.
             EndReason::Over
             | EndReason::Reset
             | EndReason::Unsent
@@ -123,7 +125,7 @@
         }
     }
 
-    /// What the end of a client's connection is: it has gone, unless more waited for it than is allowed.
+    /// Maps the reason to the one counted for a client's connection.
     pub fn for_client_connection(self) -> EndReason {
         match self {
             EndReason::Garbled => EndReason::Garbled,
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Whether an attempt that ended so may have run.
+    /// Whether an attempt that ended for this reason may have run.
     pub fn may_have_run(self) -> bool {
         match self.control_event() {
             ControlEvent::Outcome(Status::Busy | Status::Refused | Status::Skipped) => false,
@@ -140,13 +142,13 @@
         }
     }
 
-    /// Whether an attempt that ended so may still be running until its class's time is over: its engine did not say that it ended, and
-    /// one that stands still may go on with it later.
+    /// Whether an attempt that ended for this reason may still be running, until its class's
+    /// deadline: its engine did not confirm the end, and a stalled engine may resume it later.
     pub fn may_still_run(self) -> bool {
         matches!(self, EndReason::Cut | EndReason::Garbled | EndReason::TimedOut | EndReason::Abandoned)
     }
 
-    /// The one place where an ending becomes evidence of its engine.
+    /// Maps the end reason to evidence of the engine's health.
     pub fn health_signal(self) -> HealthSignal {
         match self {
             EndReason::Served => HealthSignal::Served,
@@ -158,7 +160,7 @@
             | EndReason::Abandoned
             | EndReason::Withdrawn => HealthSignal::NoResponse,
             EndReason::Garbled => HealthSignal::InvalidResponse,
-            // It answered, or was never reached for reasons of this router's own.
+            // The engine answered, or the cause is not the engine.
             EndReason::EngineError
             | EndReason::Full
             | EndReason::Over
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -1,4 +1,5 @@
-//! What the fleet believes of engines, between the endings of attempts and the module.
+//! Engine health shared by the fleet: reports ends of attempts as observations and gives verdicts
+//! to the decision module.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,27 +10,28 @@
 
 use crate::end_reason::{EndReason, HealthSignal};
 
-/// The end of a given-up attempt that comes sooner was told by its engine (ns): one that can't be told is taken to have ended it
-/// by itself after 2 s.
+/// A cancelled attempt that ends within this time (ns) was confirmed by its engine; without
+/// confirmation it is assumed to have ended after 2 s.
 const CANCEL_REPLY_NS: u64 = 1_500_000_000;
 
-/// All evidence is judged this often at most (ns).
+/// Minimum time between evaluations of the evidence (ns).
 const EVALUATION_INTERVAL_NS: u64 = 50_000_000;
 
-/// The verdicts of one router.
+/// One router's view of engine health.
 pub struct FleetHealth {
     node: Node,
-    /// When each engine of the list started (ms), by what the list says.
+    /// Start time of each listed engine (ms), as the list states it.
     engines: BTreeMap<EngineId, u64>,
+    /// Verdicts last given to the module.
     reported: BTreeMap<EngineId, Verdict>,
-    /// Engines of which the module is to be told once more, whatever it was told last.
+    /// Engines whose verdict is to be repeated even if unchanged.
     resend: BTreeSet<EngineId>,
-    /// When all evidence is judged next (ns): news comes in many datagrams.
+    /// Earliest next evaluation (ns): evidence arrives in many datagrams.
     next_evaluation_ns: u64,
 }
 
 impl FleetHealth {
-    /// What `node` keeps, before any list of engines.
+    /// Wraps `node`, with no list of engines yet.
     pub fn new(node: Node) -> FleetHealth {
         FleetHealth {
             node,
@@ -40,12 +42,12 @@
         }
     }
 
-    /// What this router keeps and says.
+    /// The state machine that exchanges evidence with peers.
     pub fn node(&mut self) -> &mut Node {
         &mut self.node
     }
 
-    /// News of the engines, as the lists say it.
+    /// Applies a change of the engine list.
     pub fn change(&mut self, kind: MembershipKind, entries: impl Iterator<Item = EngineEntry>) {
         if matches!(kind, MembershipKind::Full | MembershipKind::Cached) {
             self.engines.clear();
@@ -59,14 +61,15 @@
         self.node.set_engines(self.engines.iter().map(|(id, started)| (id.0, *started)).collect());
     }
 
-    /// An attempt is given up: that it is silent is known now, and not once the engine has had its time to be told so.
+    /// Records a cancelled attempt as unanswered at once, before the engine confirms the
+    /// cancellation.
     pub fn attempt_cancelled(&mut self, now: u64, engine: EngineId, class: ClassId, sent_ns: u64) {
         if let Some(started) = self.engines.get(&engine) {
             self.node.ended(now, (engine.0, *started), class.0, sent_ns, Went::Silent);
         }
     }
 
-    /// An attempt has ended, which was given up at a time (ns) or not.
+    /// Records the end of an attempt, cancelled at `cancelled_ns` or not.
     pub fn attempt_ended(
         &mut self,
         now: u64,
@@ -77,7 +80,7 @@
         let Some(started) = self.engines.get(&engine) else { return };
         let within_reply_time = |at: u64| now < at.saturating_add(CANCEL_REPLY_NS);
         let observation = match end_reason.health_signal() {
-            // The engine answered the call that ends it: else its end is taken for granted later.
+            // The engine confirmed the cancellation, so it is alive.
             HealthSignal::NoResponse
                 if end_reason == EndReason::GivenUp && cancelled_ns.is_some_and(within_reply_time) =>
             {
@@ -91,7 +94,7 @@
         self.node.ended(now, (engine.0, *started), class.0, sent_ns, observation);
     }
 
-    /// Counters, as one line.
+    /// Formats the counters as one line.
     pub fn line(&self) -> String {
         let (counts, node) = (self.node.counts, &self.node);
         format!(
@@ -104,7 +107,7 @@
         )
     }
 
-    /// What the module is to be told anew.
+    /// Returns the verdicts that the module has not received yet.
     pub fn changed_verdicts(&mut self, now: u64) -> Vec<(EngineId, Verdict)> {
         if now < self.next_evaluation_ns {
             return Vec::new();
@@ -132,7 +135,7 @@
         let is_changed = |id: &EngineId, v: &Verdict| self.reported.get(id) != Some(v) || resend.contains(id);
         changed.extend(current.iter().filter(|(id, v)| is_changed(id, v)).map(|(id, v)| (*id, *v)));
         let out = |v: Option<&Verdict>| matches!(v, Some(Verdict::Out | Verdict::Trial));
-        // Turns to try it are no change of state.
+        // A trial is not a change of state.
         for (engine, verdict) in changed.iter().filter(|(id, v)| out(Some(v)) != out(self.reported.get(id))) {
             let state_name = if out(Some(verdict)) { "out" } else { "back" };
             info!("engine {:016x} is {state_name} by what the fleet has seen", engine.0);
@@ -141,7 +144,7 @@
         changed
     }
 
-    /// An engine starts again, or comes back to the module: it is told what is believed of it once more.
+    /// Repeats the verdict on an engine that restarted, or that the module may have forgotten.
     pub fn resend_verdict(&mut self, engine: EngineId) {
         self.resend.insert(engine);
         self.next_evaluation_ns = 0;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,10 @@
-//! The core: requests, attempts and their outcomes. It owns the table of open requests, the timers, the
-//! counters and the one final answer of each request. It knows no sockets and no wire.
+//! The core of the router: open requests, attempts, timers, counters, and exactly one final answer
+//! per request.
 //!
-//! Fronts put requests in and take answers out; engines take attempts and report what becomes of them. All
-//! that comes in is gathered, and [`Router::turn`] hands it to the decision module in one go.
+//! It does no input or output. Fronts submit requests and deliver answers; engine clients execute
+//! attempts and report how they end. Events are queued, and [`Router::process_events`] passes them
+//! to the decision module in one batch. Requests may wait in the admission queue (the door) before
+//! the module receives them.
 
 #![forbid(unsafe_code)]
 
@@ -29,88 +31,89 @@
 use marljunction_limits::node::Ticket;
 use statement::Statement;
 
-/// Time past a request's own within which its answer must have been given, or the core gives it (ns).
+/// Time after a request's deadline at which the core answers it if nothing else did (ns).
 const ANSWER_GRACE_NS: u64 = 5_000_000;
 
-/// Time past its class's whole one by which an attempt whose end is not known must be over (ns): its engine counts from when the
-/// call came, and sockets are allowed 50 ms.
+/// Time after the class deadline by which an attempt with an unconfirmed end must be over (ns): the
+/// engine counts from when it received the call, and sockets may add 50 ms.
 const UNCONFIRMED_END_GRACE_NS: u64 = 250_000_000;
 
-/// Requests that may be open in all (count), and the bytes of their statements (share of the memory limit).
+/// Maximum number of open requests outside the admission queue.
 const MAX_OPEN_REQUESTS: usize = 1_000;
+/// Share of the memory limit for the statements of open requests.
 const MAX_STATEMENT_MEMORY_SHARE: f64 = 0.15;
 
-/// Need of a request without an estimate (share of its class's aim x threads).
+/// Work of a request without an estimate, as a share of its class's aim times threads.
 const DEFAULT_NEED_SHARE: f64 = 0.25;
 
-/// Advice as clients are told it.
+/// Converts retry advice to whole milliseconds, at least 1.
 fn retry_after_ms(advice: Advice) -> u64 {
     advice.after_ns.div_ceil(1_000_000).max(1)
 }
 
-/// Where the answer to a request goes: a connection's number, never used twice, and a number of its own there.
+/// Destination of an answer: a connection id, never reused, and a call id on that connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Client {
-    /// The connection.
+    /// The connection id.
     pub conn: u64,
-    /// The call on it.
+    /// The call id on the connection.
     pub call: u64,
 }
 
-/// What a client asks for.
+/// A client's request: its statement, class, identity, deadline and estimates.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClientRequest {
-    /// The client's own id of the request, passed on to engines.
+    /// The request id that engines use.
     pub name: String,
-    /// The token by which engines drop its repeats, passed on to them; none where its class has no such thing.
+    /// Deduplication token for engines; `None` if the class is not deduplicated.
     pub token: Option<String>,
-    /// Its class.
+    /// Its request class.
     pub class: ClassId,
-    /// What requests of classes that keep their order take turns for; none for no turns.
+    /// Requests of a serial class with the same key run one at a time.
     pub order_key: Option<u64>,
-    /// Its tenant, where there are tenants.
+    /// Its tenant, if tenants are configured.
     pub tenant: Option<TenantId>,
-    /// Its client, by the number of whatever names one.
+    /// A numeric identity of its client.
     pub client: u64,
-    /// Time until the answer must be on its way.
+    /// Time until the answer must be sent.
     pub time_left_ns: u64,
-    /// Estimated work.
+    /// Estimated work in core-nanoseconds.
     pub work_estimate_ns: Option<u64>,
-    /// Estimated memory.
+    /// Estimated memory in megabytes.
     pub memory_estimate_mb: Option<f64>,
-    /// The statement.
+    /// The SQL statement.
     pub statement: Statement,
 }
 
-/// A row, value by value; absent for NULL.
+/// The values of a row; `None` for NULL.
 pub type Row = Vec<Option<Vec<u8>>>;
 
-/// What an engine says of a column of its result.
+/// Metadata of a result column, as reported by the engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Column {
-    /// Its name.
+    /// The column name.
     pub name: String,
-    /// Its type by object id.
+    /// Type OID.
     pub type_id: u32,
-    /// Size of the type; negative where it varies.
+    /// Size of the type; negative if variable.
     pub size: i16,
-    /// Modifier of the type.
+    /// Type modifier.
     pub modifier: i32,
-    /// Its values are in the type's binary form.
+    /// Whether values are in the type's binary format.
     pub binary: bool,
 }
 
 /// Rows of a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Rows {
-    /// As text: a tab between columns, a line feed after each row.
+    /// Text: columns separated by tabs, each row terminated by a line feed.
     Text(Vec<u8>),
-    /// Value by value, under the engine's columns.
+    /// Column metadata and values.
     Cells(Vec<Column>, Vec<Row>),
 }
 
 impl Rows {
-    /// As text.
+    /// Converts the rows to text; NULL becomes `\N`.
     pub fn into_text(self) -> Vec<u8> {
         match self {
             Rows::Text(text) => text,
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Value by value, with the engine's columns where it told them.
+    /// Converts the rows to values, with column metadata if the engine sent it.
     pub fn into_cells(self) -> (Vec<Column>, Vec<Row>) {
         match self {
             Rows::Cells(columns, rows) => (columns, rows),
@@ -145,64 +148,65 @@
 /// The final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// All rows.
+    /// The complete result.
     Served(Rows),
-    /// Refused: trying again does no harm.
+    /// Refused; a retry is safe.
     Refused {
-        /// When to come back, in milliseconds.
+        /// Retry delay in milliseconds.
         backoff_ms: u64,
-        /// How the last attempt ended, where there was one.
+        /// How the last attempt ended, if there was one.
         after: Option<EndReason>,
-        /// The engine's own words, where it gave any.
+        /// The engine's error report, if it sent one.
         fault: Option<Fault>,
     },
-    /// Failed; the last attempt's ending, where there was one, and the engine's own words.
+    /// Failed, with the end reason of the last attempt and the engine's error report, if any.
     Failed(Option<EndReason>, Option<Fault>),
 }
 
-/// An engine's words on why a statement failed.
+/// An engine's error report on a failed statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fault {
     /// SQLSTATE.
     pub state: String,
-    /// What went wrong.
+    /// Error message.
     pub message: String,
 }
 
-/// An attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Attempt {
     /// The request.
     pub request: RequestId,
-    /// Its number, from 0.
+    /// Attempt number, from 0.
     pub number: u32,
 }
 
-/// What the core wants done.
+/// A command for the fronts and engine clients.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Send an attempt to an engine.
     Start {
         /// The attempt.
         attempt: Attempt,
-        /// Where to.
+        /// The target engine.
         engine: EngineId,
-        /// How long the router will wait for it.
+        /// Timeout of the attempt.
         timeout_ns: u64,
         /// Its priority.
         priority: u8,
-        /// What to send.
+        /// The request to send.
         ask: Rc<ClientRequest>,
-        /// It must not begin to go out later, as a repeat that engines would not drop any more (ns); none for any time.
+        /// Latest time to start sending (ns): afterwards, engines no longer deduplicate a repeat.
+        /// `None` if unlimited.
         begin_by_ns: Option<u64>,
     },
-    /// Give an attempt up; it stays out until its ending is reported.
+    /// Cancel an attempt. It remains in flight until its end is reported.
     CancelAttempt(Attempt),
-    /// Take an attempt back where its call was not wholly written yet; else leave it alone.
+    /// Cancel an attempt if its call was not completely written; otherwise leave it running.
     CancelIfUnsent(Attempt),
-    /// Change the priority of an attempt that is out.
+    /// Change the priority of an attempt in flight.
     SetPriority(Attempt, u8),
-    /// Give a client its final answer.
+    /// Send a client its final answer.
     Answer(Client, Answer),
 }
 
@@ -216,11 +220,11 @@
 struct OpenRequest {
     client_request: Rc<ClientRequest>,
     client: Client,
-    /// The final answer was given, or is owed to nobody any more.
+    /// The final answer was sent or is no longer needed.
     concluded: bool,
-    /// Its client left before the final answer.
+    /// The client left before the final answer.
     client_left: bool,
-    /// When the first attempt that may have run was sent (ns).
+    /// Send time of the first attempt that may have run (ns).
     may_have_run_ns: Option<u64>,
     attempts: u32,
     in_flight: Option<InFlight>,
@@ -229,7 +233,7 @@
     priority: u8,
     received_ns: u64,
     expires_ns: u64,
-    /// What it was admitted by, under limits that hold for the fleet.
+    /// Units held under fleet-wide limits.
     ticket: Option<Ticket>,
 }
 
@@ -243,9 +247,9 @@
 }
 
 impl InboundEvent {
-    /// Its place among what one round brought. Who left is heard first, and then which engines there are: guards against an
-    /// attempt that goes out for nobody, or to an engine that drains, as its cause happened to be read before. A result that
-    /// came goes before a wish to end the request, which came too late then.
+    /// Processing order within a batch. Client departures and membership changes come first, so
+    /// that no attempt is sent for an absent client or to a draining engine. A result precedes a
+    /// cancellation of the same request, which is then too late.
     fn processing_order(&self) -> u8 {
         match self {
             InboundEvent::ClientLeft(..) => 0,
@@ -264,7 +268,7 @@
     Final(RequestId),
 }
 
-/// The core of one router.
+/// The core of one router process.
 pub struct Router {
     control: Controller,
     classes: Vec<ClassSettings>,
@@ -276,17 +280,17 @@
     batch: Vec<InboundEvent>,
     actions: Vec<Action>,
     serial: u64,
-    /// Bytes of the open requests' statements.
+    /// Total size of the statements of open requests (bytes).
     statement_bytes: usize,
     max_statement_bytes: usize,
-    /// Ids of the open requests.
+    /// Names of the open requests.
     open_names: HashSet<String>,
     /// The counters.
     pub counters: Counters,
 }
 
 impl Router {
-    /// A core around a fresh decision module.
+    /// Creates a core with a new decision module. `memory_mb` is the memory limit of the process.
     pub fn new(settings: Settings, seed: u64, memory_mb: f64) -> Self {
         Router {
             classes: settings.classes.clone(),
@@ -306,40 +310,40 @@
         }
     }
 
-    /// Puts a door before the module.
+    /// Adds an admission queue before the decision module.
     pub fn with_door(mut self, door: Option<Door>) -> Self {
         self.door = door;
         self
     }
 
-    /// Puts limits that hold for the fleet before the door.
+    /// Adds fleet-wide limits before the admission queue.
     pub fn with_limits(mut self, limits: Option<FleetLimits>) -> Self {
         self.limits = limits;
         self
     }
 
-    /// Shares what is believed of engines with the fleet.
+    /// Adds engine health shared by the fleet.
     pub fn with_health(mut self, health: Option<FleetHealth>) -> Self {
         self.health = health;
         self
     }
 
-    /// What the fleet believes of engines, where it shares that.
+    /// Engine health, if the fleet shares it.
     pub fn health(&mut self) -> Option<&mut FleetHealth> {
         self.health.as_mut()
     }
 
-    /// The limits that hold for the fleet, where there are some.
+    /// The fleet-wide limits, if configured.
     pub fn limits(&mut self) -> Option<&mut FleetLimits> {
         self.limits.as_mut()
     }
 
-    /// The door, where there is one.
+    /// The admission queue, if configured.
     pub fn door(&mut self) -> Option<&mut Door> {
         self.door.as_mut()
     }
 
-    /// Takes a request; it is owed one final answer from here on.
+    /// Accepts a request, which will get exactly one final answer unless its client leaves.
     pub fn take(&mut self, now_ns: u64, client: Client, client_request: ClientRequest) -> RequestId {
         self.serial += 1;
         let id = RequestId(self.serial);
@@ -368,17 +372,17 @@
         id
     }
 
-    /// The client waits no longer: nothing is owed.
+    /// Reports that the client left; the request needs no answer.
     pub fn client_left(&mut self, id: RequestId, end_reason: EndReason) {
         self.batch.push(InboundEvent::ClientLeft(id, end_reason));
     }
 
-    /// The client waits for the answer, but asks that the request be ended.
+    /// Cancels a request whose client still waits for the answer.
     pub fn cancel(&mut self, id: RequestId) {
         self.batch.push(InboundEvent::ClientCancelled(id));
     }
 
-    /// An engine's words on why an attempt fails; its ending follows.
+    /// Records an engine's error report on an attempt; its end is reported separately.
     pub fn fault(&mut self, at: Attempt, fault: Fault) {
         let open = self.open.get_mut(&at.request);
         if let Some(open) = open.filter(|o| o.in_flight.as_ref().is_some_and(|c| c.number == at.number)) {
@@ -386,12 +390,12 @@
         }
     }
 
-    /// News of a running attempt.
+    /// Reports progress of a running attempt.
     pub fn note(&mut self, attempt: Attempt, note: Note) {
         self.batch.push(InboundEvent::Note(attempt, note));
     }
 
-    /// An attempt has ended; only the first ending of an attempt counts.
+    /// Reports the end of an attempt. Only the first report for an attempt counts.
     pub fn ended(
         &mut self,
         at: Attempt,
@@ -402,31 +406,31 @@
         self.batch.push(InboundEvent::Ended(at, end_reason, rows, report));
     }
 
-    /// News of the engines.
+    /// Reports a change of the engine list.
     pub fn membership(&mut self, kind: MembershipKind, entries: Vec<EngineEntry>) {
         self.batch.push(InboundEvent::Membership(kind, entries));
     }
 
-    /// Whether one more request may be taken: each may hold a statement and a result.
+    /// Whether another request may be accepted.
     pub fn has_capacity(&self) -> bool {
-        // What waits at the door has a bound of its own, past which the door itself makes room.
+        // The admission queue bounds and evicts its own requests.
         let (queued, bytes, bytes_most) =
             self.door.as_ref().map_or((0, 0, 0), |d| (d.queued(), d.held_bytes(), d.bytes_most()));
         self.open.len() - queued < MAX_OPEN_REQUESTS
             && self.statement_bytes - bytes < self.max_statement_bytes - bytes_most
     }
 
-    /// Bytes of statements that may wait at a door: half of what all may hold.
+    /// Maximum statement bytes in the admission queue: half of the total.
     pub fn max_queued_bytes(memory_mb: f64) -> usize {
         (memory_mb * MAX_STATEMENT_MEMORY_SHARE * 1e6 / 2.0) as usize
     }
 
-    /// Whether a request with this id is open: engines know queries by it.
+    /// Whether a request with this name is open; engines identify queries by it.
     pub fn has_open_request(&self, name: &str) -> bool {
         self.open_names.contains(name)
     }
 
-    /// Ends all that is open, as the program has no more time to wait for it.
+    /// Answers all open requests at shutdown.
     pub fn end_all(&mut self, commands: &mut Vec<Command>, now_ns: u64) {
         let mut open: Vec<RequestId> = self.open.keys().copied().collect();
         open.sort_unstable();
@@ -438,19 +442,19 @@
         }
     }
 
-    /// Requests that are owed an answer.
+    /// Number of requests without a final answer.
     pub fn unanswered(&self) -> usize {
         self.open.values().filter(|o| !o.concluded).count()
     }
 
-    /// When the next timer is due.
+    /// Due time of the next timer (ns).
     pub fn next_due_ns(&self) -> Option<u64> {
         let timer = self.timers.peek().map(|Reverse((due, ..))| *due);
         let door = self.door.as_ref().and_then(Door::next_due_ns);
         timer.into_iter().chain(door).min()
     }
 
-    /// Whether something waits for the module.
+    /// Whether events wait for [`Router::process_events`].
     pub fn has_pending_events(&self) -> bool {
         !self.batch.is_empty()
     }
@@ -460,7 +464,8 @@
         self.timers.push(Reverse((due_ns, self.serial, timer)));
     }
 
-    /// Hands all that was gathered, and all timers that are due, to the module; adds to `out` what is to be done.
+    /// Passes all queued events and due timers to the decision module and appends the resulting
+    /// commands.
     pub fn process_events(&mut self, now_ns: u64, commands: &mut Vec<Command>) {
         self.send_cold_shares(now_ns, commands);
         self.send_verdicts(now_ns, commands);
@@ -481,8 +486,8 @@
         self.poll_door(now_ns, commands);
     }
 
-    /// Shows the module what the door lets through, and answers what the door refuses. The module's own refusals teach
-    /// the door meanwhile, so that it is asked again after each.
+    /// Submits the requests that the admission queue releases and answers those that it refuses.
+    /// The queue is polled again after each, because refusals by the module change its state.
     fn poll_door(&mut self, now: u64, commands: &mut Vec<Command>) {
         while let Some(verdict) = self.door.as_mut().and_then(|d| d.open(now)) {
             match verdict {
@@ -502,7 +507,7 @@
         }
     }
 
-    /// What the door is told of a request.
+    /// Describes a request to the admission queue.
     fn door_arrival(&self, id: RequestId, open: &OpenRequest) -> Arrival {
         let (client_request, class) = (&open.client_request, &self.classes[open.client_request.class.0]);
         let threads = class.threads.max(1.0);
@@ -523,7 +528,7 @@
         }
     }
 
-    /// Hands a request to the module.
+    /// Submits a request to the decision module.
     fn submit_to_controller(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) {
         let Some(open) = self.open.get(&id) else { return };
         let client_request = &open.client_request;
@@ -543,7 +548,7 @@
         self.decide(now, Event::Arrival(request), commands);
     }
 
-    /// Tells the module what it may count on of cold engines' budgets, where the fleet shares them.
+    /// Sends changed shares of cold engines' budgets to the decision module.
     fn send_cold_shares(&mut self, now: u64, commands: &mut Vec<Command>) {
         let shares = self.limits.as_mut().map_or_else(Vec::new, |limits| limits.changed_shares(now));
         for (engine, shares) in shares {
@@ -551,7 +556,7 @@
         }
     }
 
-    /// Tells the module what the fleet believes of engines by now, where that has changed.
+    /// Sends changed verdicts on engines to the decision module.
     fn send_verdicts(&mut self, now: u64, commands: &mut Vec<Command>) {
         let changed = self.health.as_mut().map_or_else(Vec::new, |health| health.changed_verdicts(now));
         for (engine, verdict) in changed {
@@ -560,7 +565,7 @@
         }
     }
 
-    /// Whether the fleet's limits admit a request; one that they do not is refused, with the time when its share is due.
+    /// Admits a request under the fleet-wide limits, or refuses it with a retry delay.
     fn admit_under_limits(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) -> bool {
         let (Some(limits), Some(open)) = (&mut self.limits, self.open.get_mut(&id)) else { return true };
         match limits.admit(now, &open.client_request) {
@@ -584,7 +589,8 @@
                     return;
                 }
                 let Some(open) = self.open.get(&id) else { return };
-                // Guards against a request that passes an earlier one of its key at the door: the module keeps their order.
+                // Serial requests bypass the queue, where a later one could overtake: the module
+                // keeps their order.
                 if self.door.is_none() || self.runs_serially(&open.client_request) {
                     return self.submit_to_controller(now, id, commands);
                 }
@@ -636,7 +642,8 @@
         }
     }
 
-    /// Nobody waits for a request any more: the module hears of it where it was shown it.
+    /// Removes a request whose client left from the admission queue, or notifies the decision
+    /// module.
     fn handle_client_left(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) {
         if !self.door.as_mut().is_some_and(|d| d.leave(now, id.0)) {
             self.notify_client_left(now, id, commands);
@@ -644,8 +651,8 @@
         self.remove_if_done(id);
     }
 
-    /// The module hears that nobody waits for a request. Where it may not, or does not, give up what is out, that is still
-    /// taken back while it waits to be sent.
+    /// Notifies the decision module that a client left. An attempt that the module does not cancel
+    /// is cancelled here if it is still unsent.
     fn notify_client_left(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) {
         self.decide(now, Event::Left(id), commands);
         if let Some(in_flight) =
@@ -665,7 +672,7 @@
         commands: &mut Vec<Command>,
     ) {
         let Some(open) = self.open.get_mut(&at.request) else { return };
-        // Guards against a second ending of one attempt, as when its time ran out while it was being given up.
+        // Ignores a second end of an attempt, such as a timeout during its cancellation.
         let Some(in_flight) = open.in_flight.take_if(|o| o.number == at.number) else { return };
         self.counters.ended(end_reason);
         open.last_end = Some(end_reason);
@@ -727,7 +734,8 @@
             commands.push(Command::CancelAttempt(at));
             return self.end_attempt(now, at, EndReason::TimedOut, None, None, commands);
         }
-        // Guards against the next request of the key running beside this attempt: it is out until its engine has been told.
+        // The attempt of a serial request stays in flight until the engine is notified, so that the
+        // next request of its key does not run concurrently.
         if !concluded {
             self.decide(now, Event::Expired(at.request), commands);
         }
@@ -736,16 +744,16 @@
         }
     }
 
-    /// Whether a request takes turns with others of its key.
+    /// Whether requests with this one's key run one at a time.
     fn runs_serially(&self, client_request: &ClientRequest) -> bool {
         client_request.order_key.is_some() && self.classes[client_request.class.0].serial_by_key
     }
 
-    /// Guards against a request that nobody answers: its time is over, so it fails, or is refused where no
-    /// attempt was made.
+    /// Answers a request whose deadline passed without an answer: failed, or refused if no attempt
+    /// was made.
     fn answer_expired(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) {
         let Some(open) = self.open.get(&id).filter(|o| !o.concluded) else { return };
-        warn!("request {} had no answer at its end", id.0);
+        warn!("request {} had no answer at its deadline", id.0);
         let answer = match open.attempts {
             0 => Answer::Refused { backoff_ms: 100, after: None, fault: None },
             _ => Answer::Failed(open.last_end, open.fault.clone()),
@@ -753,7 +761,8 @@
         self.end_request(now, id, answer, commands);
     }
 
-    /// Ends a request that the module did not end: it hears of it where it was shown it.
+    /// Ends a request without a decision of the module, and notifies the module if it has the
+    /// request.
     fn end_request(&mut self, now: u64, id: RequestId, answer: Answer, commands: &mut Vec<Command>) {
         let waits = self.door.as_ref().is_some_and(|d| d.waits(id.0));
         self.conclude(now, id, answer, commands);
@@ -763,7 +772,7 @@
         self.remove_if_done(id);
     }
 
-    /// The one place where a request that was not served gets its final answer.
+    /// Sends the final answer of a request that was not served.
     fn conclude(&mut self, now: u64, id: RequestId, answer: Answer, commands: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&id).filter(|o| !o.concluded) else { return };
         open.concluded = true;
@@ -792,7 +801,7 @@
         }
     }
 
-    /// Hands one event to the module and takes its actions.
+    /// Passes one event to the decision module and executes its actions.
     fn decide(&mut self, now: u64, event: Event, commands: &mut Vec<Command>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.control.handle(now, event, &mut actions);
@@ -814,7 +823,7 @@
                     (open.priority, open.client_request.clone(), open.may_have_run_ns);
                 let class = client_request.class.0;
                 debug!(
-                    "{} attempt {} of class {class} goes to {:016x}",
+                    "{} attempt {} of class {class} sent to {:016x}",
                     client_request.name, attempt.number, engine.0
                 );
                 let due = now.saturating_add(timeout_ns).min(open.expires_ns);
@@ -842,7 +851,7 @@
             }
             Action::Cancel { request, attempt } => {
                 if let Some(open) = self.open.get_mut(&request) {
-                    debug!("{} attempt {attempt} is given up", open.client_request.name);
+                    debug!("{} attempt {attempt} cancelled", open.client_request.name);
                     let class = open.client_request.class;
                     if let Some(in_flight) =
                         open.in_flight.as_mut().filter(|in_flight| in_flight.number == attempt)
@@ -884,7 +893,7 @@
                 self.set_timer(now.saturating_add(after_ns), Timer::Module(token))
             }
             Action::Log(text) => log::info!("{text}"),
-            // This program has no probes, no peers and a feed that needs no asking.
+            // Probes, peer messages and subscriptions are not used by this program.
             Action::Probe(_) | Action::Tell(..) | Action::Subscribe => {}
         }
     }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -1,4 +1,5 @@
-//! Limits that hold for the whole fleet, as they stand before the door and the module: which of them a request counts under.
+//! Fleet-wide limits on requests: maps each request to the limits and keys that count it, and
+//! admits it under all or none.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +11,7 @@
 use crate::cold::ColdBudgets;
 use crate::ClientRequest;
 
-/// Whom a limit is for, each of them alone.
+/// The unit to which a limit applies separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitScope {
     /// All requests together.
@@ -19,7 +20,7 @@
     Tenant,
     /// Each class.
     Class,
-    /// Each tenant's requests of each class.
+    /// Each pair of tenant and class.
     TenantAndClass,
     /// Each client of each tenant.
     Client,
@@ -28,30 +29,31 @@
 /// Which requests a limit counts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitRule {
-    /// Whom it is for.
+    /// The unit that the limit applies to.
     pub scope: LimitScope,
-    /// Only this tenant's; none for all.
+    /// Restricts the limit to one tenant.
     pub tenant: Option<TenantId>,
-    /// Only this class; none for all.
+    /// Restricts the limit to one class.
     pub class: Option<ClassId>,
 }
 
-/// The limits of one router.
+/// One router's part of the fleet-wide limits.
 pub struct FleetLimits {
     node: Node,
-    /// Which requests each limit counts, and its place in the node.
+    /// Index of each configured limit in the node, and its rule.
     rules: Vec<(u16, LimitRule)>,
-    /// Hashes of names: the same in all routers, whatever their numbers.
+    /// Hashes of tenant names by tenant id; equal on all routers, whatever the ids.
     tenants: Vec<u64>,
+    /// Hashes of class names by class id.
     classes: Vec<u64>,
-    /// Requests that were refused, by the limit's place.
+    /// Refused requests by index of the limit.
     refused: BTreeMap<usize, u64>,
-    /// Budgets of cold engines, where the fleet shares them.
+    /// Budgets of cold engines, if the fleet shares them.
     cold: Option<ColdBudgets>,
 }
 
 impl FleetLimits {
-    /// The limits that `node` keeps, by these rules in its order; names of tenants and classes by their numbers.
+    /// `rules` are in the order of the limits of `node`; `tenants` and `classes` are names by id.
     pub fn new(node: Node, rules: Vec<LimitRule>, tenants: &[String], classes: &[String]) -> FleetLimits {
         let hashes = |names: &[String]| names.iter().map(|name| stable_hash([name.as_bytes()])).collect();
         let (tenants, classes) = (hashes(tenants), hashes(classes));
@@ -59,69 +61,71 @@
         FleetLimits { node, rules, tenants, classes, refused: BTreeMap::new(), cold: None }
     }
 
-    /// Shares the budgets of cold engines, whose limits stand behind those of the rules.
+    /// Adds budgets of cold engines; their limits follow those of the rules.
     pub fn with_cold(mut self, cold: Option<ColdBudgets>) -> FleetLimits {
         self.cold = cold;
         self
     }
 
-    /// News of the engines.
+    /// Applies a change of the engine list.
     pub fn update_engines(&mut self, now: u64, kind: MembershipKind, entries: &[EngineEntry]) {
         self.cold.iter_mut().for_each(|cold| cold.update_engines(now, kind, entries));
     }
 
-    /// A request is about to be shown to the module.
+    /// Records demand for cold engines by a request that goes to the decision module.
     pub fn record_demand(&mut self, now: u64, class: ClassId) {
         if let Some(cold) = &mut self.cold {
             cold.record_demand(now, &mut self.node, class);
         }
     }
 
-    /// A query was sent to a cold engine.
+    /// Records a query sent to a cold engine, which takes `share` of its lane's budget.
     pub fn record_sent(&mut self, now: u64, class: ClassId, engine: EngineId, lane: usize, share: f64) {
         if let Some(cold) = &mut self.cold {
             cold.record_sent(now, &mut self.node, class, engine, lane, share);
         }
     }
 
-    /// Shares of cold engines' budgets that the module is to be told.
+    /// Returns the shares of cold engines' budgets that changed.
     pub fn changed_shares(&mut self, now: u64) -> Vec<(EngineId, [f64; 2])> {
         let node = &mut self.node;
         self.cold.as_mut().map_or_else(Vec::new, |cold| cold.changed_shares(now, node))
     }
 
-    /// What this router keeps of the limits; what is done to it may change shares.
+    /// The state machine that shares the limits with peers. Recomputes the cold engines' shares
+    /// afterwards, since access may change them.
     pub fn node(&mut self) -> &mut Node {
         self.cold.iter_mut().for_each(ColdBudgets::mark_stale);
         &mut self.node
     }
 
-    /// Requests that were refused so far by the limit in this place.
+    /// Requests refused by one limit since the start.
     pub fn refused(&self, limit_index: u16) -> u64 {
         self.refused.get(&usize::from(limit_index)).copied().unwrap_or(0)
     }
 
-    /// Requests that were refused so far by all limits.
+    /// Requests refused by all limits since the start.
     pub fn total_refused(&self) -> u64 {
         self.refused.values().sum()
     }
 
-    /// The place of each of the operator's limits, in the order of the file.
+    /// Index of each configured limit, in the order of the file.
     pub fn limit_indices(&self) -> impl Iterator<Item = u16> + '_ {
         self.rules.iter().map(|(limit_index, _)| *limit_index)
     }
 
-    /// The operator's file says other limits, with the rules of each: requests that come count under these. What is out and
-    /// lent by the ones before stays counted.
+    /// Replaces the configured limits and their rules. Units in use or lent under the previous
+    /// limits remain counted.
     pub fn resize(&mut self, now: u64, limits: Vec<(Limit, LimitRule)>) {
         let (mut limits, rules): (Vec<Limit>, Vec<LimitRule>) = limits.into_iter().unzip();
-        // Budgets of cold engines stay, behind the others in the file and in their place in the node.
+        // Budgets of cold engines are kept after the configured limits, with their indices in the
+        // node.
         limits.extend(self.cold.iter().flat_map(ColdBudgets::limits));
         let limit_indices = self.node.resize(now, limits);
         self.rules = limit_indices.into_iter().zip(rules).collect();
     }
 
-    /// The key that a limit is for where it is for one alone, by its rule.
+    /// Returns the key of a request under a limit; 0 if the limit has one key.
     fn key(&self, rule: &LimitRule, client_request: &ClientRequest) -> u64 {
         let of = |hashes: &[u64], at: Option<usize>| at.and_then(|at| hashes.get(at).copied()).unwrap_or(0);
         let both = |a: u64, b: u64| stable_hash([&a.to_le_bytes()[..], &b.to_le_bytes()[..]]);
@@ -141,7 +145,7 @@
     /// Admits a request under all limits that count it.
     ///
     /// # Errors
-    /// When it is worth coming back (ns from now).
+    /// Returns the time after which a retry is useful (ns from now).
     pub fn admit(&mut self, now: u64, client_request: &ClientRequest) -> Result<Ticket, u64> {
         let counts = |rule: &LimitRule| {
             rule.tenant.is_none_or(|t| client_request.tenant == Some(t))
@@ -155,7 +159,7 @@
         })
     }
 
-    /// A request is over, and all that it had out.
+    /// Releases the units of a finished request.
     pub fn release(&mut self, ticket: Ticket) {
         self.node.over(ticket);
     }
--- a/crates/core/src/statement.rs
+++ b/crates/core/src/statement.rs
@@ -1,36 +1,38 @@
-//! The statement of a request: its text, its parameters and the group of tables that it names.
+//! SQL statements: text, parameters, splitting into single statements, and the table group that
+//! they name.
 
 /// A statement as a client sent it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Statement {
-    /// The text, unchanged.
+    /// The text as received.
     pub text: Vec<u8>,
-    /// Parameters of an extended query, in order.
+    /// Bound parameters of an extended query, in order.
     pub params: Vec<Param>,
-    /// Whether columns are wanted in binary form, by engines that have one: none, one for all, or one each.
+    /// Result format codes, true for binary: empty for text, one entry for all columns, or one per
+    /// column.
     pub results: Vec<bool>,
 }
 
 /// One bound parameter.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Param {
-    /// Type by its object id; 0 leaves it to the engine.
+    /// Type OID; 0 lets the engine infer it.
     pub type_id: u32,
-    /// The value is in the type's binary form.
+    /// Whether the value is in the binary format of its type.
     pub binary: bool,
-    /// The value; absent for NULL.
+    /// The value; `None` for NULL.
     pub value: Option<Vec<u8>>,
 }
 
-/// A piece of SQL text, as far as routing tells pieces apart.
+/// A lexical token of SQL, as far as routing needs it.
 enum Token {
-    /// A name, folded to lower case unless it was quoted.
+    /// An identifier or keyword, folded to lower case unless quoted.
     Name(String),
-    /// A parameter's number.
+    /// The number of a parameter placeholder, from 1.
     Param(usize),
-    /// Any other code byte.
+    /// Any other byte of code.
     Code(u8),
-    /// A string, a comment or blank space, passed over.
+    /// A string literal, a comment or white space.
     Other,
 }
 
@@ -47,7 +49,7 @@
     b.is_ascii_alphanumeric() || b == b'_' || b >= 0x80
 }
 
-/// The end of a quoted text that starts at 0; a doubled quote stands for itself.
+/// Returns the end of the quoted text that starts at 0. A doubled quote is an escaped quote.
 fn quoted_end(text: &[u8], quote: u8, escapes: bool) -> usize {
     let mut at = 1;
     while at < text.len() {
@@ -63,7 +65,7 @@
     text.len()
 }
 
-/// The end of a block comment that starts at 0; they nest.
+/// Returns the end of the block comment that starts at 0. Block comments nest.
 fn block_comment_end(text: &[u8]) -> usize {
     let (mut at, mut depth) = (2, 1);
     while at < text.len() && depth > 0 {
@@ -121,8 +123,8 @@
     Tokenizer { rest: text }
 }
 
-/// The group of tables that a statement reads or writes: the number behind the underscore of the first
-/// schema named outside strings and comments, other than `staging`.
+/// Returns the table group of a statement: the number after the last underscore of the first schema
+/// name with such a suffix. Strings, comments and the schema `staging` are ignored.
 pub fn table_group(text: &[u8]) -> Option<u64> {
     let code: Vec<Token> = tokens(text).map(|p| p.0).filter(|p| !matches!(p, Token::Other)).collect();
     code.windows(2).find_map(|pair| match pair {
@@ -133,8 +135,8 @@
     })
 }
 
-/// The statements in a text that `;` separates, each with its first words in lower case; empty ones are
-/// left out.
+/// Splits a text at each `;` outside strings and comments. Each statement comes with its first
+/// names (at most four), lower case unless quoted. Empty statements are dropped.
 pub fn split(text: &[u8]) -> Vec<(Vec<u8>, Vec<String>)> {
     let mut all: Vec<(Vec<u8>, Vec<String>)> = vec![Default::default()];
     for (token, bytes) in tokens(text) {
@@ -153,7 +155,7 @@
     all
 }
 
-/// How many parameters a statement names.
+/// Returns the highest parameter number of a statement.
 pub fn param_count(text: &[u8]) -> usize {
     let number = |p: (Token, &[u8])| if let Token::Param(n) = p.0 { n } else { 0 };
     tokens(text).map(number).max().unwrap_or(0)
@@ -165,8 +167,8 @@
         Statement { text, ..Statement::default() }
     }
 
-    /// The text with each parameter written in as a literal, for engines that take no parameters; absent
-    /// where one is in binary form or missing.
+    /// Returns the text with each parameter replaced by a literal, for engines without bound
+    /// parameters. `None` if a parameter is missing or in binary format.
     pub fn inlined(&self) -> Option<Vec<u8>> {
         if self.params.is_empty() {
             return Some(self.text.clone());
@@ -182,8 +184,8 @@
                 None => out.extend_from_slice(b"NULL"),
                 Some(_) if param.binary => return None,
                 Some(value) => {
-                    // Guards against a value that ends its own literal: quotes are doubled, and a backslash
-                    // has only its plain meaning in a standard string.
+                    // Prevents SQL injection: quotes are doubled, and a backslash is an ordinary
+                    // character in a standard string.
                     out.push(b'\'');
                     for byte in value {
                         out.extend(std::iter::repeat_n(*byte, if *byte == b'\'' { 2 } else { 1 }));
