--- a/crates/core/tests/round.rs
+++ b/crates/core/tests/batch.rs
@@ -30,10 +30,10 @@
     commands
 }
 
-fn take(router: &mut Router, call: u64) -> RequestId {
+fn submit(router: &mut Router, call: u64) -> RequestId {
     let ask =
         ClientRequest { name: format!("{call:016x}"), time_left_ns: 8_000 * MS, ..ClientRequest::default() };
-    router.take(T0, Client { conn: 1, call }, ask)
+    router.take(T0, Client { conn: 1, call }, client_request)
 }
 
 fn starts(commands: &[Command]) -> Vec<Option<u64>> {
@@ -43,9 +43,9 @@
 }
 
 #[test]
-fn a_wish_to_end_a_request_comes_too_late_for_a_result_that_came_in_its_round() {
+fn a_result_takes_precedence_over_a_cancellation_in_the_same_batch() {
     let mut router = router(ClassSettings::default());
-    let request = take(&mut router, 1);
+    let request = submit(&mut router, 1);
     assert_eq!(starts(&process_events(&mut router, T0)).len(), 1);
     router.cancel(request);
     let rows = Some(Rows::Text(b"1\n".to_vec()));
@@ -56,9 +56,9 @@
 }
 
 #[test]
-fn who_left_in_a_round_gets_no_further_attempt_in_it() {
+fn no_retry_is_sent_for_a_client_that_left_in_the_same_batch() {
     let mut router = router(ClassSettings::default());
-    let request = take(&mut router, 1);
+    let request = submit(&mut router, 1);
     process_events(&mut router, T0);
     router.ended(Attempt { request, number: 0 }, EndReason::Full, None, None);
     router.client_left(request, EndReason::ClientGone);
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn a_repeat_is_told_by_when_engines_drop_it() {
+fn a_retry_of_a_deduplicated_request_carries_the_end_of_the_deduplication_window() {
     let class = ClassSettings {
         effect: Effect::Deduplicated,
         dedup_window_ns: Some(WINDOW),
         ..ClassSettings::default()
     };
     let mut router = router(class);
-    let request = take(&mut router, 1);
+    let request = submit(&mut router, 1);
     assert_eq!(starts(&process_events(&mut router, T0)), [None]);
     // The first never ran, the second may have: the window is counted from that one.
     router.ended(Attempt { request, number: 0 }, EndReason::Full, None, None);
@@ -86,40 +86,40 @@
 }
 
 #[test]
-fn what_is_taken_and_left_in_one_round_is_never_sent() {
+fn a_request_whose_client_leaves_in_the_same_batch_is_never_sent() {
     let mut router = router(ClassSettings::default());
-    let request = take(&mut router, 1);
+    let request = submit(&mut router, 1);
     router.client_left(request, EndReason::Forgotten);
     assert!(starts(&process_events(&mut router, T0)).is_empty());
     assert_eq!((router.counters.left_unsent, router.counters.sent, router.unanswered()), (1, 0, 0));
 }
 
 /// Takes a request of a class in order, of the one key that there is.
-fn take_in_order(router: &mut Router, call: u64, time_left_ns: u64) -> RequestId {
-    take_in_order_at(router, T0, call, time_left_ns)
+fn submit_serial(router: &mut Router, call: u64, time_left_ns: u64) -> RequestId {
+    submit_serial_at(router, T0, call, time_left_ns)
 }
 
-fn take_in_order_at(router: &mut Router, now: u64, call: u64, time_left_ns: u64) -> RequestId {
+fn submit_serial_at(router: &mut Router, now: u64, call: u64, time_left_ns: u64) -> RequestId {
     let (name, work_estimate_ns) = (format!("{call:016x}"), Some(100 * MS));
-    let ask = ClientRequest {
+    let client_request = ClientRequest {
         name,
         order_key: Some(5),
         time_left_ns,
         work_estimate_ns,
         ..ClientRequest::default()
     };
-    router.take(now, Client { conn: 1, call }, ask)
+    router.take(now, Client { conn: 1, call }, client_request)
 }
 
-fn in_order() -> Router {
+fn serial_router() -> Router {
     router(ClassSettings { effect: Effect::AtMostOnce, serial_by_key: true, ..ClassSettings::default() })
 }
 
 #[test]
-fn a_request_whose_time_is_over_is_answered_then_and_the_next_of_its_key_waits_until_its_attempt_has_ended() {
-    let mut router = in_order();
-    let first = take_in_order(&mut router, 1, 1_000 * MS);
-    take_in_order(&mut router, 2, 8_000 * MS);
+fn an_expired_serial_request_is_answered_at_once_and_blocks_its_key_until_its_attempt_ends() {
+    let mut router = serial_router();
+    let first = submit_serial(&mut router, 1, 1_000 * MS);
+    submit_serial(&mut router, 2, 8_000 * MS);
     assert_eq!(starts(&process_events(&mut router, T0)).len(), 1);
     let commands = process_events(&mut router, T0 + 1_000 * MS);
     assert!(commands.iter().any(|c| matches!(c, Command::Answer(_, Answer::Failed(..)))), "{commands:?}");
@@ -131,10 +131,10 @@
 }
 
 #[test]
-fn one_that_is_given_up_as_its_time_ends_keeps_its_key_too() {
-    let mut router = in_order();
-    let first = take_in_order(&mut router, 1, 1_000 * MS);
-    take_in_order(&mut router, 2, 8_000 * MS);
+fn a_serial_request_whose_client_left_blocks_its_key_until_its_attempt_ends() {
+    let mut router = serial_router();
+    let first = submit_serial(&mut router, 1, 1_000 * MS);
+    submit_serial(&mut router, 2, 8_000 * MS);
     process_events(&mut router, T0);
     router.client_left(first, EndReason::ClientGone);
     assert!(starts(&process_events(&mut router, T0 + 900 * MS)).is_empty());
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn the_next_of_a_key_waits_until_an_attempt_whose_end_is_not_known_must_be_over() {
+fn an_attempt_with_an_unconfirmed_end_blocks_its_key_until_the_class_deadline() {
     for (end_reason, waits) in [
         (EndReason::Cut, true),
         (EndReason::Garbled, true),
@@ -155,15 +155,16 @@
         (EndReason::EngineError, false),
         (EndReason::GivenUp, false),
     ] {
-        let mut router = in_order();
-        let first = take_in_order(&mut router, 1, 1_000 * MS);
+        let mut router = serial_router();
+        let first = submit_serial(&mut router, 1, 1_000 * MS);
         process_events(&mut router, T0);
         router.ended(Attempt { request: first, number: 0 }, end_reason, None, None);
         process_events(&mut router, T0 + 100 * MS);
-        take_in_order_at(&mut router, T0 + 5_000 * MS, 2, 8_000 * MS);
+        submit_serial_at(&mut router, T0 + 5_000 * MS, 2, 8_000 * MS);
         let mut started = |ms: u64| starts(&process_events(&mut router, T0 + ms * MS)).len();
         // All of the class's time from when it was sent, and a little more.
-        let (soon, later) = (started(5_000) + started(9_000) + started(9_240), started(9_250));
-        assert_eq!((soon, later), if waits { (0, 1) } else { (1, 0) }, "{end_reason:?}");
+        let (before_deadline, at_deadline) =
+            (started(5_000) + started(9_000) + started(9_240), started(9_250));
+        assert_eq!((before_deadline, at_deadline), if waits { (0, 1) } else { (1, 0) }, "{end_reason:?}");
     }
 }
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -21,7 +21,7 @@
 /// Work of a query, as it turns out (ns); settings alone say far more.
 const WORK_NS: u64 = 60 * MS;
 
-fn settings(me: u32) -> Settings {
+fn settings(router_index: u32) -> Settings {
     let class = ClassSettings {
         aim_ns: 1_200 * MS,
         deadline_ns: 4 * S,
@@ -31,7 +31,7 @@
     };
     Settings {
         gateways: ROUTERS,
-        gateway_index: me,
+        gateway_index: router_index,
         classes: vec![class],
         kinds: vec![KindSettings { cores: Some(CORES), memory_mb: None }],
         max_attempts: Some(4),
@@ -51,20 +51,20 @@
     out: Vec<(u64, usize, Attempt)>,
     sends: VecDeque<u64>,
     /// Most sends in one window, and sends of each router.
-    worst: usize,
-    by: [usize; ROUTERS as usize],
-    cut: bool,
+    max_in_window: usize,
+    sent_by_router: [usize; ROUTERS as usize],
+    partitioned: bool,
 }
 
 impl Fleet {
     fn new(shared: bool) -> Fleet {
-        let router = |me: u32| {
-            let settings = settings(me);
+        let router = |router_index: u32| {
+            let settings = settings(router_index);
             let (cold, limits) = ColdBudgets::new(&settings, 0).unwrap();
             let terms = Terms { routers: ROUTERS, lease_ns: S, ..Terms::default() };
-            let node = Node::new(T0, Peer { number: me, life: T0 }, terms, limits, 1_000);
+            let node = Node::new(T0, Peer { number: router_index, life: T0 }, terms, limits, 1_000);
             let limits = FleetLimits::new(node, Vec::new(), &[], &[]).with_cold(Some(cold));
-            Router::new(settings, u64::from(me), 64.0).with_limits(shared.then_some(limits))
+            Router::new(settings, u64::from(router_index), 64.0).with_limits(shared.then_some(limits))
         };
         let routers = (0..ROUTERS).map(router).collect();
         let mut fleet = Fleet {
@@ -73,9 +73,9 @@
             calls: 0,
             out: Vec::new(),
             sends: VecDeque::new(),
-            worst: 0,
-            by: [0; ROUTERS as usize],
-            cut: false,
+            max_in_window: 0,
+            sent_by_router: [0; ROUTERS as usize],
+            partitioned: false,
         };
         let all: std::collections::BTreeSet<u32> = (0..ROUTERS).collect();
         for router in &mut fleet.routers {
@@ -99,29 +99,29 @@
     }
 
     /// One router asks at this one, as a client would.
-    fn ask(&mut self, at: usize) {
+    fn submit(&mut self, at: usize) {
         self.calls += 1;
-        let ask = ClientRequest {
+        let client_request = ClientRequest {
             name: format!("{:016x}", self.calls),
             time_left_ns: 3 * S,
             ..ClientRequest::default()
         };
-        self.routers[at].take(self.now, Client { conn: 1, call: self.calls }, ask);
+        self.routers[at].take(self.now, Client { conn: 1, call: self.calls }, client_request);
     }
 
     /// 10 ms pass.
     fn step(&mut self) {
         self.now += 10 * MS;
         let now = self.now;
-        let mut said: VecDeque<(usize, usize, Message)> = VecDeque::new();
+        let mut messages: VecDeque<(usize, usize, Message)> = VecDeque::new();
         for (from, router) in self.routers.iter_mut().enumerate() {
             let tick = router.limits().map(|limits| limits.node().tick(now)).unwrap_or_default();
-            said.extend(tick.into_iter().map(|(to, message)| (from, to as usize, message)));
+            messages.extend(tick.into_iter().map(|(to, message)| (from, to as usize, message)));
         }
-        while let Some((from, to, message)) = said.pop_front().filter(|_| !self.cut) {
+        while let Some((from, to, message)) = messages.pop_front().filter(|_| !self.partitioned) {
             let peer = Peer { number: from as u32, life: T0 };
             let answers = self.routers[to].limits().unwrap().node().hear(now, peer, message);
-            said.extend(answers.into_iter().map(|answer| (to, from, answer)));
+            messages.extend(answers.into_iter().map(|answer| (to, from, answer)));
         }
         let (over, out) = std::mem::take(&mut self.out).into_iter().partition(|(end, ..)| *end <= now);
         self.out = out;
@@ -137,7 +137,7 @@
                     Command::Start { attempt, .. } => {
                         self.out.push((now + WORK_NS, at, attempt));
                         self.sends.push_back(now);
-                        self.by[at] += 1;
+                        self.sent_by_router[at] += 1;
                     }
                     Command::Answer(_, Answer::Failed(..)) => panic!("a query that may go again failed"),
                     _ => {}
@@ -148,7 +148,7 @@
         while self.sends.front().is_some_and(|at| at + S <= now) {
             self.sends.pop_front();
         }
-        self.worst = self.worst.max(self.sends.len());
+        self.max_in_window = self.max_in_window.max(self.sends.len());
     }
 
     /// Asks so often at each router for so long.
@@ -156,7 +156,7 @@
         for step in 0..ms / 10 {
             for (at, every) in every_ms.into_iter().enumerate() {
                 if every > 0 && step * 10 % every == 0 {
-                    self.ask(at);
+                    self.submit(at);
                 }
             }
             self.step();
@@ -172,49 +172,61 @@
 }
 
 /// A fleet that knows what its queries cost, and a cold engine; clients are at one router.
-fn at_one(shared: bool) -> Fleet {
+fn fleet_with_demand_at_one_router(shared: bool) -> Fleet {
     let mut fleet = Fleet::new(shared);
     fleet.start_engine();
     fleet.run(17_000, [20, 200, 200]);
     fleet.start_engine();
-    (fleet.worst, fleet.by) = (0, [0; ROUTERS as usize]);
+    (fleet.max_in_window, fleet.sent_by_router) = (0, [0; ROUTERS as usize]);
     fleet.sends.clear();
     fleet
 }
 
 #[test]
-fn one_router_uses_what_the_others_do_not_and_all_stay_within_the_budget() {
-    let mut fleet = at_one(true);
+fn a_router_uses_the_unused_shares_of_others_within_the_total_budget() {
+    let mut fleet = fleet_with_demand_at_one_router(true);
     fleet.run(4_000, [10, 0, 0]);
-    let mut own = at_one(false);
+    let mut own = fleet_with_demand_at_one_router(false);
     own.run(4_000, [10, 0, 0]);
     let most = allowed(4 * S);
-    assert!(fleet.worst as f64 <= most, "{} in a window, {most} are allowed", fleet.worst);
-    let (shared, alone) = (fleet.by[0], own.by[0]);
+    assert!(fleet.max_in_window as f64 <= most, "{} in a window, {most} are allowed", fleet.max_in_window);
+    let (shared, alone) = (fleet.sent_by_router[0], own.sent_by_router[0]);
     assert!(shared as f64 >= 1.8 * alone as f64, "{shared} sent with shared budgets, {alone} without");
-    assert!(fleet.worst as f64 >= 0.8 * most, "{} in a window, {most} are allowed", fleet.worst);
+    assert!(
+        fleet.max_in_window as f64 >= 0.8 * most,
+        "{} in a window, {most} are allowed",
+        fleet.max_in_window
+    );
 }
 
 #[test]
-fn routers_that_are_cut_off_stay_within_the_budget_together() {
-    let mut fleet = at_one(true);
+fn partitioned_routers_stay_within_the_total_budget() {
+    let mut fleet = fleet_with_demand_at_one_router(true);
     fleet.run(2_000, [10, 0, 0]);
-    fleet.cut = true;
+    fleet.partitioned = true;
     // All want all of it, while the first still holds what it has borrowed.
     fleet.run(6_000, [10, 10, 10]);
     let most = allowed(8 * S);
-    assert!(fleet.worst as f64 <= most, "{} in a window, {most} are allowed", fleet.worst);
-    assert!(fleet.by.iter().all(|sent| *sent > 10), "each has its own: {:?}", fleet.by);
+    assert!(fleet.max_in_window as f64 <= most, "{} in a window, {most} are allowed", fleet.max_in_window);
+    assert!(
+        fleet.sent_by_router.iter().all(|sent| *sent > 10),
+        "each has its own: {:?}",
+        fleet.sent_by_router
+    );
 }
 
 #[test]
-fn a_module_that_is_told_no_share_sends_nothing() {
+fn nothing_is_sent_to_a_cold_engine_without_a_share() {
     let mut fleet = Fleet::new(true);
-    fleet.cut = true;
+    fleet.partitioned = true;
     fleet.start_engine();
     // It has started and can't ask what it lent before.
     fleet.run(1_500, [10, 10, 10]);
-    assert_eq!(fleet.by, [0; 3]);
+    assert_eq!(fleet.sent_by_router, [0; 3]);
     fleet.run(3_000, [10, 10, 10]);
-    assert!(fleet.by.iter().all(|sent| *sent > 0), "what was lent is over: {:?}", fleet.by);
+    assert!(
+        fleet.sent_by_router.iter().all(|sent| *sent > 0),
+        "what was lent is over: {:?}",
+        fleet.sent_by_router
+    );
 }
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -11,7 +11,7 @@
 const MS: u64 = 1_000_000;
 const T0: u64 = 1_700_000_000_000 * MS;
 
-struct World {
+struct TestRouter {
     router: Router,
     now: u64,
     calls: u64,
@@ -40,8 +40,8 @@
     }
 }
 
-impl World {
-    fn new(door: DoorSettings) -> World {
+impl TestRouter {
+    fn new(door: DoorSettings) -> TestRouter {
         let site = Site {
             weights: vec![1.0, 1.0],
             classes: 2,
@@ -50,7 +50,7 @@
             seed: 3,
         };
         let router = Router::new(settings(), 1, 64.0).with_door(Some(Door::new(T0, door, site)));
-        let mut w = World { router, now: T0, calls: 0, out: Vec::new(), answers: HashMap::new() };
+        let mut w = TestRouter { router, now: T0, calls: 0, out: Vec::new(), answers: HashMap::new() };
         let entry = EngineEntry {
             engine: EngineId(5),
             kind: Some(KindId(0)),
@@ -63,13 +63,13 @@
         w
     }
 
-    fn take(&mut self, tenant: usize, class: usize) -> (u64, RequestId) {
-        self.take_in_turn(tenant, class, None)
+    fn submit(&mut self, tenant: usize, class: usize) -> (u64, RequestId) {
+        self.submit_with_key(tenant, class, None)
     }
 
-    fn take_in_turn(&mut self, tenant: usize, class: usize, order_key: Option<u64>) -> (u64, RequestId) {
+    fn submit_with_key(&mut self, tenant: usize, class: usize, order_key: Option<u64>) -> (u64, RequestId) {
         self.calls += 1;
-        let ask = ClientRequest {
+        let client_request = ClientRequest {
             name: format!("{:016x}", self.calls),
             class: ClassId(class),
             order_key,
@@ -79,7 +79,7 @@
             work_estimate_ns: Some(200 * MS),
             ..ClientRequest::default()
         };
-        let id = self.router.take(self.now, Client { conn: 1, call: self.calls }, ask);
+        let id = self.router.take(self.now, Client { conn: 1, call: self.calls }, client_request);
         (self.calls, id)
     }
 
@@ -91,8 +91,8 @@
                 match command {
                     Command::Start { attempt, engine, .. } => self.out.push((attempt, engine)),
                     Command::Answer(client, answer) => {
-                        let twice = self.answers.insert(client.call, answer);
-                        assert!(twice.is_none(), "call {} has one final answer", client.call);
+                        let previous = self.answers.insert(client.call, answer);
+                        assert!(previous.is_none(), "call {} has one final answer", client.call);
                     }
                     Command::CancelAttempt(at) => {
                         self.out.retain(|(a, _)| *a != at);
@@ -133,9 +133,9 @@
     /// Fills the engine until a queue forms; gives all calls.
     fn fill(&mut self) -> Vec<(u64, RequestId)> {
         // So many at once that a quarter of them is refused: from then on there is a queue.
-        let mut all: Vec<_> = (0..40).map(|i| self.take(i % 2, 0)).collect();
+        let mut all: Vec<_> = (0..40).map(|i| self.submit(i % 2, 0)).collect();
         self.process_events();
-        all.extend((0..40).map(|i| self.take(i % 2, 0)));
+        all.extend((0..40).map(|i| self.submit(i % 2, 0)));
         self.process_events();
         assert!(self.queued() >= 20 && self.out.len() >= 4, "{} {}", self.queued(), self.out.len());
         all
@@ -157,8 +157,8 @@
 }
 
 #[test]
-fn what_waits_is_served_as_room_comes_free() {
-    let mut w = World::new(DoorSettings::default());
+fn queued_requests_are_served_as_capacity_becomes_available() {
+    let mut w = TestRouter::new(DoorSettings::default());
     w.fill();
     let before = w.router.counters.sent;
     for _ in 0..10 {
@@ -166,16 +166,16 @@
         w.end(EndReason::Served);
     }
     let door = w.router.door().unwrap();
-    let told = format!("{:?} {:?}", door.room(), door.counters().collect::<Vec<_>>());
+    let state = format!("{:?} {:?}", door.room(), door.counters().collect::<Vec<_>>());
     let sent = w.router.counters.sent - before;
-    assert!(sent >= 5, "ends let others in: {sent} {told}");
+    assert!(sent >= 5, "ends let others in: {sent} {state}");
     w.finish();
     assert_eq!(w.answers.len() as u64, w.router.counters.taken);
 }
 
 #[test]
-fn who_leaves_or_cancels_while_it_waits_is_never_sent() {
-    let mut w = World::new(DoorSettings::default());
+fn queued_requests_whose_client_leaves_or_cancels_are_never_sent() {
+    let mut w = TestRouter::new(DoorSettings::default());
     let all = w.fill();
     let waits: Vec<_> = all.iter().copied().filter(|(_, id)| w.router.door().unwrap().waits(id.0)).collect();
     let sent = w.router.counters.sent;
@@ -195,8 +195,8 @@
 }
 
 #[test]
-fn a_queue_that_is_never_served_is_refused_in_time() {
-    let mut w = World::new(DoorSettings { stale_ms: 60_000, ..DoorSettings::default() });
+fn queued_requests_that_cannot_be_served_in_time_are_refused() {
+    let mut w = TestRouter::new(DoorSettings { stale_ms: 60_000, ..DoorSettings::default() });
     let all = w.fill();
     w.wait(1_500);
     assert_eq!(w.queued(), 0, "past what is wanted nothing waits");
@@ -209,8 +209,8 @@
 }
 
 #[test]
-fn the_end_of_the_program_answers_what_waits() {
-    let mut w = World::new(DoorSettings::default());
+fn shutdown_answers_all_open_requests() {
+    let mut w = TestRouter::new(DoorSettings::default());
     w.fill();
     let mut commands = Vec::new();
     w.router.end_all(&mut commands, w.now);
@@ -224,13 +224,13 @@
 }
 
 #[test]
-fn a_load_that_may_have_run_fails_and_its_room_is_free() {
-    let mut w = World::new(DoorSettings::default());
-    let (call, _) = w.take(0, 1);
+fn a_load_that_may_have_run_fails_and_releases_its_capacity() {
+    let mut w = TestRouter::new(DoorSettings::default());
+    let (call, _) = w.submit(0, 1);
     w.process_events();
     w.end(EndReason::Cut);
     assert!(matches!(w.answers[&call], Answer::Failed(..)));
-    let (call, _) = w.take(0, 1);
+    let (call, _) = w.submit(0, 1);
     w.process_events();
     w.end(EndReason::Refused);
     assert!(matches!(w.answers[&call], Answer::Refused { .. }), "it never ran, and there is no other engine");
@@ -238,33 +238,33 @@
 }
 
 #[test]
-fn a_full_door_makes_room_and_a_full_table_says_so() {
-    let mut w = World::new(DoorSettings { queued: 10, ..DoorSettings::default() });
-    w.fill_some();
+fn a_full_queue_evicts_and_does_not_block_new_requests() {
+    let mut w = TestRouter::new(DoorSettings { queued: 10, ..DoorSettings::default() });
+    w.fill_beyond_bound();
     assert!(w.queued() <= 10);
     assert!(w.router.has_capacity(), "what waits has a bound of its own");
     w.finish();
 }
 
-impl World {
-    fn fill_some(&mut self) {
+impl TestRouter {
+    fn fill_beyond_bound(&mut self) {
         for i in 0..200 {
-            self.take(i % 2, 0);
+            self.submit(i % 2, 0);
             self.process_events();
         }
     }
 }
 
 #[test]
-fn requests_that_take_turns_by_a_key_do_not_queue_where_later_ones_could_pass_them() {
-    let mut w = World::new(DoorSettings::default());
+fn serial_requests_bypass_the_queue() {
+    let mut w = TestRouter::new(DoorSettings::default());
     w.fill();
     let queued = w.queued();
     assert!(queued > 0);
-    w.take_in_turn(0, 1, Some(7));
+    w.submit_with_key(0, 1, Some(7));
     w.process_events();
     assert_eq!(w.queued(), queued);
-    w.take(0, 1);
+    w.submit(0, 1);
     w.process_events();
     assert!(w.queued() > queued, "others queue");
 }
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn an_engine_that_comes_back_as_the_list_names_it_again_does_not_stay_out() {
+fn a_recovered_engine_gets_a_well_verdict_when_the_list_repeats_it() {
     let terms = Terms { routers: 8, ..Terms::default() };
     let mut health = FleetHealth::new(Node::new(T0, (0, T0, 0), terms, (Words::default(), T0)));
     let entries: Vec<EngineEntry> =
--- a/crates/core/tests/statement.rs
+++ b/crates/core/tests/statement.rs
@@ -10,7 +10,7 @@
 #[case("select * from staging.x join \"quoted_8\".y on true", Some(8))]
 #[case("select a.b from staging.c", None)]
 #[case("select 'it''s x_1.y'", None)]
-fn the_group_is_the_number_of_the_first_schema(#[case] text: &str, #[case] group: Option<u64>) {
+fn the_table_group_is_the_number_of_the_first_schema(#[case] text: &str, #[case] group: Option<u64>) {
     assert_eq!(table_group(text.as_bytes()), group);
 }
 
@@ -19,13 +19,13 @@
 #[case("select ';'; -- ;\n", 1)]
 #[case("select 1; select 2", 2)]
 #[case(" ; /* nothing */ ", 0)]
-fn only_separators_in_code_separate(#[case] text: &str, #[case] count: usize) {
+fn semicolons_in_strings_and_comments_do_not_split(#[case] text: &str, #[case] count: usize) {
     assert_eq!(split(text.as_bytes()).len(), count);
 }
 
 /// A value cannot end its own literal, and a parameter in a string stays as it is.
 #[test]
-fn a_value_stays_inside_its_literal() {
+fn inlined_values_are_escaped() {
     let param = Param { value: Some(b"x'; drop table t; --".to_vec()), ..Param::default() };
     let statement = Statement { text: b"select $1, '$1'".to_vec(), params: vec![param], results: Vec::new() };
     assert_eq!(statement.inlined().unwrap(), b"select 'x''; drop table t; --', '$1'");
