--- a/crates/core/tests/batch.rs
+++ b/crates/core/tests/batch.rs
@@ -31,7 +31,7 @@
 }
 
 fn submit(router: &mut Router, call: u64) -> RequestId {
-    let ask =
+    let client_request =
         ClientRequest { name: format!("{call:016x}"), time_left_ns: 8_000 * MS, ..ClientRequest::default() };
     router.take(T0, Client { conn: 1, call }, client_request)
 }
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -26,11 +26,11 @@
     health.change(MembershipKind::Full, entries.iter().copied());
     assert!(health.changed_verdicts(T0).is_empty());
     (1..4).for_each(|witness| report(&mut health, T0 + S, witness, 1, Finding::Silent));
-    let told = health.changed_verdicts(T0 + S);
-    assert!(matches!(told[..], [(ENGINE, Verdict::Out | Verdict::Trial)]), "{told:?}");
+    let changed = health.changed_verdicts(T0 + S);
+    assert!(matches!(changed[..], [(ENGINE, Verdict::Out | Verdict::Trial)]), "{changed:?}");
     // The module may have forgotten it: it is told what is so once more.
     health.resend_verdict(ENGINE);
-    assert_eq!(health.changed_verdicts(T0 + S), told);
+    assert_eq!(health.changed_verdicts(T0 + S), changed);
     // Two are served, and a list names the engine before the module has heard of that.
     (4..6).for_each(|witness| report(&mut health, T0 + 3 * S, witness, 1, Finding::Well));
     health.resend_verdict(ENGINE);
