--- a/crates/core/tests/batch.rs
+++ b/crates/core/tests/batch.rs
@@ -1,4 +1,5 @@
-//! What one round brings, in whatever order it was read.
+//! Batches of events: the result must not depend on the order in which events of a batch were read.
+//! Also guards deduplication windows and the serialization of requests by key.
 
 use marljunction_control::interface::*;
 use marljunction_core::end_reason::EndReason;
@@ -76,13 +77,13 @@
     let mut router = router(class);
     let request = submit(&mut router, 1);
     assert_eq!(starts(&process_events(&mut router, T0)), [None]);
-    // The first never ran, the second may have: the window is counted from that one.
+    // The first attempt never ran, the second may have: the window starts at the second.
     router.ended(Attempt { request, number: 0 }, EndReason::Full, None, None);
     assert_eq!(starts(&process_events(&mut router, T0 + 100 * MS)), [None]);
     router.ended(Attempt { request, number: 1 }, EndReason::Cut, None, None);
     let again = starts(&process_events(&mut router, T0 + 200 * MS));
     assert!(again.is_empty() || again == [Some(T0 + 100 * MS + WINDOW)], "{again:?}");
-    assert!(!again.is_empty(), "the module sends it again");
+    assert!(!again.is_empty(), "the request is retried");
 }
 
 #[test]
@@ -94,7 +95,7 @@
     assert_eq!((router.counters.left_unsent, router.counters.sent, router.unanswered()), (1, 0, 0));
 }
 
-/// Takes a request of a class in order, of the one key that there is.
+/// Submits a request of a serial class; all have the same key.
 fn submit_serial(router: &mut Router, call: u64, time_left_ns: u64) -> RequestId {
     submit_serial_at(router, T0, call, time_left_ns)
 }
@@ -124,7 +125,7 @@
     let commands = process_events(&mut router, T0 + 1_000 * MS);
     assert!(commands.iter().any(|c| matches!(c, Command::Answer(_, Answer::Failed(..)))), "{commands:?}");
     assert!(commands.iter().any(|c| matches!(c, Command::CancelAttempt(_))), "{commands:?}");
-    assert!(starts(&commands).is_empty(), "its engine has not been told yet");
+    assert!(starts(&commands).is_empty(), "the engine is not notified yet");
     router.ended(Attempt { request: first, number: 0 }, EndReason::GivenUp, None, None);
     assert_eq!(starts(&process_events(&mut router, T0 + 1_010 * MS)).len(), 1);
     assert_eq!((router.counters.failed, router.unanswered()), (1, 1));
@@ -140,7 +141,7 @@
     assert!(starts(&process_events(&mut router, T0 + 900 * MS)).is_empty());
     assert!(
         starts(&process_events(&mut router, T0 + 1_100 * MS)).is_empty(),
-        "its engine has not been told yet"
+        "the engine is not notified yet"
     );
     router.ended(Attempt { request: first, number: 0 }, EndReason::GivenUp, None, None);
     assert_eq!(starts(&process_events(&mut router, T0 + 1_200 * MS)).len(), 1);
@@ -162,7 +163,7 @@
         process_events(&mut router, T0 + 100 * MS);
         submit_serial_at(&mut router, T0 + 5_000 * MS, 2, 8_000 * MS);
         let mut started = |ms: u64| starts(&process_events(&mut router, T0 + ms * MS)).len();
-        // All of the class's time from when it was sent, and a little more.
+        // The class deadline after the send, plus the grace time.
         let (before_deadline, at_deadline) =
             (started(5_000) + started(9_000) + started(9_240), started(9_250));
         assert_eq!((before_deadline, at_deadline), if waits { (0, 1) } else { (1, 0) }, "{end_reason:?}");
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -1,5 +1,5 @@
-//! Budgets of cold engines that routers share: what all of them send in any window stays within the whole budget, wherever the
-//! clients are and whatever is cut.
+//! Shared budgets of cold engines: all routers together stay within the budget in every window,
+//! whatever the distribution of clients and under partitions.
 
 use std::collections::VecDeque;
 
@@ -18,7 +18,7 @@
 const ROUTERS: u32 = 3;
 const ENGINE: EngineId = EngineId(5);
 const CORES: f64 = 8.0;
-/// Work of a query, as it turns out (ns); settings alone say far more.
+/// Actual work of a query (ns), far below the estimate from settings.
 const WORK_NS: u64 = 60 * MS;
 
 fn settings(router_index: u32) -> Settings {
@@ -50,8 +50,9 @@
     calls: u64,
     out: Vec<(u64, usize, Attempt)>,
     sends: VecDeque<u64>,
-    /// Most sends in one window, and sends of each router.
+    /// Maximum sends in one window.
     max_in_window: usize,
+    /// Sends of each router.
     sent_by_router: [usize; ROUTERS as usize],
     partitioned: bool,
 }
@@ -86,7 +87,7 @@
         fleet
     }
 
-    /// The engine starts, and all are told.
+    /// Starts the engine and notifies all routers.
     fn start_engine(&mut self) {
         let entry = EngineEntry {
             engine: ENGINE,
@@ -98,7 +99,7 @@
         self.routers.iter_mut().for_each(|r| r.membership(MembershipKind::Full, vec![entry]));
     }
 
-    /// One router asks at this one, as a client would.
+    /// Submits a client request at one router.
     fn submit(&mut self, at: usize) {
         self.calls += 1;
         let client_request = ClientRequest {
@@ -109,7 +110,7 @@
         self.routers[at].take(self.now, Client { conn: 1, call: self.calls }, client_request);
     }
 
-    /// 10 ms pass.
+    /// Advances time by 10 ms.
     fn step(&mut self) {
         self.now += 10 * MS;
         let now = self.now;
@@ -139,19 +140,19 @@
                         self.sends.push_back(now);
                         self.sent_by_router[at] += 1;
                     }
-                    Command::Answer(_, Answer::Failed(..)) => panic!("a query that may go again failed"),
+                    Command::Answer(_, Answer::Failed(..)) => panic!("a retryable query failed"),
                     _ => {}
                 }
             }
         }
-        // A send counts for a window of true time.
+        // Sends count for one window of real time.
         while self.sends.front().is_some_and(|at| at + S <= now) {
             self.sends.pop_front();
         }
         self.max_in_window = self.max_in_window.max(self.sends.len());
     }
 
-    /// Asks so often at each router for so long.
+    /// Runs for `ms`, with one request per `every_ms` at each router (0 for none).
     fn run(&mut self, ms: u64, every_ms: [u64; ROUTERS as usize]) {
         for step in 0..ms / 10 {
             for (at, every) in every_ms.into_iter().enumerate() {
@@ -164,14 +165,14 @@
     }
 }
 
-/// Queries that half of the budget allows in a window, once the engine has been up for so long.
+/// Queries per window within half of the budget, at an engine age of `age_ns`.
 fn allowed(age_ns: u64) -> f64 {
     let (_, full, _) = cold_lane(&settings(0), CORES, ClassId(0)).unwrap();
     let warmth = 0.3 + 0.7 * age_ns as f64 / (15 * S) as f64;
     full * warmth / 2.0 / WORK_NS as f64
 }
 
-/// A fleet that knows what its queries cost, and a cold engine; clients are at one router.
+/// A fleet with learned query costs and a newly started engine.
 fn fleet_with_demand_at_one_router(shared: bool) -> Fleet {
     let mut fleet = Fleet::new(shared);
     fleet.start_engine();
@@ -189,12 +190,16 @@
     let mut own = fleet_with_demand_at_one_router(false);
     own.run(4_000, [10, 0, 0]);
     let most = allowed(4 * S);
-    assert!(fleet.max_in_window as f64 <= most, "{} in a window, {most} are allowed", fleet.max_in_window);
+    assert!(
+        fleet.max_in_window as f64 <= most,
+        "{} sends in a window, allowed are {most}",
+        fleet.max_in_window
+    );
     let (shared, alone) = (fleet.sent_by_router[0], own.sent_by_router[0]);
     assert!(shared as f64 >= 1.8 * alone as f64, "{shared} sent with shared budgets, {alone} without");
     assert!(
         fleet.max_in_window as f64 >= 0.8 * most,
-        "{} in a window, {most} are allowed",
+        "{} sends in a window, allowed are {most}",
         fleet.max_in_window
     );
 }
@@ -204,13 +209,17 @@
     let mut fleet = fleet_with_demand_at_one_router(true);
     fleet.run(2_000, [10, 0, 0]);
     fleet.partitioned = true;
-    // All want all of it, while the first still holds what it has borrowed.
+    // All routers demand the whole budget while the first still holds borrowed units.
     fleet.run(6_000, [10, 10, 10]);
     let most = allowed(8 * S);
-    assert!(fleet.max_in_window as f64 <= most, "{} in a window, {most} are allowed", fleet.max_in_window);
+    assert!(
+        fleet.max_in_window as f64 <= most,
+        "{} sends in a window, allowed are {most}",
+        fleet.max_in_window
+    );
     assert!(
         fleet.sent_by_router.iter().all(|sent| *sent > 10),
-        "each has its own: {:?}",
+        "each router uses its own share: {:?}",
         fleet.sent_by_router
     );
 }
@@ -220,13 +229,13 @@
     let mut fleet = Fleet::new(true);
     fleet.partitioned = true;
     fleet.start_engine();
-    // It has started and can't ask what it lent before.
+    // A newly started router cannot recover its lent units while partitioned.
     fleet.run(1_500, [10, 10, 10]);
     assert_eq!(fleet.sent_by_router, [0; 3]);
     fleet.run(3_000, [10, 10, 10]);
     assert!(
         fleet.sent_by_router.iter().all(|sent| *sent > 0),
-        "what was lent is over: {:?}",
+        "units lent before the start have expired: {:?}",
         fleet.sent_by_router
     );
 }
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -1,4 +1,4 @@
-//! The core with a door before the module: one final answer each, whatever happens to what waits.
+//! The core with an admission queue (the door): each request gets exactly one final answer.
 
 use std::collections::HashMap;
 
@@ -92,13 +92,13 @@
                     Command::Start { attempt, engine, .. } => self.out.push((attempt, engine)),
                     Command::Answer(client, answer) => {
                         let previous = self.answers.insert(client.call, answer);
-                        assert!(previous.is_none(), "call {} has one final answer", client.call);
+                        assert!(previous.is_none(), "call {} got a second final answer", client.call);
                     }
                     Command::CancelAttempt(at) => {
                         self.out.retain(|(a, _)| *a != at);
                         self.router.ended(at, EndReason::GivenUp, None, None);
                     }
-                    // Engines have their calls whole at once here.
+                    // Calls are completely sent at once here.
                     Command::SetPriority(..) | Command::CancelIfUnsent(_) => {}
                 }
             }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The oldest attempt ends.
+    /// Ends the oldest attempt.
     fn end(&mut self, end_reason: EndReason) {
         let (at, _) = self.out.remove(0);
         let rows = (end_reason == EndReason::Served).then(|| Rows::Text(b"1\n".to_vec()));
@@ -130,9 +130,9 @@
         self.router.door().map_or(0, |d| d.queued())
     }
 
-    /// Fills the engine until a queue forms; gives all calls.
+    /// Submits requests until a queue forms; returns all calls.
     fn fill(&mut self) -> Vec<(u64, RequestId)> {
-        // So many at once that a quarter of them is refused: from then on there is a queue.
+        // Enough at once that a quarter is refused; a queue forms from then on.
         let mut all: Vec<_> = (0..40).map(|i| self.submit(i % 2, 0)).collect();
         self.process_events();
         all.extend((0..40).map(|i| self.submit(i % 2, 0)));
@@ -152,7 +152,7 @@
         assert_eq!((self.router.unanswered(), self.queued()), (0, 0));
         let c = &self.router.counters;
         assert_eq!(c.taken, c.served + c.refused + c.failed + c.left);
-        assert_eq!(self.router.door().unwrap().room().used(), 0.0, "all room is free again");
+        assert_eq!(self.router.door().unwrap().room().used(), 0.0, "all capacity is free again");
     }
 }
 
@@ -168,7 +168,7 @@
     let door = w.router.door().unwrap();
     let state = format!("{:?} {:?}", door.room(), door.counters().collect::<Vec<_>>());
     let sent = w.router.counters.sent - before;
-    assert!(sent >= 5, "ends let others in: {sent} {state}");
+    assert!(sent >= 5, "finished requests admit queued ones: {sent} {state}");
     w.finish();
     assert_eq!(w.answers.len() as u64, w.router.counters.taken);
 }
@@ -189,7 +189,7 @@
     w.process_events();
     assert_eq!((w.queued(), w.router.counters.sent), (0, sent));
     for (i, (call, _)) in waits.iter().enumerate() {
-        assert_eq!(w.answers.contains_key(call), i % 2 == 1, "only the cancelled hear of it");
+        assert_eq!(w.answers.contains_key(call), i % 2 == 1, "only cancelled requests are answered");
     }
     w.finish();
 }
@@ -199,7 +199,7 @@
     let mut w = TestRouter::new(DoorSettings { stale_ms: 60_000, ..DoorSettings::default() });
     let all = w.fill();
     w.wait(1_500);
-    assert_eq!(w.queued(), 0, "past what is wanted nothing waits");
+    assert_eq!(w.queued(), 0, "no request waits past its useful time");
     for (call, _) in all {
         if let Some(Answer::Refused { backoff_ms, .. }) = w.answers.get(&call) {
             assert!((1..=1_000).contains(backoff_ms));
@@ -242,7 +242,7 @@
     let mut w = TestRouter::new(DoorSettings { queued: 10, ..DoorSettings::default() });
     w.fill_beyond_bound();
     assert!(w.queued() <= 10);
-    assert!(w.router.has_capacity(), "what waits has a bound of its own");
+    assert!(w.router.has_capacity(), "the queue has its own bound");
     w.finish();
 }
 
@@ -266,5 +266,5 @@
     assert_eq!(w.queued(), queued);
     w.submit(0, 1);
     w.process_events();
-    assert!(w.queued() > queued, "others queue");
+    assert!(w.queued() > queued, "requests without a key are queued");
 }
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -1,4 +1,4 @@
-//! What the module is told of what the fleet believes, whatever else is told meanwhile.
+//! Verdicts given to the decision module, including repeats after changes of the engine list.
 
 use marljunction_control::interface::{EngineEntry, EngineId, MembershipKind, Verdict};
 use marljunction_core::health::FleetHealth;
@@ -28,10 +28,10 @@
     (1..4).for_each(|witness| report(&mut health, T0 + S, witness, 1, Finding::Silent));
     let changed = health.changed_verdicts(T0 + S);
     assert!(matches!(changed[..], [(ENGINE, Verdict::Out | Verdict::Trial)]), "{changed:?}");
-    // The module may have forgotten it: it is told what is so once more.
+    // The module may have forgotten the engine: the verdict is repeated.
     health.resend_verdict(ENGINE);
     assert_eq!(health.changed_verdicts(T0 + S), changed);
-    // Two are served, and a list names the engine before the module has heard of that.
+    // Two routers are served, and a list names the engine before the module gets the new verdict.
     (4..6).for_each(|witness| report(&mut health, T0 + 3 * S, witness, 1, Finding::Well));
     health.resend_verdict(ENGINE);
     assert_eq!(health.changed_verdicts(T0 + 3 * S), [(ENGINE, Verdict::Well)]);
--- a/crates/core/tests/statement.rs
+++ b/crates/core/tests/statement.rs
@@ -1,4 +1,4 @@
-//! What the router reads off a statement's text.
+//! Table groups, splitting, and inlining of parameters.
 
 use marljunction_core::statement::{split, table_group, Param, Statement};
 use rstest::rstest;
@@ -23,7 +23,7 @@
     assert_eq!(split(text.as_bytes()).len(), count);
 }
 
-/// A value cannot end its own literal, and a parameter in a string stays as it is.
+/// Guards against SQL injection through values. A placeholder inside a string stays unchanged.
 #[test]
 fn inlined_values_are_escaped() {
     let param = Param { value: Some(b"x'; drop table t; --".to_vec()), ..Param::default() };
