--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -858,7 +858,7 @@
                     {
                         in_flight.cancelled_ns = Some(now);
                         if let Some(health) = &mut self.health {
-                            health.cancelled(now, in_flight.engine, class, in_flight.sent_ns);
+                            health.attempt_cancelled(now, in_flight.engine, class, in_flight.sent_ns);
                         }
                     }
                 }
