--- a/crates/core/src/cold.rs
+++ b/crates/core/src/cold.rs
@@ -16,8 +16,8 @@
 const SHARE_HORIZON_NS: u64 = 5_000_000;
 /// Weight of one query in the moving average of its class's cost.
 const COST_EWMA_WEIGHT: f64 = 0.1;
-/// Largest share of an engine's units that one router requests beyond those it owns; its demand
-/// spreads over several engines.
+/// Largest share of an engine's units that one router requests if it owns fewer; its demand spreads
+/// over several engines.
 const MAX_WANTED_SHARE: f64 = 0.25;
 /// Units per query of the largest need by settings; most queries need fewer.
 const UNITS_PER_QUERY: u32 = 4;
@@ -136,7 +136,7 @@
         self.stale = true;
     }
 
-    /// Recomputes the shares at the next call of [`Self::changed_shares`].
+    /// Forces the next call of [`Self::changed_shares`] to recompute the shares.
     pub fn mark_stale(&mut self) {
         self.stale = true;
     }
--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -19,7 +19,7 @@
     pub failed: u64,
     /// Requests whose client disconnected or cancelled before the answer.
     pub left: u64,
-    /// Requests counted in `left` that were never fully sent to an engine.
+    /// Requests counted in `left` with no attempt in flight, or whose attempt was cancelled unsent.
     pub left_unsent: u64,
     /// Client messages rejected before they became requests.
     pub rejected: u64,
--- a/crates/core/src/statement.rs
+++ b/crates/core/src/statement.rs
@@ -135,8 +135,9 @@
     })
 }
 
-/// Splits a text at each `;` outside strings and comments. Each statement comes with its first
-/// names (at most four), lower case unless quoted. Empty statements are dropped.
+/// Splits a text at each `;` outside strings and comments. Each statement comes with its first names
+/// (at most four), lower case unless quoted; the first is empty if it starts with other code. Empty
+/// statements are dropped.
 pub fn split(text: &[u8]) -> Vec<(Vec<u8>, Vec<String>)> {
     let mut all: Vec<(Vec<u8>, Vec<String>)> = vec![Default::default()];
     for (token, bytes) in tokens(text) {
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -229,7 +229,7 @@
     let mut fleet = Fleet::new(true);
     fleet.partitioned = true;
     fleet.start_engine();
-    // A newly started router cannot recover its lent units while partitioned.
+    // A newly started router cannot ask its peers which units it lent before.
     fleet.run(1_500, [10, 10, 10]);
     assert_eq!(fleet.sent_by_router, [0; 3]);
     fleet.run(3_000, [10, 10, 10]);
