--- a/crates/core/src/cold.rs
+++ b/crates/core/src/cold.rs
@@ -1,5 +1,6 @@
-//! Budgets of engines that have just started, shared by the fleet: which units of which limit an engine's lanes are, how many a
-//! router's own clients want and where, and what share of them the module may count on.
+//! Query budgets of cold (recently started) engines, shared by the fleet through limits: each lane
+//! of an engine kind is a limit with the engine as key. Records demand and use, and gives the
+//! decision module this router's usable share.
 
 use std::collections::BTreeMap;
 
@@ -9,64 +10,66 @@
 };
 use marljunction_limits::{Kind, Limit, Mode, Node};
 
-/// Lanes of an engine: light classes and heavy ones.
+/// Lanes of an engine: light and heavy classes.
 const LANES: usize = 2;
-/// Shares are told for so long ahead (ns): a loan that ends sooner is not counted on.
-const AHEAD_NS: u64 = 5_000_000;
-/// Weight of one query in what its class is known to cost (share).
-const COST_WEIGHT: f64 = 0.1;
-/// Parts of an engine's units that one router wants at most where it owns fewer (share): its clients go to several engines.
-const WANTED_MOST: f64 = 0.25;
-/// Units of a lane for each whole query that its budget holds, as settings tell its need (count): most need less.
-const PARTS: u32 = 4;
+/// Shares are computed for this time ahead (ns); units borrowed for less do not count.
+const SHARE_HORIZON_NS: u64 = 5_000_000;
+/// Weight of one query in the moving average of its class's cost.
+const COST_EWMA_WEIGHT: f64 = 0.1;
+/// Largest share of an engine's units that one router requests if it owns fewer; its demand spreads
+/// over several engines.
+const MAX_WANTED_SHARE: f64 = 0.25;
+/// Units per query of the largest need by settings; most queries need fewer.
+const UNITS_PER_QUERY: u32 = 4;
 
-/// An engine that is cold.
+/// A cold engine.
 #[derive(Clone, Copy, Debug)]
-struct Cold {
+struct ColdEngine {
     kind: usize,
-    /// Takes queries.
     ready: bool,
+    /// When it counts as warm (ns).
     until_ns: u64,
-    told: Option<[f64; LANES]>,
+    /// Shares last given to the module.
+    reported: Option<[f64; LANES]>,
 }
 
-/// What one router keeps of the cold engines' budgets.
+/// One router's state of the budgets of cold engines.
 #[derive(Clone, Debug)]
 pub struct ColdBudgets {
-    /// Place of the first of their limits among all.
+    /// Index of the first budget among all limits.
     first: usize,
-    /// Units by kind and lane; kinds that the settings do not name come last.
+    /// Units by kind and lane; the last entry is for kinds that the settings do not name.
     units: Vec<[u32; LANES]>,
-    /// Lane of each class by kind.
+    /// Lane by kind and class.
     lanes: Vec<Vec<usize>>,
     warmup_ns: u64,
     window_ns: u64,
-    me: u64,
-    engines: BTreeMap<EngineId, Cold>,
-    /// What a query of each class takes (units of its lane).
+    router_index: u64,
+    engines: BTreeMap<EngineId, ColdEngine>,
+    /// Average cost of a query by class (units of its lane).
     costs: Vec<f64>,
-    told_ns: u64,
+    reported_ns: u64,
     stale: bool,
 }
 
-/// The place of a lane's limit among all, where those of cold engines begin at `first`.
-fn place(first: usize, kind: usize, lane: usize) -> u16 {
+/// Index of a lane's limit, where the limits of cold engines begin at `first`.
+fn limit_index(first: usize, kind: usize, lane: usize) -> u16 {
     (first + kind * LANES + lane) as u16
 }
 
-fn mix(x: u64) -> u64 {
+fn mix_hash(x: u64) -> u64 {
     let x = (x ^ (x >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (x ^ (x >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
 
 impl ColdBudgets {
-    /// The budgets that these settings speak of, and their limits, which are to stand behind `first` others; none where engines
-    /// are never cold.
+    /// Builds the budgets and their limits, which must follow the first `first` limits. `None` if
+    /// the settings define no cold start.
     pub fn new(settings: &Settings, first: usize) -> Option<(ColdBudgets, Vec<Limit>)> {
         let (warmup_ns, window_ns, start) =
             (settings.warmup_ns?, settings.overload_window_ns?, settings.initial_capacity?);
         settings.overload_multiple?;
-        // A kind without cores counts as one core, as for the module.
+        // A kind without a core count has one core, as in the decision module.
         let cores = settings.kinds.iter().map(|kind| kind.cores.filter(|c| *c > 0.0).unwrap_or(1.0));
         let cores: Vec<f64> = cores.chain([1.0]).collect();
         let classes = || (0..settings.classes.len()).map(ClassId);
@@ -76,7 +79,7 @@
             let mut of = [1; LANES];
             for (at, full, largest) in classes().map(|class| lane(*cores, class)) {
                 let queries = (full * start / 2.0 / largest).floor().max(1.0) as u32;
-                of[at] = queries.saturating_mul(PARTS);
+                of[at] = queries.saturating_mul(UNITS_PER_QUERY);
             }
             units.push(of);
         }
@@ -88,17 +91,17 @@
             lanes,
             warmup_ns,
             window_ns,
-            me: u64::from(settings.router_index),
+            router_index: u64::from(settings.router_index),
             engines: BTreeMap::new(),
             costs: vec![1.0; settings.classes.len()],
-            told_ns: 0,
+            reported_ns: 0,
             stale: true,
         };
         let limits = budgets.limits();
         Some((budgets, limits))
     }
 
-    /// Their limits: light and heavy ones of each kind.
+    /// The limits of the budgets: light and heavy for each kind.
     pub fn limits(&self) -> Vec<Limit> {
         let limit = |kind: usize, at: usize| Limit {
             name: format!("cold engines of kind {kind}, {} classes", ["light", "heavy"][at]),
@@ -111,11 +114,11 @@
     }
 
     fn limit(&self, kind: usize, lane: usize) -> u16 {
-        place(self.first, kind, lane)
+        limit_index(self.first, kind, lane)
     }
 
-    /// News of the engines.
-    pub fn change(&mut self, now: u64, kind: MembershipKind, entries: &[EngineEntry]) {
+    /// Applies a change of the engine list.
+    pub fn update_engines(&mut self, now: u64, kind: MembershipKind, entries: &[EngineEntry]) {
         if matches!(kind, MembershipKind::Full | MembershipKind::Cached) {
             self.engines.values_mut().for_each(|engine| engine.ready = false);
         }
@@ -125,34 +128,42 @@
                 self.engines.remove(&entry.engine);
                 continue;
             }
-            let named = |KindId(kind): KindId| (kind + 1 < self.units.len()).then_some(kind);
-            let kind = entry.kind.and_then(named).unwrap_or(self.units.len() - 1);
-            // What the module is told again, as it may have forgotten the engine meanwhile.
+            let known_kind = |KindId(kind): KindId| (kind + 1 < self.units.len()).then_some(kind);
+            let kind = entry.kind.and_then(known_kind).unwrap_or(self.units.len() - 1);
+            // `reported: None` repeats the shares: the module may have forgotten the engine.
             let ready = entry.state == EngineState::Ready;
-            self.engines.insert(entry.engine, Cold { kind, ready, until_ns, told: None });
+            self.engines.insert(entry.engine, ColdEngine { kind, ready, until_ns, reported: None });
         }
         self.stale = true;
     }
 
-    /// Something was heard or has run out: shares may be others.
-    pub fn touch(&mut self) {
+    /// Forces the next call of [`Self::changed_shares`] to recompute the shares.
+    pub fn mark_stale(&mut self) {
         self.stale = true;
     }
 
-    /// A client asks for a query of a class: units are wanted where this router owns some, then in its own order of engines.
-    pub fn want(&mut self, now: u64, node: &mut Node, class: ClassId) {
+    /// Records demand for one query of a class. Engines of which this router owns units come first,
+    /// the others in an order particular to this router.
+    pub fn record_demand(&mut self, now: u64, node: &mut Node, class: ClassId) {
         let mut order: Vec<(bool, u64, u16, u64, u32, u32)> = Vec::new();
         for (id, engine) in self.engines.iter().filter(|(_, e)| e.ready && now < e.until_ns) {
             let Some(lane) = self.lanes[engine.kind].get(class.0) else { return };
             let limit = self.limit(engine.kind, *lane);
             let (units, owned) = (self.units[engine.kind][*lane], node.owned(limit, id.0));
-            order.push((owned == 0, mix(self.me.rotate_left(32) ^ id.0), limit, id.0, units, owned));
+            order.push((
+                owned == 0,
+                mix_hash(self.router_index.rotate_left(32) ^ id.0),
+                limit,
+                id.0,
+                units,
+                owned,
+            ));
         }
         order.sort_unstable();
         let cost = self.costs[class.0];
         let fits = |(.., limit, key, units, owned): &&(bool, u64, u16, u64, u32, u32)| {
-            let most = f64::from(*owned).max((f64::from(*units) * WANTED_MOST).ceil());
-            node.wants(now, *limit, *key) + cost <= most
+            let max_units = f64::from(*owned).max((f64::from(*units) * MAX_WANTED_SHARE).ceil());
+            node.wants(now, *limit, *key) + cost <= max_units
         };
         let found = order.iter().find(fits).or(order.first()).copied();
         if let Some((.., limit, key, _, _)) = found {
@@ -160,8 +171,8 @@
         }
     }
 
-    /// A query was sent that takes so much of a lane's budget.
-    pub fn sent(
+    /// Records a query sent to an engine, which takes `share` of its lane's budget.
+    pub fn record_sent(
         &mut self,
         now: u64,
         node: &mut Node,
@@ -174,28 +185,28 @@
         let units = share * f64::from(self.units[cold.kind][lane]);
         node.sent(now, self.limit(cold.kind, lane), engine.0, units);
         if let Some(cost) = self.costs.get_mut(class.0) {
-            *cost += (units - *cost) * COST_WEIGHT;
+            *cost += (units - *cost) * COST_EWMA_WEIGHT;
         }
     }
 
-    /// The shares that the module is to be told anew.
-    pub fn shares(&mut self, now: u64, node: &mut Node) -> Vec<(EngineId, [f64; LANES])> {
-        if !self.stale && now < self.told_ns.saturating_add(AHEAD_NS) {
+    /// Returns the light and heavy shares that changed since they were last returned.
+    pub fn changed_shares(&mut self, now: u64, node: &mut Node) -> Vec<(EngineId, [f64; LANES])> {
+        if !self.stale && now < self.reported_ns.saturating_add(SHARE_HORIZON_NS) {
             return Vec::new();
         }
-        (self.told_ns, self.stale) = (now, false);
+        (self.reported_ns, self.stale) = (now, false);
         self.engines.retain(|_, engine| now < engine.until_ns);
         let mut changed = Vec::new();
         let first = self.first;
         for (id, engine) in &mut self.engines {
             let mut share = |lane: usize| {
-                let limit = place(first, engine.kind, lane);
-                let usable = node.budget(now, now.saturating_add(AHEAD_NS), limit, id.0);
+                let limit = limit_index(first, engine.kind, lane);
+                let usable = node.budget(now, now.saturating_add(SHARE_HORIZON_NS), limit, id.0);
                 f64::from(usable) / f64::from(self.units[engine.kind][lane])
             };
             let shares = [share(0), share(1)];
-            if engine.told != Some(shares) {
-                engine.told = Some(shares);
+            if engine.reported != Some(shares) {
+                engine.reported = Some(shares);
                 changed.push((*id, shares));
             }
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,17 +1,19 @@
-//! The core: requests, attempts and their outcomes. It owns the table of open requests, the timers, the
-//! counters and the one final answer of each request. It knows no sockets and no wire.
+//! The core of the router: open requests, attempts, timers, counters, and exactly one final answer
+//! per request.
 //!
-//! Fronts put requests in and take answers out; engines take attempts and report what becomes of them. All
-//! that comes in is gathered, and [`Router::turn`] hands it to the decision module in one go.
+//! It does no input or output. Fronts submit requests and deliver answers; engine clients execute
+//! attempts and report how they end. Events are queued, and [`Router::process_events`] passes them
+//! to the decision module in one batch. Requests may wait in the admission queue (the door) before
+//! the module receives them.
 
 #![forbid(unsafe_code)]
 
 pub mod cold;
 pub mod counters;
-pub mod ending;
+pub mod end_reason;
+pub mod health;
 pub mod limits;
 pub mod statement;
-pub mod verdicts;
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -20,97 +22,98 @@
 use log::{debug, warn};
 
 use counters::Counters;
-use ending::{Ending, Meaning};
+use end_reason::{ControlEvent, EndReason};
+use health::FleetHealth;
 use limits::FleetLimits;
 use marljunction_control::interface::*;
 use marljunction_control::Controller;
 use marljunction_door::{Advice, Arrival, Door, Verdict};
 use marljunction_limits::node::Ticket;
 use statement::Statement;
-use verdicts::FleetVerdicts;
 
-/// Time past a request's own within which its answer must have been given, or the core gives it (ns).
-const FINAL_GRACE_NS: u64 = 5_000_000;
+/// Time after a request's deadline at which the core answers it if nothing else did (ns).
+const ANSWER_GRACE_NS: u64 = 5_000_000;
 
-/// Time past its class's whole one by which an attempt whose end is not known must be over (ns): its engine counts from when the
-/// call came, and sockets are allowed 50 ms.
-const DOUBT_GRACE_NS: u64 = 250_000_000;
+/// Time after the class deadline by which an attempt with an unconfirmed end must be over (ns): the
+/// engine counts from when it received the call, and sockets may add 50 ms.
+const UNCONFIRMED_END_GRACE_NS: u64 = 250_000_000;
 
-/// Requests that may be open in all (count), and the bytes of their statements (share of the memory limit).
-const OPEN_MOST: usize = 1_000;
-const HELD_MOST: f64 = 0.15;
+/// Maximum number of open requests outside the admission queue.
+const MAX_OPEN_REQUESTS: usize = 1_000;
+/// Share of the memory limit for the statements of open requests.
+const MAX_STATEMENT_MEMORY_SHARE: f64 = 0.15;
 
-/// Need of a request without an estimate (share of its class's aim x threads).
-const USUAL_NEED: f64 = 0.25;
+/// Work of a request without an estimate, as a share of its class's aim times threads.
+const DEFAULT_NEED_SHARE: f64 = 0.25;
 
-/// Advice as clients are told it.
-fn milliseconds(advice: Advice) -> u64 {
+/// Converts retry advice to whole milliseconds, at least 1.
+fn retry_after_ms(advice: Advice) -> u64 {
     advice.after_ns.div_ceil(1_000_000).max(1)
 }
 
-/// Where the answer to a request goes: a connection's number, never used twice, and a number of its own there.
+/// Destination of an answer: a connection id, never reused, and a call id on that connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Client {
-    /// The connection.
+    /// The connection id.
     pub conn: u64,
-    /// The call on it.
+    /// The call id on the connection.
     pub call: u64,
 }
 
-/// What a client asks for.
+/// A client's request: its statement, class, identity, deadline and estimates.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
-    /// The client's own id of the request, passed on to engines.
+pub struct ClientRequest {
+    /// The request id that engines use.
     pub name: String,
-    /// The token by which engines drop its repeats, passed on to them; none where its class has no such thing.
+    /// Deduplication token for engines; `None` if the class is not deduplicated.
     pub token: Option<String>,
-    /// Its class.
+    /// Its request class.
     pub class: ClassId,
-    /// What requests of classes that keep their order take turns for; none for no turns.
+    /// Requests of a serial class with the same key run one at a time.
     pub order_key: Option<u64>,
-    /// Its tenant, where there are tenants.
+    /// Its tenant, if tenants are configured.
     pub tenant: Option<TenantId>,
-    /// Its client, by the number of whatever names one.
+    /// A numeric identity of its client.
     pub client: u64,
-    /// Time until the answer must be on its way.
+    /// Time until the answer must be sent.
     pub time_left_ns: u64,
-    /// Estimated work.
+    /// Estimated work in core-nanoseconds.
     pub work_estimate_ns: Option<u64>,
-    /// Estimated memory.
+    /// Estimated memory in megabytes.
     pub memory_estimate_mb: Option<f64>,
-    /// The statement.
+    /// The SQL statement.
     pub statement: Statement,
 }
 
-/// A row, value by value; absent for NULL.
+/// The values of a row; `None` for NULL.
 pub type Row = Vec<Option<Vec<u8>>>;
 
-/// What an engine says of a column of its result.
+/// Metadata of a result column, as reported by the engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Column {
-    /// Its name.
+    /// The column name.
     pub name: String,
-    /// Its type by object id.
+    /// Type OID.
     pub type_id: u32,
-    /// Size of the type; negative where it varies.
+    /// Size of the type; negative if variable.
     pub size: i16,
-    /// Modifier of the type.
+    /// Type modifier.
     pub modifier: i32,
-    /// Its values are in the type's binary form.
+    /// Whether values are in the type's binary format.
     pub binary: bool,
 }
 
 /// Rows of a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Rows {
-    /// As text: a tab between columns, a line feed after each row.
+    /// Text: columns separated by tabs, each row terminated by a line feed.
     Text(Vec<u8>),
-    /// Value by value, under the engine's columns.
+    /// Column metadata and values.
     Cells(Vec<Column>, Vec<Row>),
 }
 
 impl Rows {
-    /// As text.
+    /// Converts the rows to text; NULL becomes `\N`.
     pub fn into_text(self) -> Vec<u8> {
         match self {
             Rows::Text(text) => text,
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Value by value, with the engine's columns where it told them.
+    /// Converts the rows to values, with column metadata if the engine sent it.
     pub fn into_cells(self) -> (Vec<Column>, Vec<Row>) {
         match self {
             Rows::Cells(columns, rows) => (columns, rows),
@@ -145,114 +148,115 @@
 /// The final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// All rows.
+    /// The complete result.
     Served(Rows),
-    /// Refused: trying again does no harm.
+    /// Refused; a retry is safe.
     Refused {
-        /// When to come back, in milliseconds.
+        /// Retry delay in milliseconds.
         backoff_ms: u64,
-        /// How the last attempt ended, where there was one.
-        after: Option<Ending>,
-        /// The engine's own words, where it gave any.
+        /// How the last attempt ended, if there was one.
+        after: Option<EndReason>,
+        /// The engine's error report, if it sent one.
         fault: Option<Fault>,
     },
-    /// Failed; the last attempt's ending, where there was one, and the engine's own words.
-    Failed(Option<Ending>, Option<Fault>),
+    /// Failed, with the end reason of the last attempt and the engine's error report, if any.
+    Failed(Option<EndReason>, Option<Fault>),
 }
 
-/// An engine's words on why a statement failed.
+/// An engine's error report on a failed statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fault {
     /// SQLSTATE.
     pub state: String,
-    /// What went wrong.
+    /// Error message.
     pub message: String,
 }
 
-/// An attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Attempt {
     /// The request.
     pub request: RequestId,
-    /// Its number, from 0.
+    /// Attempt number, from 0.
     pub number: u32,
 }
 
-/// What the core wants done.
+/// A command for the fronts and engine clients.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Send an attempt to an engine.
     Start {
         /// The attempt.
         attempt: Attempt,
-        /// Where to.
+        /// The target engine.
         engine: EngineId,
-        /// How long the router will wait for it.
+        /// Timeout of the attempt.
         timeout_ns: u64,
         /// Its priority.
         priority: u8,
-        /// What to send.
-        ask: Rc<Ask>,
-        /// It must not begin to go out later, as a repeat that engines would not drop any more (ns); none for any time.
+        /// The request to send.
+        ask: Rc<ClientRequest>,
+        /// Latest time to start sending (ns): afterwards, engines no longer deduplicate a repeat.
+        /// `None` if unlimited.
         begin_by_ns: Option<u64>,
     },
-    /// Give an attempt up; it stays out until its ending is reported.
-    GiveUp(Attempt),
-    /// Take an attempt back where its call was not wholly written yet; else leave it alone.
-    Withdraw(Attempt),
-    /// Change the priority of an attempt that is out.
-    Rank(Attempt, u8),
-    /// Give a client its final answer.
+    /// Cancel an attempt. It remains in flight until its end is reported.
+    CancelAttempt(Attempt),
+    /// Cancel an attempt if its call was not completely written; otherwise leave it running.
+    CancelIfUnsent(Attempt),
+    /// Change the priority of an attempt in flight.
+    SetPriority(Attempt, u8),
+    /// Send a client its final answer.
     Answer(Client, Answer),
 }
 
-struct Out {
+struct InFlight {
     number: u32,
     engine: EngineId,
     sent_ns: u64,
-    given_up_ns: Option<u64>,
+    cancelled_ns: Option<u64>,
 }
 
-struct Open {
-    ask: Rc<Ask>,
+struct OpenRequest {
+    client_request: Rc<ClientRequest>,
     client: Client,
-    /// The final answer was given, or is owed to nobody any more.
+    /// The final answer was sent or is no longer needed.
     concluded: bool,
-    /// Its client left before the final answer.
-    left: bool,
-    /// When the first attempt that may have run was sent (ns).
+    /// The client left before the final answer.
+    client_left: bool,
+    /// Send time of the first attempt that may have run (ns).
     may_have_run_ns: Option<u64>,
     attempts: u32,
-    out: Option<Out>,
-    last: Option<Ending>,
+    in_flight: Option<InFlight>,
+    last_end: Option<EndReason>,
     fault: Option<Fault>,
     priority: u8,
-    taken_ns: u64,
+    received_ns: u64,
     expires_ns: u64,
-    /// What it was admitted by, under limits that hold for the fleet.
+    /// Units held under fleet-wide limits.
     ticket: Option<Ticket>,
 }
 
-enum Inbound {
+enum InboundEvent {
     Arrival(RequestId),
-    Left(RequestId, Ending),
-    Cancelled(RequestId),
+    ClientLeft(RequestId, EndReason),
+    ClientCancelled(RequestId),
     AttemptUpdate(Attempt, AttemptUpdate),
-    Ended(Attempt, Ending, Option<Rows>, Option<LoadReport>),
+    Ended(Attempt, EndReason, Option<Rows>, Option<LoadReport>),
     Membership(MembershipKind, Vec<EngineEntry>),
 }
 
-impl Inbound {
-    /// Its place among what one round brought. Who left is heard first, and then which engines there are: guards against an
-    /// attempt that goes out for nobody, or to an engine that drains, as its cause happened to be read before. A result that
-    /// came goes before a wish to end the request, which came too late then.
-    fn place(&self) -> u8 {
+impl InboundEvent {
+    /// Processing order within a batch. Client departures and membership changes come first, so
+    /// that no attempt is sent for an absent client or to a draining engine. A result precedes a
+    /// cancellation of the same request, which is then too late.
+    fn processing_order(&self) -> u8 {
         match self {
-            Inbound::Left(..) => 0,
-            Inbound::Membership(..) => 1,
-            Inbound::Ended(_, Ending::Served, ..) => 2,
-            Inbound::Cancelled(_) => 3,
-            Inbound::Arrival(_) | Inbound::AttemptUpdate(..) | Inbound::Ended(..) => 4,
+            InboundEvent::ClientLeft(..) => 0,
+            InboundEvent::Membership(..) => 1,
+            InboundEvent::Ended(_, EndReason::Served, ..) => 2,
+            InboundEvent::ClientCancelled(_) => 3,
+            InboundEvent::Arrival(_) | InboundEvent::AttemptUpdate(..) | InboundEvent::Ended(..) => 4,
         }
     }
 }
@@ -264,187 +268,194 @@
     Final(RequestId),
 }
 
-/// The core of one router.
+/// The core of one router process.
 pub struct Router {
     control: Controller,
     classes: Vec<ClassSettings>,
     door: Option<Door>,
     limits: Option<FleetLimits>,
-    verdicts: Option<FleetVerdicts>,
-    open: HashMap<RequestId, Open>,
+    health: Option<FleetHealth>,
+    open: HashMap<RequestId, OpenRequest>,
     timers: BinaryHeap<Reverse<(u64, u64, Timer)>>,
-    batch: Vec<Inbound>,
+    batch: Vec<InboundEvent>,
     actions: Vec<Action>,
     serial: u64,
-    /// Bytes of the open requests' statements.
-    held: usize,
-    held_most: usize,
-    /// Ids of the open requests.
-    names: HashSet<String>,
+    /// Total size of the statements of open requests (bytes).
+    statement_bytes: usize,
+    max_statement_bytes: usize,
+    /// Names of the open requests.
+    open_names: HashSet<String>,
     /// The counters.
     pub counters: Counters,
 }
 
 impl Router {
-    /// A core around a fresh decision module.
+    /// Creates a core with a new decision module. `memory_mb` is the memory limit of the process.
     pub fn new(settings: Settings, seed: u64, memory_mb: f64) -> Self {
         Router {
             classes: settings.classes.clone(),
             door: None,
             limits: None,
-            verdicts: None,
+            health: None,
             control: Controller::new(settings, seed),
             open: HashMap::new(),
             timers: BinaryHeap::new(),
             batch: Vec::new(),
             actions: Vec::new(),
             serial: 0,
-            held: 0,
-            held_most: (memory_mb * HELD_MOST * 1e6) as usize,
-            names: HashSet::new(),
+            statement_bytes: 0,
+            max_statement_bytes: (memory_mb * MAX_STATEMENT_MEMORY_SHARE * 1e6) as usize,
+            open_names: HashSet::new(),
             counters: Counters::default(),
         }
     }
 
-    /// Puts a door before the module.
+    /// Adds an admission queue before the decision module.
     pub fn with_door(mut self, door: Option<Door>) -> Self {
         self.door = door;
         self
     }
 
-    /// Puts limits that hold for the fleet before the door.
+    /// Adds fleet-wide limits before the admission queue.
     pub fn with_limits(mut self, limits: Option<FleetLimits>) -> Self {
         self.limits = limits;
         self
     }
 
-    /// Shares what is believed of engines with the fleet.
-    pub fn with_verdicts(mut self, verdicts: Option<FleetVerdicts>) -> Self {
-        self.verdicts = verdicts;
+    /// Adds engine health shared by the fleet.
+    pub fn with_health(mut self, health: Option<FleetHealth>) -> Self {
+        self.health = health;
         self
     }
 
-    /// What the fleet believes of engines, where it shares that.
-    pub fn verdicts(&mut self) -> Option<&mut FleetVerdicts> {
-        self.verdicts.as_mut()
+    /// Engine health, if the fleet shares it.
+    pub fn health(&mut self) -> Option<&mut FleetHealth> {
+        self.health.as_mut()
     }
 
-    /// The limits that hold for the fleet, where there are some.
+    /// The fleet-wide limits, if configured.
     pub fn limits(&mut self) -> Option<&mut FleetLimits> {
         self.limits.as_mut()
     }
 
-    /// The door, where there is one.
+    /// The admission queue, if configured.
     pub fn door(&mut self) -> Option<&mut Door> {
         self.door.as_mut()
     }
 
-    /// Takes a request; it is owed one final answer from here on.
-    pub fn take(&mut self, now_ns: u64, client: Client, ask: Ask) -> RequestId {
+    /// Accepts a request, which will get exactly one final answer unless its client leaves.
+    pub fn take(&mut self, now_ns: u64, client: Client, client_request: ClientRequest) -> RequestId {
         self.serial += 1;
         let id = RequestId(self.serial);
-        let expires_ns = now_ns.saturating_add(ask.time_left_ns);
-        self.held += ask.statement.text.len();
-        self.names.insert(ask.name.clone());
-        let open = Open {
-            ask: Rc::new(ask),
+        let expires_ns = now_ns.saturating_add(client_request.time_left_ns);
+        self.statement_bytes += client_request.statement.text.len();
+        self.open_names.insert(client_request.name.clone());
+        let open = OpenRequest {
+            client_request: Rc::new(client_request),
             client,
             concluded: false,
-            left: false,
+            client_left: false,
             may_have_run_ns: None,
             attempts: 0,
-            out: None,
-            last: None,
+            in_flight: None,
+            last_end: None,
             fault: None,
             priority: 1,
-            taken_ns: now_ns,
+            received_ns: now_ns,
             expires_ns,
             ticket: None,
         };
         self.open.insert(id, open);
         self.counters.taken += 1;
-        self.set_timer(expires_ns.saturating_add(FINAL_GRACE_NS), Timer::Final(id));
-        self.batch.push(Inbound::Arrival(id));
+        self.set_timer(expires_ns.saturating_add(ANSWER_GRACE_NS), Timer::Final(id));
+        self.batch.push(InboundEvent::Arrival(id));
         id
     }
 
-    /// The client waits no longer: nothing is owed.
-    pub fn leave(&mut self, id: RequestId, ending: Ending) {
-        self.batch.push(Inbound::Left(id, ending));
+    /// Reports that the client left; the request needs no answer.
+    pub fn client_left(&mut self, id: RequestId, end_reason: EndReason) {
+        self.batch.push(InboundEvent::ClientLeft(id, end_reason));
     }
 
-    /// The client waits for the answer, but asks that the request be ended.
+    /// Cancels a request whose client still waits for the answer.
     pub fn cancel(&mut self, id: RequestId) {
-        self.batch.push(Inbound::Cancelled(id));
+        self.batch.push(InboundEvent::ClientCancelled(id));
     }
 
-    /// An engine's words on why an attempt fails; its ending follows.
+    /// Records an engine's error report on an attempt; its end is reported separately.
     pub fn fault(&mut self, at: Attempt, fault: Fault) {
         let open = self.open.get_mut(&at.request);
-        if let Some(open) = open.filter(|o| o.out.as_ref().is_some_and(|c| c.number == at.number)) {
+        if let Some(open) = open.filter(|o| o.in_flight.as_ref().is_some_and(|c| c.number == at.number)) {
             open.fault = Some(fault);
         }
     }
 
-    /// News of a running attempt.
+    /// Reports progress of a running attempt.
     pub fn note(&mut self, attempt: Attempt, note: AttemptUpdate) {
-        self.batch.push(Inbound::AttemptUpdate(attempt, note));
+        self.batch.push(InboundEvent::AttemptUpdate(attempt, note));
     }
 
-    /// An attempt has ended; only the first ending of an attempt counts.
-    pub fn ended(&mut self, at: Attempt, ending: Ending, rows: Option<Rows>, report: Option<LoadReport>) {
-        self.batch.push(Inbound::Ended(at, ending, rows, report));
+    /// Reports the end of an attempt. Only the first report for an attempt counts.
+    pub fn ended(
+        &mut self,
+        at: Attempt,
+        end_reason: EndReason,
+        rows: Option<Rows>,
+        report: Option<LoadReport>,
+    ) {
+        self.batch.push(InboundEvent::Ended(at, end_reason, rows, report));
     }
 
-    /// News of the engines.
+    /// Reports a change of the engine list.
     pub fn membership(&mut self, kind: MembershipKind, entries: Vec<EngineEntry>) {
-        self.batch.push(Inbound::Membership(kind, entries));
+        self.batch.push(InboundEvent::Membership(kind, entries));
     }
 
-    /// Whether one more request may be taken: each may hold a statement and a result.
-    pub fn has_room(&self) -> bool {
-        // What waits at the door has a bound of its own, past which the door itself makes room.
+    /// Whether another request may be accepted.
+    pub fn has_capacity(&self) -> bool {
+        // The admission queue bounds and evicts its own requests.
         let (queued, bytes, bytes_most) =
             self.door.as_ref().map_or((0, 0, 0), |d| (d.queued(), d.held_bytes(), d.bytes_most()));
-        self.open.len() - queued < OPEN_MOST && self.held - bytes < self.held_most - bytes_most
+        self.open.len() - queued < MAX_OPEN_REQUESTS
+            && self.statement_bytes - bytes < self.max_statement_bytes - bytes_most
     }
 
-    /// Bytes of statements that may wait at a door: half of what all may hold.
-    pub fn door_bytes(memory_mb: f64) -> usize {
-        (memory_mb * HELD_MOST * 1e6 / 2.0) as usize
+    /// Maximum statement bytes in the admission queue: half of the total.
+    pub fn max_queued_bytes(memory_mb: f64) -> usize {
+        (memory_mb * MAX_STATEMENT_MEMORY_SHARE * 1e6 / 2.0) as usize
     }
 
-    /// Whether a request with this id is open: engines know queries by it.
-    pub fn knows(&self, name: &str) -> bool {
-        self.names.contains(name)
+    /// Whether a request with this name is open; engines identify queries by it.
+    pub fn has_open_request(&self, name: &str) -> bool {
+        self.open_names.contains(name)
     }
 
-    /// Ends all that is open, as the program has no more time to wait for it.
-    pub fn end_all(&mut self, out: &mut Vec<Command>, now_ns: u64) {
+    /// Answers all open requests at shutdown.
+    pub fn end_all(&mut self, commands: &mut Vec<Command>, now_ns: u64) {
         let mut open: Vec<RequestId> = self.open.keys().copied().collect();
         open.sort_unstable();
         for id in open {
             if let Some(open) = self.open.get_mut(&id).filter(|o| !o.concluded) {
-                open.last = Some(Ending::Shutdown);
-                self.overdue(now_ns, id, out);
+                open.last_end = Some(EndReason::Shutdown);
+                self.answer_expired(now_ns, id, commands);
             }
         }
     }
 
-    /// Requests that are owed an answer.
-    pub fn owed(&self) -> usize {
+    /// Number of requests without a final answer.
+    pub fn unanswered(&self) -> usize {
         self.open.values().filter(|o| !o.concluded).count()
     }
 
-    /// When the next timer is due.
+    /// Due time of the next timer (ns).
     pub fn next_due_ns(&self) -> Option<u64> {
         let timer = self.timers.peek().map(|Reverse((due, ..))| *due);
         let door = self.door.as_ref().and_then(Door::next_due_ns);
         timer.into_iter().chain(door).min()
     }
 
-    /// Whether something waits for the module.
-    pub fn has_news(&self) -> bool {
+    /// Whether events wait for [`Router::process_events`].
+    pub fn has_pending_events(&self) -> bool {
         !self.batch.is_empty()
     }
 
@@ -453,195 +464,201 @@
         self.timers.push(Reverse((due_ns, self.serial, timer)));
     }
 
-    /// Hands all that was gathered, and all timers that are due, to the module; adds to `out` what is to be done.
-    pub fn turn(&mut self, now_ns: u64, out: &mut Vec<Command>) {
-        self.tell_shares(now_ns, out);
-        self.tell_verdicts(now_ns, out);
+    /// Passes all queued events and due timers to the decision module and appends the resulting
+    /// commands.
+    pub fn process_events(&mut self, now_ns: u64, commands: &mut Vec<Command>) {
+        self.send_cold_shares(now_ns, commands);
+        self.send_verdicts(now_ns, commands);
         let mut batch = std::mem::take(&mut self.batch);
-        batch.sort_by_key(Inbound::place);
-        for inbound in batch.drain(..) {
-            self.inbound(now_ns, inbound, out);
+        batch.sort_by_key(InboundEvent::processing_order);
+        for event in batch.drain(..) {
+            self.handle_inbound(now_ns, event, commands);
         }
         self.batch = batch;
         while self.timers.peek().is_some_and(|Reverse((due, ..))| *due <= now_ns) {
             let Some(Reverse((_, _, timer))) = self.timers.pop() else { break };
             match timer {
-                Timer::Module(token) => self.decide(now_ns, Event::Timer(token), out),
-                Timer::TimeOut(at) => self.time_out(now_ns, at, out),
-                Timer::Final(id) => self.overdue(now_ns, id, out),
+                Timer::Module(token) => self.decide(now_ns, Event::Timer(token), commands),
+                Timer::TimeOut(at) => self.handle_timeout(now_ns, at, commands),
+                Timer::Final(id) => self.answer_expired(now_ns, id, commands),
             }
         }
-        self.open_door(now_ns, out);
+        self.poll_door(now_ns, commands);
     }
 
-    /// Shows the module what the door lets through, and answers what the door refuses. The module's own refusals teach
-    /// the door meanwhile, so that it is asked again after each.
-    fn open_door(&mut self, now: u64, out: &mut Vec<Command>) {
+    /// Submits the requests that the admission queue releases and answers those that it refuses.
+    /// The queue is polled again after each, because refusals by the module change its state.
+    fn poll_door(&mut self, now: u64, commands: &mut Vec<Command>) {
         while let Some(verdict) = self.door.as_mut().and_then(|d| d.open(now)) {
             match verdict {
                 Verdict::Show(id) => {
-                    self.show(now, RequestId(id), out);
+                    self.submit_to_controller(now, RequestId(id), commands);
                     if let Some(door) = &mut self.door {
                         door.accepted(now, id);
                     }
                 }
                 Verdict::Refuse(id, advice) => {
-                    let backoff_ms = milliseconds(advice);
+                    let backoff_ms = retry_after_ms(advice);
                     let answer = Answer::Refused { backoff_ms, after: None, fault: None };
-                    self.conclude(now, RequestId(id), answer, out);
-                    self.tidy(RequestId(id));
+                    self.conclude(now, RequestId(id), answer, commands);
+                    self.remove_if_done(RequestId(id));
                 }
             }
         }
     }
 
-    /// What the door is told of a request.
-    fn at_door(&self, id: RequestId, open: &Open) -> Arrival {
-        let (ask, class) = (&open.ask, &self.classes[open.ask.class.0]);
+    /// Describes a request to the admission queue.
+    fn door_arrival(&self, id: RequestId, open: &OpenRequest) -> Arrival {
+        let (client_request, class) = (&open.client_request, &self.classes[open.client_request.class.0]);
         let threads = class.threads.max(1.0);
-        let usual_ns = class.target_latency_ns as f64 * threads * USUAL_NEED;
-        let need_ns = ask.work_estimate_ns.map_or(usual_ns, |w| w as f64);
+        let default_need_ns = class.target_latency_ns as f64 * threads * DEFAULT_NEED_SHARE;
+        let need_ns = client_request.work_estimate_ns.map_or(default_need_ns, |w| w as f64);
         let stretch_ns = (class.target_latency_stretch * need_ns / threads) as u64;
         Arrival {
             id: id.0,
-            tenant: ask.tenant.map_or(usize::MAX, |t| t.0),
-            client: ask.client,
-            class: ask.class.0,
+            tenant: client_request.tenant.map_or(usize::MAX, |t| t.0),
+            client: client_request.client,
+            class: client_request.class.0,
             threads,
             need_ns,
             worth: class.worth,
-            wanted_ns: open.taken_ns.saturating_add(class.target_latency_ns).saturating_add(stretch_ns),
+            wanted_ns: open.received_ns.saturating_add(class.target_latency_ns).saturating_add(stretch_ns),
             expires_ns: open.expires_ns,
-            bytes: ask.statement.text.len(),
+            bytes: client_request.statement.text.len(),
         }
     }
 
-    /// Hands a request to the module.
-    fn show(&mut self, now: u64, id: RequestId, out: &mut Vec<Command>) {
+    /// Submits a request to the decision module.
+    fn submit_to_controller(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) {
         let Some(open) = self.open.get(&id) else { return };
-        let ask = &open.ask;
-        self.limits.iter_mut().for_each(|limits| limits.want(now, ask.class));
+        let client_request = &open.client_request;
+        self.limits.iter_mut().for_each(|limits| limits.record_demand(now, client_request.class));
         let request = Request {
             id,
-            class: ask.class,
-            key: ask.order_key,
-            tenant: ask.tenant,
+            class: client_request.class,
+            key: client_request.order_key,
+            tenant: client_request.tenant,
             time_left_ns: open.expires_ns.saturating_sub(now),
-            waited_ns: now.saturating_sub(open.taken_ns),
-            data_set: statement::table_group(&ask.statement.text),
-            work_estimate_ns: ask.work_estimate_ns,
-            memory_estimate_mb: ask.memory_estimate_mb,
+            waited_ns: now.saturating_sub(open.received_ns),
+            data_set: statement::table_group(&client_request.statement.text),
+            work_estimate_ns: client_request.work_estimate_ns,
+            memory_estimate_mb: client_request.memory_estimate_mb,
             ..Request::default()
         };
-        self.decide(now, Event::Arrival(request), out);
+        self.decide(now, Event::Arrival(request), commands);
     }
 
-    /// Tells the module what it may count on of cold engines' budgets, where the fleet shares them.
-    fn tell_shares(&mut self, now: u64, out: &mut Vec<Command>) {
-        let shares = self.limits.as_mut().map_or_else(Vec::new, |limits| limits.shares(now));
+    /// Sends changed shares of cold engines' budgets to the decision module.
+    fn send_cold_shares(&mut self, now: u64, commands: &mut Vec<Command>) {
+        let shares = self.limits.as_mut().map_or_else(Vec::new, |limits| limits.changed_shares(now));
         for (engine, shares) in shares {
-            self.decide(now, Event::ColdShares(engine, shares), out);
+            self.decide(now, Event::ColdShares(engine, shares), commands);
         }
     }
 
-    /// Tells the module what the fleet believes of engines by now, where that has changed.
-    fn tell_verdicts(&mut self, now: u64, out: &mut Vec<Command>) {
-        let verdicts = self.verdicts.as_mut().map_or_else(Vec::new, |verdicts| verdicts.verdicts(now));
-        for (engine, verdict) in verdicts {
+    /// Sends changed verdicts on engines to the decision module.
+    fn send_verdicts(&mut self, now: u64, commands: &mut Vec<Command>) {
+        let changed = self.health.as_mut().map_or_else(Vec::new, |health| health.changed_verdicts(now));
+        for (engine, verdict) in changed {
             debug!("the fleet's verdict on {:016x} is {verdict:?}", engine.0);
-            self.decide(now, Event::VerdictChanged(engine, verdict), out);
+            self.decide(now, Event::VerdictChanged(engine, verdict), commands);
         }
     }
 
-    /// Whether the fleet's limits admit a request; one that they do not is refused, with the time when its share is due.
-    fn admitted(&mut self, now: u64, id: RequestId, out: &mut Vec<Command>) -> bool {
+    /// Admits a request under the fleet-wide limits, or refuses it with a retry delay.
+    fn admit_under_limits(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) -> bool {
         let (Some(limits), Some(open)) = (&mut self.limits, self.open.get_mut(&id)) else { return true };
-        match limits.admit(now, &open.ask) {
+        match limits.admit(now, &open.client_request) {
             Ok(ticket) => {
                 open.ticket = Some(ticket);
                 true
             }
             Err(after_ns) => {
                 let backoff_ms = after_ns.div_ceil(1_000_000).max(1);
-                self.conclude(now, id, Answer::Refused { backoff_ms, after: None, fault: None }, out);
-                self.tidy(id);
+                self.conclude(now, id, Answer::Refused { backoff_ms, after: None, fault: None }, commands);
+                self.remove_if_done(id);
                 false
             }
         }
     }
 
-    fn inbound(&mut self, now: u64, inbound: Inbound, out: &mut Vec<Command>) {
-        match inbound {
-            Inbound::Arrival(id) => {
-                if !self.admitted(now, id, out) {
+    fn handle_inbound(&mut self, now: u64, event: InboundEvent, commands: &mut Vec<Command>) {
+        match event {
+            InboundEvent::Arrival(id) => {
+                if !self.admit_under_limits(now, id, commands) {
                     return;
                 }
                 let Some(open) = self.open.get(&id) else { return };
-                // Guards against a request that passes an earlier one of its key at the door: the module keeps their order.
-                if self.door.is_none() || self.takes_turns(&open.ask) {
-                    return self.show(now, id, out);
+                // Serial requests bypass the queue, where a later one could overtake: the module
+                // keeps their order.
+                if self.door.is_none() || self.runs_serially(&open.client_request) {
+                    return self.submit_to_controller(now, id, commands);
                 }
-                let arrival = self.at_door(id, open);
+                let arrival = self.door_arrival(id, open);
                 if let Some(door) = &mut self.door {
                     door.arrive(now, arrival);
                 }
             }
-            Inbound::Left(id, ending) => {
+            InboundEvent::ClientLeft(id, end_reason) => {
                 let Some(open) = self.open.get_mut(&id) else { return };
                 if !std::mem::replace(&mut open.concluded, true) {
-                    open.left = true;
+                    open.client_left = true;
                     self.counters.left += 1;
-                    self.counters.left_unsent += u64::from(open.out.is_none());
-                    self.counters.ended(ending);
-                    debug_assert_eq!(ending.meaning(), Meaning::Left);
-                    self.left(now, id, out);
+                    self.counters.left_unsent += u64::from(open.in_flight.is_none());
+                    self.counters.ended(end_reason);
+                    debug_assert_eq!(end_reason.control_event(), ControlEvent::Left);
+                    self.handle_client_left(now, id, commands);
                 }
             }
-            Inbound::Cancelled(id) => {
+            InboundEvent::ClientCancelled(id) => {
                 if self.open.get(&id).is_some_and(|o| !o.concluded) {
-                    self.counters.ended(Ending::Forgotten);
-                    self.end(now, id, Answer::Failed(Some(Ending::Forgotten), None), out);
+                    self.counters.ended(EndReason::Forgotten);
+                    self.end_request(now, id, Answer::Failed(Some(EndReason::Forgotten), None), commands);
                 }
             }
-            Inbound::AttemptUpdate(at, note) => {
-                let current = self.open.get(&at.request).and_then(|o| o.out.as_ref());
+            InboundEvent::AttemptUpdate(at, note) => {
+                let current = self.open.get(&at.request).and_then(|o| o.in_flight.as_ref());
                 if current.is_some_and(|c| c.number == at.number) {
-                    self.decide(now, Event::Progress(at.request, at.number, note), out);
+                    self.decide(now, Event::Progress(at.request, at.number, note), commands);
                 }
             }
-            Inbound::Ended(at, ending, rows, report) => self.end_attempt(now, at, ending, rows, report, out),
-            Inbound::Membership(kind, entries) => {
+            InboundEvent::Ended(at, end_reason, rows, report) => {
+                self.end_attempt(now, at, end_reason, rows, report, commands)
+            }
+            InboundEvent::Membership(kind, entries) => {
                 self.counters.membership += 1;
                 for e in &entries {
                     let started_ms = e.started_ns.map(|ns| ns / 1_000_000);
                     debug!("{kind:?} list: engine {:016x} {:?} started {started_ms:?}", e.engine.0, e.state);
                 }
-                self.limits.iter_mut().for_each(|limits| limits.change(now, kind, &entries));
-                if let Some(verdicts) = &mut self.verdicts {
-                    entries.iter().for_each(|entry| verdicts.tell_again(entry.engine));
+                self.limits.iter_mut().for_each(|limits| limits.update_engines(now, kind, &entries));
+                if let Some(health) = &mut self.health {
+                    entries.iter().for_each(|entry| health.resend_verdict(entry.engine));
                 }
-                self.decide(now, Event::Membership(kind, entries), out);
-                self.tell_shares(now, out);
-                self.tell_verdicts(now, out);
+                self.decide(now, Event::Membership(kind, entries), commands);
+                self.send_cold_shares(now, commands);
+                self.send_verdicts(now, commands);
             }
         }
     }
 
-    /// Nobody waits for a request any more: the module hears of it where it was shown it.
-    fn left(&mut self, now: u64, id: RequestId, out: &mut Vec<Command>) {
+    /// Removes a request whose client left from the admission queue, or notifies the decision
+    /// module.
+    fn handle_client_left(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) {
         if !self.door.as_mut().is_some_and(|d| d.leave(now, id.0)) {
-            self.unwanted(now, id, out);
+            self.notify_client_left(now, id, commands);
         }
-        self.tidy(id);
+        self.remove_if_done(id);
     }
 
-    /// The module hears that nobody waits for a request. Where it may not, or does not, give up what is out, that is still
-    /// taken back while it waits to be sent.
-    fn unwanted(&mut self, now: u64, id: RequestId, out: &mut Vec<Command>) {
-        self.decide(now, Event::Left(id), out);
-        if let Some(ran) = self.open.get(&id).and_then(|o| o.out.as_ref()).filter(|o| o.given_up_ns.is_none())
+    /// Notifies the decision module that a client left. An attempt that the module does not cancel
+    /// is cancelled here if it is still unsent.
+    fn notify_client_left(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) {
+        self.decide(now, Event::Left(id), commands);
+        if let Some(in_flight) =
+            self.open.get(&id).and_then(|o| o.in_flight.as_ref()).filter(|o| o.cancelled_ns.is_none())
         {
-            out.push(Command::Withdraw(Attempt { request: id, number: ran.number }));
+            commands.push(Command::CancelIfUnsent(Attempt { request: id, number: in_flight.number }));
         }
     }
 
@@ -649,38 +666,46 @@
         &mut self,
         now: u64,
         at: Attempt,
-        ending: Ending,
+        end_reason: EndReason,
         rows: Option<Rows>,
         report: Option<LoadReport>,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         let Some(open) = self.open.get_mut(&at.request) else { return };
-        // Guards against a second ending of one attempt, as when its time ran out while it was being given up.
-        let Some(ran) = open.out.take_if(|o| o.number == at.number) else { return };
-        self.counters.ended(ending);
-        open.last = Some(ending);
-        self.counters.left_unsent += u64::from(open.left && ending == Ending::Withdrawn);
-        open.may_have_run_ns = open.may_have_run_ns.or(Some(ran.sent_ns).filter(|_| ending.may_have_run()));
-        if let Some(verdicts) = &mut self.verdicts {
-            verdicts.ended(now, (ran.engine, open.ask.class), (ran.sent_ns, ran.given_up_ns), ending);
+        // Ignores a second end of an attempt, such as a timeout during its cancellation.
+        let Some(in_flight) = open.in_flight.take_if(|o| o.number == at.number) else { return };
+        self.counters.ended(end_reason);
+        open.last_end = Some(end_reason);
+        self.counters.left_unsent += u64::from(open.client_left && end_reason == EndReason::Withdrawn);
+        open.may_have_run_ns =
+            open.may_have_run_ns.or(Some(in_flight.sent_ns).filter(|_| end_reason.may_have_run()));
+        if let Some(health) = &mut self.health {
+            health.attempt_ended(
+                now,
+                (in_flight.engine, open.client_request.class),
+                (in_flight.sent_ns, in_flight.cancelled_ns),
+                end_reason,
+            );
         }
-        let Meaning::Outcome(status) = ending.meaning() else { return };
-        if let (Ending::Served, Some(rows), false) = (ending, rows, open.concluded) {
+        let ControlEvent::Outcome(status) = end_reason.control_event() else { return };
+        if let (EndReason::Served, Some(rows), false) = (end_reason, rows, open.concluded) {
             open.concluded = true;
             self.counters.served += 1;
-            out.push(Command::Answer(open.client, Answer::Served(rows)));
+            commands.push(Command::Answer(open.client, Answer::Served(rows)));
             if let Some(door) = &mut self.door {
                 door.over(now, at.request.0, Some(true));
             }
         }
-        let longest_ns = self.classes[open.ask.class.0].deadline_ns.saturating_add(DOUBT_GRACE_NS);
-        let may_run_until_ns = if ending.leaves_doubt() { ran.sent_ns.saturating_add(longest_ns) } else { 0 };
+        let longest_ns =
+            self.classes[open.client_request.class.0].deadline_ns.saturating_add(UNCONFIRMED_END_GRACE_NS);
+        let may_run_until_ns =
+            if end_reason.may_still_run() { in_flight.sent_ns.saturating_add(longest_ns) } else { 0 };
         let outcome = Outcome {
             request: at.request,
             attempt: at.number,
-            engine: ran.engine,
+            engine: in_flight.engine,
             status,
-            latency_ns: now.saturating_sub(ran.sent_ns),
+            latency_ns: now.saturating_sub(in_flight.sent_ns),
             concluded: open.concluded,
             work_ns: None,
             memory_mb: None,
@@ -688,69 +713,74 @@
             may_run_until_ns,
         };
         debug!(
-            "{} attempt {} on {:016x} ended {ending:?} after {} ms",
-            open.ask.name,
+            "{} attempt {} on {:016x} ended {end_reason:?} after {} ms",
+            open.client_request.name,
             at.number,
-            ran.engine.0,
+            in_flight.engine.0,
             outcome.latency_ns / 1_000_000
         );
-        self.decide(now, Event::Outcome(outcome), out);
-        self.tidy(at.request);
+        self.decide(now, Event::Outcome(outcome), commands);
+        self.remove_if_done(at.request);
     }
 
-    fn time_out(&mut self, now: u64, at: Attempt, out: &mut Vec<Command>) {
+    fn handle_timeout(&mut self, now: u64, at: Attempt, commands: &mut Vec<Command>) {
         let Some(open) = self.open.get(&at.request) else { return };
-        let Some(ran) = open.out.as_ref().filter(|ran| ran.number == at.number) else { return };
-        let (concluded, given_up) = (open.concluded, ran.given_up_ns.is_some());
-        if !self.takes_turns(&open.ask) {
-            out.push(Command::GiveUp(at));
-            return self.end_attempt(now, at, Ending::TimedOut, None, None, out);
+        let Some(in_flight) = open.in_flight.as_ref().filter(|in_flight| in_flight.number == at.number)
+        else {
+            return;
+        };
+        let (concluded, cancelled) = (open.concluded, in_flight.cancelled_ns.is_some());
+        if !self.runs_serially(&open.client_request) {
+            commands.push(Command::CancelAttempt(at));
+            return self.end_attempt(now, at, EndReason::TimedOut, None, None, commands);
         }
-        // Guards against the next request of the key running beside this attempt: it is out until its engine has been told.
+        // The attempt of a serial request stays in flight until the engine is notified, so that the
+        // next request of its key does not run concurrently.
         if !concluded {
-            self.decide(now, Event::Expired(at.request), out);
+            self.decide(now, Event::Expired(at.request), commands);
         }
-        if !given_up {
-            self.act(now, Action::Cancel { request: at.request, attempt: at.number }, out);
+        if !cancelled {
+            self.act(now, Action::Cancel { request: at.request, attempt: at.number }, commands);
         }
     }
 
-    /// Whether a request takes turns with others of its key.
-    fn takes_turns(&self, ask: &Ask) -> bool {
-        ask.order_key.is_some() && self.classes[ask.class.0].serial_by_key
+    /// Whether requests with this one's key run one at a time.
+    fn runs_serially(&self, client_request: &ClientRequest) -> bool {
+        client_request.order_key.is_some() && self.classes[client_request.class.0].serial_by_key
     }
 
-    /// Guards against a request that nobody answers: its time is over, so it fails, or is refused where no
-    /// attempt was made.
-    fn overdue(&mut self, now: u64, id: RequestId, out: &mut Vec<Command>) {
+    /// Answers a request whose deadline passed without an answer: failed, or refused if no attempt
+    /// was made.
+    fn answer_expired(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) {
         let Some(open) = self.open.get(&id).filter(|o| !o.concluded) else { return };
-        warn!("request {} had no answer at its end", id.0);
+        warn!("request {} had no answer at its deadline", id.0);
         let answer = match open.attempts {
             0 => Answer::Refused { backoff_ms: 100, after: None, fault: None },
-            _ => Answer::Failed(open.last, open.fault.clone()),
+            _ => Answer::Failed(open.last_end, open.fault.clone()),
         };
-        self.end(now, id, answer, out);
+        self.end_request(now, id, answer, commands);
     }
 
-    /// Ends a request that the module did not end: it hears of it where it was shown it.
-    fn end(&mut self, now: u64, id: RequestId, answer: Answer, out: &mut Vec<Command>) {
+    /// Ends a request without a decision of the module, and notifies the module if it has the
+    /// request.
+    fn end_request(&mut self, now: u64, id: RequestId, answer: Answer, commands: &mut Vec<Command>) {
         let waits = self.door.as_ref().is_some_and(|d| d.waits(id.0));
-        self.conclude(now, id, answer, out);
+        self.conclude(now, id, answer, commands);
         if !waits {
-            self.unwanted(now, id, out);
+            self.notify_client_left(now, id, commands);
         }
-        self.tidy(id);
+        self.remove_if_done(id);
     }
 
-    /// The one place where a request that was not served gets its final answer.
-    fn conclude(&mut self, now: u64, id: RequestId, answer: Answer, out: &mut Vec<Command>) {
+    /// Sends the final answer of a request that was not served.
+    fn conclude(&mut self, now: u64, id: RequestId, answer: Answer, commands: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&id).filter(|o| !o.concluded) else { return };
         open.concluded = true;
         match answer {
             Answer::Refused { .. } => self.counters.refused += 1,
             _ => self.counters.failed += 1,
         }
-        out.push(Command::Answer(open.client, answer));
+        commands.push(Command::Answer(open.client, answer));
         if let Some(door) = &mut self.door {
             if door.waits(id.0) {
                 door.leave(now, id.0);
@@ -760,38 +790,42 @@
         }
     }
 
-    fn tidy(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(|o| o.concluded && o.out.is_none()) {
+    fn remove_if_done(&mut self, id: RequestId) {
+        if self.open.get(&id).is_some_and(|o| o.concluded && o.in_flight.is_none()) {
             let Some(open) = self.open.remove(&id) else { return };
-            self.held -= open.ask.statement.text.len();
-            self.names.remove(&open.ask.name);
+            self.statement_bytes -= open.client_request.statement.text.len();
+            self.open_names.remove(&open.client_request.name);
             if let (Some(limits), Some(ticket)) = (&mut self.limits, open.ticket) {
-                limits.over(ticket);
+                limits.release(ticket);
             }
         }
     }
 
-    /// Hands one event to the module and takes its actions.
-    fn decide(&mut self, now: u64, event: Event, out: &mut Vec<Command>) {
+    /// Passes one event to the decision module and executes its actions.
+    fn decide(&mut self, now: u64, event: Event, commands: &mut Vec<Command>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.control.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(now, action, out);
+            self.act(now, action, commands);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, now: u64, action: Action, out: &mut Vec<Command>) {
+    fn act(&mut self, now: u64, action: Action, commands: &mut Vec<Command>) {
         match action {
             Action::Send { request, engine, timeout_ns } => {
                 let Some(open) = self.open.get_mut(&request) else { return };
                 let attempt = Attempt { request, number: open.attempts };
                 open.attempts += 1;
-                open.out = Some(Out { number: attempt.number, engine, sent_ns: now, given_up_ns: None });
-                let (priority, ask, may_have_run_ns) =
-                    (open.priority, open.ask.clone(), open.may_have_run_ns);
-                let class = ask.class.0;
-                debug!("{} attempt {} of class {class} goes to {:016x}", ask.name, attempt.number, engine.0);
+                open.in_flight =
+                    Some(InFlight { number: attempt.number, engine, sent_ns: now, cancelled_ns: None });
+                let (priority, client_request, may_have_run_ns) =
+                    (open.priority, open.client_request.clone(), open.may_have_run_ns);
+                let class = client_request.class.0;
+                debug!(
+                    "{} attempt {} of class {class} sent to {:016x}",
+                    client_request.name, attempt.number, engine.0
+                );
                 let due = now.saturating_add(timeout_ns).min(open.expires_ns);
                 self.counters.sent += 1;
                 self.set_timer(due, Timer::TimeOut(attempt));
@@ -800,55 +834,66 @@
                 let window_ns = class.dedup_window_ns.filter(|_| class.effect == Effect::Deduplicated);
                 let begin_by_ns =
                     may_have_run_ns.zip(window_ns).map(|(sent, window)| sent.saturating_add(window));
-                out.push(Command::Start { attempt, engine, timeout_ns, priority, ask, begin_by_ns });
+                commands.push(Command::Start {
+                    attempt,
+                    engine,
+                    timeout_ns,
+                    priority,
+                    ask: client_request,
+                    begin_by_ns,
+                });
             }
             Action::ColdSent { request, engine, lane, share } => {
-                let class = self.open.get(&request).map(|open| open.ask.class);
+                let class = self.open.get(&request).map(|open| open.client_request.class);
                 if let (Some(limits), Some(class)) = (&mut self.limits, class) {
-                    limits.sent(now, class, engine, lane, share);
+                    limits.record_sent(now, class, engine, lane, share);
                 }
             }
             Action::Cancel { request, attempt } => {
                 if let Some(open) = self.open.get_mut(&request) {
-                    debug!("{} attempt {attempt} is given up", open.ask.name);
-                    let class = open.ask.class;
-                    if let Some(ran) = open.out.as_mut().filter(|ran| ran.number == attempt) {
-                        ran.given_up_ns = Some(now);
-                        if let Some(verdicts) = &mut self.verdicts {
-                            verdicts.given_up(now, ran.engine, class, ran.sent_ns);
+                    debug!("{} attempt {attempt} cancelled", open.client_request.name);
+                    let class = open.client_request.class;
+                    if let Some(in_flight) =
+                        open.in_flight.as_mut().filter(|in_flight| in_flight.number == attempt)
+                    {
+                        in_flight.cancelled_ns = Some(now);
+                        if let Some(health) = &mut self.health {
+                            health.attempt_cancelled(now, in_flight.engine, class, in_flight.sent_ns);
                         }
                     }
                 }
-                out.push(Command::GiveUp(Attempt { request, number: attempt }))
+                commands.push(Command::CancelAttempt(Attempt { request, number: attempt }))
             }
             Action::Refuse { request, retry_after_ns } => {
                 let Some(open) = self.open.get(&request) else { return };
-                let (after, fault) = (open.last, open.fault.clone());
+                let (after, fault) = (open.last_end, open.fault.clone());
                 let sent = open.attempts > 0;
                 let advice = self.door.as_mut().and_then(|d| d.refused(now, request.0, sent));
                 let module_ms = retry_after_ns.unwrap_or(100_000_000).div_ceil(1_000_000).max(1);
-                let backoff_ms = advice.filter(|_| retry_after_ns.is_some()).map_or(module_ms, milliseconds);
-                self.conclude(now, request, Answer::Refused { backoff_ms, after, fault }, out);
-                self.tidy(request);
+                let backoff_ms =
+                    advice.filter(|_| retry_after_ns.is_some()).map_or(module_ms, retry_after_ms);
+                self.conclude(now, request, Answer::Refused { backoff_ms, after, fault }, commands);
+                self.remove_if_done(request);
             }
             Action::Fail(request) => {
                 let Some(open) = self.open.get(&request) else { return };
-                let answer = Answer::Failed(open.last, open.fault.clone());
-                self.conclude(now, request, answer, out);
-                self.tidy(request);
+                let answer = Answer::Failed(open.last_end, open.fault.clone());
+                self.conclude(now, request, answer, commands);
+                self.remove_if_done(request);
             }
             Action::SetTerms { request, priority, .. } => {
                 let Some(open) = self.open.get_mut(&request) else { return };
                 open.priority = priority;
-                if let Some(ran) = &open.out {
-                    out.push(Command::Rank(Attempt { request, number: ran.number }, priority));
+                if let Some(in_flight) = &open.in_flight {
+                    commands
+                        .push(Command::SetPriority(Attempt { request, number: in_flight.number }, priority));
                 }
             }
             Action::SetTimer { after_ns, token } => {
                 self.set_timer(now.saturating_add(after_ns), Timer::Module(token))
             }
             Action::Log(text) => log::info!("{text}"),
-            // This program has no probes, no peers and a feed that needs no asking.
+            // Probes, peer messages and subscriptions are not used by this program.
             Action::Probe(_) | Action::SendToPeer(..) | Action::Subscribe => {}
         }
     }
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -1,17 +1,17 @@
-//! The core with a door before the module: one final answer each, whatever happens to what waits.
+//! The core with an admission queue (the door): each request gets exactly one final answer.
 
 use std::collections::HashMap;
 
 use marljunction_control::interface::*;
-use marljunction_core::ending::Ending;
-use marljunction_core::{Answer, Ask, Attempt, Client, Command, Router, Rows};
+use marljunction_core::end_reason::EndReason;
+use marljunction_core::{Answer, Attempt, Client, ClientRequest, Command, Router, Rows};
 use marljunction_door::settings::DoorSettings;
 use marljunction_door::{Door, Site};
 
 const MS: u64 = 1_000_000;
 const T0: u64 = 1_700_000_000_000 * MS;
 
-struct World {
+struct TestRouter {
     router: Router,
     now: u64,
     calls: u64,
@@ -40,17 +40,17 @@
     }
 }
 
-impl World {
-    fn new(door: DoorSettings) -> World {
+impl TestRouter {
+    fn new(door: DoorSettings) -> TestRouter {
         let site = Site {
             weights: vec![1.0, 1.0],
             classes: 2,
             longest_ns: Some(1_000 * MS),
-            bytes_most: Router::door_bytes(64.0),
+            bytes_most: Router::max_queued_bytes(64.0),
             seed: 3,
         };
         let router = Router::new(settings(), 1, 64.0).with_door(Some(Door::new(T0, door, site)));
-        let mut w = World { router, now: T0, calls: 0, out: Vec::new(), answers: HashMap::new() };
+        let mut w = TestRouter { router, now: T0, calls: 0, out: Vec::new(), answers: HashMap::new() };
         let entry = EngineEntry {
             engine: EngineId(5),
             kind: Some(KindId(0)),
@@ -59,17 +59,17 @@
             ..EngineEntry::default()
         };
         w.router.membership(MembershipKind::Full, vec![entry]);
-        w.turn();
+        w.process_events();
         w
     }
 
-    fn take(&mut self, tenant: usize, class: usize) -> (u64, RequestId) {
-        self.take_in_turn(tenant, class, None)
+    fn submit(&mut self, tenant: usize, class: usize) -> (u64, RequestId) {
+        self.submit_with_key(tenant, class, None)
     }
 
-    fn take_in_turn(&mut self, tenant: usize, class: usize, order_key: Option<u64>) -> (u64, RequestId) {
+    fn submit_with_key(&mut self, tenant: usize, class: usize, order_key: Option<u64>) -> (u64, RequestId) {
         self.calls += 1;
-        let ask = Ask {
+        let client_request = ClientRequest {
             name: format!("{:016x}", self.calls),
             class: ClassId(class),
             order_key,
@@ -77,66 +77,66 @@
             client: self.calls % 7,
             time_left_ns: 5_000 * MS,
             work_estimate_ns: Some(200 * MS),
-            ..Ask::default()
+            ..ClientRequest::default()
         };
-        let id = self.router.take(self.now, Client { conn: 1, call: self.calls }, ask);
+        let id = self.router.take(self.now, Client { conn: 1, call: self.calls }, client_request);
         (self.calls, id)
     }
 
-    fn turn(&mut self) {
+    fn process_events(&mut self) {
         let mut commands = Vec::new();
         loop {
-            self.router.turn(self.now, &mut commands);
+            self.router.process_events(self.now, &mut commands);
             for command in commands.drain(..) {
                 match command {
                     Command::Start { attempt, engine, .. } => self.out.push((attempt, engine)),
                     Command::Answer(client, answer) => {
-                        let twice = self.answers.insert(client.call, answer);
-                        assert!(twice.is_none(), "call {} has one final answer", client.call);
+                        let previous = self.answers.insert(client.call, answer);
+                        assert!(previous.is_none(), "call {} got a second final answer", client.call);
                     }
-                    Command::GiveUp(at) => {
+                    Command::CancelAttempt(at) => {
                         self.out.retain(|(a, _)| *a != at);
-                        self.router.ended(at, Ending::GivenUp, None, None);
+                        self.router.ended(at, EndReason::GivenUp, None, None);
                     }
-                    // Engines have their calls whole at once here.
-                    Command::Rank(..) | Command::Withdraw(_) => {}
+                    // Calls are completely sent at once here.
+                    Command::SetPriority(..) | Command::CancelIfUnsent(_) => {}
                 }
             }
-            if !self.router.has_news() {
+            if !self.router.has_pending_events() {
                 return;
             }
         }
     }
 
-    /// The oldest attempt ends.
-    fn end(&mut self, ending: Ending) {
+    /// Ends the oldest attempt.
+    fn end(&mut self, end_reason: EndReason) {
         let (at, _) = self.out.remove(0);
-        let rows = (ending == Ending::Served).then(|| Rows::Text(b"1\n".to_vec()));
-        self.router.ended(at, ending, rows, None);
-        self.turn();
+        let rows = (end_reason == EndReason::Served).then(|| Rows::Text(b"1\n".to_vec()));
+        self.router.ended(at, end_reason, rows, None);
+        self.process_events();
     }
 
     fn wait(&mut self, ms: u64) {
         let to = self.now + ms * MS;
         while let Some(due) = self.router.next_due_ns().filter(|due| *due <= to) {
             self.now = self.now.max(due) + 1;
-            self.turn();
+            self.process_events();
         }
         self.now = to;
-        self.turn();
+        self.process_events();
     }
 
     fn queued(&mut self) -> usize {
         self.router.door().map_or(0, |d| d.queued())
     }
 
-    /// Fills the engine until a queue forms; gives all calls.
+    /// Submits requests until a queue forms; returns all calls.
     fn fill(&mut self) -> Vec<(u64, RequestId)> {
-        // So many at once that a quarter of them is refused: from then on there is a queue.
-        let mut all: Vec<_> = (0..40).map(|i| self.take(i % 2, 0)).collect();
-        self.turn();
-        all.extend((0..40).map(|i| self.take(i % 2, 0)));
-        self.turn();
+        // Enough at once that a quarter is refused; a queue forms from then on.
+        let mut all: Vec<_> = (0..40).map(|i| self.submit(i % 2, 0)).collect();
+        self.process_events();
+        all.extend((0..40).map(|i| self.submit(i % 2, 0)));
+        self.process_events();
         assert!(self.queued() >= 20 && self.out.len() >= 4, "{} {}", self.queued(), self.out.len());
         all
     }
@@ -146,60 +146,60 @@
             if self.out.is_empty() {
                 break;
             }
-            self.end(Ending::Served);
+            self.end(EndReason::Served);
         }
         self.wait(7_000);
-        assert_eq!((self.router.owed(), self.queued()), (0, 0));
+        assert_eq!((self.router.unanswered(), self.queued()), (0, 0));
         let c = &self.router.counters;
         assert_eq!(c.taken, c.served + c.refused + c.failed + c.left);
-        assert_eq!(self.router.door().unwrap().room().used(), 0.0, "all room is free again");
+        assert_eq!(self.router.door().unwrap().room().used(), 0.0, "all capacity is free again");
     }
 }
 
 #[test]
-fn what_waits_is_served_as_room_comes_free() {
-    let mut w = World::new(DoorSettings::default());
+fn queued_requests_are_served_as_capacity_becomes_available() {
+    let mut w = TestRouter::new(DoorSettings::default());
     w.fill();
     let before = w.router.counters.sent;
     for _ in 0..10 {
         w.now += 20 * MS;
-        w.end(Ending::Served);
+        w.end(EndReason::Served);
     }
     let door = w.router.door().unwrap();
-    let told = format!("{:?} {:?}", door.room(), door.counters().collect::<Vec<_>>());
+    let state = format!("{:?} {:?}", door.room(), door.counters().collect::<Vec<_>>());
     let sent = w.router.counters.sent - before;
-    assert!(sent >= 5, "ends let others in: {sent} {told}");
+    assert!(sent >= 5, "finished requests admit queued ones: {sent} {state}");
     w.finish();
     assert_eq!(w.answers.len() as u64, w.router.counters.taken);
 }
 
 #[test]
-fn who_leaves_or_cancels_while_it_waits_is_never_sent() {
-    let mut w = World::new(DoorSettings::default());
+fn queued_requests_whose_client_leaves_or_cancels_are_never_sent() {
+    let mut w = TestRouter::new(DoorSettings::default());
     let all = w.fill();
     let waits: Vec<_> = all.iter().copied().filter(|(_, id)| w.router.door().unwrap().waits(id.0)).collect();
     let sent = w.router.counters.sent;
     for (i, (_, id)) in waits.iter().enumerate() {
         if i % 2 == 0 {
-            w.router.leave(*id, Ending::Forgotten);
+            w.router.client_left(*id, EndReason::Forgotten);
         } else {
             w.router.cancel(*id);
         }
     }
-    w.turn();
+    w.process_events();
     assert_eq!((w.queued(), w.router.counters.sent), (0, sent));
     for (i, (call, _)) in waits.iter().enumerate() {
-        assert_eq!(w.answers.contains_key(call), i % 2 == 1, "only the cancelled hear of it");
+        assert_eq!(w.answers.contains_key(call), i % 2 == 1, "only cancelled requests are answered");
     }
     w.finish();
 }
 
 #[test]
-fn a_queue_that_is_never_served_is_refused_in_time() {
-    let mut w = World::new(DoorSettings { stale_ms: 60_000, ..DoorSettings::default() });
+fn queued_requests_that_cannot_be_served_in_time_are_refused() {
+    let mut w = TestRouter::new(DoorSettings { stale_ms: 60_000, ..DoorSettings::default() });
     let all = w.fill();
     w.wait(1_500);
-    assert_eq!(w.queued(), 0, "past what is wanted nothing waits");
+    assert_eq!(w.queued(), 0, "no request waits past its useful time");
     for (call, _) in all {
         if let Some(Answer::Refused { backoff_ms, .. }) = w.answers.get(&call) {
             assert!((1..=1_000).contains(backoff_ms));
@@ -209,8 +209,8 @@
 }
 
 #[test]
-fn the_end_of_the_program_answers_what_waits() {
-    let mut w = World::new(DoorSettings::default());
+fn shutdown_answers_all_open_requests() {
+    let mut w = TestRouter::new(DoorSettings::default());
     w.fill();
     let mut commands = Vec::new();
     w.router.end_all(&mut commands, w.now);
@@ -219,52 +219,52 @@
             assert!(w.answers.insert(client.call, answer).is_none());
         }
     }
-    assert_eq!((w.router.owed(), w.queued()), (0, 0));
+    assert_eq!((w.router.unanswered(), w.queued()), (0, 0));
     assert_eq!(w.answers.len() as u64, w.router.counters.taken);
 }
 
 #[test]
-fn a_load_that_may_have_run_fails_and_its_room_is_free() {
-    let mut w = World::new(DoorSettings::default());
-    let (call, _) = w.take(0, 1);
-    w.turn();
-    w.end(Ending::Cut);
+fn a_load_that_may_have_run_fails_and_releases_its_capacity() {
+    let mut w = TestRouter::new(DoorSettings::default());
+    let (call, _) = w.submit(0, 1);
+    w.process_events();
+    w.end(EndReason::Cut);
     assert!(matches!(w.answers[&call], Answer::Failed(..)));
-    let (call, _) = w.take(0, 1);
-    w.turn();
-    w.end(Ending::Refused);
+    let (call, _) = w.submit(0, 1);
+    w.process_events();
+    w.end(EndReason::Refused);
     assert!(matches!(w.answers[&call], Answer::Refused { .. }), "it never ran, and there is no other engine");
     w.finish();
 }
 
 #[test]
-fn a_full_door_makes_room_and_a_full_table_says_so() {
-    let mut w = World::new(DoorSettings { queued: 10, ..DoorSettings::default() });
-    w.fill_some();
+fn a_full_queue_evicts_and_does_not_block_new_requests() {
+    let mut w = TestRouter::new(DoorSettings { queued: 10, ..DoorSettings::default() });
+    w.fill_beyond_bound();
     assert!(w.queued() <= 10);
-    assert!(w.router.has_room(), "what waits has a bound of its own");
+    assert!(w.router.has_capacity(), "the queue has its own bound");
     w.finish();
 }
 
-impl World {
-    fn fill_some(&mut self) {
+impl TestRouter {
+    fn fill_beyond_bound(&mut self) {
         for i in 0..200 {
-            self.take(i % 2, 0);
-            self.turn();
+            self.submit(i % 2, 0);
+            self.process_events();
         }
     }
 }
 
 #[test]
-fn requests_that_take_turns_by_a_key_do_not_queue_where_later_ones_could_pass_them() {
-    let mut w = World::new(DoorSettings::default());
+fn serial_requests_bypass_the_queue() {
+    let mut w = TestRouter::new(DoorSettings::default());
     w.fill();
     let queued = w.queued();
     assert!(queued > 0);
-    w.take_in_turn(0, 1, Some(7));
-    w.turn();
+    w.submit_with_key(0, 1, Some(7));
+    w.process_events();
     assert_eq!(w.queued(), queued);
-    w.take(0, 1);
-    w.turn();
-    assert!(w.queued() > queued, "others queue");
+    w.submit(0, 1);
+    w.process_events();
+    assert!(w.queued() > queued, "requests without a key are queued");
 }
--- a/crates/engine/tests/give_up.rs
+++ b/crates/engine/tests/give_up.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 
 use marljunction_control::interface::*;
-use marljunction_core::ending::{Ending, ENDINGS};
+use marljunction_core::end_reason::{EndReason, END_REASONS};
 use marljunction_core::statement::Statement;
-use marljunction_core::{Ask, Attempt, Client, Router};
+use marljunction_core::{Attempt, Client, ClientRequest, Router};
 use marljunction_discovery::{Change, Target};
 use marljunction_engine::http::HttpEngines;
 use marljunction_engine::postgres::PostgresEngines;
@@ -55,7 +55,7 @@
         let same = listener.try_clone().unwrap();
         let mut world = World { poll, net, router, engines, listener, now: T0, statement: Vec::new() };
         world.lists(same, EngineState::Ready);
-        world.router.turn(T0, &mut Vec::new());
+        world.router.process_events(T0, &mut Vec::new());
         world
     }
 
@@ -145,9 +145,9 @@
     fn start_by(&mut self, begin_by_ns: Option<u64>) -> Attempt {
         let statement = Statement::plain(self.statement.clone());
         let name = "aaaabbbbccccdddd".into();
-        let ask = Ask { name, time_left_ns: 9_000 * MS, statement, ..Ask::default() };
+        let ask = ClientRequest { name, time_left_ns: 9_000 * MS, statement, ..ClientRequest::default() };
         let request = self.router.take(self.now, Client { conn: 1, call: 1 }, ask.clone());
-        self.router.turn(self.now, &mut Vec::new());
+        self.router.process_events(self.now, &mut Vec::new());
         let attempt = Attempt { request, number: 0 };
         let start = Start {
             attempt,
@@ -178,19 +178,19 @@
     }
 
     /// The attempt's ending, once it has been reported.
-    fn ending(&mut self) -> Ending {
-        self.until(|w| w.router.has_news());
-        self.router.turn(self.now, &mut Vec::new());
-        let counted = ENDINGS.iter().find(|(ending, _)| self.router.counters.endings(*ending) > 0);
+    fn ending(&mut self) -> EndReason {
+        self.until(|w| w.router.has_pending_events());
+        self.router.process_events(self.now, &mut Vec::new());
+        let counted = END_REASONS.iter().find(|(ending, _)| self.router.counters.endings(*ending) > 0);
         counted.expect("an ending is counted").0
     }
 
     /// The query ends once the engine has been told on this connection that it is given up, and has said so.
     fn told_on(&mut self, mut stream: TcpStream) {
         self.read(&mut stream, "DELETE /o/aaaabbbbccccdddd ");
-        assert!(!self.router.has_news());
+        assert!(!self.router.has_pending_events());
         stream.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
-        assert_eq!(self.ending(), Ending::GivenUp);
+        assert_eq!(self.ending(), EndReason::GivenUp);
     }
 
     /// A query that the engine has whole, and that was given up: the end of the connection that tells it so.
@@ -208,7 +208,7 @@
     let mut w = World::new();
     let (mut first, _second) = w.given_up();
     first.write_all(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n").unwrap();
-    assert_eq!(w.ending(), Ending::GivenUp, "the engine must not pass for a failing one");
+    assert_eq!(w.ending(), EndReason::GivenUp, "the engine must not pass for a failing one");
 }
 
 #[test]
@@ -220,7 +220,10 @@
     for ms in [20, 40, 150, 240] {
         w.tick(ms);
         w.turn_sockets();
-        assert!(!w.router.has_news(), "after {ms} ms the query may still run: its connection stands");
+        assert!(
+            !w.router.has_pending_events(),
+            "after {ms} ms the query may still run: its connection stands"
+        );
     }
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
     w.told_on(first);
@@ -235,7 +238,7 @@
     drop(first);
     w.turn_sockets();
     w.tick(240);
-    assert_eq!(w.ending(), Ending::Abandoned);
+    assert_eq!(w.ending(), EndReason::Abandoned);
 }
 
 #[test]
@@ -244,11 +247,11 @@
     let (mut first, mut second) = w.given_up();
     for ms in [100, 260, 400, 490] {
         w.tick(ms);
-        assert!(!w.router.has_news(), "after {ms} ms the query may still run");
+        assert!(!w.router.has_pending_events(), "after {ms} ms the query may still run");
     }
     first.write_all(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n").unwrap();
     second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
-    assert_eq!(w.ending(), Ending::GivenUp);
+    assert_eq!(w.ending(), EndReason::GivenUp);
 }
 
 #[test]
@@ -260,7 +263,10 @@
     w.turn_sockets();
     for ms in [320, 400, 490] {
         w.tick(ms);
-        assert!(!w.router.has_news(), "after {ms} ms the call that starts the query still waits there");
+        assert!(
+            !w.router.has_pending_events(),
+            "after {ms} ms the call that starts the query still waits there"
+        );
     }
     // It takes the query up now, and is told once more.
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
@@ -277,7 +283,7 @@
     let mut cx = Context { now: w.now, net: &mut w.net, router: &mut w.router };
     w.engines.ready(&mut cx, 11);
     w.turn_sockets();
-    assert!(!w.router.has_news(), "the query may run");
+    assert!(!w.router.has_pending_events(), "the query may run");
     w.told_on(first);
 }
 
@@ -291,7 +297,7 @@
         w.read(&mut second, "GET /o/aaaabbbbccccdddd/0 ");
         second.write_all(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n").unwrap();
         w.turn_sockets();
-        assert!(!w.router.has_news(), "the call that starts it may still stand there");
+        assert!(!w.router.has_pending_events(), "the call that starts it may still stand there");
         w.tick(610);
         let mut third = w.accept();
         w.read(&mut third, "GET /o/aaaabbbbccccdddd/0 ");
@@ -300,7 +306,7 @@
             false => b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
         };
         third.write_all(answer).unwrap();
-        assert_eq!(w.ending(), if takes_it_up { Ending::Served } else { Ending::EngineError });
+        assert_eq!(w.ending(), if takes_it_up { EndReason::Served } else { EndReason::EngineError });
     }
 }
 
@@ -322,12 +328,12 @@
         }
         second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
         w.turn_sockets();
-        assert!(!w.router.has_news());
+        assert!(!w.router.has_pending_events());
         w.tick(502);
         w.tick(620);
         w.read(&mut second, "DELETE /o/aaaabbbbccccdddd ");
         second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
-        assert_eq!(w.ending(), Ending::GivenUp);
+        assert_eq!(w.ending(), EndReason::GivenUp);
     }
 }
 
@@ -337,11 +343,11 @@
     let _ends = w.given_up();
     for ms in [600, 1_200, 2_000, 2_240, 2_340] {
         w.tick(ms);
-        assert!(!w.router.has_news(), "after {ms} ms the query may still run");
+        assert!(!w.router.has_pending_events(), "after {ms} ms the query may still run");
     }
     w.tick(2_360);
     assert!(
-        w.router.has_news(),
+        w.router.has_pending_events(),
         "nobody has asked for it for 2 s, the time that a call is held, and the allowance"
     );
 }
@@ -362,10 +368,10 @@
         w.tick(ms);
         w.turn_sockets();
         w.release();
-        assert!(!w.router.has_news(), "after {ms} ms the query may still run");
+        assert!(!w.router.has_pending_events(), "after {ms} ms the query may still run");
     }
     w.tick(2_560);
-    assert_eq!(w.ending(), Ending::Abandoned);
+    assert_eq!(w.ending(), EndReason::Abandoned);
 }
 
 #[test]
@@ -379,7 +385,7 @@
     let mut cx = Context { now: w.now, net: &mut w.net, router: &mut w.router };
     w.engines.ready(&mut cx, 11);
     w.turn_sockets();
-    assert!(!w.router.has_news(), "the engine is there, and may still run the query");
+    assert!(!w.router.has_pending_events(), "the engine is there, and may still run the query");
     w.told_on(first);
 }
 
@@ -388,7 +394,7 @@
     let mut w = World::new();
     let (_attempt, mut first) = w.started();
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n").unwrap();
-    assert_eq!(w.ending(), Ending::Served);
+    assert_eq!(w.ending(), EndReason::Served);
     // Thin traffic: a router's next query for the same engine comes seconds later. Each handshake is priced.
     w.tick(1_900);
     w.start();
@@ -405,8 +411,8 @@
     w.lists(TcpListener::bind("127.0.0.1:0").unwrap(), EngineState::Ready);
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n").unwrap();
     w.until(|w| {
-        w.router.turn(w.now, &mut Vec::new());
-        w.router.counters.endings(Ending::Served) == 1
+        w.router.process_events(w.now, &mut Vec::new());
+        w.router.counters.endings(EndReason::Served) == 1
     });
     // Long enough for a connection to be used again, and not too long.
     w.tick(100);
@@ -428,7 +434,7 @@
 fn a_repeat_that_engines_would_not_drop_any_more_does_not_begin_to_go_out() {
     let (mut w, mut stream) = held_repeat();
     w.tick(101);
-    assert_eq!(w.ending(), Ending::Unsent);
+    assert_eq!(w.ending(), EndReason::Unsent);
     w.net.release();
     w.until(|_| match stream.read(&mut [0; 16]) {
         Ok(n) if n > 0 => panic!("bytes came of it"),
@@ -474,7 +480,7 @@
     let mut w = World::new();
     let (_attempt, mut first) = w.started();
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n").unwrap();
-    assert_eq!(w.ending(), Ending::Served);
+    assert_eq!(w.ending(), EndReason::Served);
     w.tick(100);
     drop(first);
     unheard_end(&mut w);
@@ -492,7 +498,7 @@
 fn a_call_that_finds_no_room_to_wait_has_never_run() {
     let mut w = World::of(Box::new(HttpEngines::new(30_000 * MS, 250 * MS)), cramped(100));
     w.start();
-    assert_eq!(w.ending(), Ending::Unsent);
+    assert_eq!(w.ending(), EndReason::Unsent);
 }
 
 const READY: &[u8] = b"Z\0\0\0\x05I";
@@ -502,7 +508,7 @@
 fn a_session_that_finds_no_room_to_wait_has_run_nothing() {
     let mut w = World::of_sessions(cramped(60));
     w.start();
-    assert_eq!(w.ending(), Ending::Unsent);
+    assert_eq!(w.ending(), EndReason::Unsent);
 }
 
 #[test]
@@ -513,7 +519,7 @@
     let mut session = w.accept();
     w.read(&mut session, "marljunction\0");
     session.write_all(WELCOME).unwrap();
-    assert_eq!(w.ending(), Ending::Unsent);
+    assert_eq!(w.ending(), EndReason::Unsent);
 }
 
 #[test]
@@ -526,7 +532,7 @@
     w.read(&mut first, "S\0\0\0\x04");
     first.write_all(b"1\0\0\0\x042\0\0\0\x04n\0\0\0\x04C\0\0\0\x0dSELECT 0\0").unwrap();
     first.write_all(READY).unwrap();
-    assert_eq!(w.ending(), Ending::Served);
+    assert_eq!(w.ending(), EndReason::Served);
     drop(first);
     unheard_end(&mut w);
     w.start();
@@ -541,7 +547,7 @@
     let mut session = w.accept();
     w.read(&mut session, "marljunction\0");
     w.tick(101);
-    assert_eq!(w.ending(), Ending::Unsent);
+    assert_eq!(w.ending(), EndReason::Unsent);
     // The session is kept for others, and carries nothing of that one.
     session.write_all(WELCOME).unwrap();
     w.turn_sockets();
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -11,8 +11,8 @@
 use marljunction_cells::PartNews;
 use marljunction_control::interface::Settings;
 use marljunction_core::cold::ColdBudgets;
+use marljunction_core::health::FleetHealth;
 use marljunction_core::limits::FleetLimits;
-use marljunction_core::verdicts::FleetVerdicts;
 use marljunction_core::Router;
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::terms::stable_hash;
@@ -62,7 +62,7 @@
     /// The limits, which go to the [`Router`].
     pub limits: FleetLimits,
     /// Engines' health where it is shared, which goes to the [`Router`].
-    pub health: Option<FleetVerdicts>,
+    pub health: Option<FleetHealth>,
 }
 
 /// The socket, the membership, and what is kept for the next start.
@@ -180,7 +180,7 @@
             let messages = limits.node().tick(now);
             self.send(Kind::Limits, messages);
         }
-        if let Some(health) = router.verdicts() {
+        if let Some(health) = router.health() {
             let messages = health.node().tick(now);
             self.send(Kind::Verdicts, messages);
             self.log_suspicion(health.node().is_suspect());
@@ -209,7 +209,7 @@
     }
 
     /// What the fleet agrees on engines' health, as text for operators.
-    pub fn view_health(&self, now: u64, health: &mut FleetVerdicts) -> String {
+    pub fn view_health(&self, now: u64, health: &mut FleetHealth) -> String {
         view::describe_health(now, health.node())
     }
 
@@ -257,7 +257,7 @@
         }
         self.log_change(event);
         let reachable: BTreeSet<u32> = self.members.up().map(|peer| peer.number).collect();
-        if let Some(health) = router.verdicts() {
+        if let Some(health) = router.health() {
             health.node().set_peers(reachable.iter().copied().collect());
         }
         if let Some(limits) = router.limits() {
@@ -362,9 +362,9 @@
     terms: HealthTerms,
     identity: &RouterIdentity,
     overrides_file: Option<&OverridesFile>,
-) -> FleetVerdicts {
+) -> FleetHealth {
     let kept = overrides_file.map_or((Words::default(), now), |file| file.load(now));
     let zone = identity.zone.as_deref().unwrap_or("");
     let zone = stable_hash([zone.as_bytes()]);
-    FleetVerdicts::new(HealthNode::new(now, (identity.number, now, zone), terms, kept))
+    FleetHealth::new(HealthNode::new(now, (identity.number, now, zone), terms, kept))
 }
--- a/crates/front/tests/quiet.rs
+++ b/crates/front/tests/quiet.rs
@@ -4,7 +4,7 @@
 use std::net::{TcpListener, TcpStream};
 
 use marljunction_control::interface::{ClassId, ClassSettings, Settings};
-use marljunction_core::ending::Ending;
+use marljunction_core::end_reason::EndReason;
 use marljunction_core::Router;
 use marljunction_front::msgpack::MsgpackFront;
 use marljunction_front::postgres::{PostgresFront, PostgresSetup};
@@ -99,7 +99,7 @@
     // It comes behind the events of the round that finds its connection quiet for long.
     w.client.write_all(CALL).unwrap();
     w.close_quiet();
-    assert_eq!((w.router.counters.taken, w.router.owed()), (1, 1));
+    assert_eq!((w.router.counters.taken, w.router.unanswered()), (1, 1));
     assert_eq!(w.net.owner(w.conn), Some(Owner::Msgpack));
 }
 
@@ -108,7 +108,7 @@
     let mut w = World::session();
     w.client.write_all(QUERY).unwrap();
     w.close_quiet();
-    assert_eq!((w.router.counters.taken, w.router.owed()), (1, 1));
+    assert_eq!((w.router.counters.taken, w.router.unanswered()), (1, 1));
     assert_eq!(w.net.owner(w.conn), Some(Owner::Postgres));
 }
 
@@ -117,7 +117,7 @@
     let mut w = world(Owner::Msgpack);
     w.client.write_all(CALL).unwrap();
     w.front.tick(LATE_NS, &mut w.net, &mut w.router);
-    assert_eq!((w.router.counters.taken, w.router.owed(), w.router.counters.rejected), (1, 1, 0));
+    assert_eq!((w.router.counters.taken, w.router.unanswered(), w.router.counters.rejected), (1, 1, 0));
 }
 
 #[test]
@@ -135,7 +135,10 @@
     s.sessions.tick(LATE_NS, &mut s.net, &mut s.router);
     for world in [w, s] {
         assert_eq!(world.router.counters.rejected, 1);
-        assert_eq!((world.router.counters.endings(Ending::Silent), world.net.owner(world.conn)), (1, None));
+        assert_eq!(
+            (world.router.counters.endings(EndReason::Silent), world.net.owner(world.conn)),
+            (1, None)
+        );
     }
 }
 
@@ -159,7 +162,7 @@
     w.read();
     assert_eq!(w.front.idle(LATE_NS, &w.net), Some(w.conn));
     w.close_quiet();
-    assert_eq!(w.router.counters.endings(Ending::Idle), 1);
+    assert_eq!(w.router.counters.endings(EndReason::Idle), 1);
 }
 
 #[test]
@@ -170,7 +173,7 @@
     assert_eq!(w.net.owner(w.conn), Some(Owner::Postgres));
     w.read();
     w.close_quiet();
-    assert_eq!(w.router.counters.endings(Ending::Idle), 1);
+    assert_eq!(w.router.counters.endings(EndReason::Idle), 1);
 }
 
 #[test]
@@ -188,6 +191,6 @@
             Owner::Msgpack => w.front.ready(0, &mut w.net, &mut w.router, w.conn),
             _ => w.sessions.ready(0, &mut w.net, &mut w.router, w.conn),
         }
-        assert_eq!((w.router.counters.endings(Ending::Garbled), w.net.owner(w.conn)), (1, None));
+        assert_eq!((w.router.counters.endings(EndReason::Garbled), w.net.owner(w.conn)), (1, None));
     }
 }
--- a/crates/lab/src/scale/decide.rs
+++ b/crates/lab/src/scale/decide.rs
@@ -5,9 +5,9 @@
 use marljunction_control::interface::{
     ClassId, EngineEntry, EngineId, EngineState, MembershipKind, TenantId,
 };
-use marljunction_core::ending::Ending;
+use marljunction_core::end_reason::EndReason;
 use marljunction_core::statement::Statement;
-use marljunction_core::{Ask, Attempt, Client, Command, Router};
+use marljunction_core::{Attempt, Client, ClientRequest, Command, Router};
 use marljunction_settings::read_settings;
 use nix::time::{clock_gettime, ClockId};
 
@@ -63,7 +63,7 @@
         ..EngineEntry::default()
     };
     router.membership(MembershipKind::Full, (1..=engines).map(entry).collect());
-    router.turn(FIRST_NS, &mut commands);
+    router.process_events(FIRST_NS, &mut commands);
     commands.clear();
     let mut decisions = Vec::new();
     let mut spent_us = 0.0;
@@ -71,13 +71,13 @@
         let now = FIRST_NS + (request + 1) * BETWEEN_NS;
         let began_us = processor_us();
         router.take(now, Client { conn: 1, call: request }, ask(request));
-        router.turn(now, &mut commands);
+        router.process_events(now, &mut commands);
         let decided_us = processor_us();
         let attempts: Vec<Attempt> = commands.drain(..).filter_map(started).collect();
         for attempt in attempts {
-            router.ended(attempt, Ending::Served, None, None);
+            router.ended(attempt, EndReason::Served, None, None);
         }
-        router.turn(now + BETWEEN_NS / 2, &mut commands);
+        router.process_events(now + BETWEEN_NS / 2, &mut commands);
         commands.clear();
         if request >= WARM_UP {
             decisions.push(decided_us - began_us);
@@ -101,8 +101,8 @@
     }
 }
 
-fn ask(request: u64) -> Ask {
-    Ask {
+fn ask(request: u64) -> ClientRequest {
+    ClientRequest {
         name: request.to_string(),
         class: ClassId(0),
         tenant: Some(TenantId(0)),
@@ -110,6 +110,6 @@
         time_left_ns: 4_000_000_000,
         work_estimate_ns: Some(60_000_000),
         statement: Statement::plain(b"SELECT 1 FROM orders".to_vec()),
-        ..Ask::default()
+        ..ClientRequest::default()
     }
 }
--- a/src/daemon/iteration.rs
+++ b/src/daemon/iteration.rs
@@ -86,7 +86,7 @@
 
     /// How long the loop may wait for events.
     fn poll_timeout(&self) -> Duration {
-        if !self.event_loop.unread.is_empty() || self.router.has_news() {
+        if !self.event_loop.unread.is_empty() || self.router.has_pending_events() {
             return Duration::ZERO;
         }
         let now = self.clock.now_ns();
@@ -193,12 +193,12 @@
         loop {
             let now = self.clock.now_ns();
             let mut commands = std::mem::take(&mut self.event_loop.commands);
-            self.router.turn(now, &mut commands);
+            self.router.process_events(now, &mut commands);
             for command in commands.drain(..) {
                 self.execute(now, command);
             }
             self.event_loop.commands = commands;
-            if !self.router.has_news() {
+            if !self.router.has_pending_events() {
                 return;
             }
         }
@@ -214,9 +214,9 @@
                 let start = Start { attempt, engine, timeout_ns, priority, ask, class, once, begin_by_ns };
                 self.engines.start(&mut context, start);
             }
-            Command::GiveUp(attempt) => self.engines.give_up(&mut context, attempt),
-            Command::Withdraw(attempt) => self.engines.withdraw(&mut context, attempt),
-            Command::Rank(attempt, priority) => self.engines.rank(&mut context, attempt, priority),
+            Command::CancelAttempt(attempt) => self.engines.give_up(&mut context, attempt),
+            Command::CancelIfUnsent(attempt) => self.engines.withdraw(&mut context, attempt),
+            Command::SetPriority(attempt, priority) => self.engines.rank(&mut context, attempt, priority),
             Command::Answer(client, answer) => self.answer(now, client, answer),
         }
     }
