--- a/crates/discovery/src/consul.rs
+++ b/crates/discovery/src/consul.rs
@@ -11,8 +11,8 @@
 use crate::bound::ListBound;
 use crate::refused::{Reason, Refused};
 use marljunction_control::interface::*;
-use marljunction_http1::chunks::Chunks;
-use marljunction_http1::head::{read_head, Head};
+use marljunction_http1::chunks::ChunkedDecoder;
+use marljunction_http1::head::{parse_response_head, Head};
 use marljunction_net::{Net, Owner};
 use marljunction_pacing::{Failure, Pace, Pacer};
 use marljunction_settings::Names;
@@ -28,7 +28,7 @@
     index: u64,
     conn: Option<u64>,
     head: Option<Head>,
-    chunks: Chunks,
+    chunks: ChunkedDecoder,
     /// What one call takes out of chunks.
     text: Vec<u8>,
     body: AnswerReader,
@@ -66,7 +66,7 @@
             index: 0,
             conn: None,
             head: None,
-            chunks: Chunks::default(),
+            chunks: ChunkedDecoder::default(),
             text: Vec::new(),
             body: AnswerReader::new(asked, bound),
             asked_ns: 0,
@@ -124,7 +124,7 @@
         to: SocketAddr,
         service: &str,
     ) {
-        (self.asked_ns, self.asking, self.head, self.chunks) = (now, true, None, Chunks::default());
+        (self.asked_ns, self.asking, self.head, self.chunks) = (now, true, None, ChunkedDecoder::default());
         self.body = AnswerReader::new(self.asked, bound);
         let call = format!(
             "GET {}{service}?index={}&wait={WAIT_S}s HTTP/1.1\r\nHost: {to}\r\nAccept: application/json\r\n\r\n",
@@ -137,7 +137,7 @@
     /// What the answer says, once it has come whole.
     fn read(&mut self, now: u64, net: &mut Net, conn: u64, names: &Names) -> Result<Option<Answer>, Fault> {
         if self.head.is_none() {
-            let Some((head, size)) = read_head(net.input(conn)).map_err(Fault::Head)? else {
+            let Some((head, size)) = parse_response_head(net.input(conn)).map_err(Fault::Head)? else {
                 return Ok(None);
             };
             net.consume(conn, size);
@@ -153,7 +153,7 @@
         let (taken, whole) = match (head.chunked, head.length) {
             (true, _) => {
                 self.text.clear();
-                let took = self.chunks.take(input, &mut self.text)?;
+                let took = self.chunks.decode(input, &mut self.text)?;
                 self.body.push(&self.text, names)?;
                 took
             }
--- a/crates/discovery/src/event.rs
+++ b/crates/discovery/src/event.rs
@@ -5,7 +5,7 @@
 use crate::bound::ListBound;
 use crate::update::{ListError, Update, UpdateReader};
 use crate::Fault;
-use marljunction_http1::chunks::Chunks;
+use marljunction_http1::chunks::ChunkedDecoder;
 use marljunction_settings::Names;
 
 /// Longest name of a field, and longest number of an event, that are read (bytes).
@@ -37,7 +37,7 @@
 /// A reader of server-sent events.
 #[derive(Debug)]
 pub struct EventReader {
-    chunks: Option<Chunks>,
+    chunks: Option<ChunkedDecoder>,
     /// What one call takes out of chunks.
     text: Vec<u8>,
     bound: ListBound,
@@ -54,7 +54,7 @@
     /// A reader for a body in chunks, or not.
     pub fn new(chunked: bool, bound: ListBound) -> Self {
         EventReader {
-            chunks: chunked.then(Chunks::default),
+            chunks: chunked.then(ChunkedDecoder::default),
             text: Vec::new(),
             bound,
             part: Part::Name,
@@ -81,7 +81,7 @@
         };
         let mut text = std::mem::take(&mut self.text);
         text.clear();
-        let (taken, ended) = chunks.take(input, &mut text)?;
+        let (taken, ended) = chunks.decode(input, &mut text)?;
         let read = self.read(&text, names, out);
         self.text = text;
         read?;
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -168,7 +168,7 @@
 fn taken(now: u64, head: &Head) -> Result<(), Fault> {
     match head.status {
         200 => Ok(()),
-        429 | 503 => Err(Fault::TurnedAway(head.retry_after.map(|after| after.from(now)))),
+        429 | 503 => Err(Fault::TurnedAway(head.retry_after.map(|after| after.delay_ns(now)))),
         status => Err(Fault::Status(status)),
     }
 }
--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -11,7 +11,7 @@
 use crate::refused::{Reason, Refused};
 pub use crate::update::Update;
 use marljunction_control::interface::*;
-use marljunction_http1::head::read_head;
+use marljunction_http1::head::parse_response_head;
 use marljunction_net::{Net, Owner};
 use marljunction_pacing::{Failure, Pace, Pacer};
 use marljunction_settings::Names;
@@ -214,7 +214,9 @@
             self.heard_ns = now;
         }
         if self.reader.is_none() {
-            let Some((head, size)) = read_head(net.input(conn)).map_err(Fault::Head)? else { return Ok(()) };
+            let Some((head, size)) = parse_response_head(net.input(conn)).map_err(Fault::Head)? else {
+                return Ok(());
+            };
             net.consume(conn, size);
             taken(now, &head)?;
             self.reader = Some(EventReader::new(head.chunked, self.bound));
--- a/crates/engine/src/http.rs
+++ b/crates/engine/src/http.rs
@@ -6,34 +6,34 @@
 
 use log::debug;
 
-use super::{Backend, Context, Start, Targets};
+use super::{Backend, Context, EngineTable, NewAttempt};
 use marljunction_control::interface::{EngineId, LoadReport};
 use marljunction_core::ending::Ending;
 use marljunction_core::{Ask, Attempt, Rows};
 use marljunction_discovery::Change;
-use marljunction_http1::head::{read_answer, whole_rows, Head};
+use marljunction_http1::head::{has_complete_rows, parse_response, Head};
 use marljunction_pacing::opening::Openings;
 
 /// An idle connection is used again only so soon after its last answer (ns): a silent machine never resets.
-const REUSE_NS: u64 = 2_000_000_000;
+const MAX_REUSE_IDLE_NS: u64 = 2_000_000_000;
 /// A connection is used for another query only so long after its last answer (ns): what an engine sends behind
 /// that answer, more than belongs to it, would be read as the next one's.
-const QUIET_NS: u64 = 15_000_000;
+const MIN_REUSE_IDLE_NS: u64 = 15_000_000;
 /// Idle connections kept for an engine (count).
-const IDLE_MOST: usize = 12;
+const MAX_IDLE_CONNECTIONS: usize = 12;
 /// Time without a whole answer after which a connection is given up (ns): engines answer within 250 ms.
-const SILENT_NS: u64 = 500_000_000;
+const RESPONSE_TIMEOUT_NS: u64 = 500_000_000;
 /// Wait before a query is asked after again where no connection came up (ns).
-const ASK_AGAIN_NS: u64 = 200_000_000;
+const RETRY_DELAY_NS: u64 = 200_000_000;
 /// An engine ends a query that nobody asks for in 2 s. The call that asked last may have come later than it was written, and
 /// counts as asking while the engine holds it for news, 250 ms; with the allowance for sockets, twice (ns).
-const FORGOTTEN_NS: u64 = 2_350_000_000;
+const UNPOLLED_EXPIRY_NS: u64 = 2_350_000_000;
 /// Largest result (bytes).
-const RESULT_MOST: usize = 48_000;
+const MAX_RESULT_BYTES: usize = 48_000;
 /// Times that a query's start is written to a new connection because the one before came to nothing (count).
-const STARTS_MOST: u32 = 3;
+const MAX_POSTS: u32 = 3;
 /// Times that a query's answer or one page of it is asked for again because it was spoilt (count).
-const SPOILT_MOST: u32 = 5;
+const MAX_INVALID_RESPONSES: u32 = 5;
 
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,19 +42,19 @@
     /// The call that starts a query.
     Post(Attempt),
     /// Asks for a query's news.
-    Ask(Attempt),
+    Poll(Attempt),
     /// Fetches a page.
-    Page(Attempt, u32),
-    Rank(Attempt),
-    GiveUp(Attempt),
+    FetchPage(Attempt, u32),
+    SetPriority(Attempt),
+    Cancel(Attempt),
     /// Waits for an answer that nobody needs.
     Discard,
 }
 
-struct Line {
+struct Connection {
     engine: EngineId,
     /// Where it leads, which may be another's address by now.
-    to: SocketAddr,
+    address: SocketAddr,
     role: Role,
     up: bool,
     /// When its present call was made, or its last answer came.
@@ -62,612 +62,685 @@
 }
 
 /// How far giving up has come.
-struct Leaving {
+struct Cancellation {
     conn: Option<u64>,
-    again_ns: u64,
+    retry_at_ns: u64,
     /// The engine has said that it was told.
-    told: bool,
+    acknowledged: bool,
 }
 
 /// A query on an engine.
-struct Run {
+struct Query {
     engine: EngineId,
     ask: Rc<Ask>,
     class: String,
     timeout_ns: u64,
-    once: bool,
+    at_most_once: bool,
     begin_by_ns: Option<u64>,
     /// The call that starts it was wholly written.
-    whole: bool,
+    fully_written: bool,
     /// The engine has answered something about it.
-    known: bool,
+    is_known: bool,
     /// The engine stood still as it got the call that starts it, and may read that behind a later one.
-    stood_still: bool,
+    post_timed_out: bool,
     conn: Option<u64>,
     /// When it was last asked for on a connection that was up.
-    asked_ns: u64,
+    last_call_ns: u64,
     /// When to ask for it again, while no connection does.
-    again_ns: u64,
-    breaks: u32,
-    starts: u32,
-    spoilt: u32,
+    retry_at_ns: u64,
+    disconnects: u32,
+    posts: u32,
+    invalid_responses: u32,
     pages: u32,
     next_page: u32,
     rows: Vec<u8>,
-    report: Option<LoadReport>,
+    load_report: Option<LoadReport>,
     priority: u8,
-    told_priority: u8,
-    ranking: bool,
-    leaving: Option<Leaving>,
+    sent_priority: u8,
+    priority_update_pending: bool,
+    cancellation: Option<Cancellation>,
 }
 
 /// Whether nothing of the call that starts a query has gone out.
-fn unbegun(cx: &Context, run: &Run) -> bool {
-    !run.whole && run.conn.is_none_or(|conn| cx.net.is_unbegun(conn))
+fn is_unsent(cx: &Context, query: &Query) -> bool {
+    !query.fully_written && query.conn.is_none_or(|conn| cx.net.is_unbegun(conn))
 }
 
 /// The backend for such engines.
-pub struct HttpEngines {
-    targets: Targets<Vec<u64>>,
-    lines: HashMap<u64, Line>,
-    runs: BTreeMap<Attempt, Run>,
-    idle_ns: u64,
-    connect_ns: u64,
+pub struct HttpBackend {
+    engines: EngineTable<Vec<u64>>,
+    connections: HashMap<u64, Connection>,
+    queries: BTreeMap<Attempt, Query>,
+    idle_timeout_ns: u64,
+    connect_timeout_ns: u64,
 }
 
-impl HttpEngines {
+impl HttpBackend {
     /// No engines yet. They close connections that are idle for `idle_ns`; one that is not up after
     /// `connect_ns` never will be.
-    pub fn new(idle_ns: u64, connect_ns: u64) -> Self {
-        HttpEngines {
-            targets: Targets::default(),
-            lines: HashMap::new(),
-            runs: BTreeMap::new(),
-            idle_ns: idle_ns / 3,
-            connect_ns,
+    pub fn new(idle_timeout_ns: u64, connect_timeout_ns: u64) -> Self {
+        HttpBackend {
+            engines: EngineTable::default(),
+            connections: HashMap::new(),
+            queries: BTreeMap::new(),
+            idle_timeout_ns: idle_timeout_ns / 3,
+            connect_timeout_ns,
         }
     }
 
     /// Takes an idle connection to an engine that was of use just now.
-    fn idle(&mut self, now: u64, engine: EngineId) -> Option<u64> {
-        let age = |conn: &u64| self.lines.get(conn).map(|l| now.saturating_sub(l.since_ns));
-        let fit = |conn: &u64| age(conn).is_some_and(|age| (QUIET_NS..=REUSE_NS).contains(&age));
-        let own = &mut self.targets.get(engine)?.own;
-        own.iter().rposition(fit).map(|at| own.remove(at))
+    fn take_idle(&mut self, now: u64, engine: EngineId) -> Option<u64> {
+        let age = |conn: &u64| self.connections.get(conn).map(|c| now.saturating_sub(c.since_ns));
+        let fit =
+            |conn: &u64| age(conn).is_some_and(|age| (MIN_REUSE_IDLE_NS..=MAX_REUSE_IDLE_NS).contains(&age));
+        let pool = &mut self.engines.get(engine)?.pool;
+        pool.iter().rposition(fit).map(|index| pool.remove(index))
     }
 
     /// A connection for one call: an idle one that was of use just now, else a new one.
-    fn line(&mut self, cx: &mut Context, engine: EngineId, role: Role, fresh: bool) -> Result<u64, Ending> {
-        let to = self.targets.get(engine).ok_or(Ending::NoDescriptor)?.address;
-        while let Some(conn) = if fresh { None } else { self.idle(cx.now, engine) } {
+    fn acquire(
+        &mut self,
+        cx: &mut Context,
+        engine: EngineId,
+        role: Role,
+        new_connection: bool,
+    ) -> Result<u64, Ending> {
+        let address = self.engines.get(engine).ok_or(Ending::NoDescriptor)?.address;
+        while let Some(conn) = if new_connection { None } else { self.take_idle(cx.now, engine) } {
             // Guards against a call on a connection that its engine has closed since it was last looked at: nobody could tell
             // whether it came.
             if cx.net.service(conn).ended.is_some() || !cx.net.input(conn).is_empty() {
                 self.close(cx, conn);
                 continue;
             }
-            if let Some(line) = self.lines.get_mut(&conn) {
-                (line.role, line.since_ns) = (role, cx.now);
+            if let Some(connection) = self.connections.get_mut(&conn) {
+                (connection.role, connection.since_ns) = (role, cx.now);
             }
             return Ok(conn);
         }
         let conn = match role {
-            Role::Post(_) => self.targets.connect_for_work(cx, engine)?,
-            _ => self.targets.connect(cx, engine)?,
+            Role::Post(_) => self.engines.connect_paced(cx, engine)?,
+            _ => self.engines.connect(cx, engine)?,
         };
-        self.lines.insert(conn, Line { engine, to, role, up: false, since_ns: cx.now });
+        self.connections.insert(conn, Connection { engine, address, role, up: false, since_ns: cx.now });
         Ok(conn)
     }
 
-    fn call(&mut self, cx: &mut Context, conn: u64, verb: &str, path: &str, fields: &str, body: &[u8]) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        line.since_ns = cx.now;
-        let host = self.targets.get(line.engine).map(|k| k.address.to_string()).unwrap_or_default();
-        let mut bytes = format!("{verb} {path} HTTP/1.1\r\nHost: {host}\r\n{fields}").into_bytes();
-        if verb == "POST" || verb == "PUT" {
+    fn send_call(
+        &mut self,
+        cx: &mut Context,
+        conn: u64,
+        method: &str,
+        path: &str,
+        headers: &str,
+        body: &[u8],
+    ) {
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        connection.since_ns = cx.now;
+        let host =
+            self.engines.get(connection.engine).map(|record| record.address.to_string()).unwrap_or_default();
+        let mut bytes = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n{headers}").into_bytes();
+        if method == "POST" || method == "PUT" {
             bytes.extend_from_slice(format!("Content-Length: {}\r\n", body.len()).as_bytes());
         }
         bytes.extend_from_slice(b"\r\n");
         bytes.extend_from_slice(body);
         if !cx.net.send(conn, &bytes) {
             // Guards against a call that passes for written, as nothing of it waits.
-            self.lost(cx, conn, Ending::Unsent);
+            self.connection_lost(cx, conn, Ending::Unsent);
         }
     }
 
     /// A connection is free again.
-    fn rest(&mut self, cx: &mut Context, conn: Option<u64>) {
-        let Some((conn, line)) = conn.and_then(|c| Some((c, self.lines.get_mut(&c)?))) else { return };
-        (line.role, line.since_ns) = (Role::Idle, cx.now);
-        match self.targets.keeps(line.engine, line.to).filter(|k| k.own.len() < IDLE_MOST) {
-            Some(known) => known.own.push(conn),
+    fn release(&mut self, cx: &mut Context, conn: Option<u64>) {
+        let Some((conn, connection)) = conn.and_then(|c| Some((c, self.connections.get_mut(&c)?))) else {
+            return;
+        };
+        (connection.role, connection.since_ns) = (Role::Idle, cx.now);
+        match self
+            .engines
+            .get_listed_at(connection.engine, connection.address)
+            .filter(|record| record.pool.len() < MAX_IDLE_CONNECTIONS)
+        {
+            Some(record) => record.pool.push(conn),
             None => self.close(cx, conn),
         }
     }
 
     fn close(&mut self, cx: &mut Context, conn: u64) {
-        if let Some(line) = self.lines.remove(&conn) {
-            if let Some(known) = self.targets.get(line.engine) {
-                known.own.retain(|c| *c != conn);
+        if let Some(connection) = self.connections.remove(&conn) {
+            if let Some(record) = self.engines.get(connection.engine) {
+                record.pool.retain(|c| *c != conn);
             }
         }
         cx.net.close(conn);
     }
 
     /// Reports the one ending of an attempt, and lets its connections go.
-    fn end(&mut self, cx: &mut Context, at: Attempt, ending: Ending) {
-        let Some(run) = self.runs.remove(&at) else { return };
-        let rows = (ending == Ending::Served).then_some(Rows::Text(run.rows));
-        cx.router.ended(at, ending, rows, run.report);
-        let conns = run.conn.into_iter().chain(run.leaving.and_then(|l| l.conn));
+    fn end_attempt(&mut self, cx: &mut Context, attempt: Attempt, ending: Ending) {
+        let Some(query) = self.queries.remove(&attempt) else { return };
+        let rows = (ending == Ending::Served).then_some(Rows::Text(query.rows));
+        cx.router.ended(attempt, ending, rows, query.load_report);
+        let conns = query.conn.into_iter().chain(query.cancellation.and_then(|c| c.conn));
         for conn in conns.collect::<Vec<_>>() {
-            if let Some(line) = self.lines.get_mut(&conn).filter(|l| l.role != Role::Idle) {
-                line.role = Role::Discard;
+            if let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.role != Role::Idle) {
+                connection.role = Role::Discard;
             }
         }
     }
 
     /// Ends an attempt whose call was not wholly written: without the rest it never runs, so closing its connection is enough.
-    fn take_back(&mut self, cx: &mut Context, at: Attempt, ending: Ending) {
-        let conn = self.runs.get_mut(&at).and_then(|r| r.conn.take());
-        self.end(cx, at, ending);
+    fn abort(&mut self, cx: &mut Context, attempt: Attempt, ending: Ending) {
+        let conn = self.queries.get_mut(&attempt).and_then(|q| q.conn.take());
+        self.end_attempt(cx, attempt, ending);
         conn.into_iter().for_each(|conn| self.close(cx, conn));
     }
 
     /// Ends the attempts of which nothing has gone out and that `which` says must not begin any more.
-    fn take_back_unbegun(&mut self, cx: &mut Context, which: impl Fn(&Targets<Vec<u64>>, &Run) -> bool) {
-        let which = |run: &Run| unbegun(cx, run) && which(&self.targets, run);
-        let over: Vec<Attempt> = self.runs.iter().filter(|(_, run)| which(run)).map(|(at, _)| *at).collect();
-        over.into_iter().for_each(|at| self.take_back(cx, at, Ending::Unsent));
+    fn abort_unsent(
+        &mut self,
+        cx: &mut Context,
+        should_abort: impl Fn(&EngineTable<Vec<u64>>, &Query) -> bool,
+    ) {
+        let should_abort = |query: &Query| is_unsent(cx, query) && should_abort(&self.engines, query);
+        let unsent: Vec<Attempt> = self
+            .queries
+            .iter()
+            .filter(|(_, query)| should_abort(query))
+            .map(|(attempt, _)| *attempt)
+            .collect();
+        unsent.into_iter().for_each(|attempt| self.abort(cx, attempt, Ending::Unsent));
     }
 
-    fn post(&mut self, cx: &mut Context, at: Attempt, fresh: bool) {
-        let Some(run) = self.runs.get(&at) else { return };
-        let engine = run.engine;
+    fn post(&mut self, cx: &mut Context, attempt: Attempt, new_connection: bool) {
+        let Some(query) = self.queries.get(&attempt) else { return };
+        let engine = query.engine;
         // Guards against new work for an engine that began to drain while the connections before came to nothing.
-        if !self.targets.serves(engine) {
-            return self.end(cx, at, Ending::Unsent);
+        if !self.engines.accepts_work(engine) {
+            return self.end_attempt(cx, attempt, Ending::Unsent);
         }
         // An idle connection may close as it is written to, and then nobody knows what came of it.
-        let conn = match self.line(cx, engine, Role::Post(at), fresh || run.once) {
+        let conn = match self.acquire(cx, engine, Role::Post(attempt), new_connection || query.at_most_once) {
             Ok(conn) => conn,
-            Err(ending) => return self.end(cx, at, ending),
+            Err(ending) => return self.end_attempt(cx, attempt, ending),
         };
-        let Some(run) = self.runs.get_mut(&at) else { return };
-        (run.conn, run.asked_ns, run.starts) = (Some(conn), cx.now, run.starts + 1);
-        let token = run.ask.token.as_ref().map_or_else(String::new, |token| format!("Once-Key: {token}\r\n"));
-        let fields = format!(
+        let Some(query) = self.queries.get_mut(&attempt) else { return };
+        (query.conn, query.last_call_ns, query.posts) = (Some(conn), cx.now, query.posts + 1);
+        let token =
+            query.ask.token.as_ref().map_or_else(String::new, |token| format!("Once-Key: {token}\r\n"));
+        let headers = format!(
             "Request-Id: {}\r\nKind: {}\r\nTimeout-Ms: {}\r\nPool-Rank: {}\r\n{token}",
-            run.ask.name,
-            run.class,
-            (run.timeout_ns / 1_000_000).max(1),
-            run.priority
+            query.ask.name,
+            query.class,
+            (query.timeout_ns / 1_000_000).max(1),
+            query.priority
         );
-        run.told_priority = run.priority;
-        let Some(body) = run.ask.statement.inlined() else { return self.end(cx, at, Ending::Unsent) };
-        self.call(cx, conn, "POST", "/o", &fields, &body);
-        self.written(cx, conn);
+        query.sent_priority = query.priority;
+        let Some(body) = query.ask.statement.inlined() else {
+            return self.end_attempt(cx, attempt, Ending::Unsent);
+        };
+        self.send_call(cx, conn, "POST", "/o", &headers, &body);
+        self.record_written(cx, conn);
     }
 
     /// Takes note of calls that have been wholly written.
-    fn written(&mut self, cx: &mut Context, conn: u64) {
+    fn record_written(&mut self, cx: &mut Context, conn: u64) {
         if !cx.net.drained(conn) {
             return;
         }
-        match self.lines.get(&conn).map(|l| l.role) {
+        match self.connections.get(&conn).map(|c| c.role) {
             // The engine has it from now on, however long its connection took to come up.
-            Some(Role::Post(at)) => {
-                let unwritten = self.runs.get_mut(&at).filter(|r| !r.whole);
-                unwritten.into_iter().for_each(|r| (r.whole, r.asked_ns) = (true, cx.now));
+            Some(Role::Post(attempt)) => {
+                let unwritten = self.queries.get_mut(&attempt).filter(|q| !q.fully_written);
+                unwritten.into_iter().for_each(|q| (q.fully_written, q.last_call_ns) = (true, cx.now));
             }
-            Some(Role::Ask(at) | Role::Page(at, _)) => {
-                self.runs.entry(at).and_modify(|r| r.asked_ns = r.asked_ns.max(cx.now));
+            Some(Role::Poll(attempt) | Role::FetchPage(attempt, _)) => {
+                self.queries.entry(attempt).and_modify(|q| q.last_call_ns = q.last_call_ns.max(cx.now));
             }
             _ => {}
         }
     }
 
     /// Asks for a query's news, or for its next page.
-    fn ask(&mut self, cx: &mut Context, at: Attempt, on: Option<u64>) {
-        let Some(run) = self.runs.get(&at) else { return };
-        if let Some(leaving) = &run.leaving {
+    fn poll(&mut self, cx: &mut Context, attempt: Attempt, reuse: Option<u64>) {
+        let Some(query) = self.queries.get(&attempt) else { return };
+        if let Some(cancellation) = &query.cancellation {
             // Guards against a refusal that comes after this answer, when no connection of the query's stands any
             // more: this one carries the DELETE unless another already does.
-            let pending = leaving.conn;
-            let told = pending.and_then(|conn| self.lines.get(&conn)).is_some_and(|l| l.up);
-            self.runs.entry(at).and_modify(|r| r.conn = None);
-            let Some(conn) = on.filter(|_| !told) else { return self.rest(cx, on) };
-            if let Some(line) = pending.and_then(|conn| self.lines.get_mut(&conn)) {
-                line.role = Role::Discard;
+            let pending = cancellation.conn;
+            let is_connected = pending.and_then(|conn| self.connections.get(&conn)).is_some_and(|c| c.up);
+            self.queries.entry(attempt).and_modify(|q| q.conn = None);
+            let Some(conn) = reuse.filter(|_| !is_connected) else { return self.release(cx, reuse) };
+            if let Some(connection) = pending.and_then(|conn| self.connections.get_mut(&conn)) {
+                connection.role = Role::Discard;
             }
-            return self.tell_leaving_on(cx, at, conn);
+            return self.send_cancel_on(cx, attempt, conn);
         }
-        let role = if run.pages > 0 { Role::Page(at, run.next_page) } else { Role::Ask(at) };
-        let (engine, path) = (run.engine, format!("/o/{}/{}", run.ask.name, run.next_page));
-        let found = match on {
+        let role =
+            if query.pages > 0 { Role::FetchPage(attempt, query.next_page) } else { Role::Poll(attempt) };
+        let (engine, path) = (query.engine, format!("/o/{}/{}", query.ask.name, query.next_page));
+        let found = match reuse {
             Some(conn) => Ok(conn),
-            None => self.line(cx, engine, role, true),
+            None => self.acquire(cx, engine, role, true),
         };
-        let Some(run) = self.runs.get_mut(&at) else { return };
+        let Some(query) = self.queries.get_mut(&attempt) else { return };
         match found {
             Ok(conn) => {
-                run.conn = Some(conn);
-                if let Some(line) = self.lines.get_mut(&conn) {
-                    line.role = role;
+                query.conn = Some(conn);
+                if let Some(connection) = self.connections.get_mut(&conn) {
+                    connection.role = role;
                 }
-                self.call(cx, conn, "GET", &path, "", b"");
-                self.written(cx, conn);
+                self.send_call(cx, conn, "GET", &path, "", b"");
+                self.record_written(cx, conn);
             }
-            Err(Ending::Refused) => self.end(cx, at, Ending::Cut),
-            Err(_) => (run.conn, run.again_ns) = (None, cx.now + ASK_AGAIN_NS),
+            Err(Ending::Refused) => self.end_attempt(cx, attempt, Ending::Cut),
+            Err(_) => (query.conn, query.retry_at_ns) = (None, cx.now + RETRY_DELAY_NS),
         }
     }
 
-    fn tell_rank(&mut self, cx: &mut Context, at: Attempt) {
-        let Some(run) = self.runs.get(&at) else { return };
-        let due = run.known && !run.ranking && run.leaving.is_none() && run.priority != run.told_priority;
+    fn send_priority(&mut self, cx: &mut Context, attempt: Attempt) {
+        let Some(query) = self.queries.get(&attempt) else { return };
+        let due = query.is_known
+            && !query.priority_update_pending
+            && query.cancellation.is_none()
+            && query.priority != query.sent_priority;
         if !due {
             return;
         }
-        let (engine, priority, path) = (run.engine, run.priority, format!("/o/{}", run.ask.name));
-        let Ok(conn) = self.line(cx, engine, Role::Rank(at), false) else { return };
-        self.runs.entry(at).and_modify(|r| (r.ranking, r.told_priority) = (true, priority));
-        self.call(cx, conn, "PUT", &path, "", priority.to_string().as_bytes());
-    }
-
-    fn tell_leaving(&mut self, cx: &mut Context, at: Attempt) {
-        let Some(run) = self.runs.get(&at) else { return };
-        let (engine, asked_ns) = (run.engine, run.asked_ns);
-        let found = self.line(cx, engine, Role::GiveUp(at), false);
+        let (engine, priority, path) = (query.engine, query.priority, format!("/o/{}", query.ask.name));
+        let Ok(conn) = self.acquire(cx, engine, Role::SetPriority(attempt), false) else { return };
+        self.queries
+            .entry(attempt)
+            .and_modify(|q| (q.priority_update_pending, q.sent_priority) = (true, priority));
+        self.send_call(cx, conn, "PUT", &path, "", priority.to_string().as_bytes());
+    }
+
+    fn send_cancel(&mut self, cx: &mut Context, attempt: Attempt) {
+        let Some(query) = self.queries.get(&attempt) else { return };
+        let (engine, last_call_ns) = (query.engine, query.last_call_ns);
+        let found = self.acquire(cx, engine, Role::Cancel(attempt), false);
         match found {
-            Ok(conn) => self.tell_leaving_on(cx, at, conn),
-            Err(Ending::Refused) if !self.heard_on(at) => self.end(cx, at, Ending::Abandoned),
+            Ok(conn) => self.send_cancel_on(cx, attempt, conn),
+            Err(Ending::Refused) if !self.is_polling(attempt) => {
+                self.end_attempt(cx, attempt, Ending::Abandoned)
+            }
             // A query that nobody asks for ends by itself.
-            Err(_) if cx.now >= asked_ns + FORGOTTEN_NS => self.end(cx, at, Ending::Abandoned),
+            Err(_) if cx.now >= last_call_ns + UNPOLLED_EXPIRY_NS => {
+                self.end_attempt(cx, attempt, Ending::Abandoned)
+            }
             Err(_) => {
-                if let Some(leaving) = self.runs.get_mut(&at).and_then(|r| r.leaving.as_mut()) {
-                    (leaving.conn, leaving.again_ns) = (None, cx.now + ASK_AGAIN_NS / 2);
+                if let Some(cancellation) =
+                    self.queries.get_mut(&attempt).and_then(|q| q.cancellation.as_mut())
+                {
+                    (cancellation.conn, cancellation.retry_at_ns) = (None, cx.now + RETRY_DELAY_NS / 2);
                 }
             }
         }
     }
 
     /// Gives a query up by a call on this connection.
-    fn tell_leaving_on(&mut self, cx: &mut Context, at: Attempt, conn: u64) {
-        let Some(run) = self.runs.get_mut(&at) else { return };
-        let path = format!("/o/{}", run.ask.name);
-        let Some(leaving) = &mut run.leaving else { return };
-        leaving.conn = Some(conn);
-        if let Some(line) = self.lines.get_mut(&conn) {
-            line.role = Role::GiveUp(at);
+    fn send_cancel_on(&mut self, cx: &mut Context, attempt: Attempt, conn: u64) {
+        let Some(query) = self.queries.get_mut(&attempt) else { return };
+        let path = format!("/o/{}", query.ask.name);
+        let Some(cancellation) = &mut query.cancellation else { return };
+        cancellation.conn = Some(conn);
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            connection.role = Role::Cancel(attempt);
         }
-        self.call(cx, conn, "DELETE", &path, "", b"");
-        self.written(cx, conn);
+        self.send_call(cx, conn, "DELETE", &path, "", b"");
+        self.record_written(cx, conn);
     }
 
     /// Whether a connection that is up still waits for a query's news. A process that has gone resets it, so
     /// while it stands a refused connection says only that the engine takes no new ones: it may be draining, or
     /// hold as many as it can.
-    fn heard_on(&self, at: Attempt) -> bool {
-        let conn = self.runs.get(&at).and_then(|r| r.conn);
-        conn.and_then(|conn| self.lines.get(&conn)).is_some_and(|l| l.up)
+    fn is_polling(&self, attempt: Attempt) -> bool {
+        let conn = self.queries.get(&attempt).and_then(|q| q.conn);
+        conn.and_then(|conn| self.connections.get(&conn)).is_some_and(|c| c.up)
     }
 
     /// Takes a whole answer; its connection is absent where it can carry nothing more.
-    fn answer(&mut self, cx: &mut Context, conn: Option<u64>, role: Role, head: Head, body: Vec<u8>) {
+    fn handle_response(
+        &mut self,
+        cx: &mut Context,
+        conn: Option<u64>,
+        role: Role,
+        head: Head,
+        body: Vec<u8>,
+    ) {
         match role {
             Role::Idle => {}
-            Role::Discard => self.rest(cx, conn),
+            Role::Discard => self.release(cx, conn),
             // Guards against an answer to an earlier call that is taken for this one's: the attempt would count
             // as given up while it runs.
-            Role::GiveUp(_) | Role::Rank(_) if !matches!(head.status, 204 | 500) => {
-                self.spoilt(cx, conn, role, "no answer to this call");
+            Role::Cancel(_) | Role::SetPriority(_) if !matches!(head.status, 204 | 500) => {
+                self.invalid_response(cx, conn, role, "no answer to this call");
             }
-            Role::GiveUp(at) => {
-                self.rest(cx, conn);
+            Role::Cancel(attempt) => {
+                self.release(cx, conn);
                 // Guards against a second copy: an engine that stood still may read this call before the one that starts the
                 // query, and take that up afterwards. It is told once more, when it has had time to read that one.
-                let waits = self.heard_on(at);
-                let Some(run) = self.runs.get_mut(&at) else { return };
-                match run.leaving.as_mut().filter(|leaving| !run.known && (waits || !leaving.told)) {
-                    Some(leaving) => {
-                        (leaving.conn, leaving.told) = (None, true);
-                        leaving.again_ns = if waits { u64::MAX } else { cx.now + ASK_AGAIN_NS / 2 };
+                let polling = self.is_polling(attempt);
+                let Some(query) = self.queries.get_mut(&attempt) else { return };
+                match query
+                    .cancellation
+                    .as_mut()
+                    .filter(|cancellation| !query.is_known && (polling || !cancellation.acknowledged))
+                {
+                    Some(cancellation) => {
+                        (cancellation.conn, cancellation.acknowledged) = (None, true);
+                        cancellation.retry_at_ns =
+                            if polling { u64::MAX } else { cx.now + RETRY_DELAY_NS / 2 };
                     }
-                    None => self.end(cx, at, Ending::GivenUp),
+                    None => self.end_attempt(cx, attempt, Ending::GivenUp),
                 }
             }
-            Role::Rank(at) => {
-                self.runs.entry(at).and_modify(|r| r.ranking = false);
-                self.rest(cx, conn);
-                self.tell_rank(cx, at);
+            Role::SetPriority(attempt) => {
+                self.queries.entry(attempt).and_modify(|q| q.priority_update_pending = false);
+                self.release(cx, conn);
+                self.send_priority(cx, attempt);
             }
-            Role::Post(at) | Role::Ask(at) => {
-                let Some(run) = self.runs.get_mut(&at) else { return self.rest(cx, conn) };
+            Role::Post(attempt) | Role::Poll(attempt) => {
+                let Some(query) = self.queries.get_mut(&attempt) else { return self.release(cx, conn) };
                 // Page 0 tells how many there are; a page that does not is another call's.
-                let rows = head.status == 200;
-                if rows && (head.pages.is_none_or(|n| n == 0) || head.page.is_some() || !whole_rows(&body)) {
-                    return self.spoilt(cx, conn, role, "no first page");
+                let is_result = head.status == 200;
+                if is_result
+                    && (head.pages.is_none_or(|n| n == 0) || head.page.is_some() || !has_complete_rows(&body))
+                {
+                    return self.invalid_response(cx, conn, role, "no first page");
                 }
                 // Guards against a second copy: an engine that stood still may take a query up that it did not know just now. It
                 // is asked once more, when it has had time to read the call that starts it.
-                if head.status == 500 && std::mem::take(&mut run.stood_still) && run.leaving.is_none() {
-                    (run.conn, run.again_ns) = (None, cx.now + ASK_AGAIN_NS / 2);
-                    return self.rest(cx, conn);
+                if head.status == 500
+                    && std::mem::take(&mut query.post_timed_out)
+                    && query.cancellation.is_none()
+                {
+                    (query.conn, query.retry_at_ns) = (None, cx.now + RETRY_DELAY_NS / 2);
+                    return self.release(cx, conn);
                 }
-                let first = !std::mem::replace(&mut run.known, true);
-                (run.whole, run.breaks, run.stood_still) = (true, 0, false);
-                run.report = head.report.or(run.report);
+                let is_first_response = !std::mem::replace(&mut query.is_known, true);
+                (query.fully_written, query.disconnects, query.post_timed_out) = (true, 0, false);
+                query.load_report = head.load_report.or(query.load_report);
                 match (head.status, head.never_ran) {
                     (202, _) => {
                         if let Some(note) = head.note {
-                            cx.router.note(at, note);
+                            cx.router.note(attempt, note);
                         }
                         // Guards against an end that was read before the start: it is told anew behind that.
-                        let told = run.leaving.as_mut().filter(|_| first).and_then(|l| l.conn.take());
-                        if let Some(line) = told.and_then(|conn| self.lines.get_mut(&conn)) {
-                            line.role = Role::Discard;
+                        let pending = query
+                            .cancellation
+                            .as_mut()
+                            .filter(|_| is_first_response)
+                            .and_then(|c| c.conn.take());
+                        if let Some(connection) = pending.and_then(|conn| self.connections.get_mut(&conn)) {
+                            connection.role = Role::Discard;
                         }
-                        self.ask(cx, at, conn);
-                        self.tell_rank(cx, at);
+                        self.poll(cx, attempt, conn);
+                        self.send_priority(cx, attempt);
                     }
                     (200, _) => {
-                        (run.pages, run.next_page, run.rows) = (head.pages.unwrap_or(1), 1, body);
-                        self.page_or_end(cx, at, conn);
+                        (query.pages, query.next_page, query.rows) = (head.pages.unwrap_or(1), 1, body);
+                        self.fetch_next_page_or_end(cx, attempt, conn);
                     }
-                    (503, true) => self.over(cx, at, conn, Ending::Full),
-                    (504, true) => self.over(cx, at, conn, Ending::Over),
-                    (500, _) => self.over(cx, at, conn, Ending::EngineError),
-                    _ => self.spoilt(cx, conn, role, "no answer that the protocol knows"),
+                    (503, true) => self.finish(cx, attempt, conn, Ending::Full),
+                    (504, true) => self.finish(cx, attempt, conn, Ending::Over),
+                    (500, _) => self.finish(cx, attempt, conn, Ending::EngineError),
+                    _ => self.invalid_response(cx, conn, role, "no answer that the protocol knows"),
                 }
             }
-            Role::Page(at, number) => {
-                let Some(run) = self.runs.get_mut(&at) else { return self.rest(cx, conn) };
+            Role::FetchPage(attempt, number) => {
+                let Some(query) = self.queries.get_mut(&attempt) else { return self.release(cx, conn) };
                 if head.status == 500 {
-                    return self.over(cx, at, conn, Ending::EngineError);
+                    return self.finish(cx, attempt, conn, Ending::EngineError);
                 }
-                let fits = head.status == 200 && head.page == Some(number) && whole_rows(&body);
-                if !fits || run.rows.len() + body.len() > RESULT_MOST {
-                    return self.spoilt(cx, conn, role, "another page");
+                let fits = head.status == 200 && head.page == Some(number) && has_complete_rows(&body);
+                if !fits || query.rows.len() + body.len() > MAX_RESULT_BYTES {
+                    return self.invalid_response(cx, conn, role, "another page");
                 }
-                run.report = head.report.or(run.report);
-                run.rows.extend_from_slice(&body);
-                (run.next_page, run.breaks, run.spoilt) = (run.next_page + 1, 0, 0);
-                self.page_or_end(cx, at, conn);
+                query.load_report = head.load_report.or(query.load_report);
+                query.rows.extend_from_slice(&body);
+                (query.next_page, query.disconnects, query.invalid_responses) = (query.next_page + 1, 0, 0);
+                self.fetch_next_page_or_end(cx, attempt, conn);
             }
         }
     }
 
-    fn page_or_end(&mut self, cx: &mut Context, at: Attempt, conn: Option<u64>) {
-        let Some(run) = self.runs.get(&at) else { return };
-        if run.next_page >= run.pages {
-            self.over(cx, at, conn, Ending::Served);
+    fn fetch_next_page_or_end(&mut self, cx: &mut Context, attempt: Attempt, conn: Option<u64>) {
+        let Some(query) = self.queries.get(&attempt) else { return };
+        if query.next_page >= query.pages {
+            self.finish(cx, attempt, conn, Ending::Served);
         } else {
-            self.ask(cx, at, conn);
+            self.poll(cx, attempt, conn);
         }
     }
 
-    fn over(&mut self, cx: &mut Context, at: Attempt, conn: Option<u64>, ending: Ending) {
-        self.rest(cx, conn);
+    fn finish(&mut self, cx: &mut Context, attempt: Attempt, conn: Option<u64>, ending: Ending) {
+        self.release(cx, conn);
         // Guards against a cancel that counts as the engine's failure: the call that waits for news is answered so
         // once the engine has given the query up, before the DELETE's own answer.
-        let given_up =
-            ending == Ending::EngineError && self.runs.get(&at).is_some_and(|r| r.leaving.is_some());
-        self.end(cx, at, if given_up { Ending::GivenUp } else { ending });
+        let was_cancelled = ending == Ending::EngineError
+            && self.queries.get(&attempt).is_some_and(|q| q.cancellation.is_some());
+        self.end_attempt(cx, attempt, if was_cancelled { Ending::GivenUp } else { ending });
     }
 
     /// An answer can't be read, or can't be this call's: its connection is of no use any more. The engine still
     /// knows the query, so the answer is fetched again on a new one before it is called failed.
-    fn spoilt(&mut self, cx: &mut Context, conn: Option<u64>, role: Role, fault: &str) {
-        debug!("an engine's answer to {role:?}: {fault}");
+    fn invalid_response(&mut self, cx: &mut Context, conn: Option<u64>, role: Role, reason: &str) {
+        debug!("an engine's answer to {role:?}: {reason}");
         cx.router.counters.spoilt += 1;
         conn.into_iter().for_each(|conn| self.close(cx, conn));
-        if let Role::Post(at) | Role::Ask(at) | Role::Page(at, _) = role {
-            let Some(run) = self.runs.get_mut(&at) else { return };
+        if let Role::Post(attempt) | Role::Poll(attempt) | Role::FetchPage(attempt, _) = role {
+            let Some(query) = self.queries.get_mut(&attempt) else { return };
             // It has answered, so it has the query.
-            (run.spoilt, run.whole) = (run.spoilt + 1, true);
-            if run.spoilt > SPOILT_MOST {
-                return self.end(cx, at, Ending::Garbled);
+            (query.invalid_responses, query.fully_written) = (query.invalid_responses + 1, true);
+            if query.invalid_responses > MAX_INVALID_RESPONSES {
+                return self.end_attempt(cx, attempt, Ending::Garbled);
             }
         }
-        self.broken(cx, role, true, Ending::Garbled);
+        self.handle_disconnect(cx, role, true, Ending::Garbled);
     }
 
     /// A connection is over.
-    fn lost(&mut self, cx: &mut Context, conn: u64, ending: Ending) {
-        let Some(line) = self.lines.get(&conn) else { return };
-        let (role, up) = (line.role, line.up);
-        self.targets.broke(cx.now, line.engine, up, ending);
+    fn connection_lost(&mut self, cx: &mut Context, conn: u64, ending: Ending) {
+        let Some(connection) = self.connections.get(&conn) else { return };
+        let (role, up) = (connection.role, connection.up);
+        self.engines.connection_ended(cx.now, connection.engine, up, ending);
         self.close(cx, conn);
-        self.broken(cx, role, up, ending);
+        self.handle_disconnect(cx, role, up, ending);
     }
 
     /// What the end of a connection means depends on what it was used for.
-    fn broken(&mut self, cx: &mut Context, role: Role, up: bool, ending: Ending) {
+    fn handle_disconnect(&mut self, cx: &mut Context, role: Role, up: bool, ending: Ending) {
         debug!("{role:?}: connection {} ended {ending:?}", if up { "that was up" } else { "not yet up" });
         match role {
             Role::Idle | Role::Discard => {}
-            Role::Rank(at) => {
-                self.runs.entry(at).and_modify(|r| r.ranking = false);
+            Role::SetPriority(attempt) => {
+                self.queries.entry(attempt).and_modify(|q| q.priority_update_pending = false);
             }
-            Role::GiveUp(at) => {
-                if !up && ending == Ending::Refused && !self.heard_on(at) {
-                    return self.end(cx, at, Ending::Abandoned);
+            Role::Cancel(attempt) => {
+                if !up && ending == Ending::Refused && !self.is_polling(attempt) {
+                    return self.end_attempt(cx, attempt, Ending::Abandoned);
                 }
-                let asked_ns = self.runs.get(&at).map_or(0, |r| r.asked_ns);
-                if cx.now >= asked_ns + FORGOTTEN_NS {
-                    return self.end(cx, at, Ending::Abandoned);
+                let last_call_ns = self.queries.get(&attempt).map_or(0, |q| q.last_call_ns);
+                if cx.now >= last_call_ns + UNPOLLED_EXPIRY_NS {
+                    return self.end_attempt(cx, attempt, Ending::Abandoned);
                 }
-                if let Some(leaving) = self.runs.get_mut(&at).and_then(|r| r.leaving.as_mut()) {
-                    (leaving.conn, leaving.again_ns) =
-                        (None, if up { cx.now } else { cx.now + ASK_AGAIN_NS / 2 });
+                if let Some(cancellation) =
+                    self.queries.get_mut(&attempt).and_then(|q| q.cancellation.as_mut())
+                {
+                    (cancellation.conn, cancellation.retry_at_ns) =
+                        (None, if up { cx.now } else { cx.now + RETRY_DELAY_NS / 2 });
                 }
             }
-            Role::Post(at) => {
-                let Some(run) = self.runs.get_mut(&at) else { return };
-                run.conn = None;
-                if let Some(leaving) = &mut run.leaving {
-                    leaving.again_ns = leaving.again_ns.min(cx.now + ASK_AGAIN_NS / 2);
+            Role::Post(attempt) => {
+                let Some(query) = self.queries.get_mut(&attempt) else { return };
+                query.conn = None;
+                if let Some(cancellation) = &mut query.cancellation {
+                    cancellation.retry_at_ns = cancellation.retry_at_ns.min(cx.now + RETRY_DELAY_NS / 2);
                     return;
                 }
-                let again = run.starts < STARTS_MOST;
+                let may_retry = query.posts < MAX_POSTS;
                 match ending {
-                    Ending::Reset if !up && !again => self.end(cx, at, Ending::Refused),
-                    Ending::Reset if !up => self.post(cx, at, true),
-                    _ if !up => self.end(cx, at, ending),
+                    Ending::Reset if !up && !may_retry => self.end_attempt(cx, attempt, Ending::Refused),
+                    Ending::Reset if !up => self.post(cx, attempt, true),
+                    _ if !up => self.end_attempt(cx, attempt, ending),
                     // Guards against a connection that closed as the call was written to it: it never ran.
-                    _ if !run.whole && again => self.post(cx, at, true),
-                    _ if !run.whole => self.end(cx, at, Ending::Unsent),
+                    _ if !query.fully_written && may_retry => self.post(cx, attempt, true),
+                    _ if !query.fully_written => self.end_attempt(cx, attempt, Ending::Unsent),
                     _ => {
-                        run.asked_ns = cx.now;
-                        self.again(cx, at);
+                        query.last_call_ns = cx.now;
+                        self.poll_again(cx, attempt);
                     }
                 }
             }
-            Role::Ask(at) | Role::Page(at, _) => {
-                let Some(run) = self.runs.get_mut(&at) else { return };
-                run.conn = None;
-                if run.leaving.is_some() {
+            Role::Poll(attempt) | Role::FetchPage(attempt, _) => {
+                let Some(query) = self.queries.get_mut(&attempt) else { return };
+                query.conn = None;
+                if query.cancellation.is_some() {
                     return;
                 }
                 if !up && ending == Ending::Refused {
                     // The process is gone, and the query with it: it may have run.
-                    self.end(cx, at, Ending::Cut);
+                    self.end_attempt(cx, attempt, Ending::Cut);
                 } else if !up && ending != Ending::Reset {
-                    run.again_ns = cx.now + ASK_AGAIN_NS;
+                    query.retry_at_ns = cx.now + RETRY_DELAY_NS;
                 } else {
-                    self.again(cx, at);
+                    self.poll_again(cx, attempt);
                 }
             }
         }
     }
 
     /// A query belongs to no connection: after a broken one it is asked for on another.
-    fn again(&mut self, cx: &mut Context, at: Attempt) {
-        let Some(run) = self.runs.get_mut(&at) else { return };
-        run.breaks += 1;
-        if run.breaks > 1 {
-            run.again_ns = cx.now + ASK_AGAIN_NS;
+    fn poll_again(&mut self, cx: &mut Context, attempt: Attempt) {
+        let Some(query) = self.queries.get_mut(&attempt) else { return };
+        query.disconnects += 1;
+        if query.disconnects > 1 {
+            query.retry_at_ns = cx.now + RETRY_DELAY_NS;
         } else {
-            self.ask(cx, at, None);
+            self.poll(cx, attempt, None);
         }
     }
 }
 
-impl Backend for HttpEngines {
-    fn set_openings(&mut self, openings: Option<(Openings, u64)>) {
-        self.targets.set_openings(openings);
+impl Backend for HttpBackend {
+    fn set_connection_budget(&mut self, connection_budget: Option<(Openings, u64)>) {
+        self.engines.set_connection_budget(connection_budget);
     }
 
-    fn change(&mut self, cx: &mut Context, change: &Change) {
-        let (runs, lines) = (&self.runs, &self.lines);
-        self.targets.change(change, |id| {
-            runs.values().any(|r| r.engine == id) || lines.values().any(|l| l.engine == id)
+    fn apply_change(&mut self, cx: &mut Context, change: &Change) {
+        let (queries, connections) = (&self.queries, &self.connections);
+        self.engines.apply_change(change, |id| {
+            queries.values().any(|q| q.engine == id) || connections.values().any(|c| c.engine == id)
         });
-        self.take_back_unbegun(cx, |targets, run| !targets.serves(run.engine));
-    }
-
-    fn start(&mut self, cx: &mut Context, start: Start) {
-        let run = Run {
-            engine: start.engine,
-            ask: start.ask,
-            class: start.class,
-            timeout_ns: start.timeout_ns,
-            once: start.once,
-            begin_by_ns: start.begin_by_ns,
-            whole: false,
-            known: false,
-            stood_still: false,
+        self.abort_unsent(cx, |engines, query| !engines.accepts_work(query.engine));
+    }
+
+    fn start(&mut self, cx: &mut Context, new: NewAttempt) {
+        let query = Query {
+            engine: new.engine,
+            ask: new.ask,
+            class: new.class,
+            timeout_ns: new.timeout_ns,
+            at_most_once: new.at_most_once,
+            begin_by_ns: new.begin_by_ns,
+            fully_written: false,
+            is_known: false,
+            post_timed_out: false,
             conn: None,
-            asked_ns: cx.now,
-            again_ns: 0,
-            breaks: 0,
-            starts: 0,
-            spoilt: 0,
+            last_call_ns: cx.now,
+            retry_at_ns: 0,
+            disconnects: 0,
+            posts: 0,
+            invalid_responses: 0,
             pages: 0,
             next_page: 0,
             rows: Vec::new(),
-            report: None,
-            priority: start.priority,
-            told_priority: start.priority,
-            ranking: false,
-            leaving: None,
+            load_report: None,
+            priority: new.priority,
+            sent_priority: new.priority,
+            priority_update_pending: false,
+            cancellation: None,
         };
-        self.runs.insert(start.attempt, run);
-        self.post(cx, start.attempt, false);
+        self.queries.insert(new.attempt, query);
+        self.post(cx, new.attempt, false);
     }
 
-    fn give_up(&mut self, cx: &mut Context, at: Attempt) {
-        self.withdraw(cx, at);
-        let Some(run) = self.runs.get_mut(&at).filter(|r| r.leaving.is_none()) else { return };
-        run.leaving = Some(Leaving { conn: None, again_ns: cx.now, told: false });
-        self.tell_leaving(cx, at);
+    fn cancel(&mut self, cx: &mut Context, attempt: Attempt) {
+        self.cancel_if_unsent(cx, attempt);
+        let Some(query) = self.queries.get_mut(&attempt).filter(|q| q.cancellation.is_none()) else { return };
+        query.cancellation = Some(Cancellation { conn: None, retry_at_ns: cx.now, acknowledged: false });
+        self.send_cancel(cx, attempt);
     }
 
-    fn withdraw(&mut self, cx: &mut Context, at: Attempt) {
-        if self.runs.get(&at).is_some_and(|r| !r.whole) {
-            self.take_back(cx, at, Ending::Withdrawn);
+    fn cancel_if_unsent(&mut self, cx: &mut Context, attempt: Attempt) {
+        if self.queries.get(&attempt).is_some_and(|q| !q.fully_written) {
+            self.abort(cx, attempt, Ending::Withdrawn);
         }
     }
 
     fn flushed(&mut self, cx: &mut Context, conn: u64) {
-        self.written(cx, conn);
+        self.record_written(cx, conn);
     }
 
-    fn rank(&mut self, cx: &mut Context, at: Attempt, priority: u8) {
-        self.runs.entry(at).and_modify(|r| r.priority = priority);
-        self.tell_rank(cx, at);
+    fn set_priority(&mut self, cx: &mut Context, attempt: Attempt, priority: u8) {
+        self.queries.entry(attempt).and_modify(|q| q.priority = priority);
+        self.send_priority(cx, attempt);
     }
 
     fn ready(&mut self, cx: &mut Context, conn: u64) {
-        let look = cx.net.service(conn);
-        if let Some(line) = self.lines.get_mut(&conn) {
-            if look.up && !line.up {
-                self.targets.came_up(line.engine);
+        let readiness = cx.net.service(conn);
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            if readiness.up && !connection.up {
+                self.engines.connected(connection.engine);
             }
-            line.up |= look.up;
+            connection.up |= readiness.up;
         }
-        self.written(cx, conn);
-        if !cx.net.input(conn).is_empty() && self.lines.get(&conn).is_some_and(|l| l.role == Role::Idle) {
+        self.record_written(cx, conn);
+        if !cx.net.input(conn).is_empty() && self.connections.get(&conn).is_some_and(|c| c.role == Role::Idle)
+        {
             // Guards against bytes that nobody asked for: they would stand before the next call's answer.
             return self.close(cx, conn);
         }
-        while let Some(role) = self.lines.get(&conn).map(|l| l.role) {
-            match read_answer(cx.net.input(conn)) {
+        while let Some(role) = self.connections.get(&conn).map(|c| c.role) {
+            match parse_response(cx.net.input(conn)) {
                 Ok(None) => break,
-                Ok(Some((head, from, to))) => {
-                    let (body, behind) = (&cx.net.input(conn)[from..to], &cx.net.input(conn)[to..]);
+                Ok(Some((head, body_start, body_end))) => {
+                    let (body, trailing) =
+                        (&cx.net.input(conn)[body_start..body_end], &cx.net.input(conn)[body_end..]);
                     // Guards against a length told too short: what is behind a whole answer may be the rest of
                     // it, unless it starts like an answer of its own.
-                    if !behind.is_empty() && !behind.starts_with(b"HTTP/1.1 ") && !body.is_empty() {
-                        return self.spoilt(cx, Some(conn), role, "bytes behind an answer");
+                    if !trailing.is_empty() && !trailing.starts_with(b"HTTP/1.1 ") && !body.is_empty() {
+                        return self.invalid_response(cx, Some(conn), role, "bytes behind an answer");
                     }
-                    let (body, last) = (body.to_vec(), head.closes || !behind.is_empty());
-                    cx.net.consume(conn, to);
-                    if last {
+                    let (body, is_last) = (body.to_vec(), head.connection_close || !trailing.is_empty());
+                    cx.net.consume(conn, body_end);
+                    if is_last {
                         // Guards against bytes behind an answer that are read as the next one's: it has no next.
                         self.close(cx, conn);
-                        return self.answer(cx, None, role, head, body);
+                        return self.handle_response(cx, None, role, head, body);
                     }
-                    self.answer(cx, Some(conn), role, head, body);
+                    self.handle_response(cx, Some(conn), role, head, body);
                 }
-                Err(fault) => return self.spoilt(cx, Some(conn), role, &fault),
+                Err(reason) => return self.invalid_response(cx, Some(conn), role, &reason),
             }
         }
-        if let Some(ending) = look.ended {
-            self.lost(cx, conn, ending);
+        if let Some(ending) = readiness.ended {
+            self.connection_lost(cx, conn, ending);
         }
     }
 
     fn tick(&mut self, cx: &mut Context) {
         let (mut late, mut stale) = (Vec::new(), Vec::new());
-        for (conn, line) in &self.lines {
-            let age = cx.now.saturating_sub(line.since_ns);
-            match line.role {
-                Role::Idle if age > self.idle_ns.min(REUSE_NS) => stale.push(*conn),
+        for (conn, connection) in &self.connections {
+            let age = cx.now.saturating_sub(connection.since_ns);
+            match connection.role {
+                Role::Idle if age > self.idle_timeout_ns.min(MAX_REUSE_IDLE_NS) => stale.push(*conn),
                 Role::Idle => {}
-                _ if !line.up && age > self.connect_ns => late.push((*conn, Ending::Unreachable)),
-                _ if line.up && age > SILENT_NS => late.push((*conn, Ending::Cut)),
+                _ if !connection.up && age > self.connect_timeout_ns => {
+                    late.push((*conn, Ending::Unreachable))
+                }
+                _ if connection.up && age > RESPONSE_TIMEOUT_NS => late.push((*conn, Ending::Cut)),
                 _ => {}
             }
         }
@@ -675,36 +748,43 @@
         late.sort_unstable();
         stale.into_iter().for_each(|conn| self.close(cx, conn));
         for (conn, ending) in late {
-            if let Some(Line { role: Role::Post(at), up: true, .. }) = self.lines.get(&conn) {
-                self.runs.entry(*at).and_modify(|r| r.stood_still = r.whole);
+            if let Some(Connection { role: Role::Post(attempt), up: true, .. }) = self.connections.get(&conn)
+            {
+                self.queries.entry(*attempt).and_modify(|q| q.post_timed_out = q.fully_written);
             }
-            self.lost(cx, conn, ending);
+            self.connection_lost(cx, conn, ending);
         }
         // Guards against a repeat that goes out, as its connection comes up late, when engines would run it again.
         let now = cx.now;
-        self.take_back_unbegun(cx, |_, run| run.begin_by_ns.is_some_and(|by| now > by));
+        self.abort_unsent(cx, |_, query| query.begin_by_ns.is_some_and(|by| now > by));
         // Guards against waiting for a query on an engine that is cut off: since it could last have been asked it
         // has ended the query by itself, if it ever took it up.
-        let over = |r: &Run| r.whole && r.leaving.is_none() && cx.now > r.asked_ns + FORGOTTEN_NS;
-        let forgotten: Vec<Attempt> = self.runs.iter().filter(|(_, r)| over(r)).map(|(at, _)| *at).collect();
-        forgotten.into_iter().for_each(|at| self.end(cx, at, Ending::Cut));
+        let is_expired = |q: &Query| {
+            q.fully_written && q.cancellation.is_none() && cx.now > q.last_call_ns + UNPOLLED_EXPIRY_NS
+        };
+        let expired: Vec<Attempt> =
+            self.queries.iter().filter(|(_, q)| is_expired(q)).map(|(attempt, _)| *attempt).collect();
+        expired.into_iter().for_each(|attempt| self.end_attempt(cx, attempt, Ending::Cut));
         let due: Vec<(Attempt, bool)> = self
-            .runs
+            .queries
             .iter()
-            .filter_map(|(at, run)| match &run.leaving {
-                None => (run.conn.is_none() && cx.now >= run.again_ns).then_some((*at, false)),
+            .filter_map(|(attempt, query)| match &query.cancellation {
+                None => (query.conn.is_none() && cx.now >= query.retry_at_ns).then_some((*attempt, false)),
                 // Guards against a second copy: a call that was written to a machine that stands still for a while has
                 // not come, whatever the socket took. Only its answer, or time, says that the query is over.
-                Some(l) => (l.conn.is_none() && cx.now >= l.again_ns || cx.now > run.asked_ns + FORGOTTEN_NS)
-                    .then_some((*at, true)),
+                Some(cancellation) => (cancellation.conn.is_none() && cx.now >= cancellation.retry_at_ns
+                    || cx.now > query.last_call_ns + UNPOLLED_EXPIRY_NS)
+                    .then_some((*attempt, true)),
             })
             .collect();
-        for (at, leaving) in due {
-            let asked_ns = self.runs.get(&at).map_or(0, |r| r.asked_ns);
-            match leaving {
-                false => self.ask(cx, at, None),
-                true if cx.now > asked_ns + FORGOTTEN_NS => self.end(cx, at, Ending::Abandoned),
-                true => self.tell_leaving(cx, at),
+        for (attempt, is_cancelled) in due {
+            let last_call_ns = self.queries.get(&attempt).map_or(0, |q| q.last_call_ns);
+            match is_cancelled {
+                false => self.poll(cx, attempt, None),
+                true if cx.now > last_call_ns + UNPOLLED_EXPIRY_NS => {
+                    self.end_attempt(cx, attempt, Ending::Abandoned)
+                }
+                true => self.send_cancel(cx, attempt),
             }
         }
     }
--- a/crates/engine/src/postgres.rs
+++ b/crates/engine/src/postgres.rs
@@ -14,7 +14,7 @@
 use postgres_protocol::message::frontend;
 use postgres_protocol::IsNull;
 
-use super::{Backend, Context, Start, Targets};
+use super::{Backend, Context, EngineTable, NewAttempt};
 use marljunction_control::interface::EngineId;
 use marljunction_core::ending::Ending;
 use marljunction_core::{Ask, Attempt, Column, Fault, Row, Rows};
@@ -22,71 +22,71 @@
 use marljunction_pacing::opening::Openings;
 
 /// A session is used again so soon after its last query (ns).
-const REUSE_NS: u64 = 5_000_000_000;
+const MAX_REUSE_IDLE_NS: u64 = 5_000_000_000;
 /// Sessions kept for an engine (count).
-const IDLE_MOST: usize = 4;
+const MAX_IDLE_SESSIONS: usize = 4;
 /// Time that a session may take to open (ns).
-const OPEN_NS: u64 = 1_000_000_000;
+const SESSION_OPEN_TIMEOUT_NS: u64 = 1_000_000_000;
 /// Time that a cancelled query may take to say so, before its session is closed (ns).
-const CANCEL_NS: u64 = 500_000_000;
+const CANCEL_TIMEOUT_NS: u64 = 500_000_000;
 /// Sessions opened for an attempt because the one before broke as it opened (count).
-const STARTS_MOST: u32 = 3;
+const MAX_SESSION_OPENS: u32 = 3;
 /// Largest result, and longest message (bytes).
-const RESULT_MOST: usize = 64 << 10;
+const MAX_MESSAGE_BYTES: usize = 64 << 10;
 
 /// What a session of an engine is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     /// It opens, for an attempt that may be given up meanwhile.
-    Opens(Option<Attempt>),
+    Opening(Option<Attempt>),
     Idle,
-    Runs(Attempt),
+    Running(Attempt),
     /// It carries a `CancelRequest`; the engine closes it.
-    Cancels(Attempt),
+    Cancelling(Attempt),
 }
 
-struct Line {
+struct Connection {
     engine: EngineId,
     /// Where it leads, which may be another's address by now.
-    to: SocketAddr,
+    address: SocketAddr,
     role: Role,
     up: bool,
-    key: Option<(i32, i32)>,
+    cancel_key: Option<(i32, i32)>,
     since_ns: u64,
 }
 
-struct Run {
+struct Query {
     engine: EngineId,
     ask: Rc<Ask>,
     conn: u64,
     begin_by_ns: Option<u64>,
     /// The query was handed to the connection, and wholly written to it.
-    sent: bool,
-    whole: bool,
+    queued: bool,
+    fully_written: bool,
     /// Sessions that were opened for it.
-    starts: u32,
+    session_opens: u32,
     columns: Vec<Column>,
     rows: Vec<Row>,
     bytes: usize,
     complete: bool,
-    failed: Option<Fault>,
+    error: Option<Fault>,
     /// When it was given up.
-    leaving_ns: Option<u64>,
+    cancelled_at_ns: Option<u64>,
 }
 
 /// The backend for such engines.
-pub struct PostgresEngines {
-    targets: Targets<Vec<u64>>,
-    lines: HashMap<u64, Line>,
-    runs: BTreeMap<Attempt, Run>,
+pub struct PostgresBackend {
+    engines: EngineTable<Vec<u64>>,
+    connections: HashMap<u64, Connection>,
+    queries: BTreeMap<Attempt, Query>,
     user: String,
     database: String,
-    connect_ns: u64,
+    connect_timeout_ns: u64,
 }
 
-fn fields(body: &ErrorResponseBody) -> Fault {
-    let (mut fault, mut fields) = (Fault::default(), body.fields());
-    while let Ok(Some(field)) = fields.next() {
+fn parse_error(body: &ErrorResponseBody) -> Fault {
+    let (mut fault, mut field_iter) = (Fault::default(), body.fields());
+    while let Ok(Some(field)) = field_iter.next() {
         let value = String::from_utf8_lossy(field.value_bytes()).into_owned();
         match field.type_() {
             b'C' => fault.state = value,
@@ -97,13 +97,13 @@
     fault
 }
 
-fn cells(body: &DataRowBody) -> Option<Row> {
+fn parse_row(body: &DataRowBody) -> Option<Row> {
     let buffer = body.buffer();
     let ranges: Vec<_> = body.ranges().collect().ok()?;
     ranges.into_iter().map(|r| r.map_or(Some(None), |r| buffer.get(r).map(|b| Some(b.to_vec())))).collect()
 }
 
-fn columns(body: &RowDescriptionBody) -> Option<Vec<Column>> {
+fn parse_columns(body: &RowDescriptionBody) -> Option<Vec<Column>> {
     let column = |f: Field| {
         let (type_id, size, modifier) = (f.type_oid(), f.type_size(), f.type_modifier());
         Ok(Column { name: f.name().to_owned(), type_id, size, modifier, binary: f.format() == 1 })
@@ -112,7 +112,7 @@
 }
 
 /// The extended query of a request; absent where its text can't be sent.
-fn query(ask: &Ask) -> Option<BytesMut> {
+fn encode_query(ask: &Ask) -> Option<BytesMut> {
     let (statement, mut bytes) = (&ask.statement, BytesMut::new());
     let text = std::str::from_utf8(&statement.text).ok()?;
     frontend::parse("", text, statement.params.iter().map(|p| p.type_id), &mut bytes).ok()?;
@@ -131,47 +131,55 @@
 }
 
 /// Whether nothing of an attempt's query has gone out.
-fn unbegun(cx: &Context, run: &Run) -> bool {
-    !run.whole && (!run.sent || cx.net.is_unbegun(run.conn))
+fn is_unsent(cx: &Context, query: &Query) -> bool {
+    !query.fully_written && (!query.queued || cx.net.is_unbegun(query.conn))
 }
 
-impl PostgresEngines {
+impl PostgresBackend {
     /// No engines yet; sessions are opened as this user, on this database.
-    pub fn new(user: String, database: String, connect_ns: u64) -> Self {
-        let (targets, lines, runs) = (Targets::default(), HashMap::new(), BTreeMap::new());
-        PostgresEngines { targets, lines, runs, user, database, connect_ns }
+    pub fn new(user: String, database: String, connect_timeout_ns: u64) -> Self {
+        let (engines, connections, queries) = (EngineTable::default(), HashMap::new(), BTreeMap::new());
+        PostgresBackend { engines, connections, queries, user, database, connect_timeout_ns }
     }
 
     fn connect(&mut self, cx: &mut Context, engine: EngineId, role: Role) -> Result<u64, Ending> {
-        let to = self.targets.get(engine).ok_or(Ending::NoDescriptor)?.address;
+        let address = self.engines.get(engine).ok_or(Ending::NoDescriptor)?.address;
         let conn = match role {
-            Role::Opens(_) => self.targets.connect_for_work(cx, engine)?,
-            _ => self.targets.connect(cx, engine)?,
+            Role::Opening(_) => self.engines.connect_paced(cx, engine)?,
+            _ => self.engines.connect(cx, engine)?,
         };
-        self.lines.insert(conn, Line { engine, to, role, up: false, key: None, since_ns: cx.now });
+        self.connections.insert(
+            conn,
+            Connection { engine, address, role, up: false, cancel_key: None, since_ns: cx.now },
+        );
         Ok(conn)
     }
 
     /// A session for an attempt: one that is ready, else a new one.
-    fn session(
+    fn acquire_session(
         &mut self,
         cx: &mut Context,
-        at: Attempt,
+        attempt: Attempt,
         engine: EngineId,
-        once: bool,
+        at_most_once: bool,
     ) -> Result<u64, Ending> {
         // Guards against a load that is written to a session which is closing: nobody could tell what came of it.
-        while let Some(conn) = if once { None } else { self.targets.get(engine).and_then(|k| k.own.pop()) } {
-            match self.lines.get_mut(&conn) {
+        while let Some(conn) =
+            if at_most_once { None } else { self.engines.get(engine).and_then(|record| record.pool.pop()) }
+        {
+            match self.connections.get_mut(&conn) {
                 // Guards against a query in a session that its engine has closed since it was last looked at.
-                Some(line) if line.since_ns + REUSE_NS >= cx.now && cx.net.service(conn).ended.is_none() => {
-                    line.role = Role::Runs(at);
+                Some(connection)
+                    if connection.since_ns + MAX_REUSE_IDLE_NS >= cx.now
+                        && cx.net.service(conn).ended.is_none() =>
+                {
+                    connection.role = Role::Running(attempt);
                     return Ok(conn);
                 }
                 _ => self.close(cx, conn),
             }
         }
-        let conn = self.connect(cx, engine, Role::Opens(Some(at)))?;
+        let conn = self.connect(cx, engine, Role::Opening(Some(attempt)))?;
         let mut bytes = BytesMut::new();
         let params = [
             ("user", self.user.as_str()),
@@ -187,142 +195,159 @@
     }
 
     fn close(&mut self, cx: &mut Context, conn: u64) {
-        if let Some(known) = self.lines.remove(&conn).and_then(|l| self.targets.get(l.engine)) {
-            known.own.retain(|c| *c != conn);
+        if let Some(record) = self.connections.remove(&conn).and_then(|c| self.engines.get(c.engine)) {
+            record.pool.retain(|c| *c != conn);
         }
         cx.net.close(conn);
     }
 
-    fn end(&mut self, cx: &mut Context, at: Attempt, ending: Ending) {
-        let Some(run) = self.runs.remove(&at) else { return };
-        if let Some(fault) = run.failed {
-            cx.router.fault(at, fault);
+    fn end_attempt(&mut self, cx: &mut Context, attempt: Attempt, ending: Ending) {
+        let Some(query) = self.queries.remove(&attempt) else { return };
+        if let Some(fault) = query.error {
+            cx.router.fault(attempt, fault);
         }
-        let rows = (ending == Ending::Served).then_some(Rows::Cells(run.columns, run.rows));
-        cx.router.ended(at, ending, rows, None);
+        let rows = (ending == Ending::Served).then_some(Rows::Cells(query.columns, query.rows));
+        cx.router.ended(attempt, ending, rows, None);
     }
 
-    fn send(&mut self, cx: &mut Context, at: Attempt) {
-        let Some(run) = self.runs.get_mut(&at) else { return };
-        let conn = run.conn;
-        match query(&run.ask) {
+    fn send_query(&mut self, cx: &mut Context, attempt: Attempt) {
+        let Some(query) = self.queries.get_mut(&attempt) else { return };
+        let conn = query.conn;
+        match encode_query(&query.ask) {
             Some(bytes) => {
-                run.sent = true;
+                query.queued = true;
                 match cx.net.send(conn, &bytes) {
-                    true => self.written(cx, conn),
+                    true => self.record_written(cx, conn),
                     // Guards against a query that passes for written, as nothing of it waits.
-                    false => self.lost(cx, conn, Ending::Unsent),
+                    false => self.connection_lost(cx, conn, Ending::Unsent),
                 }
             }
             None => {
-                run.failed = Some(Fault { state: "22021".into(), message: "the text is not UTF-8".into() });
-                self.end(cx, at, Ending::Unsent);
-                self.rest(cx, conn);
+                query.error = Some(Fault { state: "22021".into(), message: "the text is not UTF-8".into() });
+                self.end_attempt(cx, attempt, Ending::Unsent);
+                self.release(cx, conn);
             }
         }
     }
 
     /// Takes note of a query that has been wholly written.
-    fn written(&mut self, cx: &mut Context, conn: u64) {
-        if let Some(Role::Runs(at)) = self.lines.get(&conn).map(|l| l.role) {
+    fn record_written(&mut self, cx: &mut Context, conn: u64) {
+        if let Some(Role::Running(attempt)) = self.connections.get(&conn).map(|c| c.role) {
             let drained = cx.net.drained(conn);
-            self.runs.entry(at).and_modify(|r| r.whole |= r.sent && drained);
+            self.queries.entry(attempt).and_modify(|q| q.fully_written |= q.queued && drained);
         }
     }
 
     /// Ends an attempt whose query was not wholly written: it never ran, and without the rest it never will. A session that
     /// still opens is kept for others.
-    fn take_back(&mut self, cx: &mut Context, at: Attempt, ending: Ending) {
-        let Some((conn, sent)) = self.runs.get(&at).map(|r| (r.conn, r.sent)) else { return };
-        self.end(cx, at, ending);
-        match self.lines.get_mut(&conn) {
-            Some(line) if !sent => line.role = Role::Opens(None),
+    fn abort(&mut self, cx: &mut Context, attempt: Attempt, ending: Ending) {
+        let Some((conn, queued)) = self.queries.get(&attempt).map(|q| (q.conn, q.queued)) else { return };
+        self.end_attempt(cx, attempt, ending);
+        match self.connections.get_mut(&conn) {
+            Some(connection) if !queued => connection.role = Role::Opening(None),
             _ => self.close(cx, conn),
         }
     }
 
     /// Ends the attempts of which nothing has gone out and that `which` says must not begin any more.
-    fn take_back_unbegun(&mut self, cx: &mut Context, which: impl Fn(&Targets<Vec<u64>>, &Run) -> bool) {
-        let which = |run: &Run| unbegun(cx, run) && which(&self.targets, run);
-        let over: Vec<Attempt> = self.runs.iter().filter(|(_, run)| which(run)).map(|(at, _)| *at).collect();
-        over.into_iter().for_each(|at| self.take_back(cx, at, Ending::Unsent));
+    fn abort_unsent(
+        &mut self,
+        cx: &mut Context,
+        should_abort: impl Fn(&EngineTable<Vec<u64>>, &Query) -> bool,
+    ) {
+        let should_abort = |query: &Query| is_unsent(cx, query) && should_abort(&self.engines, query);
+        let unsent: Vec<Attempt> = self
+            .queries
+            .iter()
+            .filter(|(_, query)| should_abort(query))
+            .map(|(attempt, _)| *attempt)
+            .collect();
+        unsent.into_iter().for_each(|attempt| self.abort(cx, attempt, Ending::Unsent));
     }
 
-    fn rest(&mut self, cx: &mut Context, conn: u64) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        (line.role, line.since_ns) = (Role::Idle, cx.now);
-        match self.targets.keeps(line.engine, line.to).filter(|k| k.own.len() < IDLE_MOST) {
-            Some(known) => known.own.push(conn),
+    fn release(&mut self, cx: &mut Context, conn: u64) {
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        (connection.role, connection.since_ns) = (Role::Idle, cx.now);
+        match self
+            .engines
+            .get_listed_at(connection.engine, connection.address)
+            .filter(|record| record.pool.len() < MAX_IDLE_SESSIONS)
+        {
+            Some(record) => record.pool.push(conn),
             None => self.close(cx, conn),
         }
     }
 
     /// The engine is ready for a query in this session.
     fn ready_for_query(&mut self, cx: &mut Context, conn: u64, status: u8) {
-        let Some(role) = self.lines.get(&conn).map(|l| l.role) else { return };
+        let Some(role) = self.connections.get(&conn).map(|c| c.role) else { return };
         match role {
-            Role::Opens(Some(at)) => {
-                self.lines.entry(conn).and_modify(|l| l.role = Role::Runs(at));
-                self.send(cx, at);
+            Role::Opening(Some(attempt)) => {
+                self.connections.entry(conn).and_modify(|c| c.role = Role::Running(attempt));
+                self.send_query(cx, attempt);
             }
-            Role::Runs(at) => {
-                let Some(run) = self.runs.get(&at) else { return self.close(cx, conn) };
-                let ending = match (run.complete, &run.failed, run.leaving_ns) {
+            Role::Running(attempt) => {
+                let Some(query) = self.queries.get(&attempt) else { return self.close(cx, conn) };
+                let ending = match (query.complete, &query.error, query.cancelled_at_ns) {
                     (true, None, _) => Ending::Served,
                     (_, _, Some(_)) => Ending::GivenUp,
                     (_, Some(_), None) => Ending::EngineError,
                     (false, None, None) => Ending::Garbled,
                 };
-                let cancelled = run.leaving_ns.is_some();
-                self.end(cx, at, ending);
+                let cancelled = query.cancelled_at_ns.is_some();
+                self.end_attempt(cx, attempt, ending);
                 // Guards against a session that is still in a transaction, which the next query would be part of,
                 // and against a late CancelRequest, which would end the next query.
                 if status == b'I' && !cancelled {
-                    self.rest(cx, conn);
+                    self.release(cx, conn);
                 } else {
                     self.close(cx, conn);
                 }
             }
-            Role::Opens(None) => self.rest(cx, conn),
-            Role::Idle | Role::Cancels(_) => {}
+            Role::Opening(None) => self.release(cx, conn),
+            Role::Idle | Role::Cancelling(_) => {}
         }
     }
 
-    fn message(&mut self, cx: &mut Context, conn: u64, message: Message) -> Result<(), Ending> {
-        let Some(line) = self.lines.get_mut(&conn) else { return Ok(()) };
-        let role = line.role;
-        let run = match role {
-            Role::Runs(at) => self.runs.get_mut(&at),
+    fn handle_message(&mut self, cx: &mut Context, conn: u64, message: Message) -> Result<(), Ending> {
+        let Some(connection) = self.connections.get_mut(&conn) else { return Ok(()) };
+        let role = connection.role;
+        let query = match role {
+            Role::Running(attempt) => self.queries.get_mut(&attempt),
             _ => None,
         };
-        match (message, role, run) {
+        match (message, role, query) {
             (Message::ReadyForQuery(body), ..) => self.ready_for_query(cx, conn, body.status()),
-            (Message::BackendKeyData(body), ..) => line.key = Some((body.process_id(), body.secret_key())),
+            (Message::BackendKeyData(body), ..) => {
+                connection.cancel_key = Some((body.process_id(), body.secret_key()))
+            }
             (Message::AuthenticationOk | Message::ParameterStatus(_) | Message::NoticeResponse(_), ..) => {}
-            (Message::ErrorResponse(body), Role::Opens(at), _) => {
-                let fault = fields(&body);
+            (Message::ErrorResponse(body), Role::Opening(attempt), _) => {
+                let fault = parse_error(&body);
                 debug!("an engine refused a session: {} {}", fault.state, fault.message);
                 // The session was refused: nothing ran.
                 let full = fault.state == "53300";
-                if let Some(at) = at {
-                    self.end(cx, at, if full { Ending::Full } else { Ending::Refused });
+                if let Some(attempt) = attempt {
+                    self.end_attempt(cx, attempt, if full { Ending::Full } else { Ending::Refused });
                 }
                 return Err(Ending::Refused);
             }
-            (Message::ErrorResponse(body), _, Some(run)) => run.failed = Some(fields(&body)),
-            (Message::DataRow(body), _, Some(run)) => {
-                let row = cells(&body).ok_or(Ending::Garbled)?;
-                run.bytes += row.iter().map(|c| c.as_ref().map_or(0, Vec::len) + 24).sum::<usize>();
-                if run.bytes > 4 * RESULT_MOST {
+            (Message::ErrorResponse(body), _, Some(query)) => query.error = Some(parse_error(&body)),
+            (Message::DataRow(body), _, Some(query)) => {
+                let row = parse_row(&body).ok_or(Ending::Garbled)?;
+                query.bytes += row.iter().map(|c| c.as_ref().map_or(0, Vec::len) + 24).sum::<usize>();
+                if query.bytes > 4 * MAX_MESSAGE_BYTES {
                     return Err(Ending::Garbled);
                 }
-                run.rows.push(row);
+                query.rows.push(row);
+            }
+            (Message::CommandComplete(_) | Message::EmptyQueryResponse, _, Some(query)) => {
+                query.complete = true
             }
-            (Message::CommandComplete(_) | Message::EmptyQueryResponse, _, Some(run)) => run.complete = true,
             (Message::ParseComplete | Message::BindComplete, _, Some(_)) => {}
             (Message::NoData, _, Some(_)) => {}
-            (Message::RowDescription(body), _, Some(run)) => {
-                run.columns = columns(&body).ok_or(Ending::Garbled)?;
+            (Message::RowDescription(body), _, Some(query)) => {
+                query.columns = parse_columns(&body).ok_or(Ending::Garbled)?;
             }
             // A password, a copy, or what nobody asked for.
             _ => return Err(Ending::Garbled),
@@ -331,120 +356,130 @@
     }
 
     /// Whether one more session may be opened for an attempt.
-    fn starts(&self, at: Attempt) -> bool {
-        self.runs.get(&at).is_some_and(|r| r.starts < STARTS_MOST)
+    fn may_reopen(&self, attempt: Attempt) -> bool {
+        self.queries.get(&attempt).is_some_and(|q| q.session_opens < MAX_SESSION_OPENS)
     }
 
-    fn lost(&mut self, cx: &mut Context, conn: u64, ending: Ending) {
-        let Some(line) = self.lines.get(&conn) else { return };
-        let (role, up) = (line.role, line.up);
-        self.targets.broke(cx.now, line.engine, up, ending);
+    fn connection_lost(&mut self, cx: &mut Context, conn: u64, ending: Ending) {
+        let Some(connection) = self.connections.get(&conn) else { return };
+        let (role, up) = (connection.role, connection.up);
+        self.engines.connection_ended(cx.now, connection.engine, up, ending);
         self.close(cx, conn);
         match role {
             // Guards against a bad link that is taken for a dead engine: a session that broke as it opened is
             // opened again, as nothing ran.
-            Role::Opens(Some(at)) if matches!(ending, Ending::Cut | Ending::Reset) && self.starts(at) => {
-                let Some(engine) = self.runs.get(&at).map(|r| r.engine) else { return };
-                match self.session(cx, at, engine, true) {
+            Role::Opening(Some(attempt))
+                if matches!(ending, Ending::Cut | Ending::Reset) && self.may_reopen(attempt) =>
+            {
+                let Some(engine) = self.queries.get(&attempt).map(|q| q.engine) else { return };
+                match self.acquire_session(cx, attempt, engine, true) {
                     Ok(conn) => {
-                        self.runs.entry(at).and_modify(|r| (r.conn, r.starts) = (conn, r.starts + 1));
+                        self.queries
+                            .entry(attempt)
+                            .and_modify(|q| (q.conn, q.session_opens) = (conn, q.session_opens + 1));
                     }
-                    Err(ending) => self.end(cx, at, ending),
+                    Err(ending) => self.end_attempt(cx, attempt, ending),
                 }
             }
             // A session that was refused, or that never opened: nothing ran.
-            Role::Opens(Some(at)) if ending == Ending::Reset => self.end(cx, at, Ending::Refused),
-            Role::Opens(Some(at)) if up && ending != Ending::Unreachable => self.end(cx, at, Ending::Refused),
-            Role::Opens(Some(at)) => self.end(cx, at, ending),
-            Role::Runs(at) => {
-                let Some(run) = self.runs.get(&at) else { return };
-                let ending = match (run.leaving_ns, run.whole) {
+            Role::Opening(Some(attempt)) if ending == Ending::Reset => {
+                self.end_attempt(cx, attempt, Ending::Refused)
+            }
+            Role::Opening(Some(attempt)) if up && ending != Ending::Unreachable => {
+                self.end_attempt(cx, attempt, Ending::Refused)
+            }
+            Role::Opening(Some(attempt)) => self.end_attempt(cx, attempt, ending),
+            Role::Running(attempt) => {
+                let Some(query) = self.queries.get(&attempt) else { return };
+                let ending = match (query.cancelled_at_ns, query.fully_written) {
                     (Some(_), _) => Ending::GivenUp,
                     (None, false) => Ending::Unsent,
                     (None, true) if ending == Ending::Garbled => Ending::Garbled,
                     (None, true) => Ending::Cut,
                 };
-                self.end(cx, at, ending);
+                self.end_attempt(cx, attempt, ending);
             }
-            Role::Idle | Role::Opens(None) | Role::Cancels(_) => {}
+            Role::Idle | Role::Opening(None) | Role::Cancelling(_) => {}
         }
     }
 }
 
-impl Backend for PostgresEngines {
-    fn set_openings(&mut self, openings: Option<(Openings, u64)>) {
-        self.targets.set_openings(openings);
+impl Backend for PostgresBackend {
+    fn set_connection_budget(&mut self, connection_budget: Option<(Openings, u64)>) {
+        self.engines.set_connection_budget(connection_budget);
     }
 
-    fn change(&mut self, cx: &mut Context, change: &Change) {
-        let (runs, lines) = (&self.runs, &self.lines);
-        self.targets.change(change, |id| {
-            runs.values().any(|r| r.engine == id) || lines.values().any(|l| l.engine == id)
+    fn apply_change(&mut self, cx: &mut Context, change: &Change) {
+        let (queries, connections) = (&self.queries, &self.connections);
+        self.engines.apply_change(change, |id| {
+            queries.values().any(|q| q.engine == id) || connections.values().any(|c| c.engine == id)
         });
-        self.take_back_unbegun(cx, |targets, run| !targets.serves(run.engine));
+        self.abort_unsent(cx, |engines, query| !engines.accepts_work(query.engine));
     }
 
-    fn start(&mut self, cx: &mut Context, start: Start) {
-        let at = start.attempt;
-        let conn = match self.session(cx, at, start.engine, start.once) {
+    fn start(&mut self, cx: &mut Context, new: NewAttempt) {
+        let attempt = new.attempt;
+        let conn = match self.acquire_session(cx, attempt, new.engine, new.at_most_once) {
             Ok(conn) => conn,
-            Err(ending) => return cx.router.ended(at, ending, None, None),
+            Err(ending) => return cx.router.ended(attempt, ending, None, None),
         };
         #[rustfmt::skip]
-        let run = Run {
-            engine: start.engine, ask: start.ask, conn, begin_by_ns: start.begin_by_ns, sent: false, whole: false, starts: 1, columns: Vec::new(), rows: Vec::new(), bytes: 0,
-            complete: false, failed: None, leaving_ns: None,
+        let query = Query {
+            engine: new.engine, ask: new.ask, conn, begin_by_ns: new.begin_by_ns, queued: false, fully_written: false, session_opens: 1, columns: Vec::new(), rows: Vec::new(), bytes: 0,
+            complete: false, error: None, cancelled_at_ns: None,
         };
-        self.runs.insert(at, run);
-        if self.lines.get(&conn).is_some_and(|l| l.role == Role::Runs(at)) {
-            self.send(cx, at);
+        self.queries.insert(attempt, query);
+        if self.connections.get(&conn).is_some_and(|c| c.role == Role::Running(attempt)) {
+            self.send_query(cx, attempt);
         }
     }
 
-    fn give_up(&mut self, cx: &mut Context, at: Attempt) {
-        self.withdraw(cx, at);
-        let Some(run) = self.runs.get_mut(&at).filter(|r| r.leaving_ns.is_none()) else { return };
-        let (conn, engine) = (run.conn, run.engine);
-        run.leaving_ns = Some(cx.now);
-        let Some((number, key)) = self.lines.get(&conn).and_then(|l| l.key) else {
-            return self.lost(cx, conn, Ending::Cut);
+    fn cancel(&mut self, cx: &mut Context, attempt: Attempt) {
+        self.cancel_if_unsent(cx, attempt);
+        let Some(query) = self.queries.get_mut(&attempt).filter(|q| q.cancelled_at_ns.is_none()) else {
+            return;
         };
-        if let Ok(cancel) = self.connect(cx, engine, Role::Cancels(at)) {
+        let (conn, engine) = (query.conn, query.engine);
+        query.cancelled_at_ns = Some(cx.now);
+        let Some((number, cancel_key)) = self.connections.get(&conn).and_then(|c| c.cancel_key) else {
+            return self.connection_lost(cx, conn, Ending::Cut);
+        };
+        if let Ok(cancel) = self.connect(cx, engine, Role::Cancelling(attempt)) {
             let mut bytes = BytesMut::new();
-            frontend::cancel_request(number, key, &mut bytes);
+            frontend::cancel_request(number, cancel_key, &mut bytes);
             cx.net.send(cancel, &bytes);
         }
     }
 
-    fn withdraw(&mut self, cx: &mut Context, at: Attempt) {
-        if self.runs.get(&at).is_some_and(|r| !r.whole) {
-            self.take_back(cx, at, Ending::Withdrawn);
+    fn cancel_if_unsent(&mut self, cx: &mut Context, attempt: Attempt) {
+        if self.queries.get(&attempt).is_some_and(|q| !q.fully_written) {
+            self.abort(cx, attempt, Ending::Withdrawn);
         }
     }
 
     fn flushed(&mut self, cx: &mut Context, conn: u64) {
-        self.written(cx, conn);
+        self.record_written(cx, conn);
     }
 
-    fn rank(&mut self, _: &mut Context, _: Attempt, _: u8) {
+    fn set_priority(&mut self, _: &mut Context, _: Attempt, _: u8) {
         // The protocol has no priorities.
     }
 
     fn ready(&mut self, cx: &mut Context, conn: u64) {
-        let look = cx.net.service(conn);
-        if let Some(line) = self.lines.get_mut(&conn) {
-            if look.up && !line.up {
-                self.targets.came_up(line.engine);
+        let readiness = cx.net.service(conn);
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            if readiness.up && !connection.up {
+                self.engines.connected(connection.engine);
             }
-            line.up |= look.up;
+            connection.up |= readiness.up;
         }
-        self.written(cx, conn);
-        while self.lines.contains_key(&conn) {
+        self.record_written(cx, conn);
+        while self.connections.contains_key(&conn) {
             let input = cx.net.input(conn);
             let size = match Header::parse(input) {
                 Ok(None) => break,
-                Ok(Some(header)) if header.len() as usize <= RESULT_MOST => header.len() as usize + 1,
-                _ => return self.lost(cx, conn, Ending::Garbled),
+                Ok(Some(header)) if header.len() as usize <= MAX_MESSAGE_BYTES => header.len() as usize + 1,
+                _ => return self.connection_lost(cx, conn, Ending::Garbled),
             };
             if input.len() < size {
                 break;
@@ -452,39 +487,41 @@
             let mut bytes = BytesMut::from(&input[..size]);
             cx.net.consume(conn, size);
             let parsed = Message::parse(&mut bytes).ok().flatten().ok_or(Ending::Garbled);
-            if let Err(ending) = parsed.and_then(|message| self.message(cx, conn, message)) {
-                return self.lost(cx, conn, ending);
+            if let Err(ending) = parsed.and_then(|message| self.handle_message(cx, conn, message)) {
+                return self.connection_lost(cx, conn, ending);
             }
         }
-        if let Some(ending) = look.ended {
-            self.lost(cx, conn, ending);
+        if let Some(ending) = readiness.ended {
+            self.connection_lost(cx, conn, ending);
         }
     }
 
     fn tick(&mut self, cx: &mut Context) {
-        let mut over: Vec<(u64, Ending)> = Vec::new();
-        for (conn, line) in &self.lines {
-            let age = cx.now.saturating_sub(line.since_ns);
-            match line.role {
-                Role::Opens(_) if !line.up && age > self.connect_ns => {
-                    over.push((*conn, Ending::Unreachable))
+        let mut timed_out: Vec<(u64, Ending)> = Vec::new();
+        for (conn, connection) in &self.connections {
+            let age = cx.now.saturating_sub(connection.since_ns);
+            match connection.role {
+                Role::Opening(_) if !connection.up && age > self.connect_timeout_ns => {
+                    timed_out.push((*conn, Ending::Unreachable))
+                }
+                Role::Opening(_) if age > SESSION_OPEN_TIMEOUT_NS => {
+                    timed_out.push((*conn, Ending::Unreachable))
                 }
-                Role::Opens(_) if age > OPEN_NS => over.push((*conn, Ending::Unreachable)),
-                Role::Idle if age > REUSE_NS => over.push((*conn, Ending::Idle)),
-                Role::Cancels(_) if age > CANCEL_NS => over.push((*conn, Ending::Idle)),
-                Role::Runs(at) => {
-                    let leaving = self.runs.get(&at).and_then(|r| r.leaving_ns);
-                    if leaving.is_some_and(|since| cx.now > since + CANCEL_NS) {
-                        over.push((*conn, Ending::Cut));
+                Role::Idle if age > MAX_REUSE_IDLE_NS => timed_out.push((*conn, Ending::Idle)),
+                Role::Cancelling(_) if age > CANCEL_TIMEOUT_NS => timed_out.push((*conn, Ending::Idle)),
+                Role::Running(attempt) => {
+                    let cancelled_at_ns = self.queries.get(&attempt).and_then(|q| q.cancelled_at_ns);
+                    if cancelled_at_ns.is_some_and(|since| cx.now > since + CANCEL_TIMEOUT_NS) {
+                        timed_out.push((*conn, Ending::Cut));
                     }
                 }
                 _ => {}
             }
         }
-        over.sort_unstable();
-        over.into_iter().for_each(|(conn, ending)| self.lost(cx, conn, ending));
+        timed_out.sort_unstable();
+        timed_out.into_iter().for_each(|(conn, ending)| self.connection_lost(cx, conn, ending));
         // Guards against a repeat that goes out, as its session opens late, when engines would run it again.
         let now = cx.now;
-        self.take_back_unbegun(cx, |_, run| run.begin_by_ns.is_some_and(|by| now > by));
+        self.abort_unsent(cx, |_, query| query.begin_by_ns.is_some_and(|by| now > by));
     }
 }
--- a/crates/engine/tests/give_up.rs
+++ b/crates/engine/tests/give_up.rs
@@ -10,37 +10,37 @@
 use marljunction_core::statement::Statement;
 use marljunction_core::{Ask, Attempt, Client, Router};
 use marljunction_discovery::{Change, Target};
-use marljunction_engine::http::HttpEngines;
-use marljunction_engine::postgres::PostgresEngines;
-use marljunction_engine::{Backend, Context, Start};
+use marljunction_engine::http::HttpBackend;
+use marljunction_engine::postgres::PostgresBackend;
+use marljunction_engine::{Backend, Context, NewAttempt};
 use marljunction_net::{Net, Room};
 use mio::{Events, Poll};
 
 const MS: u64 = 1_000_000;
 const T0: u64 = 1_700_000_000_000 * MS;
 
-struct World {
+struct TestBed {
     poll: Poll,
     net: Net,
     router: Router,
-    engines: Box<dyn Backend>,
+    backend: Box<dyn Backend>,
     listener: TcpListener,
     now: u64,
     /// What queries ask.
     statement: Vec<u8>,
 }
 
-impl World {
-    fn new() -> World {
-        World::of(Box::new(HttpEngines::new(30_000 * MS, 250 * MS)), Room::of(64, 64.0))
+impl TestBed {
+    fn new() -> TestBed {
+        TestBed::with_backend(Box::new(HttpBackend::new(30_000 * MS, 250 * MS)), Room::of(64, 64.0))
     }
 
     /// With an engine that speaks PostgreSQL.
-    fn of_sessions(room: Room) -> World {
-        World::of(Box::new(PostgresEngines::new("u".into(), "d".into(), 250 * MS)), room)
+    fn with_postgres(room: Room) -> TestBed {
+        TestBed::with_backend(Box::new(PostgresBackend::new("u".into(), "d".into(), 250 * MS)), room)
     }
 
-    fn of(engines: Box<dyn Backend>, room: Room) -> World {
+    fn with_backend(backend: Box<dyn Backend>, room: Room) -> TestBed {
         let poll = Poll::new().unwrap();
         let registry = poll.registry().try_clone().unwrap();
         let net = Net::new(registry, 10, room);
@@ -48,15 +48,15 @@
         let class = ClassSettings { aim_ns: 9_000 * MS, deadline_ns: 9_000 * MS, ..ClassSettings::default() };
         let settings = Settings { classes: vec![class], may_cancel: true, ..Settings::default() };
         let router = Router::new(settings, 1, 64.0);
-        let same = listener.try_clone().unwrap();
-        let mut world = World { poll, net, router, engines, listener, now: T0, statement: Vec::new() };
-        world.lists(same, EngineState::Ready);
-        world.router.turn(T0, &mut Vec::new());
-        world
+        let listener_clone = listener.try_clone().unwrap();
+        let mut bed = TestBed { poll, net, router, backend, listener, now: T0, statement: Vec::new() };
+        bed.set_engine(listener_clone, EngineState::Ready);
+        bed.router.turn(T0, &mut Vec::new());
+        bed
     }
 
     /// Hands what the sockets bring to the engines' side, until `done`.
-    fn until(&mut self, mut done: impl FnMut(&mut World) -> bool) {
+    fn drive_until(&mut self, mut done: impl FnMut(&mut TestBed) -> bool) {
         let mut events = Events::with_capacity(16);
         let since = std::time::Instant::now();
         while !done(self) {
@@ -65,39 +65,39 @@
             let conns: Vec<u64> = events.iter().map(|e| e.token().0 as u64).collect();
             for conn in conns {
                 let mut cx = Context { now: self.now, net: &mut self.net, router: &mut self.router };
-                self.engines.ready(&mut cx, conn);
+                self.backend.ready(&mut cx, conn);
             }
         }
     }
 
     /// A list says that the engine is in this state, at this address.
-    fn lists(&mut self, listener: TcpListener, state: EngineState) {
+    fn set_engine(&mut self, listener: TcpListener, state: EngineState) {
         let entry = EngineEntry { engine: EngineId(1), state, ..EngineEntry::default() };
         let target = Target { entry, address: listener.local_addr().unwrap() };
         self.listener = listener;
         self.router.membership(MembershipKind::Full, vec![entry]);
         let mut cx = Context { now: self.now, net: &mut self.net, router: &mut self.router };
-        self.engines.change(&mut cx, &Change { kind: MembershipKind::Full, targets: vec![target] });
+        self.backend.apply_change(&mut cx, &Change { kind: MembershipKind::Full, targets: vec![target] });
     }
 
     /// The end of a round: calls go out.
-    fn release(&mut self) {
+    fn flush_calls(&mut self) {
         for conn in self.net.release() {
             let mut cx = Context { now: self.now, net: &mut self.net, router: &mut self.router };
-            self.engines.flushed(&mut cx, conn);
+            self.backend.flushed(&mut cx, conn);
         }
     }
 
     /// The engine takes no connections from here on.
-    fn refuse(&mut self) {
+    fn refuse_connections(&mut self) {
         let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
         self.listener = elsewhere;
     }
 
     /// Some rounds of what the sockets bring.
-    fn turn_sockets(&mut self) {
+    fn drive_sockets(&mut self) {
         let mut rounds = 0;
-        self.until(|_| {
+        self.drive_until(|_| {
             rounds += 1;
             rounds > 4
         });
@@ -105,340 +105,342 @@
 
     fn accept(&mut self) -> TcpStream {
         self.listener.set_nonblocking(true).unwrap();
-        let mut found = None;
-        self.until(|w| {
-            found = w.listener.accept().ok();
-            found.is_some()
+        let mut accepted = None;
+        self.drive_until(|bed| {
+            accepted = bed.listener.accept().ok();
+            accepted.is_some()
         });
-        let stream = found.unwrap().0;
+        let stream = accepted.unwrap().0;
         stream.set_nonblocking(true).unwrap();
         stream
     }
 
     /// Reads from the engine's end until the text has come.
-    fn read(&mut self, stream: &mut TcpStream, text: &str) {
+    fn expect_bytes(&mut self, stream: &mut TcpStream, text: &str) {
         let mut got = Vec::new();
-        self.until(|_| {
+        self.drive_until(|_| {
             let mut buffer = [0; 4_096];
             let n = stream.read(&mut buffer).unwrap_or(0);
             got.extend_from_slice(&buffer[..n]);
-            got.windows(text.len()).any(|w| w == text.as_bytes())
+            got.windows(text.len()).any(|window| window == text.as_bytes())
         });
     }
 
     fn tick(&mut self, ms: u64) {
         self.now = T0 + ms * MS;
         let mut cx = Context { now: self.now, net: &mut self.net, router: &mut self.router };
-        self.engines.tick(&mut cx);
+        self.backend.tick(&mut cx);
     }
 
     /// Sends a query to the engine; it goes on a connection that the caller finds.
     fn start(&mut self) -> Attempt {
-        self.start_by(None)
+        self.start_with_deadline(None)
     }
 
     /// The same, which must not begin to go out later.
-    fn start_by(&mut self, begin_by_ns: Option<u64>) -> Attempt {
+    fn start_with_deadline(&mut self, begin_by_ns: Option<u64>) -> Attempt {
         let statement = Statement::plain(self.statement.clone());
         let name = "aaaabbbbccccdddd".into();
         let ask = Ask { name, time_left_ns: 9_000 * MS, statement, ..Ask::default() };
         let request = self.router.take(self.now, Client { conn: 1, call: 1 }, ask.clone());
         self.router.turn(self.now, &mut Vec::new());
         let attempt = Attempt { request, number: 0 };
-        let start = Start {
+        let start = NewAttempt {
             attempt,
             engine: EngineId(1),
             timeout_ns: 9_000 * MS,
             priority: 1,
             ask: Rc::new(ask),
             class: "lookup".into(),
-            once: false,
+            at_most_once: false,
             begin_by_ns,
         };
         let mut cx = Context { now: self.now, net: &mut self.net, router: &mut self.router };
-        self.engines.start(&mut cx, start);
+        self.backend.start(&mut cx, start);
         attempt
     }
 
     /// A query that the engine has whole, and the connection that waits for its news.
-    fn started(&mut self) -> (Attempt, TcpStream) {
+    fn start_and_accept(&mut self) -> (Attempt, TcpStream) {
         let attempt = self.start();
         let mut first = self.accept();
-        self.read(&mut first, "POST /o ");
+        self.expect_bytes(&mut first, "POST /o ");
         (attempt, first)
     }
 
-    fn give_up(&mut self, attempt: Attempt) {
+    fn cancel(&mut self, attempt: Attempt) {
         let mut cx = Context { now: self.now, net: &mut self.net, router: &mut self.router };
-        self.engines.give_up(&mut cx, attempt);
+        self.backend.cancel(&mut cx, attempt);
     }
 
     /// The attempt's ending, once it has been reported.
     fn ending(&mut self) -> Ending {
-        self.until(|w| w.router.has_news());
+        self.drive_until(|bed| bed.router.has_news());
         self.router.turn(self.now, &mut Vec::new());
         let counted = ENDINGS.iter().find(|(ending, _)| self.router.counters.endings(*ending) > 0);
         counted.expect("an ending is counted").0
     }
 
     /// The query ends once the engine has been told on this connection that it is given up, and has said so.
-    fn told_on(&mut self, mut stream: TcpStream) {
-        self.read(&mut stream, "DELETE /o/aaaabbbbccccdddd ");
+    fn expect_cancel_on(&mut self, mut stream: TcpStream) {
+        self.expect_bytes(&mut stream, "DELETE /o/aaaabbbbccccdddd ");
         assert!(!self.router.has_news());
         stream.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
         assert_eq!(self.ending(), Ending::GivenUp);
     }
 
     /// A query that the engine has whole, and that was given up: the end of the connection that tells it so.
-    fn given_up(&mut self) -> (TcpStream, TcpStream) {
-        let (attempt, first) = self.started();
-        self.give_up(attempt);
+    fn start_and_cancel(&mut self) -> (TcpStream, TcpStream) {
+        let (attempt, first) = self.start_and_accept();
+        self.cancel(attempt);
         let mut second = self.accept();
-        self.read(&mut second, "DELETE /o/aaaabbbbccccdddd ");
+        self.expect_bytes(&mut second, "DELETE /o/aaaabbbbccccdddd ");
         (first, second)
     }
 }
 
 #[test]
-fn a_call_for_news_that_is_answered_with_an_error_says_that_the_query_is_given_up() {
-    let mut w = World::new();
-    let (mut first, _second) = w.given_up();
+fn a_poll_answered_with_500_after_a_cancel_counts_as_cancelled() {
+    let mut bed = TestBed::new();
+    let (mut first, _second) = bed.start_and_cancel();
     first.write_all(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n").unwrap();
-    assert_eq!(w.ending(), Ending::GivenUp, "the engine must not pass for a failing one");
+    assert_eq!(bed.ending(), Ending::GivenUp, "the engine must not pass for a failing one");
 }
 
 #[test]
-fn an_engine_that_takes_no_new_connection_is_told_on_the_one_that_waits_for_news() {
-    let mut w = World::new();
-    let (attempt, mut first) = w.started();
-    w.refuse();
-    w.give_up(attempt);
+fn a_cancel_uses_the_poll_connection_when_new_connections_are_refused() {
+    let mut bed = TestBed::new();
+    let (attempt, mut first) = bed.start_and_accept();
+    bed.refuse_connections();
+    bed.cancel(attempt);
     for ms in [20, 40, 150, 240] {
-        w.tick(ms);
-        w.turn_sockets();
-        assert!(!w.router.has_news(), "after {ms} ms the query may still run: its connection stands");
+        bed.tick(ms);
+        bed.drive_sockets();
+        assert!(!bed.router.has_news(), "after {ms} ms the query may still run: its connection stands");
     }
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
-    w.told_on(first);
+    bed.expect_cancel_on(first);
 }
 
 #[test]
-fn an_engine_that_takes_no_new_connection_and_resets_the_old_one_has_gone() {
-    let mut w = World::new();
-    let (attempt, first) = w.started();
-    w.refuse();
-    w.give_up(attempt);
+fn a_refused_connection_and_a_reset_poll_end_a_cancelled_query() {
+    let mut bed = TestBed::new();
+    let (attempt, first) = bed.start_and_accept();
+    bed.refuse_connections();
+    bed.cancel(attempt);
     drop(first);
-    w.turn_sockets();
-    w.tick(240);
-    assert_eq!(w.ending(), Ending::Abandoned);
+    bed.drive_sockets();
+    bed.tick(240);
+    assert_eq!(bed.ending(), Ending::Abandoned);
 }
 
 #[test]
-fn an_engine_that_stands_still_has_not_been_told_until_it_answers() {
-    let mut w = World::new();
-    let (mut first, mut second) = w.given_up();
+fn a_cancel_is_not_confirmed_until_the_engine_responds() {
+    let mut bed = TestBed::new();
+    let (mut first, mut second) = bed.start_and_cancel();
     for ms in [100, 260, 400, 490] {
-        w.tick(ms);
-        assert!(!w.router.has_news(), "after {ms} ms the query may still run");
+        bed.tick(ms);
+        assert!(!bed.router.has_news(), "after {ms} ms the query may still run");
     }
     first.write_all(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n").unwrap();
     second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
-    assert_eq!(w.ending(), Ending::GivenUp);
+    assert_eq!(bed.ending(), Ending::GivenUp);
 }
 
 #[test]
-fn an_engine_that_reads_the_end_of_a_query_before_its_start_has_not_ended_it() {
-    let mut w = World::new();
-    let (mut first, mut second) = w.given_up();
-    w.tick(300);
+fn a_delete_processed_before_the_post_is_sent_again() {
+    let mut bed = TestBed::new();
+    let (mut first, mut second) = bed.start_and_cancel();
+    bed.tick(300);
     second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
-    w.turn_sockets();
+    bed.drive_sockets();
     for ms in [320, 400, 490] {
-        w.tick(ms);
-        assert!(!w.router.has_news(), "after {ms} ms the call that starts the query still waits there");
+        bed.tick(ms);
+        assert!(!bed.router.has_news(), "after {ms} ms the call that starts the query still waits there");
     }
     // It takes the query up now, and is told once more.
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
-    w.told_on(first);
+    bed.expect_cancel_on(first);
 }
 
 #[test]
-fn an_engine_that_reads_the_end_of_a_query_before_its_start_is_told_again_where_both_answers_come_at_once() {
-    let mut w = World::new();
-    let (mut first, mut second) = w.given_up();
+fn a_delete_processed_before_the_post_is_sent_again_when_both_responses_arrive_together() {
+    let mut bed = TestBed::new();
+    let (mut first, mut second) = bed.start_and_cancel();
     second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
     // The connection that waits for news is looked at first.
-    let mut cx = Context { now: w.now, net: &mut w.net, router: &mut w.router };
-    w.engines.ready(&mut cx, 11);
-    w.turn_sockets();
-    assert!(!w.router.has_news(), "the query may run");
-    w.told_on(first);
+    let mut cx = Context { now: bed.now, net: &mut bed.net, router: &mut bed.router };
+    bed.backend.ready(&mut cx, 11);
+    bed.drive_sockets();
+    assert!(!bed.router.has_news(), "the query may run");
+    bed.expect_cancel_on(first);
 }
 
 #[test]
-fn an_engine_that_stood_still_is_asked_twice_before_it_counts_as_not_knowing_a_query() {
-    for takes_it_up in [true, false] {
-        let mut w = World::new();
-        let (_attempt, _first) = w.started();
-        w.tick(501);
-        let mut second = w.accept();
-        w.read(&mut second, "GET /o/aaaabbbbccccdddd/0 ");
+fn a_query_is_polled_twice_after_a_post_timeout_before_it_counts_as_failed() {
+    for engine_starts_it in [true, false] {
+        let mut bed = TestBed::new();
+        let (_attempt, _first) = bed.start_and_accept();
+        bed.tick(501);
+        let mut second = bed.accept();
+        bed.expect_bytes(&mut second, "GET /o/aaaabbbbccccdddd/0 ");
         second.write_all(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n").unwrap();
-        w.turn_sockets();
-        assert!(!w.router.has_news(), "the call that starts it may still stand there");
-        w.tick(610);
-        let mut third = w.accept();
-        w.read(&mut third, "GET /o/aaaabbbbccccdddd/0 ");
-        let answer: &[u8] = match takes_it_up {
+        bed.drive_sockets();
+        assert!(!bed.router.has_news(), "the call that starts it may still stand there");
+        bed.tick(610);
+        let mut third = bed.accept();
+        bed.expect_bytes(&mut third, "GET /o/aaaabbbbccccdddd/0 ");
+        let answer: &[u8] = match engine_starts_it {
             true => b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n",
             false => b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
         };
         third.write_all(answer).unwrap();
-        assert_eq!(w.ending(), if takes_it_up { Ending::Served } else { Ending::EngineError });
+        assert_eq!(bed.ending(), if engine_starts_it { Ending::Served } else { Ending::EngineError });
     }
 }
 
 #[test]
-fn an_engine_that_never_answers_the_start_of_a_query_is_told_again_that_it_is_given_up() {
+fn a_delete_is_repeated_when_the_post_never_gets_a_response() {
     // The start's connection is ended for its silence behind the first answer, or before it.
-    for silent_first in [false, true] {
-        let mut w = World::new();
-        let (attempt, mut first) = w.started();
-        if silent_first {
-            w.now = T0 + 400 * MS;
+    for post_times_out_first in [false, true] {
+        let mut bed = TestBed::new();
+        let (attempt, mut first) = bed.start_and_accept();
+        if post_times_out_first {
+            bed.now = T0 + 400 * MS;
         }
-        w.give_up(attempt);
-        let mut second = w.accept();
-        w.read(&mut second, "DELETE /o/aaaabbbbccccdddd ");
-        if silent_first {
-            w.tick(501);
-            w.until(|_| matches!(first.read(&mut [0; 16]), Err(e) if e.kind() == ErrorKind::ConnectionReset));
+        bed.cancel(attempt);
+        let mut second = bed.accept();
+        bed.expect_bytes(&mut second, "DELETE /o/aaaabbbbccccdddd ");
+        if post_times_out_first {
+            bed.tick(501);
+            bed.drive_until(
+                |_| matches!(first.read(&mut [0; 16]), Err(e) if e.kind() == ErrorKind::ConnectionReset),
+            );
         }
         second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
-        w.turn_sockets();
-        assert!(!w.router.has_news());
-        w.tick(502);
-        w.tick(620);
-        w.read(&mut second, "DELETE /o/aaaabbbbccccdddd ");
+        bed.drive_sockets();
+        assert!(!bed.router.has_news());
+        bed.tick(502);
+        bed.tick(620);
+        bed.expect_bytes(&mut second, "DELETE /o/aaaabbbbccccdddd ");
         second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
-        assert_eq!(w.ending(), Ending::GivenUp);
+        assert_eq!(bed.ending(), Ending::GivenUp);
     }
 }
 
 #[test]
-fn an_engine_that_never_answers_has_ended_the_query_by_itself_after_its_time() {
-    let mut w = World::new();
-    let _ends = w.given_up();
+fn a_cancelled_query_on_an_unresponsive_engine_ends_after_the_unpolled_expiry() {
+    let mut bed = TestBed::new();
+    let _ends = bed.start_and_cancel();
     for ms in [600, 1_200, 2_000, 2_240, 2_340] {
-        w.tick(ms);
-        assert!(!w.router.has_news(), "after {ms} ms the query may still run");
+        bed.tick(ms);
+        assert!(!bed.router.has_news(), "after {ms} ms the query may still run");
     }
-    w.tick(2_360);
+    bed.tick(2_360);
     assert!(
-        w.router.has_news(),
+        bed.router.has_news(),
         "nobody has asked for it for 2 s, the time that a call is held, and the allowance"
     );
 }
 
 #[test]
-fn an_engine_ends_a_query_by_itself_so_long_after_it_got_it_not_after_its_connection_was_begun() {
-    let mut w = World::new();
-    w.net.hold_calls();
-    let attempt = w.start();
-    let mut first = w.accept();
+fn the_unpolled_expiry_counts_from_the_written_post_not_from_the_connect() {
+    let mut bed = TestBed::new();
+    bed.net.hold_calls();
+    let attempt = bed.start();
+    let mut first = bed.accept();
     // The connection comes up late.
-    w.now = T0 + 200 * MS;
-    w.turn_sockets();
-    w.release();
-    w.read(&mut first, "POST /o ");
-    w.give_up(attempt);
+    bed.now = T0 + 200 * MS;
+    bed.drive_sockets();
+    bed.flush_calls();
+    bed.expect_bytes(&mut first, "POST /o ");
+    bed.cancel(attempt);
     for ms in [700, 1_300, 1_900, 2_360, 2_540] {
-        w.tick(ms);
-        w.turn_sockets();
-        w.release();
-        assert!(!w.router.has_news(), "after {ms} ms the query may still run");
+        bed.tick(ms);
+        bed.drive_sockets();
+        bed.flush_calls();
+        assert!(!bed.router.has_news(), "after {ms} ms the query may still run");
     }
-    w.tick(2_560);
-    assert_eq!(w.ending(), Ending::Abandoned);
+    bed.tick(2_560);
+    assert_eq!(bed.ending(), Ending::Abandoned);
 }
 
 #[test]
-fn news_that_come_before_a_connection_is_refused_do_not_make_the_refusal_an_end() {
-    let mut w = World::new();
-    let (attempt, mut first) = w.started();
-    w.refuse();
-    w.give_up(attempt);
+fn a_refused_connection_does_not_end_a_query_whose_poll_was_just_answered() {
+    let mut bed = TestBed::new();
+    let (attempt, mut first) = bed.start_and_accept();
+    bed.refuse_connections();
+    bed.cancel(attempt);
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
     // The connection that waits for news is looked at first, the refused one after it.
-    let mut cx = Context { now: w.now, net: &mut w.net, router: &mut w.router };
-    w.engines.ready(&mut cx, 11);
-    w.turn_sockets();
-    assert!(!w.router.has_news(), "the engine is there, and may still run the query");
-    w.told_on(first);
+    let mut cx = Context { now: bed.now, net: &mut bed.net, router: &mut bed.router };
+    bed.backend.ready(&mut cx, 11);
+    bed.drive_sockets();
+    assert!(!bed.router.has_news(), "the engine is there, and may still run the query");
+    bed.expect_cancel_on(first);
 }
 
 #[test]
-fn a_connection_is_used_again_for_two_seconds_after_its_last_answer() {
-    let mut w = World::new();
-    let (_attempt, mut first) = w.started();
+fn a_connection_is_reused_within_two_seconds_of_its_last_response() {
+    let mut bed = TestBed::new();
+    let (_attempt, mut first) = bed.start_and_accept();
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n").unwrap();
-    assert_eq!(w.ending(), Ending::Served);
+    assert_eq!(bed.ending(), Ending::Served);
     // Thin traffic: a router's next query for the same engine comes seconds later. Each handshake is priced.
-    w.tick(1_900);
-    w.start();
-    w.read(&mut first, "POST /o ");
-    w.listener.set_nonblocking(true).unwrap();
-    assert!(w.listener.accept().is_err(), "a new connection was opened where an idle one stood");
+    bed.tick(1_900);
+    bed.start();
+    bed.expect_bytes(&mut first, "POST /o ");
+    bed.listener.set_nonblocking(true).unwrap();
+    assert!(bed.listener.accept().is_err(), "a new connection was opened where an idle one stood");
 }
 
 #[test]
-fn a_connection_to_a_former_address_is_not_used_for_the_engine_any_more() {
-    let mut w = World::new();
-    let (_attempt, mut first) = w.started();
+fn a_connection_to_an_engines_former_address_is_not_reused() {
+    let mut bed = TestBed::new();
+    let (_attempt, mut first) = bed.start_and_accept();
     // The engine moves while the call is under way, and the old address may be another's when the call ends.
-    w.lists(TcpListener::bind("127.0.0.1:0").unwrap(), EngineState::Ready);
+    bed.set_engine(TcpListener::bind("127.0.0.1:0").unwrap(), EngineState::Ready);
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n").unwrap();
-    w.until(|w| {
-        w.router.turn(w.now, &mut Vec::new());
-        w.router.counters.endings(Ending::Served) == 1
+    bed.drive_until(|bed| {
+        bed.router.turn(bed.now, &mut Vec::new());
+        bed.router.counters.endings(Ending::Served) == 1
     });
     // Long enough for a connection to be used again, and not too long.
-    w.tick(100);
-    w.start();
-    let mut second = w.accept();
-    w.read(&mut second, "POST /o ");
+    bed.tick(100);
+    bed.start();
+    let mut second = bed.accept();
+    bed.expect_bytes(&mut second, "POST /o ");
 }
 
 /// A repeat that must begin within 100 ms, its calls held to the end of the round, and the engine's end of its connection.
-fn held_repeat() -> (World, TcpStream) {
-    let mut w = World::new();
-    w.net.hold_calls();
-    w.start_by(Some(T0 + 100 * MS));
-    let stream = w.accept();
-    (w, stream)
+fn held_retry() -> (TestBed, TcpStream) {
+    let mut bed = TestBed::new();
+    bed.net.hold_calls();
+    bed.start_with_deadline(Some(T0 + 100 * MS));
+    let stream = bed.accept();
+    (bed, stream)
 }
 
 #[test]
-fn a_repeat_that_engines_would_not_drop_any_more_does_not_begin_to_go_out() {
-    let (mut w, mut stream) = held_repeat();
-    w.tick(101);
-    assert_eq!(w.ending(), Ending::Unsent);
-    w.net.release();
-    w.until(|_| match stream.read(&mut [0; 16]) {
+fn a_retry_is_not_sent_after_its_deadline() {
+    let (mut bed, mut stream) = held_retry();
+    bed.tick(101);
+    assert_eq!(bed.ending(), Ending::Unsent);
+    bed.net.release();
+    bed.drive_until(|_| match stream.read(&mut [0; 16]) {
         Ok(n) if n > 0 => panic!("bytes came of it"),
         read => !matches!(&read, Err(e) if e.kind() == ErrorKind::WouldBlock),
     });
 }
 
 #[test]
-fn one_that_may_still_repeat_goes_out_at_the_end_of_the_round() {
-    let (mut w, mut stream) = held_repeat();
-    w.tick(99);
+fn a_retry_before_its_deadline_is_sent_on_flush() {
+    let (mut bed, mut stream) = held_retry();
+    bed.tick(99);
     let mut got = Vec::new();
-    w.until(|w| {
-        w.release();
+    bed.drive_until(|bed| {
+        bed.flush_calls();
         let mut buffer = [0; 4_096];
         let n = stream.read(&mut buffer).unwrap_or(0);
         got.extend_from_slice(&buffer[..n]);
@@ -447,99 +449,100 @@
 }
 
 #[test]
-fn an_engine_that_has_begun_to_drain_gets_nothing_new() {
-    let mut w = World::new();
-    let at = TcpListener::bind("127.0.0.1:0").unwrap();
-    at.set_nonblocking(true).unwrap();
-    w.lists(at, EngineState::Draining);
-    w.start();
-    assert!(matches!(w.listener.accept(), Err(e) if e.kind() == ErrorKind::WouldBlock));
+fn a_draining_engine_gets_no_new_query() {
+    let mut bed = TestBed::new();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    listener.set_nonblocking(true).unwrap();
+    bed.set_engine(listener, EngineState::Draining);
+    bed.start();
+    assert!(matches!(bed.listener.accept(), Err(e) if e.kind() == ErrorKind::WouldBlock));
 }
 
 /// Waits until the machine has told of the end of a connection, and hands that to nobody.
-fn unheard_end(w: &mut World) {
+fn wait_for_unhandled_close(bed: &mut TestBed) {
     let mut events = Events::with_capacity(16);
     while !events.iter().any(|e| e.is_read_closed()) {
-        w.poll.poll(&mut events, Some(std::time::Duration::from_secs(8))).unwrap();
+        bed.poll.poll(&mut events, Some(std::time::Duration::from_secs(8))).unwrap();
         assert!(!events.is_empty(), "no event tells of the end");
     }
 }
 
 #[test]
-fn a_connection_that_its_engine_has_closed_just_now_is_not_used_for_a_query() {
-    let mut w = World::new();
-    let (_attempt, mut first) = w.started();
+fn a_connection_closed_by_its_engine_is_not_reused() {
+    let mut bed = TestBed::new();
+    let (_attempt, mut first) = bed.start_and_accept();
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n").unwrap();
-    assert_eq!(w.ending(), Ending::Served);
-    w.tick(100);
+    assert_eq!(bed.ending(), Ending::Served);
+    bed.tick(100);
     drop(first);
-    unheard_end(&mut w);
-    w.start();
-    let mut second = w.accept();
-    w.read(&mut second, "POST /o ");
+    wait_for_unhandled_close(&mut bed);
+    bed.start();
+    let mut second = bed.accept();
+    bed.expect_bytes(&mut second, "POST /o ");
 }
 
 /// Room for so many bytes that wait for all connections together.
-fn cramped(output: usize) -> Room {
+fn limited_output(output: usize) -> Room {
     Room { engines: 32, output }
 }
 
 #[test]
-fn a_call_that_finds_no_room_to_wait_has_never_run() {
-    let mut w = World::of(Box::new(HttpEngines::new(30_000 * MS, 250 * MS)), cramped(100));
-    w.start();
-    assert_eq!(w.ending(), Ending::Unsent);
+fn a_query_over_the_output_limit_ends_as_unsent() {
+    let mut bed =
+        TestBed::with_backend(Box::new(HttpBackend::new(30_000 * MS, 250 * MS)), limited_output(100));
+    bed.start();
+    assert_eq!(bed.ending(), Ending::Unsent);
 }
 
-const READY: &[u8] = b"Z\0\0\0\x05I";
-const WELCOME: &[u8] = b"R\0\0\0\x08\0\0\0\0K\0\0\0\x0c\0\0\0\x07\0\0\0\x09Z\0\0\0\x05I";
+const READY_FOR_QUERY: &[u8] = b"Z\0\0\0\x05I";
+const STARTUP_RESPONSE: &[u8] = b"R\0\0\0\x08\0\0\0\0K\0\0\0\x0c\0\0\0\x07\0\0\0\x09Z\0\0\0\x05I";
 
 #[test]
-fn a_session_that_finds_no_room_to_wait_has_run_nothing() {
-    let mut w = World::of_sessions(cramped(60));
-    w.start();
-    assert_eq!(w.ending(), Ending::Unsent);
+fn a_startup_message_over_the_output_limit_ends_as_unsent() {
+    let mut bed = TestBed::with_postgres(limited_output(60));
+    bed.start();
+    assert_eq!(bed.ending(), Ending::Unsent);
 }
 
 #[test]
-fn a_query_that_finds_no_room_to_wait_in_its_session_has_never_run() {
-    let mut w = World::of_sessions(cramped(4 * 64));
-    w.statement = vec![b'x'; 64];
-    w.start();
-    let mut session = w.accept();
-    w.read(&mut session, "marljunction\0");
-    session.write_all(WELCOME).unwrap();
-    assert_eq!(w.ending(), Ending::Unsent);
+fn a_query_over_the_output_limit_in_an_open_session_ends_as_unsent() {
+    let mut bed = TestBed::with_postgres(limited_output(4 * 64));
+    bed.statement = vec![b'x'; 64];
+    bed.start();
+    let mut session = bed.accept();
+    bed.expect_bytes(&mut session, "marljunction\0");
+    session.write_all(STARTUP_RESPONSE).unwrap();
+    assert_eq!(bed.ending(), Ending::Unsent);
 }
 
 #[test]
-fn a_session_that_its_engine_has_closed_just_now_is_not_used_for_a_query() {
-    let mut w = World::of_sessions(Room::of(64, 64.0));
-    w.start();
-    let mut first = w.accept();
-    w.read(&mut first, "marljunction\0");
-    first.write_all(WELCOME).unwrap();
-    w.read(&mut first, "S\0\0\0\x04");
+fn a_session_closed_by_its_engine_is_not_reused() {
+    let mut bed = TestBed::with_postgres(Room::of(64, 64.0));
+    bed.start();
+    let mut first = bed.accept();
+    bed.expect_bytes(&mut first, "marljunction\0");
+    first.write_all(STARTUP_RESPONSE).unwrap();
+    bed.expect_bytes(&mut first, "S\0\0\0\x04");
     first.write_all(b"1\0\0\0\x042\0\0\0\x04n\0\0\0\x04C\0\0\0\x0dSELECT 0\0").unwrap();
-    first.write_all(READY).unwrap();
-    assert_eq!(w.ending(), Ending::Served);
+    first.write_all(READY_FOR_QUERY).unwrap();
+    assert_eq!(bed.ending(), Ending::Served);
     drop(first);
-    unheard_end(&mut w);
-    w.start();
-    let mut second = w.accept();
-    w.read(&mut second, "marljunction\0");
+    wait_for_unhandled_close(&mut bed);
+    bed.start();
+    let mut second = bed.accept();
+    bed.expect_bytes(&mut second, "marljunction\0");
 }
 
 #[test]
-fn a_repeat_whose_session_opens_too_late_does_not_begin_to_go_out() {
-    let mut w = World::of_sessions(Room::of(64, 64.0));
-    w.start_by(Some(T0 + 100 * MS));
-    let mut session = w.accept();
-    w.read(&mut session, "marljunction\0");
-    w.tick(101);
-    assert_eq!(w.ending(), Ending::Unsent);
+fn a_retry_is_not_sent_when_its_session_opens_after_its_deadline() {
+    let mut bed = TestBed::with_postgres(Room::of(64, 64.0));
+    bed.start_with_deadline(Some(T0 + 100 * MS));
+    let mut session = bed.accept();
+    bed.expect_bytes(&mut session, "marljunction\0");
+    bed.tick(101);
+    assert_eq!(bed.ending(), Ending::Unsent);
     // The session is kept for others, and carries nothing of that one.
-    session.write_all(WELCOME).unwrap();
-    w.turn_sockets();
+    session.write_all(STARTUP_RESPONSE).unwrap();
+    bed.drive_sockets();
     assert!(matches!(session.read(&mut [0; 16]), Err(e) if e.kind() == ErrorKind::WouldBlock));
 }
--- a/crates/http1/src/chunks.rs
+++ b/crates/http1/src/chunks.rs
@@ -4,9 +4,9 @@
 use thiserror::Error;
 
 /// Longest line that tells a chunk's size (bytes).
-const MAX_SIZE_LINE: usize = 32;
+const MAX_SIZE_LINE_BYTES: usize = 32;
 /// Bytes of the line feed behind a chunk.
-const LINE_FEED: usize = 2;
+const CRLF_BYTES: usize = 2;
 
 /// Why a body in chunks can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -21,40 +21,40 @@
 
 /// A reader of bodies that come in chunks.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Chunks {
+pub struct ChunkedDecoder {
     /// Bytes of the present chunk that are to come; the line feed behind it counts.
-    left: usize,
+    remaining: usize,
 }
 
-impl Chunks {
+impl ChunkedDecoder {
     /// Adds the body's bytes in `input` to `out`; returns how much was taken (bytes), and whether the body is whole.
     ///
     /// # Errors
     /// Where what tells a chunk's size can't be read.
-    pub fn take(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<(usize, bool), ChunkError> {
-        let mut taken = 0;
-        while taken < input.len() {
-            if self.left > 0 {
-                let part = self.left.min(input.len() - taken);
-                let body = part.min(self.left.saturating_sub(LINE_FEED));
-                out.extend_from_slice(&input[taken..taken + body]);
-                (self.left, taken) = (self.left - part, taken + part);
+    pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<(usize, bool), ChunkError> {
+        let mut consumed = 0;
+        while consumed < input.len() {
+            if self.remaining > 0 {
+                let part = self.remaining.min(input.len() - consumed);
+                let body = part.min(self.remaining.saturating_sub(CRLF_BYTES));
+                out.extend_from_slice(&input[consumed..consumed + body]);
+                (self.remaining, consumed) = (self.remaining - part, consumed + part);
                 continue;
             }
-            match httparse::parse_chunk_size(&input[taken..]) {
+            match httparse::parse_chunk_size(&input[consumed..]) {
                 Ok(httparse::Status::Complete((head, 0))) => {
                     // The empty line behind the last chunk; no trailers are used.
-                    return Ok(((taken + head + LINE_FEED).min(input.len()), true));
+                    return Ok(((consumed + head + CRLF_BYTES).min(input.len()), true));
                 }
                 Ok(httparse::Status::Complete((head, size))) => {
-                    let left = usize::try_from(size).ok().and_then(|size| size.checked_add(LINE_FEED));
-                    self.left = left.ok_or(ChunkError::TooLong(size))?;
-                    taken += head;
+                    let remaining = usize::try_from(size).ok().and_then(|size| size.checked_add(CRLF_BYTES));
+                    self.remaining = remaining.ok_or(ChunkError::TooLong(size))?;
+                    consumed += head;
                 }
-                Ok(httparse::Status::Partial) if input.len() - taken < MAX_SIZE_LINE => break,
+                Ok(httparse::Status::Partial) if input.len() - consumed < MAX_SIZE_LINE_BYTES => break,
                 _ => return Err(ChunkError::Size),
             }
         }
-        Ok((taken, false))
+        Ok((consumed, false))
     }
 }
--- a/crates/http1/tests/endings.rs
+++ b/crates/http1/tests/endings.rs
@@ -2,36 +2,38 @@
 
 use marljunction_control::interface::Status;
 use marljunction_core::ending::{Ending, Meaning};
-use marljunction_http1::head::{read_answer, whole_rows};
+use marljunction_http1::head::{has_complete_rows, parse_response};
 
 #[test]
-fn a_reset_link_says_nothing_of_the_engine() {
+fn a_reset_connection_skips_the_attempt_and_a_refused_one_counts_against_the_engine() {
     assert_eq!(Ending::Reset.meaning(), Meaning::Outcome(Status::Skipped));
     assert_eq!(Ending::Refused.meaning(), Meaning::Outcome(Status::Refused));
 }
 
 #[test]
-fn endless_heads_and_interim_answers_are_refused() {
-    assert!(read_answer(&b"HTTP/1.1 100 Continue\r\n\r\n".repeat(20)).is_err());
+fn oversized_heads_endless_interim_responses_and_signed_lengths_are_rejected() {
+    assert!(parse_response(&b"HTTP/1.1 100 Continue\r\n\r\n".repeat(20)).is_err());
     let endless = [&b"HTTP/1.1 200 OK\r\nA: "[..], &[b'a'; 9_000]].concat();
-    assert!(read_answer(&endless).is_err());
+    assert!(parse_response(&endless).is_err());
     let signed = b"HTTP/1.1 200 OK\r\nContent-Length: +3\r\n\r\nabc";
-    assert!(read_answer(signed).is_err());
+    assert!(parse_response(signed).is_err());
 }
 
 #[test]
-fn pages_are_whole_rows_of_three_columns() {
-    assert!(whole_rows(b"") && whole_rows(b"a\tb\tc\n\t\t\n"));
+fn pages_must_be_complete_rows_of_three_columns() {
+    assert!(has_complete_rows(b"") && has_complete_rows(b"a\tb\tc\n\t\t\n"));
     assert!(
-        !whole_rows(b"a\tb\tc") && !whole_rows(b"a\tb\tc\nd\te\n") && !whole_rows(b"a\tb\tc\nd\te\tf\tg\n")
+        !has_complete_rows(b"a\tb\tc")
+            && !has_complete_rows(b"a\tb\tc\nd\te\n")
+            && !has_complete_rows(b"a\tb\tc\nd\te\tf\tg\n")
     );
 }
 
 #[test]
-fn retry_after_is_seconds_or_a_date_by_whatever_clock_and_nothing_else() {
+fn retry_after_accepts_only_seconds_or_an_http_date() {
     use marljunction_http1::head::RetryAfter;
     const S: u64 = 1_000_000_000;
-    let read = |value: &str, now: u64| RetryAfter::read(value).map(|asked| asked.from(now));
+    let read = |value: &str, now: u64| RetryAfter::parse(value).map(|retry_after| retry_after.delay_ns(now));
     // Tue, 01 Dec 2026 00:00:00 GMT.
     let at = 1_796_083_200 * S;
     for (value, asked) in
--- a/src/daemon/engine_list.rs
+++ b/src/daemon/engine_list.rs
@@ -74,7 +74,7 @@
     pub(super) fn notify(&mut self, change: Change) {
         let now = self.clock.now_ns();
         let mut context = Context { now, net: &mut self.net, router: &mut self.router };
-        self.engines.change(&mut context, &change);
+        self.engines.apply_change(&mut context, &change);
         // In the place of the targets: guards against memory for both at once.
         let mut entries: Vec<_> = change.targets.into_iter().map(|target| target.entry).collect();
         entries.shrink_to_fit();
--- a/src/daemon/iteration.rs
+++ b/src/daemon/iteration.rs
@@ -6,7 +6,7 @@
 use log::info;
 use marljunction_control::interface::Effect;
 use marljunction_core::{Answer, Client, Command};
-use marljunction_engine::{Context, Start};
+use marljunction_engine::{Context, NewAttempt};
 use marljunction_net::Owner;
 use mio::{Events, Interest, Poll, Registry, Token};
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
@@ -210,13 +210,22 @@
         match command {
             Command::Start { attempt, engine, timeout_ns, priority, ask, begin_by_ns } => {
                 let class = self.config.directory.class_name(ask.class).to_owned();
-                let once = self.config.settings.classes[ask.class.0].effect == Effect::AtMostOnce;
-                let start = Start { attempt, engine, timeout_ns, priority, ask, class, once, begin_by_ns };
+                let at_most_once = self.config.settings.classes[ask.class.0].effect == Effect::AtMostOnce;
+                let start = NewAttempt {
+                    attempt,
+                    engine,
+                    timeout_ns,
+                    priority,
+                    ask,
+                    class,
+                    at_most_once,
+                    begin_by_ns,
+                };
                 self.engines.start(&mut context, start);
             }
-            Command::GiveUp(attempt) => self.engines.give_up(&mut context, attempt),
-            Command::Withdraw(attempt) => self.engines.withdraw(&mut context, attempt),
-            Command::Rank(attempt, priority) => self.engines.rank(&mut context, attempt, priority),
+            Command::GiveUp(attempt) => self.engines.cancel(&mut context, attempt),
+            Command::Withdraw(attempt) => self.engines.cancel_if_unsent(&mut context, attempt),
+            Command::Rank(attempt, priority) => self.engines.set_priority(&mut context, attempt, priority),
             Command::Answer(client, answer) => self.answer(now, client, answer),
         }
     }
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -15,8 +15,8 @@
 use marljunction_discovery::{Pacing, Source};
 use marljunction_door::settings::DoorSettings;
 use marljunction_door::{Door, Site};
-use marljunction_engine::http::HttpEngines;
-use marljunction_engine::postgres::PostgresEngines;
+use marljunction_engine::http::HttpBackend;
+use marljunction_engine::postgres::PostgresBackend;
 use marljunction_engine::Backend;
 use marljunction_fleet::{FleetConfig, FleetRuntime, FleetStart, RouterIdentity};
 use marljunction_front::msgpack::MsgpackFront;
@@ -181,12 +181,12 @@
     let connect_timeout_ns = config.connect_timeout_ns;
     let mut engines: Box<dyn Backend> = match postgres.map(|postgres| postgres.engines.clone()) {
         Some(EngineFile::Postgres { user, database }) => {
-            Box::new(PostgresEngines::new(user, database, connect_timeout_ns))
+            Box::new(PostgresBackend::new(user, database, connect_timeout_ns))
         }
-        _ => Box::new(HttpEngines::new(config.engine_idle_ns, connect_timeout_ns)),
+        _ => Box::new(HttpBackend::new(config.engine_idle_ns, connect_timeout_ns)),
     };
     let openings = start.openings(pacing.pace);
-    engines.set_openings(openings.map(|openings| (openings, pacing.seed)));
+    engines.set_connection_budget(openings.map(|openings| (openings, pacing.seed)));
     engines
 }
 
