--- a/crates/engine/src/http.rs
+++ b/crates/engine/src/http.rs
@@ -1,4 +1,7 @@
-//! Engines that speak HTTP/1.1: one call at a time on a connection, queries that belong to no connection.
+//! Backend for engines that speak HTTP/1.1.
+//!
+//! A connection carries one call at a time. A query is not bound to a connection: a POST starts it,
+//! GETs poll its status and fetch its result pages, a DELETE cancels it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -14,62 +17,65 @@
 use marljunction_http1::head::{has_complete_rows, parse_response, Head};
 use marljunction_pacing::opening::Openings;
 
-/// An idle connection is used again only so soon after its last answer (ns): a silent machine never resets.
+/// Longest idle time after which a connection is reused: a peer that has failed silently sends no
+/// reset.
 const MAX_REUSE_IDLE_NS: u64 = 2_000_000_000;
-/// A connection is used for another query only so long after its last answer (ns): what an engine sends behind
-/// that answer, more than belongs to it, would be read as the next one's.
+/// Shortest idle time before a connection is reused: surplus bytes behind the last response must
+/// arrive first, or they would be read as part of the next one.
 const MIN_REUSE_IDLE_NS: u64 = 15_000_000;
-/// Idle connections kept for an engine (count).
+/// Most idle connections per engine.
 const MAX_IDLE_CONNECTIONS: usize = 12;
-/// Time without a whole answer after which a connection is given up (ns): engines answer within 250 ms.
+/// Time without a complete response after which a connection is closed; engines respond within 250
+/// ms.
 const RESPONSE_TIMEOUT_NS: u64 = 500_000_000;
-/// Wait before a query is asked after again where no connection came up (ns).
+/// Delay before a query is polled again if no connection could be established.
 const RETRY_DELAY_NS: u64 = 200_000_000;
-/// An engine ends a query that nobody asks for in 2 s. The call that asked last may have come later than it was written, and
-/// counts as asking while the engine holds it for news, 250 ms; with the allowance for sockets, twice (ns).
+/// Time since the last call after which an unpolled query has ended. Engines end a query that is
+/// not polled for 2 s; a poll that the engine holds open for up to 250 ms counts until it returns,
+/// and the socket delays add up to 100 ms.
 const UNPOLLED_EXPIRY_NS: u64 = 2_350_000_000;
-/// Largest result (bytes).
+/// Largest result.
 const MAX_RESULT_BYTES: usize = 48_000;
-/// Times that a query's start is written to a new connection because the one before came to nothing (count).
+/// Most times that the POST of a query is written, each time to another connection.
 const MAX_POSTS: u32 = 3;
-/// Times that a query's answer or one page of it is asked for again because it was spoilt (count).
+/// Most invalid responses to one query before the attempt fails.
 const MAX_INVALID_RESPONSES: u32 = 5;
 
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     Idle,
-    /// The call that starts a query.
+    /// Starts a query (POST).
     Post(Attempt),
-    /// Asks for a query's news.
+    /// Polls the status of a query (GET).
     Poll(Attempt),
-    /// Fetches a page.
+    /// Fetches a result page (GET).
     FetchPage(Attempt, u32),
     SetPriority(Attempt),
     Cancel(Attempt),
-    /// Waits for an answer that nobody needs.
+    /// Waits for a response that is no longer needed.
     Discard,
 }
 
 struct Connection {
     engine: EngineId,
-    /// Where it leads, which may be another's address by now.
+    /// Remote address; the engine may have moved since.
     address: SocketAddr,
     role: Role,
     up: bool,
-    /// When its present call was made, or its last answer came.
+    /// When its current call was sent or its last response arrived.
     since_ns: u64,
 }
 
-/// How far giving up has come.
+/// State of the cancellation of a query.
 struct Cancellation {
     conn: Option<u64>,
     retry_at_ns: u64,
-    /// The engine has said that it was told.
+    /// The engine has confirmed the DELETE.
     acknowledged: bool,
 }
 
-/// A query on an engine.
+/// A query of an attempt on an engine.
 struct Query {
     engine: EngineId,
     ask: Rc<Ask>,
@@ -77,16 +83,16 @@
     timeout_ns: u64,
     at_most_once: bool,
     begin_by_ns: Option<u64>,
-    /// The call that starts it was wholly written.
+    /// The POST is fully written.
     fully_written: bool,
-    /// The engine has answered something about it.
+    /// The engine has responded to the POST or to a poll.
     is_known: bool,
-    /// The engine stood still as it got the call that starts it, and may read that behind a later one.
+    /// The fully written POST timed out; the engine may still read it after a later call.
     post_timed_out: bool,
     conn: Option<u64>,
-    /// When it was last asked for on a connection that was up.
+    /// When a POST or a poll was last written.
     last_call_ns: u64,
-    /// When to ask for it again, while no connection does.
+    /// When to poll again if no connection does.
     retry_at_ns: u64,
     disconnects: u32,
     posts: u32,
@@ -101,12 +107,12 @@
     cancellation: Option<Cancellation>,
 }
 
-/// Whether nothing of the call that starts a query has gone out.
+/// Whether no byte of the POST was sent.
 fn is_unsent(cx: &Context, query: &Query) -> bool {
     !query.fully_written && query.conn.is_none_or(|conn| cx.net.is_unbegun(conn))
 }
 
-/// The backend for such engines.
+/// Backend for engines that speak HTTP/1.1.
 pub struct HttpBackend {
     engines: EngineTable<Vec<u64>>,
     connections: HashMap<u64, Connection>,
@@ -116,8 +122,8 @@
 }
 
 impl HttpBackend {
-    /// No engines yet. They close connections that are idle for `idle_ns`; one that is not up after
-    /// `connect_ns` never will be.
+    /// Creates a backend without engines. Engines close connections that are idle for
+    /// `idle_timeout_ns`; a connection that is not established within `connect_timeout_ns` fails.
     pub fn new(idle_timeout_ns: u64, connect_timeout_ns: u64) -> Self {
         HttpBackend {
             engines: EngineTable::default(),
@@ -128,7 +134,7 @@
         }
     }
 
-    /// Takes an idle connection to an engine that was of use just now.
+    /// Takes the most recently used idle connection to an engine that can be reused.
     fn take_idle(&mut self, now: u64, engine: EngineId) -> Option<u64> {
         let age = |conn: &u64| self.connections.get(conn).map(|c| now.saturating_sub(c.since_ns));
         let fit =
@@ -137,7 +143,8 @@
         pool.iter().rposition(fit).map(|index| pool.remove(index))
     }
 
-    /// A connection for one call: an idle one that was of use just now, else a new one.
+    /// Returns a connection for one call: an idle one unless `new_connection` is set, else a new
+    /// one.
     fn acquire(
         &mut self,
         cx: &mut Context,
@@ -147,8 +154,8 @@
     ) -> Result<u64, Ending> {
         let address = self.engines.get(engine).ok_or(Ending::NoDescriptor)?.address;
         while let Some(conn) = if new_connection { None } else { self.take_idle(cx.now, engine) } {
-            // Guards against a call on a connection that its engine has closed since it was last looked at: nobody could tell
-            // whether it came.
+            // If the engine has closed the connection, it would be unknown whether the call
+            // arrived.
             if cx.net.service(conn).ended.is_some() || !cx.net.input(conn).is_empty() {
                 self.close(cx, conn);
                 continue;
@@ -186,12 +193,12 @@
         bytes.extend_from_slice(b"\r\n");
         bytes.extend_from_slice(body);
         if !cx.net.send(conn, &bytes) {
-            // Guards against a call that passes for written, as nothing of it waits.
+            // Nothing was queued, so the call would count as fully written.
             self.connection_lost(cx, conn, Ending::Unsent);
         }
     }
 
-    /// A connection is free again.
+    /// Returns a connection to the pool.
     fn release(&mut self, cx: &mut Context, conn: Option<u64>) {
         let Some((conn, connection)) = conn.and_then(|c| Some((c, self.connections.get_mut(&c)?))) else {
             return;
@@ -216,7 +223,7 @@
         cx.net.close(conn);
     }
 
-    /// Reports the one ending of an attempt, and lets its connections go.
+    /// Reports the outcome of an attempt and releases its connections.
     fn end_attempt(&mut self, cx: &mut Context, attempt: Attempt, ending: Ending) {
         let Some(query) = self.queries.remove(&attempt) else { return };
         let rows = (ending == Ending::Served).then_some(Rows::Text(query.rows));
@@ -229,14 +236,15 @@
         }
     }
 
-    /// Ends an attempt whose call was not wholly written: without the rest it never runs, so closing its connection is enough.
+    /// Ends an attempt whose POST is not fully written. Closing its connection is enough: an
+    /// incomplete call never starts a query.
     fn abort(&mut self, cx: &mut Context, attempt: Attempt, ending: Ending) {
         let conn = self.queries.get_mut(&attempt).and_then(|q| q.conn.take());
         self.end_attempt(cx, attempt, ending);
         conn.into_iter().for_each(|conn| self.close(cx, conn));
     }
 
-    /// Ends the attempts of which nothing has gone out and that `which` says must not begin any more.
+    /// Ends the attempts of which no byte was sent and for which `should_abort` returns true.
     fn abort_unsent(
         &mut self,
         cx: &mut Context,
@@ -255,11 +263,12 @@
     fn post(&mut self, cx: &mut Context, attempt: Attempt, new_connection: bool) {
         let Some(query) = self.queries.get(&attempt) else { return };
         let engine = query.engine;
-        // Guards against new work for an engine that began to drain while the connections before came to nothing.
+        // The engine may have started draining since the previous POST.
         if !self.engines.accepts_work(engine) {
             return self.end_attempt(cx, attempt, Ending::Unsent);
         }
-        // An idle connection may close as it is written to, and then nobody knows what came of it.
+        // A reused connection may close during the write, and then it is unknown whether the query
+        // ran.
         let conn = match self.acquire(cx, engine, Role::Post(attempt), new_connection || query.at_most_once) {
             Ok(conn) => conn,
             Err(ending) => return self.end_attempt(cx, attempt, ending),
@@ -283,13 +292,13 @@
         self.record_written(cx, conn);
     }
 
-    /// Takes note of calls that have been wholly written.
+    /// Records when the current call of a connection is fully written.
     fn record_written(&mut self, cx: &mut Context, conn: u64) {
         if !cx.net.drained(conn) {
             return;
         }
         match self.connections.get(&conn).map(|c| c.role) {
-            // The engine has it from now on, however long its connection took to come up.
+            // The time of the write counts, not the time at which the connection was opened.
             Some(Role::Post(attempt)) => {
                 let unwritten = self.queries.get_mut(&attempt).filter(|q| !q.fully_written);
                 unwritten.into_iter().for_each(|q| (q.fully_written, q.last_call_ns) = (true, cx.now));
@@ -301,12 +310,12 @@
         }
     }
 
-    /// Asks for a query's news, or for its next page.
+    /// Polls the status of a query or fetches its next page, on `reuse` if given.
     fn poll(&mut self, cx: &mut Context, attempt: Attempt, reuse: Option<u64>) {
         let Some(query) = self.queries.get(&attempt) else { return };
         if let Some(cancellation) = &query.cancellation {
-            // Guards against a refusal that comes after this answer, when no connection of the query's stands any
-            // more: this one carries the DELETE unless another already does.
+            // The pending DELETE may still be refused when no other connection is left, so it moves
+            // to this one unless its connection is established.
             let pending = cancellation.conn;
             let is_connected = pending.and_then(|conn| self.connections.get(&conn)).is_some_and(|c| c.up);
             self.queries.entry(attempt).and_modify(|q| q.conn = None);
@@ -364,7 +373,7 @@
             Err(Ending::Refused) if !self.is_polling(attempt) => {
                 self.end_attempt(cx, attempt, Ending::Abandoned)
             }
-            // A query that nobody asks for ends by itself.
+            // The engine has ended the unpolled query.
             Err(_) if cx.now >= last_call_ns + UNPOLLED_EXPIRY_NS => {
                 self.end_attempt(cx, attempt, Ending::Abandoned)
             }
@@ -378,7 +387,7 @@
         }
     }
 
-    /// Gives a query up by a call on this connection.
+    /// Sends the DELETE on this connection.
     fn send_cancel_on(&mut self, cx: &mut Context, attempt: Attempt, conn: u64) {
         let Some(query) = self.queries.get_mut(&attempt) else { return };
         let path = format!("/o/{}", query.ask.name);
@@ -391,15 +400,14 @@
         self.record_written(cx, conn);
     }
 
-    /// Whether a connection that is up still waits for a query's news. A process that has gone resets it, so
-    /// while it stands a refused connection says only that the engine takes no new ones: it may be draining, or
-    /// hold as many as it can.
+    /// Whether a poll is open on an established connection. A process that exits resets it, so
+    /// while it is open a refused connection only means that the engine accepts no new ones.
     fn is_polling(&self, attempt: Attempt) -> bool {
         let conn = self.queries.get(&attempt).and_then(|q| q.conn);
         conn.and_then(|conn| self.connections.get(&conn)).is_some_and(|c| c.up)
     }
 
-    /// Takes a whole answer; its connection is absent where it can carry nothing more.
+    /// Handles a complete response. `conn` is absent if the connection cannot be reused.
     fn handle_response(
         &mut self,
         cx: &mut Context,
@@ -411,15 +419,16 @@
         match role {
             Role::Idle => {}
             Role::Discard => self.release(cx, conn),
-            // Guards against an answer to an earlier call that is taken for this one's: the attempt would count
-            // as given up while it runs.
+            // Another status belongs to an earlier call, and would count as a confirmed
+            // cancellation while the query runs.
             Role::Cancel(_) | Role::SetPriority(_) if !matches!(head.status, 204 | 500) => {
-                self.invalid_response(cx, conn, role, "no answer to this call");
+                self.invalid_response(cx, conn, role, "unexpected status");
             }
             Role::Cancel(attempt) => {
                 self.release(cx, conn);
-                // Guards against a second copy: an engine that stood still may read this call before the one that starts the
-                // query, and take that up afterwards. It is told once more, when it has had time to read that one.
+                // After a stall the engine may have processed the DELETE before the POST, and start
+                // the query afterwards. The DELETE is repeated once the POST has had time to be
+                // read.
                 let polling = self.is_polling(attempt);
                 let Some(query) = self.queries.get_mut(&attempt) else { return };
                 match query
@@ -442,15 +451,15 @@
             }
             Role::Post(attempt) | Role::Poll(attempt) => {
                 let Some(query) = self.queries.get_mut(&attempt) else { return self.release(cx, conn) };
-                // Page 0 tells how many there are; a page that does not is another call's.
+                // Page 0 carries the number of pages; any other page belongs to another call.
                 let is_result = head.status == 200;
                 if is_result
                     && (head.pages.is_none_or(|n| n == 0) || head.page.is_some() || !has_complete_rows(&body))
                 {
-                    return self.invalid_response(cx, conn, role, "no first page");
+                    return self.invalid_response(cx, conn, role, "not a valid first page");
                 }
-                // Guards against a second copy: an engine that stood still may take a query up that it did not know just now. It
-                // is asked once more, when it has had time to read the call that starts it.
+                // After a stall the engine may still read the POST of a query that it does not know
+                // yet. Polls once more before the attempt fails.
                 if head.status == 500
                     && std::mem::take(&mut query.post_timed_out)
                     && query.cancellation.is_none()
@@ -466,7 +475,8 @@
                         if let Some(note) = head.note {
                             cx.router.note(attempt, note);
                         }
-                        // Guards against an end that was read before the start: it is told anew behind that.
+                        // The pending DELETE may have been processed before the POST; it is sent
+                        // again.
                         let pending = query
                             .cancellation
                             .as_mut()
@@ -485,7 +495,7 @@
                     (503, true) => self.finish(cx, attempt, conn, Ending::Full),
                     (504, true) => self.finish(cx, attempt, conn, Ending::Over),
                     (500, _) => self.finish(cx, attempt, conn, Ending::EngineError),
-                    _ => self.invalid_response(cx, conn, role, "no answer that the protocol knows"),
+                    _ => self.invalid_response(cx, conn, role, "unexpected status"),
                 }
             }
             Role::FetchPage(attempt, number) => {
@@ -495,7 +505,7 @@
                 }
                 let fits = head.status == 200 && head.page == Some(number) && has_complete_rows(&body);
                 if !fits || query.rows.len() + body.len() > MAX_RESULT_BYTES {
-                    return self.invalid_response(cx, conn, role, "another page");
+                    return self.invalid_response(cx, conn, role, "unexpected or oversized page");
                 }
                 query.load_report = head.load_report.or(query.load_report);
                 query.rows.extend_from_slice(&body);
@@ -516,22 +526,22 @@
 
     fn finish(&mut self, cx: &mut Context, attempt: Attempt, conn: Option<u64>, ending: Ending) {
         self.release(cx, conn);
-        // Guards against a cancel that counts as the engine's failure: the call that waits for news is answered so
-        // once the engine has given the query up, before the DELETE's own answer.
+        // A cancelled query's open poll gets a 500 before the DELETE gets its response; that is no
+        // failure of the engine.
         let was_cancelled = ending == Ending::EngineError
             && self.queries.get(&attempt).is_some_and(|q| q.cancellation.is_some());
         self.end_attempt(cx, attempt, if was_cancelled { Ending::GivenUp } else { ending });
     }
 
-    /// An answer can't be read, or can't be this call's: its connection is of no use any more. The engine still
-    /// knows the query, so the answer is fetched again on a new one before it is called failed.
+    /// Closes the connection of a response that is malformed or belongs to another call. The engine
+    /// still has the query, so it is polled on a new connection, up to a limit.
     fn invalid_response(&mut self, cx: &mut Context, conn: Option<u64>, role: Role, reason: &str) {
-        debug!("an engine's answer to {role:?}: {reason}");
+        debug!("invalid engine response to {role:?}: {reason}");
         cx.router.counters.spoilt += 1;
         conn.into_iter().for_each(|conn| self.close(cx, conn));
         if let Role::Post(attempt) | Role::Poll(attempt) | Role::FetchPage(attempt, _) = role {
             let Some(query) = self.queries.get_mut(&attempt) else { return };
-            // It has answered, so it has the query.
+            // A response means that the engine has the query.
             (query.invalid_responses, query.fully_written) = (query.invalid_responses + 1, true);
             if query.invalid_responses > MAX_INVALID_RESPONSES {
                 return self.end_attempt(cx, attempt, Ending::Garbled);
@@ -540,7 +550,7 @@
         self.handle_disconnect(cx, role, true, Ending::Garbled);
     }
 
-    /// A connection is over.
+    /// Handles the end of a connection.
     fn connection_lost(&mut self, cx: &mut Context, conn: u64, ending: Ending) {
         let Some(connection) = self.connections.get(&conn) else { return };
         let (role, up) = (connection.role, connection.up);
@@ -549,9 +559,9 @@
         self.handle_disconnect(cx, role, up, ending);
     }
 
-    /// What the end of a connection means depends on what it was used for.
+    /// Retries or ends what the connection was used for.
     fn handle_disconnect(&mut self, cx: &mut Context, role: Role, up: bool, ending: Ending) {
-        debug!("{role:?}: connection {} ended {ending:?}", if up { "that was up" } else { "not yet up" });
+        debug!("{role:?}: {} connection ended: {ending:?}", if up { "established" } else { "pending" });
         match role {
             Role::Idle | Role::Discard => {}
             Role::SetPriority(attempt) => {
@@ -584,7 +594,7 @@
                     Ending::Reset if !up && !may_retry => self.end_attempt(cx, attempt, Ending::Refused),
                     Ending::Reset if !up => self.post(cx, attempt, true),
                     _ if !up => self.end_attempt(cx, attempt, ending),
-                    // Guards against a connection that closed as the call was written to it: it never ran.
+                    // The POST was cut off, so the query did not start.
                     _ if !query.fully_written && may_retry => self.post(cx, attempt, true),
                     _ if !query.fully_written => self.end_attempt(cx, attempt, Ending::Unsent),
                     _ => {
@@ -600,7 +610,7 @@
                     return;
                 }
                 if !up && ending == Ending::Refused {
-                    // The process is gone, and the query with it: it may have run.
+                    // The engine process has exited, and the query may have run.
                     self.end_attempt(cx, attempt, Ending::Cut);
                 } else if !up && ending != Ending::Reset {
                     query.retry_at_ns = cx.now + RETRY_DELAY_NS;
@@ -611,7 +621,8 @@
         }
     }
 
-    /// A query belongs to no connection: after a broken one it is asked for on another.
+    /// Polls on a new connection, at once after the first disconnect and delayed after further
+    /// ones.
     fn poll_again(&mut self, cx: &mut Context, attempt: Attempt) {
         let Some(query) = self.queries.get_mut(&attempt) else { return };
         query.disconnects += 1;
@@ -699,7 +710,7 @@
         self.record_written(cx, conn);
         if !cx.net.input(conn).is_empty() && self.connections.get(&conn).is_some_and(|c| c.role == Role::Idle)
         {
-            // Guards against bytes that nobody asked for: they would stand before the next call's answer.
+            // Unsolicited bytes would be read as part of the next response.
             return self.close(cx, conn);
         }
         while let Some(role) = self.connections.get(&conn).map(|c| c.role) {
@@ -708,15 +719,15 @@
                 Ok(Some((head, body_start, body_end))) => {
                     let (body, trailing) =
                         (&cx.net.input(conn)[body_start..body_end], &cx.net.input(conn)[body_end..]);
-                    // Guards against a length told too short: what is behind a whole answer may be the rest of
-                    // it, unless it starts like an answer of its own.
+                    // Bytes behind the body that do not start a response show a `Content-Length`
+                    // that is too small.
                     if !trailing.is_empty() && !trailing.starts_with(b"HTTP/1.1 ") && !body.is_empty() {
-                        return self.invalid_response(cx, Some(conn), role, "bytes behind an answer");
+                        return self.invalid_response(cx, Some(conn), role, "trailing bytes after the body");
                     }
                     let (body, is_last) = (body.to_vec(), head.connection_close || !trailing.is_empty());
                     cx.net.consume(conn, body_end);
                     if is_last {
-                        // Guards against bytes behind an answer that are read as the next one's: it has no next.
+                        // Bytes behind a response must not be read as part of the next one.
                         self.close(cx, conn);
                         return self.handle_response(cx, None, role, head, body);
                     }
@@ -754,11 +765,11 @@
             }
             self.connection_lost(cx, conn, ending);
         }
-        // Guards against a repeat that goes out, as its connection comes up late, when engines would run it again.
+        // A retry whose connection was established too late must not be sent: engines would run it
+        // again.
         let now = cx.now;
         self.abort_unsent(cx, |_, query| query.begin_by_ns.is_some_and(|by| now > by));
-        // Guards against waiting for a query on an engine that is cut off: since it could last have been asked it
-        // has ended the query by itself, if it ever took it up.
+        // A disconnected engine has ended the unpolled query by now, if it ever started.
         let is_expired = |q: &Query| {
             q.fully_written && q.cancellation.is_none() && cx.now > q.last_call_ns + UNPOLLED_EXPIRY_NS
         };
@@ -770,8 +781,8 @@
             .iter()
             .filter_map(|(attempt, query)| match &query.cancellation {
                 None => (query.conn.is_none() && cx.now >= query.retry_at_ns).then_some((*attempt, false)),
-                // Guards against a second copy: a call that was written to a machine that stands still for a while has
-                // not come, whatever the socket took. Only its answer, or time, says that the query is over.
+                // A POST written to a stalled engine may still be read later, so only a response or
+                // the expiry ends the query.
                 Some(cancellation) => (cancellation.conn.is_none() && cx.now >= cancellation.retry_at_ns
                     || cx.now > query.last_call_ns + UNPOLLED_EXPIRY_NS)
                     .then_some((*attempt, true)),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,4 +1,4 @@
-//! The way to the engines: attempts go out, their news and endings come back.
+//! Backends that send attempts to engines and report their progress and outcome to the core.
 
 #![forbid(unsafe_code)]
 
@@ -15,76 +15,84 @@
 use marljunction_net::{Net, Owner};
 use marljunction_pacing::opening::{Opening, Openings};
 
-/// An attempt to be started.
+/// An attempt for a backend to start.
 pub struct NewAttempt {
-    /// The attempt.
+    /// Identifies the attempt.
     pub attempt: Attempt,
-    /// Where to.
+    /// Target engine.
     pub engine: EngineId,
-    /// How long the router will wait for it.
+    /// Time that the router waits for the result.
     pub timeout_ns: u64,
-    /// Its priority.
+    /// Priority sent to the engine.
     pub priority: u8,
-    /// What to send.
+    /// The request whose statement is sent.
     pub ask: Rc<Ask>,
-    /// Name of its class.
+    /// Name of the request's class.
     pub class: String,
-    /// It must never run twice.
+    /// The query must not run more than once.
     pub at_most_once: bool,
-    /// It must not begin to go out later (ns); none for any time.
+    /// Time after which sending must not begin; no limit if absent.
     pub begin_by_ns: Option<u64>,
 }
 
-/// What a backend works with while it is called.
+/// What each call to a backend gets access to.
 pub struct Context<'a> {
-    /// The time.
+    /// Current time in nanoseconds.
     pub now: u64,
-    /// The sockets.
+    /// All connections of the router.
     pub net: &'a mut Net,
-    /// The core, which takes notes and endings.
+    /// The core, to which progress and outcomes are reported.
     pub router: &'a mut Router,
 }
 
-/// A protocol that engines speak. Every attempt started gets exactly one ending reported to the core.
+/// Client of a protocol that engines speak.
+///
+/// Reports exactly one outcome to the core for each attempt started.
 pub trait Backend {
-    /// Opens connections for new work at this pace from here on, drawn by this seed.
+    /// Replaces the budget for connections opened for new queries, and the seed of its random
+    /// delays.
     fn set_connection_budget(&mut self, connection_budget: Option<(Openings, u64)>);
-    /// Takes news of the engines. What has not begun to go out to one that takes no new work any more never does.
+    /// Applies a change of the engine list. Attempts for engines that no longer accept new queries
+    /// end as unsent if none of their bytes were sent.
     fn apply_change(&mut self, cx: &mut Context, change: &Change);
-    /// Sends an attempt.
+    /// Starts an attempt.
     fn start(&mut self, cx: &mut Context, new: NewAttempt);
-    /// Gives an attempt up. Its ending is reported once the engine has been told.
+    /// Cancels an attempt. Its outcome is reported once the engine confirms the cancellation, or
+    /// can no longer be running the query.
     fn cancel(&mut self, cx: &mut Context, attempt: Attempt);
-    /// Takes an attempt back where its call was not wholly written yet, and reports its ending; else does nothing.
+    /// Cancels an attempt whose query is not fully written yet, and reports its outcome. Has no
+    /// effect on other attempts.
     fn cancel_if_unsent(&mut self, cx: &mut Context, attempt: Attempt);
-    /// Takes note of what was written to a connection of this backend at the end of a round.
+    /// Records which queries are fully written after data was flushed to a connection of this
+    /// backend.
     fn flushed(&mut self, cx: &mut Context, conn: u64);
-    /// Changes an attempt's priority.
+    /// Changes the priority of an attempt.
     fn set_priority(&mut self, cx: &mut Context, attempt: Attempt, priority: u8);
-    /// Takes what has happened on a connection of this backend.
+    /// Handles readiness of a connection of this backend.
     fn ready(&mut self, cx: &mut Context, conn: u64);
-    /// Looks after what is due.
+    /// Handles timeouts and retries that are due.
     fn tick(&mut self, cx: &mut Context);
 }
 
-/// The engines that are known, with something of the backend's own for each.
+/// Known engines, each with a connection pool of the backend's type `T`.
 pub struct EngineTable<T> {
     engines: std::collections::BTreeMap<EngineId, EngineRecord<T>>,
-    /// What all routers together may open to one engine, and the seed of this router's draws; none for any number.
+    /// Connections that all routers together may open to one engine, and the seed of this router's
+    /// retry delays; unlimited if absent.
     connection_budget: Option<(Openings, u64)>,
 }
 
-/// A known engine.
+/// A known engine and the backend's state for it.
 pub struct EngineRecord<T> {
-    /// Where it listens.
+    /// Address that the engine listens on.
     pub address: SocketAddr,
-    /// The list names it.
+    /// The current engine list contains the engine.
     pub is_listed: bool,
-    /// It takes new work.
+    /// The engine accepts new queries.
     pub accepts_work: bool,
-    /// What the backend keeps for it.
+    /// Idle connections to the engine.
     pub pool: T,
-    /// How fast connections for new work are opened to it; none for any pace.
+    /// Paces connections for new queries; created with the first one.
     pacer: Option<Box<Opening>>,
 }
 
@@ -95,7 +103,8 @@
 }
 
 impl<T: Default> EngineTable<T> {
-    /// Takes news of the engines; `busy` says which are still needed though no list names them.
+    /// Applies a change of the engine list. Engines that are not listed stay while `busy` returns
+    /// true.
     pub fn apply_change(&mut self, change: &Change, busy: impl Fn(EngineId) -> bool) {
         use marljunction_control::interface::{EngineState, MembershipKind};
         if change.kind != MembershipKind::Delta {
@@ -115,20 +124,20 @@
             };
             let record = self.engines.entry(target.entry.engine).or_insert_with(new);
             if record.address != target.address {
-                // Guards against a call that goes to whoever has the engine's old address now.
+                // The old address may belong to another engine by now.
                 record.pool = T::default();
                 record.pacer = None;
             }
             (record.address, record.is_listed, record.accepts_work) =
                 (target.address, is_listed, accepts_work);
         }
-        // Guards against a table that grows with every engine that ever was.
+        // Unlisted engines would otherwise accumulate.
         self.engines.retain(|id, record| record.is_listed || busy(*id));
     }
 
-    /// Connections for new work are opened at this pace from here on.
+    /// Replaces the connection budget and resets the pacers, unless the budget is unchanged.
     pub fn set_connection_budget(&mut self, connection_budget: Option<(Openings, u64)>) {
-        // Guards against a reload that changes nothing of it and would let all rest anew.
+        // A reload without a change must not reset the pacers, which would allow a burst.
         if connection_budget.map(|(budget, _)| budget) == self.connection_budget.map(|(budget, _)| budget) {
             return;
         }
@@ -136,8 +145,11 @@
         self.engines.values_mut().for_each(|record| record.pacer = None);
     }
 
-    /// Starts a connection for new work, where the pace allows one more. Those that ask for news of a query or give one up
-    /// are never held back.
+    /// Opens a connection for a new query, within the connection budget. Polls and cancellations
+    /// use [`EngineTable::connect`] and are never delayed.
+    ///
+    /// # Errors
+    /// [`Ending::Paced`] if the budget is used up; else as for [`EngineTable::connect`].
     pub fn connect_paced(&mut self, cx: &mut Context, engine: EngineId) -> Result<u64, Ending> {
         if let Some((connection_budget, seed)) = self.connection_budget {
             let record = self.engines.get_mut(&engine).ok_or(Ending::NoDescriptor)?;
@@ -150,7 +162,7 @@
         connected.inspect_err(|ending| self.connection_ended(cx.now, engine, false, *ending))
     }
 
-    /// A connection to one of them came up.
+    /// Records that a connection to an engine was established.
     pub fn connected(&mut self, engine: EngineId) {
         self.engines
             .get_mut(&engine)
@@ -159,7 +171,8 @@
             .for_each(|pacer| pacer.came_up());
     }
 
-    /// A connection to one of them ended, which was up or not: refused, or never up, speaks against the engine.
+    /// Records that a connection ended. It counts against the engine if it was refused or never
+    /// established.
     pub fn connection_ended(&mut self, now: u64, engine: EngineId, up: bool, ending: Ending) {
         if up || !matches!(ending, Ending::Refused | Ending::Unreachable) {
             return;
@@ -168,7 +181,11 @@
         pacer.into_iter().for_each(|pacer| pacer.refused(now));
     }
 
-    /// Starts a connection to one of them, and counts it.
+    /// Opens a connection to an engine.
+    ///
+    /// # Errors
+    /// [`Ending::NoDescriptor`] if the engine is unknown or no file descriptor is available, or why
+    /// the connection failed at once.
     pub fn connect(&mut self, cx: &mut Context, engine: EngineId) -> Result<u64, Ending> {
         let address = self.get(engine).ok_or(Ending::NoDescriptor)?.address;
         let conn = cx.net.connect(address, Owner::Engine).inspect_err(|e| {
@@ -178,18 +195,18 @@
         Ok(conn)
     }
 
-    /// Whether one of them takes new work.
+    /// Whether an engine accepts new queries.
     pub fn accepts_work(&self, engine: EngineId) -> bool {
         self.engines.get(&engine).is_some_and(|record| record.accepts_work)
     }
 
-    /// One of them, where a connection to `to` may be kept for its further calls. Guards against one to an address that has
-    /// passed to another engine since.
+    /// Returns an engine that is listed at this address. Connections to a former address must not
+    /// be reused, since it may belong to another engine by now.
     pub fn get_listed_at(&mut self, engine: EngineId, address: SocketAddr) -> Option<&mut EngineRecord<T>> {
         self.get(engine).filter(|record| record.is_listed && record.address == address)
     }
 
-    /// One of them.
+    /// Returns a known engine.
     pub fn get(&mut self, engine: EngineId) -> Option<&mut EngineRecord<T>> {
         self.engines.get_mut(&engine)
     }
--- a/crates/engine/src/postgres.rs
+++ b/crates/engine/src/postgres.rs
@@ -1,5 +1,7 @@
-//! Engines that speak PostgreSQL: an attempt is one extended query on a session of its own; giving up is a
-//! `CancelRequest`. A session is used again only after `ReadyForQuery` in no transaction.
+//! Backend for engines that speak PostgreSQL.
+//!
+//! An attempt is one extended query on a session of its own, and is cancelled by a `CancelRequest`.
+//! A session is reused only after `ReadyForQuery` outside a transaction.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -21,33 +23,33 @@
 use marljunction_discovery::Change;
 use marljunction_pacing::opening::Openings;
 
-/// A session is used again so soon after its last query (ns).
+/// Longest idle time after which a session is reused.
 const MAX_REUSE_IDLE_NS: u64 = 5_000_000_000;
-/// Sessions kept for an engine (count).
+/// Most idle sessions per engine.
 const MAX_IDLE_SESSIONS: usize = 4;
-/// Time that a session may take to open (ns).
+/// Longest time until a new session is ready for a query.
 const SESSION_OPEN_TIMEOUT_NS: u64 = 1_000_000_000;
-/// Time that a cancelled query may take to say so, before its session is closed (ns).
+/// Longest time from a cancellation to the end of the query; then its session is closed.
 const CANCEL_TIMEOUT_NS: u64 = 500_000_000;
-/// Sessions opened for an attempt because the one before broke as it opened (count).
+/// Most sessions opened for one attempt, each because the previous one broke while opening.
 const MAX_SESSION_OPENS: u32 = 3;
-/// Largest result, and longest message (bytes).
+/// Largest message; a result may take four times as much.
 const MAX_MESSAGE_BYTES: usize = 64 << 10;
 
-/// What a session of an engine is used for.
+/// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
-    /// It opens, for an attempt that may be given up meanwhile.
+    /// The session is being opened, for an attempt unless that ended meanwhile.
     Opening(Option<Attempt>),
     Idle,
     Running(Attempt),
-    /// It carries a `CancelRequest`; the engine closes it.
+    /// Carries a `CancelRequest`; the engine closes it.
     Cancelling(Attempt),
 }
 
 struct Connection {
     engine: EngineId,
-    /// Where it leads, which may be another's address by now.
+    /// Remote address; the engine may have moved since.
     address: SocketAddr,
     role: Role,
     up: bool,
@@ -60,21 +62,20 @@
     ask: Rc<Ask>,
     conn: u64,
     begin_by_ns: Option<u64>,
-    /// The query was handed to the connection, and wholly written to it.
+    /// The query was queued on the connection, and is fully written.
     queued: bool,
     fully_written: bool,
-    /// Sessions that were opened for it.
+    /// Sessions opened for the attempt.
     session_opens: u32,
     columns: Vec<Column>,
     rows: Vec<Row>,
     bytes: usize,
     complete: bool,
     error: Option<Fault>,
-    /// When it was given up.
     cancelled_at_ns: Option<u64>,
 }
 
-/// The backend for such engines.
+/// Backend for engines that speak PostgreSQL.
 pub struct PostgresBackend {
     engines: EngineTable<Vec<u64>>,
     connections: HashMap<u64, Connection>,
@@ -111,7 +112,8 @@
     body.fields().map(column).collect().ok()
 }
 
-/// The extended query of a request; absent where its text can't be sent.
+/// Encodes a request as an extended query; returns nothing if its text is not UTF-8 or cannot be
+/// encoded.
 fn encode_query(ask: &Ask) -> Option<BytesMut> {
     let (statement, mut bytes) = (&ask.statement, BytesMut::new());
     let text = std::str::from_utf8(&statement.text).ok()?;
@@ -130,13 +132,13 @@
     Some(bytes)
 }
 
-/// Whether nothing of an attempt's query has gone out.
+/// Whether no byte of the query was sent.
 fn is_unsent(cx: &Context, query: &Query) -> bool {
     !query.fully_written && (!query.queued || cx.net.is_unbegun(query.conn))
 }
 
 impl PostgresBackend {
-    /// No engines yet; sessions are opened as this user, on this database.
+    /// Creates a backend without engines. Sessions are opened as this user on this database.
     pub fn new(user: String, database: String, connect_timeout_ns: u64) -> Self {
         let (engines, connections, queries) = (EngineTable::default(), HashMap::new(), BTreeMap::new());
         PostgresBackend { engines, connections, queries, user, database, connect_timeout_ns }
@@ -155,7 +157,7 @@
         Ok(conn)
     }
 
-    /// A session for an attempt: one that is ready, else a new one.
+    /// Returns a session for an attempt: an idle one unless `at_most_once` is set, else a new one.
     fn acquire_session(
         &mut self,
         cx: &mut Context,
@@ -163,12 +165,13 @@
         engine: EngineId,
         at_most_once: bool,
     ) -> Result<u64, Ending> {
-        // Guards against a load that is written to a session which is closing: nobody could tell what came of it.
+        // A session that closes during the write would leave it unknown whether a query ran, so
+        // queries that must not run twice get a new one.
         while let Some(conn) =
             if at_most_once { None } else { self.engines.get(engine).and_then(|record| record.pool.pop()) }
         {
             match self.connections.get_mut(&conn) {
-                // Guards against a query in a session that its engine has closed since it was last looked at.
+                // The engine may have closed the session since it was last checked.
                 Some(connection)
                     if connection.since_ns + MAX_REUSE_IDLE_NS >= cx.now
                         && cx.net.service(conn).ended.is_none() =>
@@ -218,7 +221,7 @@
                 query.queued = true;
                 match cx.net.send(conn, &bytes) {
                     true => self.record_written(cx, conn),
-                    // Guards against a query that passes for written, as nothing of it waits.
+                    // Nothing was queued, so the query would count as fully written.
                     false => self.connection_lost(cx, conn, Ending::Unsent),
                 }
             }
@@ -230,7 +233,7 @@
         }
     }
 
-    /// Takes note of a query that has been wholly written.
+    /// Records when the query of a connection is fully written.
     fn record_written(&mut self, cx: &mut Context, conn: u64) {
         if let Some(Role::Running(attempt)) = self.connections.get(&conn).map(|c| c.role) {
             let drained = cx.net.drained(conn);
@@ -238,8 +241,8 @@
         }
     }
 
-    /// Ends an attempt whose query was not wholly written: it never ran, and without the rest it never will. A session that
-    /// still opens is kept for others.
+    /// Ends an attempt whose query is not fully written and so never runs. A session that is still
+    /// being opened stays for other attempts.
     fn abort(&mut self, cx: &mut Context, attempt: Attempt, ending: Ending) {
         let Some((conn, queued)) = self.queries.get(&attempt).map(|q| (q.conn, q.queued)) else { return };
         self.end_attempt(cx, attempt, ending);
@@ -249,7 +252,7 @@
         }
     }
 
-    /// Ends the attempts of which nothing has gone out and that `which` says must not begin any more.
+    /// Ends the attempts of which no byte was sent and for which `should_abort` returns true.
     fn abort_unsent(
         &mut self,
         cx: &mut Context,
@@ -278,7 +281,7 @@
         }
     }
 
-    /// The engine is ready for a query in this session.
+    /// Handles `ReadyForQuery`.
     fn ready_for_query(&mut self, cx: &mut Context, conn: u64, status: u8) {
         let Some(role) = self.connections.get(&conn).map(|c| c.role) else { return };
         match role {
@@ -296,8 +299,8 @@
                 };
                 let cancelled = query.cancelled_at_ns.is_some();
                 self.end_attempt(cx, attempt, ending);
-                // Guards against a session that is still in a transaction, which the next query would be part of,
-                // and against a late CancelRequest, which would end the next query.
+                // Inside a transaction the next query would become part of it, and a late
+                // CancelRequest would cancel the next query.
                 if status == b'I' && !cancelled {
                     self.release(cx, conn);
                 } else {
@@ -324,8 +327,8 @@
             (Message::AuthenticationOk | Message::ParameterStatus(_) | Message::NoticeResponse(_), ..) => {}
             (Message::ErrorResponse(body), Role::Opening(attempt), _) => {
                 let fault = parse_error(&body);
-                debug!("an engine refused a session: {} {}", fault.state, fault.message);
-                // The session was refused: nothing ran.
+                debug!("engine refused the session: {} {}", fault.state, fault.message);
+                // SQLSTATE 53300: too many connections.
                 let full = fault.state == "53300";
                 if let Some(attempt) = attempt {
                     self.end_attempt(cx, attempt, if full { Ending::Full } else { Ending::Refused });
@@ -349,13 +352,13 @@
             (Message::RowDescription(body), _, Some(query)) => {
                 query.columns = parse_columns(&body).ok_or(Ending::Garbled)?;
             }
-            // A password, a copy, or what nobody asked for.
+            // Password requests, COPY, and unsolicited messages are not supported.
             _ => return Err(Ending::Garbled),
         }
         Ok(())
     }
 
-    /// Whether one more session may be opened for an attempt.
+    /// Whether another session may be opened for an attempt.
     fn may_reopen(&self, attempt: Attempt) -> bool {
         self.queries.get(&attempt).is_some_and(|q| q.session_opens < MAX_SESSION_OPENS)
     }
@@ -366,8 +369,8 @@
         self.engines.connection_ended(cx.now, connection.engine, up, ending);
         self.close(cx, conn);
         match role {
-            // Guards against a bad link that is taken for a dead engine: a session that broke as it opened is
-            // opened again, as nothing ran.
+            // A session that broke while opening ran nothing, and may be due to the network rather
+            // than the engine.
             Role::Opening(Some(attempt))
                 if matches!(ending, Ending::Cut | Ending::Reset) && self.may_reopen(attempt) =>
             {
@@ -381,7 +384,7 @@
                     Err(ending) => self.end_attempt(cx, attempt, ending),
                 }
             }
-            // A session that was refused, or that never opened: nothing ran.
+            // The session was refused or never established, so nothing ran.
             Role::Opening(Some(attempt)) if ending == Ending::Reset => {
                 self.end_attempt(cx, attempt, Ending::Refused)
             }
@@ -425,7 +428,8 @@
         };
         #[rustfmt::skip]
         let query = Query {
-            engine: new.engine, ask: new.ask, conn, begin_by_ns: new.begin_by_ns, queued: false, fully_written: false, session_opens: 1, columns: Vec::new(), rows: Vec::new(), bytes: 0,
+            engine: new.engine, ask: new.ask, conn, begin_by_ns: new.begin_by_ns, queued: false,
+            fully_written: false, session_opens: 1, columns: Vec::new(), rows: Vec::new(), bytes: 0,
             complete: false, error: None, cancelled_at_ns: None,
         };
         self.queries.insert(attempt, query);
@@ -520,7 +524,7 @@
         }
         timed_out.sort_unstable();
         timed_out.into_iter().for_each(|(conn, ending)| self.connection_lost(cx, conn, ending));
-        // Guards against a repeat that goes out, as its session opens late, when engines would run it again.
+        // A retry whose session was opened too late must not be sent: engines would run it again.
         let now = cx.now;
         self.abort_unsent(cx, |_, query| query.begin_by_ns.is_some_and(|by| now > by));
     }
--- a/crates/engine/tests/give_up.rs
+++ b/crates/engine/tests/give_up.rs
@@ -1,5 +1,5 @@
-//! Queries on engines: when one that was given up is over, which connection a query goes on, and what does not go out. Times
-//! are passed in, only the bytes are real.
+//! Engine backends over real sockets with simulated time: cancellation, connection reuse, and
+//! queries that must not be sent.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -26,7 +26,7 @@
     backend: Box<dyn Backend>,
     listener: TcpListener,
     now: u64,
-    /// What queries ask.
+    /// Text of the queries.
     statement: Vec<u8>,
 }
 
@@ -35,7 +35,7 @@
         TestBed::with_backend(Box::new(HttpBackend::new(30_000 * MS, 250 * MS)), Room::of(64, 64.0))
     }
 
-    /// With an engine that speaks PostgreSQL.
+    /// Creates a test bed whose engine speaks PostgreSQL.
     fn with_postgres(room: Room) -> TestBed {
         TestBed::with_backend(Box::new(PostgresBackend::new("u".into(), "d".into(), 250 * MS)), room)
     }
@@ -55,12 +55,12 @@
         bed
     }
 
-    /// Hands what the sockets bring to the engines' side, until `done`.
+    /// Runs the event loop until `done` returns true.
     fn drive_until(&mut self, mut done: impl FnMut(&mut TestBed) -> bool) {
         let mut events = Events::with_capacity(16);
         let since = std::time::Instant::now();
         while !done(self) {
-            assert!(since.elapsed() < std::time::Duration::from_secs(8), "waited in vain");
+            assert!(since.elapsed() < std::time::Duration::from_secs(8), "condition not met within 8 s");
             self.poll.poll(&mut events, Some(std::time::Duration::from_millis(5))).unwrap();
             let conns: Vec<u64> = events.iter().map(|e| e.token().0 as u64).collect();
             for conn in conns {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A list says that the engine is in this state, at this address.
+    /// Applies a list with the engine in this state at the listener's address.
     fn set_engine(&mut self, listener: TcpListener, state: EngineState) {
         let entry = EngineEntry { engine: EngineId(1), state, ..EngineEntry::default() };
         let target = Target { entry, address: listener.local_addr().unwrap() };
@@ -80,7 +80,7 @@
         self.backend.apply_change(&mut cx, &Change { kind: MembershipKind::Full, targets: vec![target] });
     }
 
-    /// The end of a round: calls go out.
+    /// Flushes held calls, as at the end of an event loop iteration.
     fn flush_calls(&mut self) {
         for conn in self.net.release() {
             let mut cx = Context { now: self.now, net: &mut self.net, router: &mut self.router };
@@ -88,13 +88,13 @@
         }
     }
 
-    /// The engine takes no connections from here on.
+    /// Closes the listener, so that new connections are refused.
     fn refuse_connections(&mut self) {
         let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
         self.listener = elsewhere;
     }
 
-    /// Some rounds of what the sockets bring.
+    /// Runs the event loop a few times.
     fn drive_sockets(&mut self) {
         let mut rounds = 0;
         self.drive_until(|_| {
@@ -115,7 +115,7 @@
         stream
     }
 
-    /// Reads from the engine's end until the text has come.
+    /// Reads from the engine's end until the text has arrived.
     fn expect_bytes(&mut self, stream: &mut TcpStream, text: &str) {
         let mut got = Vec::new();
         self.drive_until(|_| {
@@ -132,12 +132,12 @@
         self.backend.tick(&mut cx);
     }
 
-    /// Sends a query to the engine; it goes on a connection that the caller finds.
+    /// Starts a query; the caller accepts its connection.
     fn start(&mut self) -> Attempt {
         self.start_with_deadline(None)
     }
 
-    /// The same, which must not begin to go out later.
+    /// Starts a query that must not be sent later than `begin_by_ns`.
     fn start_with_deadline(&mut self, begin_by_ns: Option<u64>) -> Attempt {
         let statement = Statement::plain(self.statement.clone());
         let name = "aaaabbbbccccdddd".into();
@@ -160,7 +160,7 @@
         attempt
     }
 
-    /// A query that the engine has whole, and the connection that waits for its news.
+    /// Starts a query, and returns its connection once the POST has arrived.
     fn start_and_accept(&mut self) -> (Attempt, TcpStream) {
         let attempt = self.start();
         let mut first = self.accept();
@@ -173,15 +173,15 @@
         self.backend.cancel(&mut cx, attempt);
     }
 
-    /// The attempt's ending, once it has been reported.
+    /// Waits for the outcome of the attempt.
     fn ending(&mut self) -> Ending {
         self.drive_until(|bed| bed.router.has_news());
         self.router.turn(self.now, &mut Vec::new());
         let counted = ENDINGS.iter().find(|(ending, _)| self.router.counters.endings(*ending) > 0);
-        counted.expect("an ending is counted").0
+        counted.expect("an outcome is counted").0
     }
 
-    /// The query ends once the engine has been told on this connection that it is given up, and has said so.
+    /// Expects a DELETE on this connection, and the end of the query once it is confirmed.
     fn expect_cancel_on(&mut self, mut stream: TcpStream) {
         self.expect_bytes(&mut stream, "DELETE /o/aaaabbbbccccdddd ");
         assert!(!self.router.has_news());
@@ -189,7 +189,7 @@
         assert_eq!(self.ending(), Ending::GivenUp);
     }
 
-    /// A query that the engine has whole, and that was given up: the end of the connection that tells it so.
+    /// Starts and cancels a query; returns the connections of the poll and of the DELETE.
     fn start_and_cancel(&mut self) -> (TcpStream, TcpStream) {
         let (attempt, first) = self.start_and_accept();
         self.cancel(attempt);
@@ -204,7 +204,7 @@
     let mut bed = TestBed::new();
     let (mut first, _second) = bed.start_and_cancel();
     first.write_all(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n").unwrap();
-    assert_eq!(bed.ending(), Ending::GivenUp, "the engine must not pass for a failing one");
+    assert_eq!(bed.ending(), Ending::GivenUp, "the engine must not count as failed");
 }
 
 #[test]
@@ -216,7 +216,7 @@
     for ms in [20, 40, 150, 240] {
         bed.tick(ms);
         bed.drive_sockets();
-        assert!(!bed.router.has_news(), "after {ms} ms the query may still run: its connection stands");
+        assert!(!bed.router.has_news(), "after {ms} ms the query may still run: its poll is open");
     }
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
     bed.expect_cancel_on(first);
@@ -256,9 +256,9 @@
     bed.drive_sockets();
     for ms in [320, 400, 490] {
         bed.tick(ms);
-        assert!(!bed.router.has_news(), "after {ms} ms the call that starts the query still waits there");
+        assert!(!bed.router.has_news(), "after {ms} ms the engine may still read the POST");
     }
-    // It takes the query up now, and is told once more.
+    // The engine starts the query now, and gets another DELETE.
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
     bed.expect_cancel_on(first);
 }
@@ -269,7 +269,7 @@
     let (mut first, mut second) = bed.start_and_cancel();
     second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
-    // The connection that waits for news is looked at first.
+    // The response to the poll is processed first.
     let mut cx = Context { now: bed.now, net: &mut bed.net, router: &mut bed.router };
     bed.backend.ready(&mut cx, 11);
     bed.drive_sockets();
@@ -287,7 +287,7 @@
         bed.expect_bytes(&mut second, "GET /o/aaaabbbbccccdddd/0 ");
         second.write_all(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n").unwrap();
         bed.drive_sockets();
-        assert!(!bed.router.has_news(), "the call that starts it may still stand there");
+        assert!(!bed.router.has_news(), "the engine may still read the POST");
         bed.tick(610);
         let mut third = bed.accept();
         bed.expect_bytes(&mut third, "GET /o/aaaabbbbccccdddd/0 ");
@@ -302,7 +302,7 @@
 
 #[test]
 fn a_delete_is_repeated_when_the_post_never_gets_a_response() {
-    // The start's connection is ended for its silence behind the first answer, or before it.
+    // The POST's connection times out after the first response to the DELETE, or before it.
     for post_times_out_first in [false, true] {
         let mut bed = TestBed::new();
         let (attempt, mut first) = bed.start_and_accept();
@@ -340,7 +340,7 @@
     bed.tick(2_360);
     assert!(
         bed.router.has_news(),
-        "nobody has asked for it for 2 s, the time that a call is held, and the allowance"
+        "not polled for 2 s plus the time that a poll is held and the socket delays"
     );
 }
 
@@ -350,7 +350,7 @@
     bed.net.hold_calls();
     let attempt = bed.start();
     let mut first = bed.accept();
-    // The connection comes up late.
+    // The connection is established late.
     bed.now = T0 + 200 * MS;
     bed.drive_sockets();
     bed.flush_calls();
@@ -373,11 +373,11 @@
     bed.refuse_connections();
     bed.cancel(attempt);
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
-    // The connection that waits for news is looked at first, the refused one after it.
+    // The response to the poll is processed first, the refused connection after it.
     let mut cx = Context { now: bed.now, net: &mut bed.net, router: &mut bed.router };
     bed.backend.ready(&mut cx, 11);
     bed.drive_sockets();
-    assert!(!bed.router.has_news(), "the engine is there, and may still run the query");
+    assert!(!bed.router.has_news(), "the engine is up and may still run the query");
     bed.expect_cancel_on(first);
 }
 
@@ -387,33 +387,39 @@
     let (_attempt, mut first) = bed.start_and_accept();
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n").unwrap();
     assert_eq!(bed.ending(), Ending::Served);
-    // Thin traffic: a router's next query for the same engine comes seconds later. Each handshake is priced.
+    // With little traffic the next query for an engine comes seconds later, and a new connection
+    // costs a handshake.
     bed.tick(1_900);
     bed.start();
     bed.expect_bytes(&mut first, "POST /o ");
     bed.listener.set_nonblocking(true).unwrap();
-    assert!(bed.listener.accept().is_err(), "a new connection was opened where an idle one stood");
+    assert!(
+        bed.listener.accept().is_err(),
+        "a new connection was opened although an idle one could be reused"
+    );
 }
 
 #[test]
 fn a_connection_to_an_engines_former_address_is_not_reused() {
     let mut bed = TestBed::new();
     let (_attempt, mut first) = bed.start_and_accept();
-    // The engine moves while the call is under way, and the old address may be another's when the call ends.
+    // The engine moves during the call; its old address may belong to another engine when the call
+    // ends.
     bed.set_engine(TcpListener::bind("127.0.0.1:0").unwrap(), EngineState::Ready);
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n").unwrap();
     bed.drive_until(|bed| {
         bed.router.turn(bed.now, &mut Vec::new());
         bed.router.counters.endings(Ending::Served) == 1
     });
-    // Long enough for a connection to be used again, and not too long.
+    // Within the time window in which idle connections are reused.
     bed.tick(100);
     bed.start();
     let mut second = bed.accept();
     bed.expect_bytes(&mut second, "POST /o ");
 }
 
-/// A repeat that must begin within 100 ms, its calls held to the end of the round, and the engine's end of its connection.
+/// Starts a retry that must be sent within 100 ms, with calls held until a flush; returns the
+/// engine's end of its connection.
 fn held_retry() -> (TestBed, TcpStream) {
     let mut bed = TestBed::new();
     bed.net.hold_calls();
@@ -429,7 +435,7 @@
     assert_eq!(bed.ending(), Ending::Unsent);
     bed.net.release();
     bed.drive_until(|_| match stream.read(&mut [0; 16]) {
-        Ok(n) if n > 0 => panic!("bytes came of it"),
+        Ok(n) if n > 0 => panic!("bytes of the retry were sent"),
         read => !matches!(&read, Err(e) if e.kind() == ErrorKind::WouldBlock),
     });
 }
@@ -458,12 +464,12 @@
     assert!(matches!(bed.listener.accept(), Err(e) if e.kind() == ErrorKind::WouldBlock));
 }
 
-/// Waits until the machine has told of the end of a connection, and hands that to nobody.
+/// Waits until a connection's close is reported, without handling the event.
 fn wait_for_unhandled_close(bed: &mut TestBed) {
     let mut events = Events::with_capacity(16);
     while !events.iter().any(|e| e.is_read_closed()) {
         bed.poll.poll(&mut events, Some(std::time::Duration::from_secs(8))).unwrap();
-        assert!(!events.is_empty(), "no event tells of the end");
+        assert!(!events.is_empty(), "the close was not reported");
     }
 }
 
@@ -481,7 +487,7 @@
     bed.expect_bytes(&mut second, "POST /o ");
 }
 
-/// Room for so many bytes that wait for all connections together.
+/// Limits the output queued on all connections to `output` bytes.
 fn limited_output(output: usize) -> Room {
     Room { engines: 32, output }
 }
@@ -541,7 +547,7 @@
     bed.expect_bytes(&mut session, "marljunction\0");
     bed.tick(101);
     assert_eq!(bed.ending(), Ending::Unsent);
-    // The session is kept for others, and carries nothing of that one.
+    // The session stays open for other attempts, and carries nothing of this one.
     session.write_all(STARTUP_RESPONSE).unwrap();
     bed.drive_sockets();
     assert!(matches!(session.read(&mut [0; 16]), Err(e) if e.kind() == ErrorKind::WouldBlock));
--- a/crates/http1/src/chunks.rs
+++ b/crates/http1/src/chunks.rs
@@ -1,36 +1,38 @@
-//! Bodies that come in chunks. A chunk is passed on as it comes and never held, so its length has no bound here: who reads the
-//! body bounds it.
+//! Incremental decoder for the chunked transfer coding.
+//!
+//! Decoded bytes are passed on as they arrive; the caller limits the size of the body.
 
 use thiserror::Error;
 
-/// Longest line that tells a chunk's size (bytes).
+/// Longest chunk-size line, including extensions.
 const MAX_SIZE_LINE_BYTES: usize = 32;
-/// Bytes of the line feed behind a chunk.
+/// Length of the CRLF that ends each chunk.
 const CRLF_BYTES: usize = 2;
 
-/// Why a body in chunks can't be read.
+/// Why a chunked body cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ChunkError {
-    /// The line that tells a chunk's size is none.
-    #[error("a chunk's size can't be read")]
+    /// The chunk-size line is malformed or too long.
+    #[error("invalid chunk size")]
     Size,
-    /// A chunk is longer than memory has addresses.
-    #[error("a chunk of {0} bytes")]
+    /// The size of a chunk, in bytes, does not fit into `usize`.
+    #[error("chunk of {0} bytes is too large")]
     TooLong(u64),
 }
 
-/// A reader of bodies that come in chunks.
+/// Decoder of one chunked body.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ChunkedDecoder {
-    /// Bytes of the present chunk that are to come; the line feed behind it counts.
+    /// Bytes left of the current chunk, including its CRLF.
     remaining: usize,
 }
 
 impl ChunkedDecoder {
-    /// Adds the body's bytes in `input` to `out`; returns how much was taken (bytes), and whether the body is whole.
+    /// Decodes `input` and appends the body to `out`. Returns the number of input bytes consumed,
+    /// and whether the body is complete.
     ///
     /// # Errors
-    /// Where what tells a chunk's size can't be read.
+    /// If a chunk size is malformed or too large.
     pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<(usize, bool), ChunkError> {
         let mut consumed = 0;
         while consumed < input.len() {
@@ -43,7 +45,7 @@
             }
             match httparse::parse_chunk_size(&input[consumed..]) {
                 Ok(httparse::Status::Complete((head, 0))) => {
-                    // The empty line behind the last chunk; no trailers are used.
+                    // Skips the empty line after the last chunk; trailers are not supported.
                     return Ok(((consumed + head + CRLF_BYTES).min(input.len()), true));
                 }
                 Ok(httparse::Status::Complete((head, size))) => {
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,55 +1,55 @@
-//! Heads and bodies of HTTP answers, as engines and the coordinator send them.
+//! Parser for the HTTP responses of engines and of the coordinator.
 
 use marljunction_control::interface::{LoadReport, Note};
 
-/// Largest head that is read (bytes).
+/// Largest response head.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Largest body that is read (bytes): the most that a page holds.
+/// Largest response body: one result page.
 const MAX_BODY_BYTES: usize = 6_000;
-/// Interim answers ahead of one (count).
+/// Most interim (1xx) responses before a final one.
 const MAX_INTERIM_RESPONSES: usize = 8;
 
-/// What the head of an answer says.
+/// Parsed head of a response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Head {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// Length of the body; absent where it is not told.
+    /// `Content-Length`.
     pub length: Option<usize>,
-    /// The body comes in chunks.
+    /// `Transfer-Encoding: chunked`.
     pub chunked: bool,
-    /// The connection ends behind the answer.
+    /// `Connection: close`.
     pub connection_close: bool,
-    /// `Chunks`: number of all pages.
+    /// `Chunks`: number of result pages.
     pub pages: Option<u32>,
-    /// `Chunk`: number of this page.
+    /// `Chunk`: zero-based number of this result page.
     pub page: Option<u32>,
-    /// `Never-Ran`: the query never ran.
+    /// `Never-Ran`: the engine did not start the query.
     pub never_ran: bool,
-    /// A note: `Outcome` and `Reading`.
+    /// `Outcome` and `Reading`: progress of the query.
     pub note: Option<Note>,
-    /// The load report.
+    /// `Load-Report`: load of the engine.
     pub load_report: Option<LoadReport>,
-    /// Consul's index of the answer.
+    /// `X-Consul-Index`.
     pub consul_index: Option<u64>,
-    /// `Retry-After`, where it can be read.
+    /// `Retry-After`, if valid.
     pub retry_after: Option<RetryAfter>,
 }
 
-/// When a service that turned a call away wants to be asked again (RFC 9110, 10.2.3).
+/// Value of a `Retry-After` header (RFC 9110, 10.2.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAfter {
-    /// After so long (ns).
+    /// Delay in nanoseconds.
     Delay(u64),
-    /// At this Unix time (ns).
+    /// Unix time in nanoseconds.
     Date(u64),
 }
 
 impl RetryAfter {
-    /// Reads the field's value: seconds, or a date; nothing else.
+    /// Parses a number of seconds or an HTTP date.
     pub fn parse(value: &str) -> Option<RetryAfter> {
         if !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit()) {
-            // More digits than fit are a long time too.
+            // A number that overflows means the longest delay.
             let seconds: u64 = value.parse().unwrap_or(u64::MAX);
             return Some(RetryAfter::Delay(seconds.saturating_mul(1_000_000_000)));
         }
@@ -57,7 +57,7 @@
         Some(RetryAfter::Date(at.as_secs().saturating_mul(1_000_000_000)))
     }
 
-    /// How long to stay away for, from Unix time `now` on (ns): a date that has passed asks for nothing.
+    /// Delay in nanoseconds from the Unix time `now` (ns); zero for a date in the past.
     pub fn delay_ns(self, now: u64) -> u64 {
         match self {
             RetryAfter::Delay(delay_ns) => delay_ns,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Reads a load report such as `inflight:7;util:0.61`; unknown fields are passed over.
+/// Parses a load report such as `inflight:7;util:0.61`; unknown fields are ignored.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut load_report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
@@ -93,15 +93,18 @@
     }
 }
 
-/// Reads the head of an answer with its size in bytes; nothing where it has not come whole.
+/// Parses a response head. Returns it with its size in bytes, or nothing if it is incomplete.
+///
+/// # Errors
+/// If the head is malformed or too large.
 pub fn parse_response_head(input: &[u8]) -> Result<Option<(Head, usize)>, String> {
     let mut headers = [httparse::EMPTY_HEADER; 48];
     let mut answer = httparse::Response::new(&mut headers);
     let size = match answer.parse(input) {
         Ok(httparse::Status::Complete(size)) if size <= MAX_HEAD_BYTES => size,
         Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Ok(None),
-        Ok(_) => return Err("the head is too long".into()),
-        Err(e) => return Err(format!("bad head: {e}")),
+        Ok(_) => return Err("response head is too large".into()),
+        Err(e) => return Err(format!("invalid response head: {e}")),
     };
     let mut head = Head { status: answer.code.unwrap_or(0), ..Head::default() };
     let (mut outcome, mut reading) = (None, None);
@@ -110,11 +113,12 @@
         let value = value.trim();
         match header.name.to_ascii_lowercase().as_str() {
             "content-length" => {
-                // Guards against two lengths, or one with a sign: where the answer ends would be a guess.
+                // Conflicting or signed lengths are rejected: the end of the body would be
+                // ambiguous.
                 let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
-                let length = value.parse().ok().filter(|_| digits).ok_or("bad length")?;
+                let length = value.parse().ok().filter(|_| digits).ok_or("invalid Content-Length")?;
                 if head.length.replace(length).is_some_and(|before| before != length) {
-                    return Err("two lengths".into());
+                    return Err("conflicting Content-Length headers".into());
                 }
             }
             "transfer-encoding" => head.chunked = value.eq_ignore_ascii_case("chunked"),
@@ -134,8 +138,11 @@
     Ok(Some((head, size)))
 }
 
-/// Reads a whole answer of known length: its head, and where its body starts and ends in `input`. Interim
-/// answers (1xx) ahead of it are passed over.
+/// Parses a response with a `Content-Length`, skipping interim (1xx) responses. Returns its head
+/// and the start and end of its body in `input`, or nothing if it is incomplete.
+///
+/// # Errors
+/// If the response is malformed, too large, or of unknown length.
 pub fn parse_response(input: &[u8]) -> Result<Option<(Head, usize, usize)>, String> {
     let mut from = 0;
     for _ in 0..=MAX_INTERIM_RESPONSES {
@@ -144,20 +151,20 @@
         let length = match head.length {
             _ if head.status < 200 => continue,
             _ if head.status == 204 || head.status == 304 => 0,
-            Some(_) if head.chunked => return Err("both a length and chunks".into()),
+            Some(_) if head.chunked => return Err("both Content-Length and chunked Transfer-Encoding".into()),
             Some(length) => length,
-            None => return Err("the body's length is not told".into()),
+            None => return Err("missing Content-Length".into()),
         };
         if length > MAX_BODY_BYTES {
-            return Err("the body is too long".into());
+            return Err("response body is too large".into());
         }
         return Ok((input.len() >= from + length).then_some((head, from, from + length)));
     }
-    Err("interim answers without end".into())
+    Err("too many interim responses".into())
 }
 
-/// Whether a body is whole rows of three columns, as every page is. Guards against a page whose length was
-/// told too short, or that has noise in it.
+/// Whether a result page consists of complete rows of three tab-separated columns. Detects
+/// truncated and corrupted pages.
 pub fn has_complete_rows(body: &[u8]) -> bool {
     let columns = |row: &[u8]| row.iter().filter(|b| **b == b'\t').count() == 2;
     body.is_empty() || body.ends_with(b"\n") && body.split(|b| *b == b'\n').rev().skip(1).all(columns)
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,4 +1,4 @@
-//! What both the engines and the sources of membership speak: heads and bodies of HTTP/1.1.
+//! HTTP/1.1 response parsing, shared by the engine backends and the discovery clients.
 
 #![forbid(unsafe_code)]
 
--- a/crates/http1/tests/endings.rs
+++ b/crates/http1/tests/endings.rs
@@ -1,4 +1,4 @@
-//! What endings mean to the module, and what an engine's answer must be like.
+//! Outcome classes of connection failures, and validation of HTTP responses.
 
 use marljunction_control::interface::Status;
 use marljunction_core::ending::{Ending, Meaning};
@@ -47,9 +47,10 @@
     assert_eq!(
         read("99999999999999999999999", at),
         Some(u64::MAX),
-        "more than can be told is as long as can be"
+        "a delay that overflows becomes the longest one"
     );
     let date = "Tue, 01 Dec 2026 00:00:00 GMT";
-    // A service whose clock is an hour ahead asks for an hour, one whose clock is behind for nothing.
+    // A service whose clock is an hour ahead causes a delay of an hour; one whose clock is behind,
+    // none.
     assert_eq!((read(date, at - 3_600 * S), read(date, at + 3_600 * S)), (Some(3_600 * S), Some(0)));
 }
