--- a/crates/engine/src/http.rs
+++ b/crates/engine/src/http.rs
@@ -370,7 +370,7 @@
         let found = self.acquire(cx, engine, Role::Cancel(attempt), false);
         match found {
             Ok(conn) => self.send_cancel_on(cx, attempt, conn),
-            Err(Ending::Refused) if !self.is_polling(attempt) => {
+            Err(Ending::Refused) if !self.has_open_call(attempt) => {
                 self.end_attempt(cx, attempt, Ending::Abandoned)
             }
             // The engine has ended the unpolled query.
@@ -402,7 +402,7 @@
 
     /// Whether a poll is open on an established connection. A process that exits resets it, so
     /// while it is open a refused connection only means that the engine accepts no new ones.
-    fn is_polling(&self, attempt: Attempt) -> bool {
+    fn has_open_call(&self, attempt: Attempt) -> bool {
         let conn = self.queries.get(&attempt).and_then(|q| q.conn);
         conn.and_then(|conn| self.connections.get(&conn)).is_some_and(|c| c.up)
     }
@@ -429,17 +429,17 @@
                 // After a stall the engine may have processed the DELETE before the POST, and start
                 // the query afterwards. The DELETE is repeated once the POST has had time to be
                 // read.
-                let polling = self.is_polling(attempt);
+                let open_call = self.has_open_call(attempt);
                 let Some(query) = self.queries.get_mut(&attempt) else { return };
                 match query
                     .cancellation
                     .as_mut()
-                    .filter(|cancellation| !query.is_known && (polling || !cancellation.acknowledged))
+                    .filter(|cancellation| !query.is_known && (open_call || !cancellation.acknowledged))
                 {
                     Some(cancellation) => {
                         (cancellation.conn, cancellation.acknowledged) = (None, true);
                         cancellation.retry_at_ns =
-                            if polling { u64::MAX } else { cx.now + RETRY_DELAY_NS / 2 };
+                            if open_call { u64::MAX } else { cx.now + RETRY_DELAY_NS / 2 };
                     }
                     None => self.end_attempt(cx, attempt, Ending::GivenUp),
                 }
@@ -568,7 +568,7 @@
                 self.queries.entry(attempt).and_modify(|q| q.priority_update_pending = false);
             }
             Role::Cancel(attempt) => {
-                if !up && ending == Ending::Refused && !self.is_polling(attempt) {
+                if !up && ending == Ending::Refused && !self.has_open_call(attempt) {
                     return self.end_attempt(cx, attempt, Ending::Abandoned);
                 }
                 let last_call_ns = self.queries.get(&attempt).map_or(0, |q| q.last_call_ns);
--- a/crates/engine/tests/give_up.rs
+++ b/crates/engine/tests/give_up.rs
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_poll_answered_with_500_after_a_cancel_counts_as_cancelled() {
+fn a_post_answered_with_500_after_a_cancel_counts_as_cancelled() {
     let mut bed = TestBed::new();
     let (mut first, _second) = bed.start_and_cancel();
     first.write_all(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n").unwrap();
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_cancel_uses_the_poll_connection_when_new_connections_are_refused() {
+fn a_cancel_uses_the_posts_connection_when_new_connections_are_refused() {
     let mut bed = TestBed::new();
     let (attempt, mut first) = bed.start_and_accept();
     bed.refuse_connections();
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_refused_connection_and_a_reset_poll_end_a_cancelled_query() {
+fn a_refused_connection_and_a_reset_post_end_a_cancelled_query() {
     let mut bed = TestBed::new();
     let (attempt, first) = bed.start_and_accept();
     bed.refuse_connections();
@@ -367,7 +367,7 @@
 }
 
 #[test]
-fn a_refused_connection_does_not_end_a_query_whose_poll_was_just_answered() {
+fn a_refused_connection_does_not_end_a_query_whose_post_was_just_answered() {
     let mut bed = TestBed::new();
     let (attempt, mut first) = bed.start_and_accept();
     bed.refuse_connections();
