--- a/crates/engine/src/http.rs
+++ b/crates/engine/src/http.rs
@@ -25,8 +25,7 @@
 const MIN_REUSE_IDLE_NS: u64 = 15_000_000;
 /// Most idle connections per engine.
 const MAX_IDLE_CONNECTIONS: usize = 12;
-/// Time without a complete response after which a connection is closed; engines respond within 250
-/// ms.
+/// Longest wait for a complete response; engines respond within 250 ms.
 const RESPONSE_TIMEOUT_NS: u64 = 500_000_000;
 /// Delay before a query is polled again if no connection could be established.
 const RETRY_DELAY_NS: u64 = 200_000_000;
@@ -117,6 +116,7 @@
     engines: EngineTable<Vec<u64>>,
     connections: HashMap<u64, Connection>,
     queries: BTreeMap<Attempt, Query>,
+    /// Idle time after which this router closes a connection: a third of the engines' timeout.
     idle_timeout_ns: u64,
     connect_timeout_ns: u64,
 }
@@ -400,8 +400,8 @@
         self.record_written(cx, conn);
     }
 
-    /// Whether a poll is open on an established connection. A process that exits resets it, so
-    /// while it is open a refused connection only means that the engine accepts no new ones.
+    /// Whether the POST or a poll is open on an established connection. A process that exits resets
+    /// it, so while it is open a refused connection only means that the engine accepts no new ones.
     fn has_open_call(&self, attempt: Attempt) -> bool {
         let conn = self.queries.get(&attempt).and_then(|q| q.conn);
         conn.and_then(|conn| self.connections.get(&conn)).is_some_and(|c| c.up)
@@ -526,8 +526,8 @@
 
     fn finish(&mut self, cx: &mut Context, attempt: Attempt, conn: Option<u64>, ending: Ending) {
         self.release(cx, conn);
-        // A cancelled query's open poll gets a 500 before the DELETE gets its response; that is no
-        // failure of the engine.
+        // The open POST or poll of a cancelled query gets a 500 before the DELETE gets its response;
+        // that is no failure of the engine.
         let was_cancelled = ending == Ending::EngineError
             && self.queries.get(&attempt).is_some_and(|q| q.cancellation.is_some());
         self.end_attempt(cx, attempt, if was_cancelled { Ending::GivenUp } else { ending });
--- a/crates/engine/src/postgres.rs
+++ b/crates/engine/src/postgres.rs
@@ -62,8 +62,9 @@
     ask: Rc<Ask>,
     conn: u64,
     begin_by_ns: Option<u64>,
-    /// The query was queued on the connection, and is fully written.
+    /// The query was queued on the connection.
     queued: bool,
+    /// The query is fully written.
     fully_written: bool,
     /// Sessions opened for the attempt.
     session_opens: u32,
--- a/crates/engine/tests/give_up.rs
+++ b/crates/engine/tests/give_up.rs
@@ -189,7 +189,7 @@
         assert_eq!(self.ending(), Ending::GivenUp);
     }
 
-    /// Starts and cancels a query; returns the connections of the poll and of the DELETE.
+    /// Starts and cancels a query; returns the connections of the POST and of the DELETE.
     fn start_and_cancel(&mut self) -> (TcpStream, TcpStream) {
         let (attempt, first) = self.start_and_accept();
         self.cancel(attempt);
@@ -216,7 +216,7 @@
     for ms in [20, 40, 150, 240] {
         bed.tick(ms);
         bed.drive_sockets();
-        assert!(!bed.router.has_news(), "after {ms} ms the query may still run: its poll is open");
+        assert!(!bed.router.has_news(), "after {ms} ms the query may still run: its POST is open");
     }
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
     bed.expect_cancel_on(first);
@@ -269,7 +269,7 @@
     let (mut first, mut second) = bed.start_and_cancel();
     second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
-    // The response to the poll is processed first.
+    // The response to the POST is processed first.
     let mut cx = Context { now: bed.now, net: &mut bed.net, router: &mut bed.router };
     bed.backend.ready(&mut cx, 11);
     bed.drive_sockets();
@@ -373,7 +373,7 @@
     bed.refuse_connections();
     bed.cancel(attempt);
     first.write_all(b"HTTP/1.1 202 Running\r\nContent-Length: 0\r\n\r\n").unwrap();
-    // The response to the poll is processed first, the refused connection after it.
+    // The response to the POST is processed first, the refused connection after it.
     let mut cx = Context { now: bed.now, net: &mut bed.net, router: &mut bed.router };
     bed.backend.ready(&mut cx, 11);
     bed.drive_sockets();
