--- a/crates/engine/src/http.rs
+++ b/crates/engine/src/http.rs
@@ -1,4 +1,7 @@
-//! Engines that speak HTTP/1.1: one call at a time on a connection, queries that belong to no connection.
+//! Backend for engines that speak HTTP/1.1.
+//!
+//! A connection carries one call at a time. A query is not bound to a connection: a POST starts it,
+//! GETs poll its status and fetch its result pages, a DELETE cancels it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -6,674 +9,751 @@
 
 use log::debug;
 
-use super::{Backend, Context, Start, Targets};
+use super::{Backend, Context, EngineTable, NewAttempt};
 use marljunction_control::interface::{EngineId, LoadReport};
 use marljunction_core::end_reason::EndReason;
 use marljunction_core::{Attempt, ClientRequest as Ask, Rows};
 use marljunction_discovery::Change;
-use marljunction_http1::head::{read_answer, whole_rows, Head};
+use marljunction_http1::head::{has_complete_rows, parse_response, Head};
 use marljunction_pacing::opening::Openings;
 
-/// An idle connection is used again only so soon after its last answer (ns): a silent machine never resets.
-const REUSE_NS: u64 = 2_000_000_000;
-/// A connection is used for another query only so long after its last answer (ns): what an engine sends behind
-/// that answer, more than belongs to it, would be read as the next one's.
-const QUIET_NS: u64 = 15_000_000;
-/// Idle connections kept for an engine (count).
-const IDLE_MOST: usize = 12;
-/// Time without a whole answer after which a connection is given up (ns): engines answer within 250 ms.
-const SILENT_NS: u64 = 500_000_000;
-/// Wait before a query is asked after again where no connection came up (ns).
-const ASK_AGAIN_NS: u64 = 200_000_000;
-/// An engine ends a query that nobody asks for in 2 s. The call that asked last may have come later than it was written, and
-/// counts as asking while the engine holds it for news, 250 ms; with the allowance for sockets, twice (ns).
-const FORGOTTEN_NS: u64 = 2_350_000_000;
-/// Largest result (bytes).
-const RESULT_MOST: usize = 48_000;
-/// Times that a query's start is written to a new connection because the one before came to nothing (count).
-const STARTS_MOST: u32 = 3;
-/// Times that a query's answer or one page of it is asked for again because it was spoilt (count).
-const SPOILT_MOST: u32 = 5;
+/// Longest idle time after which a connection is reused: a peer that has failed silently sends no
+/// reset.
+const MAX_REUSE_IDLE_NS: u64 = 2_000_000_000;
+/// Shortest idle time before a connection is reused: surplus bytes behind the last response must
+/// arrive first, or they would be read as part of the next one.
+const MIN_REUSE_IDLE_NS: u64 = 15_000_000;
+/// Most idle connections per engine.
+const MAX_IDLE_CONNECTIONS: usize = 12;
+/// Longest wait for a complete response; engines respond within 250 ms.
+const RESPONSE_TIMEOUT_NS: u64 = 500_000_000;
+/// Delay before a query is polled again if no connection could be established.
+const RETRY_DELAY_NS: u64 = 200_000_000;
+/// Time since the last call after which an unpolled query has ended. Engines end a query that is
+/// not polled for 2 s; a poll that the engine holds open for up to 250 ms counts until it returns,
+/// and the socket delays add up to 100 ms.
+const UNPOLLED_EXPIRY_NS: u64 = 2_350_000_000;
+/// Largest result.
+const MAX_RESULT_BYTES: usize = 48_000;
+/// Most times that the POST of a query is written, each time to another connection.
+const MAX_POSTS: u32 = 3;
+/// Most invalid responses to one query before the attempt fails.
+const MAX_INVALID_RESPONSES: u32 = 5;
 
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     Idle,
-    /// The call that starts a query.
+    /// Starts a query (POST).
     Post(Attempt),
-    /// Asks for a query's news.
-    Ask(Attempt),
-    /// Fetches a page.
-    Page(Attempt, u32),
-    Rank(Attempt),
-    GiveUp(Attempt),
-    /// Waits for an answer that nobody needs.
+    /// Polls the status of a query (GET).
+    Poll(Attempt),
+    /// Fetches a result page (GET).
+    FetchPage(Attempt, u32),
+    SetPriority(Attempt),
+    Cancel(Attempt),
+    /// Waits for a response that is no longer needed.
     Discard,
 }
 
-struct Line {
+struct Connection {
     engine: EngineId,
-    /// Where it leads, which may be another's address by now.
-    to: SocketAddr,
+    /// Remote address; the engine may have moved since.
+    address: SocketAddr,
     role: Role,
     up: bool,
-    /// When its present call was made, or its last answer came.
+    /// When its current call was sent or its last response arrived.
     since_ns: u64,
 }
 
-/// How far giving up has come.
-struct Leaving {
+/// State of the cancellation of a query.
+struct Cancellation {
     conn: Option<u64>,
-    again_ns: u64,
-    /// The engine has said that it was told.
-    told: bool,
+    retry_at_ns: u64,
+    /// The engine has confirmed the DELETE.
+    acknowledged: bool,
 }
 
-/// A query on an engine.
-struct Run {
+/// A query of an attempt on an engine.
+struct Query {
     engine: EngineId,
     ask: Rc<Ask>,
     class: String,
     timeout_ns: u64,
-    once: bool,
+    at_most_once: bool,
     begin_by_ns: Option<u64>,
-    /// The call that starts it was wholly written.
-    whole: bool,
-    /// The engine has answered something about it.
-    known: bool,
-    /// The engine stood still as it got the call that starts it, and may read that behind a later one.
-    stood_still: bool,
+    /// The POST is fully written.
+    fully_written: bool,
+    /// The engine has responded to the POST or to a poll.
+    is_known: bool,
+    /// The fully written POST timed out; the engine may still read it after a later call.
+    post_timed_out: bool,
     conn: Option<u64>,
-    /// When it was last asked for on a connection that was up.
-    asked_ns: u64,
-    /// When to ask for it again, while no connection does.
-    again_ns: u64,
-    breaks: u32,
-    starts: u32,
-    spoilt: u32,
+    /// When a POST or a poll was last written.
+    last_call_ns: u64,
+    /// When to poll again if no connection does.
+    retry_at_ns: u64,
+    disconnects: u32,
+    posts: u32,
+    invalid_responses: u32,
     pages: u32,
     next_page: u32,
     rows: Vec<u8>,
-    report: Option<LoadReport>,
+    load_report: Option<LoadReport>,
     priority: u8,
-    told_priority: u8,
-    ranking: bool,
-    leaving: Option<Leaving>,
+    sent_priority: u8,
+    priority_update_pending: bool,
+    cancellation: Option<Cancellation>,
 }
 
-/// Whether nothing of the call that starts a query has gone out.
-fn unbegun(cx: &Context, run: &Run) -> bool {
-    !run.whole && run.conn.is_none_or(|conn| cx.net.is_unbegun(conn))
+/// Whether no byte of the POST was sent.
+fn is_unsent(cx: &Context, query: &Query) -> bool {
+    !query.fully_written && query.conn.is_none_or(|conn| cx.net.is_unbegun(conn))
 }
 
-/// The backend for such engines.
-pub struct HttpEngines {
-    targets: Targets<Vec<u64>>,
-    lines: HashMap<u64, Line>,
-    runs: BTreeMap<Attempt, Run>,
-    idle_ns: u64,
-    connect_ns: u64,
+/// Backend for engines that speak HTTP/1.1.
+pub struct HttpBackend {
+    engines: EngineTable<Vec<u64>>,
+    connections: HashMap<u64, Connection>,
+    queries: BTreeMap<Attempt, Query>,
+    /// Idle time after which this router closes a connection: a third of the engines' timeout.
+    idle_timeout_ns: u64,
+    connect_timeout_ns: u64,
 }
 
-impl HttpEngines {
-    /// No engines yet. They close connections that are idle for `idle_ns`; one that is not up after
-    /// `connect_ns` never will be.
-    pub fn new(idle_ns: u64, connect_ns: u64) -> Self {
-        HttpEngines {
-            targets: Targets::default(),
-            lines: HashMap::new(),
-            runs: BTreeMap::new(),
-            idle_ns: idle_ns / 3,
-            connect_ns,
+impl HttpBackend {
+    /// Creates a backend without engines. Engines close connections that are idle for
+    /// `idle_timeout_ns`; a connection that is not established within `connect_timeout_ns` fails.
+    pub fn new(idle_timeout_ns: u64, connect_timeout_ns: u64) -> Self {
+        HttpBackend {
+            engines: EngineTable::default(),
+            connections: HashMap::new(),
+            queries: BTreeMap::new(),
+            idle_timeout_ns: idle_timeout_ns / 3,
+            connect_timeout_ns,
         }
     }
 
-    /// Takes an idle connection to an engine that was of use just now.
-    fn idle(&mut self, now: u64, engine: EngineId) -> Option<u64> {
-        let age = |conn: &u64| self.lines.get(conn).map(|l| now.saturating_sub(l.since_ns));
-        let fit = |conn: &u64| age(conn).is_some_and(|age| (QUIET_NS..=REUSE_NS).contains(&age));
-        let own = &mut self.targets.get(engine)?.own;
-        own.iter().rposition(fit).map(|at| own.remove(at))
+    /// Takes the most recently used idle connection to an engine that can be reused.
+    fn take_idle(&mut self, now: u64, engine: EngineId) -> Option<u64> {
+        let age = |conn: &u64| self.connections.get(conn).map(|c| now.saturating_sub(c.since_ns));
+        let fit =
+            |conn: &u64| age(conn).is_some_and(|age| (MIN_REUSE_IDLE_NS..=MAX_REUSE_IDLE_NS).contains(&age));
+        let pool = &mut self.engines.get(engine)?.pool;
+        pool.iter().rposition(fit).map(|index| pool.remove(index))
     }
 
-    /// A connection for one call: an idle one that was of use just now, else a new one.
-    fn line(
+    /// Returns a connection for one call: an idle one unless `new_connection` is set, else a new
+    /// one.
+    fn acquire(
         &mut self,
         cx: &mut Context,
         engine: EngineId,
         role: Role,
-        fresh: bool,
+        new_connection: bool,
     ) -> Result<u64, EndReason> {
-        let to = self.targets.get(engine).ok_or(EndReason::NoDescriptor)?.address;
-        while let Some(conn) = if fresh { None } else { self.idle(cx.now, engine) } {
-            // Guards against a call on a connection that its engine has closed since it was last looked at: nobody could tell
-            // whether it came.
+        let address = self.engines.get(engine).ok_or(EndReason::NoDescriptor)?.address;
+        while let Some(conn) = if new_connection { None } else { self.take_idle(cx.now, engine) } {
+            // If the engine has closed the connection, it would be unknown whether the call
+            // arrived.
             if cx.net.service(conn).ended.is_some() || !cx.net.input(conn).is_empty() {
                 self.close(cx, conn);
                 continue;
             }
-            if let Some(line) = self.lines.get_mut(&conn) {
-                (line.role, line.since_ns) = (role, cx.now);
+            if let Some(connection) = self.connections.get_mut(&conn) {
+                (connection.role, connection.since_ns) = (role, cx.now);
             }
             return Ok(conn);
         }
         let conn = match role {
-            Role::Post(_) => self.targets.connect_for_work(cx, engine)?,
-            _ => self.targets.connect(cx, engine)?,
+            Role::Post(_) => self.engines.connect_paced(cx, engine)?,
+            _ => self.engines.connect(cx, engine)?,
         };
-        self.lines.insert(conn, Line { engine, to, role, up: false, since_ns: cx.now });
+        self.connections.insert(conn, Connection { engine, address, role, up: false, since_ns: cx.now });
         Ok(conn)
     }
 
-    fn call(&mut self, cx: &mut Context, conn: u64, verb: &str, path: &str, fields: &str, body: &[u8]) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        line.since_ns = cx.now;
-        let host = self.targets.get(line.engine).map(|k| k.address.to_string()).unwrap_or_default();
-        let mut bytes = format!("{verb} {path} HTTP/1.1\r\nHost: {host}\r\n{fields}").into_bytes();
-        if verb == "POST" || verb == "PUT" {
+    fn send_call(
+        &mut self,
+        cx: &mut Context,
+        conn: u64,
+        method: &str,
+        path: &str,
+        headers: &str,
+        body: &[u8],
+    ) {
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        connection.since_ns = cx.now;
+        let host =
+            self.engines.get(connection.engine).map(|record| record.address.to_string()).unwrap_or_default();
+        let mut bytes = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n{headers}").into_bytes();
+        if method == "POST" || method == "PUT" {
             bytes.extend_from_slice(format!("Content-Length: {}\r\n", body.len()).as_bytes());
         }
         bytes.extend_from_slice(b"\r\n");
         bytes.extend_from_slice(body);
         if !cx.net.send(conn, &bytes) {
-            // Guards against a call that passes for written, as nothing of it waits.
-            self.lost(cx, conn, EndReason::Unsent);
+            // Nothing was queued, so the call would count as fully written.
+            self.connection_lost(cx, conn, EndReason::Unsent);
         }
     }
 
-    /// A connection is free again.
-    fn rest(&mut self, cx: &mut Context, conn: Option<u64>) {
-        let Some((conn, line)) = conn.and_then(|c| Some((c, self.lines.get_mut(&c)?))) else { return };
-        (line.role, line.since_ns) = (Role::Idle, cx.now);
-        match self.targets.keeps(line.engine, line.to).filter(|k| k.own.len() < IDLE_MOST) {
-            Some(known) => known.own.push(conn),
+    /// Returns a connection to the pool.
+    fn release(&mut self, cx: &mut Context, conn: Option<u64>) {
+        let Some((conn, connection)) = conn.and_then(|c| Some((c, self.connections.get_mut(&c)?))) else {
+            return;
+        };
+        (connection.role, connection.since_ns) = (Role::Idle, cx.now);
+        match self
+            .engines
+            .get_listed_at(connection.engine, connection.address)
+            .filter(|record| record.pool.len() < MAX_IDLE_CONNECTIONS)
+        {
+            Some(record) => record.pool.push(conn),
             None => self.close(cx, conn),
         }
     }
 
     fn close(&mut self, cx: &mut Context, conn: u64) {
-        if let Some(line) = self.lines.remove(&conn) {
-            if let Some(known) = self.targets.get(line.engine) {
-                known.own.retain(|c| *c != conn);
+        if let Some(connection) = self.connections.remove(&conn) {
+            if let Some(record) = self.engines.get(connection.engine) {
+                record.pool.retain(|c| *c != conn);
             }
         }
         cx.net.close(conn);
     }
 
-    /// Reports the one ending of an attempt, and lets its connections go.
-    fn end(&mut self, cx: &mut Context, at: Attempt, ending: EndReason) {
-        let Some(run) = self.runs.remove(&at) else { return };
-        let rows = (ending == EndReason::Served).then_some(Rows::Text(run.rows));
-        cx.router.ended(at, ending, rows, run.report);
-        let conns = run.conn.into_iter().chain(run.leaving.and_then(|l| l.conn));
+    /// Reports the outcome of an attempt and releases its connections.
+    fn end_attempt(&mut self, cx: &mut Context, attempt: Attempt, ending: EndReason) {
+        let Some(query) = self.queries.remove(&attempt) else { return };
+        let rows = (ending == EndReason::Served).then_some(Rows::Text(query.rows));
+        cx.router.ended(attempt, ending, rows, query.load_report);
+        let conns = query.conn.into_iter().chain(query.cancellation.and_then(|c| c.conn));
         for conn in conns.collect::<Vec<_>>() {
-            if let Some(line) = self.lines.get_mut(&conn).filter(|l| l.role != Role::Idle) {
-                line.role = Role::Discard;
+            if let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.role != Role::Idle) {
+                connection.role = Role::Discard;
             }
         }
     }
 
-    /// Ends an attempt whose call was not wholly written: without the rest it never runs, so closing its connection is enough.
-    fn take_back(&mut self, cx: &mut Context, at: Attempt, ending: EndReason) {
-        let conn = self.runs.get_mut(&at).and_then(|r| r.conn.take());
-        self.end(cx, at, ending);
+    /// Ends an attempt whose POST is not fully written. Closing its connection is enough: an
+    /// incomplete call never starts a query.
+    fn abort(&mut self, cx: &mut Context, attempt: Attempt, ending: EndReason) {
+        let conn = self.queries.get_mut(&attempt).and_then(|q| q.conn.take());
+        self.end_attempt(cx, attempt, ending);
         conn.into_iter().for_each(|conn| self.close(cx, conn));
     }
 
-    /// Ends the attempts of which nothing has gone out and that `which` says must not begin any more.
-    fn take_back_unbegun(&mut self, cx: &mut Context, which: impl Fn(&Targets<Vec<u64>>, &Run) -> bool) {
-        let which = |run: &Run| unbegun(cx, run) && which(&self.targets, run);
-        let over: Vec<Attempt> = self.runs.iter().filter(|(_, run)| which(run)).map(|(at, _)| *at).collect();
-        over.into_iter().for_each(|at| self.take_back(cx, at, EndReason::Unsent));
+    /// Ends the attempts of which no byte was sent and for which `should_abort` returns true.
+    fn abort_unsent(
+        &mut self,
+        cx: &mut Context,
+        should_abort: impl Fn(&EngineTable<Vec<u64>>, &Query) -> bool,
+    ) {
+        let should_abort = |query: &Query| is_unsent(cx, query) && should_abort(&self.engines, query);
+        let unsent: Vec<Attempt> = self
+            .queries
+            .iter()
+            .filter(|(_, query)| should_abort(query))
+            .map(|(attempt, _)| *attempt)
+            .collect();
+        unsent.into_iter().for_each(|attempt| self.abort(cx, attempt, EndReason::Unsent));
     }
 
-    fn post(&mut self, cx: &mut Context, at: Attempt, fresh: bool) {
-        let Some(run) = self.runs.get(&at) else { return };
-        let engine = run.engine;
-        // Guards against new work for an engine that began to drain while the connections before came to nothing.
-        if !self.targets.serves(engine) {
-            return self.end(cx, at, EndReason::Unsent);
+    fn post(&mut self, cx: &mut Context, attempt: Attempt, new_connection: bool) {
+        let Some(query) = self.queries.get(&attempt) else { return };
+        let engine = query.engine;
+        // The engine may have started draining since the previous POST.
+        if !self.engines.accepts_work(engine) {
+            return self.end_attempt(cx, attempt, EndReason::Unsent);
         }
-        // An idle connection may close as it is written to, and then nobody knows what came of it.
-        let conn = match self.line(cx, engine, Role::Post(at), fresh || run.once) {
+        // A reused connection may close during the write, and then it is unknown whether the query
+        // ran.
+        let conn = match self.acquire(cx, engine, Role::Post(attempt), new_connection || query.at_most_once) {
             Ok(conn) => conn,
-            Err(ending) => return self.end(cx, at, ending),
+            Err(ending) => return self.end_attempt(cx, attempt, ending),
         };
-        let Some(run) = self.runs.get_mut(&at) else { return };
-        (run.conn, run.asked_ns, run.starts) = (Some(conn), cx.now, run.starts + 1);
-        let token = run.ask.token.as_ref().map_or_else(String::new, |token| format!("Once-Key: {token}\r\n"));
-        let fields = format!(
+        let Some(query) = self.queries.get_mut(&attempt) else { return };
+        (query.conn, query.last_call_ns, query.posts) = (Some(conn), cx.now, query.posts + 1);
+        let token =
+            query.ask.token.as_ref().map_or_else(String::new, |token| format!("Once-Key: {token}\r\n"));
+        let headers = format!(
             "Request-Id: {}\r\nKind: {}\r\nTimeout-Ms: {}\r\nPool-Rank: {}\r\n{token}",
-            run.ask.name,
-            run.class,
-            (run.timeout_ns / 1_000_000).max(1),
-            run.priority
+            query.ask.name,
+            query.class,
+            (query.timeout_ns / 1_000_000).max(1),
+            query.priority
         );
-        run.told_priority = run.priority;
-        let Some(body) = run.ask.statement.inlined() else { return self.end(cx, at, EndReason::Unsent) };
-        self.call(cx, conn, "POST", "/o", &fields, &body);
-        self.written(cx, conn);
+        query.sent_priority = query.priority;
+        let Some(body) = query.ask.statement.inlined() else {
+            return self.end_attempt(cx, attempt, EndReason::Unsent);
+        };
+        self.send_call(cx, conn, "POST", "/o", &headers, &body);
+        self.record_written(cx, conn);
     }
 
-    /// Takes note of calls that have been wholly written.
-    fn written(&mut self, cx: &mut Context, conn: u64) {
+    /// Records when the current call of a connection is fully written.
+    fn record_written(&mut self, cx: &mut Context, conn: u64) {
         if !cx.net.drained(conn) {
             return;
         }
-        match self.lines.get(&conn).map(|l| l.role) {
-            // The engine has it from now on, however long its connection took to come up.
-            Some(Role::Post(at)) => {
-                let unwritten = self.runs.get_mut(&at).filter(|r| !r.whole);
-                unwritten.into_iter().for_each(|r| (r.whole, r.asked_ns) = (true, cx.now));
+        match self.connections.get(&conn).map(|c| c.role) {
+            // The time of the write counts, not the time at which the connection was opened.
+            Some(Role::Post(attempt)) => {
+                let unwritten = self.queries.get_mut(&attempt).filter(|q| !q.fully_written);
+                unwritten.into_iter().for_each(|q| (q.fully_written, q.last_call_ns) = (true, cx.now));
             }
-            Some(Role::Ask(at) | Role::Page(at, _)) => {
-                self.runs.entry(at).and_modify(|r| r.asked_ns = r.asked_ns.max(cx.now));
+            Some(Role::Poll(attempt) | Role::FetchPage(attempt, _)) => {
+                self.queries.entry(attempt).and_modify(|q| q.last_call_ns = q.last_call_ns.max(cx.now));
             }
             _ => {}
         }
     }
 
-    /// Asks for a query's news, or for its next page.
-    fn ask(&mut self, cx: &mut Context, at: Attempt, on: Option<u64>) {
-        let Some(run) = self.runs.get(&at) else { return };
-        if let Some(leaving) = &run.leaving {
-            // Guards against a refusal that comes after this answer, when no connection of the query's stands any
-            // more: this one carries the DELETE unless another already does.
-            let pending = leaving.conn;
-            let told = pending.and_then(|conn| self.lines.get(&conn)).is_some_and(|l| l.up);
-            self.runs.entry(at).and_modify(|r| r.conn = None);
-            let Some(conn) = on.filter(|_| !told) else { return self.rest(cx, on) };
-            if let Some(line) = pending.and_then(|conn| self.lines.get_mut(&conn)) {
-                line.role = Role::Discard;
+    /// Polls the status of a query or fetches its next page, on `reuse` if given.
+    fn poll(&mut self, cx: &mut Context, attempt: Attempt, reuse: Option<u64>) {
+        let Some(query) = self.queries.get(&attempt) else { return };
+        if let Some(cancellation) = &query.cancellation {
+            // The pending DELETE may still be refused when no other connection is left, so it moves
+            // to this one unless its connection is established.
+            let pending = cancellation.conn;
+            let is_connected = pending.and_then(|conn| self.connections.get(&conn)).is_some_and(|c| c.up);
+            self.queries.entry(attempt).and_modify(|q| q.conn = None);
+            let Some(conn) = reuse.filter(|_| !is_connected) else { return self.release(cx, reuse) };
+            if let Some(connection) = pending.and_then(|conn| self.connections.get_mut(&conn)) {
+                connection.role = Role::Discard;
             }
-            return self.tell_leaving_on(cx, at, conn);
+            return self.send_cancel_on(cx, attempt, conn);
         }
-        let role = if run.pages > 0 { Role::Page(at, run.next_page) } else { Role::Ask(at) };
-        let (engine, path) = (run.engine, format!("/o/{}/{}", run.ask.name, run.next_page));
-        let found = match on {
+        let role =
+            if query.pages > 0 { Role::FetchPage(attempt, query.next_page) } else { Role::Poll(attempt) };
+        let (engine, path) = (query.engine, format!("/o/{}/{}", query.ask.name, query.next_page));
+        let found = match reuse {
             Some(conn) => Ok(conn),
-            None => self.line(cx, engine, role, true),
+            None => self.acquire(cx, engine, role, true),
         };
-        let Some(run) = self.runs.get_mut(&at) else { return };
+        let Some(query) = self.queries.get_mut(&attempt) else { return };
         match found {
             Ok(conn) => {
-                run.conn = Some(conn);
-                if let Some(line) = self.lines.get_mut(&conn) {
-                    line.role = role;
+                query.conn = Some(conn);
+                if let Some(connection) = self.connections.get_mut(&conn) {
+                    connection.role = role;
                 }
-                self.call(cx, conn, "GET", &path, "", b"");
-                self.written(cx, conn);
+                self.send_call(cx, conn, "GET", &path, "", b"");
+                self.record_written(cx, conn);
             }
-            Err(EndReason::Refused) => self.end(cx, at, EndReason::Cut),
-            Err(_) => (run.conn, run.again_ns) = (None, cx.now + ASK_AGAIN_NS),
+            Err(EndReason::Refused) => self.end_attempt(cx, attempt, EndReason::Cut),
+            Err(_) => (query.conn, query.retry_at_ns) = (None, cx.now + RETRY_DELAY_NS),
         }
     }
 
-    fn tell_rank(&mut self, cx: &mut Context, at: Attempt) {
-        let Some(run) = self.runs.get(&at) else { return };
-        let due = run.known && !run.ranking && run.leaving.is_none() && run.priority != run.told_priority;
+    fn send_priority(&mut self, cx: &mut Context, attempt: Attempt) {
+        let Some(query) = self.queries.get(&attempt) else { return };
+        let due = query.is_known
+            && !query.priority_update_pending
+            && query.cancellation.is_none()
+            && query.priority != query.sent_priority;
         if !due {
             return;
         }
-        let (engine, priority, path) = (run.engine, run.priority, format!("/o/{}", run.ask.name));
-        let Ok(conn) = self.line(cx, engine, Role::Rank(at), false) else { return };
-        self.runs.entry(at).and_modify(|r| (r.ranking, r.told_priority) = (true, priority));
-        self.call(cx, conn, "PUT", &path, "", priority.to_string().as_bytes());
-    }
-
-    fn tell_leaving(&mut self, cx: &mut Context, at: Attempt) {
-        let Some(run) = self.runs.get(&at) else { return };
-        let (engine, asked_ns) = (run.engine, run.asked_ns);
-        let found = self.line(cx, engine, Role::GiveUp(at), false);
+        let (engine, priority, path) = (query.engine, query.priority, format!("/o/{}", query.ask.name));
+        let Ok(conn) = self.acquire(cx, engine, Role::SetPriority(attempt), false) else { return };
+        self.queries
+            .entry(attempt)
+            .and_modify(|q| (q.priority_update_pending, q.sent_priority) = (true, priority));
+        self.send_call(cx, conn, "PUT", &path, "", priority.to_string().as_bytes());
+    }
+
+    fn send_cancel(&mut self, cx: &mut Context, attempt: Attempt) {
+        let Some(query) = self.queries.get(&attempt) else { return };
+        let (engine, last_call_ns) = (query.engine, query.last_call_ns);
+        let found = self.acquire(cx, engine, Role::Cancel(attempt), false);
         match found {
-            Ok(conn) => self.tell_leaving_on(cx, at, conn),
-            Err(EndReason::Refused) if !self.heard_on(at) => self.end(cx, at, EndReason::Abandoned),
-            // A query that nobody asks for ends by itself.
-            Err(_) if cx.now >= asked_ns + FORGOTTEN_NS => self.end(cx, at, EndReason::Abandoned),
+            Ok(conn) => self.send_cancel_on(cx, attempt, conn),
+            Err(EndReason::Refused) if !self.has_open_call(attempt) => {
+                self.end_attempt(cx, attempt, EndReason::Abandoned)
+            }
+            // The engine has ended the unpolled query.
+            Err(_) if cx.now >= last_call_ns + UNPOLLED_EXPIRY_NS => {
+                self.end_attempt(cx, attempt, EndReason::Abandoned)
+            }
             Err(_) => {
-                if let Some(leaving) = self.runs.get_mut(&at).and_then(|r| r.leaving.as_mut()) {
-                    (leaving.conn, leaving.again_ns) = (None, cx.now + ASK_AGAIN_NS / 2);
+                if let Some(cancellation) =
+                    self.queries.get_mut(&attempt).and_then(|q| q.cancellation.as_mut())
+                {
+                    (cancellation.conn, cancellation.retry_at_ns) = (None, cx.now + RETRY_DELAY_NS / 2);
                 }
             }
         }
     }
 
-    /// Gives a query up by a call on this connection.
-    fn tell_leaving_on(&mut self, cx: &mut Context, at: Attempt, conn: u64) {
-        let Some(run) = self.runs.get_mut(&at) else { return };
-        let path = format!("/o/{}", run.ask.name);
-        let Some(leaving) = &mut run.leaving else { return };
-        leaving.conn = Some(conn);
-        if let Some(line) = self.lines.get_mut(&conn) {
-            line.role = Role::GiveUp(at);
+    /// Sends the DELETE on this connection.
+    fn send_cancel_on(&mut self, cx: &mut Context, attempt: Attempt, conn: u64) {
+        let Some(query) = self.queries.get_mut(&attempt) else { return };
+        let path = format!("/o/{}", query.ask.name);
+        let Some(cancellation) = &mut query.cancellation else { return };
+        cancellation.conn = Some(conn);
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            connection.role = Role::Cancel(attempt);
         }
-        self.call(cx, conn, "DELETE", &path, "", b"");
-        self.written(cx, conn);
+        self.send_call(cx, conn, "DELETE", &path, "", b"");
+        self.record_written(cx, conn);
     }
 
-    /// Whether a connection that is up still waits for a query's news. A process that has gone resets it, so
-    /// while it stands a refused connection says only that the engine takes no new ones: it may be draining, or
-    /// hold as many as it can.
-    fn heard_on(&self, at: Attempt) -> bool {
-        let conn = self.runs.get(&at).and_then(|r| r.conn);
-        conn.and_then(|conn| self.lines.get(&conn)).is_some_and(|l| l.up)
+    /// Whether the POST or a poll is open on an established connection. A process that exits resets
+    /// it, so while it is open a refused connection only means that the engine accepts no new ones.
+    fn has_open_call(&self, attempt: Attempt) -> bool {
+        let conn = self.queries.get(&attempt).and_then(|q| q.conn);
+        conn.and_then(|conn| self.connections.get(&conn)).is_some_and(|c| c.up)
     }
 
-    /// Takes a whole answer; its connection is absent where it can carry nothing more.
-    fn answer(&mut self, cx: &mut Context, conn: Option<u64>, role: Role, head: Head, body: Vec<u8>) {
+    /// Handles a complete response. `conn` is absent if the connection cannot be reused.
+    fn handle_response(
+        &mut self,
+        cx: &mut Context,
+        conn: Option<u64>,
+        role: Role,
+        head: Head,
+        body: Vec<u8>,
+    ) {
         match role {
             Role::Idle => {}
-            Role::Discard => self.rest(cx, conn),
-            // Guards against an answer to an earlier call that is taken for this one's: the attempt would count
-            // as given up while it runs.
-            Role::GiveUp(_) | Role::Rank(_) if !matches!(head.status, 204 | 500) => {
-                self.spoilt(cx, conn, role, "no answer to this call");
+            Role::Discard => self.release(cx, conn),
+            // Another status belongs to an earlier call, and would count as a confirmed
+            // cancellation while the query runs.
+            Role::Cancel(_) | Role::SetPriority(_) if !matches!(head.status, 204 | 500) => {
+                self.invalid_response(cx, conn, role, "unexpected status");
             }
-            Role::GiveUp(at) => {
-                self.rest(cx, conn);
-                // Guards against a second copy: an engine that stood still may read this call before the one that starts the
-                // query, and take that up afterwards. It is told once more, when it has had time to read that one.
-                let waits = self.heard_on(at);
-                let Some(run) = self.runs.get_mut(&at) else { return };
-                match run.leaving.as_mut().filter(|leaving| !run.known && (waits || !leaving.told)) {
-                    Some(leaving) => {
-                        (leaving.conn, leaving.told) = (None, true);
-                        leaving.again_ns = if waits { u64::MAX } else { cx.now + ASK_AGAIN_NS / 2 };
+            Role::Cancel(attempt) => {
+                self.release(cx, conn);
+                // After a stall the engine may have processed the DELETE before the POST, and start
+                // the query afterwards. The DELETE is repeated once the POST has had time to be
+                // read.
+                let open_call = self.has_open_call(attempt);
+                let Some(query) = self.queries.get_mut(&attempt) else { return };
+                match query
+                    .cancellation
+                    .as_mut()
+                    .filter(|cancellation| !query.is_known && (open_call || !cancellation.acknowledged))
+                {
+                    Some(cancellation) => {
+                        (cancellation.conn, cancellation.acknowledged) = (None, true);
+                        cancellation.retry_at_ns =
+                            if open_call { u64::MAX } else { cx.now + RETRY_DELAY_NS / 2 };
                     }
-                    None => self.end(cx, at, EndReason::GivenUp),
+                    None => self.end_attempt(cx, attempt, EndReason::GivenUp),
                 }
             }
-            Role::Rank(at) => {
-                self.runs.entry(at).and_modify(|r| r.ranking = false);
-                self.rest(cx, conn);
-                self.tell_rank(cx, at);
+            Role::SetPriority(attempt) => {
+                self.queries.entry(attempt).and_modify(|q| q.priority_update_pending = false);
+                self.release(cx, conn);
+                self.send_priority(cx, attempt);
             }
-            Role::Post(at) | Role::Ask(at) => {
-                let Some(run) = self.runs.get_mut(&at) else { return self.rest(cx, conn) };
-                // Page 0 tells how many there are; a page that does not is another call's.
-                let rows = head.status == 200;
-                if rows && (head.pages.is_none_or(|n| n == 0) || head.page.is_some() || !whole_rows(&body)) {
-                    return self.spoilt(cx, conn, role, "no first page");
+            Role::Post(attempt) | Role::Poll(attempt) => {
+                let Some(query) = self.queries.get_mut(&attempt) else { return self.release(cx, conn) };
+                // Page 0 carries the number of pages; any other page belongs to another call.
+                let is_result = head.status == 200;
+                if is_result
+                    && (head.pages.is_none_or(|n| n == 0) || head.page.is_some() || !has_complete_rows(&body))
+                {
+                    return self.invalid_response(cx, conn, role, "not a valid first page");
                 }
-                // Guards against a second copy: an engine that stood still may take a query up that it did not know just now. It
-                // is asked once more, when it has had time to read the call that starts it.
-                if head.status == 500 && std::mem::take(&mut run.stood_still) && run.leaving.is_none() {
-                    (run.conn, run.again_ns) = (None, cx.now + ASK_AGAIN_NS / 2);
-                    return self.rest(cx, conn);
+                // After a stall the engine may still read the POST of a query that it does not know
+                // yet. Polls once more before the attempt fails.
+                if head.status == 500
+                    && std::mem::take(&mut query.post_timed_out)
+                    && query.cancellation.is_none()
+                {
+                    (query.conn, query.retry_at_ns) = (None, cx.now + RETRY_DELAY_NS / 2);
+                    return self.release(cx, conn);
                 }
-                let first = !std::mem::replace(&mut run.known, true);
-                (run.whole, run.breaks, run.stood_still) = (true, 0, false);
-                run.report = head.report.or(run.report);
+                let is_first_response = !std::mem::replace(&mut query.is_known, true);
+                (query.fully_written, query.disconnects, query.post_timed_out) = (true, 0, false);
+                query.load_report = head.load_report.or(query.load_report);
                 match (head.status, head.never_ran) {
                     (202, _) => {
                         if let Some(note) = head.note {
-                            cx.router.note(at, note);
+                            cx.router.note(attempt, note);
                         }
-                        // Guards against an end that was read before the start: it is told anew behind that.
-                        let told = run.leaving.as_mut().filter(|_| first).and_then(|l| l.conn.take());
-                        if let Some(line) = told.and_then(|conn| self.lines.get_mut(&conn)) {
-                            line.role = Role::Discard;
+                        // The pending DELETE may have been processed before the POST; it is sent
+                        // again.
+                        let pending = query
+                            .cancellation
+                            .as_mut()
+                            .filter(|_| is_first_response)
+                            .and_then(|c| c.conn.take());
+                        if let Some(connection) = pending.and_then(|conn| self.connections.get_mut(&conn)) {
+                            connection.role = Role::Discard;
                         }
-                        self.ask(cx, at, conn);
-                        self.tell_rank(cx, at);
+                        self.poll(cx, attempt, conn);
+                        self.send_priority(cx, attempt);
                     }
                     (200, _) => {
-                        (run.pages, run.next_page, run.rows) = (head.pages.unwrap_or(1), 1, body);
-                        self.page_or_end(cx, at, conn);
+                        (query.pages, query.next_page, query.rows) = (head.pages.unwrap_or(1), 1, body);
+                        self.fetch_next_page_or_end(cx, attempt, conn);
                     }
-                    (503, true) => self.over(cx, at, conn, EndReason::Full),
-                    (504, true) => self.over(cx, at, conn, EndReason::Over),
-                    (500, _) => self.over(cx, at, conn, EndReason::EngineError),
-                    _ => self.spoilt(cx, conn, role, "no answer that the protocol knows"),
+                    (503, true) => self.finish(cx, attempt, conn, EndReason::Full),
+                    (504, true) => self.finish(cx, attempt, conn, EndReason::Over),
+                    (500, _) => self.finish(cx, attempt, conn, EndReason::EngineError),
+                    _ => self.invalid_response(cx, conn, role, "unexpected status"),
                 }
             }
-            Role::Page(at, number) => {
-                let Some(run) = self.runs.get_mut(&at) else { return self.rest(cx, conn) };
+            Role::FetchPage(attempt, number) => {
+                let Some(query) = self.queries.get_mut(&attempt) else { return self.release(cx, conn) };
                 if head.status == 500 {
-                    return self.over(cx, at, conn, EndReason::EngineError);
+                    return self.finish(cx, attempt, conn, EndReason::EngineError);
                 }
-                let fits = head.status == 200 && head.page == Some(number) && whole_rows(&body);
-                if !fits || run.rows.len() + body.len() > RESULT_MOST {
-                    return self.spoilt(cx, conn, role, "another page");
+                let fits = head.status == 200 && head.page == Some(number) && has_complete_rows(&body);
+                if !fits || query.rows.len() + body.len() > MAX_RESULT_BYTES {
+                    return self.invalid_response(cx, conn, role, "unexpected or oversized page");
                 }
-                run.report = head.report.or(run.report);
-                run.rows.extend_from_slice(&body);
-                (run.next_page, run.breaks, run.spoilt) = (run.next_page + 1, 0, 0);
-                self.page_or_end(cx, at, conn);
+                query.load_report = head.load_report.or(query.load_report);
+                query.rows.extend_from_slice(&body);
+                (query.next_page, query.disconnects, query.invalid_responses) = (query.next_page + 1, 0, 0);
+                self.fetch_next_page_or_end(cx, attempt, conn);
             }
         }
     }
 
-    fn page_or_end(&mut self, cx: &mut Context, at: Attempt, conn: Option<u64>) {
-        let Some(run) = self.runs.get(&at) else { return };
-        if run.next_page >= run.pages {
-            self.over(cx, at, conn, EndReason::Served);
+    fn fetch_next_page_or_end(&mut self, cx: &mut Context, attempt: Attempt, conn: Option<u64>) {
+        let Some(query) = self.queries.get(&attempt) else { return };
+        if query.next_page >= query.pages {
+            self.finish(cx, attempt, conn, EndReason::Served);
         } else {
-            self.ask(cx, at, conn);
+            self.poll(cx, attempt, conn);
         }
     }
 
-    fn over(&mut self, cx: &mut Context, at: Attempt, conn: Option<u64>, ending: EndReason) {
-        self.rest(cx, conn);
-        // Guards against a cancel that counts as the engine's failure: the call that waits for news is answered so
-        // once the engine has given the query up, before the DELETE's own answer.
-        let given_up =
-            ending == EndReason::EngineError && self.runs.get(&at).is_some_and(|r| r.leaving.is_some());
-        self.end(cx, at, if given_up { EndReason::GivenUp } else { ending });
+    fn finish(&mut self, cx: &mut Context, attempt: Attempt, conn: Option<u64>, ending: EndReason) {
+        self.release(cx, conn);
+        // The open POST or poll of a cancelled query gets a 500 before the DELETE gets its response;
+        // that is no failure of the engine.
+        let was_cancelled = ending == EndReason::EngineError
+            && self.queries.get(&attempt).is_some_and(|q| q.cancellation.is_some());
+        self.end_attempt(cx, attempt, if was_cancelled { EndReason::GivenUp } else { ending });
     }
 
-    /// An answer can't be read, or can't be this call's: its connection is of no use any more. The engine still
-    /// knows the query, so the answer is fetched again on a new one before it is called failed.
-    fn spoilt(&mut self, cx: &mut Context, conn: Option<u64>, role: Role, fault: &str) {
-        debug!("an engine's answer to {role:?}: {fault}");
+    /// Closes the connection of a response that is malformed or belongs to another call. The engine
+    /// still has the query, so it is polled on a new connection, up to a limit.
+    fn invalid_response(&mut self, cx: &mut Context, conn: Option<u64>, role: Role, reason: &str) {
+        debug!("invalid engine response to {role:?}: {reason}");
         cx.router.counters.spoilt += 1;
         conn.into_iter().for_each(|conn| self.close(cx, conn));
-        if let Role::Post(at) | Role::Ask(at) | Role::Page(at, _) = role {
-            let Some(run) = self.runs.get_mut(&at) else { return };
-            // It has answered, so it has the query.
-            (run.spoilt, run.whole) = (run.spoilt + 1, true);
-            if run.spoilt > SPOILT_MOST {
-                return self.end(cx, at, EndReason::Garbled);
+        if let Role::Post(attempt) | Role::Poll(attempt) | Role::FetchPage(attempt, _) = role {
+            let Some(query) = self.queries.get_mut(&attempt) else { return };
+            // A response means that the engine has the query.
+            (query.invalid_responses, query.fully_written) = (query.invalid_responses + 1, true);
+            if query.invalid_responses > MAX_INVALID_RESPONSES {
+                return self.end_attempt(cx, attempt, EndReason::Garbled);
             }
         }
-        self.broken(cx, role, true, EndReason::Garbled);
+        self.handle_disconnect(cx, role, true, EndReason::Garbled);
     }
 
-    /// A connection is over.
-    fn lost(&mut self, cx: &mut Context, conn: u64, ending: EndReason) {
-        let Some(line) = self.lines.get(&conn) else { return };
-        let (role, up) = (line.role, line.up);
-        self.targets.broke(cx.now, line.engine, up, ending);
+    /// Handles the end of a connection.
+    fn connection_lost(&mut self, cx: &mut Context, conn: u64, ending: EndReason) {
+        let Some(connection) = self.connections.get(&conn) else { return };
+        let (role, up) = (connection.role, connection.up);
+        self.engines.connection_ended(cx.now, connection.engine, up, ending);
         self.close(cx, conn);
-        self.broken(cx, role, up, ending);
+        self.handle_disconnect(cx, role, up, ending);
     }
 
-    /// What the end of a connection means depends on what it was used for.
-    fn broken(&mut self, cx: &mut Context, role: Role, up: bool, ending: EndReason) {
-        debug!("{role:?}: connection {} ended {ending:?}", if up { "that was up" } else { "not yet up" });
+    /// Retries or ends what the connection was used for.
+    fn handle_disconnect(&mut self, cx: &mut Context, role: Role, up: bool, ending: EndReason) {
+        debug!("{role:?}: {} connection ended: {ending:?}", if up { "established" } else { "pending" });
         match role {
             Role::Idle | Role::Discard => {}
-            Role::Rank(at) => {
-                self.runs.entry(at).and_modify(|r| r.ranking = false);
+            Role::SetPriority(attempt) => {
+                self.queries.entry(attempt).and_modify(|q| q.priority_update_pending = false);
             }
-            Role::GiveUp(at) => {
-                if !up && ending == EndReason::Refused && !self.heard_on(at) {
-                    return self.end(cx, at, EndReason::Abandoned);
+            Role::Cancel(attempt) => {
+                if !up && ending == EndReason::Refused && !self.has_open_call(attempt) {
+                    return self.end_attempt(cx, attempt, EndReason::Abandoned);
                 }
-                let asked_ns = self.runs.get(&at).map_or(0, |r| r.asked_ns);
-                if cx.now >= asked_ns + FORGOTTEN_NS {
-                    return self.end(cx, at, EndReason::Abandoned);
+                let last_call_ns = self.queries.get(&attempt).map_or(0, |q| q.last_call_ns);
+                if cx.now >= last_call_ns + UNPOLLED_EXPIRY_NS {
+                    return self.end_attempt(cx, attempt, EndReason::Abandoned);
                 }
-                if let Some(leaving) = self.runs.get_mut(&at).and_then(|r| r.leaving.as_mut()) {
-                    (leaving.conn, leaving.again_ns) =
-                        (None, if up { cx.now } else { cx.now + ASK_AGAIN_NS / 2 });
+                if let Some(cancellation) =
+                    self.queries.get_mut(&attempt).and_then(|q| q.cancellation.as_mut())
+                {
+                    (cancellation.conn, cancellation.retry_at_ns) =
+                        (None, if up { cx.now } else { cx.now + RETRY_DELAY_NS / 2 });
                 }
             }
-            Role::Post(at) => {
-                let Some(run) = self.runs.get_mut(&at) else { return };
-                run.conn = None;
-                if let Some(leaving) = &mut run.leaving {
-                    leaving.again_ns = leaving.again_ns.min(cx.now + ASK_AGAIN_NS / 2);
+            Role::Post(attempt) => {
+                let Some(query) = self.queries.get_mut(&attempt) else { return };
+                query.conn = None;
+                if let Some(cancellation) = &mut query.cancellation {
+                    cancellation.retry_at_ns = cancellation.retry_at_ns.min(cx.now + RETRY_DELAY_NS / 2);
                     return;
                 }
-                let again = run.starts < STARTS_MOST;
+                let may_retry = query.posts < MAX_POSTS;
                 match ending {
-                    EndReason::Reset if !up && !again => self.end(cx, at, EndReason::Refused),
-                    EndReason::Reset if !up => self.post(cx, at, true),
-                    _ if !up => self.end(cx, at, ending),
-                    // Guards against a connection that closed as the call was written to it: it never ran.
-                    _ if !run.whole && again => self.post(cx, at, true),
-                    _ if !run.whole => self.end(cx, at, EndReason::Unsent),
+                    EndReason::Reset if !up && !may_retry => {
+                        self.end_attempt(cx, attempt, EndReason::Refused)
+                    }
+                    EndReason::Reset if !up => self.post(cx, attempt, true),
+                    _ if !up => self.end_attempt(cx, attempt, ending),
+                    // The POST was cut off, so the query did not start.
+                    _ if !query.fully_written && may_retry => self.post(cx, attempt, true),
+                    _ if !query.fully_written => self.end_attempt(cx, attempt, EndReason::Unsent),
                     _ => {
-                        run.asked_ns = cx.now;
-                        self.again(cx, at);
+                        query.last_call_ns = cx.now;
+                        self.poll_again(cx, attempt);
                     }
                 }
             }
-            Role::Ask(at) | Role::Page(at, _) => {
-                let Some(run) = self.runs.get_mut(&at) else { return };
-                run.conn = None;
-                if run.leaving.is_some() {
+            Role::Poll(attempt) | Role::FetchPage(attempt, _) => {
+                let Some(query) = self.queries.get_mut(&attempt) else { return };
+                query.conn = None;
+                if query.cancellation.is_some() {
                     return;
                 }
                 if !up && ending == EndReason::Refused {
-                    // The process is gone, and the query with it: it may have run.
-                    self.end(cx, at, EndReason::Cut);
+                    // The engine process has exited, and the query may have run.
+                    self.end_attempt(cx, attempt, EndReason::Cut);
                 } else if !up && ending != EndReason::Reset {
-                    run.again_ns = cx.now + ASK_AGAIN_NS;
+                    query.retry_at_ns = cx.now + RETRY_DELAY_NS;
                 } else {
-                    self.again(cx, at);
+                    self.poll_again(cx, attempt);
                 }
             }
         }
     }
 
-    /// A query belongs to no connection: after a broken one it is asked for on another.
-    fn again(&mut self, cx: &mut Context, at: Attempt) {
-        let Some(run) = self.runs.get_mut(&at) else { return };
-        run.breaks += 1;
-        if run.breaks > 1 {
-            run.again_ns = cx.now + ASK_AGAIN_NS;
+    /// Polls on a new connection, at once after the first disconnect and delayed after further
+    /// ones.
+    fn poll_again(&mut self, cx: &mut Context, attempt: Attempt) {
+        let Some(query) = self.queries.get_mut(&attempt) else { return };
+        query.disconnects += 1;
+        if query.disconnects > 1 {
+            query.retry_at_ns = cx.now + RETRY_DELAY_NS;
         } else {
-            self.ask(cx, at, None);
+            self.poll(cx, attempt, None);
         }
     }
 }
 
-impl Backend for HttpEngines {
-    fn set_openings(&mut self, openings: Option<(Openings, u64)>) {
-        self.targets.set_openings(openings);
+impl Backend for HttpBackend {
+    fn set_connection_budget(&mut self, connection_budget: Option<(Openings, u64)>) {
+        self.engines.set_connection_budget(connection_budget);
     }
 
-    fn change(&mut self, cx: &mut Context, change: &Change) {
-        let (runs, lines) = (&self.runs, &self.lines);
-        self.targets.change(change, |id| {
-            runs.values().any(|r| r.engine == id) || lines.values().any(|l| l.engine == id)
+    fn apply_change(&mut self, cx: &mut Context, change: &Change) {
+        let (queries, connections) = (&self.queries, &self.connections);
+        self.engines.apply_change(change, |id| {
+            queries.values().any(|q| q.engine == id) || connections.values().any(|c| c.engine == id)
         });
-        self.take_back_unbegun(cx, |targets, run| !targets.serves(run.engine));
-    }
-
-    fn start(&mut self, cx: &mut Context, start: Start) {
-        let run = Run {
-            engine: start.engine,
-            ask: start.ask,
-            class: start.class,
-            timeout_ns: start.timeout_ns,
-            once: start.once,
-            begin_by_ns: start.begin_by_ns,
-            whole: false,
-            known: false,
-            stood_still: false,
+        self.abort_unsent(cx, |engines, query| !engines.accepts_work(query.engine));
+    }
+
+    fn start(&mut self, cx: &mut Context, new: NewAttempt) {
+        let query = Query {
+            engine: new.engine,
+            ask: new.ask,
+            class: new.class,
+            timeout_ns: new.timeout_ns,
+            at_most_once: new.at_most_once,
+            begin_by_ns: new.begin_by_ns,
+            fully_written: false,
+            is_known: false,
+            post_timed_out: false,
             conn: None,
-            asked_ns: cx.now,
-            again_ns: 0,
-            breaks: 0,
-            starts: 0,
-            spoilt: 0,
+            last_call_ns: cx.now,
+            retry_at_ns: 0,
+            disconnects: 0,
+            posts: 0,
+            invalid_responses: 0,
             pages: 0,
             next_page: 0,
             rows: Vec::new(),
-            report: None,
-            priority: start.priority,
-            told_priority: start.priority,
-            ranking: false,
-            leaving: None,
+            load_report: None,
+            priority: new.priority,
+            sent_priority: new.priority,
+            priority_update_pending: false,
+            cancellation: None,
         };
-        self.runs.insert(start.attempt, run);
-        self.post(cx, start.attempt, false);
+        self.queries.insert(new.attempt, query);
+        self.post(cx, new.attempt, false);
     }
 
-    fn give_up(&mut self, cx: &mut Context, at: Attempt) {
-        self.withdraw(cx, at);
-        let Some(run) = self.runs.get_mut(&at).filter(|r| r.leaving.is_none()) else { return };
-        run.leaving = Some(Leaving { conn: None, again_ns: cx.now, told: false });
-        self.tell_leaving(cx, at);
+    fn cancel(&mut self, cx: &mut Context, attempt: Attempt) {
+        self.cancel_if_unsent(cx, attempt);
+        let Some(query) = self.queries.get_mut(&attempt).filter(|q| q.cancellation.is_none()) else { return };
+        query.cancellation = Some(Cancellation { conn: None, retry_at_ns: cx.now, acknowledged: false });
+        self.send_cancel(cx, attempt);
     }
 
-    fn withdraw(&mut self, cx: &mut Context, at: Attempt) {
-        if self.runs.get(&at).is_some_and(|r| !r.whole) {
-            self.take_back(cx, at, EndReason::Withdrawn);
+    fn cancel_if_unsent(&mut self, cx: &mut Context, attempt: Attempt) {
+        if self.queries.get(&attempt).is_some_and(|q| !q.fully_written) {
+            self.abort(cx, attempt, EndReason::Withdrawn);
         }
     }
 
     fn flushed(&mut self, cx: &mut Context, conn: u64) {
-        self.written(cx, conn);
+        self.record_written(cx, conn);
     }
 
-    fn rank(&mut self, cx: &mut Context, at: Attempt, priority: u8) {
-        self.runs.entry(at).and_modify(|r| r.priority = priority);
-        self.tell_rank(cx, at);
+    fn set_priority(&mut self, cx: &mut Context, attempt: Attempt, priority: u8) {
+        self.queries.entry(attempt).and_modify(|q| q.priority = priority);
+        self.send_priority(cx, attempt);
     }
 
     fn ready(&mut self, cx: &mut Context, conn: u64) {
-        let look = cx.net.service(conn);
-        if let Some(line) = self.lines.get_mut(&conn) {
-            if look.up && !line.up {
-                self.targets.came_up(line.engine);
+        let readiness = cx.net.service(conn);
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            if readiness.up && !connection.up {
+                self.engines.connected(connection.engine);
             }
-            line.up |= look.up;
+            connection.up |= readiness.up;
         }
-        self.written(cx, conn);
-        if !cx.net.input(conn).is_empty() && self.lines.get(&conn).is_some_and(|l| l.role == Role::Idle) {
-            // Guards against bytes that nobody asked for: they would stand before the next call's answer.
+        self.record_written(cx, conn);
+        if !cx.net.input(conn).is_empty() && self.connections.get(&conn).is_some_and(|c| c.role == Role::Idle)
+        {
+            // Unsolicited bytes would be read as part of the next response.
             return self.close(cx, conn);
         }
-        while let Some(role) = self.lines.get(&conn).map(|l| l.role) {
-            match read_answer(cx.net.input(conn)) {
+        while let Some(role) = self.connections.get(&conn).map(|c| c.role) {
+            match parse_response(cx.net.input(conn)) {
                 Ok(None) => break,
-                Ok(Some((head, from, to))) => {
-                    let (body, behind) = (&cx.net.input(conn)[from..to], &cx.net.input(conn)[to..]);
-                    // Guards against a length told too short: what is behind a whole answer may be the rest of
-                    // it, unless it starts like an answer of its own.
-                    if !behind.is_empty() && !behind.starts_with(b"HTTP/1.1 ") && !body.is_empty() {
-                        return self.spoilt(cx, Some(conn), role, "bytes behind an answer");
+                Ok(Some((head, body_start, body_end))) => {
+                    let (body, trailing) =
+                        (&cx.net.input(conn)[body_start..body_end], &cx.net.input(conn)[body_end..]);
+                    // Bytes behind the body that do not start a response show a `Content-Length`
+                    // that is too small.
+                    if !trailing.is_empty() && !trailing.starts_with(b"HTTP/1.1 ") && !body.is_empty() {
+                        return self.invalid_response(cx, Some(conn), role, "trailing bytes after the body");
                     }
-                    let (body, last) = (body.to_vec(), head.closes || !behind.is_empty());
-                    cx.net.consume(conn, to);
-                    if last {
-                        // Guards against bytes behind an answer that are read as the next one's: it has no next.
+                    let (body, is_last) = (body.to_vec(), head.connection_close || !trailing.is_empty());
+                    cx.net.consume(conn, body_end);
+                    if is_last {
+                        // Bytes behind a response must not be read as part of the next one.
                         self.close(cx, conn);
-                        return self.answer(cx, None, role, head, body);
+                        return self.handle_response(cx, None, role, head, body);
                     }
-                    self.answer(cx, Some(conn), role, head, body);
+                    self.handle_response(cx, Some(conn), role, head, body);
                 }
-                Err(fault) => return self.spoilt(cx, Some(conn), role, &fault),
+                Err(reason) => return self.invalid_response(cx, Some(conn), role, &reason),
             }
         }
-        if let Some(ending) = look.ended {
-            self.lost(cx, conn, ending);
+        if let Some(ending) = readiness.ended {
+            self.connection_lost(cx, conn, ending);
         }
     }
 
     fn tick(&mut self, cx: &mut Context) {
         let (mut late, mut stale) = (Vec::new(), Vec::new());
-        for (conn, line) in &self.lines {
-            let age = cx.now.saturating_sub(line.since_ns);
-            match line.role {
-                Role::Idle if age > self.idle_ns.min(REUSE_NS) => stale.push(*conn),
+        for (conn, connection) in &self.connections {
+            let age = cx.now.saturating_sub(connection.since_ns);
+            match connection.role {
+                Role::Idle if age > self.idle_timeout_ns.min(MAX_REUSE_IDLE_NS) => stale.push(*conn),
                 Role::Idle => {}
-                _ if !line.up && age > self.connect_ns => late.push((*conn, EndReason::Unreachable)),
-                _ if line.up && age > SILENT_NS => late.push((*conn, EndReason::Cut)),
+                _ if !connection.up && age > self.connect_timeout_ns => {
+                    late.push((*conn, EndReason::Unreachable))
+                }
+                _ if connection.up && age > RESPONSE_TIMEOUT_NS => late.push((*conn, EndReason::Cut)),
                 _ => {}
             }
         }
@@ -681,36 +761,43 @@
         late.sort_unstable();
         stale.into_iter().for_each(|conn| self.close(cx, conn));
         for (conn, ending) in late {
-            if let Some(Line { role: Role::Post(at), up: true, .. }) = self.lines.get(&conn) {
-                self.runs.entry(*at).and_modify(|r| r.stood_still = r.whole);
+            if let Some(Connection { role: Role::Post(attempt), up: true, .. }) = self.connections.get(&conn)
+            {
+                self.queries.entry(*attempt).and_modify(|q| q.post_timed_out = q.fully_written);
             }
-            self.lost(cx, conn, ending);
+            self.connection_lost(cx, conn, ending);
         }
-        // Guards against a repeat that goes out, as its connection comes up late, when engines would run it again.
+        // A retry whose connection was established too late must not be sent: engines would run it
+        // again.
         let now = cx.now;
-        self.take_back_unbegun(cx, |_, run| run.begin_by_ns.is_some_and(|by| now > by));
-        // Guards against waiting for a query on an engine that is cut off: since it could last have been asked it
-        // has ended the query by itself, if it ever took it up.
-        let over = |r: &Run| r.whole && r.leaving.is_none() && cx.now > r.asked_ns + FORGOTTEN_NS;
-        let forgotten: Vec<Attempt> = self.runs.iter().filter(|(_, r)| over(r)).map(|(at, _)| *at).collect();
-        forgotten.into_iter().for_each(|at| self.end(cx, at, EndReason::Cut));
+        self.abort_unsent(cx, |_, query| query.begin_by_ns.is_some_and(|by| now > by));
+        // A disconnected engine has ended the unpolled query by now, if it ever started.
+        let is_expired = |q: &Query| {
+            q.fully_written && q.cancellation.is_none() && cx.now > q.last_call_ns + UNPOLLED_EXPIRY_NS
+        };
+        let expired: Vec<Attempt> =
+            self.queries.iter().filter(|(_, q)| is_expired(q)).map(|(attempt, _)| *attempt).collect();
+        expired.into_iter().for_each(|attempt| self.end_attempt(cx, attempt, EndReason::Cut));
         let due: Vec<(Attempt, bool)> = self
-            .runs
+            .queries
             .iter()
-            .filter_map(|(at, run)| match &run.leaving {
-                None => (run.conn.is_none() && cx.now >= run.again_ns).then_some((*at, false)),
-                // Guards against a second copy: a call that was written to a machine that stands still for a while has
-                // not come, whatever the socket took. Only its answer, or time, says that the query is over.
-                Some(l) => (l.conn.is_none() && cx.now >= l.again_ns || cx.now > run.asked_ns + FORGOTTEN_NS)
-                    .then_some((*at, true)),
+            .filter_map(|(attempt, query)| match &query.cancellation {
+                None => (query.conn.is_none() && cx.now >= query.retry_at_ns).then_some((*attempt, false)),
+                // A POST written to a stalled engine may still be read later, so only a response or
+                // the expiry ends the query.
+                Some(cancellation) => (cancellation.conn.is_none() && cx.now >= cancellation.retry_at_ns
+                    || cx.now > query.last_call_ns + UNPOLLED_EXPIRY_NS)
+                    .then_some((*attempt, true)),
             })
             .collect();
-        for (at, leaving) in due {
-            let asked_ns = self.runs.get(&at).map_or(0, |r| r.asked_ns);
-            match leaving {
-                false => self.ask(cx, at, None),
-                true if cx.now > asked_ns + FORGOTTEN_NS => self.end(cx, at, EndReason::Abandoned),
-                true => self.tell_leaving(cx, at),
+        for (attempt, is_cancelled) in due {
+            let last_call_ns = self.queries.get(&attempt).map_or(0, |q| q.last_call_ns);
+            match is_cancelled {
+                false => self.poll(cx, attempt, None),
+                true if cx.now > last_call_ns + UNPOLLED_EXPIRY_NS => {
+                    self.end_attempt(cx, attempt, EndReason::Abandoned)
+                }
+                true => self.send_cancel(cx, attempt),
             }
         }
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,4 +1,4 @@
-//! The way to the engines: attempts go out, their news and endings come back.
+//! Backends that send attempts to engines and report their progress and outcome to the core.
 
 #![forbid(unsafe_code)]
 
@@ -15,173 +15,199 @@
 use marljunction_net::{Net, Owner};
 use marljunction_pacing::opening::{Opening, Openings};
 
-/// An attempt to be started.
-pub struct Start {
-    /// The attempt.
+/// An attempt for a backend to start.
+pub struct NewAttempt {
+    /// Identifies the attempt.
     pub attempt: Attempt,
-    /// Where to.
+    /// Target engine.
     pub engine: EngineId,
-    /// How long the router will wait for it.
+    /// Time that the router waits for the result.
     pub timeout_ns: u64,
-    /// Its priority.
+    /// Priority sent to the engine.
     pub priority: u8,
-    /// What to send.
+    /// The request whose statement is sent.
     pub ask: Rc<ClientRequest>,
-    /// Name of its class.
+    /// Name of the request's class.
     pub class: String,
-    /// It must never run twice.
-    pub once: bool,
-    /// It must not begin to go out later (ns); none for any time.
+    /// The query must not run more than once.
+    pub at_most_once: bool,
+    /// Time after which sending must not begin; no limit if absent.
     pub begin_by_ns: Option<u64>,
 }
 
-/// What a backend works with while it is called.
+/// What each call to a backend gets access to.
 pub struct Context<'a> {
-    /// The time.
+    /// Current time in nanoseconds.
     pub now: u64,
-    /// The sockets.
+    /// All connections of the router.
     pub net: &'a mut Net,
-    /// The core, which takes notes and endings.
+    /// The core, to which progress and outcomes are reported.
     pub router: &'a mut Router,
 }
 
-/// A protocol that engines speak. Every attempt started gets exactly one ending reported to the core.
+/// Client of a protocol that engines speak.
+///
+/// Reports exactly one outcome to the core for each attempt started.
 pub trait Backend {
-    /// Opens connections for new work at this pace from here on, drawn by this seed.
-    fn set_openings(&mut self, openings: Option<(Openings, u64)>);
-    /// Takes news of the engines. What has not begun to go out to one that takes no new work any more never does.
-    fn change(&mut self, cx: &mut Context, change: &Change);
-    /// Sends an attempt.
-    fn start(&mut self, cx: &mut Context, start: Start);
-    /// Gives an attempt up. Its ending is reported once the engine has been told.
-    fn give_up(&mut self, cx: &mut Context, attempt: Attempt);
-    /// Takes an attempt back where its call was not wholly written yet, and reports its ending; else does nothing.
-    fn withdraw(&mut self, cx: &mut Context, attempt: Attempt);
-    /// Takes note of what was written to a connection of this backend at the end of a round.
+    /// Replaces the budget for connections opened for new queries, and the seed of its random
+    /// delays.
+    fn set_connection_budget(&mut self, connection_budget: Option<(Openings, u64)>);
+    /// Applies a change of the engine list. Attempts for engines that no longer accept new queries
+    /// end as unsent if none of their bytes were sent.
+    fn apply_change(&mut self, cx: &mut Context, change: &Change);
+    /// Starts an attempt.
+    fn start(&mut self, cx: &mut Context, new: NewAttempt);
+    /// Cancels an attempt. Its outcome is reported once the engine confirms the cancellation, or
+    /// can no longer be running the query.
+    fn cancel(&mut self, cx: &mut Context, attempt: Attempt);
+    /// Cancels an attempt whose query is not fully written yet, and reports its outcome. Has no
+    /// effect on other attempts.
+    fn cancel_if_unsent(&mut self, cx: &mut Context, attempt: Attempt);
+    /// Records which queries are fully written after data was flushed to a connection of this
+    /// backend.
     fn flushed(&mut self, cx: &mut Context, conn: u64);
-    /// Changes an attempt's priority.
-    fn rank(&mut self, cx: &mut Context, attempt: Attempt, priority: u8);
-    /// Takes what has happened on a connection of this backend.
+    /// Changes the priority of an attempt.
+    fn set_priority(&mut self, cx: &mut Context, attempt: Attempt, priority: u8);
+    /// Handles readiness of a connection of this backend.
     fn ready(&mut self, cx: &mut Context, conn: u64);
-    /// Looks after what is due.
+    /// Handles timeouts and retries that are due.
     fn tick(&mut self, cx: &mut Context);
 }
 
-/// The engines that are known, with something of the backend's own for each.
-pub struct Targets<T> {
-    all: std::collections::BTreeMap<EngineId, Known<T>>,
-    /// What all routers together may open to one engine, and the seed of this router's draws; none for any number.
-    openings: Option<(Openings, u64)>,
+/// Known engines, each with a connection pool of the backend's type `T`.
+pub struct EngineTable<T> {
+    engines: std::collections::BTreeMap<EngineId, EngineRecord<T>>,
+    /// Connections that all routers together may open to one engine, and the seed of this router's
+    /// retry delays; unlimited if absent.
+    connection_budget: Option<(Openings, u64)>,
 }
 
-/// A known engine.
-pub struct Known<T> {
-    /// Where it listens.
+/// A known engine and the backend's state for it.
+pub struct EngineRecord<T> {
+    /// Address that the engine listens on.
     pub address: SocketAddr,
-    /// The list names it.
-    pub listed: bool,
-    /// It takes new work.
-    pub serves: bool,
-    /// What the backend keeps for it.
-    pub own: T,
-    /// How fast connections for new work are opened to it; none for any pace.
-    opening: Option<Box<Opening>>,
+    /// The current engine list contains the engine.
+    pub is_listed: bool,
+    /// The engine accepts new queries.
+    pub accepts_work: bool,
+    /// Idle connections to the engine.
+    pub pool: T,
+    /// Paces connections for new queries; created with the first one.
+    pacer: Option<Box<Opening>>,
 }
 
-impl<T: Default> Default for Targets<T> {
+impl<T: Default> Default for EngineTable<T> {
     fn default() -> Self {
-        Targets { all: Default::default(), openings: None }
+        EngineTable { engines: Default::default(), connection_budget: None }
     }
 }
 
-impl<T: Default> Targets<T> {
-    /// Takes news of the engines; `busy` says which are still needed though no list names them.
-    pub fn change(&mut self, change: &Change, busy: impl Fn(EngineId) -> bool) {
+impl<T: Default> EngineTable<T> {
+    /// Applies a change of the engine list. Engines that are not listed stay while `busy` returns
+    /// true.
+    pub fn apply_change(&mut self, change: &Change, busy: impl Fn(EngineId) -> bool) {
         use marljunction_control::interface::{EngineState, MembershipKind};
         if change.kind != MembershipKind::Delta {
-            self.all.values_mut().for_each(|k| (k.listed, k.serves) = (false, false));
+            self.engines
+                .values_mut()
+                .for_each(|record| (record.is_listed, record.accepts_work) = (false, false));
         }
         for target in &change.targets {
-            let listed = target.entry.state != EngineState::Gone;
-            let serves = target.entry.state == EngineState::Ready;
-            let new = || Known { address: target.address, listed, serves, own: T::default(), opening: None };
-            let known = self.all.entry(target.entry.engine).or_insert_with(new);
-            if known.address != target.address {
-                // Guards against a call that goes to whoever has the engine's old address now.
-                known.own = T::default();
-                known.opening = None;
+            let is_listed = target.entry.state != EngineState::Gone;
+            let accepts_work = target.entry.state == EngineState::Ready;
+            let new = || EngineRecord {
+                address: target.address,
+                is_listed,
+                accepts_work,
+                pool: T::default(),
+                pacer: None,
+            };
+            let record = self.engines.entry(target.entry.engine).or_insert_with(new);
+            if record.address != target.address {
+                // The old address may belong to another engine by now.
+                record.pool = T::default();
+                record.pacer = None;
             }
-            (known.address, known.listed, known.serves) = (target.address, listed, serves);
+            (record.address, record.is_listed, record.accepts_work) =
+                (target.address, is_listed, accepts_work);
         }
-        // Guards against a table that grows with every engine that ever was.
-        self.all.retain(|id, known| known.listed || busy(*id));
+        // Unlisted engines would otherwise accumulate.
+        self.engines.retain(|id, record| record.is_listed || busy(*id));
     }
 
-    /// Connections for new work are opened at this pace from here on.
-    pub fn set_openings(&mut self, openings: Option<(Openings, u64)>) {
-        // Guards against a reload that changes nothing of it and would let all rest anew.
-        if openings.map(|(openings, _)| openings) == self.openings.map(|(openings, _)| openings) {
+    /// Replaces the connection budget and resets the pacers, unless the budget is unchanged.
+    pub fn set_connection_budget(&mut self, connection_budget: Option<(Openings, u64)>) {
+        // A reload without a change must not reset the pacers, which would allow a burst.
+        if connection_budget.map(|(budget, _)| budget) == self.connection_budget.map(|(budget, _)| budget) {
             return;
         }
-        self.openings = openings;
-        self.all.values_mut().for_each(|known| known.opening = None);
+        self.connection_budget = connection_budget;
+        self.engines.values_mut().for_each(|record| record.pacer = None);
     }
 
-    /// Starts a connection for new work, where the pace allows one more. Those that ask for news of a query or give one up
-    /// are never held back.
-    pub fn connect_for_work(&mut self, cx: &mut Context, engine: EngineId) -> Result<u64, EndReason> {
-        if let Some((openings, seed)) = self.openings {
-            let known = self.all.get_mut(&engine).ok_or(EndReason::NoDescriptor)?;
-            let new = || Box::new(Opening::new(openings, seed ^ engine.0, cx.now));
-            if !known.opening.get_or_insert_with(new).may_open(cx.now) {
+    /// Opens a connection for a new query, within the connection budget. Polls and cancellations
+    /// use [`EngineTable::connect`] and are never delayed.
+    ///
+    /// # Errors
+    /// [`Ending::Paced`] if the budget is used up; else as for [`EngineTable::connect`].
+    pub fn connect_paced(&mut self, cx: &mut Context, engine: EngineId) -> Result<u64, EndReason> {
+        if let Some((connection_budget, seed)) = self.connection_budget {
+            let record = self.engines.get_mut(&engine).ok_or(EndReason::NoDescriptor)?;
+            let new = || Box::new(Opening::new(connection_budget, seed ^ engine.0, cx.now));
+            if !record.pacer.get_or_insert_with(new).may_open(cx.now) {
                 return Err(EndReason::Paced);
             }
         }
         let connected = self.connect(cx, engine);
-        connected.inspect_err(|ending| self.broke(cx.now, engine, false, *ending))
+        connected.inspect_err(|ending| self.connection_ended(cx.now, engine, false, *ending))
     }
 
-    /// A connection to one of them came up.
-    pub fn came_up(&mut self, engine: EngineId) {
-        self.all
+    /// Records that a connection to an engine was established.
+    pub fn connected(&mut self, engine: EngineId) {
+        self.engines
             .get_mut(&engine)
-            .and_then(|k| k.opening.as_mut())
+            .and_then(|record| record.pacer.as_mut())
             .into_iter()
-            .for_each(|opening| opening.came_up());
+            .for_each(|pacer| pacer.came_up());
     }
 
-    /// A connection to one of them ended, which was up or not: refused, or never up, speaks against the engine.
-    pub fn broke(&mut self, now: u64, engine: EngineId, up: bool, ending: EndReason) {
+    /// Records that a connection ended. It counts against the engine if it was refused or never
+    /// established.
+    pub fn connection_ended(&mut self, now: u64, engine: EngineId, up: bool, ending: EndReason) {
         if up || !matches!(ending, EndReason::Refused | EndReason::Unreachable) {
             return;
         }
-        let opening = self.all.get_mut(&engine).and_then(|k| k.opening.as_mut());
-        opening.into_iter().for_each(|opening| opening.refused(now));
+        let pacer = self.engines.get_mut(&engine).and_then(|record| record.pacer.as_mut());
+        pacer.into_iter().for_each(|pacer| pacer.refused(now));
     }
 
-    /// Starts a connection to one of them, and counts it.
+    /// Opens a connection to an engine.
+    ///
+    /// # Errors
+    /// [`Ending::NoDescriptor`] if the engine is unknown or no file descriptor is available, or why
+    /// the connection failed at once.
     pub fn connect(&mut self, cx: &mut Context, engine: EngineId) -> Result<u64, EndReason> {
-        let to = self.get(engine).ok_or(EndReason::NoDescriptor)?.address;
-        let conn = cx.net.connect(to, Owner::Engine).inspect_err(|e| {
+        let address = self.get(engine).ok_or(EndReason::NoDescriptor)?.address;
+        let conn = cx.net.connect(address, Owner::Engine).inspect_err(|e| {
             cx.router.counters.short_of_descriptors += u64::from(*e == EndReason::NoDescriptor);
         })?;
         cx.router.counters.opened += 1;
         Ok(conn)
     }
 
-    /// Whether one of them takes new work.
-    pub fn serves(&self, engine: EngineId) -> bool {
-        self.all.get(&engine).is_some_and(|k| k.serves)
+    /// Whether an engine accepts new queries.
+    pub fn accepts_work(&self, engine: EngineId) -> bool {
+        self.engines.get(&engine).is_some_and(|record| record.accepts_work)
     }
 
-    /// One of them, where a connection to `to` may be kept for its further calls. Guards against one to an address that has
-    /// passed to another engine since.
-    pub fn keeps(&mut self, engine: EngineId, to: SocketAddr) -> Option<&mut Known<T>> {
-        self.get(engine).filter(|k| k.listed && k.address == to)
+    /// Returns an engine that is listed at this address. Connections to a former address must not
+    /// be reused, since it may belong to another engine by now.
+    pub fn get_listed_at(&mut self, engine: EngineId, address: SocketAddr) -> Option<&mut EngineRecord<T>> {
+        self.get(engine).filter(|record| record.is_listed && record.address == address)
     }
 
-    /// One of them.
-    pub fn get(&mut self, engine: EngineId) -> Option<&mut Known<T>> {
-        self.all.get_mut(&engine)
+    /// Returns a known engine.
+    pub fn get(&mut self, engine: EngineId) -> Option<&mut EngineRecord<T>> {
+        self.engines.get_mut(&engine)
     }
 }
--- a/crates/http1/src/chunks.rs
+++ b/crates/http1/src/chunks.rs
@@ -1,60 +1,62 @@
-//! Bodies that come in chunks. A chunk is passed on as it comes and never held, so its length has no bound here: who reads the
-//! body bounds it.
+//! Incremental decoder for the chunked transfer coding.
+//!
+//! Decoded bytes are passed on as they arrive; the caller limits the size of the body.
 
 use thiserror::Error;
 
-/// Longest line that tells a chunk's size (bytes).
-const MAX_SIZE_LINE: usize = 32;
-/// Bytes of the line feed behind a chunk.
-const LINE_FEED: usize = 2;
+/// Longest chunk-size line, including extensions.
+const MAX_SIZE_LINE_BYTES: usize = 32;
+/// Length of the CRLF that ends each chunk.
+const CRLF_BYTES: usize = 2;
 
-/// Why a body in chunks can't be read.
+/// Why a chunked body cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ChunkError {
-    /// The line that tells a chunk's size is none.
-    #[error("a chunk's size can't be read")]
+    /// The chunk-size line is malformed or too long.
+    #[error("invalid chunk size")]
     Size,
-    /// A chunk is longer than memory has addresses.
-    #[error("a chunk of {0} bytes")]
+    /// The size of a chunk, in bytes, does not fit into `usize`.
+    #[error("chunk of {0} bytes is too large")]
     TooLong(u64),
 }
 
-/// A reader of bodies that come in chunks.
+/// Decoder of one chunked body.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Chunks {
-    /// Bytes of the present chunk that are to come; the line feed behind it counts.
-    left: usize,
+pub struct ChunkedDecoder {
+    /// Bytes left of the current chunk, including its CRLF.
+    remaining: usize,
 }
 
-impl Chunks {
-    /// Adds the body's bytes in `input` to `out`; returns how much was taken (bytes), and whether the body is whole.
+impl ChunkedDecoder {
+    /// Decodes `input` and appends the body to `out`. Returns the number of input bytes consumed,
+    /// and whether the body is complete.
     ///
     /// # Errors
-    /// Where what tells a chunk's size can't be read.
-    pub fn take(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<(usize, bool), ChunkError> {
-        let mut taken = 0;
-        while taken < input.len() {
-            if self.left > 0 {
-                let part = self.left.min(input.len() - taken);
-                let body = part.min(self.left.saturating_sub(LINE_FEED));
-                out.extend_from_slice(&input[taken..taken + body]);
-                (self.left, taken) = (self.left - part, taken + part);
+    /// If a chunk size is malformed or too large.
+    pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<(usize, bool), ChunkError> {
+        let mut consumed = 0;
+        while consumed < input.len() {
+            if self.remaining > 0 {
+                let part = self.remaining.min(input.len() - consumed);
+                let body = part.min(self.remaining.saturating_sub(CRLF_BYTES));
+                out.extend_from_slice(&input[consumed..consumed + body]);
+                (self.remaining, consumed) = (self.remaining - part, consumed + part);
                 continue;
             }
-            match httparse::parse_chunk_size(&input[taken..]) {
+            match httparse::parse_chunk_size(&input[consumed..]) {
                 Ok(httparse::Status::Complete((head, 0))) => {
-                    // The empty line behind the last chunk; no trailers are used.
-                    return Ok(((taken + head + LINE_FEED).min(input.len()), true));
+                    // Skips the empty line after the last chunk; trailers are not supported.
+                    return Ok(((consumed + head + CRLF_BYTES).min(input.len()), true));
                 }
                 Ok(httparse::Status::Complete((head, size))) => {
-                    let left = usize::try_from(size).ok().and_then(|size| size.checked_add(LINE_FEED));
-                    self.left = left.ok_or(ChunkError::TooLong(size))?;
-                    taken += head;
+                    let remaining = usize::try_from(size).ok().and_then(|size| size.checked_add(CRLF_BYTES));
+                    self.remaining = remaining.ok_or(ChunkError::TooLong(size))?;
+                    consumed += head;
                 }
-                Ok(httparse::Status::Partial) if input.len() - taken < MAX_SIZE_LINE => break,
+                Ok(httparse::Status::Partial) if input.len() - consumed < MAX_SIZE_LINE_BYTES => break,
                 _ => return Err(ChunkError::Size),
             }
         }
-        Ok((taken, false))
+        Ok((consumed, false))
     }
 }
