--- a/crates/cells/examples/divisions.rs
+++ b/crates/cells/examples/divisions.rs
@@ -11,7 +11,7 @@
     CellConfig, CellPlan, DivideBy, Engine, EngineState, Message, Relay, RelaySettings, Subscriber,
     SubscriberSettings,
 };
-use marljunction_peers::seal::{CONTENT_MOST, DATAGRAM_MOST};
+use marljunction_peers::seal::{DATAGRAM_MOST, MAX_CONTENT_BYTES};
 use marljunction_peers::Who;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -121,7 +121,7 @@
         renewal: 0,
     };
     let sender = rmp_serde::to_vec(&who).map_or(0, |bytes| bytes.len());
-    (DATAGRAM_MOST - CONTENT_MOST + sender) as u64
+    (DATAGRAM_MOST - MAX_CONTENT_BYTES + sender) as u64
 }
 
 fn address(number: u32) -> SocketAddr {
--- a/crates/cells/tests/messages.rs
+++ b/crates/cells/tests/messages.rs
@@ -5,7 +5,7 @@
 use common::{engine, relay_settings, terms, MS, S};
 use marljunction_cells::message::{Answer, Ask, Delta, Piece, Table, MAX_MESSAGE, MAX_MISSING, MAX_PIECES};
 use marljunction_cells::{CellId, Digest, DivideBy, Engine, EngineState, Message, Relay};
-use marljunction_peers::seal::CONTENT_MOST;
+use marljunction_peers::seal::MAX_CONTENT_BYTES;
 use marljunction_peers::Who;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -43,7 +43,7 @@
         renewal: u32::MAX,
     };
     let sender = rmp_serde::to_vec(&who).expect("a sender").len();
-    assert!(sender + MAX_MESSAGE <= CONTENT_MOST, "{sender} bytes of sender");
+    assert!(sender + MAX_MESSAGE <= MAX_CONTENT_BYTES, "{sender} bytes of sender");
     let digest = Digest(u64::MAX, u64::MAX);
     let engines: Vec<Engine> =
         (0..200).map(|id| if id % 3 == 0 { largest(id) } else { engine(id) }).collect();
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -92,8 +92,8 @@
             lease_ns: self.lease_ns,
             drift: self.drift,
             longest_ns,
-            run_on_ns: ORPHANED_ATTEMPT_NS,
-            detect_ns: membership.detect_at_most_ns(),
+            orphan_ns: ORPHANED_ATTEMPT_NS,
+            detection_ns: membership.max_detection_ns(),
         }
     }
 
@@ -181,15 +181,15 @@
 
 /// What follows for a cold engine's budget, as a line for operators.
 pub(crate) fn describe_budget(limit: &Limit, terms: &Terms) -> String {
-    let stale_s = |fault| seconds(bound(limit, terms, fault).stale_at_most_ns);
+    let stale_s = |fault| seconds(bound(limit, terms, fault).max_idle_ns);
     format!(
         "{} units in any {:.1} s over {} routers, never over; idle for {:.1} s at most, {:.1} s in a cut, {:.1} s after all died",
         limit.kind.units(),
-        seconds(limit.kind.run_on_ns(terms)),
+        seconds(limit.kind.orphan_ns(terms)),
         terms.routers,
         stale_s(Fault::None),
         stale_s(Fault::Cut),
-        stale_s(Fault::AllDied),
+        stale_s(Fault::AllRestarted),
     )
 }
 
@@ -220,14 +220,14 @@
 }
 
 fn describe_bound(fault: &str, bound: Bound) -> String {
-    let over = match (bound.over_at_most > 0.0, bound.over_for_ns) {
+    let over = match (bound.max_overshoot > 0.0, bound.overshoot_ns) {
         (false, _) => "never over".to_owned(),
         (true, u64::MAX) => {
-            format!("over by {:.1}% at most, until it is mended", bound.over_at_most * 100.0)
+            format!("over by {:.1}% at most, until it is mended", bound.max_overshoot * 100.0)
         }
         (true, ns) => {
-            format!("over by {:.1}% at most, for {:.1} s at most", bound.over_at_most * 100.0, seconds(ns))
+            format!("over by {:.1}% at most, for {:.1} s at most", bound.max_overshoot * 100.0, seconds(ns))
         }
     };
-    format!("  {fault}: {over}; idle for {:.1} s at most", seconds(bound.stale_at_most_ns))
+    format!("  {fault}: {over}; idle for {:.1} s at most", seconds(bound.max_idle_ns))
 }
--- a/crates/fleet/src/reload.rs
+++ b/crates/fleet/src/reload.rs
@@ -77,8 +77,8 @@
         info!(
             "limit {}: changed; over by {:.1}% at most until all routers know it and for {:.1} s more",
             limit.name,
-            bound.over_at_most * 100.0,
-            bound.over_for_ns as f64 / 1e9
+            bound.max_overshoot * 100.0,
+            bound.overshoot_ns as f64 / 1e9
         );
     }
 }
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -270,16 +270,16 @@
             Event::Said(..) => {}
             Event::Up(peer) => self.log(&format!("{} is there, at {}", peer.name, peer.address)),
             Event::Down(peer) => self.log(&format!("{} is gone, or can't be reached", peer.name)),
-            Event::Again(before, peer) if before.address != peer.address => self.log(&format!(
+            Event::Restarted(before, peer) if before.address != peer.address => self.log(&format!(
                 "{} has started again, at {}; if the one at {} is there still, two have its name",
                 peer.name, peer.address, before.address
             )),
-            Event::Again(_, peer) => self.log(&format!("{} has started again", peer.name)),
-            Event::SameNumber(peer) => warn!(
+            Event::Restarted(_, peer) => self.log(&format!("{} has started again", peer.name)),
+            Event::DuplicateNumber(peer) => warn!(
                 "the fleet: {} at {} has this one's number {}: its shares are used twice",
                 peer.name, peer.address, peer.number
             ),
-            Event::SameName => warn!(
+            Event::DuplicateName => warn!(
                 "the fleet: peers take this router for gone again and again: another has this one's name, and shares are used twice"
             ),
         }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -41,7 +41,7 @@
     for (place, entry) in places.into_iter().zip(&config.limits) {
         let (kind, refused) = (entry.limit.kind, limits.refused(place));
         lines.push(format!("limit {} {kind:?} refused {refused}", entry.limit.name));
-        for (key, state) in limits.node().busiest(now, place) {
+        for (key, state) in limits.node().busiest_keys(now, place) {
             lines.push(format!(
                 "  key {key:016x} owned {} lent {} borrowed {} usable {} out {}",
                 state.owned, state.lent, state.borrowed, state.usable, state.out
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -121,7 +121,7 @@
     if schedule == Schedule::Static {
         fleet.cut_into(&nobody);
         // Nobody can say what it holds, so that all of it has to run out first.
-        fleet.run(Duration::from_nanos(terms.quiet_ns(limit.kind)))?;
+        fleet.run(Duration::from_nanos(terms.grace_ns(limit.kind)))?;
     }
     match schedule {
         Schedule::Zipf => {
@@ -138,7 +138,7 @@
     let mut told = Map::new();
     // How long units lie idle after a fault, beside what is stated.
     let regain = |fleet: &mut Fleet, told: &mut Map<String, Value>, units: usize, fault: Fault| {
-        let (began, stated) = (fleet.now(), bound(&limit, &terms, fault).stale_at_most_ns);
+        let (began, stated) = (fleet.now(), bound(&limit, &terms, fault).max_idle_ns);
         // What others had out before is over then, and counts no more.
         fleet.run(Duration::from_millis(2_500))?;
         let most_wait = Duration::from_nanos(stated * 2) + LIMIT;
@@ -156,7 +156,7 @@
             let mut both = vec![0.0; routers];
             (both[0], both[routers - 1]) = (all, all);
             fleet.ask_at(&if bounded { vec![all / 4.0; routers] } else { both });
-            fleet.run(Duration::from_nanos(bound(&limit, &terms, Fault::Cut).stale_at_most_ns))?;
+            fleet.run(Duration::from_nanos(bound(&limit, &terms, Fault::Cut).max_idle_ns))?;
             told.insert("used_share_cut".into(), json!(used(&mut fleet, most)?));
             fleet.cut_into(&whole);
             fleet.ask_at(&one);
@@ -184,7 +184,7 @@
             fleet.kill(0);
             fleet.ask_at(&other);
             // The dead one's own share is nobody else's.
-            regain(&mut fleet, &mut told, most - UNITS_EACH, Fault::HolderDied)?;
+            regain(&mut fleet, &mut told, most - UNITS_EACH, Fault::HolderCrashed)?;
         }
         Schedule::HolderFrozen => {
             fleet.freeze(0, true);
@@ -200,17 +200,17 @@
                 fleet.start(owner)?;
             }
             fleet.run(Duration::from_secs(2))?;
-            regain(&mut fleet, &mut told, most, Fault::OwnerDied)?;
+            regain(&mut fleet, &mut told, most, Fault::OwnerRestarted)?;
         }
         Schedule::AllKilled => {
             (0..routers).for_each(|router| fleet.kill(router));
             fleet.start_all()?;
             fleet.ask_at(&one);
-            regain(&mut fleet, &mut told, most, Fault::AllDied)?;
+            regain(&mut fleet, &mut told, most, Fault::AllRestarted)?;
         }
     }
     let share = used(&mut fleet, most)?;
-    let allowed = bound(&limit, &terms, Fault::Cut).over_at_most;
+    let allowed = bound(&limit, &terms, Fault::Cut).max_overshoot;
     let over = (fleet.held_most as f64 / most as f64 - 1.0).max(0.0);
     let counters = fleet.counters(Duration::from_secs(5))?;
     let seconds = (fleet.now() - fleet.routers[routers - 1].started_ns) as f64 / 1e9;
@@ -298,7 +298,7 @@
         }
     }
     let bytes = crate::HEAP.current_usage().saturating_sub(before);
-    json!({"check_ns": check_ns, "admitted": admitted, "bytes_100k_keys": bytes, "tracked": node.tracked()})
+    json!({"check_ns": check_ns, "admitted": admitted, "bytes_100k_keys": bytes, "tracked": node.tracked_keys()})
 }
 
 /// Processor time of an idle router a second, with the fleet and without (us).
--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -70,7 +70,7 @@
     /// Counts an admitted request.
     fn count(&mut self, now: u64, limit: u16, key: u64, usable: Option<u32>) {
         let kind = self.kind(limit);
-        let until_ns = now.saturating_add(kind.counts_ns(&self.terms));
+        let until_ns = now.saturating_add(kind.window_charge_ns(&self.terms));
         match (usable, self.keys.get_mut(&(limit, key))) {
             (Some(usable), Some(entry)) => drop(entry.meter.admit(until_ns, kind, usable)),
             _ => drop(self.sketch_admits(now, limit, key, true)),
--- a/crates/limits/src/bound.rs
+++ b/crates/limits/src/bound.rs
@@ -11,40 +11,40 @@
     /// The fleet is cut into parts, or links carry one way only, or lose, double and reorder.
     Cut,
     /// A router that holds borrowed units died; what it had out may run on.
-    HolderDied,
+    HolderCrashed,
     /// A router stood still past the end of its loans, and goes on.
-    HolderFroze,
+    HolderPaused,
     /// A router that lent units died, and starts again under its number.
-    OwnerDied,
+    OwnerRestarted,
     /// All routers died and start at once.
-    AllDied,
+    AllRestarted,
     /// A router that no peer counts asks for units.
-    Joiner,
+    UnknownPeer,
     /// Two routers were given one number by mistake.
-    SameNumber,
+    DuplicateNumber,
 }
 
 /// All of them, with their names.
 pub const FAULTS: [(Fault, &str); 8] = [
     (Fault::None, "no fault"),
     (Fault::Cut, "a cut, one-way or lossy links"),
-    (Fault::HolderDied, "a holder died"),
-    (Fault::HolderFroze, "a holder stood still"),
-    (Fault::OwnerDied, "an owner died and is back"),
-    (Fault::AllDied, "all died and are back"),
-    (Fault::Joiner, "a joiner that nobody counts"),
-    (Fault::SameNumber, "two routers with one number"),
+    (Fault::HolderCrashed, "a holder died"),
+    (Fault::HolderPaused, "a holder stood still"),
+    (Fault::OwnerRestarted, "an owner died and is back"),
+    (Fault::AllRestarted, "all died and are back"),
+    (Fault::UnknownPeer, "a joiner that nobody counts"),
+    (Fault::DuplicateNumber, "two routers with one number"),
 ];
 
 /// What follows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
     /// Over the limit at most (share of it).
-    pub over_at_most: f64,
+    pub max_overshoot: f64,
     /// For at most so long (ns); 0 where never over.
-    pub over_for_ns: u64,
+    pub overshoot_ns: u64,
     /// Units that nobody uses lie idle for at most so long before they can be used (ns).
-    pub stale_at_most_ns: u64,
+    pub max_idle_ns: u64,
 }
 
 /// The bound of a limit in a fleet that is broken so.
@@ -54,7 +54,7 @@
     // What was admitted within the time is out for longer.
     let out_ns = match limit.kind {
         Kind::Rate { .. } => 0,
-        Kind::Concurrency { .. } => terms.longest_ns + terms.run_on_ns,
+        Kind::Concurrency { .. } => terms.longest_ns + terms.orphan_ns,
         Kind::Window { window_ns, .. } => window_ns,
     };
     let allowed = match limit.mode {
@@ -65,27 +65,27 @@
             over(f64::from(extra) / f64::from(units), for_ns + out_ns)
         }
     };
-    let lent = terms.lender_ns() + limit.kind.run_out_ns(terms);
+    let lent = terms.owner_lease_ns() + limit.kind.drain_ns(terms);
     // What is free is lent once somebody asks for it: one that was told that there is nothing asks again after a while.
-    let asked = terms.empty_ns() + terms.round_ns();
+    let asked = terms.exhausted_backoff_ns() + terms.round_ns();
     let largest = (0..terms.routers).map(|me| terms.share(units, me, 0)).max().unwrap_or(0);
-    let ((over_at_most, over_for_ns), stale_at_most_ns) = match fault {
+    let ((max_overshoot, overshoot_ns), max_idle_ns) = match fault {
         // A unit that is not needed is returned or runs out within a lease.
-        Fault::None | Fault::HolderFroze => (over(0.0, 0), terms.lender_ns()),
-        Fault::Joiner => (over(0.0, 0), terms.lender_ns()),
+        Fault::None | Fault::HolderPaused => (over(0.0, 0), terms.owner_lease_ns()),
+        Fault::UnknownPeer => (over(0.0, 0), terms.owner_lease_ns()),
         Fault::Cut => (allowed, lent),
-        Fault::HolderDied => (allowed, lent),
-        Fault::OwnerDied => (allowed, terms.quiet_ns(limit.kind)),
+        Fault::HolderCrashed => (allowed, lent),
+        Fault::OwnerRestarted => (allowed, terms.grace_ns(limit.kind)),
         // Everybody is asked as soon as it is found, and says what it holds; else all that was lent runs out. What ran
         // before runs on.
-        Fault::AllDied => {
-            let found = limit.kind.run_on_ns(terms) + terms.detect_ns;
-            (allowed, found.min(terms.quiet_ns(limit.kind)))
+        Fault::AllRestarted => {
+            let found = limit.kind.orphan_ns(terms) + terms.detection_ns;
+            (allowed, found.min(terms.grace_ns(limit.kind)))
         }
         // Each uses the share for itself for as long as they are two.
-        Fault::SameNumber => (over(f64::from(largest) / f64::from(units), u64::MAX), lent),
+        Fault::DuplicateNumber => (over(f64::from(largest) / f64::from(units), u64::MAX), lent),
     };
-    Bound { over_at_most, over_for_ns, stale_at_most_ns: stale_at_most_ns + asked }
+    Bound { max_overshoot, overshoot_ns, max_idle_ns: max_idle_ns + asked }
 }
 
 /// How far over its new size a limit can be once the operator's file says another, until all routers have read it and for so long
@@ -95,9 +95,9 @@
         Kind::Rate { per_s, .. } => per_s,
         kind => f64::from(kind.units().max(1)),
     };
-    let over_at_most = (size(before) / size(after) - 1.0).max(0.0);
-    let lent = terms.lender_ns() + after.kind.run_out_ns(terms);
-    Bound { over_at_most, over_for_ns: if over_at_most > 0.0 { lent } else { 0 }, stale_at_most_ns: lent }
+    let max_overshoot = (size(before) / size(after) - 1.0).max(0.0);
+    let lent = terms.owner_lease_ns() + after.kind.drain_ns(terms);
+    Bound { max_overshoot, overshoot_ns: if max_overshoot > 0.0 { lent } else { 0 }, max_idle_ns: lent }
 }
 
 /// Whole units beyond its own that a router may use while peers can't be reached, of a limit that may be over by this share.
--- a/crates/limits/src/escrow.rs
+++ b/crates/limits/src/escrow.rs
@@ -190,7 +190,7 @@
         owner: Peer,
         number: u64,
         units: u32,
-        (terms, run_out_ns): (&Terms, u64),
+        (terms, drain_ns): (&Terms, u64),
     ) -> Option<u32> {
         let borrowed = self.borrowed.get_mut(&owner.number)?;
         let at = borrowed.asked.iter().position(|(n, ..)| *n == number)?;
@@ -206,7 +206,7 @@
         let until = asked_ns.saturating_add(terms.lease_ns);
         if now < until {
             borrowed.usable.add(units.min(most), until);
-            borrowed.covering.add(units.min(most), until.saturating_add(run_out_ns));
+            borrowed.covering.add(units.min(most), until.saturating_add(drain_ns));
         }
         Some(wanted)
     }
@@ -219,7 +219,7 @@
         (from, number): (Peer, u64),
         units: u32,
         keep: u32,
-        (terms, run_out_ns): (&Terms, u64),
+        (terms, drain_ns): (&Terms, u64),
     ) -> Option<u32> {
         if self.lent.keys().any(|peer| peer.number == from.number && peer.life > from.life) {
             return None;
@@ -236,7 +236,7 @@
         lent.holdings.cut(units);
         let free = if quiet { 0 } else { self.owned.saturating_sub(others.saturating_add(keep)) };
         let granted = units.min(free);
-        lent.holdings.add(granted, now.saturating_add(terms.lender_ns()).saturating_add(run_out_ns));
+        lent.holdings.add(granted, now.saturating_add(terms.owner_lease_ns()).saturating_add(drain_ns));
         Some(granted)
     }
 
@@ -264,7 +264,7 @@
 
     /// A peer says that it holds units of ours, lent by an earlier life, for so long still by its clock (ns).
     pub fn holds(&mut self, now: u64, from: Peer, units: u32, left_ns: u64, terms: &Terms) {
-        let left = terms.by_any_clock(left_ns);
+        let left = terms.peer_ns_upper_bound(left_ns);
         self.lent.entry(from).or_default().holdings.add(units, now.saturating_add(left));
     }
 }
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -43,7 +43,7 @@
 
 /// What one router knows of a key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Look {
+pub struct KeyStatus {
     /// Units that it owns.
     pub owned: u32,
     /// Of these, lent.
@@ -75,7 +75,7 @@
     /// Of a router that has just started: its own units count as lent.
     pub(crate) fn new(now: u64, me: Peer, terms: Terms, limits: Vec<Limit>, keys_most: usize) -> Ledger {
         let slot = |limit: Limit| Slot {
-            quiet_until_ns: now + terms.quiet_ns(limit.kind),
+            quiet_until_ns: now + terms.grace_ns(limit.kind),
             limit,
             retired: false,
             told: true,
@@ -116,7 +116,7 @@
         let known = self.slots.iter().position(|slot| slot.limit.id() == id);
         let at = known.unwrap_or_else(|| {
             // Peers may hold units that an earlier life lent, and could not say so before.
-            let quiet_until_ns = self.started_ns + self.terms.quiet_ns(limit.kind);
+            let quiet_until_ns = self.started_ns + self.terms.grace_ns(limit.kind);
             let (retired, told, sketch) = (true, false, None);
             self.slots.push(Slot { limit: limit.clone(), retired, quiet_until_ns, told, sketch });
             self.slots.len() - 1
@@ -256,20 +256,20 @@
     }
 
     /// What is known of a key.
-    pub(crate) fn look(&mut self, now: u64, limit: u16, key: u64) -> Look {
+    pub(crate) fn look(&mut self, now: u64, limit: u16, key: u64) -> KeyStatus {
         let usable = self.settle(now, limit, key);
         let owned = self.owned(limit, key);
         let Some(entry) = self.keys.get(&(limit, key)) else {
-            return Look { owned, ..Look::default() };
+            return KeyStatus { owned, ..KeyStatus::default() };
         };
         let (lent, borrowed) = (entry.escrow.lent_out(), entry.escrow.borrowed(now));
-        Look { owned, lent, borrowed, usable, out: entry.meter.out() }
+        KeyStatus { owned, lent, borrowed, usable, out: entry.meter.out() }
     }
 
     /// The keys of a limit that use most, and what is known of them.
-    pub(crate) fn busiest(&mut self, now: u64, limit: u16) -> Vec<(u64, Look)> {
+    pub(crate) fn busiest_keys(&mut self, now: u64, limit: u16) -> Vec<(u64, KeyStatus)> {
         let keys: Vec<u64> = self.keys_of(limit).collect();
-        let mut all: Vec<(u64, Look)> =
+        let mut all: Vec<(u64, KeyStatus)> =
             keys.into_iter().map(|key| (key, self.look(now, limit, key))).collect();
         all.sort_by_key(|(key, look)| (std::cmp::Reverse((look.out, look.borrowed, look.lent)), *key));
         all.truncate(SHOWN);
@@ -282,7 +282,7 @@
             let end_ns = match slot.limit.kind {
                 Kind::Rate { .. } => now,
                 kind @ (Kind::Concurrency { .. } | Kind::Window { .. }) => {
-                    let own_ns = self.terms.by_any_clock(kind.run_on_ns(&self.terms));
+                    let own_ns = self.terms.peer_ns_upper_bound(kind.orphan_ns(&self.terms));
                     run_on_until_ns.max(self.started_ns + own_ns).max(now)
                 }
             };
--- a/crates/limits/src/lending.rs
+++ b/crates/limits/src/lending.rs
@@ -86,10 +86,10 @@
             return;
         }
         self.settle(now, limit, key);
-        let again = now + self.terms.empty_ns();
-        let run_out_ns = self.kind(limit).run_out_ns(&self.terms);
+        let again = now + self.terms.exhausted_backoff_ns();
+        let drain_ns = self.kind(limit).drain_ns(&self.terms);
         let Some(entry) = self.keys.get_mut(&(limit, key)) else { return };
-        let wanted = entry.escrow.granted(now, from, number, units, (&self.terms, run_out_ns));
+        let wanted = entry.escrow.granted(now, from, number, units, (&self.terms, drain_ns));
         // It has nothing more for a while.
         if wanted.is_some_and(|wanted| units < wanted) {
             entry.empty.insert(from.number, again);
@@ -111,9 +111,9 @@
         self.settle(now, limit, key);
         let entry = &self.keys[&(limit, key)];
         let keep = self.wanted(limit, entry).max(entry.meter.out());
-        let run_out_ns = self.kind(limit).run_out_ns(&self.terms);
+        let drain_ns = self.kind(limit).drain_ns(&self.terms);
         let entry = self.keys.get_mut(&(limit, key))?;
-        let units = entry.escrow.asked(now, (from, number), units, keep, (&self.terms, run_out_ns))?;
+        let units = entry.escrow.asked(now, (from, number), units, keep, (&self.terms, drain_ns))?;
         // Lent units take their part of the bucket with them.
         self.settle(now, limit, key);
         let of = &self.slots[usize::from(limit)].limit;
@@ -123,8 +123,8 @@
     /// A peer lives again: what its earlier lives had out runs on for a while, and then all that they held is free.
     pub(crate) fn outlived(&mut self, now: u64, peer: Peer) {
         for ((limit, _), entry) in &mut self.keys {
-            let run_on_ns = self.slots[usize::from(*limit)].limit.kind.run_on_ns(&self.terms);
-            let until = now + self.terms.by_any_clock(run_on_ns);
+            let orphan_ns = self.slots[usize::from(*limit)].limit.kind.orphan_ns(&self.terms);
+            let until = now + self.terms.peer_ns_upper_bound(orphan_ns);
             entry.escrow.outlived(peer, until);
         }
     }
@@ -169,15 +169,15 @@
             let Some(entry) = self.keys.get_mut(&(place, key)) else { continue };
             entry.escrow.holds(now, from, units, left_ns, &self.terms);
             if other {
-                entry.escrow.hold_back(now.saturating_add(self.terms.by_any_clock(left_ns)));
+                entry.escrow.hold_back(now.saturating_add(self.terms.peer_ns_upper_bound(left_ns)));
             }
         }
     }
 
     /// What a router that died had admitted goes on at most so long by any clock (ns), of all limits.
     pub(crate) fn longest_run_on_ns(&self) -> u64 {
-        let longest = self.slots.iter().map(|slot| slot.limit.kind.run_on_ns(&self.terms)).max();
-        self.terms.by_any_clock(longest.unwrap_or(0))
+        let longest = self.slots.iter().map(|slot| slot.limit.kind.orphan_ns(&self.terms)).max();
+        self.terms.peer_ns_upper_bound(longest.unwrap_or(0))
     }
 }
 
--- a/crates/limits/src/node.rs
+++ b/crates/limits/src/node.rs
@@ -9,7 +9,7 @@
 use crate::terms::{Kind, Limit, Terms};
 
 pub use crate::admission::{Refused, Ticket};
-pub use crate::ledger::Look;
+pub use crate::ledger::KeyStatus;
 
 /// One router's part in all limits.
 #[derive(Clone, Debug)]
@@ -104,20 +104,20 @@
         self.ledger.settle(now, limit, key);
         let kind = self.ledger.slots.get(usize::from(limit)).map(|slot| slot.limit.kind);
         let Some(kind @ Kind::Window { .. }) = kind else { return };
-        let until_ns = now.saturating_add(kind.counts_ns(&self.ledger.terms));
+        let until_ns = now.saturating_add(kind.window_charge_ns(&self.ledger.terms));
         if let Some(entry) = self.ledger.keys.get_mut(&(limit, key)) {
             entry.meter.send(until_ns, units);
         }
     }
 
     /// What is known of a key.
-    pub fn look(&mut self, now: u64, limit: u16, key: u64) -> Look {
+    pub fn look(&mut self, now: u64, limit: u16, key: u64) -> KeyStatus {
         self.ledger.look(now, limit, key)
     }
 
     /// The keys of a limit that use most, and what is known of them.
-    pub fn busiest(&mut self, now: u64, limit: u16) -> Vec<(u64, Look)> {
-        self.ledger.busiest(now, limit)
+    pub fn busiest_keys(&mut self, now: u64, limit: u16) -> Vec<(u64, KeyStatus)> {
+        self.ledger.busiest_keys(now, limit)
     }
 
     /// Whether it still has to ask what it lent before.
@@ -126,7 +126,7 @@
     }
 
     /// Keys that are tracked (count).
-    pub fn tracked(&self) -> usize {
+    pub fn tracked_keys(&self) -> usize {
         self.ledger.keys.len()
     }
 
@@ -200,8 +200,8 @@
             return;
         }
         // An earlier life of the peer may have had work out on our units.
-        let run_on_ns = self.ledger.longest_run_on_ns();
-        recovery.extend_run_on(now + run_on_ns.saturating_sub(up_ns));
+        let orphan_ns = self.ledger.longest_run_on_ns();
+        recovery.extend_run_on(now + orphan_ns.saturating_sub(up_ns));
         self.ledger.take_held(now, from, held);
         self.recovered(now);
     }
--- a/crates/limits/src/terms.rs
+++ b/crates/limits/src/terms.rs
@@ -98,9 +98,9 @@
     /// The longest that an admitted request is out (ns).
     pub longest_ns: u64,
     /// What a router that died had out may run on for so long (ns).
-    pub run_on_ns: u64,
+    pub orphan_ns: u64,
     /// A peer that can't be reached is known to be so within this time (ns).
-    pub detect_ns: u64,
+    pub detection_ns: u64,
 }
 
 impl Default for Terms {
@@ -110,8 +110,8 @@
             lease_ns: 2_000_000_000,
             drift: 0.01,
             longest_ns: 25_000_000_000,
-            run_on_ns: 2_000_000_000,
-            detect_ns: 3_000_000_000,
+            orphan_ns: 2_000_000_000,
+            detection_ns: 3_000_000_000,
         }
     }
 }
@@ -128,27 +128,27 @@
 
     /// For how long what was admitted on a unit goes on once the unit may not be used any more (ns): a rate's admission is
     /// over at once.
-    pub fn run_out_ns(self, terms: &Terms) -> u64 {
+    pub fn drain_ns(self, terms: &Terms) -> u64 {
         match self {
             Kind::Rate { .. } => 0,
-            Kind::Concurrency { .. } => terms.by_any_clock(terms.longest_ns + terms.run_on_ns),
-            Kind::Window { window_ns, .. } => terms.by_any_clock(window_ns),
+            Kind::Concurrency { .. } => terms.peer_ns_upper_bound(terms.longest_ns + terms.orphan_ns),
+            Kind::Window { window_ns, .. } => terms.peer_ns_upper_bound(window_ns),
         }
     }
 
     /// For how long what we send under a window's limit counts, by our clock (ns).
-    pub fn counts_ns(self, terms: &Terms) -> u64 {
+    pub fn window_charge_ns(self, terms: &Terms) -> u64 {
         match self {
-            Kind::Window { window_ns, .. } => terms.by_own_clock(window_ns),
+            Kind::Window { window_ns, .. } => terms.true_ns_upper_bound(window_ns),
             _ => 0,
         }
     }
 
     /// For how long what a router had admitted goes on once it died (ns).
-    pub fn run_on_ns(self, terms: &Terms) -> u64 {
+    pub fn orphan_ns(self, terms: &Terms) -> u64 {
         match self {
             Kind::Rate { .. } => 0,
-            Kind::Concurrency { .. } => terms.run_on_ns,
+            Kind::Concurrency { .. } => terms.orphan_ns,
             Kind::Window { window_ns, .. } => window_ns,
         }
     }
@@ -156,12 +156,12 @@
 
 impl Terms {
     /// So much time of another clock, by ours (ns at most): the other may be slow while ours is fast.
-    pub fn by_any_clock(&self, ns: u64) -> u64 {
+    pub fn peer_ns_upper_bound(&self, ns: u64) -> u64 {
         (ns as f64 * (1.0 + self.drift) / (1.0 - self.drift)).ceil() as u64 + 1
     }
 
     /// So much true time, by our clock (ns at most): it may be fast.
-    pub fn by_own_clock(&self, ns: u64) -> u64 {
+    pub fn true_ns_upper_bound(&self, ns: u64) -> u64 {
         (ns as f64 * (1.0 + self.drift)).ceil() as u64 + 1
     }
 
@@ -172,21 +172,21 @@
     }
 
     /// How long a peer that had nothing to lend is not asked again (ns).
-    pub fn empty_ns(&self) -> u64 {
+    pub fn exhausted_backoff_ns(&self) -> u64 {
         self.lease_ns
     }
 
     /// How long an owner keeps a lent unit unused by its own clock (ns): the borrower counts from when it asked, by a clock
     /// that may be slow, while the owner's may be fast.
-    pub fn lender_ns(&self) -> u64 {
-        self.by_any_clock(self.lease_ns)
+    pub fn owner_lease_ns(&self) -> u64 {
+        self.peer_ns_upper_bound(self.lease_ns)
     }
 
     /// How long a router that has just started has to take all of its own units for lent, where it can't ask everybody (ns).
-    pub fn quiet_ns(&self, kind: Kind) -> u64 {
-        let lent = self.lender_ns() + kind.run_out_ns(self);
+    pub fn grace_ns(&self, kind: Kind) -> u64 {
+        let lent = self.owner_lease_ns() + kind.drain_ns(self);
         // By its own clock, which may be fast; and what it had out itself before it died runs on.
-        lent.max(self.by_any_clock(kind.run_on_ns(self)))
+        lent.max(self.peer_ns_upper_bound(kind.orphan_ns(self)))
     }
 
     /// The units that router `me` owns of a limit cut into `units`, of the key with this hash: whole ones, and over all
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -84,7 +84,7 @@
     }
     let mixed = fleet.worst;
     let left = change(&old, &new, &terms);
-    fleet.run(left.stale_at_most_ns / 1_000_000 + 1);
+    fleet.run(left.max_idle_ns / 1_000_000 + 1);
     fleet.limit = new;
     fleet.worst = 0.0;
     for _ in 0..10 {
@@ -143,10 +143,10 @@
     let mut worst_ratio = 0.0f64;
     for seed in 0..300 {
         let (worst, kind) = play(seed, mode, 0.01);
-        let told = FAULTS.iter().filter(|(f, _)| *f != Fault::SameNumber);
+        let told = FAULTS.iter().filter(|(f, _)| *f != Fault::DuplicateNumber);
         // The routers differ by play; the largest part of all is what the mode says itself.
         let most =
-            told.map(|(f, _)| bound(&limit(kind, mode), &terms(1), *f).over_at_most).fold(0.0, f64::max);
+            told.map(|(f, _)| bound(&limit(kind, mode), &terms(1), *f).max_overshoot).fold(0.0, f64::max);
         assert!(worst <= 1.0 + most + 1e-9, "{worst} of {kind:?}, at most {most} over, seed {seed}");
         if most > 0.0 {
             worst_ratio = worst_ratio.max((worst - 1.0) / most);
@@ -222,7 +222,8 @@
     }
     println!("regained after {:.1} s", (fleet.now - healed) as f64 / 1e9);
     assert!(
-        fleet.now < healed + fleet.terms.by_any_clock(fleet.terms.lease_ns + fleet.terms.longest_ns) + 2 * S
+        fleet.now
+            < healed + fleet.terms.peer_ns_upper_bound(fleet.terms.lease_ns + fleet.terms.longest_ns) + 2 * S
     );
 }
 
@@ -236,7 +237,7 @@
         while fleet.admitted == before && fleet.now < began + 60 * S {
             fleet.step();
         }
-        let stated = bound(&fleet.limit, &fleet.terms, Fault::AllDied).stale_at_most_ns;
+        let stated = bound(&fleet.limit, &fleet.terms, Fault::AllRestarted).max_idle_ns;
         assert!(fleet.now - began <= stated, "{kind:?}: {} ns, stated {stated}", fleet.now - began);
         fleet.run(5_000);
         assert!(fleet.worst <= 1.0 + 1e-9);
@@ -276,7 +277,7 @@
     // A heavy one among them is held to its share.
     let heavy = (0..2_000).filter(|_| node.admit(now, &[(0, 77_777)]).is_ok()).count();
     assert!((900..=1_000).contains(&heavy), "{heavy} of 1,000 that may be out");
-    assert!(node.tracked() <= 1_000);
+    assert!(node.tracked_keys() <= 1_000);
     assert!((0..500).all(|key| node.look(now, 0, key).out == 1));
     held.into_iter().for_each(|ticket| node.over(ticket));
 }
--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -148,7 +148,7 @@
             Step::Deliver(message) => self.deliver(&mut state, message),
             Step::Lose(message) => drop(state.wire.remove(&message)),
             Step::Restart(at) => {
-                let quiet = if self.quiet { last.now + self.terms.lender_ns() } else { 0 };
+                let quiet = if self.quiet { last.now + self.terms.owner_lease_ns() } else { 0 };
                 let life = state.nodes[at].life + 1;
                 state.nodes[at] =
                     Node { life, asks: state.nodes[at].asks, escrow: Escrow::new(OWNED, quiet) };
--- a/crates/peers/src/members.rs
+++ b/crates/peers/src/members.rs
@@ -13,7 +13,7 @@
 use rand_for_foca::rngs::SmallRng;
 use rand_for_foca::SeedableRng;
 
-use crate::seal::{Keys, Kind, Spoilt, CONTENT_MOST, SPOILT};
+use crate::seal::{Keys, Kind, Spoilt, MAX_CONTENT_BYTES, REJECT_REASONS};
 use crate::who::Who;
 
 /// How often seeds that are not known to be there are asked to let this router join (ns).
@@ -37,11 +37,11 @@
     /// Routers that there are, about: news spreads by it.
     pub routers: u32,
     /// How often one peer is looked at (ns).
-    pub probe_ns: u64,
+    pub probe_interval_ns: u64,
     /// How long an answer may take, over others too (ns): less than the above.
-    pub answer_ns: u64,
+    pub probe_timeout_ns: u64,
     /// How long a peer that did not answer may still say that it is there (ns).
-    pub suspect_ns: u64,
+    pub suspicion_timeout_ns: u64,
     /// Where routers may be found that know others.
     pub seeds: Vec<SocketAddr>,
 }
@@ -50,9 +50,9 @@
     fn default() -> Self {
         Settings {
             routers: 1,
-            probe_ns: 500_000_000,
-            answer_ns: 200_000_000,
-            suspect_ns: 1_500_000_000,
+            probe_interval_ns: 500_000_000,
+            probe_timeout_ns: 200_000_000,
+            suspicion_timeout_ns: 1_500_000_000,
             seeds: Vec::new(),
         }
     }
@@ -61,9 +61,9 @@
 impl Settings {
     /// A peer that is gone is looked at by this one at the latest after as many looks as there are peers, and then counts as
     /// gone once it was suspected for long enough (ns). Others look too, so that it is mostly known far sooner.
-    pub fn detect_at_most_ns(&self) -> u64 {
+    pub fn max_detection_ns(&self) -> u64 {
         let looks = 2 * u64::from(self.routers.max(2) - 1);
-        looks * self.probe_ns + self.probe_ns + self.suspect_ns
+        looks * self.probe_interval_ns + self.probe_interval_ns + self.suspicion_timeout_ns
     }
 
     /// Peers that are kept at most (count): what datagrams can make this router remember.
@@ -82,13 +82,13 @@
             Some(PeriodicParams { frequency: Duration::from_nanos(ns), num_members })
         };
         Config {
-            probe_period: Duration::from_nanos(self.probe_ns),
-            probe_rtt: Duration::from_nanos(self.answer_ns),
+            probe_period: Duration::from_nanos(self.probe_interval_ns),
+            probe_rtt: Duration::from_nanos(self.probe_timeout_ns),
             num_indirect_probes: NonZeroUsize::new(3).unwrap_or(NonZeroUsize::MIN),
             max_transmissions: NonZeroU8::new(12).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: Duration::from_nanos(self.suspect_ns),
+            suspect_to_down_after: Duration::from_nanos(self.suspicion_timeout_ns),
             remove_down_after: Duration::from_secs(60),
-            max_packet_size: NonZeroUsize::new(CONTENT_MOST).unwrap_or(NonZeroUsize::MIN),
+            max_packet_size: NonZeroUsize::new(MAX_CONTENT_BYTES).unwrap_or(NonZeroUsize::MIN),
             notify_down_members: true,
             periodic_announce: every(10_000_000_000, 1),
             periodic_announce_to_down_members: every(2_000_000_000, 2),
@@ -160,11 +160,11 @@
     /// A peer is gone, or can't be reached.
     Down(Who),
     /// A peer has started again under its name: the earlier life, and this one.
-    Again(Who, Who),
+    Restarted(Who, Who),
     /// Peers take this router for gone again and again, though it tells them that it is there: another has its name.
-    SameName,
+    DuplicateName,
     /// Another router has this one's number under a name of its own.
-    SameNumber(Who),
+    DuplicateNumber(Who),
     /// What a peer says of limits, of engines or of the list.
     Said(Who, Kind, Vec<u8>),
 }
@@ -230,7 +230,7 @@
 
     /// Datagrams that were passed over, by why.
     pub fn spoilt(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
-        SPOILT.iter().map(|(why, name)| (*name, self.spoilt.get(why).copied().unwrap_or(0)))
+        REJECT_REASONS.iter().map(|(why, name)| (*name, self.spoilt.get(why).copied().unwrap_or(0)))
     }
 
     /// Datagrams sent, and their bytes.
@@ -289,7 +289,7 @@
             }
             _ => pack(&(self.me(), said), &mut content),
         };
-        let packed = packed.is_ok() && content.len() <= CONTENT_MOST;
+        let packed = packed.is_ok() && content.len() <= MAX_CONTENT_BYTES;
         if packed {
             self.send(to, kind, &content);
         }
@@ -343,7 +343,7 @@
         match told {
             OwnedNotification::MemberUp(who) => {
                 if who.number == self.foca.identity().number {
-                    self.events.push(Event::SameNumber(who.clone()));
+                    self.events.push(Event::DuplicateNumber(who.clone()));
                 }
                 self.up.insert(who.name.clone(), who.clone());
                 self.events.push(Event::Up(who));
@@ -361,7 +361,7 @@
                     self.up.insert(who.name.clone(), who.clone());
                 }
                 if before.life != who.life {
-                    self.events.push(Event::Again(before, who));
+                    self.events.push(Event::Restarted(before, who));
                 }
             }
             OwnedNotification::Rejoin(_) => {
@@ -375,7 +375,7 @@
                 let quiet = self.told_ns.is_none_or(|at| now >= at.saturating_add(RETURNS_NS));
                 if often && quiet {
                     self.told_ns = Some(now);
-                    self.events.push(Event::SameName);
+                    self.events.push(Event::DuplicateName);
                 }
             }
             _ => {}
--- a/crates/peers/src/seal.rs
+++ b/crates/peers/src/seal.rs
@@ -9,7 +9,7 @@
 const SUM: usize = 16;
 const HEAD: usize = MARK.len() + 2 + SUM;
 /// Largest content (bytes).
-pub const CONTENT_MOST: usize = DATAGRAM_MOST - HEAD;
+pub const MAX_CONTENT_BYTES: usize = DATAGRAM_MOST - HEAD;
 
 /// What a datagram carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 }
 
 /// All of them, for counters.
-pub const SPOILT: [(Spoilt, &str); 5] = [
+pub const REJECT_REASONS: [(Spoilt, &str); 5] = [
     (Spoilt::Size, "size"),
     (Spoilt::Strange, "strange"),
     (Spoilt::Version, "version"),
--- a/crates/peers/tests/fleet.rs
+++ b/crates/peers/tests/fleet.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use marljunction_peers::seal::{Kind, CONTENT_MOST, DATAGRAM_MOST};
+use marljunction_peers::seal::{Kind, DATAGRAM_MOST, MAX_CONTENT_BYTES};
 use marljunction_peers::{Event, Keys, Members, Settings, Spoilt, Who};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -133,7 +133,7 @@
         let mut fleet = Fleet::new(8, seed);
         fleet.until(60, "all know all", |f| f.all_know(|_| true));
         let life = fleet.members[3].take().unwrap().me().life;
-        let bound = fleet.settings.detect_at_most_ns().div_ceil(S);
+        let bound = fleet.settings.max_detection_ns().div_ceil(S);
         fleet.until(bound, "it is gone everywhere", |f| f.all_know(|at| at != 3));
         fleet.events.clear();
         fleet.start(3, 3);
@@ -147,7 +147,7 @@
             let seen = |at: usize| {
                 f.events
                     .iter()
-                    .any(|(by, e)| *by == at && matches!(e, Event::Again(_, who) if who.number == 5))
+                    .any(|(by, e)| *by == at && matches!(e, Event::Restarted(_, who) if who.number == 5))
             };
             (0..8).filter(|at| *at != 5).all(seen)
         };
@@ -176,13 +176,16 @@
         {
             fleet.cut.insert((a, b));
         }
-        let bound = fleet.settings.detect_at_most_ns().div_ceil(S);
+        let bound = fleet.settings.max_detection_ns().div_ceil(S);
         fleet.until(bound, "each half knows itself", |f| {
             (0..10).all(|at| f.knows(at).iter().all(|other| (at < 5) == (*other < 5)))
         });
         fleet.cut.clear();
         fleet.until(60, "all know all", |f| f.all_know(|_| true));
-        assert!(!fleet.events.iter().any(|(_, e)| matches!(e, Event::SameName)), "a cut is no second name");
+        assert!(
+            !fleet.events.iter().any(|(_, e)| matches!(e, Event::DuplicateName)),
+            "a cut is no second name"
+        );
     }
 }
 
@@ -195,9 +198,9 @@
         // The last one's process is another's from here on; the one at 4 goes on under the same name.
         fleet.start(5, 4);
         fleet.until(60, "it is told", |f| {
-            f.events.iter().any(|(at, e)| *at == 4 && matches!(e, Event::SameName))
+            f.events.iter().any(|(at, e)| *at == 4 && matches!(e, Event::DuplicateName))
         });
-        let others = fleet.events.iter().any(|(at, e)| *at != 4 && matches!(e, Event::SameName));
+        let others = fleet.events.iter().any(|(at, e)| *at != 4 && matches!(e, Event::DuplicateName));
         assert!(!others, "nobody else, seed {seed}");
     }
 }
@@ -209,10 +212,10 @@
         fleet.until(60, "all know all", |f| f.all_know(|_| true));
         fleet.start(2, 2);
         fleet.until(60, "all know its new life", |f| {
-            f.events.iter().filter(|(_, e)| matches!(e, Event::Again(..))).count() >= 4
+            f.events.iter().filter(|(_, e)| matches!(e, Event::Restarted(..))).count() >= 4
         });
         (0..10 * S / STEP).for_each(|_| fleet.step());
-        let twins = |e: &Event| matches!(e, Event::SameName | Event::SameNumber(_));
+        let twins = |e: &Event| matches!(e, Event::DuplicateName | Event::DuplicateNumber(_));
         assert!(!fleet.events.iter().any(|(_, e)| twins(e)), "seed {seed}");
     }
 }
@@ -288,7 +291,7 @@
     fleet.until(60, "all know all", |f| f.all_know(|_| true));
     let members = fleet.members[0].as_mut().unwrap();
     assert!(members.say(address(1), Kind::Limits, b"hello"));
-    assert!(!members.say(address(1), Kind::Limits, &vec![0; CONTENT_MOST]), "too large for a datagram");
+    assert!(!members.say(address(1), Kind::Limits, &vec![0; MAX_CONTENT_BYTES]), "too large for a datagram");
     fleet.until(5, "it is heard", |f| {
         f.events.iter().any(|(at, e)| {
             *at == 1
--- a/crates/rig/src/loans.rs
+++ b/crates/rig/src/loans.rs
@@ -147,7 +147,7 @@
 
     /// Ends a router at once; what it had out runs on for a while.
     pub fn kill(&mut self, at: usize) {
-        let run_on = self.now + self.terms.run_on_ns;
+        let run_on = self.now + self.terms.orphan_ns;
         let router = &mut self.routers[at];
         if router.node.take().is_some() {
             self.lingering.extend(router.out.drain(..).map(|(end, _)| end.min(run_on)));
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -57,8 +57,8 @@
     let file = file();
     // The deadline, and what a request may have out behind it.
     let told = bound(&file.limits[0].limit, &file.terms(4_500_000_000), fault);
-    assert_eq!(told.over_at_most, 0.0);
-    Duration::from_nanos(told.stale_at_most_ns + MACHINE_NS)
+    assert_eq!(told.max_overshoot, 0.0);
+    Duration::from_nanos(told.max_idle_ns + MACHINE_NS)
 }
 
 #[track_caller]
@@ -123,7 +123,7 @@
     let mut rates = [0.0; ROUTERS];
     rates[1] = 80.0;
     fleet.ask_at(&rates);
-    until(&mut fleet, idle_at_most(Fault::HolderDied), "another uses all but the dead one's", |f| {
+    until(&mut fleet, idle_at_most(Fault::HolderCrashed), "another uses all but the dead one's", |f| {
         f.held() >= MOST - 3
     });
     end(fleet);
@@ -136,7 +136,7 @@
     let mut rates = [0.0; ROUTERS];
     rates[2] = 80.0;
     fleet.ask_at(&rates);
-    until(&mut fleet, idle_at_most(Fault::HolderDied), "another uses it", |f| f.held() >= MOST - 3);
+    until(&mut fleet, idle_at_most(Fault::HolderCrashed), "another uses it", |f| f.held() >= MOST - 3);
     rates[0] = 80.0;
     fleet.ask_at(&rates);
     fleet.freeze(0, false);
@@ -155,7 +155,7 @@
     fleet.ask_at(&[80.0, 20.0, 20.0, 20.0]);
     until(&mut fleet, LIMIT, "all are there", |f| f.ready() == ROUTERS);
     fleet.run(Duration::from_secs(6)).unwrap();
-    until(&mut fleet, idle_at_most(Fault::OwnerDied), "the limit is used", |f| f.held() >= MOST - 1);
+    until(&mut fleet, idle_at_most(Fault::OwnerRestarted), "the limit is used", |f| f.held() >= MOST - 1);
     end(fleet);
 }
 
@@ -165,7 +165,7 @@
     (0..ROUTERS).for_each(|router| fleet.kill(router));
     fleet.start_all().unwrap();
     fleet.ask_at(&[80.0; 2]);
-    let limit = idle_at_most(Fault::AllDied);
+    let limit = idle_at_most(Fault::AllRestarted);
     until(&mut fleet, limit, "something is served again", |f| f.loads[0].first_answer_ns.is_some());
     until(&mut fleet, LIMIT, "the limit is used", |f| f.held() >= MOST - 1);
     end(fleet);
@@ -220,8 +220,8 @@
     let old = &file.limits[0].limit;
     let new = Limit { kind: Kind::Concurrency { at_once: 6 }, ..old.clone() };
     let left = change(old, &new, &file.terms(4_500_000_000));
-    assert!((left.over_at_most - 1.0).abs() < 1e-9, "twelve are one time over six");
-    fleet.run(Duration::from_nanos(left.over_for_ns)).unwrap();
+    assert!((left.max_overshoot - 1.0).abs() < 1e-9, "twelve are one time over six");
+    fleet.run(Duration::from_nanos(left.overshoot_ns)).unwrap();
     fleet.held_most = 0;
     fleet.run(Duration::from_secs(3)).unwrap();
     assert!((4..=6).contains(&fleet.held_most), "{} were out, six may be", fleet.held_most);
@@ -241,8 +241,8 @@
     assert!(fleet.run_until(LIMIT, |f| f.held() >= MOST - 3).unwrap(), "{} held at most", fleet.held_most);
     fleet.run(Duration::from_secs(4)).unwrap();
     let file = file();
-    let b = bound(&file.limits[0].limit, &file.terms(4_500_000_000), Fault::SameNumber);
-    let most = MOST + (b.over_at_most * MOST as f64).round() as usize;
+    let b = bound(&file.limits[0].limit, &file.terms(4_500_000_000), Fault::DuplicateNumber);
+    let most = MOST + (b.max_overshoot * MOST as f64).round() as usize;
     assert!(fleet.held_most <= most, "{} were out, {most} may be", fleet.held_most);
     fleet.held_most = 0;
     end(fleet);
