--- a/crates/cells/examples/divisions.rs
+++ b/crates/cells/examples/divisions.rs
@@ -11,8 +11,8 @@
     CellConfig, CellPlan, DivideBy, Engine, EngineState, Message, Relay, RelaySettings, Subscriber,
     SubscriberSettings,
 };
-use marljunction_peers::seal::{DATAGRAM_MOST, MAX_CONTENT_BYTES};
-use marljunction_peers::Who;
+use marljunction_peers::seal::{MAX_CONTENT_BYTES, MAX_DATAGRAM_BYTES};
+use marljunction_peers::PeerIdentity;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
@@ -113,7 +113,7 @@
 
 /// Bytes of a datagram besides its message: the seal, and who sent it.
 fn frame() -> u64 {
-    let who = Who {
+    let who = PeerIdentity {
         name: "router-0000".into(),
         number: ROUTERS - 1,
         address: address(7),
@@ -121,7 +121,7 @@
         renewal: 0,
     };
     let sender = rmp_serde::to_vec(&who).map_or(0, |bytes| bytes.len());
-    (DATAGRAM_MOST - MAX_CONTENT_BYTES + sender) as u64
+    (MAX_DATAGRAM_BYTES - MAX_CONTENT_BYTES + sender) as u64
 }
 
 fn address(number: u32) -> SocketAddr {
--- a/crates/cells/tests/messages.rs
+++ b/crates/cells/tests/messages.rs
@@ -6,7 +6,7 @@
 use marljunction_cells::message::{Answer, Ask, Delta, Piece, Table, MAX_MESSAGE, MAX_MISSING, MAX_PIECES};
 use marljunction_cells::{CellId, Digest, DivideBy, Engine, EngineState, Message, Relay};
 use marljunction_peers::seal::MAX_CONTENT_BYTES;
-use marljunction_peers::Who;
+use marljunction_peers::PeerIdentity;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -35,7 +35,7 @@
 
 #[test]
 fn each_message_fits_a_datagram_with_its_sender() {
-    let who = Who {
+    let who = PeerIdentity {
         name: "router-".repeat(8),
         number: u32::MAX,
         address: "[ffff::1]:65535".parse().expect("an address"),
--- a/crates/fleet/src/payloads.rs
+++ b/crates/fleet/src/payloads.rs
@@ -9,7 +9,7 @@
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::Message as LimitMessage;
 use marljunction_peers::seal::Kind;
-use marljunction_peers::Who;
+use marljunction_peers::PeerIdentity;
 use marljunction_verdicts::Message as HealthMessage;
 use serde::Serialize;
 
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerPayload {
     /// Who said it.
-    pub from: Who,
+    pub from: PeerIdentity,
     /// Which machine it is for.
     pub kind: Kind,
     /// The MessagePack bytes.
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -19,7 +19,7 @@
 use marljunction_limits::{Limit, Node as LimitNode};
 use marljunction_net::datagrams::Datagrams;
 use marljunction_peers::seal::Kind;
-use marljunction_peers::{Event, Members, Settings as MembershipSettings, Who};
+use marljunction_peers::{Event, Members, PeerIdentity, Settings as MembershipSettings};
 use marljunction_settings::Names;
 use marljunction_verdicts::words::Words;
 use marljunction_verdicts::{Node as HealthNode, Terms as HealthTerms};
@@ -154,7 +154,7 @@
     }
 
     /// Peers that can be reached.
-    pub fn peers(&self) -> impl Iterator<Item = &Who> {
+    pub fn peers(&self) -> impl Iterator<Item = &PeerIdentity> {
         self.members.up()
     }
 
@@ -251,7 +251,7 @@
     }
 
     fn handle_event(&mut self, now: u64, event: Event, router: &mut Router) {
-        if let Event::Said(from, kind, bytes) = event {
+        if let Event::Payload(from, kind, bytes) = event {
             // Nobody came or went by what was said.
             return self.handle_payload(now, PeerPayload { from, kind, bytes }, router);
         }
@@ -267,7 +267,7 @@
 
     fn log_change(&mut self, event: Event) {
         match event {
-            Event::Said(..) => {}
+            Event::Payload(..) => {}
             Event::Up(peer) => self.log(&format!("{} is there, at {}", peer.name, peer.address)),
             Event::Down(peer) => self.log(&format!("{} is gone, or can't be reached", peer.name)),
             Event::Restarted(before, peer) if before.address != peer.address => self.log(&format!(
@@ -325,7 +325,7 @@
     local: SocketAddr,
 ) -> Result<Members, FleetError> {
     let advertised = config.advertise.as_deref().map_or(Ok(local), parse_address)?;
-    let me = Who {
+    let me = PeerIdentity {
         name: identity.name.clone(),
         number: identity.number,
         address: advertised,
--- a/crates/lab/src/capacity/cells.rs
+++ b/crates/lab/src/capacity/cells.rs
@@ -9,7 +9,7 @@
     CellId, DivideBy, Engine, EngineState, Message, Relay, RelaySettings, Subscriber, SubscriberSettings,
 };
 use marljunction_peers::seal::Kind;
-use marljunction_peers::{Event, Keys, Members, Settings, Who};
+use marljunction_peers::{Event, Keys, Members, PeerIdentity, Settings};
 use marljunction_rig::fleet::KEY;
 
 use super::clock::thread_ns;
@@ -52,7 +52,7 @@
         let socket = UdpSocket::bind("127.0.0.1:0").map_err(fault)?;
         socket.set_nonblocking(true).map_err(fault)?;
         let address = socket.local_addr().map_err(fault)?;
-        let who = Who {
+        let who = PeerIdentity {
             name: format!("router-{number:05}"),
             number: number as u32,
             address,
@@ -85,7 +85,7 @@
         }
         let (_, events) = self.members.take();
         let messages = events.into_iter().filter_map(|event| match event {
-            Event::Said(who, Kind::List, said) => Some((who.address, Message::decode(&said).ok()?)),
+            Event::Payload(who, Kind::List, said) => Some((who.address, Message::decode(&said).ok()?)),
             _ => None,
         });
         let messages = messages.collect();
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -5,7 +5,7 @@
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::{Kind, Limit, Message, Mode, Node, Terms};
 use marljunction_peers::seal::Kind as Sealed;
-use marljunction_peers::{Keys, Members, Settings, Who};
+use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
 use marljunction_rig::fleet::KEY;
 
 use super::clock::thread_ns;
@@ -37,7 +37,8 @@
 impl Sealer {
     fn new() -> Result<Sealer, String> {
         let to = SocketAddr::from(([10, 0, 0, 1], 4_200));
-        let who = Who { name: "router-00000".into(), number: 0, address: to, life: START_NS, renewal: 0 };
+        let who =
+            PeerIdentity { name: "router-00000".into(), number: 0, address: to, life: START_NS, renewal: 0 };
         Ok(Sealer { members: Members::new(who, Keys::read(KEY)?, &Settings::default(), 1), to })
     }
 
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::{SocketAddr, UdpSocket};
 
-use marljunction_peers::{Keys, Members, Settings, Who};
+use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
 use marljunction_rig::fleet::KEY;
 
 use super::clock::thread_ns;
@@ -83,8 +83,13 @@
     fn member(&mut self, at: usize) -> Members {
         self.serial += 1;
         let address = self.sockets[at].local_addr().unwrap_or(SocketAddr::from(([127, 0, 0, 1], 9)));
-        let who =
-            Who { name: format!("router-{at:05}"), number: at as u32, address, life: self.now, renewal: 0 };
+        let who = PeerIdentity {
+            name: format!("router-{at:05}"),
+            number: at as u32,
+            address,
+            life: self.now,
+            renewal: 0,
+        };
         Members::new(who, self.keys.clone(), &self.settings, self.serial)
     }
 
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -12,4 +12,4 @@
 
 pub use members::{Event, Members, Settings};
 pub use seal::{Keys, Spoilt};
-pub use who::Who;
+pub use who::PeerIdentity;
--- a/crates/peers/src/members.rs
+++ b/crates/peers/src/members.rs
@@ -14,7 +14,7 @@
 use rand_for_foca::SeedableRng;
 
 use crate::seal::{Keys, Kind, Spoilt, MAX_CONTENT_BYTES, REJECT_REASONS};
-use crate::who::Who;
+use crate::who::PeerIdentity;
 
 /// How often seeds that are not known to be there are asked to let this router join (ns).
 const JOIN_NS: u64 = 1_000_000_000;
@@ -122,32 +122,40 @@
 }
 
 /// Who said what. Of the list it stands behind its sender as it is: as a value of its own it would take half as much again.
-fn unpack_said(kind: Kind, mut content: &[u8]) -> Result<(Who, Vec<u8>), Unreadable> {
+fn unpack_said(kind: Kind, mut content: &[u8]) -> Result<(PeerIdentity, Vec<u8>), Unreadable> {
     match kind {
         Kind::List => {
-            let from = unpack::<Who>(&mut content)?;
+            let from = unpack::<PeerIdentity>(&mut content)?;
             Ok((from, content.to_vec()))
         }
-        _ => unpack::<(Who, Vec<u8>)>(content),
+        _ => unpack::<(PeerIdentity, Vec<u8>)>(content),
     }
 }
 
-impl Codec<Who> for Pack {
+impl Codec<PeerIdentity> for Pack {
     type Error = Unreadable;
 
-    fn encode_header(&mut self, header: &Header<Who>, buffer: impl BufMut) -> Result<(), Unreadable> {
+    fn encode_header(
+        &mut self,
+        header: &Header<PeerIdentity>,
+        buffer: impl BufMut,
+    ) -> Result<(), Unreadable> {
         pack(header, buffer)
     }
 
-    fn decode_header(&mut self, buffer: impl Buf) -> Result<Header<Who>, Unreadable> {
+    fn decode_header(&mut self, buffer: impl Buf) -> Result<Header<PeerIdentity>, Unreadable> {
         unpack(buffer)
     }
 
-    fn encode_member(&mut self, member: &Member<Who>, buffer: impl BufMut) -> Result<(), Unreadable> {
+    fn encode_member(
+        &mut self,
+        member: &Member<PeerIdentity>,
+        buffer: impl BufMut,
+    ) -> Result<(), Unreadable> {
         pack(member, buffer)
     }
 
-    fn decode_member(&mut self, buffer: impl Buf) -> Result<Member<Who>, Unreadable> {
+    fn decode_member(&mut self, buffer: impl Buf) -> Result<Member<PeerIdentity>, Unreadable> {
         unpack(buffer)
     }
 }
@@ -156,31 +164,31 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A peer is there.
-    Up(Who),
+    Up(PeerIdentity),
     /// A peer is gone, or can't be reached.
-    Down(Who),
+    Down(PeerIdentity),
     /// A peer has started again under its name: the earlier life, and this one.
-    Restarted(Who, Who),
+    Restarted(PeerIdentity, PeerIdentity),
     /// Peers take this router for gone again and again, though it tells them that it is there: another has its name.
     DuplicateName,
     /// Another router has this one's number under a name of its own.
-    DuplicateNumber(Who),
+    DuplicateNumber(PeerIdentity),
     /// What a peer says of limits, of engines or of the list.
-    Said(Who, Kind, Vec<u8>),
+    Payload(PeerIdentity, Kind, Vec<u8>),
 }
 
 /// A router's view of its peers.
 pub struct Members {
-    foca: Foca<Who, Pack, SmallRng, NoCustomBroadcast>,
+    foca: Foca<PeerIdentity, Pack, SmallRng, NoCustomBroadcast>,
     keys: Keys,
     seeds: Vec<SocketAddr>,
-    timers: BTreeMap<(u64, u64), Timer<Who>>,
+    timers: BTreeMap<(u64, u64), Timer<PeerIdentity>>,
     /// Peers and timers that are kept at most (count).
     max_peers: usize,
     max_timers: usize,
     serial: u64,
     joined_ns: u64,
-    up: BTreeMap<String, Who>,
+    up: BTreeMap<String, PeerIdentity>,
     out: Vec<(SocketAddr, Vec<u8>)>,
     events: Vec<Event>,
     spoilt: BTreeMap<Spoilt, u64>,
@@ -192,7 +200,7 @@
 
 impl Members {
     /// A router that knows nobody yet.
-    pub fn new(me: Who, keys: Keys, settings: &Settings, seed: u64) -> Members {
+    pub fn new(me: PeerIdentity, keys: Keys, settings: &Settings, seed: u64) -> Members {
         let seeds = settings.seeds.iter().copied().filter(|at| *at != me.address).collect();
         Members {
             foca: Foca::new(me, settings.config(), SmallRng::seed_from_u64(seed), Pack),
@@ -214,7 +222,7 @@
     }
 
     /// Who this router is to its peers.
-    pub fn me(&self) -> &Who {
+    pub fn me(&self) -> &PeerIdentity {
         self.foca.identity()
     }
 
@@ -224,7 +232,7 @@
     }
 
     /// Peers that are there.
-    pub fn up(&self) -> impl Iterator<Item = &Who> {
+    pub fn up(&self) -> impl Iterator<Item = &PeerIdentity> {
         self.up.values()
     }
 
@@ -250,7 +258,7 @@
             self.joined_ns = now;
             let known: Vec<SocketAddr> = self.up.values().map(|who| who.address).collect();
             for seed in self.seeds.clone().into_iter().filter(|seed| !known.contains(seed)) {
-                self.run(now, |foca, runtime| foca.announce(Who::at(seed), runtime));
+                self.run(now, |foca, runtime| foca.announce(PeerIdentity::at(seed), runtime));
             }
         }
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
@@ -272,7 +280,7 @@
                 }
             }
             Ok((kind, content)) => match unpack_said(kind, content) {
-                Ok((from, said)) => self.events.push(Event::Said(from, kind, said)),
+                Ok((from, said)) => self.events.push(Event::Payload(from, kind, said)),
                 Err(_) => *self.spoilt.entry(Spoilt::Content).or_default() += 1,
             },
         }
@@ -317,8 +325,8 @@
         &mut self,
         now: u64,
         what: impl FnOnce(
-            &mut Foca<Who, Pack, SmallRng, NoCustomBroadcast>,
-            &mut AccumulatingRuntime<Who>,
+            &mut Foca<PeerIdentity, Pack, SmallRng, NoCustomBroadcast>,
+            &mut AccumulatingRuntime<PeerIdentity>,
         ) -> Result<(), E>,
     ) -> bool {
         let mut runtime = AccumulatingRuntime::new();
@@ -339,7 +347,7 @@
         done
     }
 
-    fn told(&mut self, now: u64, told: OwnedNotification<Who>) {
+    fn told(&mut self, now: u64, told: OwnedNotification<PeerIdentity>) {
         match told {
             OwnedNotification::MemberUp(who) => {
                 if who.number == self.foca.identity().number {
--- a/crates/peers/src/seal.rs
+++ b/crates/peers/src/seal.rs
@@ -1,7 +1,7 @@
 //! Datagrams with a keyed sum: what does not bear the fleet's key is not read any further.
 
 /// Largest datagram (bytes): it fits the smallest path that is common.
-pub const DATAGRAM_MOST: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// The first bytes of each, and the version of what follows.
 const MARK: [u8; 2] = *b"mj";
 const VERSION: u8 = 1;
@@ -9,7 +9,7 @@
 const SUM: usize = 16;
 const HEAD: usize = MARK.len() + 2 + SUM;
 /// Largest content (bytes).
-pub const MAX_CONTENT_BYTES: usize = DATAGRAM_MOST - HEAD;
+pub const MAX_CONTENT_BYTES: usize = MAX_DATAGRAM_BYTES - HEAD;
 
 /// What a datagram carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -109,7 +109,7 @@
     /// # Errors
     /// Says why it is passed over.
     pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<(Kind, &'a [u8]), Spoilt> {
-        if datagram.len() < HEAD || datagram.len() > DATAGRAM_MOST {
+        if datagram.len() < HEAD || datagram.len() > MAX_DATAGRAM_BYTES {
             return Err(Spoilt::Size);
         }
         let (head, content) = datagram.split_at(HEAD);
--- a/crates/peers/src/who.rs
+++ b/crates/peers/src/who.rs
@@ -7,7 +7,7 @@
 /// A router of the fleet. Its name outlasts its process; its life is larger with each start, its renewal with each time that it
 /// comes back after its peers took it for gone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Who {
+pub struct PeerIdentity {
     /// Its name.
     pub name: String,
     /// Its number among the routers that shares are fixed for.
@@ -20,10 +20,10 @@
     pub renewal: u32,
 }
 
-impl Who {
+impl PeerIdentity {
     /// Whoever listens there: only the address of a router is known before it has been heard.
-    pub fn at(address: SocketAddr) -> Who {
-        Who { name: String::new(), number: u32::MAX, address, life: 0, renewal: 0 }
+    pub fn at(address: SocketAddr) -> PeerIdentity {
+        PeerIdentity { name: String::new(), number: u32::MAX, address, life: 0, renewal: 0 }
     }
 }
 
@@ -40,18 +40,18 @@
     }
 }
 
-impl foca::Identity for Who {
+impl foca::Identity for PeerIdentity {
     type Addr = Place;
 
-    fn renew(&self) -> Option<Who> {
-        Some(Who { renewal: self.renewal.wrapping_add(1), ..self.clone() })
+    fn renew(&self) -> Option<PeerIdentity> {
+        Some(PeerIdentity { renewal: self.renewal.wrapping_add(1), ..self.clone() })
     }
 
     fn addr(&self) -> Place {
         Place(self.name.clone(), self.address)
     }
 
-    fn win_addr_conflict(&self, other: &Who) -> bool {
+    fn win_addr_conflict(&self, other: &PeerIdentity) -> bool {
         (self.life, self.renewal) > (other.life, other.renewal)
     }
 }
--- a/crates/peers/tests/fleet.rs
+++ b/crates/peers/tests/fleet.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use marljunction_peers::seal::{Kind, DATAGRAM_MOST, MAX_CONTENT_BYTES};
-use marljunction_peers::{Event, Keys, Members, Settings, Spoilt, Who};
+use marljunction_peers::seal::{Kind, MAX_CONTENT_BYTES, MAX_DATAGRAM_BYTES};
+use marljunction_peers::{Event, Keys, Members, PeerIdentity, Settings, Spoilt};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -56,7 +56,7 @@
 
     fn start(&mut self, at: usize, name: usize) {
         let (number, life) = (name as u32, self.now + at as u64);
-        let me = Who { name: format!("r{name}"), number, address: address(at), life, renewal: 0 };
+        let me = PeerIdentity { name: format!("r{name}"), number, address: address(at), life, renewal: 0 };
         self.members[at] = Some(Members::new(me, keys('a'), &self.settings, life ^ at as u64));
     }
 
@@ -74,7 +74,7 @@
             let (out, events) = members.take();
             self.events.extend(events.into_iter().map(|event| (at, event)));
             for (to, datagram) in out {
-                assert!(datagram.len() <= DATAGRAM_MOST, "{} bytes", datagram.len());
+                assert!(datagram.len() <= MAX_DATAGRAM_BYTES, "{} bytes", datagram.len());
                 let Some(to) = (0..self.members.len()).find(|i| address(*i) == to) else { continue };
                 if self.cut.contains(&(at, to)) || self.draws.gen_bool(self.loss) {
                     continue;
@@ -246,7 +246,7 @@
         hear(members, &noise);
     }
     hear(members, &keys('b').seal(Kind::Members, b"of another fleet"));
-    hear(members, &vec![b'm'; DATAGRAM_MOST + 1]);
+    hear(members, &vec![b'm'; MAX_DATAGRAM_BYTES + 1]);
     let mut newer = good.clone();
     newer[2] += 1;
     hear(members, &newer);
@@ -295,7 +295,7 @@
     fleet.until(5, "it is heard", |f| {
         f.events.iter().any(|(at, e)| {
             *at == 1
-                && matches!(e, Event::Said(who, Kind::Limits, said) if who.number == 0 && said == b"hello")
+                && matches!(e, Event::Payload(who, Kind::Limits, said) if who.number == 0 && said == b"hello")
         })
     });
 }
@@ -305,7 +305,7 @@
     let settings = Settings { routers, ..Settings::default() };
     let start = |at: usize, settings: &Settings| {
         let (number, life) = (at as u32, S + at as u64);
-        let me = Who { name: format!("r{at}"), number, address: address(at), life, renewal: 0 };
+        let me = PeerIdentity { name: format!("r{at}"), number, address: address(at), life, renewal: 0 };
         Members::new(me, keys('a'), settings, at as u64)
     };
     let mut one = start(0, &settings);
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -8,7 +8,7 @@
 
 use marljunction_discovery::engine_id;
 use marljunction_peers::seal::Kind;
-use marljunction_peers::{Keys, Members, Settings, Who};
+use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
 use marljunction_rig::fleet::{classes, Fleet, Setup, KEY};
 use marljunction_rig::link::Shape;
 use marljunction_rig::load::Class;
@@ -190,7 +190,8 @@
     let clock = marljunction_net::clock::Clock::start();
     let life = clock.now_ns();
     let number = ROUTERS as u32;
-    let me = Who { name: "liar".into(), number, address: socket.local_addr().unwrap(), life, renewal: 0 };
+    let me =
+        PeerIdentity { name: "liar".into(), number, address: socket.local_addr().unwrap(), life, renewal: 0 };
     let settings = Settings { routers: number + 1, seeds: vec![seed], ..Settings::default() };
     let mut members = Members::new(me, Keys::read(KEY).unwrap(), &settings, 1);
     let (mut buffer, mut count, mut told) = ([0; 2_048], 0, 0);
