--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -216,7 +216,7 @@
             Some(ListMachine::Subscriber(subscriber)) => subscriber.tick(now),
         };
         for (to, message) in outgoing {
-            self.members.say(to, Kind::List, &message.encode());
+            self.members.send_payload(to, Kind::List, &message.encode());
         }
         let (outgoing, events) = self.members.take();
         debug_assert!(events.is_empty());
--- a/crates/fleet/src/outbox.rs
+++ b/crates/fleet/src/outbox.rs
@@ -54,6 +54,6 @@
 
 fn send_batch<M: Serialize>(members: &mut Members, to: SocketAddr, kind: Kind, batch: &[M]) {
     if let Ok(bytes) = rmp_serde::to_vec(batch) {
-        members.say(to, kind, &bytes);
+        members.send_payload(to, kind, &bytes);
     }
 }
--- a/crates/lab/src/capacity/cells.rs
+++ b/crates/lab/src/capacity/cells.rs
@@ -66,7 +66,7 @@
     fn send(&mut self, messages: Vec<(SocketAddr, Message)>) {
         let begun = thread_ns();
         for (to, message) in messages {
-            self.members.say(to, Kind::List, &message.encode());
+            self.members.send_payload(to, Kind::List, &message.encode());
         }
         for (to, datagram) in self.members.take().0 {
             // A datagram that finds no room is lost, as any may be.
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -44,7 +44,7 @@
 
     fn bytes(&mut self, messages: &[&Message]) -> u64 {
         let said = rmp_serde::to_vec(messages).unwrap_or_default();
-        self.members.say(self.to, Sealed::Limits, &said);
+        self.members.send_payload(self.to, Sealed::Limits, &said);
         let (out, _) = self.members.take();
         out.iter().map(|(_, datagram)| datagram.len() as u64).sum()
     }
@@ -89,7 +89,7 @@
         self.nodes[at].set_reachable(self.now, others);
     }
 
-    fn say(&mut self, from: usize, said: Vec<(u32, Message)>) {
+    fn send_payload(&mut self, from: usize, said: Vec<(u32, Message)>) {
         let peer = Peer { number: from as u32, life: START_NS };
         for (to, message) in said {
             self.sent.messages += 1;
@@ -104,7 +104,7 @@
             for (to, from, message) in std::mem::take(&mut self.wire) {
                 let answers = self.nodes[to].hear(self.now, from, message);
                 let answers = answers.into_iter().map(|answer| (from.number, answer)).collect();
-                self.say(to, answers);
+                self.send_payload(to, answers);
             }
         }
     }
@@ -113,7 +113,7 @@
         self.now += STEP_NS;
         for at in 0..self.routers {
             let said = self.nodes[at].tick(self.now);
-            self.say(at, said);
+            self.send_payload(at, said);
         }
         self.deliver();
     }
@@ -130,7 +130,7 @@
     let cpu = thread_ns();
     fleet.now += STEP_NS;
     let asked = fleet.nodes[0].tick(fleet.now);
-    fleet.say(0, asked);
+    fleet.send_payload(0, asked);
     fleet.deliver();
     let cpu = thread_ns() - cpu;
     Ok([fleet.sent.messages as f64, fleet.sent.bytes as f64, cpu as f64 / 1e6])
--- a/crates/peers/src/members.rs
+++ b/crates/peers/src/members.rs
@@ -287,7 +287,7 @@
     }
 
     /// Says something of limits, engines or the list to a peer; false where it is larger than a datagram may be.
-    pub fn say(&mut self, to: SocketAddr, kind: Kind, said: &[u8]) -> bool {
+    pub fn send_payload(&mut self, to: SocketAddr, kind: Kind, said: &[u8]) -> bool {
         let mut content = Vec::new();
         let packed = match kind {
             Kind::List => {
--- a/crates/peers/tests/fleet.rs
+++ b/crates/peers/tests/fleet.rs
@@ -290,8 +290,11 @@
     let mut fleet = Fleet::new(2, 1);
     fleet.until(60, "all know all", |f| f.all_know(|_| true));
     let members = fleet.members[0].as_mut().unwrap();
-    assert!(members.say(address(1), Kind::Limits, b"hello"));
-    assert!(!members.say(address(1), Kind::Limits, &vec![0; MAX_CONTENT_BYTES]), "too large for a datagram");
+    assert!(members.send_payload(address(1), Kind::Limits, b"hello"));
+    assert!(
+        !members.send_payload(address(1), Kind::Limits, &vec![0; MAX_CONTENT_BYTES]),
+        "too large for a datagram"
+    );
     fleet.until(5, "it is heard", |f| {
         f.events.iter().any(|(at, e)| {
             *at == 1
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -219,7 +219,7 @@
             let said = rmp_serde::to_vec(&[news]).unwrap();
             let peers: Vec<_> = members.up().map(|who| who.address).collect();
             for at in peers {
-                members.say(at, Kind::Verdicts, &said);
+                members.send_payload(at, Kind::Verdicts, &said);
             }
         }
         for (to, datagram) in members.take().0 {
