--- a/crates/cells/examples/divisions.rs
+++ b/crates/cells/examples/divisions.rs
@@ -11,7 +11,7 @@
     CellConfig, CellPlan, DivideBy, Engine, EngineState, Message, Relay, RelaySettings, Subscriber,
     SubscriberSettings,
 };
-use marljunction_peers::seal::{MAX_CONTENT_BYTES, MAX_DATAGRAM_BYTES};
+use marljunction_peers::datagram::{MAX_CONTENT_BYTES, MAX_DATAGRAM_BYTES};
 use marljunction_peers::PeerIdentity;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
--- a/crates/cells/tests/messages.rs
+++ b/crates/cells/tests/messages.rs
@@ -5,7 +5,7 @@
 use common::{engine, relay_settings, terms, MS, S};
 use marljunction_cells::message::{Answer, Ask, Delta, Piece, Table, MAX_MESSAGE, MAX_MISSING, MAX_PIECES};
 use marljunction_cells::{CellId, Digest, DivideBy, Engine, EngineState, Message, Relay};
-use marljunction_peers::seal::MAX_CONTENT_BYTES;
+use marljunction_peers::datagram::MAX_CONTENT_BYTES;
 use marljunction_peers::PeerIdentity;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -14,7 +14,7 @@
     RelaySettings, Subscriber, SubscriberSettings,
 };
 use marljunction_control::interface::{EngineEntry, EngineId, EngineState, KindId, ZoneId};
-use marljunction_peers::seal::Kind;
+use marljunction_peers::datagram::Kind;
 use marljunction_settings::{index_of, Names};
 
 use crate::config::{parse_address, FleetConfig};
--- a/crates/fleet/src/outbox.rs
+++ b/crates/fleet/src/outbox.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use marljunction_peers::seal::Kind;
+use marljunction_peers::datagram::Kind;
 use marljunction_peers::Members;
 use serde::Serialize;
 
--- a/crates/fleet/src/payloads.rs
+++ b/crates/fleet/src/payloads.rs
@@ -8,7 +8,7 @@
 use marljunction_core::Router;
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::Message as LimitMessage;
-use marljunction_peers::seal::Kind;
+use marljunction_peers::datagram::Kind;
 use marljunction_peers::PeerIdentity;
 use marljunction_verdicts::Message as HealthMessage;
 use serde::Serialize;
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -18,7 +18,7 @@
 use marljunction_limits::terms::stable_hash;
 use marljunction_limits::{Limit, Node as LimitNode};
 use marljunction_net::datagrams::Datagrams;
-use marljunction_peers::seal::Kind;
+use marljunction_peers::datagram::Kind;
 use marljunction_peers::{Event, Members, PeerIdentity, Settings as MembershipSettings};
 use marljunction_settings::Names;
 use marljunction_verdicts::words::Words;
--- a/crates/lab/src/capacity/cells.rs
+++ b/crates/lab/src/capacity/cells.rs
@@ -8,7 +8,7 @@
 use marljunction_cells::{
     CellId, DivideBy, Engine, EngineState, Message, Relay, RelaySettings, Subscriber, SubscriberSettings,
 };
-use marljunction_peers::seal::Kind;
+use marljunction_peers::datagram::Kind;
 use marljunction_peers::{Event, Keys, Members, PeerIdentity, Settings};
 use marljunction_rig::fleet::KEY;
 
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -4,7 +4,7 @@
 
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::{Kind, Limit, Message, Mode, Node, Terms};
-use marljunction_peers::seal::Kind as Sealed;
+use marljunction_peers::datagram::Kind as Sealed;
 use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
 use marljunction_rig::fleet::KEY;
 
--- a/crates/peers/src/members.rs
+++ b/crates/peers/src/members.rs
@@ -13,7 +13,7 @@
 use rand_for_foca::rngs::SmallRng;
 use rand_for_foca::SeedableRng;
 
-use crate::seal::{Keys, Kind, Spoilt, MAX_CONTENT_BYTES, REJECT_REASONS};
+use crate::datagram::{Keys, Kind, Spoilt, MAX_CONTENT_BYTES, REJECT_REASONS};
 use crate::who::PeerIdentity;
 
 /// How often seeds that are not known to be there are asked to let this router join (ns).
--- a/crates/peers/tests/fleet.rs
+++ b/crates/peers/tests/fleet.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use marljunction_peers::seal::{Kind, MAX_CONTENT_BYTES, MAX_DATAGRAM_BYTES};
+use marljunction_peers::datagram::{Kind, MAX_CONTENT_BYTES, MAX_DATAGRAM_BYTES};
 use marljunction_peers::{Event, Keys, Members, PeerIdentity, Settings, Spoilt};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use marljunction_discovery::engine_id;
-use marljunction_peers::seal::Kind;
+use marljunction_peers::datagram::Kind;
 use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
 use marljunction_rig::fleet::{classes, Fleet, Setup, KEY};
 use marljunction_rig::link::Shape;
