--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -30,7 +30,8 @@
     }
     lines.extend(describe_limits(now, config, limits));
     let (datagrams, bytes) = members.sent();
-    let rejected: Vec<String> = members.spoilt().map(|(reason, count)| format!("{reason} {count}")).collect();
+    let rejected: Vec<String> =
+        members.rejected_datagrams().map(|(reason, count)| format!("{reason} {count}")).collect();
     lines.push(format!("sent {datagrams} datagrams, {bytes} bytes; passed over: {}", rejected.join(", ")));
     lines.join("\n")
 }
@@ -78,7 +79,7 @@
 
 /// Counters, as one line.
 pub(crate) fn counters_line(members: &Members, limits: &FleetLimits) -> String {
-    let rejected: u64 = members.spoilt().map(|(_, count)| count).sum();
+    let rejected: u64 = members.rejected_datagrams().map(|(_, count)| count).sum();
     let (datagrams, bytes) = members.sent();
     format!(
         "fleet_peers={} fleet_datagrams={datagrams} fleet_bytes={bytes} fleet_spoilt={rejected} fleet_limited={}",
--- a/crates/peers/src/members.rs
+++ b/crates/peers/src/members.rs
@@ -191,7 +191,7 @@
     up: BTreeMap<String, PeerIdentity>,
     out: Vec<(SocketAddr, Vec<u8>)>,
     events: Vec<Event>,
-    spoilt: BTreeMap<Spoilt, u64>,
+    rejected_datagrams: BTreeMap<Spoilt, u64>,
     sent: (u64, u64),
     /// When peers last took this router for gone (ns), as often as tells of another with its name.
     returns: VecDeque<u64>,
@@ -214,7 +214,7 @@
             up: BTreeMap::new(),
             out: Vec::new(),
             events: Vec::new(),
-            spoilt: BTreeMap::new(),
+            rejected_datagrams: BTreeMap::new(),
             sent: (0, 0),
             returns: VecDeque::new(),
             told_ns: None,
@@ -237,8 +237,10 @@
     }
 
     /// Datagrams that were passed over, by why.
-    pub fn spoilt(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
-        REJECT_REASONS.iter().map(|(why, name)| (*name, self.spoilt.get(why).copied().unwrap_or(0)))
+    pub fn rejected_datagrams(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+        REJECT_REASONS
+            .iter()
+            .map(|(why, name)| (*name, self.rejected_datagrams.get(why).copied().unwrap_or(0)))
     }
 
     /// Datagrams sent, and their bytes.
@@ -270,18 +272,18 @@
     /// Takes a datagram.
     pub fn hear(&mut self, now: u64, datagram: &[u8]) {
         match self.keys.open(datagram) {
-            Err(why) => *self.spoilt.entry(why).or_default() += 1,
+            Err(why) => *self.rejected_datagrams.entry(why).or_default() += 1,
             Ok((Kind::Members, content)) => {
                 // Guards against peers without end: what would add to a full table is passed over.
                 let full = self.foca.iter_membership_state().len() >= self.max_peers;
                 let heard = !full && self.run(now, |foca, runtime| foca.handle_data(content, runtime));
                 if !heard {
-                    *self.spoilt.entry(Spoilt::Content).or_default() += 1;
+                    *self.rejected_datagrams.entry(Spoilt::Content).or_default() += 1;
                 }
             }
             Ok((kind, content)) => match unpack_said(kind, content) {
                 Ok((from, said)) => self.events.push(Event::Payload(from, kind, said)),
-                Err(_) => *self.spoilt.entry(Spoilt::Content).or_default() += 1,
+                Err(_) => *self.rejected_datagrams.entry(Spoilt::Content).or_default() += 1,
             },
         }
     }
--- a/crates/peers/tests/fleet.rs
+++ b/crates/peers/tests/fleet.rs
@@ -253,7 +253,7 @@
     for kind in [Kind::Members, Kind::Limits] {
         hear(members, &keys('a').seal(kind, b"what is sealed but can't be read"));
     }
-    let counted: u64 = members.spoilt().map(|(_, n)| n).sum();
+    let counted: u64 = members.rejected_datagrams().map(|(_, n)| n).sum();
     assert_eq!(counted, sent);
     assert_eq!(members.take(), (vec![], vec![]), "nothing is answered, nothing became known");
     assert!(fleet.all_know(|_| true));
