--- a/crates/core/src/cold.rs
+++ b/crates/core/src/cold.rs
@@ -101,7 +101,7 @@
     pub fn limits(&self) -> Vec<Limit> {
         let limit = |kind: usize, at: usize| Limit {
             name: format!("cold engines of kind {kind}, {} classes", ["light", "heavy"][at]),
-            whom: "engine".into(),
+            subject: "engine".into(),
             kind: Kind::Window { units: self.units[kind][at], window_ns: self.window_ns },
             mode: Mode::Strict,
         };
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -53,7 +53,7 @@
 fn limit(routers: usize) -> Limit {
     // Each router owns two units of each key.
     let kind = Kind::Concurrency { at_once: 2 * routers as u32 };
-    Limit { name: "limit".into(), whom: "tenant".into(), kind, mode: Mode::Strict }
+    Limit { name: "limit".into(), subject: "tenant".into(), kind, mode: Mode::Strict }
 }
 
 struct Fleet {
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -114,7 +114,7 @@
     let mode = if bounded { Mode::Bounded { over: 0.5, for_ns: 6 * SECOND_NS } } else { Mode::Strict };
     let limit = Limit {
         name: "all".into(),
-        whom: String::new(),
+        subject: String::new(),
         kind: Kind::Concurrency { at_once: most as u32 },
         mode,
     };
@@ -235,7 +235,7 @@
         ("rate", Kind::Rate { per_s: f64::from(units), burst: units }),
     ];
     let told = kinds.map(|(name, kind)| {
-        let limit = Limit { name: name.into(), whom: String::new(), kind, mode: Mode::Strict };
+        let limit = Limit { name: name.into(), subject: String::new(), kind, mode: Mode::Strict };
         let mut fleet = loans::Fleet::new(limit, terms, 0.01, seed);
         fleet.tell_reachable();
         fleet.routers[3].demand = f64::from(units) * 2.0;
@@ -267,7 +267,7 @@
 fn alone() -> Value {
     let rate = |name: &str| Limit {
         name: name.into(),
-        whom: String::new(),
+        subject: String::new(),
         kind: Kind::Rate { per_s: 1e9, burst: 1_000_000 },
         mode: Mode::Strict,
     };
@@ -287,7 +287,7 @@
     let before = crate::HEAP.current_usage();
     let client = Limit {
         name: "client".into(),
-        whom: "client".into(),
+        subject: "client".into(),
         kind: Kind::Rate { per_s: 10.0, burst: 20 },
         mode: Mode::Strict,
     };
--- a/crates/limits/src/terms.rs
+++ b/crates/limits/src/terms.rs
@@ -44,7 +44,7 @@
     /// Its name.
     pub name: String,
     /// Whom it is for, as text: limits of one name that are for others are two.
-    pub whom: String,
+    pub subject: String,
     /// What is limited.
     pub kind: Kind,
     /// How it fails.
@@ -72,7 +72,7 @@
             Kind::Concurrency { .. } => "at once",
             Kind::Window { .. } => "window",
         };
-        stable_hash([self.name.as_bytes(), self.whom.as_bytes(), kind.as_bytes()])
+        stable_hash([self.name.as_bytes(), self.subject.as_bytes(), kind.as_bytes()])
     }
 
     /// Which of its sizes it has: units are lent only between routers that know it by the same.
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -17,7 +17,7 @@
 }
 
 fn limit(kind: Kind, mode: Mode) -> Limit {
-    Limit { name: "l".into(), whom: String::new(), kind, mode }
+    Limit { name: "l".into(), subject: String::new(), kind, mode }
 }
 
 fn kinds(draws: &mut StdRng) -> Kind {
--- a/crates/rig/src/hollow/fleet_side.rs
+++ b/crates/rig/src/hollow/fleet_side.rs
@@ -107,7 +107,7 @@
         let limit = |per_s: f64| LimitConfig {
             limit: Limit {
                 name: "statements".to_owned(),
-                whom: "tenant".to_owned(),
+                subject: "tenant".to_owned(),
                 kind: LimitKind::Rate { per_s, burst: per_s as u32 },
                 mode: Mode::Strict,
             },
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -257,7 +257,7 @@
     Some(LimitConfig {
         limit: Limit {
             name: name.to_owned(),
-            whom: [text(limit, "by"), text(limit, "tenant"), text(limit, "class")]
+            subject: [text(limit, "by"), text(limit, "tenant"), text(limit, "class")]
                 .map(Option::unwrap_or_default)
                 .join("/"),
             kind: limit_kind(number(limit, "rate"), number(limit, "burst"), number(limit, "at_once"))?,
