--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -85,13 +85,13 @@
     }
 
     /// What the fleet agrees on for limits, where requests are out for `longest_ns` at most.
-    pub fn terms(&self, longest_ns: u64) -> Terms {
+    pub fn terms(&self, max_request_ns: u64) -> Terms {
         let membership = MembershipSettings { routers: self.routers, ..MembershipSettings::default() };
         Terms {
             routers: self.routers,
             lease_ns: self.lease_ns,
             drift: self.drift,
-            longest_ns,
+            max_request_ns,
             orphan_ns: ORPHANED_ATTEMPT_NS,
             detection_ns: membership.max_detection_ns(),
         }
@@ -111,8 +111,8 @@
     }
 
     /// What follows for each limit and fault, and for engines' health, as lines for operators.
-    pub fn bounds(&self, longest_ns: u64) -> Vec<String> {
-        let terms = self.terms(longest_ns);
+    pub fn bounds(&self, max_request_ns: u64) -> Vec<String> {
+        let terms = self.terms(max_request_ns);
         let mut lines: Vec<String> = self.health_terms().iter().map(describe_health_bounds).collect();
         lines.extend(self.list.iter().flat_map(|list| list.bounds(self.routers)));
         for LimitConfig { limit, .. } in &self.limits {
@@ -188,7 +188,7 @@
         seconds(limit.kind.orphan_ns(terms)),
         terms.routers,
         stale_s(Fault::None),
-        stale_s(Fault::Cut),
+        stale_s(Fault::Partition),
         stale_s(Fault::AllRestarted),
     )
 }
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -109,8 +109,12 @@
     let nobody: Vec<usize> = (0..routers).collect();
     let whole = vec![0; routers];
     let halves: Vec<usize> = (0..routers).map(|at| usize::from(at >= routers / 2)).collect();
-    let terms =
-        Terms { routers: routers as u32, lease_ns: SECOND_NS, longest_ns: LONGEST_NS, ..Terms::default() };
+    let terms = Terms {
+        routers: routers as u32,
+        lease_ns: SECOND_NS,
+        max_request_ns: LONGEST_NS,
+        ..Terms::default()
+    };
     let mode = if bounded { Mode::Bounded { over: 0.5, for_ns: 6 * SECOND_NS } } else { Mode::Strict };
     let limit = Limit {
         name: "all".into(),
@@ -156,11 +160,11 @@
             let mut both = vec![0.0; routers];
             (both[0], both[routers - 1]) = (all, all);
             fleet.ask_at(&if bounded { vec![all / 4.0; routers] } else { both });
-            fleet.run(Duration::from_nanos(bound(&limit, &terms, Fault::Cut).max_idle_ns))?;
+            fleet.run(Duration::from_nanos(bound(&limit, &terms, Fault::Partition).max_idle_ns))?;
             told.insert("used_share_cut".into(), json!(used(&mut fleet, most)?));
             fleet.cut_into(&whole);
             fleet.ask_at(&one);
-            regain(&mut fleet, &mut told, most, Fault::Cut)?;
+            regain(&mut fleet, &mut told, most, Fault::Partition)?;
         }
         Schedule::OneWay => {
             for to in 1..routers {
@@ -210,7 +214,7 @@
         }
     }
     let share = used(&mut fleet, most)?;
-    let allowed = bound(&limit, &terms, Fault::Cut).max_overshoot;
+    let allowed = bound(&limit, &terms, Fault::Partition).max_overshoot;
     let over = (fleet.held_most as f64 / most as f64 - 1.0).max(0.0);
     let counters = fleet.counters(Duration::from_secs(5))?;
     let seconds = (fleet.now() - fleet.routers[routers - 1].started_ns) as f64 / 1e9;
@@ -228,7 +232,7 @@
 
 /// The same machines for many routers in stepped time.
 fn stepped(routers: u32, seed: u64) -> Value {
-    let terms = Terms { routers, longest_ns: 2 * SECOND_NS, ..Terms::default() };
+    let terms = Terms { routers, max_request_ns: 2 * SECOND_NS, ..Terms::default() };
     let units = routers * UNITS_EACH as u32;
     let kinds = [
         ("concurrency", Kind::Concurrency { at_once: units }),
--- a/crates/limits/src/bound.rs
+++ b/crates/limits/src/bound.rs
@@ -9,7 +9,7 @@
     /// Nothing is broken.
     None,
     /// The fleet is cut into parts, or links carry one way only, or lose, double and reorder.
-    Cut,
+    Partition,
     /// A router that holds borrowed units died; what it had out may run on.
     HolderCrashed,
     /// A router stood still past the end of its loans, and goes on.
@@ -27,7 +27,7 @@
 /// All of them, with their names.
 pub const FAULTS: [(Fault, &str); 8] = [
     (Fault::None, "no fault"),
-    (Fault::Cut, "a cut, one-way or lossy links"),
+    (Fault::Partition, "a cut, one-way or lossy links"),
     (Fault::HolderCrashed, "a holder died"),
     (Fault::HolderPaused, "a holder stood still"),
     (Fault::OwnerRestarted, "an owner died and is back"),
@@ -54,7 +54,7 @@
     // What was admitted within the time is out for longer.
     let out_ns = match limit.kind {
         Kind::Rate { .. } => 0,
-        Kind::Concurrency { .. } => terms.longest_ns + terms.orphan_ns,
+        Kind::Concurrency { .. } => terms.max_request_ns + terms.orphan_ns,
         Kind::Window { window_ns, .. } => window_ns,
     };
     let allowed = match limit.mode {
@@ -73,7 +73,7 @@
         // A unit that is not needed is returned or runs out within a lease.
         Fault::None | Fault::HolderPaused => (over(0.0, 0), terms.owner_lease_ns()),
         Fault::UnknownPeer => (over(0.0, 0), terms.owner_lease_ns()),
-        Fault::Cut => (allowed, lent),
+        Fault::Partition => (allowed, lent),
         Fault::HolderCrashed => (allowed, lent),
         Fault::OwnerRestarted => (allowed, terms.grace_ns(limit.kind)),
         // Everybody is asked as soon as it is found, and says what it holds; else all that was lent runs out. What ran
--- a/crates/limits/src/terms.rs
+++ b/crates/limits/src/terms.rs
@@ -96,7 +96,7 @@
     /// How far a clock may run from true time (share): a clock's second is this much longer or shorter at most.
     pub drift: f64,
     /// The longest that an admitted request is out (ns).
-    pub longest_ns: u64,
+    pub max_request_ns: u64,
     /// What a router that died had out may run on for so long (ns).
     pub orphan_ns: u64,
     /// A peer that can't be reached is known to be so within this time (ns).
@@ -109,7 +109,7 @@
             routers: 1,
             lease_ns: 2_000_000_000,
             drift: 0.01,
-            longest_ns: 25_000_000_000,
+            max_request_ns: 25_000_000_000,
             orphan_ns: 2_000_000_000,
             detection_ns: 3_000_000_000,
         }
@@ -131,7 +131,7 @@
     pub fn drain_ns(self, terms: &Terms) -> u64 {
         match self {
             Kind::Rate { .. } => 0,
-            Kind::Concurrency { .. } => terms.peer_ns_upper_bound(terms.longest_ns + terms.orphan_ns),
+            Kind::Concurrency { .. } => terms.peer_ns_upper_bound(terms.max_request_ns + terms.orphan_ns),
             Kind::Window { window_ns, .. } => terms.peer_ns_upper_bound(window_ns),
         }
     }
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -13,7 +13,7 @@
 use rand::{Rng, SeedableRng};
 
 fn terms(routers: u32) -> Terms {
-    Terms { routers, longest_ns: 2 * S, ..Terms::default() }
+    Terms { routers, max_request_ns: 2 * S, ..Terms::default() }
 }
 
 fn limit(kind: Kind, mode: Mode) -> Limit {
@@ -223,7 +223,9 @@
     println!("regained after {:.1} s", (fleet.now - healed) as f64 / 1e9);
     assert!(
         fleet.now
-            < healed + fleet.terms.peer_ns_upper_bound(fleet.terms.lease_ns + fleet.terms.longest_ns) + 2 * S
+            < healed
+                + fleet.terms.peer_ns_upper_bound(fleet.terms.lease_ns + fleet.terms.max_request_ns)
+                + 2 * S
     );
 }
 
--- a/crates/rig/src/loans.rs
+++ b/crates/rig/src/loans.rs
@@ -244,7 +244,7 @@
                 self.admitted += 1;
                 self.level += 1.0;
                 self.sent.push_back(true_now);
-                let lasts = self.draws.gen_range(50 * MS..self.terms.longest_ns);
+                let lasts = self.draws.gen_range(50 * MS..self.terms.max_request_ns);
                 router.out.push((true_now + lasts, ticket));
             }
         }
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -104,7 +104,7 @@
     fleet.cut_into(&[0, 0, 0, 1, 1, 1]);
     // The other half asks too.
     fleet.ask_at(&[80.0, 0.0, 0.0, 80.0, 0.0, 0.0]);
-    let limit = idle_at_most(Fault::Cut);
+    let limit = idle_at_most(Fault::Partition);
     until(&mut fleet, limit, "both halves use theirs", |f| {
         let by = |router: usize| f.loads[router].open();
         by(0) >= 4 && by(3) >= 4 && f.held() >= MOST - 2
