--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -148,7 +148,7 @@
         let wants: Vec<(u16, u64)> = rules.map(|(at, rule)| (*at, self.key(rule, ask))).collect();
         self.node.admit(now, &wants).map_err(|refused| {
             *self.refused.entry(refused.limit).or_default() += 1;
-            refused.after_ns
+            refused.retry_after_ns
         })
     }
 
--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -13,7 +13,7 @@
     /// The limit, by its place in the file.
     pub limit: usize,
     /// When it is worth another try (ns from now).
-    pub after_ns: u64,
+    pub retry_after_ns: u64,
 }
 
 /// What a request was admitted by: to be given back once it is over.
@@ -50,7 +50,7 @@
     /// Whether a limit and key admit a request, which counts as demand in any case.
     fn consider(&mut self, now: u64, limit: u16, key: u64) -> Verdict {
         let retry_ns = 2 * self.terms.round_ns();
-        let refused = |after_ns| Refused { limit: usize::from(limit), after_ns };
+        let refused = |retry_after_ns| Refused { limit: usize::from(limit), retry_after_ns };
         if !self.track(now, limit, key) {
             let admits = self.sketch_admits(now, limit, key, false);
             return if admits { Ok(None) } else { Err(refused(retry_ns)) };
@@ -63,8 +63,8 @@
         if admits {
             return Ok(Some(usable));
         }
-        let after_ns = entry.meter.again_ns(kind, usable).unwrap_or(retry_ns);
-        Err(refused(after_ns.max(MIN_RETRY_NS)))
+        let retry_after_ns = entry.meter.again_ns(kind, usable).unwrap_or(retry_ns);
+        Err(refused(retry_after_ns.max(MIN_RETRY_NS)))
     }
 
     /// Counts an admitted request.
