--- a/crates/fleet/src/reload.rs
+++ b/crates/fleet/src/reload.rs
@@ -5,7 +5,7 @@
 use log::{info, warn};
 use marljunction_control::interface::Settings;
 use marljunction_core::limits::{FleetLimits, Rule};
-use marljunction_limits::bound::change;
+use marljunction_limits::bound::resize_bound;
 use marljunction_limits::{Limit, Terms};
 use marljunction_settings::Names;
 
@@ -73,7 +73,7 @@
         return info!("limit {}: new, its shares are used once all that peers may hold is over", limit.name);
     };
     if before.version() != limit.version() {
-        let bound = change(before, limit, terms);
+        let bound = resize_bound(before, limit, terms);
         info!(
             "limit {}: changed; over by {:.1}% at most until all routers know it and for {:.1} s more",
             limit.name,
--- a/crates/limits/src/bound.rs
+++ b/crates/limits/src/bound.rs
@@ -90,7 +90,7 @@
 
 /// How far over its new size a limit can be once the operator's file says another, until all routers have read it and for so long
 /// after the last of them did (ns): each goes by the size that it knows, and lends only to those that know the same.
-pub fn change(before: &Limit, after: &Limit, terms: &Terms) -> Bound {
+pub fn resize_bound(before: &Limit, after: &Limit, terms: &Terms) -> Bound {
     let size = |limit: &Limit| match limit.kind {
         Kind::Rate { per_s, .. } => per_s,
         kind => f64::from(kind.units().max(1)),
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use marljunction_limits::bound::{bound, change, Fault, FAULTS};
+use marljunction_limits::bound::{bound, resize_bound, Fault, FAULTS};
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::node::{Node, Ticket};
 use marljunction_limits::{Kind, Limit, Mode, Terms};
@@ -83,7 +83,7 @@
         }
     }
     let mixed = fleet.worst;
-    let left = change(&old, &new, &terms);
+    let left = resize_bound(&old, &new, &terms);
     fleet.run(left.max_idle_ns / 1_000_000 + 1);
     fleet.limit = new;
     fleet.worst = 0.0;
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -7,7 +7,7 @@
 
 use marljunction::setup::Setup as Operator;
 use marljunction_fleet::FleetConfig;
-use marljunction_limits::bound::{bound, change, Fault};
+use marljunction_limits::bound::{bound, resize_bound, Fault};
 use marljunction_limits::{Kind, Limit};
 use marljunction_rig::fleet::{classes, Fleet, Setup};
 use marljunction_rig::link::Shape;
@@ -219,7 +219,7 @@
     let file = file();
     let old = &file.limits[0].limit;
     let new = Limit { kind: Kind::Concurrency { at_once: 6 }, ..old.clone() };
-    let left = change(old, &new, &file.terms(4_500_000_000));
+    let left = resize_bound(old, &new, &file.terms(4_500_000_000));
     assert!((left.max_overshoot - 1.0).abs() < 1e-9, "twelve are one time over six");
     fleet.run(Duration::from_nanos(left.overshoot_ns)).unwrap();
     fleet.held_most = 0;
