--- a/crates/core/src/cold.rs
+++ b/crates/core/src/cold.rs
@@ -139,7 +139,7 @@
     }
 
     /// A client asks for a query of a class: units are wanted where this router owns some, then in its own order of engines.
-    pub fn want(&mut self, now: u64, node: &mut Node, class: ClassId) {
+    pub fn add_demand(&mut self, now: u64, node: &mut Node, class: ClassId) {
         let mut order: Vec<(bool, u64, u16, u64, u32, u32)> = Vec::new();
         for (id, engine) in self.engines.iter().filter(|(_, e)| e.ready && now < e.until_ns) {
             let Some(lane) = self.lanes[engine.kind].get(class.0) else { return };
@@ -155,7 +155,7 @@
         };
         let found = order.iter().find(fits).or(order.first()).copied();
         if let Some((.., limit, key, _, _)) = found {
-            node.want(now, limit, key, cost);
+            node.add_demand(now, limit, key, cost);
         }
     }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -520,7 +520,7 @@
     fn show(&mut self, now: u64, id: RequestId, out: &mut Vec<Command>) {
         let Some(open) = self.open.get(&id) else { return };
         let ask = &open.ask;
-        self.limits.iter_mut().for_each(|limits| limits.want(now, ask.class));
+        self.limits.iter_mut().for_each(|limits| limits.add_demand(now, ask.class));
         let request = Request {
             id,
             class: ask.class,
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -71,9 +71,9 @@
     }
 
     /// A request is about to be shown to the module.
-    pub fn want(&mut self, now: u64, class: ClassId) {
+    pub fn add_demand(&mut self, now: u64, class: ClassId) {
         if let Some(cold) = &mut self.cold {
-            cold.want(now, &mut self.node, class);
+            cold.add_demand(now, &mut self.node, class);
         }
     }
 
--- a/crates/limits/src/node.rs
+++ b/crates/limits/src/node.rs
@@ -92,7 +92,7 @@
     }
 
     /// Own clients would send so many units' worth under a window's limit, whether they may or not.
-    pub fn want(&mut self, now: u64, limit: u16, key: u64, units: f64) {
+    pub fn add_demand(&mut self, now: u64, limit: u16, key: u64, units: f64) {
         self.ledger.settle(now, limit, key);
         if let Some(entry) = self.ledger.keys.get_mut(&(limit, key)) {
             entry.demand.add(units);
