--- a/crates/limits/src/bound.rs
+++ b/crates/limits/src/bound.rs
@@ -65,7 +65,7 @@
             over(f64::from(extra) / f64::from(units), for_ns + out_ns)
         }
     };
-    let lent = terms.owner_lease_ns() + limit.kind.drain_ns(terms);
+    let leased_out = terms.owner_lease_ns() + limit.kind.drain_ns(terms);
     // What is free is lent once somebody asks for it: one that was told that there is nothing asks again after a while.
     let asked = terms.exhausted_backoff_ns() + terms.round_ns();
     let largest = (0..terms.routers).map(|me| terms.share(units, me, 0)).max().unwrap_or(0);
@@ -73,8 +73,8 @@
         // A unit that is not needed is returned or runs out within a lease.
         Fault::None | Fault::HolderPaused => (over(0.0, 0), terms.owner_lease_ns()),
         Fault::UnknownPeer => (over(0.0, 0), terms.owner_lease_ns()),
-        Fault::Partition => (allowed, lent),
-        Fault::HolderCrashed => (allowed, lent),
+        Fault::Partition => (allowed, leased_out),
+        Fault::HolderCrashed => (allowed, leased_out),
         Fault::OwnerRestarted => (allowed, terms.grace_ns(limit.kind)),
         // Everybody is asked as soon as it is found, and says what it holds; else all that was lent runs out. What ran
         // before runs on.
@@ -83,7 +83,7 @@
             (allowed, found.min(terms.grace_ns(limit.kind)))
         }
         // Each uses the share for itself for as long as they are two.
-        Fault::DuplicateNumber => (over(f64::from(largest) / f64::from(units), u64::MAX), lent),
+        Fault::DuplicateNumber => (over(f64::from(largest) / f64::from(units), u64::MAX), leased_out),
     };
     Bound { max_overshoot, overshoot_ns, max_idle_ns: max_idle_ns + asked }
 }
@@ -96,8 +96,12 @@
         kind => f64::from(kind.units().max(1)),
     };
     let max_overshoot = (size(before) / size(after) - 1.0).max(0.0);
-    let lent = terms.owner_lease_ns() + after.kind.drain_ns(terms);
-    Bound { max_overshoot, overshoot_ns: if max_overshoot > 0.0 { lent } else { 0 }, max_idle_ns: lent }
+    let leased_out = terms.owner_lease_ns() + after.kind.drain_ns(terms);
+    Bound {
+        max_overshoot,
+        overshoot_ns: if max_overshoot > 0.0 { leased_out } else { 0 },
+        max_idle_ns: leased_out,
+    }
 }
 
 /// Whole units beyond its own that a router may use while peers can't be reached, of a limit that may be over by this share.
--- a/crates/limits/src/escrow.rs
+++ b/crates/limits/src/escrow.rs
@@ -79,8 +79,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Escrow {
     owned: u32,
-    lent: BTreeMap<Peer, Lent>,
-    borrowed: BTreeMap<u32, Borrowed>,
+    leased_out: BTreeMap<Peer, Lent>,
+    leased_in: BTreeMap<u32, Borrowed>,
     /// What an owner of an earlier life of ours can't know: all is lent until then (ns).
     quiet_until_ns: u64,
 }
@@ -102,15 +102,20 @@
     pub fn resize(&mut self, now: u64, owned: u32, worth: bool) {
         self.pass(now);
         self.owned = owned;
-        for borrowed in self.borrowed.values_mut() {
-            borrowed.usable.cut(0);
+        for leased_in in self.leased_in.values_mut() {
+            leased_in.usable.cut(0);
             // Answers that are still on their way speak of the old size.
-            borrowed.asked.clear();
-            borrowed.settled = true;
+            leased_in.asked.clear();
+            leased_in.settled = true;
         }
         if worth {
             self.hold_back(
-                self.lent.values().flat_map(|l| &l.holdings.0).map(|(_, until)| *until).max().unwrap_or(0),
+                self.leased_out
+                    .values()
+                    .flat_map(|l| &l.holdings.0)
+                    .map(|(_, until)| *until)
+                    .max()
+                    .unwrap_or(0),
             );
         }
     }
@@ -122,13 +127,13 @@
 
     /// Passes time: what has run out is forgotten.
     pub fn pass(&mut self, now: u64) {
-        self.lent.values_mut().for_each(|lent| lent.holdings.pass(now));
-        self.lent.retain(|_, lent| !lent.holdings.0.is_empty());
-        for borrowed in self.borrowed.values_mut() {
-            borrowed.usable.pass(now);
-            borrowed.covering.pass(now);
+        self.leased_out.values_mut().for_each(|leased_out| leased_out.holdings.pass(now));
+        self.leased_out.retain(|_, leased_out| !leased_out.holdings.0.is_empty());
+        for leased_in in self.leased_in.values_mut() {
+            leased_in.usable.pass(now);
+            leased_in.covering.pass(now);
         }
-        self.borrowed.retain(|_, b| !b.covering.0.is_empty() || !b.settled);
+        self.leased_in.retain(|_, b| !b.covering.0.is_empty() || !b.settled);
     }
 
     /// Own units that nobody else may use from `since` on (count).
@@ -141,45 +146,45 @@
 
     /// Units lent (count).
     pub fn lent_out(&self) -> u32 {
-        self.lent.values().map(|lent| lent.holdings.units(0)).sum()
+        self.leased_out.values().map(|leased_out| leased_out.holdings.units(0)).sum()
     }
 
     /// Units borrowed that may be used now (count).
-    pub fn borrowed(&self, now: u64) -> u32 {
-        self.borrowed.values().map(|b| b.usable.units(now)).sum()
+    pub fn leased_in(&self, now: u64) -> u32 {
+        self.leased_in.values().map(|b| b.usable.units(now)).sum()
     }
 
     /// Units that may be used now (count). Call [`Escrow::pass`] first.
     pub fn usable(&self, now: u64) -> u32 {
-        self.own(now) + self.borrowed(now)
+        self.own(now) + self.leased_in(now)
     }
 
     /// Units that could be used all the time from `since` to `now`, where nothing but time passed between (count).
     pub fn steady(&self, since: u64, now: u64) -> u32 {
-        self.own(since) + self.borrowed(now)
+        self.own(since) + self.leased_in(now)
     }
 
     /// Nothing of it is out, so that it may be forgotten.
     pub fn is_still(&self, now: u64) -> bool {
-        now >= self.quiet_until_ns && self.lent_out() == 0 && self.borrowed(now) == 0
+        now >= self.quiet_until_ns && self.lent_out() == 0 && self.leased_in(now) == 0
     }
 
     /// Each owner of which something is held, or to whom a return was not confirmed, and how many units: those past their end
     /// too while they cover what was admitted on them.
     pub fn held(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
-        self.borrowed.iter().map(|(owner, b)| (*owner, b.covering.units(0)))
+        self.leased_in.iter().map(|(owner, b)| (*owner, b.covering.units(0)))
     }
 
     /// Asks to hold so many of an owner's units, under a number above all before. What is asked for less than is held is
     /// given up now: nothing may be out on it.
     pub fn ask(&mut self, now: u64, owner: u32, units: u32, number: u64) {
-        let borrowed = self.borrowed.entry(owner).or_default();
-        borrowed.usable.cut(units);
-        borrowed.covering.cut(units);
-        borrowed.settled = false;
-        borrowed.asked.push((number, now, units));
-        if borrowed.asked.len() > ASKED_MOST {
-            borrowed.asked.remove(0);
+        let leased_in = self.leased_in.entry(owner).or_default();
+        leased_in.usable.cut(units);
+        leased_in.covering.cut(units);
+        leased_in.settled = false;
+        leased_in.asked.push((number, now, units));
+        if leased_in.asked.len() > ASKED_MOST {
+            leased_in.asked.remove(0);
         }
     }
 
@@ -192,21 +197,21 @@
         units: u32,
         (terms, drain_ns): (&Terms, u64),
     ) -> Option<u32> {
-        let borrowed = self.borrowed.get_mut(&owner.number)?;
-        let at = borrowed.asked.iter().position(|(n, ..)| *n == number)?;
-        if owner.life < borrowed.life {
+        let leased_in = self.leased_in.get_mut(&owner.number)?;
+        let at = leased_in.asked.iter().position(|(n, ..)| *n == number)?;
+        if owner.life < leased_in.life {
             return None;
         }
-        let (_, asked_ns, wanted) = borrowed.asked[at];
+        let (_, asked_ns, wanted) = leased_in.asked[at];
         // What was asked for since bounds it: the owner may have heard that first.
-        let most = borrowed.asked[at..].iter().map(|(.., units)| *units).min().unwrap_or(0);
-        borrowed.settled |= at + 1 == borrowed.asked.len();
-        borrowed.life = owner.life;
-        borrowed.asked.drain(..=at);
+        let most = leased_in.asked[at..].iter().map(|(.., units)| *units).min().unwrap_or(0);
+        leased_in.settled |= at + 1 == leased_in.asked.len();
+        leased_in.life = owner.life;
+        leased_in.asked.drain(..=at);
         let until = asked_ns.saturating_add(terms.lease_ns);
         if now < until {
-            borrowed.usable.add(units.min(most), until);
-            borrowed.covering.add(units.min(most), until.saturating_add(drain_ns));
+            leased_in.usable.add(units.min(most), until);
+            leased_in.covering.add(units.min(most), until.saturating_add(drain_ns));
         }
         Some(wanted)
     }
@@ -221,50 +226,50 @@
         keep: u32,
         (terms, drain_ns): (&Terms, u64),
     ) -> Option<u32> {
-        if self.lent.keys().any(|peer| peer.number == from.number && peer.life > from.life) {
+        if self.leased_out.keys().any(|peer| peer.number == from.number && peer.life > from.life) {
             return None;
         }
         let quiet = now < self.quiet_until_ns;
         let others: u32 =
-            self.lent.iter().filter(|(peer, _)| **peer != from).map(|(_, l)| l.holdings.units(0)).sum();
-        let lent = self.lent.entry(from).or_default();
-        if number <= lent.heard {
+            self.leased_out.iter().filter(|(peer, _)| **peer != from).map(|(_, l)| l.holdings.units(0)).sum();
+        let leased_out = self.leased_out.entry(from).or_default();
+        if number <= leased_out.heard {
             return None;
         }
-        lent.heard = number;
+        leased_out.heard = number;
         // It has stopped using what it does not ask for.
-        lent.holdings.cut(units);
+        leased_out.holdings.cut(units);
         let free = if quiet { 0 } else { self.owned.saturating_sub(others.saturating_add(keep)) };
         let granted = units.min(free);
-        lent.holdings.add(granted, now.saturating_add(terms.owner_lease_ns()).saturating_add(drain_ns));
+        leased_out.holdings.add(granted, now.saturating_add(terms.owner_lease_ns()).saturating_add(drain_ns));
         Some(granted)
     }
 
     /// A later life of a peer was heard: what its earlier lives hold is over once what they had out has run on.
     pub fn outlived(&mut self, by: Peer, until_ns: u64) {
         let earlier = |peer: &Peer| peer.number == by.number && peer.life < by.life;
-        for (_, lent) in self.lent.iter_mut().filter(|(peer, _)| earlier(peer)) {
-            lent.holdings.0.iter_mut().for_each(|(_, until)| *until = (*until).min(until_ns));
+        for (_, leased_out) in self.leased_out.iter_mut().filter(|(peer, _)| earlier(peer)) {
+            leased_out.holdings.0.iter_mut().for_each(|(_, until)| *until = (*until).min(until_ns));
         }
     }
 
     /// What is held of an owner that has started again and asks: units, and for how long they still cover what is out (ns).
     /// Answers of its earlier lives are believed no longer.
     pub fn told(&mut self, now: u64, owner: Peer) -> Vec<(u32, u64)> {
-        let Some(borrowed) = self.borrowed.get_mut(&owner.number) else { return Vec::new() };
-        if owner.life > borrowed.life {
-            borrowed.life = owner.life;
+        let Some(leased_in) = self.leased_in.get_mut(&owner.number) else { return Vec::new() };
+        if owner.life > leased_in.life {
+            leased_in.life = owner.life;
             // An answer that is still on its way was given by the earlier life.
-            borrowed.asked.clear();
-            borrowed.settled = true;
+            leased_in.asked.clear();
+            leased_in.settled = true;
         }
         let left = |(units, until): &(u32, u64)| (*until > now).then(|| (*units, until - now));
-        borrowed.covering.0.iter().filter_map(left).collect()
+        leased_in.covering.0.iter().filter_map(left).collect()
     }
 
     /// A peer says that it holds units of ours, lent by an earlier life, for so long still by its clock (ns).
     pub fn holds(&mut self, now: u64, from: Peer, units: u32, left_ns: u64, terms: &Terms) {
         let left = terms.peer_ns_upper_bound(left_ns);
-        self.lent.entry(from).or_default().holdings.add(units, now.saturating_add(left));
+        self.leased_out.entry(from).or_default().holdings.add(units, now.saturating_add(left));
     }
 }
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -47,9 +47,9 @@
     /// Units that it owns.
     pub owned: u32,
     /// Of these, lent.
-    pub lent: u32,
+    pub leased_out: u32,
     /// Units borrowed.
-    pub borrowed: u32,
+    pub leased_in: u32,
     /// Units that may be used.
     pub usable: u32,
     /// Admissions out.
@@ -262,8 +262,8 @@
         let Some(entry) = self.keys.get(&(limit, key)) else {
             return KeyStatus { owned, ..KeyStatus::default() };
         };
-        let (lent, borrowed) = (entry.escrow.lent_out(), entry.escrow.borrowed(now));
-        KeyStatus { owned, lent, borrowed, usable, out: entry.meter.out() }
+        let (leased_out, leased_in) = (entry.escrow.lent_out(), entry.escrow.leased_in(now));
+        KeyStatus { owned, leased_out, leased_in, usable, out: entry.meter.out() }
     }
 
     /// The keys of a limit that use most, and what is known of them.
@@ -271,7 +271,7 @@
         let keys: Vec<u64> = self.keys_of(limit).collect();
         let mut all: Vec<(u64, KeyStatus)> =
             keys.into_iter().map(|key| (key, self.look(now, limit, key))).collect();
-        all.sort_by_key(|(key, look)| (std::cmp::Reverse((look.out, look.borrowed, look.lent)), *key));
+        all.sort_by_key(|(key, look)| (std::cmp::Reverse((look.out, look.leased_in, look.leased_out)), *key));
         all.truncate(SHOWN);
         all
     }
--- a/crates/limits/src/node.rs
+++ b/crates/limits/src/node.rs
@@ -74,7 +74,7 @@
         }
         self.ledger.settle(now, limit, key);
         let entry = self.ledger.keys.get(&(limit, key));
-        entry.map_or(0, |entry| entry.escrow.own(now) + entry.escrow.borrowed(until))
+        entry.map_or(0, |entry| entry.escrow.own(now) + entry.escrow.leased_in(until))
     }
 
     /// Units of a key that this router owns (count).
--- a/crates/limits/src/terms.rs
+++ b/crates/limits/src/terms.rs
@@ -184,9 +184,9 @@
 
     /// How long a router that has just started has to take all of its own units for lent, where it can't ask everybody (ns).
     pub fn grace_ns(&self, kind: Kind) -> u64 {
-        let lent = self.owner_lease_ns() + kind.drain_ns(self);
+        let leased_out = self.owner_lease_ns() + kind.drain_ns(self);
         // By its own clock, which may be fast; and what it had out itself before it died runs on.
-        lent.max(self.peer_ns_upper_bound(kind.orphan_ns(self)))
+        leased_out.max(self.peer_ns_upper_bound(kind.orphan_ns(self)))
     }
 
     /// The units that router `me` owns of a limit cut into `units`, of the key with this hash: whole ones, and over all
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -117,12 +117,14 @@
                 let now = fleet.now;
                 fleet.routers[at].node.as_mut().unwrap().look(now, 0, 0)
             };
-            assert!(look(&mut fleet, 0).lent >= old / 2 - 1 && look(&mut fleet, 1).borrowed >= old / 2 - 1);
+            assert!(
+                look(&mut fleet, 0).leased_out >= old / 2 - 1 && look(&mut fleet, 1).leased_in >= old / 2 - 1
+            );
             fleet.resize(changed, of(new));
             let after = look(&mut fleet, changed);
             match changed {
                 0 => assert_eq!(after.usable, 0, "units are lent by their old worth still"),
-                _ => assert_eq!((after.borrowed, after.usable), (0, new / 2), "borrowed by their old worth"),
+                _ => assert_eq!((after.leased_in, after.usable), (0, new / 2), "borrowed by their old worth"),
             }
             fleet.resize(1 - changed, of(new));
             fleet.run(5_000);
--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -161,7 +161,7 @@
         vec![
             Property::always("never over", |_, state| Loans::usable(state) <= 2 * OWNED),
             Property::sometimes("one uses all", |_, state: &Fleet| {
-                state.nodes.iter().any(|node| node.escrow.borrowed(state.now) == OWNED)
+                state.nodes.iter().any(|node| node.escrow.leased_in(state.now) == OWNED)
             }),
         ]
     }
