--- a/crates/core/src/cold.rs
+++ b/crates/core/src/cold.rs
@@ -151,7 +151,7 @@
         let cost = self.costs[class.0];
         let fits = |(.., limit, key, units, owned): &&(bool, u64, u16, u64, u32, u32)| {
             let most = f64::from(*owned).max((f64::from(*units) * WANTED_MOST).ceil());
-            node.wants(now, *limit, *key) + cost <= most
+            node.window_demand(now, *limit, *key) + cost <= most
         };
         let found = order.iter().find(fits).or(order.first()).copied();
         if let Some((.., limit, key, _, _)) = found {
