--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -30,14 +30,14 @@
 }
 
 /// How one limit and key look at a request: the units that may be used, none where the key is not tracked; or why not.
-type Verdict = Result<Option<u32>, Refused>;
+type Decision = Result<Option<u32>, Refused>;
 
 impl Ledger {
     /// Admits a request by all of its limits and keys, or by none.
     pub(crate) fn admit(&mut self, now: u64, wants: &[(u16, u64)]) -> Result<Ticket, Refused> {
         // All of them count the request as demand, whichever refuses it.
-        let verdicts: Vec<Verdict> =
-            wants.iter().map(|(limit, key)| self.consider(now, *limit, *key)).collect();
+        let verdicts: Vec<Decision> =
+            wants.iter().map(|(limit, key)| self.check(now, *limit, *key)).collect();
         let usable = verdicts.into_iter().collect::<Result<Vec<_>, Refused>>()?;
         let mut ticket = Ticket(Vec::with_capacity(wants.len()));
         for ((limit, key), usable) in wants.iter().copied().zip(usable) {
@@ -48,22 +48,22 @@
     }
 
     /// Whether a limit and key admit a request, which counts as demand in any case.
-    fn consider(&mut self, now: u64, limit: u16, key: u64) -> Verdict {
-        let retry_ns = 2 * self.terms.round_ns();
+    fn check(&mut self, now: u64, limit: u16, key: u64) -> Decision {
+        let retry_ns = 2 * self.terms.request_interval_ns();
         let refused = |retry_after_ns| Refused { limit: usize::from(limit), retry_after_ns };
         if !self.track(now, limit, key) {
-            let admits = self.sketch_admits(now, limit, key, false);
+            let admits = self.admit_by_sketch(now, limit, key, false);
             return if admits { Ok(None) } else { Err(refused(retry_ns)) };
         }
         let kind = self.kind(limit);
         let usable = self.settle(now, limit, key);
         let Some(entry) = self.keys.get_mut(&(limit, key)) else { return Ok(Some(usable)) };
         let admits = entry.meter.admits(kind, usable);
-        entry.demand.count_request(kind, &self.terms, entry.meter.out(), admits);
+        entry.demand.record_request(kind, &self.terms, entry.meter.in_flight(), admits);
         if admits {
             return Ok(Some(usable));
         }
-        let retry_after_ns = entry.meter.again_ns(kind, usable).unwrap_or(retry_ns);
+        let retry_after_ns = entry.meter.retry_after_ns(kind, usable).unwrap_or(retry_ns);
         Err(refused(retry_after_ns.max(MIN_RETRY_NS)))
     }
 
@@ -73,16 +73,16 @@
         let until_ns = now.saturating_add(kind.window_charge_ns(&self.terms));
         match (usable, self.keys.get_mut(&(limit, key))) {
             (Some(usable), Some(entry)) => drop(entry.meter.admit(until_ns, kind, usable)),
-            _ => drop(self.sketch_admits(now, limit, key, true)),
+            _ => drop(self.admit_by_sketch(now, limit, key, true)),
         }
     }
 
     /// Whether a key that found no place in the table is admitted on its router's own share; it counts where it `counts`.
-    fn sketch_admits(&mut self, now: u64, limit: u16, key: u64, counts: bool) -> bool {
+    fn admit_by_sketch(&mut self, now: u64, limit: u16, key: u64, counts: bool) -> bool {
         let kind = self.kind(limit);
         let of = (kind, self.owned(limit, key), self.terms.drift);
         let slot = &mut self.slots[usize::from(limit)];
-        if now < slot.quiet_until_ns || matches!(kind, Kind::Window { .. }) {
+        if now < slot.grace_until_ns || matches!(kind, Kind::Window { .. }) {
             return false;
         }
         let sketch = slot.sketch.get_or_insert_with(|| Sketch::new(now));
@@ -98,8 +98,8 @@
             let kind = self.kind(limit);
             let sketch = self.slots[usize::from(limit)].sketch.as_mut().filter(|_| by_sketch);
             match (sketch, self.keys.get_mut(&(limit, key))) {
-                (Some(sketch), _) => sketch.over(key, kind),
-                (None, Some(entry)) => entry.meter.over(),
+                (Some(sketch), _) => sketch.release(key, kind),
+                (None, Some(entry)) => entry.meter.release(),
                 _ => {}
             }
         }
--- a/crates/limits/src/bound.rs
+++ b/crates/limits/src/bound.rs
@@ -61,13 +61,14 @@
         Mode::Strict => over(0.0, 0),
         Mode::Bounded { over: share, for_ns } => {
             // Each router's part is whole units, rounded down.
-            let extra: u32 = (0..terms.routers).map(|me| extra(terms.share(units, me, 0), share)).sum();
-            over(f64::from(extra) / f64::from(units), for_ns + out_ns)
+            let overshoot_units: u32 =
+                (0..terms.routers).map(|me| overshoot_units(terms.share(units, me, 0), share)).sum();
+            over(f64::from(overshoot_units) / f64::from(units), for_ns + out_ns)
         }
     };
     let leased_out = terms.owner_lease_ns() + limit.kind.drain_ns(terms);
     // What is free is lent once somebody asks for it: one that was told that there is nothing asks again after a while.
-    let asked = terms.exhausted_backoff_ns() + terms.round_ns();
+    let asked = terms.exhausted_backoff_ns() + terms.request_interval_ns();
     let largest = (0..terms.routers).map(|me| terms.share(units, me, 0)).max().unwrap_or(0);
     let ((max_overshoot, overshoot_ns), max_idle_ns) = match fault {
         // A unit that is not needed is returned or runs out within a lease.
@@ -105,6 +106,6 @@
 }
 
 /// Whole units beyond its own that a router may use while peers can't be reached, of a limit that may be over by this share.
-pub fn extra(share: u32, over: f64) -> u32 {
+pub fn overshoot_units(share: u32, over: f64) -> u32 {
     (f64::from(share) * over) as u32
 }
--- a/crates/limits/src/demand.rs
+++ b/crates/limits/src/demand.rs
@@ -3,7 +3,7 @@
 use crate::terms::{Kind, Terms};
 
 /// What is asked for beyond what came of late (share): demand is uneven.
-const SPARE: f64 = 0.05;
+const HEADROOM: f64 = 0.05;
 
 /// Arrivals a second of a rate, units of a concurrency, units' worth of a window.
 #[derive(Clone, Copy, Debug)]
@@ -13,7 +13,7 @@
 }
 
 /// How long demand is remembered (ns).
-fn life_ns(kind: Kind, terms: &Terms) -> u64 {
+fn decay_ns(kind: Kind, terms: &Terms) -> u64 {
     match kind {
         Kind::Rate { .. } => terms.lease_ns,
         // A peak of what is out at once is over soon; units kept for it lie idle.
@@ -23,9 +23,9 @@
 }
 
 /// Part of the demand that is remembered that falls into one window (share).
-fn part_in_window(kind: Kind, terms: &Terms) -> f64 {
+fn window_fraction(kind: Kind, terms: &Terms) -> f64 {
     match kind {
-        Kind::Window { window_ns, .. } => window_ns as f64 / life_ns(kind, terms) as f64,
+        Kind::Window { window_ns, .. } => window_ns as f64 / decay_ns(kind, terms) as f64,
         _ => 1.0,
     }
 }
@@ -38,8 +38,8 @@
 
     /// Passes time; `least` is wanted in any case.
     pub(crate) fn pass(&mut self, now: u64, kind: Kind, terms: &Terms, least: f64) {
-        let life_ns = life_ns(kind, terms) as f64;
-        let left = (-(now.saturating_sub(self.at_ns) as f64) / life_ns).exp();
+        let decay_ns = decay_ns(kind, terms) as f64;
+        let left = (-(now.saturating_sub(self.at_ns) as f64) / decay_ns).exp();
         self.wanted = (self.wanted * left).max(least);
         self.at_ns = self.at_ns.max(now);
     }
@@ -50,7 +50,7 @@
     }
 
     /// A request came, while `out` are out; whether it was admitted.
-    pub(crate) fn count_request(&mut self, kind: Kind, terms: &Terms, out: u32, admitted: bool) {
+    pub(crate) fn record_request(&mut self, kind: Kind, terms: &Terms, out: u32, admitted: bool) {
         let out = f64::from(out);
         match kind {
             Kind::Rate { .. } => self.wanted += 1e9 / terms.lease_ns as f64,
@@ -65,15 +65,15 @@
 
     /// Units' worth that falls into one window (count).
     pub(crate) fn in_window(&self, kind: Kind, terms: &Terms) -> f64 {
-        self.wanted * part_in_window(kind, terms)
+        self.wanted * window_fraction(kind, terms)
     }
 
     /// Units that are wanted while `out` are out (count).
     pub(crate) fn units(&self, kind: Kind, terms: &Terms, out: u32) -> u32 {
         let out = f64::from(out);
         let wanted = match kind {
-            Kind::Rate { per_s, burst } => self.wanted * (1.0 + SPARE) / (per_s / f64::from(burst.max(1))),
-            Kind::Concurrency { .. } => (self.wanted * (1.0 + SPARE)).max(out),
+            Kind::Rate { per_s, burst } => self.wanted * (1.0 + HEADROOM) / (per_s / f64::from(burst.max(1))),
+            Kind::Concurrency { .. } => (self.wanted * (1.0 + HEADROOM)).max(out),
             Kind::Window { .. } => self.in_window(kind, terms).max(out),
         };
         (wanted.ceil() as u32).min(kind.units())
--- a/crates/limits/src/escrow.rs
+++ b/crates/limits/src/escrow.rs
@@ -11,7 +11,7 @@
 use crate::terms::Terms;
 
 /// Asks whose answers are waited for (count): older ones are not worth an answer any more.
-const ASKED_MOST: usize = 8;
+const MAX_PENDING_REQUESTS: usize = 8;
 
 /// A router: its number, and when it started by whatever clock, larger with each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -25,9 +25,9 @@
 /// Units of one owner that one borrower may hold, and until when (ns): one of these at most at a time, so that the largest
 /// counts. Both sides keep such a list of the same loan.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Holdings(Vec<(u32, u64)>);
+struct LeaseSet(Vec<(u32, u64)>);
 
-impl Holdings {
+impl LeaseSet {
     /// The most that is held by any that lasts past `now` (count).
     fn units(&self, now: u64) -> u32 {
         self.0.iter().filter(|(_, until)| now < *until).map(|(units, _)| *units).max().unwrap_or(0)
@@ -54,19 +54,19 @@
 
 /// What a borrower may hold of ours.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Lent {
-    holdings: Holdings,
+struct LeasedOut {
+    holdings: LeaseSet,
     heard: u64,
 }
 
 /// What we hold of an owner's. Past its end nothing more is admitted on it, while what was admitted goes on: it covers that
 /// until it has run out.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Borrowed {
+struct LeasedIn {
     /// Until when units may be used, by our clock.
-    usable: Holdings,
+    usable: LeaseSet,
     /// Until when they cover what was admitted on them.
-    covering: Holdings,
+    covering: LeaseSet,
     /// Asks that may still be answered: number, when, how many units.
     asked: Vec<(u64, u64, u32)>,
     /// The last ask has been answered.
@@ -79,21 +79,21 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Escrow {
     owned: u32,
-    leased_out: BTreeMap<Peer, Lent>,
-    leased_in: BTreeMap<u32, Borrowed>,
+    leased_out: BTreeMap<Peer, LeasedOut>,
+    leased_in: BTreeMap<u32, LeasedIn>,
     /// What an owner of an earlier life of ours can't know: all is lent until then (ns).
-    quiet_until_ns: u64,
+    grace_until_ns: u64,
 }
 
 impl Escrow {
     /// So many units of its own; they count as lent until `quiet_until_ns`.
-    pub fn new(owned: u32, quiet_until_ns: u64) -> Escrow {
-        Escrow { owned, quiet_until_ns, ..Escrow::default() }
+    pub fn new(owned: u32, grace_until_ns: u64) -> Escrow {
+        Escrow { owned, grace_until_ns, ..Escrow::default() }
     }
 
     /// Everybody has said what it holds: the units count as lent no longer.
-    pub fn end_quiet(&mut self, at_ns: u64) {
-        self.quiet_until_ns = self.quiet_until_ns.min(at_ns);
+    pub fn end_grace(&mut self, at_ns: u64) {
+        self.grace_until_ns = self.grace_until_ns.min(at_ns);
     }
 
     /// The limit has another size from here on, of which so many units are owned. What was lent stays lent by the old size; where
@@ -109,7 +109,7 @@
             leased_in.settled = true;
         }
         if worth {
-            self.hold_back(
+            self.extend_grace(
                 self.leased_out
                     .values()
                     .flat_map(|l| &l.holdings.0)
@@ -121,8 +121,8 @@
     }
 
     /// Nothing of its own is used or lent before then (ns).
-    pub fn hold_back(&mut self, until_ns: u64) {
-        self.quiet_until_ns = self.quiet_until_ns.max(until_ns);
+    pub fn extend_grace(&mut self, until_ns: u64) {
+        self.grace_until_ns = self.grace_until_ns.max(until_ns);
     }
 
     /// Passes time: what has run out is forgotten.
@@ -137,15 +137,15 @@
     }
 
     /// Own units that nobody else may use from `since` on (count).
-    pub fn own(&self, since: u64) -> u32 {
-        if since < self.quiet_until_ns {
+    pub fn unleased(&self, since: u64) -> u32 {
+        if since < self.grace_until_ns {
             return 0;
         }
-        self.owned.saturating_sub(self.lent_out())
+        self.owned.saturating_sub(self.leased_out())
     }
 
     /// Units lent (count).
-    pub fn lent_out(&self) -> u32 {
+    pub fn leased_out(&self) -> u32 {
         self.leased_out.values().map(|leased_out| leased_out.holdings.units(0)).sum()
     }
 
@@ -154,19 +154,19 @@
         self.leased_in.values().map(|b| b.usable.units(now)).sum()
     }
 
-    /// Units that may be used now (count). Call [`Escrow::pass`] first.
+    /// Units that may be used now (count). Call [`Escrow::expire`] first.
     pub fn usable(&self, now: u64) -> u32 {
-        self.own(now) + self.leased_in(now)
+        self.unleased(now) + self.leased_in(now)
     }
 
     /// Units that could be used all the time from `since` to `now`, where nothing but time passed between (count).
-    pub fn steady(&self, since: u64, now: u64) -> u32 {
-        self.own(since) + self.leased_in(now)
+    pub fn usable_throughout(&self, since: u64, now: u64) -> u32 {
+        self.unleased(since) + self.leased_in(now)
     }
 
     /// Nothing of it is out, so that it may be forgotten.
-    pub fn is_still(&self, now: u64) -> bool {
-        now >= self.quiet_until_ns && self.lent_out() == 0 && self.leased_in(now) == 0
+    pub fn is_idle(&self, now: u64) -> bool {
+        now >= self.grace_until_ns && self.leased_out() == 0 && self.leased_in(now) == 0
     }
 
     /// Each owner of which something is held, or to whom a return was not confirmed, and how many units: those past their end
@@ -177,19 +177,19 @@
 
     /// Asks to hold so many of an owner's units, under a number above all before. What is asked for less than is held is
     /// given up now: nothing may be out on it.
-    pub fn ask(&mut self, now: u64, owner: u32, units: u32, number: u64) {
+    pub fn request(&mut self, now: u64, owner: u32, units: u32, number: u64) {
         let leased_in = self.leased_in.entry(owner).or_default();
         leased_in.usable.cut(units);
         leased_in.covering.cut(units);
         leased_in.settled = false;
         leased_in.asked.push((number, now, units));
-        if leased_in.asked.len() > ASKED_MOST {
+        if leased_in.asked.len() > MAX_PENDING_REQUESTS {
             leased_in.asked.remove(0);
         }
     }
 
     /// An owner's answer to an ask; gives how many were asked for, where the answer counts.
-    pub fn granted(
+    pub fn apply_grant(
         &mut self,
         now: u64,
         owner: Peer,
@@ -218,18 +218,18 @@
 
     /// A borrower asks to hold so many of our units; `keep` are those that we want for ourselves. Gives how many it may hold;
     /// nothing where the ask is old.
-    pub fn asked(
+    pub fn handle_request(
         &mut self,
         now: u64,
         (from, number): (Peer, u64),
         units: u32,
-        keep: u32,
+        reserved: u32,
         (terms, drain_ns): (&Terms, u64),
     ) -> Option<u32> {
         if self.leased_out.keys().any(|peer| peer.number == from.number && peer.life > from.life) {
             return None;
         }
-        let quiet = now < self.quiet_until_ns;
+        let quiet = now < self.grace_until_ns;
         let others: u32 =
             self.leased_out.iter().filter(|(peer, _)| **peer != from).map(|(_, l)| l.holdings.units(0)).sum();
         let leased_out = self.leased_out.entry(from).or_default();
@@ -239,14 +239,14 @@
         leased_out.heard = number;
         // It has stopped using what it does not ask for.
         leased_out.holdings.cut(units);
-        let free = if quiet { 0 } else { self.owned.saturating_sub(others.saturating_add(keep)) };
+        let free = if quiet { 0 } else { self.owned.saturating_sub(others.saturating_add(reserved)) };
         let granted = units.min(free);
         leased_out.holdings.add(granted, now.saturating_add(terms.owner_lease_ns()).saturating_add(drain_ns));
         Some(granted)
     }
 
     /// A later life of a peer was heard: what its earlier lives hold is over once what they had out has run on.
-    pub fn outlived(&mut self, by: Peer, until_ns: u64) {
+    pub fn expire_earlier_lives(&mut self, by: Peer, until_ns: u64) {
         let earlier = |peer: &Peer| peer.number == by.number && peer.life < by.life;
         for (_, leased_out) in self.leased_out.iter_mut().filter(|(peer, _)| earlier(peer)) {
             leased_out.holdings.0.iter_mut().for_each(|(_, until)| *until = (*until).min(until_ns));
@@ -268,7 +268,7 @@
     }
 
     /// A peer says that it holds units of ours, lent by an earlier life, for so long still by its clock (ns).
-    pub fn holds(&mut self, now: u64, from: Peer, units: u32, left_ns: u64, terms: &Terms) {
+    pub fn restore_lease(&mut self, now: u64, from: Peer, units: u32, left_ns: u64, terms: &Terms) {
         let left = terms.peer_ns_upper_bound(left_ns);
         self.leased_out.entry(from).or_default().holdings.add(units, now.saturating_add(left));
     }
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -13,9 +13,9 @@
 use crate::terms::{Kind, Limit, Mode, Terms};
 
 /// Keys that are looked at for one that may be forgotten, where the table is full (count).
-const LOOKED_AT: usize = 16;
+const MAX_EVICTION_CANDIDATES: usize = 16;
 /// Keys of a limit that are shown (count).
-const SHOWN: usize = 8;
+const MAX_BUSIEST_KEYS: usize = 8;
 
 /// A limit in its place.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
     /// The operator's file has it no more: nothing is admitted by it, and what was lent is kept track of.
     retired: bool,
     /// Until when its own units count as lent for a start's sake (ns).
-    pub(crate) quiet_until_ns: u64,
+    pub(crate) grace_until_ns: u64,
     /// Peers that say what they hold end that: they were not understood before it was there.
     told: bool,
     /// Keys that found no place in the table; none where all did.
@@ -38,7 +38,7 @@
     pub(crate) meter: Meter,
     pub(crate) demand: Demand,
     /// Peers that had nothing to lend, until they are asked again (ns).
-    pub(crate) empty: BTreeMap<u32, u64>,
+    pub(crate) exhausted: BTreeMap<u32, u64>,
 }
 
 /// What one router knows of a key.
@@ -63,19 +63,19 @@
     pub(crate) terms: Terms,
     pub(crate) slots: Vec<Slot>,
     pub(crate) keys: BTreeMap<(u16, u64), Entry>,
-    keys_most: usize,
+    max_keys: usize,
     pub(crate) started_ns: u64,
     /// Since when some of the routers that are counted can't be reached (ns).
-    cut_since_ns: Option<u64>,
+    partition_since_ns: Option<u64>,
     /// The key behind the one that was looked at last for one to forget.
-    looked_at: (u16, u64),
+    eviction_cursor: (u16, u64),
 }
 
 impl Ledger {
     /// Of a router that has just started: its own units count as lent.
-    pub(crate) fn new(now: u64, me: Peer, terms: Terms, limits: Vec<Limit>, keys_most: usize) -> Ledger {
+    pub(crate) fn new(now: u64, me: Peer, terms: Terms, limits: Vec<Limit>, max_keys: usize) -> Ledger {
         let slot = |limit: Limit| Slot {
-            quiet_until_ns: now + terms.grace_ns(limit.kind),
+            grace_until_ns: now + terms.grace_ns(limit.kind),
             limit,
             retired: false,
             told: true,
@@ -86,10 +86,10 @@
             terms,
             slots: limits.into_iter().map(slot).collect(),
             keys: BTreeMap::new(),
-            keys_most,
+            max_keys,
             started_ns: now,
-            cut_since_ns: None,
-            looked_at: (0, 0),
+            partition_since_ns: None,
+            eviction_cursor: (0, 0),
         }
     }
 
@@ -98,7 +98,7 @@
         self.slots.iter_mut().for_each(|slot| slot.retired = true);
         let mut places = Vec::with_capacity(limits.len());
         for limit in limits {
-            let place = self.place_or_new(&limit);
+            let place = self.index_or_insert(&limit);
             places.push(place);
             let slot = &mut self.slots[usize::from(place)];
             slot.retired = false;
@@ -111,14 +111,14 @@
     }
 
     /// The place of a limit, a new one where it had none.
-    fn place_or_new(&mut self, limit: &Limit) -> u16 {
+    fn index_or_insert(&mut self, limit: &Limit) -> u16 {
         let id = limit.id();
         let known = self.slots.iter().position(|slot| slot.limit.id() == id);
         let at = known.unwrap_or_else(|| {
             // Peers may hold units that an earlier life lent, and could not say so before.
-            let quiet_until_ns = self.started_ns + self.terms.grace_ns(limit.kind);
+            let grace_until_ns = self.started_ns + self.terms.grace_ns(limit.kind);
             let (retired, told, sketch) = (true, false, None);
-            self.slots.push(Slot { limit: limit.clone(), retired, quiet_until_ns, told, sketch });
+            self.slots.push(Slot { limit: limit.clone(), retired, grace_until_ns, told, sketch });
             self.slots.len() - 1
         });
         at as u16
@@ -135,7 +135,7 @@
             let owned = self.terms.share(limit.kind.units(), self.me.number, key);
             if let Some(entry) = self.keys.get_mut(&(place, key)) {
                 entry.escrow.resize(now, owned, worth);
-                entry.empty.clear();
+                entry.exhausted.clear();
             }
         }
     }
@@ -159,7 +159,7 @@
     pub(crate) fn set_reachable(&mut self, now: u64, peers: &BTreeSet<u32>) {
         let counted = |number: &&u32| **number < self.terms.routers && **number != self.me.number;
         let missing = peers.iter().filter(counted).count() as u32 + 1 < self.terms.routers;
-        self.cut_since_ns = if missing { self.cut_since_ns.or(Some(now)) } else { None };
+        self.partition_since_ns = if missing { self.partition_since_ns.or(Some(now)) } else { None };
     }
 
     /// Units of a key that this router owns (count).
@@ -169,18 +169,18 @@
 
     /// Units of a key that its own clients want (count).
     pub(crate) fn wanted(&self, limit: u16, entry: &Entry) -> u32 {
-        entry.demand.units(self.kind(limit), &self.terms, entry.meter.out())
+        entry.demand.units(self.kind(limit), &self.terms, entry.meter.in_flight())
     }
 
     /// Units beyond its own that a limit's mode allows now: none while what an earlier life had out may still run, or it
     /// would be over by as much again with each life.
-    fn extra(&self, now: u64, limit: u16, owned: u32) -> u32 {
+    fn overshoot_units(&self, now: u64, limit: u16, owned: u32) -> u32 {
         let slot = &self.slots[usize::from(limit)];
-        match (slot.limit.mode, self.cut_since_ns) {
+        match (slot.limit.mode, self.partition_since_ns) {
             (Mode::Bounded { over, for_ns }, Some(since))
-                if now < since.saturating_add(for_ns) && now >= slot.quiet_until_ns =>
+                if now < since.saturating_add(for_ns) && now >= slot.grace_until_ns =>
             {
-                bound::extra(owned, over)
+                bound::overshoot_units(owned, over)
             }
             _ => 0,
         }
@@ -190,20 +190,21 @@
     pub(crate) fn settle(&mut self, now: u64, limit: u16, key: u64) -> u32 {
         let kind = self.kind(limit);
         let owned = self.owned(limit, key);
-        let extra = self.extra(now, limit, owned);
+        let overshoot_units = self.overshoot_units(now, limit, owned);
         let sketch = self.slots[usize::from(limit)].sketch.as_ref();
-        let beside = sketch.map_or(0.0, |sketch| sketch.used(now, key, (kind, owned, self.terms.drift)));
+        let untracked = sketch.map_or(0.0, |sketch| sketch.used(now, key, (kind, owned, self.terms.drift)));
         let Some(entry) = self.keys.get_mut(&(limit, key)) else { return 0 };
         if let Kind::Concurrency { .. } = kind {
-            entry.meter.set_beside(beside.ceil() as u32);
+            entry.meter.set_untracked(untracked.ceil() as u32);
         }
-        let steady = entry.escrow.steady(entry.meter.filled_ns(), now);
-        entry.escrow.pass(now);
-        let usable = entry.escrow.usable(now) + extra;
-        entry.meter.fill(now, kind, self.terms.drift, (steady + extra, usable));
-        let least = if let Kind::Concurrency { .. } = kind { f64::from(entry.meter.out()) } else { 0.0 };
-        entry.demand.pass(now, kind, &self.terms, least);
-        entry.empty.retain(|_, until| now < *until);
+        let usable_throughout = entry.escrow.usable_throughout(entry.meter.refilled_ns(), now);
+        entry.escrow.expire(now);
+        let usable = entry.escrow.usable(now) + overshoot_units;
+        entry.meter.refill(now, kind, self.terms.drift, (usable_throughout + overshoot_units, usable));
+        let least =
+            if let Kind::Concurrency { .. } = kind { f64::from(entry.meter.in_flight()) } else { 0.0 };
+        entry.demand.decay(now, kind, &self.terms, least);
+        entry.exhausted.retain(|_, until| now < *until);
         usable
     }
 
@@ -212,7 +213,7 @@
         if self.keys.contains_key(&(limit, key)) {
             return true;
         }
-        if self.keys.len() >= self.keys_most && !self.forget_one(now) {
+        if self.keys.len() >= self.max_keys && !self.evict_one(now) {
             return false;
         }
         let entry = self.new_entry(now, limit, key);
@@ -224,30 +225,32 @@
         let kind = self.kind(limit);
         let owned = self.owned(limit, key);
         let slot = &self.slots[usize::from(limit)];
-        let quiet = slot.quiet_until_ns;
+        let quiet = slot.grace_until_ns;
         let meter = match (&slot.sketch, kind) {
             (Some(sketch), Kind::Rate { .. }) if now >= quiet => {
                 let used = sketch.used(now, key, (kind, owned, self.terms.drift));
-                Meter::holding(now, (f64::from(owned) - used).max(0.0))
+                Meter::with_tokens(now, (f64::from(owned) - used).max(0.0))
             }
             // Nothing was admitted on it in this life; what an earlier one did is not known.
             _ => Meter::new(self.started_ns.max(quiet.min(now))),
         };
         let escrow = Escrow::new(owned, quiet);
-        Entry { escrow, meter, demand: Demand::none(now), empty: BTreeMap::new() }
+        Entry { escrow, meter, demand: Demand::none(now), exhausted: BTreeMap::new() }
     }
 
     /// Forgets a key that a new one would be the same as; false where none was found among a few.
-    fn forget_one(&mut self, now: u64) -> bool {
-        let behind = self.keys.range(self.looked_at..).map(|(k, _)| *k);
-        let some: Vec<(u16, u64)> =
-            behind.chain(self.keys.keys().copied()).take(LOOKED_AT.min(self.keys.len())).collect();
+    fn evict_one(&mut self, now: u64) -> bool {
+        let behind = self.keys.range(self.eviction_cursor..).map(|(k, _)| *k);
+        let some: Vec<(u16, u64)> = behind
+            .chain(self.keys.keys().copied())
+            .take(MAX_EVICTION_CANDIDATES.min(self.keys.len()))
+            .collect();
         for (limit, key) in some {
             let usable = self.settle(now, limit, key);
             let kind = self.kind(limit);
-            self.looked_at = (limit, key.wrapping_add(1));
+            self.eviction_cursor = (limit, key.wrapping_add(1));
             let entry = &self.keys[&(limit, key)];
-            if entry.escrow.is_still(now) && entry.meter.is_still(kind, usable) {
+            if entry.escrow.is_idle(now) && entry.meter.is_idle(kind, usable) {
                 self.keys.remove(&(limit, key));
                 return true;
             }
@@ -256,48 +259,50 @@
     }
 
     /// What is known of a key.
-    pub(crate) fn look(&mut self, now: u64, limit: u16, key: u64) -> KeyStatus {
+    pub(crate) fn key_status(&mut self, now: u64, limit: u16, key: u64) -> KeyStatus {
         let usable = self.settle(now, limit, key);
         let owned = self.owned(limit, key);
         let Some(entry) = self.keys.get(&(limit, key)) else {
             return KeyStatus { owned, ..KeyStatus::default() };
         };
-        let (leased_out, leased_in) = (entry.escrow.lent_out(), entry.escrow.leased_in(now));
-        KeyStatus { owned, leased_out, leased_in, usable, out: entry.meter.out() }
+        let (leased_out, leased_in) = (entry.escrow.leased_out(), entry.escrow.leased_in(now));
+        KeyStatus { owned, leased_out, leased_in, usable, out: entry.meter.in_flight() }
     }
 
     /// The keys of a limit that use most, and what is known of them.
     pub(crate) fn busiest_keys(&mut self, now: u64, limit: u16) -> Vec<(u64, KeyStatus)> {
         let keys: Vec<u64> = self.keys_of(limit).collect();
         let mut all: Vec<(u64, KeyStatus)> =
-            keys.into_iter().map(|key| (key, self.look(now, limit, key))).collect();
-        all.sort_by_key(|(key, look)| (std::cmp::Reverse((look.out, look.leased_in, look.leased_out)), *key));
-        all.truncate(SHOWN);
+            keys.into_iter().map(|key| (key, self.key_status(now, limit, key))).collect();
+        all.sort_by_key(|(key, key_status)| {
+            (std::cmp::Reverse((key_status.out, key_status.leased_in, key_status.leased_out)), *key)
+        });
+        all.truncate(MAX_BUSIEST_KEYS);
         all
     }
 
     /// Ends the quiet of a start, as all peers have said what they hold and earlier lives' work runs on until then (ns).
-    pub(crate) fn end_quiet(&mut self, now: u64, run_on_until_ns: u64) {
+    pub(crate) fn end_grace(&mut self, now: u64, orphans_until_ns: u64) {
         for slot in self.slots.iter_mut().filter(|slot| slot.told) {
             let end_ns = match slot.limit.kind {
                 Kind::Rate { .. } => now,
                 kind @ (Kind::Concurrency { .. } | Kind::Window { .. }) => {
                     let own_ns = self.terms.peer_ns_upper_bound(kind.orphan_ns(&self.terms));
-                    run_on_until_ns.max(self.started_ns + own_ns).max(now)
+                    orphans_until_ns.max(self.started_ns + own_ns).max(now)
                 }
             };
-            slot.quiet_until_ns = slot.quiet_until_ns.min(end_ns);
+            slot.grace_until_ns = slot.grace_until_ns.min(end_ns);
         }
         for ((limit, _), entry) in &mut self.keys {
             let slot = &self.slots[usize::from(*limit)];
             if slot.told {
-                entry.escrow.end_quiet(slot.quiet_until_ns);
+                entry.escrow.end_grace(slot.grace_until_ns);
             }
         }
     }
 
     /// Whether all that an earlier life lent must have run out.
-    pub(crate) fn quiet_is_over(&self, now: u64) -> bool {
-        self.slots.iter().all(|slot| now >= slot.quiet_until_ns)
+    pub(crate) fn grace_has_ended(&self, now: u64) -> bool {
+        self.slots.iter().all(|slot| now >= slot.grace_until_ns)
     }
 }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -6,7 +6,7 @@
 //! admissions, [`bound`] says by arithmetic how far over or how stale all of it can be.
 //!
 //! [`node`] is what one router keeps: its limits and keys (`ledger`), what it admits (`admission`), what it asks of peers and lends
-//! them (`lending`), what its own clients want (`demand`), and what it has to hear after a start (`recovery`).
+//! them (`leasing`), what its own clients want (`demand`), and what it has to hear after a start (`recovery`).
 //!
 //! Pure: no sockets and no clock. Times are nanoseconds of the router's own steady clock and are passed in.
 
@@ -16,8 +16,8 @@
 pub mod bound;
 mod demand;
 pub mod escrow;
+mod leasing;
 mod ledger;
-mod lending;
 pub mod message;
 pub mod meter;
 pub mod node;
--- a/crates/limits/src/message.rs
+++ b/crates/limits/src/message.rs
@@ -6,7 +6,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// The sender wants to hold so many of the receiver's units.
-    Ask {
+    #[serde(rename = "Ask")]
+    Request {
         /// The limit ([`Limit::id`](crate::Limit::id)).
         limit: u64,
         /// Its size ([`Limit::version`](crate::Limit::version)).
@@ -32,9 +33,11 @@
         units: u32,
     },
     /// The sender has started and does not know what it lent before.
-    Recall,
+    #[serde(rename = "Recall")]
+    Query,
     /// All that the sender holds of the receiver's, as an answer to a recall of this life.
-    Holds {
+    #[serde(rename = "Holds")]
+    Report {
         /// The receiver's life that asked.
         life: u64,
         /// Which of the sender's answers this is a part of: only parts of one make a whole.
@@ -46,13 +49,13 @@
         /// For how long the sender has been up (ns).
         up_ns: u64,
         /// What is held.
-        held: Vec<Held>,
+        held: Vec<HeldLease>,
     },
 }
 
 /// A loan, as its borrower tells it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldLease {
     /// The limit ([`Limit::id`](crate::Limit::id)).
     pub(crate) limit: u64,
     /// Its size as the borrower knows it.
--- a/crates/limits/src/meter.rs
+++ b/crates/limits/src/meter.rs
@@ -5,7 +5,7 @@
 use crate::terms::Kind;
 
 /// Sent within this time of each other counts as sent together, at the last of them (ns).
-const SENT_TOGETHER_NS: u64 = 5_000_000;
+const SEND_MERGE_NS: u64 = 5_000_000;
 
 /// Admissions of one key.
 #[derive(Clone, Debug, PartialEq)]
@@ -14,48 +14,48 @@
     out: u32,
     /// What a rate's bucket holds (admissions), and up to when it was filled (ns).
     tokens: f64,
-    filled_ns: u64,
+    refilled_ns: u64,
     /// What was sent within a window: until when the first and the last of it counts (ns), and how much it is (units).
     sent: VecDeque<(u64, u64, f64)>,
     /// Admissions that are out beside those of this meter (count): of before the key was tracked.
-    beside: u32,
+    untracked: u32,
 }
 
 impl Meter {
     /// A meter whose bucket was empty at `since` (ns): what an earlier life took is not known.
     pub fn new(since: u64) -> Meter {
-        Meter { out: 0, tokens: 0.0, filled_ns: since, sent: VecDeque::new(), beside: 0 }
+        Meter { out: 0, tokens: 0.0, refilled_ns: since, sent: VecDeque::new(), untracked: 0 }
     }
 
     /// So many admissions are out beside its own.
-    pub fn set_beside(&mut self, beside: u32) {
-        self.beside = beside;
+    pub fn set_untracked(&mut self, untracked: u32) {
+        self.untracked = untracked;
     }
 
     /// A bucket that holds so much at `now`, and nothing else that is known.
-    pub fn holding(now: u64, tokens: f64) -> Meter {
+    pub fn with_tokens(now: u64, tokens: f64) -> Meter {
         Meter { tokens, ..Meter::new(now) }
     }
 
     /// Up to when the bucket was filled (ns).
-    pub fn filled_ns(&self) -> u64 {
-        self.filled_ns
+    pub fn refilled_ns(&self) -> u64 {
+        self.refilled_ns
     }
 
     /// Fills the bucket up to `now`, where `steady` units could be used all the time since it was last filled and `usable`
     /// can be now. The clock may run fast by `drift`.
-    pub fn fill(&mut self, now: u64, kind: Kind, drift: f64, (steady, usable): (u32, u32)) {
+    pub fn refill(&mut self, now: u64, kind: Kind, drift: f64, (usable_throughout, usable): (u32, u32)) {
         if let Kind::Window { .. } = kind {
             while self.sent.front().is_some_and(|(_, until, _)| *until <= now) {
                 self.sent.pop_front();
             }
         }
         let Kind::Rate { per_s, burst } = kind else { return };
-        let passed = now.saturating_sub(self.filled_ns) as f64 / 1e9 / (1.0 + drift);
+        let passed = now.saturating_sub(self.refilled_ns) as f64 / 1e9 / (1.0 + drift);
         let unit = per_s / f64::from(burst.max(1));
         // A unit's part of the burst is one admission, as there are as many units.
-        self.tokens = (self.tokens + passed * unit * f64::from(steady)).min(f64::from(usable));
-        self.filled_ns = self.filled_ns.max(now);
+        self.tokens = (self.tokens + passed * unit * f64::from(usable_throughout)).min(f64::from(usable));
+        self.refilled_ns = self.refilled_ns.max(now);
     }
 
     /// So many units' worth was sent, under a window's limit, and counts until then. Whoever sends holds it against the units
@@ -63,7 +63,7 @@
     pub fn send(&mut self, until: u64, units: f64) {
         // Many that are sent at once are one entry: the table is bounded by time.
         match self.sent.back_mut() {
-            Some((first, last, sum)) if *first + SENT_TOGETHER_NS > until => {
+            Some((first, last, sum)) if *first + SEND_MERGE_NS > until => {
                 (*last, *sum) = (until, *sum + units);
             }
             _ => self.sent.push_back((until, until, units)),
@@ -97,18 +97,18 @@
 
     /// Admissions that are out, or units' worth that was sent within the window (count).
     pub fn out(&self) -> u32 {
-        self.out + self.beside + self.sent.iter().map(|(.., units)| units).sum::<f64>().ceil() as u32
+        self.out + self.untracked + self.sent.iter().map(|(.., units)| units).sum::<f64>().ceil() as u32
     }
 
     /// When a refused one is worth another try, with these units (ns from now); none where only a loan can help.
-    pub fn again_ns(&self, kind: Kind, usable: u32) -> Option<u64> {
+    pub fn retry_after_ns(&self, kind: Kind, usable: u32) -> Option<u64> {
         let Kind::Rate { per_s, burst } = kind else { return None };
         let rate = per_s / f64::from(burst.max(1)) * f64::from(usable);
         (rate > 0.0).then(|| (((1.0 - self.tokens).max(0.0) / rate) * 1e9).ceil() as u64)
     }
 
     /// Nothing is out and the bucket is full: a new meter would be the same.
-    pub fn is_still(&self, kind: Kind, usable: u32) -> bool {
+    pub fn is_idle(&self, kind: Kind, usable: u32) -> bool {
         match kind {
             Kind::Rate { .. } => self.tokens >= f64::from(usable),
             Kind::Concurrency { .. } | Kind::Window { .. } => self.out() == 0,
--- a/crates/limits/src/node.rs
+++ b/crates/limits/src/node.rs
@@ -4,7 +4,7 @@
 
 use crate::escrow::Peer;
 use crate::ledger::Ledger;
-use crate::message::{Held, Message};
+use crate::message::{HeldLease, Message};
 use crate::recovery::Recovery;
 use crate::terms::{Kind, Limit, Terms};
 
@@ -19,25 +19,25 @@
     /// Peers that can be reached.
     reachable: BTreeSet<u32>,
     /// The latest life of each peer.
-    lives: BTreeMap<u32, u64>,
+    latest_lives: BTreeMap<u32, u64>,
     /// The number of this router's latest message.
-    serial: u64,
+    sequence: u64,
     asked_ns: u64,
 }
 
 impl Node {
     /// A router that has just started. Until it has asked everybody, its own units count as lent.
-    pub fn new(now: u64, me: Peer, terms: Terms, limits: Vec<Limit>, keys_most: usize) -> Node {
+    pub fn new(now: u64, me: Peer, terms: Terms, limits: Vec<Limit>, max_keys: usize) -> Node {
         let others = (0..terms.routers).filter(|number| *number != me.number);
         let mut node = Node {
-            ledger: Ledger::new(now, me, terms, limits, keys_most),
+            ledger: Ledger::new(now, me, terms, limits, max_keys),
             recovery: Some(Recovery::begin(now, others)),
             reachable: BTreeSet::new(),
-            lives: BTreeMap::new(),
-            serial: 0,
+            latest_lives: BTreeMap::new(),
+            sequence: 0,
             asked_ns: 0,
         };
-        node.recovered(now);
+        node.try_finish_recovery(now);
         node
     }
 
@@ -63,7 +63,7 @@
 
     /// A request that was admitted is over.
     pub fn over(&mut self, ticket: Ticket) {
-        self.ledger.over(ticket);
+        self.ledger.release(ticket);
     }
 
     /// Of a window's limit: the units that may be used from `now` to `until` (count), of loans those that last so long. What was
@@ -74,7 +74,7 @@
         }
         self.ledger.settle(now, limit, key);
         let entry = self.ledger.keys.get(&(limit, key));
-        entry.map_or(0, |entry| entry.escrow.own(now) + entry.escrow.leased_in(until))
+        entry.map_or(0, |entry| entry.escrow.unleased(now) + entry.escrow.leased_in(until))
     }
 
     /// Units of a key that this router owns (count).
@@ -83,11 +83,11 @@
     }
 
     /// Units' worth that its own clients would send under a window's limit (count).
-    pub fn wants(&self, now: u64, limit: u16, key: u64) -> f64 {
+    pub fn window_demand(&self, now: u64, limit: u16, key: u64) -> f64 {
         let Some(entry) = self.ledger.keys.get(&(limit, key)) else { return 0.0 };
         let (kind, terms) = (self.ledger.kind(limit), &self.ledger.terms);
         let mut demand = entry.demand;
-        demand.pass(now, kind, terms, 0.0);
+        demand.decay(now, kind, terms, 0.0);
         demand.in_window(kind, terms)
     }
 
@@ -106,13 +106,13 @@
         let Some(kind @ Kind::Window { .. }) = kind else { return };
         let until_ns = now.saturating_add(kind.window_charge_ns(&self.ledger.terms));
         if let Some(entry) = self.ledger.keys.get_mut(&(limit, key)) {
-            entry.meter.send(until_ns, units);
+            entry.meter.record_sent(until_ns, units);
         }
     }
 
     /// What is known of a key.
-    pub fn look(&mut self, now: u64, limit: u16, key: u64) -> KeyStatus {
-        self.ledger.look(now, limit, key)
+    pub fn key_status(&mut self, now: u64, limit: u16, key: u64) -> KeyStatus {
+        self.ledger.key_status(now, limit, key)
     }
 
     /// The keys of a limit that use most, and what is known of them.
@@ -133,47 +133,48 @@
     /// Passes time; gives what is to be said, and to whom.
     pub fn tick(&mut self, now: u64) -> Vec<(u32, Message)> {
         let mut out = Vec::new();
-        if now < self.asked_ns.saturating_add(self.ledger.terms.round_ns()) {
+        if now < self.asked_ns.saturating_add(self.ledger.terms.request_interval_ns()) {
             return out;
         }
         self.asked_ns = now;
-        self.recovered(now);
+        self.try_finish_recovery(now);
         if let Some(recovery) = &self.recovery {
-            out.extend(recovery.unanswered().map(|peer| (peer, Message::Recall)));
+            out.extend(recovery.unanswered().map(|peer| (peer, Message::Query)));
         }
         let all: Vec<(u16, u64)> = self.ledger.keys.keys().copied().collect();
         for (limit, key) in all {
             self.ledger.settle(now, limit, key);
-            out.extend(self.ledger.ask_for(now, (limit, key), &self.reachable, &mut self.serial));
+            out.extend(self.ledger.request_leases(now, (limit, key), &self.reachable, &mut self.sequence));
         }
         out
     }
 
     /// Takes a message of a peer; gives what is to be said to it.
     pub fn hear(&mut self, now: u64, from: Peer, message: Message) -> Vec<Message> {
-        if !self.is_latest_life(now, from) {
+        if !self.observe_life(now, from) {
             return Vec::new();
         }
         match message {
-            Message::Ask { limit, version, key, number, units } => {
+            Message::Request { limit, version, key, number, units } => {
                 // One that knows another size gets no answer: what it holds runs out by itself.
                 let place = self.ledger.place(limit, version);
-                let grant = place.and_then(|place| self.ledger.asked(now, from, place, key, (number, units)));
+                let grant = place
+                    .and_then(|place| self.ledger.handle_request(now, from, place, key, (number, units)));
                 grant.into_iter().collect()
             }
             Message::Grant { limit, version, key, number, units } => {
                 if let Some(place) = self.ledger.place(limit, version) {
-                    self.ledger.granted(now, from, place, key, (number, units));
+                    self.ledger.apply_grant(now, from, place, key, (number, units));
                 }
                 Vec::new()
             }
-            Message::Recall => {
-                self.serial += 1;
-                self.ledger.tell_held(now, from, self.serial)
+            Message::Query => {
+                self.sequence += 1;
+                self.ledger.lease_report(now, from, self.sequence)
             }
-            Message::Holds { life, round, part, parts, up_ns, held } => {
+            Message::Report { life, round, part, parts, up_ns, held } => {
                 if life == self.ledger.me.life {
-                    self.take_held(now, from, (round, part, parts), up_ns, held);
+                    self.restore_leases(now, from, (round, part, parts), up_ns, held);
                 }
                 Vec::new()
             }
@@ -181,39 +182,46 @@
     }
 
     /// Guards against what an earlier life of a peer said, that comes late; a later one than was known ends the earlier.
-    fn is_latest_life(&mut self, now: u64, from: Peer) -> bool {
-        let life = self.lives.entry(from.number).or_insert(from.life);
+    fn observe_life(&mut self, now: u64, from: Peer) -> bool {
+        let life = self.latest_lives.entry(from.number).or_insert(from.life);
         if from.life < *life || from.number == self.ledger.me.number {
             return false;
         }
         let later = from.life > *life;
         *life = from.life;
         if later {
-            self.ledger.outlived(now, from);
+            self.ledger.expire_earlier_lives(now, from);
         }
         true
     }
 
-    fn take_held(&mut self, now: u64, from: Peer, part: (u64, u16, u16), up_ns: u64, held: Vec<Held>) {
+    fn restore_leases(
+        &mut self,
+        now: u64,
+        from: Peer,
+        part: (u64, u16, u16),
+        up_ns: u64,
+        held: Vec<HeldLease>,
+    ) {
         let Some(recovery) = &mut self.recovery else { return };
-        if !recovery.take_part(from.number, part) {
+        if !recovery.accept_part(from.number, part) {
             return;
         }
         // An earlier life of the peer may have had work out on our units.
-        let orphan_ns = self.ledger.longest_run_on_ns();
-        recovery.extend_run_on(now + orphan_ns.saturating_sub(up_ns));
-        self.ledger.take_held(now, from, held);
-        self.recovered(now);
+        let orphan_ns = self.ledger.max_orphan_ns();
+        recovery.extend_orphans(now + orphan_ns.saturating_sub(up_ns));
+        self.ledger.restore_leases(now, from, held);
+        self.try_finish_recovery(now);
     }
 
     /// Ends the quiet once everybody has said what it holds, or once all that was lent must have run out.
-    fn recovered(&mut self, now: u64) {
+    fn try_finish_recovery(&mut self, now: u64) {
         let Some(recovery) = &self.recovery else { return };
-        let answered = recovery.is_answered();
+        let answered = recovery.all_answered();
         if answered {
-            self.ledger.end_quiet(now, recovery.run_on_until_ns());
+            self.ledger.end_grace(now, recovery.orphans_until_ns());
         }
-        if answered || self.ledger.quiet_is_over(now) {
+        if answered || self.ledger.grace_has_ended(now) {
             self.recovery = None;
         }
     }
--- a/crates/limits/src/recovery.rs
+++ b/crates/limits/src/recovery.rs
@@ -11,34 +11,34 @@
     /// By peer, of its latest answer; none where nothing has come.
     missing: BTreeMap<u32, Option<MissingParts>>,
     /// Up to when earlier lives of those that answered may have had work out on our units (ns).
-    run_on_until_ns: u64,
+    orphans_until_ns: u64,
 }
 
 /// All parts of a peer's answer have come.
-fn is_whole(parts: &Option<MissingParts>) -> bool {
+fn is_complete(parts: &Option<MissingParts>) -> bool {
     parts.as_ref().is_some_and(|(_, missing)| missing.is_empty())
 }
 
 impl Recovery {
     /// Nothing has been heard of these.
     pub(crate) fn begin(now: u64, peers: impl Iterator<Item = u32>) -> Recovery {
-        Recovery { missing: peers.map(|peer| (peer, None)).collect(), run_on_until_ns: now }
+        Recovery { missing: peers.map(|peer| (peer, None)).collect(), orphans_until_ns: now }
     }
 
     /// Peers whose answer is not whole.
     pub(crate) fn unanswered(&self) -> impl Iterator<Item = u32> + '_ {
-        self.missing.iter().filter(|(_, parts)| !is_whole(parts)).map(|(peer, _)| *peer)
+        self.missing.iter().filter(|(_, parts)| !is_complete(parts)).map(|(peer, _)| *peer)
     }
 
     /// Whether all have answered.
-    pub(crate) fn is_answered(&self) -> bool {
-        self.missing.values().all(is_whole)
+    pub(crate) fn all_answered(&self) -> bool {
+        self.missing.values().all(is_complete)
     }
 
     /// Takes a part of a peer's answer; whether what it holds counts: it is of the latest answer, which was not whole.
-    pub(crate) fn take_part(&mut self, from: u32, (round, part, parts): (u64, u16, u16)) -> bool {
+    pub(crate) fn accept_part(&mut self, from: u32, (round, part, parts): (u64, u16, u16)) -> bool {
         let Some(missing) = self.missing.get_mut(&from) else { return false };
-        if is_whole(missing) || missing.as_ref().is_some_and(|(before, _)| round < *before) {
+        if is_complete(missing) || missing.as_ref().is_some_and(|(before, _)| round < *before) {
             return false;
         }
         let (before, left) = missing.get_or_insert_with(|| (round, (0..parts.max(1)).collect()));
@@ -50,12 +50,12 @@
     }
 
     /// An earlier life of a peer may have had work out on our units until then (ns).
-    pub(crate) fn extend_run_on(&mut self, until_ns: u64) {
-        self.run_on_until_ns = self.run_on_until_ns.max(until_ns);
+    pub(crate) fn extend_orphans(&mut self, until_ns: u64) {
+        self.orphans_until_ns = self.orphans_until_ns.max(until_ns);
     }
 
     /// Up to when earlier lives of peers may have had work out on our units (ns).
-    pub(crate) fn run_on_until_ns(&self) -> u64 {
-        self.run_on_until_ns
+    pub(crate) fn orphans_until_ns(&self) -> u64 {
+        self.orphans_until_ns
     }
 }
--- a/crates/limits/src/terms.rs
+++ b/crates/limits/src/terms.rs
@@ -167,7 +167,7 @@
 
     /// How often a router asks for what it wants and renews what it holds (ns): six times in a loan's life, so that lost
     /// datagrams do not end it.
-    pub fn round_ns(&self) -> u64 {
+    pub fn request_interval_ns(&self) -> u64 {
         self.lease_ns / 6
     }
 
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -113,22 +113,23 @@
             fleet.tell_reachable();
             fleet.routers[1].demand = 400.0;
             fleet.run(4_000);
-            let look = |fleet: &mut Fleet, at: usize| {
+            let key_status = |fleet: &mut Fleet, at: usize| {
                 let now = fleet.now;
-                fleet.routers[at].node.as_mut().unwrap().look(now, 0, 0)
+                fleet.routers[at].node.as_mut().unwrap().key_status(now, 0, 0)
             };
             assert!(
-                look(&mut fleet, 0).leased_out >= old / 2 - 1 && look(&mut fleet, 1).leased_in >= old / 2 - 1
+                key_status(&mut fleet, 0).leased_out >= old / 2 - 1
+                    && key_status(&mut fleet, 1).leased_in >= old / 2 - 1
             );
             fleet.resize(changed, of(new));
-            let after = look(&mut fleet, changed);
+            let after = key_status(&mut fleet, changed);
             match changed {
                 0 => assert_eq!(after.usable, 0, "units are lent by their old worth still"),
                 _ => assert_eq!((after.leased_in, after.usable), (0, new / 2), "borrowed by their old worth"),
             }
             fleet.resize(1 - changed, of(new));
             fleet.run(5_000);
-            assert!(look(&mut fleet, 1).usable >= new - 1, "lent again by the new size");
+            assert!(key_status(&mut fleet, 1).usable >= new - 1, "lent again by the new size");
         }
     }
 }
@@ -209,9 +210,9 @@
 #[test]
 fn a_cut_leaves_each_half_its_part_and_all_is_back_once_it_heals() {
     let kind = Kind::Concurrency { at_once: 80 };
-    let ask = |at| if at == 0 { 400.0 } else { 0.0 };
+    let request = |at| if at == 0 { 400.0 } else { 0.0 };
     let halves: Vec<usize> = (0..8).map(|at| usize::from(at >= 4)).collect();
-    let (cut, mut fleet) = used(kind, 8, ask, |fleet| {
+    let (cut, mut fleet) = used(kind, 8, request, |fleet| {
         fleet.cut_between(&halves);
         fleet.run(8_000);
     });
@@ -282,6 +283,6 @@
     let heavy = (0..2_000).filter(|_| node.admit(now, &[(0, 77_777)]).is_ok()).count();
     assert!((900..=1_000).contains(&heavy), "{heavy} of 1,000 that may be out");
     assert!(node.tracked_keys() <= 1_000);
-    assert!((0..500).all(|key| node.look(now, 0, key).out == 1));
+    assert!((0..500).all(|key| node.key_status(now, 0, key).out == 1));
     held.into_iter().for_each(|ticket| node.over(ticket));
 }
--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -17,16 +17,16 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Said {
-    Ask { number: u64, units: u32 },
+    Request { number: u64, units: u32 },
     Grant { number: u64, units: u32 },
-    Recall,
-    Holds { life: u64, held: Vec<(u32, u64)> },
+    Query,
+    Report { life: u64, held: Vec<(u32, u64)> },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
     life: u64,
-    asks: u64,
+    requests: u64,
     escrow: Escrow,
 }
 
@@ -41,8 +41,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Pass,
-    Ask(usize, u32),
-    Recall(usize),
+    Request(usize, u32),
+    Query(usize),
     Deliver((usize, u64, Said)),
     Lose((usize, u64, Said)),
     Restart(usize),
@@ -66,33 +66,34 @@
         let (now, terms) = (state.now, &self.terms);
         let from = Peer { number: 1 - to as u32, life };
         let node = &mut state.nodes[to];
-        node.escrow.pass(now);
+        node.escrow.expire(now);
         match said {
-            Said::Ask { number, units } => {
-                let granted = node.escrow.asked(now, (from, number), units, 0, (terms, 0));
+            Said::Request { number, units } => {
+                let granted = node.escrow.handle_request(now, (from, number), units, 0, (terms, 0));
                 if let Some(units) = granted {
                     self.send(state, 1 - to, Said::Grant { number, units });
                 }
             }
             Said::Grant { number, units } => {
-                node.escrow.granted(now, from, number, units, (terms, 0));
+                node.escrow.apply_grant(now, from, number, units, (terms, 0));
             }
-            Said::Recall => {
-                let held = node.escrow.told(now, from);
-                self.send(state, 1 - to, Said::Holds { life, held });
+            Said::Query => {
+                let held = node.escrow.held_from(now, from);
+                self.send(state, 1 - to, Said::Report { life, held });
             }
-            Said::Holds { life, held } if life == node.life => {
-                held.into_iter().for_each(|(units, left)| node.escrow.holds(now, from, units, left, terms));
-                node.escrow.end_quiet(now);
+            Said::Report { life, held } if life == node.life => {
+                held.into_iter()
+                    .for_each(|(units, left)| node.escrow.restore_lease(now, from, units, left, terms));
+                node.escrow.end_grace(now);
             }
-            Said::Holds { .. } => {}
+            Said::Report { .. } => {}
         }
     }
 
     fn usable(state: &Fleet) -> u32 {
         let of = |node: &Node| {
             let mut escrow = node.escrow.clone();
-            escrow.pass(state.now);
+            escrow.expire(state.now);
             escrow.usable(state.now)
         };
         state.nodes.iter().map(of).sum()
@@ -104,7 +105,7 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<Fleet> {
-        let node = || Node { life: 1, asks: 0, escrow: Escrow::new(OWNED, 0) };
+        let node = || Node { life: 1, requests: 0, escrow: Escrow::new(OWNED, 0) };
         vec![Fleet { now: 1, nodes: [node(), node()], wire: BTreeSet::new() }]
     }
 
@@ -114,11 +115,11 @@
         }
         for (at, node) in state.nodes.iter().enumerate() {
             // One borrows and the other lends; the other way is the same.
-            if at == 1 && node.asks < ASKS_MOST && state.wire.len() < WIRE_MOST {
-                actions.extend((0..=OWNED).map(|units| Step::Ask(at, units)));
+            if at == 1 && node.requests < ASKS_MOST && state.wire.len() < WIRE_MOST {
+                actions.extend((0..=OWNED).map(|units| Step::Request(at, units)));
             }
             if node.life > 1 && state.wire.len() < WIRE_MOST {
-                actions.push(Step::Recall(at));
+                actions.push(Step::Query(at));
             }
             // One that dies is enough: the other only ever sees it by messages.
             if at == 0 && node.life < LIVES_MOST {
@@ -135,23 +136,23 @@
         let mut state = last.clone();
         match step {
             Step::Pass => state.now += 1,
-            Step::Ask(at, units) => {
+            Step::Request(at, units) => {
                 let node = &mut state.nodes[at];
-                node.asks += 1;
+                node.requests += 1;
                 // Numbers outlast a life nowhere: a new one begins behind the old.
-                let number = node.asks;
-                node.escrow.pass(last.now);
-                node.escrow.ask(last.now, 1 - at as u32, units, number);
-                self.send(&mut state, 1 - at, Said::Ask { number, units });
+                let number = node.requests;
+                node.escrow.expire(last.now);
+                node.escrow.request(last.now, 1 - at as u32, units, number);
+                self.send(&mut state, 1 - at, Said::Request { number, units });
             }
-            Step::Recall(at) => self.send(&mut state, 1 - at, Said::Recall),
+            Step::Query(at) => self.send(&mut state, 1 - at, Said::Query),
             Step::Deliver(message) => self.deliver(&mut state, message),
             Step::Lose(message) => drop(state.wire.remove(&message)),
             Step::Restart(at) => {
                 let quiet = if self.quiet { last.now + self.terms.owner_lease_ns() } else { 0 };
                 let life = state.nodes[at].life + 1;
                 state.nodes[at] =
-                    Node { life, asks: state.nodes[at].asks, escrow: Escrow::new(OWNED, quiet) };
+                    Node { life, requests: state.nodes[at].requests, escrow: Escrow::new(OWNED, quiet) };
             }
         }
         Some(state)
--- a/crates/limits/tests/sketch.rs
+++ b/crates/limits/tests/sketch.rs
@@ -30,6 +30,6 @@
     let of = (kind, 3, 0.0);
     let mut sketch = Sketch::new(0);
     assert!((0..3).all(|_| sketch.admit(S, 9, of)) && !sketch.admit(60 * S, 9, of));
-    sketch.over(9, kind);
+    sketch.release(9, kind);
     assert!(sketch.admit(60 * S, 9, of) && !sketch.admit(60 * S, 9, of));
 }
