--- a/crates/limits/src/leasing.rs
+++ b/crates/limits/src/leasing.rs
@@ -27,8 +27,8 @@
         sequence: &mut u64,
     ) -> Vec<(u32, Message)> {
         let Some(entry) = self.keys.get(&(limit, key)) else { return Vec::new() };
-        let wanted = self.wanted(limit, entry);
-        let (mut requests, left) = requests_to_current_owners(now, entry, wanted);
+        let demanded = self.demanded(limit, entry);
+        let (mut requests, left) = requests_to_current_owners(now, entry, demanded);
         self.request_from_others(limit, key, reachable, left, &mut requests);
         let of = &self.slots[usize::from(limit)].limit;
         let (id, version) = (of.id(), of.version());
@@ -92,13 +92,13 @@
         if !self.keys.contains_key(&(limit, key)) {
             return;
         }
-        self.settle(now, limit, key);
+        self.refresh(now, limit, key);
         let again = now + self.terms.exhausted_backoff_ns();
         let drain_ns = self.kind(limit).drain_ns(&self.terms);
         let Some(entry) = self.keys.get_mut(&(limit, key)) else { return };
-        let wanted = entry.escrow.apply_grant(now, from, number, units, (&self.terms, drain_ns));
+        let demanded = entry.escrow.apply_grant(now, from, number, units, (&self.terms, drain_ns));
         // It has nothing more for a while.
-        if wanted.is_some_and(|wanted| units < wanted) {
+        if demanded.is_some_and(|demanded| units < demanded) {
             entry.exhausted.insert(from.number, again);
         }
     }
@@ -115,15 +115,15 @@
         if !self.track(now, limit, key) {
             return None;
         }
-        self.settle(now, limit, key);
+        self.refresh(now, limit, key);
         let entry = &self.keys[&(limit, key)];
-        let reserved = self.wanted(limit, entry).max(entry.meter.in_flight());
+        let reserved = self.demanded(limit, entry).max(entry.meter.in_flight());
         let drain_ns = self.kind(limit).drain_ns(&self.terms);
         let entry = self.keys.get_mut(&(limit, key))?;
         let units =
             entry.escrow.handle_request(now, (from, number), units, reserved, (&self.terms, drain_ns))?;
         // Lent units take their part of the bucket with them.
-        self.settle(now, limit, key);
+        self.refresh(now, limit, key);
         let of = &self.slots[usize::from(limit)].limit;
         Some(Message::Grant { limit: of.id(), version: of.version(), key, number, units })
     }
@@ -167,14 +167,14 @@
     pub(crate) fn restore_leases(&mut self, now: u64, from: Peer, held: Vec<HeldLease>) {
         for HeldLease { limit, version, key, units, left_ns } in held {
             let Some(at) = self.slots.iter().position(|slot| slot.limit.id() == limit) else { continue };
-            let place = at as u16;
-            if !self.track(now, place, key) {
+            let limit_index = at as u16;
+            if !self.track(now, limit_index, key) {
                 continue;
             }
             let of = &self.slots[at].limit;
             // A unit of another size is worth something else.
             let other = of.version() != version && !matches!(of.kind, Kind::Concurrency { .. });
-            let Some(entry) = self.keys.get_mut(&(place, key)) else { continue };
+            let Some(entry) = self.keys.get_mut(&(limit_index, key)) else { continue };
             entry.escrow.restore_lease(now, from, units, left_ns, &self.terms);
             if other {
                 entry.escrow.extend_grace(now.saturating_add(self.terms.peer_ns_upper_bound(left_ns)));
@@ -190,9 +190,9 @@
 }
 
 /// What is asked of those that lend already, and how many units are still wanted beyond.
-fn requests_to_current_owners(now: u64, entry: &Entry, wanted: u32) -> (Requests, u32) {
+fn requests_to_current_owners(now: u64, entry: &Entry, demanded: u32) -> (Requests, u32) {
     let unleased = entry.escrow.unleased(now);
-    let mut left = wanted.saturating_sub(unleased);
+    let mut left = demanded.saturating_sub(unleased);
     let mut requests = Vec::new();
     let mut held: Vec<(u32, u32)> = entry.escrow.held().collect();
     // From those that lend most first: the fewer lenders, the fewer datagrams.
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -96,18 +96,18 @@
     /// The operator's file says other limits: gives each one's place, which those that stay keep.
     pub(crate) fn resize(&mut self, now: u64, limits: Vec<Limit>) -> Vec<u16> {
         self.slots.iter_mut().for_each(|slot| slot.retired = true);
-        let mut places = Vec::with_capacity(limits.len());
+        let mut limit_indexes = Vec::with_capacity(limits.len());
         for limit in limits {
-            let place = self.index_or_insert(&limit);
-            places.push(place);
-            let slot = &mut self.slots[usize::from(place)];
+            let limit_index = self.index_or_insert(&limit);
+            limit_indexes.push(limit_index);
+            let slot = &mut self.slots[usize::from(limit_index)];
             slot.retired = false;
             if slot.limit.version() != limit.version() {
-                self.resize_keys(now, place, &limit);
+                self.resize_keys(now, limit_index, &limit);
             }
-            self.slots[usize::from(place)].limit = limit;
+            self.slots[usize::from(limit_index)].limit = limit;
         }
-        places
+        limit_indexes
     }
 
     /// The place of a limit, a new one where it had none.
@@ -124,16 +124,16 @@
         at as u16
     }
 
-    fn resize_keys(&mut self, now: u64, place: u16, limit: &Limit) {
-        let keys: Vec<u64> = self.keys_of(place).collect();
+    fn resize_keys(&mut self, now: u64, limit_index: u16, limit: &Limit) {
+        let keys: Vec<u64> = self.keys_of(limit_index).collect();
         // Fills buckets by the old size first.
         for key in &keys {
-            self.settle(now, place, *key);
+            self.refresh(now, limit_index, *key);
         }
         let worth = !matches!(limit.kind, Kind::Concurrency { .. });
         for key in keys {
             let owned = self.terms.share(limit.kind.units(), self.me.number, key);
-            if let Some(entry) = self.keys.get_mut(&(place, key)) {
+            if let Some(entry) = self.keys.get_mut(&(limit_index, key)) {
                 entry.escrow.resize(now, owned, worth);
                 entry.exhausted.clear();
             }
@@ -150,7 +150,7 @@
     }
 
     /// The place of a limit that a peer names, where this router has it in that size.
-    pub(crate) fn place(&self, id: u64, version: u32) -> Option<u16> {
+    pub(crate) fn limit_index(&self, id: u64, version: u32) -> Option<u16> {
         let here = |slot: &Slot| slot.limit.id() == id && slot.limit.version() == version && !slot.retired;
         self.slots.iter().position(here).map(|at| at as u16)
     }
@@ -168,7 +168,7 @@
     }
 
     /// Units of a key that its own clients want (count).
-    pub(crate) fn wanted(&self, limit: u16, entry: &Entry) -> u32 {
+    pub(crate) fn demanded(&self, limit: u16, entry: &Entry) -> u32 {
         entry.demand.units(self.kind(limit), &self.terms, entry.meter.in_flight())
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// Fills a key's bucket and forgets what has run out; gives the units that may be used now.
-    pub(crate) fn settle(&mut self, now: u64, limit: u16, key: u64) -> u32 {
+    pub(crate) fn refresh(&mut self, now: u64, limit: u16, key: u64) -> u32 {
         let kind = self.kind(limit);
         let owned = self.owned(limit, key);
         let overshoot_units = self.overshoot_units(now, limit, owned);
@@ -246,7 +246,7 @@
             .take(MAX_EVICTION_CANDIDATES.min(self.keys.len()))
             .collect();
         for (limit, key) in some {
-            let usable = self.settle(now, limit, key);
+            let usable = self.refresh(now, limit, key);
             let kind = self.kind(limit);
             self.eviction_cursor = (limit, key.wrapping_add(1));
             let entry = &self.keys[&(limit, key)];
@@ -260,7 +260,7 @@
 
     /// What is known of a key.
     pub(crate) fn key_status(&mut self, now: u64, limit: u16, key: u64) -> KeyStatus {
-        let usable = self.settle(now, limit, key);
+        let usable = self.refresh(now, limit, key);
         let owned = self.owned(limit, key);
         let Some(entry) = self.keys.get(&(limit, key)) else {
             return KeyStatus { owned, ..KeyStatus::default() };
--- a/crates/limits/src/node.rs
+++ b/crates/limits/src/node.rs
@@ -72,7 +72,7 @@
         if !self.ledger.track(now, limit, key) {
             return 0;
         }
-        self.ledger.settle(now, limit, key);
+        self.ledger.refresh(now, limit, key);
         let entry = self.ledger.keys.get(&(limit, key));
         entry.map_or(0, |entry| entry.escrow.unleased(now) + entry.escrow.leased_in(until))
     }
@@ -93,7 +93,7 @@
 
     /// Own clients would send so many units' worth under a window's limit, whether they may or not.
     pub fn add_demand(&mut self, now: u64, limit: u16, key: u64, units: f64) {
-        self.ledger.settle(now, limit, key);
+        self.ledger.refresh(now, limit, key);
         if let Some(entry) = self.ledger.keys.get_mut(&(limit, key)) {
             entry.demand.add(units);
         }
@@ -101,7 +101,7 @@
 
     /// So many units' worth was sent under a window's limit.
     pub fn sent(&mut self, now: u64, limit: u16, key: u64, units: f64) {
-        self.ledger.settle(now, limit, key);
+        self.ledger.refresh(now, limit, key);
         let kind = self.ledger.slots.get(usize::from(limit)).map(|slot| slot.limit.kind);
         let Some(kind @ Kind::Window { .. }) = kind else { return };
         let until_ns = now.saturating_add(kind.window_charge_ns(&self.ledger.terms));
@@ -143,7 +143,7 @@
         }
         let all: Vec<(u16, u64)> = self.ledger.keys.keys().copied().collect();
         for (limit, key) in all {
-            self.ledger.settle(now, limit, key);
+            self.ledger.refresh(now, limit, key);
             out.extend(self.ledger.request_leases(now, (limit, key), &self.reachable, &mut self.sequence));
         }
         out
@@ -157,14 +157,15 @@
         match message {
             Message::Request { limit, version, key, number, units } => {
                 // One that knows another size gets no answer: what it holds runs out by itself.
-                let place = self.ledger.place(limit, version);
-                let grant = place
-                    .and_then(|place| self.ledger.handle_request(now, from, place, key, (number, units)));
+                let limit_index = self.ledger.limit_index(limit, version);
+                let grant = limit_index.and_then(|limit_index| {
+                    self.ledger.handle_request(now, from, limit_index, key, (number, units))
+                });
                 grant.into_iter().collect()
             }
             Message::Grant { limit, version, key, number, units } => {
-                if let Some(place) = self.ledger.place(limit, version) {
-                    self.ledger.apply_grant(now, from, place, key, (number, units));
+                if let Some(limit_index) = self.ledger.limit_index(limit, version) {
+                    self.ledger.apply_grant(now, from, limit_index, key, (number, units));
                 }
                 Vec::new()
             }
