--- a/crates/limits/src/escrow.rs
+++ b/crates/limits/src/escrow.rs
@@ -42,12 +42,12 @@
     }
 
     /// No more than so many are held from here on.
-    fn cut(&mut self, units: u32) {
+    fn reduce_to(&mut self, units: u32) {
         self.0.iter_mut().for_each(|(held, _)| *held = (*held).min(units));
         self.0.retain(|(held, _)| *held > 0);
     }
 
-    fn pass(&mut self, now: u64) {
+    fn expire(&mut self, now: u64) {
         self.0.retain(|(_, until)| now < *until);
     }
 }
@@ -55,8 +55,8 @@
 /// What a borrower may hold of ours.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct LeasedOut {
-    holdings: LeaseSet,
-    heard: u64,
+    leases: LeaseSet,
+    last_request: u64,
 }
 
 /// What we hold of an owner's. Past its end nothing more is admitted on it, while what was admitted goes on: it covers that
@@ -68,9 +68,9 @@
     /// Until when they cover what was admitted on them.
     covering: LeaseSet,
     /// Asks that may still be answered: number, when, how many units.
-    asked: Vec<(u64, u64, u32)>,
+    pending: Vec<(u64, u64, u32)>,
     /// The last ask has been answered.
-    settled: bool,
+    confirmed: bool,
     /// The owner's life that is believed.
     life: u64,
 }
@@ -99,20 +99,20 @@
     /// The limit has another size from here on, of which so many units are owned. What was lent stays lent by the old size; where
     /// a unit is worth another amount by the new one (`worth`), nothing is used or lent until that is over. Nothing more is
     /// admitted on what is borrowed.
-    pub fn resize(&mut self, now: u64, owned: u32, worth: bool) {
-        self.pass(now);
+    pub fn resize(&mut self, now: u64, owned: u32, unit_value_changed: bool) {
+        self.expire(now);
         self.owned = owned;
         for leased_in in self.leased_in.values_mut() {
-            leased_in.usable.cut(0);
+            leased_in.usable.reduce_to(0);
             // Answers that are still on their way speak of the old size.
-            leased_in.asked.clear();
-            leased_in.settled = true;
+            leased_in.pending.clear();
+            leased_in.confirmed = true;
         }
-        if worth {
+        if unit_value_changed {
             self.extend_grace(
                 self.leased_out
                     .values()
-                    .flat_map(|l| &l.holdings.0)
+                    .flat_map(|l| &l.leases.0)
                     .map(|(_, until)| *until)
                     .max()
                     .unwrap_or(0),
@@ -126,14 +126,14 @@
     }
 
     /// Passes time: what has run out is forgotten.
-    pub fn pass(&mut self, now: u64) {
-        self.leased_out.values_mut().for_each(|leased_out| leased_out.holdings.pass(now));
-        self.leased_out.retain(|_, leased_out| !leased_out.holdings.0.is_empty());
+    pub fn expire(&mut self, now: u64) {
+        self.leased_out.values_mut().for_each(|leased_out| leased_out.leases.expire(now));
+        self.leased_out.retain(|_, leased_out| !leased_out.leases.0.is_empty());
         for leased_in in self.leased_in.values_mut() {
-            leased_in.usable.pass(now);
-            leased_in.covering.pass(now);
+            leased_in.usable.expire(now);
+            leased_in.covering.expire(now);
         }
-        self.leased_in.retain(|_, b| !b.covering.0.is_empty() || !b.settled);
+        self.leased_in.retain(|_, b| !b.covering.0.is_empty() || !b.confirmed);
     }
 
     /// Own units that nobody else may use from `since` on (count).
@@ -146,7 +146,7 @@
 
     /// Units lent (count).
     pub fn leased_out(&self) -> u32 {
-        self.leased_out.values().map(|leased_out| leased_out.holdings.units(0)).sum()
+        self.leased_out.values().map(|leased_out| leased_out.leases.units(0)).sum()
     }
 
     /// Units borrowed that may be used now (count).
@@ -179,12 +179,12 @@
     /// given up now: nothing may be out on it.
     pub fn request(&mut self, now: u64, owner: u32, units: u32, number: u64) {
         let leased_in = self.leased_in.entry(owner).or_default();
-        leased_in.usable.cut(units);
-        leased_in.covering.cut(units);
-        leased_in.settled = false;
-        leased_in.asked.push((number, now, units));
-        if leased_in.asked.len() > MAX_PENDING_REQUESTS {
-            leased_in.asked.remove(0);
+        leased_in.usable.reduce_to(units);
+        leased_in.covering.reduce_to(units);
+        leased_in.confirmed = false;
+        leased_in.pending.push((number, now, units));
+        if leased_in.pending.len() > MAX_PENDING_REQUESTS {
+            leased_in.pending.remove(0);
         }
     }
 
@@ -198,22 +198,22 @@
         (terms, drain_ns): (&Terms, u64),
     ) -> Option<u32> {
         let leased_in = self.leased_in.get_mut(&owner.number)?;
-        let at = leased_in.asked.iter().position(|(n, ..)| *n == number)?;
+        let at = leased_in.pending.iter().position(|(n, ..)| *n == number)?;
         if owner.life < leased_in.life {
             return None;
         }
-        let (_, asked_ns, wanted) = leased_in.asked[at];
+        let (_, requested_ns, requested) = leased_in.pending[at];
         // What was asked for since bounds it: the owner may have heard that first.
-        let most = leased_in.asked[at..].iter().map(|(.., units)| *units).min().unwrap_or(0);
-        leased_in.settled |= at + 1 == leased_in.asked.len();
+        let most = leased_in.pending[at..].iter().map(|(.., units)| *units).min().unwrap_or(0);
+        leased_in.confirmed |= at + 1 == leased_in.pending.len();
         leased_in.life = owner.life;
-        leased_in.asked.drain(..=at);
-        let until = asked_ns.saturating_add(terms.lease_ns);
+        leased_in.pending.drain(..=at);
+        let until = requested_ns.saturating_add(terms.lease_ns);
         if now < until {
             leased_in.usable.add(units.min(most), until);
             leased_in.covering.add(units.min(most), until.saturating_add(drain_ns));
         }
-        Some(wanted)
+        Some(requested)
     }
 
     /// A borrower asks to hold so many of our units; `keep` are those that we want for ourselves. Gives how many it may hold;
@@ -229,19 +229,19 @@
         if self.leased_out.keys().any(|peer| peer.number == from.number && peer.life > from.life) {
             return None;
         }
-        let quiet = now < self.grace_until_ns;
+        let in_grace = now < self.grace_until_ns;
         let others: u32 =
-            self.leased_out.iter().filter(|(peer, _)| **peer != from).map(|(_, l)| l.holdings.units(0)).sum();
+            self.leased_out.iter().filter(|(peer, _)| **peer != from).map(|(_, l)| l.leases.units(0)).sum();
         let leased_out = self.leased_out.entry(from).or_default();
-        if number <= leased_out.heard {
+        if number <= leased_out.last_request {
             return None;
         }
-        leased_out.heard = number;
+        leased_out.last_request = number;
         // It has stopped using what it does not ask for.
-        leased_out.holdings.cut(units);
-        let free = if quiet { 0 } else { self.owned.saturating_sub(others.saturating_add(reserved)) };
+        leased_out.leases.reduce_to(units);
+        let free = if in_grace { 0 } else { self.owned.saturating_sub(others.saturating_add(reserved)) };
         let granted = units.min(free);
-        leased_out.holdings.add(granted, now.saturating_add(terms.owner_lease_ns()).saturating_add(drain_ns));
+        leased_out.leases.add(granted, now.saturating_add(terms.owner_lease_ns()).saturating_add(drain_ns));
         Some(granted)
     }
 
@@ -249,19 +249,19 @@
     pub fn expire_earlier_lives(&mut self, by: Peer, until_ns: u64) {
         let earlier = |peer: &Peer| peer.number == by.number && peer.life < by.life;
         for (_, leased_out) in self.leased_out.iter_mut().filter(|(peer, _)| earlier(peer)) {
-            leased_out.holdings.0.iter_mut().for_each(|(_, until)| *until = (*until).min(until_ns));
+            leased_out.leases.0.iter_mut().for_each(|(_, until)| *until = (*until).min(until_ns));
         }
     }
 
     /// What is held of an owner that has started again and asks: units, and for how long they still cover what is out (ns).
     /// Answers of its earlier lives are believed no longer.
-    pub fn told(&mut self, now: u64, owner: Peer) -> Vec<(u32, u64)> {
+    pub fn held_from(&mut self, now: u64, owner: Peer) -> Vec<(u32, u64)> {
         let Some(leased_in) = self.leased_in.get_mut(&owner.number) else { return Vec::new() };
         if owner.life > leased_in.life {
             leased_in.life = owner.life;
             // An answer that is still on its way was given by the earlier life.
-            leased_in.asked.clear();
-            leased_in.settled = true;
+            leased_in.pending.clear();
+            leased_in.confirmed = true;
         }
         let left = |(units, until): &(u32, u64)| (*until > now).then(|| (*units, until - now));
         leased_in.covering.0.iter().filter_map(left).collect()
@@ -270,6 +270,6 @@
     /// A peer says that it holds units of ours, lent by an earlier life, for so long still by its clock (ns).
     pub fn restore_lease(&mut self, now: u64, from: Peer, units: u32, left_ns: u64, terms: &Terms) {
         let left = terms.peer_ns_upper_bound(left_ns);
-        self.leased_out.entry(from).or_default().holdings.add(units, now.saturating_add(left));
+        self.leased_out.entry(from).or_default().leases.add(units, now.saturating_add(left));
     }
 }
