--- a/crates/limits/src/demand.rs
+++ b/crates/limits/src/demand.rs
@@ -37,10 +37,10 @@
     }
 
     /// Passes time; `least` is wanted in any case.
-    pub(crate) fn pass(&mut self, now: u64, kind: Kind, terms: &Terms, least: f64) {
+    pub(crate) fn pass(&mut self, now: u64, kind: Kind, terms: &Terms, min_demand: f64) {
         let decay_ns = decay_ns(kind, terms) as f64;
         let left = (-(now.saturating_sub(self.at_ns) as f64) / decay_ns).exp();
-        self.wanted = (self.wanted * left).max(least);
+        self.wanted = (self.wanted * left).max(min_demand);
         self.at_ns = self.at_ns.max(now);
     }
 
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -26,7 +26,7 @@
     /// Until when its own units count as lent for a start's sake (ns).
     pub(crate) grace_until_ns: u64,
     /// Peers that say what they hold end that: they were not understood before it was there.
-    told: bool,
+    covered_by_reports: bool,
     /// Keys that found no place in the table; none where all did.
     pub(crate) sketch: Option<Sketch>,
 }
@@ -78,7 +78,7 @@
             grace_until_ns: now + terms.grace_ns(limit.kind),
             limit,
             retired: false,
-            told: true,
+            covered_by_reports: true,
             sketch: None,
         };
         Ledger {
@@ -117,8 +117,14 @@
         let at = known.unwrap_or_else(|| {
             // Peers may hold units that an earlier life lent, and could not say so before.
             let grace_until_ns = self.started_ns + self.terms.grace_ns(limit.kind);
-            let (retired, told, sketch) = (true, false, None);
-            self.slots.push(Slot { limit: limit.clone(), retired, grace_until_ns, told, sketch });
+            let (retired, covered_by_reports, sketch) = (true, false, None);
+            self.slots.push(Slot {
+                limit: limit.clone(),
+                retired,
+                grace_until_ns,
+                covered_by_reports,
+                sketch,
+            });
             self.slots.len() - 1
         });
         at as u16
@@ -130,11 +136,11 @@
         for key in &keys {
             self.refresh(now, limit_index, *key);
         }
-        let worth = !matches!(limit.kind, Kind::Concurrency { .. });
+        let unit_value_changed = !matches!(limit.kind, Kind::Concurrency { .. });
         for key in keys {
             let owned = self.terms.share(limit.kind.units(), self.me.number, key);
             if let Some(entry) = self.keys.get_mut(&(limit_index, key)) {
-                entry.escrow.resize(now, owned, worth);
+                entry.escrow.resize(now, owned, unit_value_changed);
                 entry.exhausted.clear();
             }
         }
@@ -201,9 +207,9 @@
         entry.escrow.expire(now);
         let usable = entry.escrow.usable(now) + overshoot_units;
         entry.meter.refill(now, kind, self.terms.drift, (usable_throughout + overshoot_units, usable));
-        let least =
+        let min_demand =
             if let Kind::Concurrency { .. } = kind { f64::from(entry.meter.in_flight()) } else { 0.0 };
-        entry.demand.decay(now, kind, &self.terms, least);
+        entry.demand.decay(now, kind, &self.terms, min_demand);
         entry.exhausted.retain(|_, until| now < *until);
         usable
     }
@@ -225,16 +231,16 @@
         let kind = self.kind(limit);
         let owned = self.owned(limit, key);
         let slot = &self.slots[usize::from(limit)];
-        let quiet = slot.grace_until_ns;
+        let grace_until_ns = slot.grace_until_ns;
         let meter = match (&slot.sketch, kind) {
-            (Some(sketch), Kind::Rate { .. }) if now >= quiet => {
+            (Some(sketch), Kind::Rate { .. }) if now >= grace_until_ns => {
                 let used = sketch.used(now, key, (kind, owned, self.terms.drift));
                 Meter::with_tokens(now, (f64::from(owned) - used).max(0.0))
             }
             // Nothing was admitted on it in this life; what an earlier one did is not known.
-            _ => Meter::new(self.started_ns.max(quiet.min(now))),
+            _ => Meter::new(self.started_ns.max(grace_until_ns.min(now))),
         };
-        let escrow = Escrow::new(owned, quiet);
+        let escrow = Escrow::new(owned, grace_until_ns);
         Entry { escrow, meter, demand: Demand::none(now), exhausted: BTreeMap::new() }
     }
 
@@ -283,7 +289,7 @@
 
     /// Ends the quiet of a start, as all peers have said what they hold and earlier lives' work runs on until then (ns).
     pub(crate) fn end_grace(&mut self, now: u64, orphans_until_ns: u64) {
-        for slot in self.slots.iter_mut().filter(|slot| slot.told) {
+        for slot in self.slots.iter_mut().filter(|slot| slot.covered_by_reports) {
             let end_ns = match slot.limit.kind {
                 Kind::Rate { .. } => now,
                 kind @ (Kind::Concurrency { .. } | Kind::Window { .. }) => {
@@ -295,7 +301,7 @@
         }
         for ((limit, _), entry) in &mut self.keys {
             let slot = &self.slots[usize::from(*limit)];
-            if slot.told {
+            if slot.covered_by_reports {
                 entry.escrow.end_grace(slot.grace_until_ns);
             }
         }
