--- a/crates/limits/src/meter.rs
+++ b/crates/limits/src/meter.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Meter {
     /// Admissions that are out (count), of a concurrency.
-    out: u32,
+    in_flight: u32,
     /// What a rate's bucket holds (admissions), and up to when it was filled (ns).
     tokens: f64,
     refilled_ns: u64,
@@ -24,7 +24,7 @@
 impl Meter {
     /// A meter whose bucket was empty at `since` (ns): what an earlier life took is not known.
     pub fn new(since: u64) -> Meter {
-        Meter { out: 0, tokens: 0.0, refilled_ns: since, sent: VecDeque::new(), untracked: 0 }
+        Meter { in_flight: 0, tokens: 0.0, refilled_ns: since, sent: VecDeque::new(), untracked: 0 }
     }
 
     /// So many admissions are out beside its own.
@@ -60,7 +60,7 @@
 
     /// So many units' worth was sent, under a window's limit, and counts until then. Whoever sends holds it against the units
     /// that may be used.
-    pub fn send(&mut self, until: u64, units: f64) {
+    pub fn record_sent(&mut self, until: u64, units: f64) {
         // Many that are sent at once are one entry: the table is bounded by time.
         match self.sent.back_mut() {
             Some((first, last, sum)) if *first + SEND_MERGE_NS > until => {
@@ -74,7 +74,7 @@
     pub fn admits(&self, kind: Kind, usable: u32) -> bool {
         match kind {
             Kind::Rate { .. } => self.tokens >= 1.0,
-            Kind::Concurrency { .. } | Kind::Window { .. } => self.out() < usable,
+            Kind::Concurrency { .. } | Kind::Window { .. } => self.in_flight() < usable,
         }
     }
 
@@ -83,21 +83,21 @@
         let admits = self.admits(kind, usable);
         match kind {
             Kind::Rate { .. } => self.tokens -= if admits { 1.0 } else { 0.0 },
-            Kind::Concurrency { .. } => self.out += u32::from(admits),
-            Kind::Window { .. } if admits => self.send(until, 1.0),
+            Kind::Concurrency { .. } => self.in_flight += u32::from(admits),
+            Kind::Window { .. } if admits => self.record_sent(until, 1.0),
             Kind::Window { .. } => {}
         }
         admits
     }
 
     /// One that was admitted is over.
-    pub fn over(&mut self) {
-        self.out = self.out.saturating_sub(1);
+    pub fn release(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
     /// Admissions that are out, or units' worth that was sent within the window (count).
-    pub fn out(&self) -> u32 {
-        self.out + self.untracked + self.sent.iter().map(|(.., units)| units).sum::<f64>().ceil() as u32
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight + self.untracked + self.sent.iter().map(|(.., units)| units).sum::<f64>().ceil() as u32
     }
 
     /// When a refused one is worth another try, with these units (ns from now); none where only a loan can help.
@@ -111,7 +111,7 @@
     pub fn is_idle(&self, kind: Kind, usable: u32) -> bool {
         match kind {
             Kind::Rate { .. } => self.tokens >= f64::from(usable),
-            Kind::Concurrency { .. } | Kind::Window { .. } => self.out() == 0,
+            Kind::Concurrency { .. } | Kind::Window { .. } => self.in_flight() == 0,
         }
     }
 }
