--- a/crates/limits/src/sketch.rs
+++ b/crates/limits/src/sketch.rs
@@ -24,7 +24,7 @@
     created_ns: u64,
 }
 
-fn place(key: u64, row: usize) -> usize {
+fn cell_index(key: u64, row: usize) -> usize {
     let mut x = key ^ (row as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -51,7 +51,7 @@
 
     /// What a key has used of its share at most (admissions out, or a bucket's level).
     pub fn used(&self, now: u64, key: u64, (kind, share, drift): (Kind, u32, f64)) -> f64 {
-        let cells = (0..ROWS).map(|row| &self.cells[place(key, row)]);
+        let cells = (0..ROWS).map(|row| &self.cells[cell_index(key, row)]);
         cells.map(|cell| self.level(now, cell, kind, share, drift)).fold(f64::INFINITY, f64::min)
     }
 
@@ -65,7 +65,7 @@
         let updated_ms =
             (now.saturating_sub(self.created_ns) / 1_000_000 + 1).min(u64::from(u32::MAX)) as u32;
         for row in 0..ROWS {
-            let at = place(key, row);
+            let at = cell_index(key, row);
             let level = self.level(now, &self.cells[at], kind, share, drift);
             self.cells[at] = Cell { used: (level + 1.0) as f32, updated_ms };
         }
@@ -73,10 +73,10 @@
     }
 
     /// A request that the sketch admitted is over.
-    pub fn over(&mut self, key: u64, kind: Kind) {
+    pub fn release(&mut self, key: u64, kind: Kind) {
         if matches!(kind, Kind::Concurrency { .. }) {
             for row in 0..ROWS {
-                let cell = &mut self.cells[place(key, row)];
+                let cell = &mut self.cells[cell_index(key, row)];
                 cell.used = (cell.used - 1.0).max(0.0);
             }
         }
