--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -34,13 +34,13 @@
 
 impl Ledger {
     /// Admits a request by all of its limits and keys, or by none.
-    pub(crate) fn admit(&mut self, now: u64, wants: &[(u16, u64)]) -> Result<Ticket, Refused> {
+    pub(crate) fn admit(&mut self, now: u64, limit_keys: &[(u16, u64)]) -> Result<Ticket, Refused> {
         // All of them count the request as demand, whichever refuses it.
         let verdicts: Vec<Decision> =
-            wants.iter().map(|(limit, key)| self.check(now, *limit, *key)).collect();
+            limit_keys.iter().map(|(limit, key)| self.check(now, *limit, *key)).collect();
         let usable = verdicts.into_iter().collect::<Result<Vec<_>, Refused>>()?;
-        let mut ticket = Ticket(Vec::with_capacity(wants.len()));
-        for ((limit, key), usable) in wants.iter().copied().zip(usable) {
+        let mut ticket = Ticket(Vec::with_capacity(limit_keys.len()));
+        for ((limit, key), usable) in limit_keys.iter().copied().zip(usable) {
             self.count(now, limit, key, usable);
             ticket.0.push(Admitted { limit, key, by_sketch: usable.is_none() });
         }
--- a/crates/limits/src/node.rs
+++ b/crates/limits/src/node.rs
@@ -22,7 +22,7 @@
     latest_lives: BTreeMap<u32, u64>,
     /// The number of this router's latest message.
     sequence: u64,
-    asked_ns: u64,
+    last_round_ns: u64,
 }
 
 impl Node {
@@ -35,7 +35,7 @@
             reachable: BTreeSet::new(),
             latest_lives: BTreeMap::new(),
             sequence: 0,
-            asked_ns: 0,
+            last_round_ns: 0,
         };
         node.try_finish_recovery(now);
         node
@@ -57,8 +57,8 @@
     ///
     /// # Errors
     /// Names the first limit that does not allow it, and when it is worth another try.
-    pub fn admit(&mut self, now: u64, wants: &[(u16, u64)]) -> Result<Ticket, Refused> {
-        self.ledger.admit(now, wants)
+    pub fn admit(&mut self, now: u64, limit_keys: &[(u16, u64)]) -> Result<Ticket, Refused> {
+        self.ledger.admit(now, limit_keys)
     }
 
     /// A request that was admitted is over.
@@ -133,10 +133,10 @@
     /// Passes time; gives what is to be said, and to whom.
     pub fn tick(&mut self, now: u64) -> Vec<(u32, Message)> {
         let mut out = Vec::new();
-        if now < self.asked_ns.saturating_add(self.ledger.terms.request_interval_ns()) {
+        if now < self.last_round_ns.saturating_add(self.ledger.terms.request_interval_ns()) {
             return out;
         }
-        self.asked_ns = now;
+        self.last_round_ns = now;
         self.try_finish_recovery(now);
         if let Some(recovery) = &self.recovery {
             out.extend(recovery.unanswered().map(|peer| (peer, Message::Query)));
