--- a/crates/limits/src/bound.rs
+++ b/crates/limits/src/bound.rs
@@ -52,7 +52,7 @@
     let units = limit.kind.units().max(1);
     let over = |share: f64, for_ns: u64| (share, if share > 0.0 { for_ns } else { 0 });
     // What was admitted within the time is out for longer.
-    let out_ns = match limit.kind {
+    let in_flight_ns = match limit.kind {
         Kind::Rate { .. } => 0,
         Kind::Concurrency { .. } => terms.max_request_ns + terms.orphan_ns,
         Kind::Window { window_ns, .. } => window_ns,
@@ -63,30 +63,30 @@
             // Each router's part is whole units, rounded down.
             let overshoot_units: u32 =
                 (0..terms.routers).map(|me| overshoot_units(terms.share(units, me, 0), share)).sum();
-            over(f64::from(overshoot_units) / f64::from(units), for_ns + out_ns)
+            over(f64::from(overshoot_units) / f64::from(units), for_ns + in_flight_ns)
         }
     };
-    let leased_out = terms.owner_lease_ns() + limit.kind.drain_ns(terms);
+    let max_lease_ns = terms.owner_lease_ns() + limit.kind.drain_ns(terms);
     // What is free is lent once somebody asks for it: one that was told that there is nothing asks again after a while.
-    let asked = terms.exhausted_backoff_ns() + terms.request_interval_ns();
-    let largest = (0..terms.routers).map(|me| terms.share(units, me, 0)).max().unwrap_or(0);
+    let request_delay_ns = terms.exhausted_backoff_ns() + terms.request_interval_ns();
+    let largest_share = (0..terms.routers).map(|me| terms.share(units, me, 0)).max().unwrap_or(0);
     let ((max_overshoot, overshoot_ns), max_idle_ns) = match fault {
         // A unit that is not needed is returned or runs out within a lease.
         Fault::None | Fault::HolderPaused => (over(0.0, 0), terms.owner_lease_ns()),
         Fault::UnknownPeer => (over(0.0, 0), terms.owner_lease_ns()),
-        Fault::Partition => (allowed, leased_out),
-        Fault::HolderCrashed => (allowed, leased_out),
+        Fault::Partition => (allowed, max_lease_ns),
+        Fault::HolderCrashed => (allowed, max_lease_ns),
         Fault::OwnerRestarted => (allowed, terms.grace_ns(limit.kind)),
         // Everybody is asked as soon as it is found, and says what it holds; else all that was lent runs out. What ran
         // before runs on.
         Fault::AllRestarted => {
-            let found = limit.kind.orphan_ns(terms) + terms.detection_ns;
-            (allowed, found.min(terms.grace_ns(limit.kind)))
+            let detected_ns = limit.kind.orphan_ns(terms) + terms.detection_ns;
+            (allowed, detected_ns.min(terms.grace_ns(limit.kind)))
         }
         // Each uses the share for itself for as long as they are two.
-        Fault::DuplicateNumber => (over(f64::from(largest) / f64::from(units), u64::MAX), leased_out),
+        Fault::DuplicateNumber => (over(f64::from(largest_share) / f64::from(units), u64::MAX), max_lease_ns),
     };
-    Bound { max_overshoot, overshoot_ns, max_idle_ns: max_idle_ns + asked }
+    Bound { max_overshoot, overshoot_ns, max_idle_ns: max_idle_ns + request_delay_ns }
 }
 
 /// How far over its new size a limit can be once the operator's file says another, until all routers have read it and for so long
@@ -97,11 +97,11 @@
         kind => f64::from(kind.units().max(1)),
     };
     let max_overshoot = (size(before) / size(after) - 1.0).max(0.0);
-    let leased_out = terms.owner_lease_ns() + after.kind.drain_ns(terms);
+    let max_lease_ns = terms.owner_lease_ns() + after.kind.drain_ns(terms);
     Bound {
         max_overshoot,
-        overshoot_ns: if max_overshoot > 0.0 { leased_out } else { 0 },
-        max_idle_ns: leased_out,
+        overshoot_ns: if max_overshoot > 0.0 { max_lease_ns } else { 0 },
+        max_idle_ns: max_lease_ns,
     }
 }
 
