--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -9,14 +9,14 @@
 
 /// Units of each router, the last moment that is looked at, messages on their way at once.
 const OWNED: u32 = 1;
-const LAST: u64 = 6;
-const WIRE_MOST: usize = 2;
+const LAST_NS: u64 = 6;
+const MAX_IN_TRANSIT: usize = 2;
 /// Asks and restarts of one router (count).
-const ASKS_MOST: u64 = 2;
-const LIVES_MOST: u64 = 2;
+const MAX_REQUESTS: u64 = 2;
+const MAX_LIVES: u64 = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Said {
+enum Message {
     Request { number: u64, units: u32 },
     Grant { number: u64, units: u32 },
     Query,
@@ -35,58 +35,58 @@
     now: u64,
     nodes: [Node; 2],
     /// To whom, from which life of the other, what. It may be delivered any number of times while it is here.
-    wire: BTreeSet<(usize, u64, Said)>,
+    in_transit: BTreeSet<(usize, u64, Message)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    Pass,
+    Advance,
     Request(usize, u32),
     Query(usize),
-    Deliver((usize, u64, Said)),
-    Lose((usize, u64, Said)),
+    Deliver((usize, u64, Message)),
+    Lose((usize, u64, Message)),
     Restart(usize),
 }
 
-struct Loans {
+struct LeaseModel {
     terms: Terms,
     /// A router that starts takes its own units for lent.
-    quiet: bool,
+    grace: bool,
 }
 
-impl Loans {
-    fn send(&self, state: &mut Fleet, to: usize, said: Said) {
-        if state.wire.len() < WIRE_MOST {
+impl LeaseModel {
+    fn send(&self, state: &mut Fleet, to: usize, message: Message) {
+        if state.in_transit.len() < MAX_IN_TRANSIT {
             let life = state.nodes[1 - to].life;
-            state.wire.insert((to, life, said));
+            state.in_transit.insert((to, life, message));
         }
     }
 
-    fn deliver(&self, state: &mut Fleet, (to, life, said): (usize, u64, Said)) {
+    fn deliver(&self, state: &mut Fleet, (to, life, message): (usize, u64, Message)) {
         let (now, terms) = (state.now, &self.terms);
         let from = Peer { number: 1 - to as u32, life };
         let node = &mut state.nodes[to];
         node.escrow.expire(now);
-        match said {
-            Said::Request { number, units } => {
+        match message {
+            Message::Request { number, units } => {
                 let granted = node.escrow.handle_request(now, (from, number), units, 0, (terms, 0));
                 if let Some(units) = granted {
-                    self.send(state, 1 - to, Said::Grant { number, units });
+                    self.send(state, 1 - to, Message::Grant { number, units });
                 }
             }
-            Said::Grant { number, units } => {
+            Message::Grant { number, units } => {
                 node.escrow.apply_grant(now, from, number, units, (terms, 0));
             }
-            Said::Query => {
+            Message::Query => {
                 let held = node.escrow.held_from(now, from);
-                self.send(state, 1 - to, Said::Report { life, held });
+                self.send(state, 1 - to, Message::Report { life, held });
             }
-            Said::Report { life, held } if life == node.life => {
+            Message::Report { life, held } if life == node.life => {
                 held.into_iter()
                     .for_each(|(units, left)| node.escrow.restore_lease(now, from, units, left, terms));
                 node.escrow.end_grace(now);
             }
-            Said::Report { .. } => {}
+            Message::Report { .. } => {}
         }
     }
 
@@ -100,33 +100,33 @@
     }
 }
 
-impl Model for Loans {
+impl Model for LeaseModel {
     type State = Fleet;
     type Action = Step;
 
     fn init_states(&self) -> Vec<Fleet> {
         let node = || Node { life: 1, requests: 0, escrow: Escrow::new(OWNED, 0) };
-        vec![Fleet { now: 1, nodes: [node(), node()], wire: BTreeSet::new() }]
+        vec![Fleet { now: 1, nodes: [node(), node()], in_transit: BTreeSet::new() }]
     }
 
     fn actions(&self, state: &Fleet, actions: &mut Vec<Step>) {
-        if state.now < LAST {
-            actions.push(Step::Pass);
+        if state.now < LAST_NS {
+            actions.push(Step::Advance);
         }
         for (at, node) in state.nodes.iter().enumerate() {
             // One borrows and the other lends; the other way is the same.
-            if at == 1 && node.requests < ASKS_MOST && state.wire.len() < WIRE_MOST {
+            if at == 1 && node.requests < MAX_REQUESTS && state.in_transit.len() < MAX_IN_TRANSIT {
                 actions.extend((0..=OWNED).map(|units| Step::Request(at, units)));
             }
-            if node.life > 1 && state.wire.len() < WIRE_MOST {
+            if node.life > 1 && state.in_transit.len() < MAX_IN_TRANSIT {
                 actions.push(Step::Query(at));
             }
             // One that dies is enough: the other only ever sees it by messages.
-            if at == 0 && node.life < LIVES_MOST {
+            if at == 0 && node.life < MAX_LIVES {
                 actions.push(Step::Restart(at));
             }
         }
-        for message in &state.wire {
+        for message in &state.in_transit {
             actions.push(Step::Deliver(message.clone()));
             actions.push(Step::Lose(message.clone()));
         }
@@ -135,7 +135,7 @@
     fn next_state(&self, last: &Fleet, step: Step) -> Option<Fleet> {
         let mut state = last.clone();
         match step {
-            Step::Pass => state.now += 1,
+            Step::Advance => state.now += 1,
             Step::Request(at, units) => {
                 let node = &mut state.nodes[at];
                 node.requests += 1;
@@ -143,24 +143,24 @@
                 let number = node.requests;
                 node.escrow.expire(last.now);
                 node.escrow.request(last.now, 1 - at as u32, units, number);
-                self.send(&mut state, 1 - at, Said::Request { number, units });
+                self.send(&mut state, 1 - at, Message::Request { number, units });
             }
-            Step::Query(at) => self.send(&mut state, 1 - at, Said::Query),
+            Step::Query(at) => self.send(&mut state, 1 - at, Message::Query),
             Step::Deliver(message) => self.deliver(&mut state, message),
-            Step::Lose(message) => drop(state.wire.remove(&message)),
+            Step::Lose(message) => drop(state.in_transit.remove(&message)),
             Step::Restart(at) => {
-                let quiet = if self.quiet { last.now + self.terms.owner_lease_ns() } else { 0 };
+                let grace = if self.grace { last.now + self.terms.owner_lease_ns() } else { 0 };
                 let life = state.nodes[at].life + 1;
                 state.nodes[at] =
-                    Node { life, requests: state.nodes[at].requests, escrow: Escrow::new(OWNED, quiet) };
+                    Node { life, requests: state.nodes[at].requests, escrow: Escrow::new(OWNED, grace) };
             }
         }
         Some(state)
     }
 
-    fn properties(&self) -> Vec<Property<Loans>> {
+    fn properties(&self) -> Vec<Property<LeaseModel>> {
         vec![
-            Property::always("never over", |_, state| Loans::usable(state) <= 2 * OWNED),
+            Property::always("never over", |_, state| LeaseModel::usable(state) <= 2 * OWNED),
             Property::sometimes("one uses all", |_, state: &Fleet| {
                 state.nodes.iter().any(|node| node.escrow.leased_in(state.now) == OWNED)
             }),
@@ -174,7 +174,7 @@
 
 #[test]
 fn no_two_routers_ever_use_one_unit() {
-    let checker = Loans { terms: terms(0.0), quiet: true }.checker().threads(2).spawn_bfs().join();
+    let checker = LeaseModel { terms: terms(0.0), grace: true }.checker().threads(2).spawn_bfs().join();
     println!("{} states, {} of them different", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000);
@@ -184,9 +184,10 @@
 fn the_model_goes_over_without_either_guard() {
     // An owner that takes a unit back before its borrower must be done with it.
     let short = Terms { drift: -0.99, ..terms(0.0) };
-    let early = Loans { terms: short, quiet: true }.checker().threads(2).spawn_bfs().join();
-    assert!(early.discovery("never over").is_some(), "an owner that forgets its loans early");
+    let early_return = LeaseModel { terms: short, grace: true }.checker().threads(2).spawn_bfs().join();
+    assert!(early_return.discovery("never over").is_some(), "an owner that forgets its loans early");
     // A router that starts and uses what its last life lent.
-    let loud = Loans { terms: terms(0.0), quiet: false }.checker().threads(2).spawn_bfs().join();
-    assert!(loud.discovery("never over").is_some(), "an owner that starts without waiting");
+    let without_grace =
+        LeaseModel { terms: terms(0.0), grace: false }.checker().threads(2).spawn_bfs().join();
+    assert!(without_grace.discovery("never over").is_some(), "an owner that starts without waiting");
 }
