--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -41,7 +41,7 @@
         let usable = verdicts.into_iter().collect::<Result<Vec<_>, Refused>>()?;
         let mut ticket = Ticket(Vec::with_capacity(limit_keys.len()));
         for ((limit, key), usable) in limit_keys.iter().copied().zip(usable) {
-            self.count(now, limit, key, usable);
+            self.commit(now, limit, key, usable);
             ticket.0.push(Admitted { limit, key, by_sketch: usable.is_none() });
         }
         Ok(ticket)
@@ -49,11 +49,11 @@
 
     /// Whether a limit and key admit a request, which counts as demand in any case.
     fn check(&mut self, now: u64, limit: u16, key: u64) -> Decision {
-        let retry_ns = 2 * self.terms.request_interval_ns();
+        let default_retry_ns = 2 * self.terms.request_interval_ns();
         let refused = |retry_after_ns| Refused { limit: usize::from(limit), retry_after_ns };
         if !self.track(now, limit, key) {
             let admits = self.admit_by_sketch(now, limit, key, false);
-            return if admits { Ok(None) } else { Err(refused(retry_ns)) };
+            return if admits { Ok(None) } else { Err(refused(default_retry_ns)) };
         }
         let kind = self.kind(limit);
         let usable = self.settle(now, limit, key);
@@ -63,12 +63,12 @@
         if admits {
             return Ok(Some(usable));
         }
-        let retry_after_ns = entry.meter.retry_after_ns(kind, usable).unwrap_or(retry_ns);
+        let retry_after_ns = entry.meter.retry_after_ns(kind, usable).unwrap_or(default_retry_ns);
         Err(refused(retry_after_ns.max(MIN_RETRY_NS)))
     }
 
     /// Counts an admitted request.
-    fn count(&mut self, now: u64, limit: u16, key: u64, usable: Option<u32>) {
+    fn commit(&mut self, now: u64, limit: u16, key: u64, usable: Option<u32>) {
         let kind = self.kind(limit);
         let until_ns = now.saturating_add(kind.window_charge_ns(&self.terms));
         match (usable, self.keys.get_mut(&(limit, key))) {
@@ -78,7 +78,7 @@
     }
 
     /// Whether a key that found no place in the table is admitted on its router's own share; it counts where it `counts`.
-    fn admit_by_sketch(&mut self, now: u64, limit: u16, key: u64, counts: bool) -> bool {
+    fn admit_by_sketch(&mut self, now: u64, limit: u16, key: u64, commit: bool) -> bool {
         let kind = self.kind(limit);
         let of = (kind, self.owned(limit, key), self.terms.drift);
         let slot = &mut self.slots[usize::from(limit)];
@@ -86,14 +86,14 @@
             return false;
         }
         let sketch = slot.sketch.get_or_insert_with(|| Sketch::new(now));
-        match counts {
+        match commit {
             true => sketch.admit(now, key, of),
             false => sketch.used(now, key, of) + 1.0 <= f64::from(of.1),
         }
     }
 
     /// A request that was admitted is over.
-    pub(crate) fn over(&mut self, ticket: Ticket) {
+    pub(crate) fn release(&mut self, ticket: Ticket) {
         for Admitted { limit, key, by_sketch } in ticket.0 {
             let kind = self.kind(limit);
             let sketch = self.slots[usize::from(limit)].sketch.as_mut().filter(|_| by_sketch);
