--- a/crates/peers/src/datagram.rs
+++ b/crates/peers/src/datagram.rs
@@ -3,13 +3,13 @@
 /// Largest datagram (bytes): it fits the smallest path that is common.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// The first bytes of each, and the version of what follows.
-const MARK: [u8; 2] = *b"mj";
+const MAGIC: [u8; 2] = *b"mj";
 const VERSION: u8 = 1;
 /// Bytes of the sum, and of all that stands before the content.
-const SUM: usize = 16;
-const HEAD: usize = MARK.len() + 2 + SUM;
+const MAC_BYTES: usize = 16;
+const HEADER_BYTES: usize = MAGIC.len() + 2 + MAC_BYTES;
 /// Largest content (bytes).
-pub const MAX_CONTENT_BYTES: usize = MAX_DATAGRAM_BYTES - HEAD;
+pub const MAX_CONTENT_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES;
 
 /// What a datagram carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,39 +26,39 @@
 
 /// Why a datagram is passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Spoilt {
+pub enum RejectReason {
     /// It is shorter than any, or larger than allowed.
     Size,
     /// It does not begin like one.
-    Strange,
+    Magic,
     /// It is of another version.
     Version,
     /// Its sum is not by a key that is accepted: damaged, or of another fleet.
-    Sum,
+    Mac,
     /// It is sealed, but what it holds can't be read.
     Content,
 }
 
 /// All of them, for counters.
-pub const REJECT_REASONS: [(Spoilt, &str); 5] = [
-    (Spoilt::Size, "size"),
-    (Spoilt::Strange, "strange"),
-    (Spoilt::Version, "version"),
-    (Spoilt::Sum, "sum"),
-    (Spoilt::Content, "content"),
+pub const REJECT_REASONS: [(RejectReason, &str); 5] = [
+    (RejectReason::Size, "size"),
+    (RejectReason::Magic, "strange"),
+    (RejectReason::Version, "version"),
+    (RejectReason::Mac, "sum"),
+    (RejectReason::Content, "content"),
 ];
 
 /// The fleet's keys: one to seal with, and one more that is accepted while keys change.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Keys {
-    seals: [u8; 32],
-    also: Option<[u8; 32]>,
+    primary: [u8; 32],
+    secondary: Option<[u8; 32]>,
 }
 
 impl std::fmt::Debug for Keys {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         // Keys are for nobody's log.
-        write!(f, "Keys({})", if self.also.is_some() { 2 } else { 1 })
+        write!(f, "Keys({})", if self.secondary.is_some() { 2 } else { 1 })
     }
 }
 
@@ -79,8 +79,8 @@
             })
             .collect::<Result<_, _>>()?;
         match keys[..] {
-            [seals] => Ok(Keys { seals, also: None }),
-            [seals, also] => Ok(Keys { seals, also: Some(also) }),
+            [primary] => Ok(Keys { primary, secondary: None }),
+            [primary, secondary] => Ok(Keys { primary, secondary: Some(secondary) }),
             [] => Err("there is no key in it".into()),
             _ => Err("there are more than two keys in it".into()),
         }
@@ -89,17 +89,17 @@
     /// A number that all routers with these keys share and nobody else can guess: hashes of clients' names are drawn by it, so
     /// that a client is the same one to all routers. It follows from the key that seals.
     pub fn shared_seed(&self) -> u64 {
-        let hash = blake3::keyed_hash(&self.seals, b"marljunction clients");
+        let hash = blake3::keyed_hash(&self.primary, b"marljunction clients");
         hash.as_bytes().iter().take(8).fold(0, |seed, byte| seed << 8 | u64::from(*byte))
     }
 
     /// A datagram of this content.
-    pub fn seal(&self, kind: Kind, content: &[u8]) -> Vec<u8> {
+    pub fn sign(&self, kind: Kind, content: &[u8]) -> Vec<u8> {
         let kind = kind as u8;
-        let mut datagram = Vec::with_capacity(HEAD + content.len());
-        datagram.extend_from_slice(&MARK);
+        let mut datagram = Vec::with_capacity(HEADER_BYTES + content.len());
+        datagram.extend_from_slice(&MAGIC);
         datagram.extend_from_slice(&[VERSION, kind]);
-        datagram.extend_from_slice(&sum(&self.seals, kind, content));
+        datagram.extend_from_slice(&sum(&self.primary, kind, content));
         datagram.extend_from_slice(content);
         datagram
     }
@@ -108,42 +108,42 @@
     ///
     /// # Errors
     /// Says why it is passed over.
-    pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<(Kind, &'a [u8]), Spoilt> {
-        if datagram.len() < HEAD || datagram.len() > MAX_DATAGRAM_BYTES {
-            return Err(Spoilt::Size);
+    pub fn verify<'a>(&self, datagram: &'a [u8]) -> Result<(Kind, &'a [u8]), RejectReason> {
+        if datagram.len() < HEADER_BYTES || datagram.len() > MAX_DATAGRAM_BYTES {
+            return Err(RejectReason::Size);
         }
-        let (head, content) = datagram.split_at(HEAD);
-        if head[..2] != MARK {
-            return Err(Spoilt::Strange);
+        let (head, content) = datagram.split_at(HEADER_BYTES);
+        if head[..2] != MAGIC {
+            return Err(RejectReason::Magic);
         }
         if head[2] != VERSION {
-            return Err(Spoilt::Version);
+            return Err(RejectReason::Version);
         }
         // Compared as hashes, which takes as long whatever differs.
-        let seen: [u8; SUM] = head[4..].try_into().map_err(|_| Spoilt::Size)?;
-        let pad = |sum: [u8; SUM]| {
+        let seen: [u8; MAC_BYTES] = head[4..].try_into().map_err(|_| RejectReason::Size)?;
+        let pad = |sum: [u8; MAC_BYTES]| {
             let mut all = [0; 32];
-            all[..SUM].copy_from_slice(&sum);
+            all[..MAC_BYTES].copy_from_slice(&sum);
             blake3::Hash::from(all)
         };
-        let keys = std::iter::once(&self.seals).chain(&self.also);
+        let keys = std::iter::once(&self.primary).chain(&self.secondary);
         if !keys.map(|key| sum(key, head[3], content)).any(|sum| pad(sum) == pad(seen)) {
-            return Err(Spoilt::Sum);
+            return Err(RejectReason::Mac);
         }
         match head[3] {
             0 => Ok((Kind::Members, content)),
             1 => Ok((Kind::Limits, content)),
             2 => Ok((Kind::Verdicts, content)),
             3 => Ok((Kind::List, content)),
-            _ => Err(Spoilt::Content),
+            _ => Err(RejectReason::Content),
         }
     }
 }
 
-fn sum(key: &[u8; 32], kind: u8, content: &[u8]) -> [u8; SUM] {
+fn sum(key: &[u8; 32], kind: u8, content: &[u8]) -> [u8; MAC_BYTES] {
     let mut hasher = blake3::Hasher::new_keyed(key);
     hasher.update(&[VERSION, kind]).update(content);
-    let mut sum = [0; SUM];
-    sum.copy_from_slice(&hasher.finalize().as_bytes()[..SUM]);
+    let mut sum = [0; MAC_BYTES];
+    sum.copy_from_slice(&hasher.finalize().as_bytes()[..MAC_BYTES]);
     sum
 }
--- a/crates/peers/src/who.rs
+++ b/crates/peers/src/identity.rs
@@ -22,17 +22,17 @@
 
 impl PeerIdentity {
     /// Whoever listens there: only the address of a router is known before it has been heard.
-    pub fn at(address: SocketAddr) -> PeerIdentity {
+    pub fn from_address(address: SocketAddr) -> PeerIdentity {
         PeerIdentity { name: String::new(), number: u32::MAX, address, life: 0, renewal: 0 }
     }
 }
 
 /// What stays the same over a router's lives: its name, or its address where no more is known of it.
 #[derive(Clone, Debug)]
-pub struct Place(String, SocketAddr);
+pub struct StableAddr(String, SocketAddr);
 
-impl PartialEq for Place {
-    fn eq(&self, other: &Place) -> bool {
+impl PartialEq for StableAddr {
+    fn eq(&self, other: &StableAddr) -> bool {
         match self.0.is_empty() || other.0.is_empty() {
             true => self.1 == other.1,
             false => self.0 == other.0,
@@ -41,14 +41,14 @@
 }
 
 impl foca::Identity for PeerIdentity {
-    type Addr = Place;
+    type Addr = StableAddr;
 
     fn renew(&self) -> Option<PeerIdentity> {
         Some(PeerIdentity { renewal: self.renewal.wrapping_add(1), ..self.clone() })
     }
 
-    fn addr(&self) -> Place {
-        Place(self.name.clone(), self.address)
+    fn addr(&self) -> StableAddr {
+        StableAddr(self.name.clone(), self.address)
     }
 
     fn win_addr_conflict(&self, other: &PeerIdentity) -> bool {
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -7,9 +7,9 @@
 #![forbid(unsafe_code)]
 
 pub mod datagram;
+pub mod identity;
 pub mod members;
-pub mod who;
 
-pub use datagram::{Keys, Spoilt};
+pub use datagram::{Keys, RejectReason};
+pub use identity::PeerIdentity;
 pub use members::{Event, Members, Settings};
-pub use who::PeerIdentity;
--- a/crates/peers/src/members.rs
+++ b/crates/peers/src/members.rs
@@ -13,11 +13,11 @@
 use rand_for_foca::rngs::SmallRng;
 use rand_for_foca::SeedableRng;
 
-use crate::datagram::{Keys, Kind, Spoilt, MAX_CONTENT_BYTES, REJECT_REASONS};
-use crate::who::PeerIdentity;
+use crate::datagram::{Keys, Kind, RejectReason, MAX_CONTENT_BYTES, REJECT_REASONS};
+use crate::identity::PeerIdentity;
 
 /// How often seeds that are not known to be there are asked to let this router join (ns).
-const JOIN_NS: u64 = 1_000_000_000;
+const JOIN_INTERVAL_NS: u64 = 1_000_000_000;
 /// Peers that are kept at most (count), for each router that there is: those that were replaced are remembered for a while.
 const PEERS_PER_ROUTER: usize = 2;
 /// Timers that may be set at most (count), for each peer that may be kept: beyond these the farthest give way.
@@ -28,8 +28,8 @@
 
 /// A router that comes back so often (count) within this time (ns) has a name that another has too: one that was cut off or
 /// stood still comes back once, and its peers believe that.
-const RETURNS: usize = 4;
-const RETURNS_NS: u64 = 20_000_000_000;
+const DUPLICATE_NAME_REJOINS: usize = 4;
+const DUPLICATE_NAME_WINDOW_NS: u64 = 20_000_000_000;
 
 /// How membership is set up.
 #[derive(Clone, Debug, PartialEq)]
@@ -99,64 +99,64 @@
 
 /// Messages as MessagePack.
 #[derive(Clone, Copy, Debug)]
-struct Pack;
+struct MessagePackCodec;
 
 /// Why a message can't be packed or unpacked.
 #[derive(Debug)]
-pub struct Unreadable(String);
+pub struct CodecError(String);
 
-impl std::fmt::Display for Unreadable {
+impl std::fmt::Display for CodecError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for CodecError {}
 
-fn pack(value: &impl serde::Serialize, buffer: impl BufMut) -> Result<(), Unreadable> {
-    rmp_serde::encode::write(&mut buffer.writer(), value).map_err(|e| Unreadable(e.to_string()))
+fn write_msgpack(value: &impl serde::Serialize, buffer: impl BufMut) -> Result<(), CodecError> {
+    rmp_serde::encode::write(&mut buffer.writer(), value).map_err(|e| CodecError(e.to_string()))
 }
 
-fn unpack<T: serde::de::DeserializeOwned>(buffer: impl Buf) -> Result<T, Unreadable> {
-    rmp_serde::decode::from_read(buffer.reader()).map_err(|e| Unreadable(e.to_string()))
+fn read_msgpack<T: serde::de::DeserializeOwned>(buffer: impl Buf) -> Result<T, CodecError> {
+    rmp_serde::decode::from_read(buffer.reader()).map_err(|e| CodecError(e.to_string()))
 }
 
 /// Who said what. Of the list it stands behind its sender as it is: as a value of its own it would take half as much again.
-fn unpack_said(kind: Kind, mut content: &[u8]) -> Result<(PeerIdentity, Vec<u8>), Unreadable> {
+fn decode_payload(kind: Kind, mut content: &[u8]) -> Result<(PeerIdentity, Vec<u8>), CodecError> {
     match kind {
         Kind::List => {
-            let from = unpack::<PeerIdentity>(&mut content)?;
+            let from = read_msgpack::<PeerIdentity>(&mut content)?;
             Ok((from, content.to_vec()))
         }
-        _ => unpack::<(PeerIdentity, Vec<u8>)>(content),
+        _ => read_msgpack::<(PeerIdentity, Vec<u8>)>(content),
     }
 }
 
-impl Codec<PeerIdentity> for Pack {
-    type Error = Unreadable;
+impl Codec<PeerIdentity> for MessagePackCodec {
+    type Error = CodecError;
 
     fn encode_header(
         &mut self,
         header: &Header<PeerIdentity>,
         buffer: impl BufMut,
-    ) -> Result<(), Unreadable> {
-        pack(header, buffer)
+    ) -> Result<(), CodecError> {
+        write_msgpack(header, buffer)
     }
 
-    fn decode_header(&mut self, buffer: impl Buf) -> Result<Header<PeerIdentity>, Unreadable> {
-        unpack(buffer)
+    fn decode_header(&mut self, buffer: impl Buf) -> Result<Header<PeerIdentity>, CodecError> {
+        read_msgpack(buffer)
     }
 
     fn encode_member(
         &mut self,
         member: &Member<PeerIdentity>,
         buffer: impl BufMut,
-    ) -> Result<(), Unreadable> {
-        pack(member, buffer)
+    ) -> Result<(), CodecError> {
+        write_msgpack(member, buffer)
     }
 
-    fn decode_member(&mut self, buffer: impl Buf) -> Result<Member<PeerIdentity>, Unreadable> {
-        unpack(buffer)
+    fn decode_member(&mut self, buffer: impl Buf) -> Result<Member<PeerIdentity>, CodecError> {
+        read_msgpack(buffer)
     }
 }
 
@@ -179,7 +179,7 @@
 
 /// A router's view of its peers.
 pub struct Members {
-    foca: Foca<PeerIdentity, Pack, SmallRng, NoCustomBroadcast>,
+    foca: Foca<PeerIdentity, MessagePackCodec, SmallRng, NoCustomBroadcast>,
     keys: Keys,
     seeds: Vec<SocketAddr>,
     timers: BTreeMap<(u64, u64), Timer<PeerIdentity>>,
@@ -187,15 +187,15 @@
     max_peers: usize,
     max_timers: usize,
     serial: u64,
-    joined_ns: u64,
+    last_join_ns: u64,
     up: BTreeMap<String, PeerIdentity>,
     out: Vec<(SocketAddr, Vec<u8>)>,
     events: Vec<Event>,
-    rejected_datagrams: BTreeMap<Spoilt, u64>,
+    rejected_datagrams: BTreeMap<RejectReason, u64>,
     sent: (u64, u64),
     /// When peers last took this router for gone (ns), as often as tells of another with its name.
-    returns: VecDeque<u64>,
-    told_ns: Option<u64>,
+    rejoins_ns: VecDeque<u64>,
+    duplicate_name_reported_ns: Option<u64>,
 }
 
 impl Members {
@@ -203,21 +203,21 @@
     pub fn new(me: PeerIdentity, keys: Keys, settings: &Settings, seed: u64) -> Members {
         let seeds = settings.seeds.iter().copied().filter(|at| *at != me.address).collect();
         Members {
-            foca: Foca::new(me, settings.config(), SmallRng::seed_from_u64(seed), Pack),
+            foca: Foca::new(me, settings.config(), SmallRng::seed_from_u64(seed), MessagePackCodec),
             keys,
             seeds,
             timers: BTreeMap::new(),
             max_peers: settings.max_peers(),
             max_timers: settings.max_timers(),
             serial: 0,
-            joined_ns: 0,
+            last_join_ns: 0,
             up: BTreeMap::new(),
             out: Vec::new(),
             events: Vec::new(),
             rejected_datagrams: BTreeMap::new(),
             sent: (0, 0),
-            returns: VecDeque::new(),
-            told_ns: None,
+            rejoins_ns: VecDeque::new(),
+            duplicate_name_reported_ns: None,
         }
     }
 
@@ -250,17 +250,17 @@
 
     /// When it has something to do next (ns).
     pub fn next_due_ns(&self) -> u64 {
-        let join = self.joined_ns + JOIN_NS;
+        let join = self.last_join_ns + JOIN_INTERVAL_NS;
         self.timers.keys().next().map_or(join, |(due, _)| (*due).min(join))
     }
 
     /// Passes time.
     pub fn tick(&mut self, now: u64) {
-        if now >= self.joined_ns + JOIN_NS || self.joined_ns == 0 {
-            self.joined_ns = now;
+        if now >= self.last_join_ns + JOIN_INTERVAL_NS || self.last_join_ns == 0 {
+            self.last_join_ns = now;
             let known: Vec<SocketAddr> = self.up.values().map(|who| who.address).collect();
             for seed in self.seeds.clone().into_iter().filter(|seed| !known.contains(seed)) {
-                self.run(now, |foca, runtime| foca.announce(PeerIdentity::at(seed), runtime));
+                self.run(now, |foca, runtime| foca.announce(PeerIdentity::from_address(seed), runtime));
             }
         }
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
@@ -271,19 +271,19 @@
 
     /// Takes a datagram.
     pub fn hear(&mut self, now: u64, datagram: &[u8]) {
-        match self.keys.open(datagram) {
+        match self.keys.verify(datagram) {
             Err(why) => *self.rejected_datagrams.entry(why).or_default() += 1,
             Ok((Kind::Members, content)) => {
                 // Guards against peers without end: what would add to a full table is passed over.
                 let full = self.foca.iter_membership_state().len() >= self.max_peers;
                 let heard = !full && self.run(now, |foca, runtime| foca.handle_data(content, runtime));
                 if !heard {
-                    *self.rejected_datagrams.entry(Spoilt::Content).or_default() += 1;
+                    *self.rejected_datagrams.entry(RejectReason::Content).or_default() += 1;
                 }
             }
-            Ok((kind, content)) => match unpack_said(kind, content) {
+            Ok((kind, content)) => match decode_payload(kind, content) {
                 Ok((from, said)) => self.events.push(Event::Payload(from, kind, said)),
-                Err(_) => *self.rejected_datagrams.entry(Spoilt::Content).or_default() += 1,
+                Err(_) => *self.rejected_datagrams.entry(RejectReason::Content).or_default() += 1,
             },
         }
     }
@@ -293,11 +293,11 @@
         let mut content = Vec::new();
         let packed = match kind {
             Kind::List => {
-                let packed = pack(self.me(), &mut content);
+                let packed = write_msgpack(self.me(), &mut content);
                 content.extend_from_slice(said);
                 packed
             }
-            _ => pack(&(self.me(), said), &mut content),
+            _ => write_msgpack(&(self.me(), said), &mut content),
         };
         let packed = packed.is_ok() && content.len() <= MAX_CONTENT_BYTES;
         if packed {
@@ -317,7 +317,7 @@
     }
 
     fn send(&mut self, to: SocketAddr, kind: Kind, content: &[u8]) {
-        let datagram = self.keys.seal(kind, content);
+        let datagram = self.keys.sign(kind, content);
         self.sent = (self.sent.0 + 1, self.sent.1 + datagram.len() as u64);
         self.out.push((to, datagram));
     }
@@ -327,7 +327,7 @@
         &mut self,
         now: u64,
         what: impl FnOnce(
-            &mut Foca<PeerIdentity, Pack, SmallRng, NoCustomBroadcast>,
+            &mut Foca<PeerIdentity, MessagePackCodec, SmallRng, NoCustomBroadcast>,
             &mut AccumulatingRuntime<PeerIdentity>,
         ) -> Result<(), E>,
     ) -> bool {
@@ -344,12 +344,12 @@
             }
         }
         while let Some(told) = runtime.to_notify() {
-            self.told(now, told);
+            self.handle_notification(now, told);
         }
         done
     }
 
-    fn told(&mut self, now: u64, told: OwnedNotification<PeerIdentity>) {
+    fn handle_notification(&mut self, now: u64, told: OwnedNotification<PeerIdentity>) {
         match told {
             OwnedNotification::MemberUp(who) => {
                 if who.number == self.foca.identity().number {
@@ -375,16 +375,19 @@
                 }
             }
             OwnedNotification::Rejoin(_) => {
-                self.returns.push_back(now);
-                if self.returns.len() > RETURNS {
-                    self.returns.pop_front();
+                self.rejoins_ns.push_back(now);
+                if self.rejoins_ns.len() > DUPLICATE_NAME_REJOINS {
+                    self.rejoins_ns.pop_front();
                 }
-                let first = self.returns.front().copied().unwrap_or(now);
-                let often = self.returns.len() == RETURNS && now < first.saturating_add(RETURNS_NS);
+                let first = self.rejoins_ns.front().copied().unwrap_or(now);
+                let often = self.rejoins_ns.len() == DUPLICATE_NAME_REJOINS
+                    && now < first.saturating_add(DUPLICATE_NAME_WINDOW_NS);
                 // Once a while: it goes on for as long as there are two.
-                let quiet = self.told_ns.is_none_or(|at| now >= at.saturating_add(RETURNS_NS));
+                let quiet = self
+                    .duplicate_name_reported_ns
+                    .is_none_or(|at| now >= at.saturating_add(DUPLICATE_NAME_WINDOW_NS));
                 if often && quiet {
-                    self.told_ns = Some(now);
+                    self.duplicate_name_reported_ns = Some(now);
                     self.events.push(Event::DuplicateName);
                 }
             }
--- a/crates/peers/tests/fleet.rs
+++ b/crates/peers/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use marljunction_peers::datagram::{Kind, MAX_CONTENT_BYTES, MAX_DATAGRAM_BYTES};
-use marljunction_peers::{Event, Keys, Members, PeerIdentity, Settings, Spoilt};
+use marljunction_peers::{Event, Keys, Members, PeerIdentity, RejectReason, Settings};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -227,7 +227,7 @@
     let (now, mut draws) = (fleet.now, StdRng::seed_from_u64(5));
     let members = fleet.members[0].as_mut().unwrap();
     members.take();
-    let good = keys('a').seal(Kind::Limits, b"what is sealed but can't be read");
+    let good = keys('a').sign(Kind::Limits, b"what is sealed but can't be read");
     let mut sent = 0;
     let mut hear = |members: &mut Members, datagram: &[u8]| {
         members.hear(now, datagram);
@@ -245,13 +245,13 @@
         let noise: Vec<u8> = (0..draws.gen_range(0..1_400)).map(|_| draws.gen()).collect();
         hear(members, &noise);
     }
-    hear(members, &keys('b').seal(Kind::Members, b"of another fleet"));
+    hear(members, &keys('b').sign(Kind::Members, b"of another fleet"));
     hear(members, &vec![b'm'; MAX_DATAGRAM_BYTES + 1]);
     let mut newer = good.clone();
     newer[2] += 1;
     hear(members, &newer);
     for kind in [Kind::Members, Kind::Limits] {
-        hear(members, &keys('a').seal(kind, b"what is sealed but can't be read"));
+        hear(members, &keys('a').sign(kind, b"what is sealed but can't be read"));
     }
     let counted: u64 = members.rejected_datagrams().map(|(_, n)| n).sum();
     assert_eq!(counted, sent);
@@ -265,7 +265,8 @@
     let read = |text: String| Keys::read(&text).unwrap();
     let (before, both, after) =
         (read(old.clone()), read(format!("{new}\n{old} # the last one\n")), read(new.clone()));
-    let opens = |by: &Keys, sealed: &Keys| by.open(&sealed.seal(Kind::Limits, b"x")).map(|(_, c)| c.to_vec());
+    let opens =
+        |by: &Keys, sealed: &Keys| by.verify(&sealed.sign(Kind::Limits, b"x")).map(|(_, c)| c.to_vec());
     for (by, sealed, opened) in [
         (&before, &before, true),
         (&both, &before, true),
@@ -274,7 +275,7 @@
         (&before, &both, false),
         (&after, &before, false),
     ] {
-        assert_eq!(opens(by, sealed), if opened { Ok(b"x".to_vec()) } else { Err(Spoilt::Sum) });
+        assert_eq!(opens(by, sealed), if opened { Ok(b"x".to_vec()) } else { Err(RejectReason::Mac) });
     }
     // Clients are numbered by the key that seals.
     assert_eq!(both.shared_seed(), after.shared_seed());
