--- a/crates/peers/src/datagram.rs
+++ b/crates/peers/src/datagram.rs
@@ -99,7 +99,7 @@
         let mut datagram = Vec::with_capacity(HEADER_BYTES + content.len());
         datagram.extend_from_slice(&MAGIC);
         datagram.extend_from_slice(&[VERSION, kind]);
-        datagram.extend_from_slice(&sum(&self.primary, kind, content));
+        datagram.extend_from_slice(&mac(&self.primary, kind, content));
         datagram.extend_from_slice(content);
         datagram
     }
@@ -121,13 +121,13 @@
         }
         // Compared as hashes, which takes as long whatever differs.
         let seen: [u8; MAC_BYTES] = head[4..].try_into().map_err(|_| RejectReason::Size)?;
-        let pad = |sum: [u8; MAC_BYTES]| {
+        let pad = |mac: [u8; MAC_BYTES]| {
             let mut all = [0; 32];
-            all[..MAC_BYTES].copy_from_slice(&sum);
+            all[..MAC_BYTES].copy_from_slice(&mac);
             blake3::Hash::from(all)
         };
         let keys = std::iter::once(&self.primary).chain(&self.secondary);
-        if !keys.map(|key| sum(key, head[3], content)).any(|sum| pad(sum) == pad(seen)) {
+        if !keys.map(|key| mac(key, head[3], content)).any(|mac| pad(mac) == pad(seen)) {
             return Err(RejectReason::Mac);
         }
         match head[3] {
@@ -140,10 +140,10 @@
     }
 }
 
-fn sum(key: &[u8; 32], kind: u8, content: &[u8]) -> [u8; MAC_BYTES] {
+fn mac(key: &[u8; 32], kind: u8, content: &[u8]) -> [u8; MAC_BYTES] {
     let mut hasher = blake3::Hasher::new_keyed(key);
     hasher.update(&[VERSION, kind]).update(content);
-    let mut sum = [0; MAC_BYTES];
-    sum.copy_from_slice(&hasher.finalize().as_bytes()[..MAC_BYTES]);
-    sum
+    let mut mac = [0; MAC_BYTES];
+    mac.copy_from_slice(&hasher.finalize().as_bytes()[..MAC_BYTES]);
+    mac
 }
