--- a/crates/peers/src/members.rs
+++ b/crates/peers/src/members.rs
@@ -186,7 +186,7 @@
     /// Peers and timers that are kept at most (count).
     max_peers: usize,
     max_timers: usize,
-    serial: u64,
+    sequence: u64,
     last_join_ns: u64,
     up: BTreeMap<String, PeerIdentity>,
     out: Vec<(SocketAddr, Vec<u8>)>,
@@ -209,7 +209,7 @@
             timers: BTreeMap::new(),
             max_peers: settings.max_peers(),
             max_timers: settings.max_timers(),
-            serial: 0,
+            sequence: 0,
             last_join_ns: 0,
             up: BTreeMap::new(),
             out: Vec::new(),
@@ -258,7 +258,7 @@
     pub fn tick(&mut self, now: u64) {
         if now >= self.last_join_ns + JOIN_INTERVAL_NS || self.last_join_ns == 0 {
             self.last_join_ns = now;
-            let known: Vec<SocketAddr> = self.up.values().map(|who| who.address).collect();
+            let known: Vec<SocketAddr> = self.up.values().map(|peer| peer.address).collect();
             for seed in self.seeds.clone().into_iter().filter(|seed| !known.contains(seed)) {
                 self.run(now, |foca, runtime| foca.announce(PeerIdentity::from_address(seed), runtime));
             }
@@ -282,22 +282,22 @@
                 }
             }
             Ok((kind, content)) => match decode_payload(kind, content) {
-                Ok((from, said)) => self.events.push(Event::Payload(from, kind, said)),
+                Ok((from, payload)) => self.events.push(Event::Payload(from, kind, payload)),
                 Err(_) => *self.rejected_datagrams.entry(RejectReason::Content).or_default() += 1,
             },
         }
     }
 
     /// Says something of limits, engines or the list to a peer; false where it is larger than a datagram may be.
-    pub fn send_payload(&mut self, to: SocketAddr, kind: Kind, said: &[u8]) -> bool {
+    pub fn send_payload(&mut self, to: SocketAddr, kind: Kind, payload: &[u8]) -> bool {
         let mut content = Vec::new();
         let packed = match kind {
             Kind::List => {
                 let packed = write_msgpack(self.me(), &mut content);
-                content.extend_from_slice(said);
+                content.extend_from_slice(payload);
                 packed
             }
-            _ => write_msgpack(&(self.me(), said), &mut content),
+            _ => write_msgpack(&(self.me(), payload), &mut content),
         };
         let packed = packed.is_ok() && content.len() <= MAX_CONTENT_BYTES;
         if packed {
@@ -337,41 +337,41 @@
             self.send(to.address, Kind::Members, &content);
         }
         while let Some((after, timer)) = runtime.to_schedule() {
-            self.serial += 1;
-            self.timers.insert((now.saturating_add(after.as_nanos() as u64), self.serial), timer);
+            self.sequence += 1;
+            self.timers.insert((now.saturating_add(after.as_nanos() as u64), self.sequence), timer);
             if self.timers.len() > self.max_timers {
                 self.timers.pop_last();
             }
         }
-        while let Some(told) = runtime.to_notify() {
-            self.handle_notification(now, told);
+        while let Some(notification) = runtime.to_notify() {
+            self.handle_notification(now, notification);
         }
         done
     }
 
-    fn handle_notification(&mut self, now: u64, told: OwnedNotification<PeerIdentity>) {
-        match told {
-            OwnedNotification::MemberUp(who) => {
-                if who.number == self.foca.identity().number {
-                    self.events.push(Event::DuplicateNumber(who.clone()));
+    fn handle_notification(&mut self, now: u64, notification: OwnedNotification<PeerIdentity>) {
+        match notification {
+            OwnedNotification::MemberUp(peer) => {
+                if peer.number == self.foca.identity().number {
+                    self.events.push(Event::DuplicateNumber(peer.clone()));
                 }
-                self.up.insert(who.name.clone(), who.clone());
-                self.events.push(Event::Up(who));
+                self.up.insert(peer.name.clone(), peer.clone());
+                self.events.push(Event::Up(peer));
             }
-            OwnedNotification::MemberDown(who) => {
+            OwnedNotification::MemberDown(peer) => {
                 // Guards against the end of an earlier life that is told behind the start of the next.
-                let present = self.up.get(&who.name).is_some_and(|now| !now.win_addr_conflict(&who));
+                let present = self.up.get(&peer.name).is_some_and(|now| !now.win_addr_conflict(&peer));
                 if present {
-                    self.up.remove(&who.name);
-                    self.events.push(Event::Down(who));
+                    self.up.remove(&peer.name);
+                    self.events.push(Event::Down(peer));
                 }
             }
-            OwnedNotification::Rename(before, who) => {
-                if self.up.contains_key(&who.name) {
-                    self.up.insert(who.name.clone(), who.clone());
+            OwnedNotification::Rename(before, peer) => {
+                if self.up.contains_key(&peer.name) {
+                    self.up.insert(peer.name.clone(), peer.clone());
                 }
-                if before.life != who.life {
-                    self.events.push(Event::Restarted(before, who));
+                if before.life != peer.life {
+                    self.events.push(Event::Restarted(before, peer));
                 }
             }
             OwnedNotification::Rejoin(_) => {
--- a/crates/peers/tests/fleet.rs
+++ b/crates/peers/tests/fleet.rs
@@ -26,7 +26,7 @@
     settings: Settings,
     now: u64,
     wire: BTreeMap<(u64, u64), (usize, Vec<u8>)>,
-    serial: u64,
+    sequence: u64,
     draws: StdRng,
     loss: f64,
     jitter: u64,
@@ -43,7 +43,7 @@
             settings,
             now: 1_000 * S,
             wire: BTreeMap::new(),
-            serial: 0,
+            sequence: 0,
             draws: StdRng::seed_from_u64(seed),
             loss: 0.0,
             jitter: 3 * MS,
@@ -79,9 +79,9 @@
                 if self.cut.contains(&(at, to)) || self.draws.gen_bool(self.loss) {
                     continue;
                 }
-                self.serial += 1;
+                self.sequence += 1;
                 let due = self.now + self.draws.gen_range(0..=self.jitter);
-                self.wire.insert((due, self.serial), (to, datagram));
+                self.wire.insert((due, self.sequence), (to, datagram));
             }
         }
     }
@@ -97,7 +97,7 @@
 
     /// What a router knows of who is there.
     fn knows(&self, at: usize) -> BTreeSet<u32> {
-        self.members[at].as_ref().map(|m| m.up().map(|who| who.number).collect()).unwrap_or_default()
+        self.members[at].as_ref().map(|m| m.up().map(|peer| peer.number).collect()).unwrap_or_default()
     }
 
     fn all_know(&self, there: impl Fn(usize) -> bool) -> bool {
@@ -139,7 +139,7 @@
         fleet.start(3, 3);
         fleet.until(60, "all know all", |f| f.all_know(|_| true));
         let later =
-            |f: &Fleet| f.members[0].as_ref().unwrap().up().any(|who| who.number == 3 && who.life > life);
+            |f: &Fleet| f.members[0].as_ref().unwrap().up().any(|peer| peer.number == 3 && peer.life > life);
         assert!(later(&fleet));
         // And one that starts again before anybody has missed it.
         fleet.start(5, 5);
@@ -147,7 +147,7 @@
             let seen = |at: usize| {
                 f.events
                     .iter()
-                    .any(|(by, e)| *by == at && matches!(e, Event::Restarted(_, who) if who.number == 5))
+                    .any(|(by, e)| *by == at && matches!(e, Event::Restarted(_, peer) if peer.number == 5))
             };
             (0..8).filter(|at| *at != 5).all(seen)
         };
@@ -299,7 +299,7 @@
     fleet.until(5, "it is heard", |f| {
         f.events.iter().any(|(at, e)| {
             *at == 1
-                && matches!(e, Event::Payload(who, Kind::Limits, said) if who.number == 0 && said == b"hello")
+                && matches!(e, Event::Payload(peer, Kind::Limits, payload) if peer.number == 0 && payload == b"hello")
         })
     });
 }
