--- a/crates/peers/src/members.rs
+++ b/crates/peers/src/members.rs
@@ -276,8 +276,8 @@
             Ok((Kind::Members, content)) => {
                 // Guards against peers without end: what would add to a full table is passed over.
                 let full = self.foca.iter_membership_state().len() >= self.max_peers;
-                let heard = !full && self.run(now, |foca, runtime| foca.handle_data(content, runtime));
-                if !heard {
+                let handled = !full && self.run(now, |foca, runtime| foca.handle_data(content, runtime));
+                if !handled {
                     *self.rejected_datagrams.entry(RejectReason::Content).or_default() += 1;
                 }
             }
@@ -326,13 +326,13 @@
     fn run<E>(
         &mut self,
         now: u64,
-        what: impl FnOnce(
+        operation: impl FnOnce(
             &mut Foca<PeerIdentity, MessagePackCodec, SmallRng, NoCustomBroadcast>,
             &mut AccumulatingRuntime<PeerIdentity>,
         ) -> Result<(), E>,
     ) -> bool {
         let mut runtime = AccumulatingRuntime::new();
-        let done = what(&mut self.foca, &mut runtime).is_ok();
+        let succeeded = operation(&mut self.foca, &mut runtime).is_ok();
         while let Some((to, content)) = runtime.to_send() {
             self.send(to.address, Kind::Members, &content);
         }
@@ -346,7 +346,7 @@
         while let Some(notification) = runtime.to_notify() {
             self.handle_notification(now, notification);
         }
-        done
+        succeeded
     }
 
     fn handle_notification(&mut self, now: u64, notification: OwnedNotification<PeerIdentity>) {
@@ -366,12 +366,12 @@
                     self.events.push(Event::Down(peer));
                 }
             }
-            OwnedNotification::Rename(before, peer) => {
+            OwnedNotification::Rename(previous, peer) => {
                 if self.up.contains_key(&peer.name) {
                     self.up.insert(peer.name.clone(), peer.clone());
                 }
-                if before.life != peer.life {
-                    self.events.push(Event::Restarted(before, peer));
+                if previous.life != peer.life {
+                    self.events.push(Event::Restarted(previous, peer));
                 }
             }
             OwnedNotification::Rejoin(_) => {
