--- a/crates/limits/src/demand.rs
+++ b/crates/limits/src/demand.rs
@@ -1,28 +1,29 @@
-//! How much of a key's units a router's own clients want, remembered for a while.
+//! Estimates how many units of a key a router's own clients need.
 
 use crate::terms::{Kind, Terms};
 
-/// What is asked for beyond what came of late (share): demand is uneven.
+/// Fraction requested beyond recent demand, to absorb variation.
 const HEADROOM: f64 = 0.05;
 
-/// Arrivals a second of a rate, units of a concurrency, units' worth of a window.
+/// Decaying estimate of demand: arrivals per second for a rate, units for a concurrency limit,
+/// units sent for a window.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Demand {
     demanded: f64,
     at_ns: u64,
 }
 
-/// How long demand is remembered (ns).
+/// Time constant of the decay (ns).
 fn decay_ns(kind: Kind, terms: &Terms) -> u64 {
     match kind {
         Kind::Rate { .. } => terms.lease_ns,
-        // A peak of what is out at once is over soon; units kept for it lie idle.
+        // Short, so that units reserved for a brief peak are not left idle.
         Kind::Concurrency { .. } => terms.lease_ns / 4,
         Kind::Window { window_ns, .. } => window_ns.max(terms.lease_ns),
     }
 }
 
-/// Part of the demand that is remembered that falls into one window (share).
+/// Fraction of the remembered demand that falls into one window.
 fn window_fraction(kind: Kind, terms: &Terms) -> f64 {
     match kind {
         Kind::Window { window_ns, .. } => window_ns as f64 / decay_ns(kind, terms) as f64,
@@ -31,12 +32,11 @@
 }
 
 impl Demand {
-    /// None yet.
     pub(crate) fn none(now: u64) -> Demand {
         Demand { demanded: 0.0, at_ns: now }
     }
 
-    /// Passes time; `least` is wanted in any case.
+    /// Applies the decay up to `now`, down to `min_demand`.
     pub(crate) fn decay(&mut self, now: u64, kind: Kind, terms: &Terms, min_demand: f64) {
         let decay_ns = decay_ns(kind, terms) as f64;
         let left = (-(now.saturating_sub(self.at_ns) as f64) / decay_ns).exp();
@@ -44,12 +44,11 @@
         self.at_ns = self.at_ns.max(now);
     }
 
-    /// So many units' worth more are wanted.
     pub(crate) fn add(&mut self, units: f64) {
         self.demanded += units;
     }
 
-    /// A request came, while `out` are out; whether it was admitted.
+    /// Records a request that arrived with `in_flight` admissions in flight.
     pub(crate) fn record_request(&mut self, kind: Kind, terms: &Terms, in_flight: u32, admitted: bool) {
         let in_flight = f64::from(in_flight);
         match kind {
@@ -63,12 +62,12 @@
         self.demanded = self.demanded.min(f64::from(u32::MAX));
     }
 
-    /// Units' worth that falls into one window (count).
+    /// Units demanded within one window.
     pub(crate) fn in_window(&self, kind: Kind, terms: &Terms) -> f64 {
         self.demanded * window_fraction(kind, terms)
     }
 
-    /// Units that are wanted while `out` are out (count).
+    /// Units demanded with `in_flight` admissions in flight.
     pub(crate) fn units(&self, kind: Kind, terms: &Terms, in_flight: u32) -> u32 {
         let in_flight = f64::from(in_flight);
         let demanded = match kind {
--- a/crates/limits/src/escrow.rs
+++ b/crates/limits/src/escrow.rs
@@ -1,47 +1,48 @@
-//! One router's units of one key: what it owns, has lent and has borrowed.
+//! Units of one key on one router: owned, leased out to peers, and leased in from peers.
 //!
-//! A borrower asks to hold so many of an owner's units, under a number that grows with each ask. It holds what it was granted
-//! from when it asked until a lease later by its own clock; an owner keeps them unused from when the ask came until
-//! [`Terms::lender_ns`] later by its own, which is longer by any two clocks. Answers and asks may be lost, doubled, late and out
-//! of order: an owner hears each number once and no older one, a borrower takes an answer for at most what it has asked for
-//! since.
+//! A holder requests a number of units from their owner, with a sequence number that increases with
+//! each request. The holder's lease runs from the time of its request by its own clock. The owner
+//! sets the units aside from the arrival of the request for [`Terms::owner_lease_ns`] by its own
+//! clock, which is longer for any two clocks within the drift. Messages may be lost, duplicated,
+//! delayed and reordered: an owner accepts only increasing sequence numbers, and a holder caps a
+//! grant at the smallest amount requested since.
 
 use std::collections::BTreeMap;
 
 use crate::terms::Terms;
 
-/// Asks whose answers are waited for (count): older ones are not worth an answer any more.
+/// Requests that may still be answered. Grants for older ones are ignored.
 const MAX_PENDING_REQUESTS: usize = 8;
 
-/// A router: its number, and when it started by whatever clock, larger with each start.
+/// A router and its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Peer {
-    /// Its number.
+    /// Number of the router in the fleet.
     pub number: u32,
-    /// Which of its lives.
+    /// Incarnation of the process: increases with each start.
     pub life: u64,
 }
 
-/// Units of one owner that one borrower may hold, and until when (ns): one of these at most at a time, so that the largest
-/// counts. Both sides keep such a list of the same loan.
+/// Leases of the same units as pairs of units and expiry (ns). At most one of them is in effect, so
+/// the largest counts. Owner and holder each store such a set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct LeaseSet(Vec<(u32, u64)>);
 
 impl LeaseSet {
-    /// The most that is held by any that lasts past `now` (count).
+    /// Largest number of units of any lease that expires after `now`.
     fn units(&self, now: u64) -> u32 {
         self.0.iter().filter(|(_, until)| now < *until).map(|(units, _)| *units).max().unwrap_or(0)
     }
 
     fn add(&mut self, units: u32, until: u64) {
-        // What lasts no longer and is no more says nothing further.
+        // Leases that are no larger and expire no later are redundant.
         self.0.retain(|(held, to)| *held > units || *to > until);
         if units > 0 {
             self.0.push((units, until));
         }
     }
 
-    /// No more than so many are held from here on.
+    /// Caps all leases at `units`.
     fn reduce_to(&mut self, units: u32) {
         self.0.iter_mut().for_each(|(held, _)| *held = (*held).min(units));
         self.0.retain(|(held, _)| *held > 0);
@@ -52,59 +53,61 @@
     }
 }
 
-/// What a borrower may hold of ours.
+/// Units leased to one holder.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct LeasedOut {
     leases: LeaseSet,
     last_request: u64,
 }
 
-/// What we hold of an owner's. Past its end nothing more is admitted on it, while what was admitted goes on: it covers that
-/// until it has run out.
+/// Units leased from one owner. After expiry they admit nothing more, but cover earlier admissions
+/// until these have drained.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct LeasedIn {
-    /// Until when units may be used, by our clock.
+    /// Leases that admit requests, with expiry by the local clock.
     usable: LeaseSet,
-    /// Until when they cover what was admitted on them.
+    /// Leases that cover admissions, with the time by which these have drained.
     covering: LeaseSet,
-    /// Asks that may still be answered: number, when, how many units.
+    /// Requests that may still be answered: sequence number, time sent (ns), units.
     pending: Vec<(u64, u64, u32)>,
-    /// The last ask has been answered.
+    /// The latest request has been answered.
     confirmed: bool,
-    /// The owner's life that is believed.
+    /// Latest known incarnation of the owner. Grants of earlier ones are ignored.
     life: u64,
 }
 
-/// One router's units of one key.
+/// Units of one key on one router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Escrow {
     owned: u32,
     leased_out: BTreeMap<Peer, LeasedOut>,
     leased_in: BTreeMap<u32, LeasedIn>,
-    /// What an owner of an earlier life of ours can't know: all is lent until then (ns).
+    /// End of the grace period (ns). Until then all owned units count as leased out, because a
+    /// previous incarnation may have leased them.
     grace_until_ns: u64,
 }
 
 impl Escrow {
-    /// So many units of its own; they count as lent until `quiet_until_ns`.
+    /// Creates an escrow of `owned` units that count as leased out until `grace_until_ns`.
     pub fn new(owned: u32, grace_until_ns: u64) -> Escrow {
         Escrow { owned, grace_until_ns, ..Escrow::default() }
     }
 
-    /// Everybody has said what it holds: the units count as lent no longer.
+    /// Ends the grace period at `at_ns`, once all peers have reported their leases.
     pub fn end_grace(&mut self, at_ns: u64) {
         self.grace_until_ns = self.grace_until_ns.min(at_ns);
     }
 
-    /// The limit has another size from here on, of which so many units are owned. What was lent stays lent by the old size; where
-    /// a unit is worth another amount by the new one (`worth`), nothing is used or lent until that is over. Nothing more is
-    /// admitted on what is borrowed.
+    /// Changes the number of owned units after a change of the limit. Existing leases keep the old
+    /// size until they expire, and units leased in admit nothing more. If `unit_value_changed`, a
+    /// unit is worth a different amount than before, and owned units are neither used nor leased
+    /// until all existing leases have expired.
     pub fn resize(&mut self, now: u64, owned: u32, unit_value_changed: bool) {
         self.expire(now);
         self.owned = owned;
         for leased_in in self.leased_in.values_mut() {
             leased_in.usable.reduce_to(0);
-            // Answers that are still on their way speak of the old size.
+            // Grants in transit are for the old size.
             leased_in.pending.clear();
             leased_in.confirmed = true;
         }
@@ -120,12 +123,12 @@
         }
     }
 
-    /// Nothing of its own is used or lent before then (ns).
+    /// Keeps owned units from being used or leased until `until_ns`.
     pub fn extend_grace(&mut self, until_ns: u64) {
         self.grace_until_ns = self.grace_until_ns.max(until_ns);
     }
 
-    /// Passes time: what has run out is forgotten.
+    /// Drops leases that have expired by `now`. Call this before reading unit counts.
     pub fn expire(&mut self, now: u64) {
         self.leased_out.values_mut().for_each(|leased_out| leased_out.leases.expire(now));
         self.leased_out.retain(|_, leased_out| !leased_out.leases.0.is_empty());
@@ -136,7 +139,7 @@
         self.leased_in.retain(|_, b| !b.covering.0.is_empty() || !b.confirmed);
     }
 
-    /// Own units that nobody else may use from `since` on (count).
+    /// Owned units that are not leased out at any time from `since` on.
     pub fn unleased(&self, since: u64) -> u32 {
         if since < self.grace_until_ns {
             return 0;
@@ -144,39 +147,41 @@
         self.owned.saturating_sub(self.leased_out())
     }
 
-    /// Units lent (count).
+    /// Units leased out to peers.
     pub fn leased_out(&self) -> u32 {
         self.leased_out.values().map(|leased_out| leased_out.leases.units(0)).sum()
     }
 
-    /// Units borrowed that may be used now (count).
+    /// Units leased from peers that are usable at `now`.
     pub fn leased_in(&self, now: u64) -> u32 {
         self.leased_in.values().map(|b| b.usable.units(now)).sum()
     }
 
-    /// Units that may be used now (count). Call [`Escrow::expire`] first.
+    /// Units usable at `now`. Call [`Escrow::expire`] first.
     pub fn usable(&self, now: u64) -> u32 {
         self.unleased(now) + self.leased_in(now)
     }
 
-    /// Units that could be used all the time from `since` to `now`, where nothing but time passed between (count).
+    /// Units usable throughout `since` to `now`, if nothing else changed in between.
     pub fn usable_throughout(&self, since: u64, now: u64) -> u32 {
         self.unleased(since) + self.leased_in(now)
     }
 
-    /// Nothing of it is out, so that it may be forgotten.
+    /// Whether the grace period is over and no unit is leased out or in. The key can then be
+    /// evicted.
     pub fn is_idle(&self, now: u64) -> bool {
         now >= self.grace_until_ns && self.leased_out() == 0 && self.leased_in(now) == 0
     }
 
-    /// Each owner of which something is held, or to whom a return was not confirmed, and how many units: those past their end
-    /// too while they cover what was admitted on them.
+    /// Owners with an active lease or an unconfirmed return, and the units held of each. Includes
+    /// expired leases that still cover admissions.
     pub fn held(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
         self.leased_in.iter().map(|(owner, b)| (*owner, b.covering.units(0)))
     }
 
-    /// Asks to hold so many of an owner's units, under a number above all before. What is asked for less than is held is
-    /// given up now: nothing may be out on it.
+    /// Records a request to hold `units` of an owner's units, under a sequence number above all
+    /// earlier ones. Units beyond `units` are returned immediately, so no admission may rely on
+    /// them.
     pub fn request(&mut self, now: u64, owner: u32, units: u32, number: u64) {
         let leased_in = self.leased_in.entry(owner).or_default();
         leased_in.usable.reduce_to(units);
@@ -188,7 +193,8 @@
         }
     }
 
-    /// An owner's answer to an ask; gives how many were asked for, where the answer counts.
+    /// Applies an owner's grant. Returns the number of units requested, or `None` if the grant is
+    /// ignored.
     pub fn apply_grant(
         &mut self,
         now: u64,
@@ -203,7 +209,7 @@
             return None;
         }
         let (_, requested_ns, requested) = leased_in.pending[at];
-        // What was asked for since bounds it: the owner may have heard that first.
+        // The owner may have processed a later, smaller request first.
         let most = leased_in.pending[at..].iter().map(|(.., units)| *units).min().unwrap_or(0);
         leased_in.confirmed |= at + 1 == leased_in.pending.len();
         leased_in.life = owner.life;
@@ -216,8 +222,8 @@
         Some(requested)
     }
 
-    /// A borrower asks to hold so many of our units; `keep` are those that we want for ourselves. Gives how many it may hold;
-    /// nothing where the ask is old.
+    /// Handles a peer's request to hold `units` of the owned units, of which `reserved` are for
+    /// local use. Returns the units granted, or `None` for an outdated request.
     pub fn handle_request(
         &mut self,
         now: u64,
@@ -237,7 +243,7 @@
             return None;
         }
         leased_out.last_request = number;
-        // It has stopped using what it does not ask for.
+        // The holder has already returned units beyond its request.
         leased_out.leases.reduce_to(units);
         let free = if in_grace { 0 } else { self.owned.saturating_sub(others.saturating_add(reserved)) };
         let granted = units.min(free);
@@ -245,7 +251,8 @@
         Some(granted)
     }
 
-    /// A later life of a peer was heard: what its earlier lives hold is over once what they had out has run on.
+    /// Shortens the leases of earlier incarnations of a restarted peer to `until_ns`, when their
+    /// remaining requests have ended.
     pub fn expire_earlier_lives(&mut self, by: Peer, until_ns: u64) {
         let earlier = |peer: &Peer| peer.number == by.number && peer.life < by.life;
         for (_, leased_out) in self.leased_out.iter_mut().filter(|(peer, _)| earlier(peer)) {
@@ -253,13 +260,13 @@
         }
     }
 
-    /// What is held of an owner that has started again and asks: units, and for how long they still cover what is out (ns).
-    /// Answers of its earlier lives are believed no longer.
+    /// Units held of a restarted owner, with the time for which they still cover admissions (ns).
+    /// Grants of the owner's earlier incarnations are ignored from here on.
     pub fn held_from(&mut self, now: u64, owner: Peer) -> Vec<(u32, u64)> {
         let Some(leased_in) = self.leased_in.get_mut(&owner.number) else { return Vec::new() };
         if owner.life > leased_in.life {
             leased_in.life = owner.life;
-            // An answer that is still on its way was given by the earlier life.
+            // Grants in transit are from the earlier incarnation.
             leased_in.pending.clear();
             leased_in.confirmed = true;
         }
@@ -267,7 +274,8 @@
         leased_in.covering.0.iter().filter_map(left).collect()
     }
 
-    /// A peer says that it holds units of ours, lent by an earlier life, for so long still by its clock (ns).
+    /// Restores a lease from a peer's report. It was granted by an earlier incarnation of this
+    /// router and has `left_ns` left by the peer's clock.
     pub fn restore_lease(&mut self, now: u64, from: Peer, units: u32, left_ns: u64, terms: &Terms) {
         let left = terms.peer_ns_upper_bound(left_ns);
         self.leased_out.entry(from).or_default().leases.add(units, now.saturating_add(left));
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,14 +1,17 @@
-//! Limits that hold for a whole fleet of routers, whatever breaks between them.
+//! Fleet-wide limits that hold through crashes, restarts and network partitions.
 //!
-//! A limit is cut into whole units, of which each router owns a fixed share by its number. What a router does not need it
-//! lends to others for a while ([`escrow`]); a unit is used by its owner or by one borrower, never by both, as the owner
-//! takes it back only once the loan must have ended by any clock. [`meter`] turns the units that a router may use into
-//! admissions, [`bound`] says by arithmetic how far over or how stale all of it can be.
+//! A limit is divided into whole units, and each router owns a fixed share of them by its number. A
+//! router leases units that it does not need to its peers ([`escrow`]). At any time a unit is used
+//! by its owner or by one holder, never by both: the owner takes it back only after the lease has
+//! expired by every clock within the configured drift. [`meter`] turns usable units into
+//! admissions, and [`bound`] computes the worst-case overshoot and idle time for each fault.
 //!
-//! [`node`] is what one router keeps: its limits and keys (`ledger`), what it admits (`admission`), what it asks of peers and lends
-//! them (`leasing`), what its own clients want (`demand`), and what it has to hear after a start (`recovery`).
+//! [`node`] is the state of one router: its limits and keys (`ledger`), admission (`admission`),
+//! the leases it requests and grants (`leasing`), the demand of its own clients (`demand`), and
+//! recovery after a restart (`recovery`).
 //!
-//! Pure: no sockets and no clock. Times are nanoseconds of the router's own steady clock and are passed in.
+//! The crate uses no sockets and no clock. Times are nanoseconds of the router's monotonic clock,
+//! passed in by the caller.
 
 #![forbid(unsafe_code)]
 
--- a/crates/limits/src/message.rs
+++ b/crates/limits/src/message.rs
@@ -1,69 +1,68 @@
-//! What routers say to each other of limits.
+//! Messages about leases between routers.
 
 use serde::{Deserialize, Serialize};
 
-/// What routers say to each other. Lost, doubled, late and reordered messages do no harm.
+/// A message between two routers. The protocol tolerates loss, duplication, delay and reordering.
+/// The order of the fields and the names in `serde(rename)` are part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender wants to hold so many of the receiver's units.
+    /// The sender wants to hold units of the receiver.
     #[serde(rename = "Ask")]
     Request {
-        /// The limit ([`Limit::id`](crate::Limit::id)).
+        /// [`Limit::id`](crate::Limit::id).
         limit: u64,
-        /// Its size ([`Limit::version`](crate::Limit::version)).
+        /// [`Limit::version`](crate::Limit::version).
         version: u32,
         /// Hash of the key.
         key: u64,
-        /// Grows with each ask of the sender.
+        /// Sequence number, increasing with each request of the sender.
         number: u64,
-        /// Units, those that it holds included.
+        /// Total units to hold, including those already held.
         units: u32,
     },
-    /// The sender may hold so many.
+    /// The sender leases units to the receiver, in answer to a request.
     Grant {
-        /// The limit.
+        /// [`Limit::id`](crate::Limit::id).
         limit: u64,
-        /// Its size.
+        /// [`Limit::version`](crate::Limit::version).
         version: u32,
         /// Hash of the key.
         key: u64,
-        /// The ask's number.
+        /// Sequence number of the request.
         number: u64,
-        /// Units.
+        /// Units that the receiver may hold.
         units: u32,
     },
-    /// The sender has started and does not know what it lent before.
+    /// The sender has restarted and asks which of its units the receiver holds.
     #[serde(rename = "Recall")]
     Query,
-    /// All that the sender holds of the receiver's, as an answer to a recall of this life.
+    /// All units of the receiver that the sender holds, in answer to a query.
     #[serde(rename = "Holds")]
     Report {
-        /// The receiver's life that asked.
+        /// Incarnation of the receiver that sent the query.
         life: u64,
-        /// Which of the sender's answers this is a part of: only parts of one make a whole.
+        /// Sequence number of the report. Only parts of the same report complete it.
         round: u64,
-        /// Which of so many messages.
+        /// Index of this message among the `parts` of the report.
         part: u16,
-        /// Messages in all.
+        /// Number of messages in the report.
         parts: u16,
-        /// For how long the sender has been up (ns).
+        /// How long the sender has been running (ns).
         up_ns: u64,
-        /// What is held.
+        /// The leases in this part.
         held: Vec<HeldLease>,
     },
 }
 
-/// A loan, as its borrower tells it.
+/// A lease as reported by its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HeldLease {
-    /// The limit ([`Limit::id`](crate::Limit::id)).
+    /// [`Limit::id`](crate::Limit::id).
     pub(crate) limit: u64,
-    /// Its size as the borrower knows it.
+    /// [`Limit::version`](crate::Limit::version) as the holder knows it.
     pub(crate) version: u32,
-    /// Hash of the key.
     pub(crate) key: u64,
-    /// Units.
     pub(crate) units: u32,
-    /// For how long still (ns).
+    /// Remaining time (ns).
     pub(crate) left_ns: u64,
 }
--- a/crates/limits/src/recovery.rs
+++ b/crates/limits/src/recovery.rs
@@ -1,41 +1,40 @@
-//! What a router that has started still has to hear: from every other one, all that it holds of this one's units.
+//! Collects reports from all peers after a start about the leases they hold of this router's units.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The parts of one answer that are still missing, by the answer's number.
+/// Sequence number of a report, and its missing parts.
 type MissingParts = (u64, BTreeSet<u16>);
 
-/// A start that does not know yet what was lent before.
+/// Recovery of leases that an earlier incarnation granted.
 #[derive(Clone, Debug)]
 pub(crate) struct Recovery {
-    /// By peer, of its latest answer; none where nothing has come.
+    /// Missing parts of the latest report of each peer; `None` if no part has arrived.
     missing: BTreeMap<u32, Option<MissingParts>>,
-    /// Up to when earlier lives of those that answered may have had work out on our units (ns).
+    /// Time until which requests of restarted peers may continue to run on this router's units.
     orphans_until_ns: u64,
 }
 
-/// All parts of a peer's answer have come.
 fn is_complete(parts: &Option<MissingParts>) -> bool {
     parts.as_ref().is_some_and(|(_, missing)| missing.is_empty())
 }
 
 impl Recovery {
-    /// Nothing has been heard of these.
+    /// Starts a recovery that waits for a report of each of `peers`.
     pub(crate) fn begin(now: u64, peers: impl Iterator<Item = u32>) -> Recovery {
         Recovery { missing: peers.map(|peer| (peer, None)).collect(), orphans_until_ns: now }
     }
 
-    /// Peers whose answer is not whole.
+    /// Peers whose report is incomplete.
     pub(crate) fn unanswered(&self) -> impl Iterator<Item = u32> + '_ {
         self.missing.iter().filter(|(_, parts)| !is_complete(parts)).map(|(peer, _)| *peer)
     }
 
-    /// Whether all have answered.
     pub(crate) fn all_answered(&self) -> bool {
         self.missing.values().all(is_complete)
     }
 
-    /// Takes a part of a peer's answer; whether what it holds counts: it is of the latest answer, which was not whole.
+    /// Records a part of a peer's report. Returns false if the part belongs to an outdated or
+    /// already complete report.
     pub(crate) fn accept_part(&mut self, from: u32, (round, part, parts): (u64, u16, u16)) -> bool {
         let Some(missing) = self.missing.get_mut(&from) else { return false };
         if is_complete(missing) || missing.as_ref().is_some_and(|(before, _)| round < *before) {
@@ -49,12 +48,12 @@
         true
     }
 
-    /// An earlier life of a peer may have had work out on our units until then (ns).
+    /// Records that requests of a peer's earlier incarnation may run on this router's units until
+    /// `until_ns`.
     pub(crate) fn extend_orphans(&mut self, until_ns: u64) {
         self.orphans_until_ns = self.orphans_until_ns.max(until_ns);
     }
 
-    /// Up to when earlier lives of peers may have had work out on our units (ns).
     pub(crate) fn orphans_until_ns(&self) -> u64 {
         self.orphans_until_ns
     }
--- a/crates/limits/src/sketch.rs
+++ b/crates/limits/src/sketch.rs
@@ -1,19 +1,20 @@
-//! Keys that find no place in the table of a limit: a count-min sketch of what each of them has used of its router's own share.
-//! Cells are shared by keys, so that it says too much at times and never too little: it never admits beyond the share, at worst
-//! it refuses a light key whose cells all have a heavy one in them.
+//! Count-min sketch of the usage of keys that do not fit into the table of keys.
+//!
+//! Keys share cells, so the estimate may be too high but is never too low: a key is never admitted
+//! beyond the router's own share. A lightly used key is refused only if each of its cells is also
+//! used by a heavy key.
 
 use crate::terms::Kind;
 
-/// Rows, each with a hash of its own, and cells of a row (counts).
+/// Rows with one hash function each, and cells per row.
 const ROWS: usize = 4;
 const CELLS_PER_ROW: usize = 8_192;
 
-/// What has been used in one cell, and when that was true.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cell {
-    /// Admissions that are out, or a bucket's level (admissions).
+    /// Admissions in flight, or the level of the bucket.
     used: f32,
-    /// When (ms since the sketch was made).
+    /// Time of the last update (ms since the creation of the sketch). Zero if never used.
     updated_ms: u32,
 }
 
@@ -32,36 +33,37 @@
 }
 
 impl Sketch {
-    /// An empty one; of a rate nothing has been saved up at `now`, as for any key that is new.
+    /// Creates an empty sketch. The buckets of a rate start without tokens.
     pub fn new(now: u64) -> Sketch {
         Sketch { cells: vec![Cell::default(); ROWS * CELLS_PER_ROW], created_ns: now }
     }
 
-    /// What a cell holds now, of a limit of which the router owns `share` units.
+    /// Level of a cell at `now`, for a limit of which the router owns `share` units.
     fn level(&self, now: u64, cell: &Cell, kind: Kind, share: u32, drift: f64) -> f64 {
         let used = f64::from(cell.used);
         let Kind::Rate { per_s, burst } = kind else { return used };
         let at_ns = self.created_ns.saturating_add(u64::from(cell.updated_ms) * 1_000_000);
         let passed = now.saturating_sub(at_ns) as f64 / 1e9 / (1.0 + drift);
         let rate = per_s / f64::from(burst.max(1)) * f64::from(share);
-        // A cell that was never used holds a whole share from when the sketch was made.
+        // An unused cell starts full, as a new key starts without tokens.
         let used = if cell.updated_ms == 0 { f64::from(share) } else { used };
         (used - passed * rate).max(0.0)
     }
 
-    /// What a key has used of its share at most (admissions out, or a bucket's level).
+    /// Upper bound of what a key has used of its share: admissions in flight, or the level of the
+    /// bucket.
     pub fn used(&self, now: u64, key: u64, (kind, share, drift): (Kind, u32, f64)) -> f64 {
         let cells = (0..ROWS).map(|row| &self.cells[cell_index(key, row)]);
         cells.map(|cell| self.level(now, cell, kind, share, drift)).fold(f64::INFINITY, f64::min)
     }
 
-    /// Admits a request of a key, where its own share allows one more for sure.
+    /// Admits a request if the router's share certainly has room for it.
     pub fn admit(&mut self, now: u64, key: u64, of: (Kind, u32, f64)) -> bool {
         let (kind, share, drift) = of;
         if self.used(now, key, of) + 1.0 > f64::from(share) {
             return false;
         }
-        // The next millisecond: a level counts as if it had been reached later, and drains later.
+        // Rounds up, so that the level drains late rather than early.
         let updated_ms =
             (now.saturating_sub(self.created_ns) / 1_000_000 + 1).min(u64::from(u32::MAX)) as u32;
         for row in 0..ROWS {
@@ -72,7 +74,7 @@
         true
     }
 
-    /// A request that the sketch admitted is over.
+    /// Ends a request that the sketch admitted.
     pub fn release(&mut self, key: u64, kind: Kind) {
         if matches!(kind, Kind::Concurrency { .. }) {
             for row in 0..ROWS {
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Bytes that it takes.
+    /// Size of a sketch in memory.
     pub const fn bytes() -> usize {
         ROWS * CELLS_PER_ROW * std::mem::size_of::<Cell>()
     }
--- a/crates/limits/src/terms.rs
+++ b/crates/limits/src/terms.rs
@@ -1,71 +1,74 @@
-//! What a limit is, what a fleet agrees on, and each router's fixed share of a limit.
+//! Limits, the parameters shared by a fleet, and each router's fixed share of a limit.
 
-/// What is limited.
+/// What a limit restricts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
-    /// Admissions a second, and how many may come at once after a rest. A burst of at least one.
+    /// Admissions per second with a burst: a token bucket.
     Rate {
-        /// Admissions a second.
+        /// Admissions per second.
         per_s: f64,
-        /// Admissions at once (count).
+        /// Bucket size, at least 1.
         burst: u32,
     },
-    /// Requests that are out at once (count).
+    /// Requests in flight at once.
     Concurrency {
-        /// How many.
+        /// Maximum number of requests in flight.
         at_once: u32,
     },
-    /// What is sent within any window: it counts for a window's length from when it was sent, whatever becomes of it.
+    /// Amount sent within any window. A send counts for the length of the window, whatever its
+    /// outcome.
     Window {
-        /// Parts that the whole is cut into (count).
+        /// Units that the limit is divided into.
         units: u32,
-        /// The window (ns).
+        /// Length of the window.
         window_ns: u64,
     },
 }
 
-/// How a limit fails.
+/// Whether a limit may be exceeded during a partition.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    /// Never over: what can't be proven free is not used.
+    /// Never exceeded: units that may still be in use elsewhere stay unused.
     Strict,
-    /// While peers can't be reached, over by a share of the limit, for a time.
+    /// May be exceeded for a limited time while peers are unreachable.
     Bounded {
-        /// Share of the limit.
+        /// Overshoot as a fraction of the limit.
         over: f64,
-        /// For how long from when peers could not be reached any more (ns).
+        /// How long overshoot is allowed, from when a peer became unreachable (ns).
         for_ns: u64,
     },
 }
 
-/// A limit of the operator's file.
+/// A limit from the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limit {
-    /// Its name.
+    /// Name in the operator's file.
     pub name: String,
-    /// Whom it is for, as text: limits of one name that are for others are two.
+    /// What the limit applies to. Limits with the same name and different subjects are distinct.
     pub subject: String,
-    /// What is limited.
+    /// What is limited, and how much.
     pub kind: Kind,
-    /// How it fails.
+    /// Behavior during a partition.
     pub mode: Mode,
 }
 
-/// A stable hash of parts of text: the same in all builds.
+/// FNV-1a hash of `parts` with a final mix. The value is the same in all builds and on all
+/// platforms.
 pub fn stable_hash<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> u64 {
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
     for part in parts {
-        // A length tells where a part ends.
+        // The length separates the parts.
         let bytes = part.iter().copied().chain((part.len() as u64).to_le_bytes());
         hash = bytes.fold(hash, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
     }
-    // The last bytes reach all bits.
+    // Spreads the last bytes over all bits.
     let hash = (hash ^ (hash >> 32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     hash ^ (hash >> 29)
 }
 
 impl Limit {
-    /// What peers know it by: its name, whom it is for, and what is limited. How much it is may change under it.
+    /// Identifies the limit between peers. It depends on name, subject and kind, but not on the
+    /// size.
     pub fn id(&self) -> u64 {
         let kind = match self.kind {
             Kind::Rate { .. } => "rate",
@@ -75,7 +78,8 @@
         stable_hash([self.name.as_bytes(), self.subject.as_bytes(), kind.as_bytes()])
     }
 
-    /// Which of its sizes it has: units are lent only between routers that know it by the same.
+    /// Identifies the size of the limit. Units are leased only between routers with the same
+    /// version.
     pub fn version(&self) -> u32 {
         let (a, b) = match self.kind {
             Kind::Rate { per_s, burst } => (per_s.to_bits(), u64::from(burst)),
@@ -86,20 +90,20 @@
     }
 }
 
-/// What all routers of a fleet agree on.
+/// Parameters that must be the same on all routers of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// Routers that shares are fixed for (count).
+    /// Number of routers that the shares are divided among.
     pub routers: u32,
-    /// How long a loan lasts for its borrower (ns).
+    /// How long a lease lasts by the holder's clock.
     pub lease_ns: u64,
-    /// How far a clock may run from true time (share): a clock's second is this much longer or shorter at most.
+    /// Maximum clock drift, as a fraction of true time.
     pub drift: f64,
-    /// The longest that an admitted request is out (ns).
+    /// Maximum time that an admitted request is in flight.
     pub max_request_ns: u64,
-    /// What a router that died had out may run on for so long (ns).
+    /// How long requests of a crashed router may continue to run.
     pub orphan_ns: u64,
-    /// A peer that can't be reached is known to be so within this time (ns).
+    /// Time within which an unreachable peer is detected.
     pub detection_ns: u64,
 }
 
@@ -117,7 +121,7 @@
 }
 
 impl Kind {
-    /// Whole units that the limit is cut into (count).
+    /// Whole units that the limit is divided into.
     pub fn units(self) -> u32 {
         match self {
             Kind::Rate { burst, .. } => burst,
@@ -126,8 +130,8 @@
         }
     }
 
-    /// For how long what was admitted on a unit goes on once the unit may not be used any more (ns): a rate's admission is
-    /// over at once.
+    /// Time until all admissions on a unit have ended after the unit is no longer usable (ns). Zero
+    /// for a rate, whose admissions are instantaneous.
     pub fn drain_ns(self, terms: &Terms) -> u64 {
         match self {
             Kind::Rate { .. } => 0,
@@ -136,7 +140,7 @@
         }
     }
 
-    /// For how long what we send under a window's limit counts, by our clock (ns).
+    /// How long a send counts under a window limit, by the local clock (ns).
     pub fn window_charge_ns(self, terms: &Terms) -> u64 {
         match self {
             Kind::Window { window_ns, .. } => terms.true_ns_upper_bound(window_ns),
@@ -144,7 +148,7 @@
         }
     }
 
-    /// For how long what a router had admitted goes on once it died (ns).
+    /// How long admissions of a crashed router continue to count (ns).
     pub fn orphan_ns(self, terms: &Terms) -> u64 {
         match self {
             Kind::Rate { .. } => 0,
@@ -155,42 +159,44 @@
 }
 
 impl Terms {
-    /// So much time of another clock, by ours (ns at most): the other may be slow while ours is fast.
+    /// Upper bound on the local clock of a duration measured by a peer (ns): the peer's clock may
+    /// be slow and the local one fast.
     pub fn peer_ns_upper_bound(&self, ns: u64) -> u64 {
         (ns as f64 * (1.0 + self.drift) / (1.0 - self.drift)).ceil() as u64 + 1
     }
 
-    /// So much true time, by our clock (ns at most): it may be fast.
+    /// Upper bound on the local clock of a true duration (ns): the local clock may be fast.
     pub fn true_ns_upper_bound(&self, ns: u64) -> u64 {
         (ns as f64 * (1.0 + self.drift)).ceil() as u64 + 1
     }
 
-    /// How often a router asks for what it wants and renews what it holds (ns): six times in a loan's life, so that lost
-    /// datagrams do not end it.
+    /// Interval at which a router requests units and renews its leases (ns). A lease spans six
+    /// intervals, so that it survives lost datagrams.
     pub fn request_interval_ns(&self) -> u64 {
         self.lease_ns / 6
     }
 
-    /// How long a peer that had nothing to lend is not asked again (ns).
+    /// How long a peer that granted less than requested is not asked for more (ns).
     pub fn exhausted_backoff_ns(&self) -> u64 {
         self.lease_ns
     }
 
-    /// How long an owner keeps a lent unit unused by its own clock (ns): the borrower counts from when it asked, by a clock
-    /// that may be slow, while the owner's may be fast.
+    /// How long an owner sets leased units aside by its own clock (ns). The holder counts from its
+    /// request by a clock that may be slow, while the owner's may be fast.
     pub fn owner_lease_ns(&self) -> u64 {
         self.peer_ns_upper_bound(self.lease_ns)
     }
 
-    /// How long a router that has just started has to take all of its own units for lent, where it can't ask everybody (ns).
+    /// Grace period after a start (ns), during which all owned units count as leased out unless
+    /// every peer has reported its leases.
     pub fn grace_ns(&self, kind: Kind) -> u64 {
         let leased_out = self.owner_lease_ns() + kind.drain_ns(self);
-        // By its own clock, which may be fast; and what it had out itself before it died runs on.
+        // Requests of this router's previous process continue to run as well.
         leased_out.max(self.peer_ns_upper_bound(kind.orphan_ns(self)))
     }
 
-    /// The units that router `me` owns of a limit cut into `units`, of the key with this hash: whole ones, and over all
-    /// routers just as many as there are. Who has one more differs by key.
+    /// Units that router `me` owns of a limit of `units`, for the key with hash `key`. The shares
+    /// of all routers add up to `units`; which routers own one unit more depends on the key.
     pub fn share(&self, units: u32, me: u32, key: u64) -> u32 {
         let routers = self.routers.max(1);
         if me >= routers {
