--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -36,9 +36,9 @@
     /// Admits a request by all of its limits and keys, or by none.
     pub(crate) fn admit(&mut self, now: u64, limit_keys: &[(u16, u64)]) -> Result<Ticket, Refused> {
         // All of them count the request as demand, whichever refuses it.
-        let verdicts: Vec<Decision> =
+        let decisions: Vec<Decision> =
             limit_keys.iter().map(|(limit, key)| self.check(now, *limit, *key)).collect();
-        let usable = verdicts.into_iter().collect::<Result<Vec<_>, Refused>>()?;
+        let usable = decisions.into_iter().collect::<Result<Vec<_>, Refused>>()?;
         let mut ticket = Ticket(Vec::with_capacity(limit_keys.len()));
         for ((limit, key), usable) in limit_keys.iter().copied().zip(usable) {
             self.commit(now, limit, key, usable);
--- a/crates/limits/src/leasing.rs
+++ b/crates/limits/src/leasing.rs
@@ -28,8 +28,8 @@
     ) -> Vec<(u32, Message)> {
         let Some(entry) = self.keys.get(&(limit, key)) else { return Vec::new() };
         let demanded = self.demanded(limit, entry);
-        let (mut requests, left) = requests_to_current_owners(now, entry, demanded);
-        self.request_from_others(limit, key, reachable, left, &mut requests);
+        let (mut requests, remaining) = requests_to_current_owners(now, entry, demanded);
+        self.request_from_others(limit, key, reachable, remaining, &mut requests);
         let of = &self.slots[usize::from(limit)].limit;
         let (id, version) = (of.id(), of.version());
         let Some(entry) = self.keys.get_mut(&(limit, key)) else { return Vec::new() };
@@ -49,16 +49,16 @@
         limit: u16,
         key: u64,
         reachable: &BTreeSet<u32>,
-        mut left: u32,
+        mut remaining: u32,
         requests: &mut Requests,
     ) {
         let kind = self.kind(limit);
         let Some(entry) = self.keys.get(&(limit, key)) else { return };
-        let mut new = 0;
+        let mut new_owners = 0;
         let routers = self.terms.routers.max(1);
         for step in 1..routers {
             let peer = (self.me.number + step) % routers;
-            if left == 0 || new >= MAX_NEW_OWNERS {
+            if remaining == 0 || new_owners >= MAX_NEW_OWNERS {
                 break;
             }
             if !reachable.contains(&peer) || entry.exhausted.contains_key(&peer) {
@@ -67,13 +67,13 @@
             let owned = self.terms.share(kind.units(), peer, key);
             match requests.iter_mut().find(|(owner, _)| *owner == peer) {
                 Some((_, units)) if *units < owned => {
-                    let more = (owned - *units).min(left);
-                    (*units, left) = (*units + more, left - more);
+                    let more = (owned - *units).min(remaining);
+                    (*units, remaining) = (*units + more, remaining - more);
                 }
                 None if owned > 0 => {
-                    requests.push((peer, owned.min(left)));
-                    left -= owned.min(left);
-                    new += 1;
+                    requests.push((peer, owned.min(remaining)));
+                    remaining -= owned.min(remaining);
+                    new_owners += 1;
                 }
                 _ => {}
             }
@@ -93,13 +93,13 @@
             return;
         }
         self.refresh(now, limit, key);
-        let again = now + self.terms.exhausted_backoff_ns();
+        let retry_ns = now + self.terms.exhausted_backoff_ns();
         let drain_ns = self.kind(limit).drain_ns(&self.terms);
         let Some(entry) = self.keys.get_mut(&(limit, key)) else { return };
-        let demanded = entry.escrow.apply_grant(now, from, number, units, (&self.terms, drain_ns));
+        let requested = entry.escrow.apply_grant(now, from, number, units, (&self.terms, drain_ns));
         // It has nothing more for a while.
-        if demanded.is_some_and(|demanded| units < demanded) {
-            entry.exhausted.insert(from.number, again);
+        if requested.is_some_and(|requested| units < requested) {
+            entry.exhausted.insert(from.number, retry_ns);
         }
     }
 
@@ -173,10 +173,10 @@
             }
             let of = &self.slots[at].limit;
             // A unit of another size is worth something else.
-            let other = of.version() != version && !matches!(of.kind, Kind::Concurrency { .. });
+            let unit_value_changed = of.version() != version && !matches!(of.kind, Kind::Concurrency { .. });
             let Some(entry) = self.keys.get_mut(&(limit_index, key)) else { continue };
             entry.escrow.restore_lease(now, from, units, left_ns, &self.terms);
-            if other {
+            if unit_value_changed {
                 entry.escrow.extend_grace(now.saturating_add(self.terms.peer_ns_upper_bound(left_ns)));
             }
         }
@@ -192,7 +192,7 @@
 /// What is asked of those that lend already, and how many units are still wanted beyond.
 fn requests_to_current_owners(now: u64, entry: &Entry, demanded: u32) -> (Requests, u32) {
     let unleased = entry.escrow.unleased(now);
-    let mut left = demanded.saturating_sub(unleased);
+    let mut remaining = demanded.saturating_sub(unleased);
     let mut requests = Vec::new();
     let mut held: Vec<(u32, u32)> = entry.escrow.held().collect();
     // From those that lend most first: the fewer lenders, the fewer datagrams.
@@ -201,12 +201,12 @@
     let covered = held.iter().map(|(_, units)| *units).sum::<u32>() + unleased;
     let mut spare = covered.saturating_sub(entry.meter.in_flight());
     for (owner, units) in held {
-        let kept = units.min(left);
-        let given_up = (units - kept).min(spare);
-        spare -= given_up;
-        left = left.saturating_sub(units - given_up);
+        let needed = units.min(remaining);
+        let returned = (units - needed).min(spare);
+        spare -= returned;
+        remaining = remaining.saturating_sub(units - returned);
         // A return that is lost is repeated until the loan is over.
-        requests.push((owner, units - given_up));
+        requests.push((owner, units - returned));
     }
-    (requests, left)
+    (requests, remaining)
 }
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -113,8 +113,8 @@
     /// The place of a limit, a new one where it had none.
     fn index_or_insert(&mut self, limit: &Limit) -> u16 {
         let id = limit.id();
-        let known = self.slots.iter().position(|slot| slot.limit.id() == id);
-        let at = known.unwrap_or_else(|| {
+        let existing = self.slots.iter().position(|slot| slot.limit.id() == id);
+        let at = existing.unwrap_or_else(|| {
             // Peers may hold units that an earlier life lent, and could not say so before.
             let grace_until_ns = self.started_ns + self.terms.grace_ns(limit.kind);
             let (retired, covered_by_reports, sketch) = (true, false, None);
@@ -157,8 +157,8 @@
 
     /// The place of a limit that a peer names, where this router has it in that size.
     pub(crate) fn limit_index(&self, id: u64, version: u32) -> Option<u16> {
-        let here = |slot: &Slot| slot.limit.id() == id && slot.limit.version() == version && !slot.retired;
-        self.slots.iter().position(here).map(|at| at as u16)
+        let matches = |slot: &Slot| slot.limit.id() == id && slot.limit.version() == version && !slot.retired;
+        self.slots.iter().position(matches).map(|at| at as u16)
     }
 
     /// The peers that can be reached now.
@@ -246,12 +246,12 @@
 
     /// Forgets a key that a new one would be the same as; false where none was found among a few.
     fn evict_one(&mut self, now: u64) -> bool {
-        let behind = self.keys.range(self.eviction_cursor..).map(|(k, _)| *k);
-        let some: Vec<(u16, u64)> = behind
+        let after_cursor = self.keys.range(self.eviction_cursor..).map(|(k, _)| *k);
+        let candidates: Vec<(u16, u64)> = after_cursor
             .chain(self.keys.keys().copied())
             .take(MAX_EVICTION_CANDIDATES.min(self.keys.len()))
             .collect();
-        for (limit, key) in some {
+        for (limit, key) in candidates {
             let usable = self.refresh(now, limit, key);
             let kind = self.kind(limit);
             self.eviction_cursor = (limit, key.wrapping_add(1));
--- a/crates/limits/src/node.rs
+++ b/crates/limits/src/node.rs
@@ -175,7 +175,7 @@
             }
             Message::Report { life, round, part, parts, up_ns, held } => {
                 if life == self.ledger.me.life {
-                    self.restore_leases(now, from, (round, part, parts), up_ns, held);
+                    self.handle_report(now, from, (round, part, parts), up_ns, held);
                 }
                 Vec::new()
             }
@@ -188,15 +188,15 @@
         if from.life < *life || from.number == self.ledger.me.number {
             return false;
         }
-        let later = from.life > *life;
+        let restarted = from.life > *life;
         *life = from.life;
-        if later {
+        if restarted {
             self.ledger.expire_earlier_lives(now, from);
         }
         true
     }
 
-    fn restore_leases(
+    fn handle_report(
         &mut self,
         now: u64,
         from: Peer,
