--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -1,41 +1,41 @@
-//! Admits requests by all of their limits and keys, or by none.
+//! Admits requests under all of their limits and keys, or under none.
 
 use crate::ledger::Ledger;
 use crate::sketch::Sketch;
 use crate::terms::Kind;
 
-/// The earliest that a refused request is worth another try (ns).
+/// Minimum delay before a refused request is worth retrying.
 const MIN_RETRY_NS: u64 = 1_000_000;
 
-/// Why a request is not admitted.
+/// Refusal of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// The limit, by its place in the file.
+    /// Index of the limit.
     pub limit: usize,
-    /// When it is worth another try (ns from now).
+    /// Delay after which a retry is worthwhile.
     pub retry_after_ns: u64,
 }
 
-/// What a request was admitted by: to be given back once it is over.
+/// Proof of admission, to be returned when the request ends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ticket(Vec<Admitted>);
 
-/// One limit that a request was admitted by.
+/// One limit and key that admitted the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Admitted {
     limit: u16,
     key: u64,
-    /// The key was not tracked.
+    /// The key was not tracked and the sketch admitted it.
     by_sketch: bool,
 }
 
-/// How one limit and key look at a request: the units that may be used, none where the key is not tracked; or why not.
+/// Decision of one limit: usable units (`None` if the key is not tracked), or the refusal.
 type Decision = Result<Option<u32>, Refused>;
 
 impl Ledger {
-    /// Admits a request by all of its limits and keys, or by none.
+    /// Admits a request under all of its limits and keys, or under none.
     pub(crate) fn admit(&mut self, now: u64, limit_keys: &[(u16, u64)]) -> Result<Ticket, Refused> {
-        // All of them count the request as demand, whichever refuses it.
+        // Every limit records the demand, even if another one refuses the request.
         let decisions: Vec<Decision> =
             limit_keys.iter().map(|(limit, key)| self.check(now, *limit, *key)).collect();
         let usable = decisions.into_iter().collect::<Result<Vec<_>, Refused>>()?;
@@ -47,7 +47,7 @@
         Ok(ticket)
     }
 
-    /// Whether a limit and key admit a request, which counts as demand in any case.
+    /// Whether a limit admits a request for a key. Records the demand in any case.
     fn check(&mut self, now: u64, limit: u16, key: u64) -> Decision {
         let default_retry_ns = 2 * self.terms.request_interval_ns();
         let refused = |retry_after_ns| Refused { limit: usize::from(limit), retry_after_ns };
@@ -67,7 +67,7 @@
         Err(refused(retry_after_ns.max(MIN_RETRY_NS)))
     }
 
-    /// Counts an admitted request.
+    /// Records an admission.
     fn commit(&mut self, now: u64, limit: u16, key: u64, usable: Option<u32>) {
         let kind = self.kind(limit);
         let until_ns = now.saturating_add(kind.window_charge_ns(&self.terms));
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Whether a key that found no place in the table is admitted on its router's own share; it counts where it `counts`.
+    /// Whether the sketch admits an untracked key on the router's own share. Records the admission
+    /// if `commit` is set.
     fn admit_by_sketch(&mut self, now: u64, limit: u16, key: u64, commit: bool) -> bool {
         let kind = self.kind(limit);
         let of = (kind, self.owned(limit, key), self.terms.drift);
@@ -92,7 +93,7 @@
         }
     }
 
-    /// A request that was admitted is over.
+    /// Ends an admitted request.
     pub(crate) fn release(&mut self, ticket: Ticket) {
         for Admitted { limit, key, by_sketch } in ticket.0 {
             let kind = self.kind(limit);
--- a/crates/limits/src/leasing.rs
+++ b/crates/limits/src/leasing.rs
@@ -1,4 +1,4 @@
-//! Borrows units from peers and lends them own ones.
+//! Requests leases of units from peers and grants leases of owned units.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -8,17 +8,17 @@
 use crate::message::{HeldLease, Message};
 use crate::terms::Kind;
 
-/// Peers that one key newly asks in one round (count).
+/// Peers newly asked for units of one key per request interval.
 const MAX_NEW_OWNERS: usize = 64;
-/// Loans told in one message (count): it fits a datagram.
+/// Leases in one report message, so that it fits into a datagram.
 const MAX_LEASES_PER_REPORT: usize = 32;
 
-/// How many units each peer is to be asked for, by its number.
+/// Owners' numbers, with the units to hold of each.
 type Requests = Vec<(u32, u32)>;
 
 impl Ledger {
-    /// Asks for what a key's clients want beyond its own units, and gives back what they want no longer. `serial` is the number of
-    /// this router's latest message.
+    /// Requests the units of a key that clients need beyond the owned ones, and returns units no
+    /// longer needed. `sequence` is the sequence number of the router's latest message.
     pub(crate) fn request_leases(
         &mut self,
         now: u64,
@@ -43,7 +43,8 @@
         messages
     }
 
-    /// Asks peers that can be reached, and had something to lend, for what is still wanted.
+    /// Adds requests to reachable peers for the units still needed, except to peers that recently
+    /// granted too little.
     fn request_from_others(
         &self,
         limit: u16,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// A peer lends so many units, as an answer to an ask.
+    /// Applies a peer's grant.
     pub(crate) fn apply_grant(
         &mut self,
         now: u64,
@@ -97,13 +98,13 @@
         let drain_ns = self.kind(limit).drain_ns(&self.terms);
         let Some(entry) = self.keys.get_mut(&(limit, key)) else { return };
         let requested = entry.escrow.apply_grant(now, from, number, units, (&self.terms, drain_ns));
-        // It has nothing more for a while.
+        // Guards against requesting units that the peer does not have.
         if requested.is_some_and(|requested| units < requested) {
             entry.exhausted.insert(from.number, retry_ns);
         }
     }
 
-    /// A peer asks for so many units; gives what it may hold.
+    /// Handles a peer's request for units. Returns the grant.
     pub(crate) fn handle_request(
         &mut self,
         now: u64,
@@ -122,13 +123,14 @@
         let entry = self.keys.get_mut(&(limit, key))?;
         let units =
             entry.escrow.handle_request(now, (from, number), units, reserved, (&self.terms, drain_ns))?;
-        // Lent units take their part of the bucket with them.
+        // Takes the tokens of leased units out of the bucket.
         self.refresh(now, limit, key);
         let of = &self.slots[usize::from(limit)].limit;
         Some(Message::Grant { limit: of.id(), version: of.version(), key, number, units })
     }
 
-    /// A peer lives again: what its earlier lives had out runs on for a while, and then all that they held is free.
+    /// Handles the restart of a peer. Requests of its earlier incarnations run on for a while;
+    /// after that all units that they held are free.
     pub(crate) fn expire_earlier_lives(&mut self, now: u64, peer: Peer) {
         for ((limit, _), entry) in &mut self.keys {
             let orphan_ns = self.slots[usize::from(*limit)].limit.kind.orphan_ns(&self.terms);
@@ -137,7 +139,8 @@
         }
     }
 
-    /// All that this router holds of a peer's, as the answer of this number to its recall.
+    /// Reports all units held of `owner`, in answer to its query. `round` is the sequence number of
+    /// the report.
     pub(crate) fn lease_report(&mut self, now: u64, owner: Peer, round: u64) -> Vec<Message> {
         let held = self.leases_held_from(now, owner);
         let mut chunks: Vec<Vec<HeldLease>> = held.chunks(MAX_LEASES_PER_REPORT).map(<[_]>::to_vec).collect();
@@ -163,7 +166,7 @@
         held
     }
 
-    /// Takes what a peer holds of this router's units, from an earlier life.
+    /// Restores the leases that an earlier incarnation of this router granted to a peer.
     pub(crate) fn restore_leases(&mut self, now: u64, from: Peer, held: Vec<HeldLease>) {
         for HeldLease { limit, version, key, units, left_ns } in held {
             let Some(at) = self.slots.iter().position(|slot| slot.limit.id() == limit) else { continue };
@@ -172,7 +175,7 @@
                 continue;
             }
             let of = &self.slots[at].limit;
-            // A unit of another size is worth something else.
+            // The lease counts in units of another value.
             let unit_value_changed = of.version() != version && !matches!(of.kind, Kind::Concurrency { .. });
             let Some(entry) = self.keys.get_mut(&(limit_index, key)) else { continue };
             entry.escrow.restore_lease(now, from, units, left_ns, &self.terms);
@@ -182,22 +185,23 @@
         }
     }
 
-    /// What a router that died had admitted goes on at most so long by any clock (ns), of all limits.
+    /// Longest time over all limits that admissions of a crashed router continue to count, by any
+    /// clock within the drift (ns).
     pub(crate) fn max_orphan_ns(&self) -> u64 {
         let longest = self.slots.iter().map(|slot| slot.limit.kind.orphan_ns(&self.terms)).max();
         self.terms.peer_ns_upper_bound(longest.unwrap_or(0))
     }
 }
 
-/// What is asked of those that lend already, and how many units are still wanted beyond.
+/// Requests to the owners of units held already, and the units still needed beyond those.
 fn requests_to_current_owners(now: u64, entry: &Entry, demanded: u32) -> (Requests, u32) {
     let unleased = entry.escrow.unleased(now);
     let mut remaining = demanded.saturating_sub(unleased);
     let mut requests = Vec::new();
     let mut held: Vec<(u32, u32)> = entry.escrow.held().collect();
-    // From those that lend most first: the fewer lenders, the fewer datagrams.
+    // Largest first, which takes the fewest owners and datagrams.
     held.sort_by_key(|(owner, units)| (Reverse(*units), *owner));
-    // What is out has to stay covered, whatever is wanted by now.
+    // Admissions in flight must stay covered, whatever the demand is now.
     let covered = held.iter().map(|(_, units)| *units).sum::<u32>() + unleased;
     let mut spare = covered.saturating_sub(entry.meter.in_flight());
     for (owner, units) in held {
@@ -205,7 +209,7 @@
         let returned = (units - needed).min(spare);
         spare -= returned;
         remaining = remaining.saturating_sub(units - returned);
-        // A return that is lost is repeated until the loan is over.
+        // Repeated until the lease expires, in case the message that returns units is lost.
         requests.push((owner, units - returned));
     }
     (requests, remaining)
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -1,7 +1,7 @@
-//! The limits of one router and its keys: what it owns of each, what it may use now, and which keys it tracks.
+//! The limits and tracked keys of one router.
 //!
-//! Invariants: a limit keeps its place for as long as the router is up; the table of keys is bounded, and a key is forgotten only
-//! where a new one would be the same.
+//! Invariants: a limit keeps its index for the lifetime of the process. The table of keys is
+//! bounded, and a key is evicted only if a new entry would be equivalent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,51 +12,52 @@
 use crate::sketch::Sketch;
 use crate::terms::{Kind, Limit, Mode, Terms};
 
-/// Keys that are looked at for one that may be forgotten, where the table is full (count).
+/// Keys examined for eviction when the table is full.
 const MAX_EVICTION_CANDIDATES: usize = 16;
-/// Keys of a limit that are shown (count).
+/// Number of keys that [`Ledger::busiest_keys`] returns.
 const MAX_BUSIEST_KEYS: usize = 8;
 
-/// A limit in its place.
+/// A limit at its index.
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
     pub(crate) limit: Limit,
-    /// The operator's file has it no more: nothing is admitted by it, and what was lent is kept track of.
+    /// Removed from the operator's file. Admits nothing, but its leases are still tracked.
     retired: bool,
-    /// Until when its own units count as lent for a start's sake (ns).
+    /// End of the grace period, during which the owned units count as leased out.
     pub(crate) grace_until_ns: u64,
-    /// Peers that say what they hold end that: they were not understood before it was there.
+    /// Whether reports of peers end the grace period. False for a limit added after the start, as
+    /// earlier reports did not include it.
     covered_by_reports: bool,
-    /// Keys that found no place in the table; none where all did.
+    /// Usage of keys that do not fit into the table; `None` if all have fitted.
     pub(crate) sketch: Option<Sketch>,
 }
 
-/// A key of a limit.
+/// State of one key of a limit.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub(crate) escrow: Escrow,
     pub(crate) meter: Meter,
     pub(crate) demand: Demand,
-    /// Peers that had nothing to lend, until they are asked again (ns).
+    /// Peers that granted less than requested, and when they may be asked for more (ns).
     pub(crate) exhausted: BTreeMap<u32, u64>,
 }
 
-/// What one router knows of a key.
+/// Status of a key on one router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeyStatus {
-    /// Units that it owns.
+    /// Units owned.
     pub owned: u32,
-    /// Of these, lent.
+    /// Owned units leased out to peers.
     pub leased_out: u32,
-    /// Units borrowed.
+    /// Usable units leased from peers.
     pub leased_in: u32,
-    /// Units that may be used.
+    /// Units usable now.
     pub usable: u32,
-    /// Admissions out.
+    /// Admissions in flight, or units sent within the window.
     pub out: u32,
 }
 
-/// One router's limits and keys.
+/// The limits and keys of one router.
 #[derive(Clone, Debug)]
 pub(crate) struct Ledger {
     pub(crate) me: Peer,
@@ -65,14 +66,14 @@
     pub(crate) keys: BTreeMap<(u16, u64), Entry>,
     max_keys: usize,
     pub(crate) started_ns: u64,
-    /// Since when some of the routers that are counted can't be reached (ns).
+    /// Since when some router of the fleet has been unreachable.
     partition_since_ns: Option<u64>,
-    /// The key behind the one that was looked at last for one to forget.
+    /// Key after the last one examined for eviction.
     eviction_cursor: (u16, u64),
 }
 
 impl Ledger {
-    /// Of a router that has just started: its own units count as lent.
+    /// Creates the ledger of a router that has just started: owned units count as leased out.
     pub(crate) fn new(now: u64, me: Peer, terms: Terms, limits: Vec<Limit>, max_keys: usize) -> Ledger {
         let slot = |limit: Limit| Slot {
             grace_until_ns: now + terms.grace_ns(limit.kind),
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The operator's file says other limits: gives each one's place, which those that stay keep.
+    /// Replaces the limits. Returns the index of each; limits that remain keep theirs.
     pub(crate) fn resize(&mut self, now: u64, limits: Vec<Limit>) -> Vec<u16> {
         self.slots.iter_mut().for_each(|slot| slot.retired = true);
         let mut limit_indexes = Vec::with_capacity(limits.len());
@@ -110,12 +111,13 @@
         limit_indexes
     }
 
-    /// The place of a limit, a new one where it had none.
+    /// Returns the index of a limit, adding the limit if it is new.
     fn index_or_insert(&mut self, limit: &Limit) -> u16 {
         let id = limit.id();
         let existing = self.slots.iter().position(|slot| slot.limit.id() == id);
         let at = existing.unwrap_or_else(|| {
-            // Peers may hold units that an earlier life lent, and could not say so before.
+            // Peers may hold units leased by an earlier incarnation, which their reports did not
+            // include.
             let grace_until_ns = self.started_ns + self.terms.grace_ns(limit.kind);
             let (retired, covered_by_reports, sketch) = (true, false, None);
             self.slots.push(Slot {
@@ -132,7 +134,7 @@
 
     fn resize_keys(&mut self, now: u64, limit_index: u16, limit: &Limit) {
         let keys: Vec<u64> = self.keys_of(limit_index).collect();
-        // Fills buckets by the old size first.
+        // Refills buckets at the old size first.
         for key in &keys {
             self.refresh(now, limit_index, *key);
         }
@@ -146,7 +148,7 @@
         }
     }
 
-    /// The keys of a limit that are tracked.
+    /// Tracked keys of a limit.
     pub(crate) fn keys_of(&self, limit: u16) -> impl Iterator<Item = u64> + '_ {
         self.keys.range((limit, 0)..=(limit, u64::MAX)).map(|((_, key), _)| *key)
     }
@@ -155,31 +157,31 @@
         self.slots[usize::from(limit)].limit.kind
     }
 
-    /// The place of a limit that a peer names, where this router has it in that size.
+    /// Index of the limit that a peer identifies, if this router has it at the same size.
     pub(crate) fn limit_index(&self, id: u64, version: u32) -> Option<u16> {
         let matches = |slot: &Slot| slot.limit.id() == id && slot.limit.version() == version && !slot.retired;
         self.slots.iter().position(matches).map(|at| at as u16)
     }
 
-    /// The peers that can be reached now.
+    /// Updates the set of reachable peers.
     pub(crate) fn set_reachable(&mut self, now: u64, peers: &BTreeSet<u32>) {
         let counted = |number: &&u32| **number < self.terms.routers && **number != self.me.number;
         let missing = peers.iter().filter(counted).count() as u32 + 1 < self.terms.routers;
         self.partition_since_ns = if missing { self.partition_since_ns.or(Some(now)) } else { None };
     }
 
-    /// Units of a key that this router owns (count).
+    /// Units of a key owned by this router.
     pub(crate) fn owned(&self, limit: u16, key: u64) -> u32 {
         self.terms.share(self.kind(limit).units(), self.me.number, key)
     }
 
-    /// Units of a key that its own clients want (count).
+    /// Units of a key demanded by this router's own clients.
     pub(crate) fn demanded(&self, limit: u16, entry: &Entry) -> u32 {
         entry.demand.units(self.kind(limit), &self.terms, entry.meter.in_flight())
     }
 
-    /// Units beyond its own that a limit's mode allows now: none while what an earlier life had out may still run, or it
-    /// would be over by as much again with each life.
+    /// Units beyond the owned ones that the limit's mode allows now. None during the grace period:
+    /// requests of an earlier incarnation may still run, and each restart would add its overshoot.
     fn overshoot_units(&self, now: u64, limit: u16, owned: u32) -> u32 {
         let slot = &self.slots[usize::from(limit)];
         match (slot.limit.mode, self.partition_since_ns) {
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Fills a key's bucket and forgets what has run out; gives the units that may be used now.
+    /// Drops expired leases and refills the bucket of a key. Returns the units usable now.
     pub(crate) fn refresh(&mut self, now: u64, limit: u16, key: u64) -> u32 {
         let kind = self.kind(limit);
         let owned = self.owned(limit, key);
@@ -214,7 +216,7 @@
         usable
     }
 
-    /// Makes room for a key; false where there is none.
+    /// Starts tracking a key. Returns false if the table has no room.
     pub(crate) fn track(&mut self, now: u64, limit: u16, key: u64) -> bool {
         if self.keys.contains_key(&(limit, key)) {
             return true;
@@ -237,14 +239,15 @@
                 let used = sketch.used(now, key, (kind, owned, self.terms.drift));
                 Meter::with_tokens(now, (f64::from(owned) - used).max(0.0))
             }
-            // Nothing was admitted on it in this life; what an earlier one did is not known.
+            // Admissions of earlier incarnations are unknown, so the bucket starts empty.
             _ => Meter::new(self.started_ns.max(grace_until_ns.min(now))),
         };
         let escrow = Escrow::new(owned, grace_until_ns);
         Entry { escrow, meter, demand: Demand::none(now), exhausted: BTreeMap::new() }
     }
 
-    /// Forgets a key that a new one would be the same as; false where none was found among a few.
+    /// Evicts a key whose new entry would be equivalent. Returns false if there is none among the
+    /// candidates.
     fn evict_one(&mut self, now: u64) -> bool {
         let after_cursor = self.keys.range(self.eviction_cursor..).map(|(k, _)| *k);
         let candidates: Vec<(u16, u64)> = after_cursor
@@ -264,7 +267,7 @@
         false
     }
 
-    /// What is known of a key.
+    /// Returns the status of a key.
     pub(crate) fn key_status(&mut self, now: u64, limit: u16, key: u64) -> KeyStatus {
         let usable = self.refresh(now, limit, key);
         let owned = self.owned(limit, key);
@@ -275,7 +278,7 @@
         KeyStatus { owned, leased_out, leased_in, usable, out: entry.meter.in_flight() }
     }
 
-    /// The keys of a limit that use most, and what is known of them.
+    /// Returns the status of the most used keys of a limit.
     pub(crate) fn busiest_keys(&mut self, now: u64, limit: u16) -> Vec<(u64, KeyStatus)> {
         let keys: Vec<u64> = self.keys_of(limit).collect();
         let mut all: Vec<(u64, KeyStatus)> =
@@ -287,7 +290,8 @@
         all
     }
 
-    /// Ends the quiet of a start, as all peers have said what they hold and earlier lives' work runs on until then (ns).
+    /// Ends the grace period once all peers have reported their leases. Requests of earlier
+    /// incarnations may run until `orphans_until_ns`.
     pub(crate) fn end_grace(&mut self, now: u64, orphans_until_ns: u64) {
         for slot in self.slots.iter_mut().filter(|slot| slot.covered_by_reports) {
             let end_ns = match slot.limit.kind {
@@ -307,7 +311,7 @@
         }
     }
 
-    /// Whether all that an earlier life lent must have run out.
+    /// Whether all leases of an earlier incarnation must have expired.
     pub(crate) fn grace_has_ended(&self, now: u64) -> bool {
         self.slots.iter().all(|slot| now >= slot.grace_until_ns)
     }
--- a/crates/limits/src/node.rs
+++ b/crates/limits/src/node.rs
@@ -1,4 +1,5 @@
-//! What one router keeps of all limits: its keys, what it asks of its peers and answers them, and what it admits.
+//! State of all limits on one router: its keys, the leases that it requests and grants, and
+//! admission.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,22 +12,22 @@
 pub use crate::admission::{Refused, Ticket};
 pub use crate::ledger::KeyStatus;
 
-/// One router's part in all limits.
+/// One router's state of all limits.
 #[derive(Clone, Debug)]
 pub struct Node {
     ledger: Ledger,
     recovery: Option<Recovery>,
-    /// Peers that can be reached.
     reachable: BTreeSet<u32>,
-    /// The latest life of each peer.
+    /// Latest known incarnation of each peer.
     latest_lives: BTreeMap<u32, u64>,
-    /// The number of this router's latest message.
+    /// Sequence number of this router's latest message.
     sequence: u64,
     last_round_ns: u64,
 }
 
 impl Node {
-    /// A router that has just started. Until it has asked everybody, its own units count as lent.
+    /// Creates the node of a router that has just started. Owned units count as leased out until
+    /// all peers have reported their leases.
     pub fn new(now: u64, me: Peer, terms: Terms, limits: Vec<Limit>, max_keys: usize) -> Node {
         let others = (0..terms.routers).filter(|number| *number != me.number);
         let mut node = Node {
@@ -41,33 +42,34 @@
         node
     }
 
-    /// The operator's file says other limits: gives each one's place, which those that stay keep. What is out and what is lent
-    /// stays counted.
+    /// Replaces the limits. Returns the index of each; limits that remain keep theirs. Admissions
+    /// in flight and leases are preserved.
     pub fn resize(&mut self, now: u64, limits: Vec<Limit>) -> Vec<u16> {
         self.ledger.resize(now, limits)
     }
 
-    /// The peers that can be reached now.
+    /// Updates the set of reachable peers.
     pub fn set_reachable(&mut self, now: u64, peers: BTreeSet<u32>) {
         self.ledger.set_reachable(now, &peers);
         self.reachable = peers;
     }
 
-    /// Admits a request by all of its limits and keys, or by none.
+    /// Admits a request under all of the given limits and keys, or under none.
     ///
     /// # Errors
-    /// Names the first limit that does not allow it, and when it is worth another try.
+    ///
+    /// Returns the first limit that refuses the request, and when to retry.
     pub fn admit(&mut self, now: u64, limit_keys: &[(u16, u64)]) -> Result<Ticket, Refused> {
         self.ledger.admit(now, limit_keys)
     }
 
-    /// A request that was admitted is over.
+    /// Ends an admitted request.
     pub fn over(&mut self, ticket: Ticket) {
         self.ledger.release(ticket);
     }
 
-    /// Of a window's limit: the units that may be used from `now` to `until` (count), of loans those that last so long. What was
-    /// sent within the window is to be held against them by whoever sends.
+    /// Units of a window limit that are usable throughout `now` to `until`. The caller subtracts
+    /// what was sent within the window.
     pub fn budget(&mut self, now: u64, until: u64, limit: u16, key: u64) -> u32 {
         if !self.ledger.track(now, limit, key) {
             return 0;
@@ -77,12 +79,12 @@
         entry.map_or(0, |entry| entry.escrow.unleased(now) + entry.escrow.leased_in(until))
     }
 
-    /// Units of a key that this router owns (count).
+    /// Units of a key owned by this router.
     pub fn owned(&self, limit: u16, key: u64) -> u32 {
         self.ledger.owned(limit, key)
     }
 
-    /// Units' worth that its own clients would send under a window's limit (count).
+    /// Units that this router's clients demand within one window of a window limit.
     pub fn window_demand(&self, now: u64, limit: u16, key: u64) -> f64 {
         let Some(entry) = self.ledger.keys.get(&(limit, key)) else { return 0.0 };
         let (kind, terms) = (self.ledger.kind(limit), &self.ledger.terms);
@@ -91,7 +93,7 @@
         demand.in_window(kind, terms)
     }
 
-    /// Own clients would send so many units' worth under a window's limit, whether they may or not.
+    /// Records a demand of `units` under a window limit, whether or not they can be sent.
     pub fn add_demand(&mut self, now: u64, limit: u16, key: u64, units: f64) {
         self.ledger.refresh(now, limit, key);
         if let Some(entry) = self.ledger.keys.get_mut(&(limit, key)) {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// So many units' worth was sent under a window's limit.
+    /// Records that `units` were sent under a window limit.
     pub fn sent(&mut self, now: u64, limit: u16, key: u64, units: f64) {
         self.ledger.refresh(now, limit, key);
         let kind = self.ledger.slots.get(usize::from(limit)).map(|slot| slot.limit.kind);
@@ -110,27 +112,27 @@
         }
     }
 
-    /// What is known of a key.
+    /// Returns the status of a key.
     pub fn key_status(&mut self, now: u64, limit: u16, key: u64) -> KeyStatus {
         self.ledger.key_status(now, limit, key)
     }
 
-    /// The keys of a limit that use most, and what is known of them.
+    /// Returns the status of the most used keys of a limit.
     pub fn busiest_keys(&mut self, now: u64, limit: u16) -> Vec<(u64, KeyStatus)> {
         self.ledger.busiest_keys(now, limit)
     }
 
-    /// Whether it still has to ask what it lent before.
+    /// Whether leases granted before the start are still being recovered.
     pub fn recovers(&self) -> bool {
         self.recovery.is_some()
     }
 
-    /// Keys that are tracked (count).
+    /// Number of tracked keys.
     pub fn tracked_keys(&self) -> usize {
         self.ledger.keys.len()
     }
 
-    /// Passes time; gives what is to be said, and to whom.
+    /// Advances time. Returns messages with the numbers of their receivers.
     pub fn tick(&mut self, now: u64) -> Vec<(u32, Message)> {
         let mut out = Vec::new();
         if now < self.last_round_ns.saturating_add(self.ledger.terms.request_interval_ns()) {
@@ -149,14 +151,14 @@
         out
     }
 
-    /// Takes a message of a peer; gives what is to be said to it.
+    /// Handles a message from a peer. Returns messages to send back.
     pub fn hear(&mut self, now: u64, from: Peer, message: Message) -> Vec<Message> {
         if !self.observe_life(now, from) {
             return Vec::new();
         }
         match message {
             Message::Request { limit, version, key, number, units } => {
-                // One that knows another size gets no answer: what it holds runs out by itself.
+                // A peer with another size gets no grant; its leases expire.
                 let limit_index = self.ledger.limit_index(limit, version);
                 let grant = limit_index.and_then(|limit_index| {
                     self.ledger.handle_request(now, from, limit_index, key, (number, units))
@@ -182,7 +184,8 @@
         }
     }
 
-    /// Guards against what an earlier life of a peer said, that comes late; a later one than was known ends the earlier.
+    /// Records the sender's incarnation and returns whether it is the latest known. A newer
+    /// incarnation expires the leases of earlier ones.
     fn observe_life(&mut self, now: u64, from: Peer) -> bool {
         let life = self.latest_lives.entry(from.number).or_insert(from.life);
         if from.life < *life || from.number == self.ledger.me.number {
@@ -208,14 +211,15 @@
         if !recovery.accept_part(from.number, part) {
             return;
         }
-        // An earlier life of the peer may have had work out on our units.
+        // Requests of the peer's earlier incarnation may still run on this router's units.
         let orphan_ns = self.ledger.max_orphan_ns();
         recovery.extend_orphans(now + orphan_ns.saturating_sub(up_ns));
         self.ledger.restore_leases(now, from, held);
         self.try_finish_recovery(now);
     }
 
-    /// Ends the quiet once everybody has said what it holds, or once all that was lent must have run out.
+    /// Ends the grace period once all peers have reported their leases, or all leases granted
+    /// before the start must have expired.
     fn try_finish_recovery(&mut self, now: u64) {
         let Some(recovery) = &self.recovery else { return };
         let answered = recovery.all_answered();
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! Whole fleets in stepped time: messages are lost, doubled, late and out of order, links are cut one way or both, routers die,
-//! stand still and start again, clocks differ. What is out at once, and what is admitted in any time, is held against the limit
-//! and its bound.
+//! Fleets in simulated time under random faults: lost, duplicated, delayed and reordered messages,
+//! one-way and full partitions, crashes, suspensions, restarts and clock drift. Checks requests in
+//! flight and admissions against the limit and its bound.
 
 use std::collections::BTreeSet;
 
@@ -49,8 +49,8 @@
     }
 }
 
-/// A limit is read in another size by one router after the other while things break; how far over the larger of both the fleet
-/// is until all know it, and over the new one once that is over by what is stated.
+/// Resizes a limit router by router under random faults. Returns the use relative to the larger
+/// size while the resize is in progress, and relative to the new size once its bound has passed.
 fn play_resized(seed: u64) -> (f64, f64, Kind, Kind) {
     let mut draws = StdRng::seed_from_u64(seed ^ 0xc4a9);
     let before = kinds(&mut draws);
@@ -65,7 +65,7 @@
     let mut fleet = Fleet::new(old.clone(), terms, 0.01, seed);
     fleet.routers[0].demand = f64::from(before.units().max(after.units())) * 2.0;
     fleet.run(8_000);
-    // Until all know it: the larger in each respect.
+    // While the resize is in progress the larger value of each parameter applies.
     fleet.limit = match (before, after) {
         (Kind::Rate { per_s, burst }, Kind::Rate { per_s: to, burst: most }) => {
             limit(Kind::Rate { per_s: per_s.max(to), burst: burst.max(most) }, Mode::Strict)
@@ -105,7 +105,7 @@
 
 #[test]
 fn units_of_two_sizes_are_never_used_beside_each_other() {
-    // The same rate in coarse units and in fine ones, to and fro: a loan is worth what it was when it was made.
+    // The same rate in coarse and in fine units. A lease keeps the unit value it was granted with.
     let of = |burst| limit(Kind::Rate { per_s: 100.0, burst }, Mode::Strict);
     for (old, new) in [(10, 100), (100, 2)] {
         for changed in [0, 1] {
@@ -147,7 +147,7 @@
     for seed in 0..300 {
         let (worst, kind) = play(seed, mode, 0.01);
         let told = FAULTS.iter().filter(|(f, _)| *f != Fault::DuplicateNumber);
-        // The routers differ by play; the largest part of all is what the mode says itself.
+        // The number of routers is random; the largest overshoot is that of the mode itself.
         let most =
             told.map(|(f, _)| bound(&limit(kind, mode), &terms(1), *f).max_overshoot).fold(0.0, f64::max);
         assert!(worst <= 1.0 + most + 1e-9, "{worst} of {kind:?}, at most {most} over, seed {seed}");
@@ -158,11 +158,11 @@
     assert!(worst_ratio >= 0.3, "the bound is idle: {worst_ratio}");
 }
 
-/// Arrivals a second that use the whole limit.
+/// Arrivals per second that use the whole limit.
 fn per_s(kind: Kind) -> f64 {
     match kind {
         Kind::Rate { per_s, .. } => per_s,
-        // A request is out for a second in the mean.
+        // A request takes one second on average.
         Kind::Concurrency { at_once } => f64::from(at_once),
         Kind::Window { units, window_ns } => f64::from(units) / window_ns as f64 * S as f64,
     }
@@ -196,8 +196,8 @@
                 used(kind, routers, |at| if at == 3 { per_s(kind) * 2.0 } else { 0.0 }, |_| {});
             println!("{kind:?} {routers} routers, one asks: {one:.3}, {} messages in 16 s", fleet.messages);
             assert!(one >= 0.95, "{kind:?}, {routers} routers, one asks: {one}");
-            // Four times as much as the limit in all. Units are whole, so that of 100 over 40 routers each small one keeps
-            // one that it uses in part: docs/design/fleet-limits.md tells how near that comes.
+            // Total demand is four times the limit. With 100 units over 40 routers, low-demand
+            // routers hold one unit each that they use only in part.
             let sum: f64 = (0..routers).map(|at| 1.0 / f64::from(at + 1)).sum();
             let (zipf, _) = used(kind, routers, |at| per_s(kind) * 4.0 / sum / f64::from(at + 1), |_| {});
             println!("{kind:?} {routers} routers, Zipf: {zipf:.3}");
@@ -275,11 +275,11 @@
     let now = 60 * S;
     node.tick(now);
     let held: Vec<Ticket> = (0..500).map(|key| node.admit(now, &[(0, key)]).unwrap()).collect();
-    // Light ones that find no place: each has its own share all the same, and what is out is counted.
+    // Untracked light keys are admitted by the sketch and counted while in flight.
     let light: Vec<Ticket> = (1_000..101_000).filter_map(|key| node.admit(now, &[(0, key)]).ok()).collect();
     assert!(light.len() >= 99_000, "{} of 100,000", light.len());
     light.into_iter().for_each(|ticket| node.over(ticket));
-    // A heavy one among them is held to its share.
+    // An untracked heavy key is held to its share.
     let heavy = (0..2_000).filter(|_| node.admit(now, &[(0, 77_777)]).is_ok()).count();
     assert!((900..=1_000).contains(&heavy), "{heavy} of 1,000 that may be out");
     assert!(node.tracked_keys() <= 1_000);
--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -1,5 +1,6 @@
-//! Loans between routers as a model that is searched whole: two routers, one key, messages that are lost, doubled, late and out
-//! of order, deaths and restarts at any moment. It calls the crate's own transitions.
+//! Exhaustive model check of leases between two routers and one key. Messages are lost, duplicated,
+//! delayed and reordered, and routers restart at any time. The model runs the crate's own
+//! transitions.
 
 use std::collections::BTreeSet;
 
@@ -7,11 +8,11 @@
 use marljunction_limits::Terms;
 use stateright::{Checker, Model, Property};
 
-/// Units of each router, the last moment that is looked at, messages on their way at once.
+/// Units owned by each router, end of the explored time, and maximum messages in transit.
 const OWNED: u32 = 1;
 const LAST_NS: u64 = 6;
 const MAX_IN_TRANSIT: usize = 2;
-/// Asks and restarts of one router (count).
+/// Maximum requests and starts of one router.
 const MAX_REQUESTS: u64 = 2;
 const MAX_LIVES: u64 = 2;
 
@@ -34,7 +35,8 @@
 struct Fleet {
     now: u64,
     nodes: [Node; 2],
-    /// To whom, from which life of the other, what. It may be delivered any number of times while it is here.
+    /// Receiver, incarnation of the sender, message. A message can be delivered repeatedly until it
+    /// is lost.
     in_transit: BTreeSet<(usize, u64, Message)>,
 }
 
@@ -50,7 +52,7 @@
 
 struct LeaseModel {
     terms: Terms,
-    /// A router that starts takes its own units for lent.
+    /// Whether a router starts with a grace period.
     grace: bool,
 }
 
@@ -114,14 +116,14 @@
             actions.push(Step::Advance);
         }
         for (at, node) in state.nodes.iter().enumerate() {
-            // One borrows and the other lends; the other way is the same.
+            // Only router 1 requests units; the opposite case is symmetric.
             if at == 1 && node.requests < MAX_REQUESTS && state.in_transit.len() < MAX_IN_TRANSIT {
                 actions.extend((0..=OWNED).map(|units| Step::Request(at, units)));
             }
             if node.life > 1 && state.in_transit.len() < MAX_IN_TRANSIT {
                 actions.push(Step::Query(at));
             }
-            // One that dies is enough: the other only ever sees it by messages.
+            // Only router 0 restarts, as the other one observes restarts only through messages.
             if at == 0 && node.life < MAX_LIVES {
                 actions.push(Step::Restart(at));
             }
@@ -139,7 +141,7 @@
             Step::Request(at, units) => {
                 let node = &mut state.nodes[at];
                 node.requests += 1;
-                // Numbers outlast a life nowhere: a new one begins behind the old.
+                // Sequence numbers continue after a restart.
                 let number = node.requests;
                 node.escrow.expire(last.now);
                 node.escrow.request(last.now, 1 - at as u32, units, number);
@@ -182,11 +184,11 @@
 
 #[test]
 fn the_model_goes_over_without_either_guard() {
-    // An owner that takes a unit back before its borrower must be done with it.
+    // The owner reclaims units before the holder's lease has expired.
     let short = Terms { drift: -0.99, ..terms(0.0) };
     let early_return = LeaseModel { terms: short, grace: true }.checker().threads(2).spawn_bfs().join();
     assert!(early_return.discovery("never over").is_some(), "an owner that forgets its loans early");
-    // A router that starts and uses what its last life lent.
+    // A router uses units right after a restart that its previous incarnation had leased out.
     let without_grace =
         LeaseModel { terms: terms(0.0), grace: false }.checker().threads(2).spawn_bfs().join();
     assert!(without_grace.discovery("never over").is_some(), "an owner that starts without waiting");
--- a/crates/limits/tests/sketch.rs
+++ b/crates/limits/tests/sketch.rs
@@ -1,4 +1,4 @@
-//! The sketch that admits keys which found no place in the table.
+//! Admission of untracked keys by the sketch.
 
 use marljunction_limits::sketch::Sketch;
 use marljunction_limits::Kind;
@@ -11,7 +11,7 @@
     let of = (kind, 5, 0.0);
     let mut sketch = Sketch::new(0);
     let mut taken = 0;
-    // One key asks without end for 20 s, and 50,000 others once.
+    // One key sends continuously for 20 s, and 10,000 other keys send once each.
     for ms in 0..20_000u64 {
         let now = S + ms * 1_000_000;
         taken += u32::from(sketch.admit(now, 7, of));
--- a/crates/peers/src/datagram.rs
+++ b/crates/peers/src/datagram.rs
@@ -1,45 +1,46 @@
-//! Datagrams with a keyed sum: what does not bear the fleet's key is not read any further.
+//! Datagram format. Each datagram carries a message authentication code (MAC) made with the fleet's
+//! key, and is rejected before parsing if the code does not match. The content is not encrypted.
 
-/// Largest datagram (bytes): it fits the smallest path that is common.
+/// Largest datagram; fits into the smallest common path MTU.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// The first bytes of each, and the version of what follows.
+/// First bytes of a datagram, followed by the version of the format.
 const MAGIC: [u8; 2] = *b"mj";
 const VERSION: u8 = 1;
-/// Bytes of the sum, and of all that stands before the content.
+/// Length of the MAC, and of everything before the content.
 const MAC_BYTES: usize = 16;
 const HEADER_BYTES: usize = MAGIC.len() + 2 + MAC_BYTES;
-/// Largest content (bytes).
+/// Largest content.
 pub const MAX_CONTENT_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES;
 
-/// What a datagram carries.
+/// Type of the content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// Membership.
     Members,
-    /// What routers say to each other of limits.
+    /// Leases of shared limits.
     Limits,
-    /// What they say of engines.
+    /// Engine health.
     Verdicts,
-    /// What routers and relays say of the list of engines.
+    /// List of engines.
     List,
 }
 
-/// Why a datagram is passed over.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectReason {
-    /// It is shorter than any, or larger than allowed.
+    /// Shorter than a header or longer than [`MAX_DATAGRAM_BYTES`].
     Size,
-    /// It does not begin like one.
+    /// Does not start with the magic bytes.
     Magic,
-    /// It is of another version.
+    /// Another version of the format.
     Version,
-    /// Its sum is not by a key that is accepted: damaged, or of another fleet.
+    /// No accepted key matches: the datagram is damaged or from another fleet.
     Mac,
-    /// It is sealed, but what it holds can't be read.
+    /// Authentic, but the content can't be decoded.
     Content,
 }
 
-/// All of them, for counters.
+/// All reasons with their names for counters.
 pub const REJECT_REASONS: [(RejectReason, &str); 5] = [
     (RejectReason::Size, "size"),
     (RejectReason::Magic, "strange"),
@@ -48,7 +49,8 @@
     (RejectReason::Content, "content"),
 ];
 
-/// The fleet's keys: one to seal with, and one more that is accepted while keys change.
+/// The fleet's keys: one that signs, and optionally a second one that is accepted while keys are
+/// rotated.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Keys {
     primary: [u8; 32],
@@ -57,16 +59,18 @@
 
 impl std::fmt::Debug for Keys {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // Keys are for nobody's log.
+        // Keys must not appear in logs.
         write!(f, "Keys({})", if self.secondary.is_some() { 2 } else { 1 })
     }
 }
 
 impl Keys {
-    /// Reads a key file: one key a line as 64 hex digits, the first of which seals; `#` begins a remark.
+    /// Parses a key file with one key per line as 64 hex digits. The first key signs; `#` starts a
+    /// comment.
     ///
     /// # Errors
-    /// Says what is wrong, and never what the file holds.
+    ///
+    /// Describes the fault without quoting the file.
     pub fn read(text: &str) -> Result<Keys, String> {
         let lines = text.lines().map(|line| line.split('#').next().unwrap_or_default().trim());
         let keys: Vec<[u8; 32]> = lines
@@ -86,14 +90,14 @@
         }
     }
 
-    /// A number that all routers with these keys share and nobody else can guess: hashes of clients' names are drawn by it, so
-    /// that a client is the same one to all routers. It follows from the key that seals.
+    /// Secret seed shared by all routers with the same signing key. Hashes of client names are
+    /// seeded with it, so that a client has the same hash on all routers.
     pub fn shared_seed(&self) -> u64 {
         let hash = blake3::keyed_hash(&self.primary, b"marljunction clients");
         hash.as_bytes().iter().take(8).fold(0, |seed, byte| seed << 8 | u64::from(*byte))
     }
 
-    /// A datagram of this content.
+    /// Builds an authenticated datagram.
     pub fn sign(&self, kind: Kind, content: &[u8]) -> Vec<u8> {
         let kind = kind as u8;
         let mut datagram = Vec::with_capacity(HEADER_BYTES + content.len());
@@ -104,10 +108,11 @@
         datagram
     }
 
-    /// What a datagram holds, where it bears a key that is accepted.
+    /// Verifies a datagram and returns its content.
     ///
     /// # Errors
-    /// Says why it is passed over.
+    ///
+    /// Returns why the datagram is rejected.
     pub fn verify<'a>(&self, datagram: &'a [u8]) -> Result<(Kind, &'a [u8]), RejectReason> {
         if datagram.len() < HEADER_BYTES || datagram.len() > MAX_DATAGRAM_BYTES {
             return Err(RejectReason::Size);
@@ -119,7 +124,7 @@
         if head[2] != VERSION {
             return Err(RejectReason::Version);
         }
-        // Compared as hashes, which takes as long whatever differs.
+        // `blake3::Hash` compares in constant time.
         let seen: [u8; MAC_BYTES] = head[4..].try_into().map_err(|_| RejectReason::Size)?;
         let pad = |mac: [u8; MAC_BYTES]| {
             let mut all = [0; 32];
--- a/crates/peers/src/identity.rs
+++ b/crates/peers/src/identity.rs
@@ -1,33 +1,33 @@
-//! Who a router is to its peers.
+//! Identity of a router towards its peers.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// A router of the fleet. Its name outlasts its process; its life is larger with each start, its renewal with each time that it
-/// comes back after its peers took it for gone.
+/// Identity of a router. The name is stable across restarts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PeerIdentity {
-    /// Its name.
+    /// Name, unique in the fleet.
     pub name: String,
-    /// Its number among the routers that shares are fixed for.
+    /// Number among the routers that shares are fixed for.
     pub number: u32,
-    /// Where it takes datagrams.
+    /// Address on which it receives datagrams.
     pub address: SocketAddr,
-    /// When its process started (Unix ns, or anything that grows with each start).
+    /// Incarnation of the process: its start time (Unix ns) or any value that increases with each
+    /// start.
     pub life: u64,
-    /// How often this life has come back.
+    /// Number of times that this incarnation rejoined after its peers had declared it down.
     pub renewal: u32,
 }
 
 impl PeerIdentity {
-    /// Whoever listens there: only the address of a router is known before it has been heard.
+    /// Identity of an unknown router of which only the address is known.
     pub fn from_address(address: SocketAddr) -> PeerIdentity {
         PeerIdentity { name: String::new(), number: u32::MAX, address, life: 0, renewal: 0 }
     }
 }
 
-/// What stays the same over a router's lives: its name, or its address where no more is known of it.
+/// Identity across restarts: the name, or the address if either name is unknown.
 #[derive(Clone, Debug)]
 pub struct StableAddr(String, SocketAddr);
 
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which other routers of the fleet there are, where, and since which of their lives; and the datagrams that routers exchange.
+//! Membership of the fleet's routers, and the datagrams that they exchange.
 //!
-//! Membership is SWIM, by a library that has no sockets and no clock of its own; [`members`] gives it both as values that are
-//! passed in. Every datagram is sealed with the fleet's key ([`datagram`]), so that one that is damaged, strange or of another
-//! fleet costs nothing but a counter.
+//! Membership is SWIM, provided by a library without sockets or a clock: [`members`] receives
+//! datagrams and time from its caller. Every datagram is authenticated with the fleet's key
+//! ([`datagram`]); invalid ones are counted and have no other effect.
 
 #![forbid(unsafe_code)]
 
--- a/crates/peers/src/members.rs
+++ b/crates/peers/src/members.rs
@@ -1,4 +1,4 @@
-//! Membership: who is there. SWIM by a library, with time and datagrams passed in and out.
+//! Membership by SWIM. Time and datagrams are passed in and out.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -16,33 +16,33 @@
 use crate::datagram::{Keys, Kind, RejectReason, MAX_CONTENT_BYTES, REJECT_REASONS};
 use crate::identity::PeerIdentity;
 
-/// How often seeds that are not known to be there are asked to let this router join (ns).
+/// Interval at which unreachable seeds are sent a join request.
 const JOIN_INTERVAL_NS: u64 = 1_000_000_000;
-/// Peers that are kept at most (count), for each router that there is: those that were replaced are remembered for a while.
+/// Tracked peers per router of the fleet. Replaced incarnations are remembered for a while.
 const PEERS_PER_ROUTER: usize = 2;
-/// Timers that may be set at most (count), for each peer that may be kept: beyond these the farthest give way.
+/// Timers per tracked peer. Beyond the bound the latest timers are dropped.
 const TIMERS_PER_PEER: usize = 4;
-/// Bounds of a small fleet, and of one whose count of routers is not known (count).
+/// Lower bounds, for small fleets and for fleets of unknown size.
 const MIN_MAX_PEERS: usize = 2_000;
 const MIN_MAX_TIMERS: usize = 20_000;
 
-/// A router that comes back so often (count) within this time (ns) has a name that another has too: one that was cut off or
-/// stood still comes back once, and its peers believe that.
+/// Rejoins within the window that indicate a duplicate name. A router that was partitioned or
+/// suspended rejoins only once.
 const DUPLICATE_NAME_REJOINS: usize = 4;
 const DUPLICATE_NAME_WINDOW_NS: u64 = 20_000_000_000;
 
-/// How membership is set up.
+/// Membership configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Routers that there are, about: news spreads by it.
+    /// Approximate number of routers.
     pub routers: u32,
-    /// How often one peer is looked at (ns).
+    /// Interval between probes.
     pub probe_interval_ns: u64,
-    /// How long an answer may take, over others too (ns): less than the above.
+    /// Timeout of a probe, including indirect probes. Must be less than the interval.
     pub probe_timeout_ns: u64,
-    /// How long a peer that did not answer may still say that it is there (ns).
+    /// How long a suspected peer may refute the suspicion.
     pub suspicion_timeout_ns: u64,
-    /// Where routers may be found that know others.
+    /// Addresses of routers to join through.
     pub seeds: Vec<SocketAddr>,
 }
 
@@ -59,19 +59,20 @@
 }
 
 impl Settings {
-    /// A peer that is gone is looked at by this one at the latest after as many looks as there are peers, and then counts as
-    /// gone once it was suspected for long enough (ns). Others look too, so that it is mostly known far sooner.
+    /// Upper bound on the time until a crashed peer is declared down (ns): this router probes every
+    /// peer in turn, and the suspicion has to time out. Probes of other routers usually detect the
+    /// crash much sooner.
     pub fn max_detection_ns(&self) -> u64 {
         let looks = 2 * u64::from(self.routers.max(2) - 1);
         looks * self.probe_interval_ns + self.probe_interval_ns + self.suspicion_timeout_ns
     }
 
-    /// Peers that are kept at most (count): what datagrams can make this router remember.
+    /// Maximum number of tracked peers. Bounds the memory that datagrams can occupy.
     pub fn max_peers(&self) -> usize {
         (self.routers as usize).saturating_mul(PEERS_PER_ROUTER).max(MIN_MAX_PEERS)
     }
 
-    /// Timers that may be set at most (count).
+    /// Maximum number of pending timers.
     pub fn max_timers(&self) -> usize {
         self.max_peers().saturating_mul(TIMERS_PER_PEER).max(MIN_MAX_TIMERS)
     }
@@ -97,11 +98,11 @@
     }
 }
 
-/// Messages as MessagePack.
+/// Encodes messages as MessagePack.
 #[derive(Clone, Copy, Debug)]
 struct MessagePackCodec;
 
-/// Why a message can't be packed or unpacked.
+/// Encoding or decoding of a message failed.
 #[derive(Debug)]
 pub struct CodecError(String);
 
@@ -121,7 +122,8 @@
     rmp_serde::decode::from_read(buffer.reader()).map_err(|e| CodecError(e.to_string()))
 }
 
-/// Who said what. Of the list it stands behind its sender as it is: as a value of its own it would take half as much again.
+/// Splits a payload from its sender's identity. A list payload follows the identity as raw bytes,
+/// because MessagePack would encode it as an array of numbers and take half as much space again.
 fn decode_payload(kind: Kind, mut content: &[u8]) -> Result<(PeerIdentity, Vec<u8>), CodecError> {
     match kind {
         Kind::List => {
@@ -160,30 +162,30 @@
     }
 }
 
-/// What became known.
+/// A change of membership, or a payload.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A peer is there.
+    /// A peer is reachable.
     Up(PeerIdentity),
-    /// A peer is gone, or can't be reached.
+    /// A peer is down or unreachable.
     Down(PeerIdentity),
-    /// A peer has started again under its name: the earlier life, and this one.
+    /// A peer has restarted under its name: its earlier identity and its new one.
     Restarted(PeerIdentity, PeerIdentity),
-    /// Peers take this router for gone again and again, though it tells them that it is there: another has its name.
+    /// Peers repeatedly declare this router down although it refutes that: another router has its
+    /// name.
     DuplicateName,
-    /// Another router has this one's number under a name of its own.
+    /// A router with another name has this router's number.
     DuplicateNumber(PeerIdentity),
-    /// What a peer says of limits, of engines or of the list.
+    /// A payload from a peer.
     Payload(PeerIdentity, Kind, Vec<u8>),
 }
 
-/// A router's view of its peers.
+/// One router's view of its peers.
 pub struct Members {
     foca: Foca<PeerIdentity, MessagePackCodec, SmallRng, NoCustomBroadcast>,
     keys: Keys,
     seeds: Vec<SocketAddr>,
     timers: BTreeMap<(u64, u64), Timer<PeerIdentity>>,
-    /// Peers and timers that are kept at most (count).
     max_peers: usize,
     max_timers: usize,
     sequence: u64,
@@ -193,13 +195,13 @@
     events: Vec<Event>,
     rejected_datagrams: BTreeMap<RejectReason, u64>,
     sent: (u64, u64),
-    /// When peers last took this router for gone (ns), as often as tells of another with its name.
+    /// Times of the latest rejoins of this router (ns), for the detection of a duplicate name.
     rejoins_ns: VecDeque<u64>,
     duplicate_name_reported_ns: Option<u64>,
 }
 
 impl Members {
-    /// A router that knows nobody yet.
+    /// Creates a view without peers.
     pub fn new(me: PeerIdentity, keys: Keys, settings: &Settings, seed: u64) -> Members {
         let seeds = settings.seeds.iter().copied().filter(|at| *at != me.address).collect();
         Members {
@@ -221,22 +223,22 @@
         }
     }
 
-    /// Who this router is to its peers.
+    /// This router's identity.
     pub fn me(&self) -> &PeerIdentity {
         self.foca.identity()
     }
 
-    /// Seals with other keys from here on.
+    /// Replaces the keys.
     pub fn set_keys(&mut self, keys: Keys) {
         self.keys = keys;
     }
 
-    /// Peers that are there.
+    /// Reachable peers.
     pub fn up(&self) -> impl Iterator<Item = &PeerIdentity> {
         self.up.values()
     }
 
-    /// Datagrams that were passed over, by why.
+    /// Rejected datagrams by reason.
     pub fn rejected_datagrams(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         REJECT_REASONS
             .iter()
@@ -248,13 +250,13 @@
         self.sent
     }
 
-    /// When it has something to do next (ns).
+    /// Time of the next timer (ns).
     pub fn next_due_ns(&self) -> u64 {
         let join = self.last_join_ns + JOIN_INTERVAL_NS;
         self.timers.keys().next().map_or(join, |(due, _)| (*due).min(join))
     }
 
-    /// Passes time.
+    /// Advances time.
     pub fn tick(&mut self, now: u64) {
         if now >= self.last_join_ns + JOIN_INTERVAL_NS || self.last_join_ns == 0 {
             self.last_join_ns = now;
@@ -269,12 +271,13 @@
         }
     }
 
-    /// Takes a datagram.
+    /// Handles a received datagram.
     pub fn hear(&mut self, now: u64, datagram: &[u8]) {
         match self.keys.verify(datagram) {
             Err(why) => *self.rejected_datagrams.entry(why).or_default() += 1,
             Ok((Kind::Members, content)) => {
-                // Guards against peers without end: what would add to a full table is passed over.
+                // Rejects membership messages while the table is full, so that it cannot grow
+                // without bound.
                 let full = self.foca.iter_membership_state().len() >= self.max_peers;
                 let handled = !full && self.run(now, |foca, runtime| foca.handle_data(content, runtime));
                 if !handled {
@@ -288,7 +291,7 @@
         }
     }
 
-    /// Says something of limits, engines or the list to a peer; false where it is larger than a datagram may be.
+    /// Sends a payload to a peer. Returns false if it does not fit into a datagram.
     pub fn send_payload(&mut self, to: SocketAddr, kind: Kind, payload: &[u8]) -> bool {
         let mut content = Vec::new();
         let packed = match kind {
@@ -306,12 +309,12 @@
         packed
     }
 
-    /// Tells peers that this router leaves.
+    /// Announces that this router leaves.
     pub fn leave(&mut self, now: u64) {
         self.run(now, |foca, runtime| foca.leave_cluster(runtime));
     }
 
-    /// Datagrams to be sent since this was last called, and what became known.
+    /// Takes the datagrams to send and the events since the last call.
     pub fn take(&mut self) -> (Vec<(SocketAddr, Vec<u8>)>, Vec<Event>) {
         (std::mem::take(&mut self.out), std::mem::take(&mut self.events))
     }
@@ -322,7 +325,8 @@
         self.out.push((to, datagram));
     }
 
-    /// Lets the library do something, and carries out what it wants; whether it could.
+    /// Runs an operation of the membership library and carries out its effects. Returns whether the
+    /// operation succeeded.
     fn run<E>(
         &mut self,
         now: u64,
@@ -359,7 +363,7 @@
                 self.events.push(Event::Up(peer));
             }
             OwnedNotification::MemberDown(peer) => {
-                // Guards against the end of an earlier life that is told behind the start of the next.
+                // A late notification about an earlier incarnation must not remove the current one.
                 let present = self.up.get(&peer.name).is_some_and(|now| !now.win_addr_conflict(&peer));
                 if present {
                     self.up.remove(&peer.name);
@@ -382,7 +386,7 @@
                 let first = self.rejoins_ns.front().copied().unwrap_or(now);
                 let often = self.rejoins_ns.len() == DUPLICATE_NAME_REJOINS
                     && now < first.saturating_add(DUPLICATE_NAME_WINDOW_NS);
-                // Once a while: it goes on for as long as there are two.
+                // Reported at most once per window while the duplicate exists.
                 let quiet = self
                     .duplicate_name_reported_ns
                     .is_none_or(|at| now >= at.saturating_add(DUPLICATE_NAME_WINDOW_NS));
--- a/crates/peers/tests/fleet.rs
+++ b/crates/peers/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Whole fleets of members in stepped time, over a wire that loses, doubles, delays and cuts: who is there is known everywhere,
-//! whatever was not sealed costs a counter and nothing else.
+//! Fleets of membership instances in simulated time, over a network that loses, delays and
+//! partitions datagrams.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -95,7 +95,7 @@
         (self.now - began) as f64 / 1e9
     }
 
-    /// What a router knows of who is there.
+    /// Numbers of the peers that a router considers reachable.
     fn knows(&self, at: usize) -> BTreeSet<u32> {
         self.members[at].as_ref().map(|m| m.up().map(|peer| peer.number).collect()).unwrap_or_default()
     }
@@ -141,7 +141,7 @@
         let later =
             |f: &Fleet| f.members[0].as_ref().unwrap().up().any(|peer| peer.number == 3 && peer.life > life);
         assert!(later(&fleet));
-        // And one that starts again before anybody has missed it.
+        // A restart before the crash has been detected.
         fleet.start(5, 5);
         let again = |f: &Fleet| {
             let seen = |at: usize| {
@@ -195,7 +195,7 @@
         let mut fleet = Fleet::new(6, seed);
         fleet.until(60, "all know all", |f| f.all_know(|_| true));
         fleet.events.clear();
-        // The last one's process is another's from here on; the one at 4 goes on under the same name.
+        // Process 5 restarts under the name of process 4, which is still running.
         fleet.start(5, 4);
         fleet.until(60, "it is told", |f| {
             f.events.iter().any(|(at, e)| *at == 4 && matches!(e, Event::DuplicateName))
@@ -277,7 +277,7 @@
     ] {
         assert_eq!(opens(by, sealed), if opened { Ok(b"x".to_vec()) } else { Err(RejectReason::Mac) });
     }
-    // Clients are numbered by the key that seals.
+    // The seed depends on the signing key only.
     assert_eq!(both.shared_seed(), after.shared_seed());
     assert_ne!(before.shared_seed(), after.shared_seed());
     for wrong in ["", "# nothing", "abc", &"g".repeat(64), &format!("{old}\n{new}\n{old}")] {
@@ -304,7 +304,7 @@
     });
 }
 
-/// A router of a fleet of `routers`, after `peers` others have asked it to let them join.
+/// Number of peers that a router of a fleet of `routers` tracks after `peers` others have joined.
 fn heard_by_one(routers: u32, peers: usize) -> usize {
     let settings = Settings { routers, ..Settings::default() };
     let start = |at: usize, settings: &Settings| {
