--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -45,7 +45,7 @@
 fn a_strict_limit_is_never_over_whatever_breaks() {
     for seed in 0..300 {
         let (worst, kind) = play(seed, Mode::Strict, 0.01);
-        assert!(worst <= 1.0 + 1e-9, "{worst} of {kind:?}, seed {seed}");
+        assert!(worst <= 1.0 + 1e-9, "used {worst} of {kind:?}, seed {seed}");
     }
 }
 
@@ -98,8 +98,14 @@
 fn a_limit_that_is_changed_on_one_router_after_the_other_is_never_over_the_larger_size() {
     for seed in 0..300 {
         let (mixed, settled, before, after) = play_resized(seed);
-        assert!(mixed <= 1.0 + 1e-9, "{mixed} while {before:?} becomes {after:?}, seed {seed}");
-        assert!(settled <= 1.0 + 1e-9, "{settled} once {before:?} is {after:?}, seed {seed}");
+        assert!(
+            mixed <= 1.0 + 1e-9,
+            "used {mixed} during the change from {before:?} to {after:?}, seed {seed}"
+        );
+        assert!(
+            settled <= 1.0 + 1e-9,
+            "used {settled} after the change from {before:?} to {after:?}, seed {seed}"
+        );
     }
 }
 
@@ -124,12 +130,16 @@
             fleet.resize(changed, of(new));
             let after = key_status(&mut fleet, changed);
             match changed {
-                0 => assert_eq!(after.usable, 0, "units are lent by their old worth still"),
-                _ => assert_eq!((after.leased_in, after.usable), (0, new / 2), "borrowed by their old worth"),
+                0 => assert_eq!(after.usable, 0, "leases of the old unit value have not expired"),
+                _ => assert_eq!(
+                    (after.leased_in, after.usable),
+                    (0, new / 2),
+                    "leases of the old unit value admit nothing"
+                ),
             }
             fleet.resize(1 - changed, of(new));
             fleet.run(5_000);
-            assert!(key_status(&mut fleet, 1).usable >= new - 1, "lent again by the new size");
+            assert!(key_status(&mut fleet, 1).usable >= new - 1, "units are leased at the new size");
         }
     }
 }
@@ -137,7 +147,7 @@
 #[test]
 fn clocks_worse_than_the_terms_say_show_that_a_fault_is_seen() {
     let over = (0..300).filter(|seed| play(*seed, Mode::Strict, 0.6).0 > 1.0 + 1e-9).count();
-    assert!(over > 0, "the audit sees nothing");
+    assert!(over > 0, "the audit detected no violation");
 }
 
 #[test]
@@ -150,12 +160,12 @@
         // The number of routers is random; the largest overshoot is that of the mode itself.
         let most =
             told.map(|(f, _)| bound(&limit(kind, mode), &terms(1), *f).max_overshoot).fold(0.0, f64::max);
-        assert!(worst <= 1.0 + most + 1e-9, "{worst} of {kind:?}, at most {most} over, seed {seed}");
+        assert!(worst <= 1.0 + most + 1e-9, "used {worst} of {kind:?}, overshoot bound {most}, seed {seed}");
         if most > 0.0 {
             worst_ratio = worst_ratio.max((worst - 1.0) / most);
         }
     }
-    assert!(worst_ratio >= 0.3, "the bound is idle: {worst_ratio}");
+    assert!(worst_ratio >= 0.3, "overshoot stays far below the bound: {worst_ratio}");
 }
 
 /// Arrivals per second that use the whole limit.
@@ -194,8 +204,11 @@
         for routers in [8, 40] {
             let (one, fleet) =
                 used(kind, routers, |at| if at == 3 { per_s(kind) * 2.0 } else { 0.0 }, |_| {});
-            println!("{kind:?} {routers} routers, one asks: {one:.3}, {} messages in 16 s", fleet.messages);
-            assert!(one >= 0.95, "{kind:?}, {routers} routers, one asks: {one}");
+            println!(
+                "{kind:?} {routers} routers, demand on one: {one:.3}, {} messages in 16 s",
+                fleet.messages
+            );
+            assert!(one >= 0.95, "{kind:?}, {routers} routers, demand on one: {one}");
             // Total demand is four times the limit. With 100 units over 40 routers, low-demand
             // routers hold one unit each that they use only in part.
             let sum: f64 = (0..routers).map(|at| 1.0 / f64::from(at + 1)).sum();
@@ -216,14 +229,14 @@
         fleet.cut_between(&halves);
         fleet.run(8_000);
     });
-    println!("used in a cut into halves: {cut:.3}");
+    println!("used while partitioned into halves: {cut:.3}");
     assert!((0.4..=0.55).contains(&cut), "{cut}");
     fleet.cut.clear();
     let healed = fleet.now;
     while fleet.out() < 76 && fleet.now < healed + 60 * S {
         fleet.step();
     }
-    println!("regained after {:.1} s", (fleet.now - healed) as f64 / 1e9);
+    println!("recovered after {:.1} s", (fleet.now - healed) as f64 / 1e9);
     assert!(
         fleet.now
             < healed
@@ -243,7 +256,11 @@
             fleet.step();
         }
         let stated = bound(&fleet.limit, &fleet.terms, Fault::AllRestarted).max_idle_ns;
-        assert!(fleet.now - began <= stated, "{kind:?}: {} ns, stated {stated}", fleet.now - began);
+        assert!(
+            fleet.now - began <= stated,
+            "{kind:?}: idle for {} ns, bound {stated} ns",
+            fleet.now - began
+        );
         fleet.run(5_000);
         assert!(fleet.worst <= 1.0 + 1e-9);
     }
@@ -263,7 +280,7 @@
     let owner = |key| (0..40).find(|me| terms(40).share(1, *me, key) == 1);
     assert!(
         (0..40).map(owner).collect::<BTreeSet<_>>().len() == 40,
-        "one unit of each key is somewhere else"
+        "the owner of a single unit varies by key"
     );
 }
 
@@ -277,11 +294,11 @@
     let held: Vec<Ticket> = (0..500).map(|key| node.admit(now, &[(0, key)]).unwrap()).collect();
     // Untracked light keys are admitted by the sketch and counted while in flight.
     let light: Vec<Ticket> = (1_000..101_000).filter_map(|key| node.admit(now, &[(0, key)]).ok()).collect();
-    assert!(light.len() >= 99_000, "{} of 100,000", light.len());
+    assert!(light.len() >= 99_000, "{} of 100,000 light keys admitted", light.len());
     light.into_iter().for_each(|ticket| node.over(ticket));
     // An untracked heavy key is held to its share.
     let heavy = (0..2_000).filter(|_| node.admit(now, &[(0, 77_777)]).is_ok()).count();
-    assert!((900..=1_000).contains(&heavy), "{heavy} of 1,000 that may be out");
+    assert!((900..=1_000).contains(&heavy), "{heavy} admitted of a share of 1,000");
     assert!(node.tracked_keys() <= 1_000);
     assert!((0..500).all(|key| node.key_status(now, 0, key).out == 1));
     held.into_iter().for_each(|ticket| node.over(ticket));
--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -162,8 +162,8 @@
 
     fn properties(&self) -> Vec<Property<LeaseModel>> {
         vec![
-            Property::always("never over", |_, state| LeaseModel::usable(state) <= 2 * OWNED),
-            Property::sometimes("one uses all", |_, state: &Fleet| {
+            Property::always("limit not exceeded", |_, state| LeaseModel::usable(state) <= 2 * OWNED),
+            Property::sometimes("one router uses all units", |_, state: &Fleet| {
                 state.nodes.iter().any(|node| node.escrow.leased_in(state.now) == OWNED)
             }),
         ]
@@ -177,7 +177,7 @@
 #[test]
 fn no_two_routers_ever_use_one_unit() {
     let checker = LeaseModel { terms: terms(0.0), grace: true }.checker().threads(2).spawn_bfs().join();
-    println!("{} states, {} of them different", checker.state_count(), checker.unique_state_count());
+    println!("{} states, {} of them unique", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000);
 }
@@ -187,9 +187,15 @@
     // The owner reclaims units before the holder's lease has expired.
     let short = Terms { drift: -0.99, ..terms(0.0) };
     let early_return = LeaseModel { terms: short, grace: true }.checker().threads(2).spawn_bfs().join();
-    assert!(early_return.discovery("never over").is_some(), "an owner that forgets its loans early");
+    assert!(
+        early_return.discovery("limit not exceeded").is_some(),
+        "early reclaim by the owner was not detected"
+    );
     // A router uses units right after a restart that its previous incarnation had leased out.
     let without_grace =
         LeaseModel { terms: terms(0.0), grace: false }.checker().threads(2).spawn_bfs().join();
-    assert!(without_grace.discovery("never over").is_some(), "an owner that starts without waiting");
+    assert!(
+        without_grace.discovery("limit not exceeded").is_some(),
+        "start without a grace period was not detected"
+    );
 }
--- a/crates/limits/tests/sketch.rs
+++ b/crates/limits/tests/sketch.rs
@@ -19,9 +19,9 @@
             sketch.admit(now, 1_000 + ms, of);
         }
     }
-    assert!((180..=205).contains(&taken), "{taken} of a share of 200 and a burst of 5");
+    assert!((180..=205).contains(&taken), "admitted {taken} of a share of 200 and a burst of 5");
     let light = (0..1_000u64).filter(|key| sketch.admit(30 * S, 1 << 40 | key, of)).count();
-    assert!(light >= 990, "{light} of 1,000 light keys");
+    assert!(light >= 990, "admitted {light} of 1,000 light keys");
 }
 
 #[test]
--- a/crates/peers/src/datagram.rs
+++ b/crates/peers/src/datagram.rs
@@ -85,8 +85,8 @@
         match keys[..] {
             [primary] => Ok(Keys { primary, secondary: None }),
             [primary, secondary] => Ok(Keys { primary, secondary: Some(secondary) }),
-            [] => Err("there is no key in it".into()),
-            _ => Err("there are more than two keys in it".into()),
+            [] => Err("the file contains no key".into()),
+            _ => Err("the file contains more than two keys".into()),
         }
     }
 
--- a/crates/peers/tests/fleet.rs
+++ b/crates/peers/tests/fleet.rs
@@ -116,28 +116,28 @@
     for seed in 0..10 {
         let mut fleet = Fleet::new(20, seed);
         (fleet.loss, fleet.jitter) = (0.3, 200 * MS);
-        fleet.until(60, "all know all", |f| f.all_know(|_| true));
+        fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
     }
 }
 
 #[test]
 fn two_hundred_that_start_in_a_second_know_each_other() {
     let mut fleet = Fleet::new(200, 1);
-    let took = fleet.until(60, "all know all", |f| f.all_know(|_| true));
-    println!("200 routers know each other after {took:.1} s");
+    let took = fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
+    println!("200 routers discovered each other after {took:.1} s");
 }
 
 #[test]
 fn a_router_that_dies_is_known_to_be_gone_within_the_bound_and_its_next_life_is_told_from_the_last() {
     for seed in 0..10 {
         let mut fleet = Fleet::new(8, seed);
-        fleet.until(60, "all know all", |f| f.all_know(|_| true));
+        fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
         let life = fleet.members[3].take().unwrap().me().life;
         let bound = fleet.settings.max_detection_ns().div_ceil(S);
-        fleet.until(bound, "it is gone everywhere", |f| f.all_know(|at| at != 3));
+        fleet.until(bound, "the router is removed everywhere", |f| f.all_know(|at| at != 3));
         fleet.events.clear();
         fleet.start(3, 3);
-        fleet.until(60, "all know all", |f| f.all_know(|_| true));
+        fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
         let later =
             |f: &Fleet| f.members[0].as_ref().unwrap().up().any(|peer| peer.number == 3 && peer.life > life);
         assert!(later(&fleet));
@@ -151,19 +151,19 @@
             };
             (0..8).filter(|at| *at != 5).all(seen)
         };
-        fleet.until(60, "all have heard of its next life", again);
+        fleet.until(60, "the restart is reported everywhere", again);
     }
 }
 
 #[test]
 fn one_that_leaves_is_gone_at_once() {
     let mut fleet = Fleet::new(8, 1);
-    fleet.until(60, "all know all", |f| f.all_know(|_| true));
+    fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
     let now = fleet.now;
     fleet.members[2].as_mut().unwrap().leave(now);
     fleet.step();
     fleet.members[2] = None;
-    let took = fleet.until(60, "it is gone everywhere", |f| f.all_know(|at| at != 2));
+    let took = fleet.until(60, "the router is removed everywhere", |f| f.all_know(|at| at != 2));
     assert!(took < 3.0, "{took} s");
 }
 
@@ -171,20 +171,20 @@
 fn halves_that_were_cut_off_find_each_other_again() {
     for seed in 0..5 {
         let mut fleet = Fleet::new(10, seed);
-        fleet.until(60, "all know all", |f| f.all_know(|_| true));
+        fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
         for (a, b) in (0..10).flat_map(|a| (0..10).map(move |b| (a, b))).filter(|(a, b)| (*a < 5) != (*b < 5))
         {
             fleet.cut.insert((a, b));
         }
         let bound = fleet.settings.max_detection_ns().div_ceil(S);
-        fleet.until(bound, "each half knows itself", |f| {
+        fleet.until(bound, "each half knows only its own routers", |f| {
             (0..10).all(|at| f.knows(at).iter().all(|other| (at < 5) == (*other < 5)))
         });
         fleet.cut.clear();
-        fleet.until(60, "all know all", |f| f.all_know(|_| true));
+        fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
         assert!(
             !fleet.events.iter().any(|(_, e)| matches!(e, Event::DuplicateName)),
-            "a cut is no second name"
+            "a partition was reported as a duplicate name"
         );
     }
 }
@@ -193,15 +193,15 @@
 fn a_name_that_two_have_is_told_to_the_one_that_others_take_for_gone() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(6, seed);
-        fleet.until(60, "all know all", |f| f.all_know(|_| true));
+        fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
         fleet.events.clear();
         // Process 5 restarts under the name of process 4, which is still running.
         fleet.start(5, 4);
-        fleet.until(60, "it is told", |f| {
+        fleet.until(60, "the duplicate name is reported", |f| {
             f.events.iter().any(|(at, e)| *at == 4 && matches!(e, Event::DuplicateName))
         });
         let others = fleet.events.iter().any(|(at, e)| *at != 4 && matches!(e, Event::DuplicateName));
-        assert!(!others, "nobody else, seed {seed}");
+        assert!(!others, "reported by another router, seed {seed}");
     }
 }
 
@@ -209,9 +209,9 @@
 fn a_router_that_starts_again_is_not_taken_for_two() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(5, seed);
-        fleet.until(60, "all know all", |f| f.all_know(|_| true));
+        fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
         fleet.start(2, 2);
-        fleet.until(60, "all know its new life", |f| {
+        fleet.until(60, "the restart is reported everywhere", |f| {
             f.events.iter().filter(|(_, e)| matches!(e, Event::Restarted(..))).count() >= 4
         });
         (0..10 * S / STEP).for_each(|_| fleet.step());
@@ -223,7 +223,7 @@
 #[test]
 fn what_is_not_sealed_costs_a_counter_and_nothing_else() {
     let mut fleet = Fleet::new(3, 1);
-    fleet.until(60, "all know all", |f| f.all_know(|_| true));
+    fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
     let (now, mut draws) = (fleet.now, StdRng::seed_from_u64(5));
     let members = fleet.members[0].as_mut().unwrap();
     members.take();
@@ -255,7 +255,7 @@
     }
     let counted: u64 = members.rejected_datagrams().map(|(_, n)| n).sum();
     assert_eq!(counted, sent);
-    assert_eq!(members.take(), (vec![], vec![]), "nothing is answered, nothing became known");
+    assert_eq!(members.take(), (vec![], vec![]), "no reply and no event");
     assert!(fleet.all_know(|_| true));
 }
 
@@ -282,21 +282,21 @@
     assert_ne!(before.shared_seed(), after.shared_seed());
     for wrong in ["", "# nothing", "abc", &"g".repeat(64), &format!("{old}\n{new}\n{old}")] {
         let fault = Keys::read(wrong).unwrap_err();
-        assert!(wrong.is_empty() || !fault.contains(wrong), "a key is not told: {fault}");
+        assert!(wrong.is_empty() || !fault.contains(wrong), "the message quotes a key: {fault}");
     }
 }
 
 #[test]
 fn what_is_said_of_limits_comes_with_who_said_it() {
     let mut fleet = Fleet::new(2, 1);
-    fleet.until(60, "all know all", |f| f.all_know(|_| true));
+    fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
     let members = fleet.members[0].as_mut().unwrap();
     assert!(members.send_payload(address(1), Kind::Limits, b"hello"));
     assert!(
         !members.send_payload(address(1), Kind::Limits, &vec![0; MAX_CONTENT_BYTES]),
-        "too large for a datagram"
+        "payload exceeds a datagram"
     );
-    fleet.until(5, "it is heard", |f| {
+    fleet.until(5, "the payload is delivered", |f| {
         f.events.iter().any(|(at, e)| {
             *at == 1
                 && matches!(e, Event::Payload(peer, Kind::Limits, payload) if peer.number == 0 && payload == b"hello")
