--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -20,7 +20,7 @@
     Limit { name: "l".into(), subject: String::new(), kind, mode }
 }
 
-fn kinds(draws: &mut StdRng) -> Kind {
+fn random_kind(draws: &mut StdRng) -> Kind {
     match draws.gen_range(0..3) {
         0 => Kind::Concurrency { at_once: draws.gen_range(1..24) },
         1 => Kind::Rate { per_s: draws.gen_range(2.0..60.0), burst: draws.gen_range(1..24) },
@@ -28,9 +28,9 @@
     }
 }
 
-fn play(seed: u64, mode: Mode, drift: f64) -> (f64, Kind) {
+fn run_random_faults(seed: u64, mode: Mode, drift: f64) -> (f64, Kind) {
     let mut draws = StdRng::seed_from_u64(seed ^ 0x5eed);
-    let kind = kinds(&mut draws);
+    let kind = random_kind(&mut draws);
     let mut fleet = Fleet::new(limit(kind, mode), terms(draws.gen_range(2..8)), drift, seed);
     fleet.routers[0].demand = f64::from(kind.units());
     for _ in 0..40 {
@@ -42,18 +42,18 @@
 }
 
 #[test]
-fn a_strict_limit_is_never_over_whatever_breaks() {
+fn strict_limit_is_never_exceeded_under_random_faults() {
     for seed in 0..300 {
-        let (worst, kind) = play(seed, Mode::Strict, 0.01);
+        let (worst, kind) = run_random_faults(seed, Mode::Strict, 0.01);
         assert!(worst <= 1.0 + 1e-9, "used {worst} of {kind:?}, seed {seed}");
     }
 }
 
 /// Resizes a limit router by router under random faults. Returns the use relative to the larger
 /// size while the resize is in progress, and relative to the new size once its bound has passed.
-fn play_resized(seed: u64) -> (f64, f64, Kind, Kind) {
+fn run_resize_with_faults(seed: u64) -> (f64, f64, Kind, Kind) {
     let mut draws = StdRng::seed_from_u64(seed ^ 0xc4a9);
-    let before = kinds(&mut draws);
+    let before = random_kind(&mut draws);
     let size = |draws: &mut StdRng| draws.gen_range(1..24u32);
     let after = match before {
         Kind::Concurrency { .. } => Kind::Concurrency { at_once: size(&mut draws) },
@@ -82,7 +82,7 @@
             fleet.break_something();
         }
     }
-    let mixed = fleet.worst;
+    let during_resize = fleet.worst;
     let left = resize_bound(&old, &new, &terms);
     fleet.run(left.max_idle_ns / 1_000_000 + 1);
     fleet.limit = new;
@@ -91,26 +91,26 @@
         fleet.run(400);
         fleet.break_something();
     }
-    (mixed, fleet.worst, before, after)
+    (during_resize, fleet.worst, before, after)
 }
 
 #[test]
-fn a_limit_that_is_changed_on_one_router_after_the_other_is_never_over_the_larger_size() {
+fn limit_resized_router_by_router_never_exceeds_the_larger_size() {
     for seed in 0..300 {
-        let (mixed, settled, before, after) = play_resized(seed);
+        let (during_resize, after_resize, before, after) = run_resize_with_faults(seed);
         assert!(
-            mixed <= 1.0 + 1e-9,
-            "used {mixed} during the change from {before:?} to {after:?}, seed {seed}"
+            during_resize <= 1.0 + 1e-9,
+            "used {during_resize} during the change from {before:?} to {after:?}, seed {seed}"
         );
         assert!(
-            settled <= 1.0 + 1e-9,
-            "used {settled} after the change from {before:?} to {after:?}, seed {seed}"
+            after_resize <= 1.0 + 1e-9,
+            "used {after_resize} after the change from {before:?} to {after:?}, seed {seed}"
         );
     }
 }
 
 #[test]
-fn units_of_two_sizes_are_never_used_beside_each_other() {
+fn units_of_old_and_new_size_are_never_used_together() {
     // The same rate in coarse and in fine units. A lease keeps the unit value it was granted with.
     let of = |burst| limit(Kind::Rate { per_s: 100.0, burst }, Mode::Strict);
     for (old, new) in [(10, 100), (100, 2)] {
@@ -145,27 +145,28 @@
 }
 
 #[test]
-fn clocks_worse_than_the_terms_say_show_that_a_fault_is_seen() {
-    let over = (0..300).filter(|seed| play(*seed, Mode::Strict, 0.6).0 > 1.0 + 1e-9).count();
+fn clock_drift_beyond_the_terms_is_detected_as_a_violation() {
+    let over = (0..300).filter(|seed| run_random_faults(*seed, Mode::Strict, 0.6).0 > 1.0 + 1e-9).count();
     assert!(over > 0, "the audit detected no violation");
 }
 
 #[test]
-fn a_bounded_limit_is_over_by_what_was_told_at_most_and_uses_it() {
+fn bounded_limit_stays_within_its_overshoot_bound_and_uses_it() {
     let mode = Mode::Bounded { over: 0.5, for_ns: 4 * S };
-    let mut worst_ratio = 0.0f64;
+    let mut max_overshoot_ratio = 0.0f64;
     for seed in 0..300 {
-        let (worst, kind) = play(seed, mode, 0.01);
-        let told = FAULTS.iter().filter(|(f, _)| *f != Fault::DuplicateNumber);
+        let (worst, kind) = run_random_faults(seed, mode, 0.01);
+        let relevant_faults = FAULTS.iter().filter(|(f, _)| *f != Fault::DuplicateNumber);
         // The number of routers is random; the largest overshoot is that of the mode itself.
-        let most =
-            told.map(|(f, _)| bound(&limit(kind, mode), &terms(1), *f).max_overshoot).fold(0.0, f64::max);
+        let most = relevant_faults
+            .map(|(f, _)| bound(&limit(kind, mode), &terms(1), *f).max_overshoot)
+            .fold(0.0, f64::max);
         assert!(worst <= 1.0 + most + 1e-9, "used {worst} of {kind:?}, overshoot bound {most}, seed {seed}");
         if most > 0.0 {
-            worst_ratio = worst_ratio.max((worst - 1.0) / most);
+            max_overshoot_ratio = max_overshoot_ratio.max((worst - 1.0) / most);
         }
     }
-    assert!(worst_ratio >= 0.3, "overshoot stays far below the bound: {worst_ratio}");
+    assert!(max_overshoot_ratio >= 0.3, "overshoot stays far below the bound: {max_overshoot_ratio}");
 }
 
 /// Arrivals per second that use the whole limit.
@@ -178,7 +179,12 @@
     }
 }
 
-fn used(kind: Kind, routers: u32, demand: impl Fn(u32) -> f64, prepare: impl Fn(&mut Fleet)) -> (f64, Fleet) {
+fn utilization(
+    kind: Kind,
+    routers: u32,
+    demand: impl Fn(u32) -> f64,
+    prepare: impl Fn(&mut Fleet),
+) -> (f64, Fleet) {
     let mut fleet = Fleet::new(limit(kind, Mode::Strict), terms(routers), 0.01, 7);
     (0..routers).for_each(|at| fleet.routers[at as usize].demand = demand(at));
     fleet.tell_reachable();
@@ -198,12 +204,12 @@
 }
 
 #[test]
-fn a_limit_is_used_where_its_demand_is_though_no_router_owns_much_of_it() {
+fn units_are_leased_to_the_routers_with_demand() {
     let window = Kind::Window { units: 100, window_ns: S };
     for kind in [Kind::Concurrency { at_once: 100 }, Kind::Rate { per_s: 200.0, burst: 100 }, window] {
         for routers in [8, 40] {
             let (one, fleet) =
-                used(kind, routers, |at| if at == 3 { per_s(kind) * 2.0 } else { 0.0 }, |_| {});
+                utilization(kind, routers, |at| if at == 3 { per_s(kind) * 2.0 } else { 0.0 }, |_| {});
             println!(
                 "{kind:?} {routers} routers, demand on one: {one:.3}, {} messages in 16 s",
                 fleet.messages
@@ -212,54 +218,55 @@
             // Total demand is four times the limit. With 100 units over 40 routers, low-demand
             // routers hold one unit each that they use only in part.
             let sum: f64 = (0..routers).map(|at| 1.0 / f64::from(at + 1)).sum();
-            let (zipf, _) = used(kind, routers, |at| per_s(kind) * 4.0 / sum / f64::from(at + 1), |_| {});
+            let (zipf, _) =
+                utilization(kind, routers, |at| per_s(kind) * 4.0 / sum / f64::from(at + 1), |_| {});
             println!("{kind:?} {routers} routers, Zipf: {zipf:.3}");
-            let least = if routers <= 8 { 0.95 } else { 0.8 };
-            assert!(zipf >= least, "{kind:?}, {routers} routers, Zipf: {zipf}");
+            let min_utilization = if routers <= 8 { 0.95 } else { 0.8 };
+            assert!(zipf >= min_utilization, "{kind:?}, {routers} routers, Zipf: {zipf}");
         }
     }
 }
 
 #[test]
-fn a_cut_leaves_each_half_its_part_and_all_is_back_once_it_heals() {
+fn partition_leaves_each_half_its_share_and_heals() {
     let kind = Kind::Concurrency { at_once: 80 };
     let request = |at| if at == 0 { 400.0 } else { 0.0 };
     let halves: Vec<usize> = (0..8).map(|at| usize::from(at >= 4)).collect();
-    let (cut, mut fleet) = used(kind, 8, request, |fleet| {
+    let (cut, mut fleet) = utilization(kind, 8, request, |fleet| {
         fleet.cut_between(&halves);
         fleet.run(8_000);
     });
     println!("used while partitioned into halves: {cut:.3}");
     assert!((0.4..=0.55).contains(&cut), "{cut}");
     fleet.cut.clear();
-    let healed = fleet.now;
-    while fleet.out() < 76 && fleet.now < healed + 60 * S {
+    let healed_ns = fleet.now;
+    while fleet.out() < 76 && fleet.now < healed_ns + 60 * S {
         fleet.step();
     }
-    println!("recovered after {:.1} s", (fleet.now - healed) as f64 / 1e9);
+    println!("recovered after {:.1} s", (fleet.now - healed_ns) as f64 / 1e9);
     assert!(
         fleet.now
-            < healed
+            < healed_ns
                 + fleet.terms.peer_ns_upper_bound(fleet.terms.lease_ns + fleet.terms.max_request_ns)
                 + 2 * S
     );
 }
 
 #[test]
-fn a_fleet_that_dies_whole_and_starts_stands_still_no_longer_than_stated() {
+fn restart_of_all_routers_idles_no_longer_than_the_bound() {
     for kind in [Kind::Concurrency { at_once: 40 }, Kind::Rate { per_s: 100.0, burst: 40 }] {
-        let (_, mut fleet) = used(kind, 8, |at| if at == 0 { 160.0 } else { 4.0 }, |_| {});
+        let (_, mut fleet) = utilization(kind, 8, |at| if at == 0 { 160.0 } else { 4.0 }, |_| {});
         (0..8).for_each(|at| fleet.kill(at));
         (0..8).for_each(|at| fleet.start(at));
-        let (began, before) = (fleet.now, fleet.admitted);
-        while fleet.admitted == before && fleet.now < began + 60 * S {
+        let (start_ns, before) = (fleet.now, fleet.admitted);
+        while fleet.admitted == before && fleet.now < start_ns + 60 * S {
             fleet.step();
         }
-        let stated = bound(&fleet.limit, &fleet.terms, Fault::AllRestarted).max_idle_ns;
+        let bound_ns = bound(&fleet.limit, &fleet.terms, Fault::AllRestarted).max_idle_ns;
         assert!(
-            fleet.now - began <= stated,
-            "{kind:?}: idle for {} ns, bound {stated} ns",
-            fleet.now - began
+            fleet.now - start_ns <= bound_ns,
+            "{kind:?}: idle for {} ns, bound {bound_ns} ns",
+            fleet.now - start_ns
         );
         fleet.run(5_000);
         assert!(fleet.worst <= 1.0 + 1e-9);
@@ -267,7 +274,7 @@
 }
 
 #[test]
-fn shares_are_whole_units_that_add_up_and_differ_by_key() {
+fn shares_are_whole_units_that_add_up_and_vary_by_key() {
     for routers in 1..50 {
         for units in [0, 1, 3, 7, 40, 1_000] {
             for key in [0u64, 1, 17, u64::MAX] {
@@ -285,7 +292,7 @@
 }
 
 #[test]
-fn keys_are_bounded_and_what_is_in_use_is_not_forgotten() {
+fn tracked_keys_are_bounded_and_keys_in_use_are_not_evicted() {
     let kind = Kind::Concurrency { at_once: 1_000 };
     let one = Terms { routers: 1, ..Terms::default() };
     let mut node = Node::new(0, Peer { number: 0, life: 1 }, one, vec![limit(kind, Mode::Strict)], 1_000);
