--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn no_two_routers_ever_use_one_unit() {
+fn no_unit_is_ever_used_by_two_routers() {
     let checker = LeaseModel { terms: terms(0.0), grace: true }.checker().threads(2).spawn_bfs().join();
     println!("{} states, {} of them unique", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
@@ -183,10 +183,11 @@
 }
 
 #[test]
-fn the_model_goes_over_without_either_guard() {
+fn model_finds_violations_without_lease_margin_or_grace_period() {
     // The owner reclaims units before the holder's lease has expired.
-    let short = Terms { drift: -0.99, ..terms(0.0) };
-    let early_return = LeaseModel { terms: short, grace: true }.checker().threads(2).spawn_bfs().join();
+    let short_owner_lease = Terms { drift: -0.99, ..terms(0.0) };
+    let early_return =
+        LeaseModel { terms: short_owner_lease, grace: true }.checker().threads(2).spawn_bfs().join();
     assert!(
         early_return.discovery("limit not exceeded").is_some(),
         "early reclaim by the owner was not detected"
