--- a/crates/peers/tests/fleet.rs
+++ b/crates/peers/tests/fleet.rs
@@ -25,9 +25,9 @@
     members: Vec<Option<Members>>,
     settings: Settings,
     now: u64,
-    wire: BTreeMap<(u64, u64), (usize, Vec<u8>)>,
+    in_transit: BTreeMap<(u64, u64), (usize, Vec<u8>)>,
     sequence: u64,
-    draws: StdRng,
+    rng: StdRng,
     loss: f64,
     jitter: u64,
     cut: BTreeSet<(usize, usize)>,
@@ -42,9 +42,9 @@
             members: (0..count).map(|_| None).collect(),
             settings,
             now: 1_000 * S,
-            wire: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             sequence: 0,
-            draws: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
             loss: 0.0,
             jitter: 3 * MS,
             cut: BTreeSet::new(),
@@ -62,7 +62,7 @@
 
     fn step(&mut self) {
         self.now += STEP;
-        while let Some(entry) = self.wire.first_entry().filter(|e| e.key().0 <= self.now) {
+        while let Some(entry) = self.in_transit.first_entry().filter(|e| e.key().0 <= self.now) {
             let (to, datagram) = entry.remove();
             if let Some(members) = &mut self.members[to] {
                 members.hear(self.now, &datagram);
@@ -76,112 +76,113 @@
             for (to, datagram) in out {
                 assert!(datagram.len() <= MAX_DATAGRAM_BYTES, "{} bytes", datagram.len());
                 let Some(to) = (0..self.members.len()).find(|i| address(*i) == to) else { continue };
-                if self.cut.contains(&(at, to)) || self.draws.gen_bool(self.loss) {
+                if self.cut.contains(&(at, to)) || self.rng.gen_bool(self.loss) {
                     continue;
                 }
                 self.sequence += 1;
-                let due = self.now + self.draws.gen_range(0..=self.jitter);
-                self.wire.insert((due, self.sequence), (to, datagram));
+                let due = self.now + self.rng.gen_range(0..=self.jitter);
+                self.in_transit.insert((due, self.sequence), (to, datagram));
             }
         }
     }
 
-    fn until(&mut self, most_s: u64, what: &str, condition: impl Fn(&Fleet) -> bool) -> f64 {
-        let began = self.now;
+    fn run_until(&mut self, timeout_s: u64, what: &str, condition: impl Fn(&Fleet) -> bool) -> f64 {
+        let start_ns = self.now;
         while !condition(self) {
-            assert!(self.now < began + most_s * S, "not within {most_s} s: {what}");
+            assert!(self.now < start_ns + timeout_s * S, "not within {timeout_s} s: {what}");
             self.step();
         }
-        (self.now - began) as f64 / 1e9
+        (self.now - start_ns) as f64 / 1e9
     }
 
     /// Numbers of the peers that a router considers reachable.
-    fn knows(&self, at: usize) -> BTreeSet<u32> {
+    fn known_peers(&self, at: usize) -> BTreeSet<u32> {
         self.members[at].as_ref().map(|m| m.up().map(|peer| peer.number).collect()).unwrap_or_default()
     }
 
-    fn all_know(&self, there: impl Fn(usize) -> bool) -> bool {
+    fn all_connected(&self, is_running: impl Fn(usize) -> bool) -> bool {
         let all: BTreeSet<u32> =
-            (0..self.members.len()).filter(|at| there(*at)).map(|at| at as u32).collect();
-        (0..self.members.len()).filter(|at| there(*at)).all(|at| {
+            (0..self.members.len()).filter(|at| is_running(*at)).map(|at| at as u32).collect();
+        (0..self.members.len()).filter(|at| is_running(*at)).all(|at| {
             let mut others = all.clone();
             others.remove(&(at as u32));
-            self.knows(at) == others
+            self.known_peers(at) == others
         })
     }
 }
 
 #[test]
-fn routers_that_know_only_seeds_know_all_though_a_third_is_lost() {
+fn routers_discover_each_other_through_seeds_with_30_percent_loss() {
     for seed in 0..10 {
         let mut fleet = Fleet::new(20, seed);
         (fleet.loss, fleet.jitter) = (0.3, 200 * MS);
-        fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
+        fleet.run_until(60, "every router knows all others", |f| f.all_connected(|_| true));
     }
 }
 
 #[test]
-fn two_hundred_that_start_in_a_second_know_each_other() {
+fn two_hundred_routers_started_together_discover_each_other() {
     let mut fleet = Fleet::new(200, 1);
-    let took = fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
-    println!("200 routers discovered each other after {took:.1} s");
+    let elapsed_s = fleet.run_until(60, "every router knows all others", |f| f.all_connected(|_| true));
+    println!("200 routers discovered each other after {elapsed_s:.1} s");
 }
 
 #[test]
-fn a_router_that_dies_is_known_to_be_gone_within_the_bound_and_its_next_life_is_told_from_the_last() {
+fn crash_is_detected_within_the_bound_and_restart_is_reported() {
     for seed in 0..10 {
         let mut fleet = Fleet::new(8, seed);
-        fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
+        fleet.run_until(60, "every router knows all others", |f| f.all_connected(|_| true));
         let life = fleet.members[3].take().unwrap().me().life;
         let bound = fleet.settings.max_detection_ns().div_ceil(S);
-        fleet.until(bound, "the router is removed everywhere", |f| f.all_know(|at| at != 3));
+        fleet.run_until(bound, "the router is removed everywhere", |f| f.all_connected(|at| at != 3));
         fleet.events.clear();
         fleet.start(3, 3);
-        fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
-        let later =
+        fleet.run_until(60, "every router knows all others", |f| f.all_connected(|_| true));
+        let has_new_life =
             |f: &Fleet| f.members[0].as_ref().unwrap().up().any(|peer| peer.number == 3 && peer.life > life);
-        assert!(later(&fleet));
+        assert!(has_new_life(&fleet));
         // A restart before the crash has been detected.
         fleet.start(5, 5);
-        let again = |f: &Fleet| {
-            let seen = |at: usize| {
+        let restart_reported = |f: &Fleet| {
+            let reported_at = |at: usize| {
                 f.events
                     .iter()
                     .any(|(by, e)| *by == at && matches!(e, Event::Restarted(_, peer) if peer.number == 5))
             };
-            (0..8).filter(|at| *at != 5).all(seen)
+            (0..8).filter(|at| *at != 5).all(reported_at)
         };
-        fleet.until(60, "the restart is reported everywhere", again);
+        fleet.run_until(60, "the restart is reported everywhere", restart_reported);
     }
 }
 
 #[test]
-fn one_that_leaves_is_gone_at_once() {
+fn leaving_router_is_removed_promptly() {
     let mut fleet = Fleet::new(8, 1);
-    fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
+    fleet.run_until(60, "every router knows all others", |f| f.all_connected(|_| true));
     let now = fleet.now;
     fleet.members[2].as_mut().unwrap().leave(now);
     fleet.step();
     fleet.members[2] = None;
-    let took = fleet.until(60, "the router is removed everywhere", |f| f.all_know(|at| at != 2));
-    assert!(took < 3.0, "{took} s");
+    let elapsed_s =
+        fleet.run_until(60, "the router is removed everywhere", |f| f.all_connected(|at| at != 2));
+    assert!(elapsed_s < 3.0, "{elapsed_s} s");
 }
 
 #[test]
-fn halves_that_were_cut_off_find_each_other_again() {
+fn partitioned_halves_merge_after_healing() {
     for seed in 0..5 {
         let mut fleet = Fleet::new(10, seed);
-        fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
+        fleet.run_until(60, "every router knows all others", |f| f.all_connected(|_| true));
         for (a, b) in (0..10).flat_map(|a| (0..10).map(move |b| (a, b))).filter(|(a, b)| (*a < 5) != (*b < 5))
         {
             fleet.cut.insert((a, b));
         }
         let bound = fleet.settings.max_detection_ns().div_ceil(S);
-        fleet.until(bound, "each half knows only its own routers", |f| {
-            (0..10).all(|at| f.knows(at).iter().all(|other| (at < 5) == (*other < 5)))
+        fleet.run_until(bound, "each half knows only its own routers", |f| {
+            (0..10).all(|at| f.known_peers(at).iter().all(|other| (at < 5) == (*other < 5)))
         });
         fleet.cut.clear();
-        fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
+        fleet.run_until(60, "every router knows all others", |f| f.all_connected(|_| true));
         assert!(
             !fleet.events.iter().any(|(_, e)| matches!(e, Event::DuplicateName)),
             "a partition was reported as a duplicate name"
@@ -190,14 +191,14 @@
 }
 
 #[test]
-fn a_name_that_two_have_is_told_to_the_one_that_others_take_for_gone() {
+fn duplicate_name_is_reported_to_the_displaced_router() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(6, seed);
-        fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
+        fleet.run_until(60, "every router knows all others", |f| f.all_connected(|_| true));
         fleet.events.clear();
         // Process 5 restarts under the name of process 4, which is still running.
         fleet.start(5, 4);
-        fleet.until(60, "the duplicate name is reported", |f| {
+        fleet.run_until(60, "the duplicate name is reported", |f| {
             f.events.iter().any(|(at, e)| *at == 4 && matches!(e, Event::DuplicateName))
         });
         let others = fleet.events.iter().any(|(at, e)| *at != 4 && matches!(e, Event::DuplicateName));
@@ -206,61 +207,61 @@
 }
 
 #[test]
-fn a_router_that_starts_again_is_not_taken_for_two() {
+fn restarted_router_is_not_reported_as_a_duplicate() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(5, seed);
-        fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
+        fleet.run_until(60, "every router knows all others", |f| f.all_connected(|_| true));
         fleet.start(2, 2);
-        fleet.until(60, "the restart is reported everywhere", |f| {
+        fleet.run_until(60, "the restart is reported everywhere", |f| {
             f.events.iter().filter(|(_, e)| matches!(e, Event::Restarted(..))).count() >= 4
         });
         (0..10 * S / STEP).for_each(|_| fleet.step());
-        let twins = |e: &Event| matches!(e, Event::DuplicateName | Event::DuplicateNumber(_));
-        assert!(!fleet.events.iter().any(|(_, e)| twins(e)), "seed {seed}");
+        let is_duplicate = |e: &Event| matches!(e, Event::DuplicateName | Event::DuplicateNumber(_));
+        assert!(!fleet.events.iter().any(|(_, e)| is_duplicate(e)), "seed {seed}");
     }
 }
 
 #[test]
-fn what_is_not_sealed_costs_a_counter_and_nothing_else() {
+fn invalid_datagrams_are_counted_and_have_no_effect() {
     let mut fleet = Fleet::new(3, 1);
-    fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
-    let (now, mut draws) = (fleet.now, StdRng::seed_from_u64(5));
+    fleet.run_until(60, "every router knows all others", |f| f.all_connected(|_| true));
+    let (now, mut rng) = (fleet.now, StdRng::seed_from_u64(5));
     let members = fleet.members[0].as_mut().unwrap();
     members.take();
-    let good = keys('a').sign(Kind::Limits, b"what is sealed but can't be read");
+    let valid = keys('a').sign(Kind::Limits, b"what is sealed but can't be read");
     let mut sent = 0;
     let mut hear = |members: &mut Members, datagram: &[u8]| {
         members.hear(now, datagram);
         sent += 1;
     };
-    for size in 0..good.len() {
-        hear(members, &good[..size]);
+    for size in 0..valid.len() {
+        hear(members, &valid[..size]);
     }
-    for at in 0..good.len() * 8 {
-        let mut flipped = good.clone();
+    for at in 0..valid.len() * 8 {
+        let mut flipped = valid.clone();
         flipped[at / 8] ^= 1 << (at % 8);
         hear(members, &flipped);
     }
     for _ in 0..2_000 {
-        let noise: Vec<u8> = (0..draws.gen_range(0..1_400)).map(|_| draws.gen()).collect();
+        let noise: Vec<u8> = (0..rng.gen_range(0..1_400)).map(|_| rng.gen()).collect();
         hear(members, &noise);
     }
     hear(members, &keys('b').sign(Kind::Members, b"of another fleet"));
     hear(members, &vec![b'm'; MAX_DATAGRAM_BYTES + 1]);
-    let mut newer = good.clone();
-    newer[2] += 1;
-    hear(members, &newer);
+    let mut newer_version = valid.clone();
+    newer_version[2] += 1;
+    hear(members, &newer_version);
     for kind in [Kind::Members, Kind::Limits] {
         hear(members, &keys('a').sign(kind, b"what is sealed but can't be read"));
     }
-    let counted: u64 = members.rejected_datagrams().map(|(_, n)| n).sum();
-    assert_eq!(counted, sent);
+    let rejected: u64 = members.rejected_datagrams().map(|(_, n)| n).sum();
+    assert_eq!(rejected, sent);
     assert_eq!(members.take(), (vec![], vec![]), "no reply and no event");
-    assert!(fleet.all_know(|_| true));
+    assert!(fleet.all_connected(|_| true));
 }
 
 #[test]
-fn keys_are_changed_by_accepting_two() {
+fn key_rotation_accepts_both_keys() {
     let (old, new) = ("a".repeat(64), "b".repeat(64));
     let read = |text: String| Keys::read(&text).unwrap();
     let (before, both, after) =
@@ -287,16 +288,16 @@
 }
 
 #[test]
-fn what_is_said_of_limits_comes_with_who_said_it() {
+fn payload_is_delivered_with_its_sender() {
     let mut fleet = Fleet::new(2, 1);
-    fleet.until(60, "every router knows all others", |f| f.all_know(|_| true));
+    fleet.run_until(60, "every router knows all others", |f| f.all_connected(|_| true));
     let members = fleet.members[0].as_mut().unwrap();
     assert!(members.send_payload(address(1), Kind::Limits, b"hello"));
     assert!(
         !members.send_payload(address(1), Kind::Limits, &vec![0; MAX_CONTENT_BYTES]),
         "payload exceeds a datagram"
     );
-    fleet.until(5, "the payload is delivered", |f| {
+    fleet.run_until(5, "the payload is delivered", |f| {
         f.events.iter().any(|(at, e)| {
             *at == 1
                 && matches!(e, Event::Payload(peer, Kind::Limits, payload) if peer.number == 0 && payload == b"hello")
@@ -305,7 +306,7 @@
 }
 
 /// Number of peers that a router of a fleet of `routers` tracks after `peers` others have joined.
-fn heard_by_one(routers: u32, peers: usize) -> usize {
+fn peers_known_after_joins(routers: u32, peers: usize) -> usize {
     let settings = Settings { routers, ..Settings::default() };
     let start = |at: usize, settings: &Settings| {
         let (number, life) = (at as u32, S + at as u64);
@@ -324,15 +325,15 @@
 }
 
 #[test]
-fn all_routers_of_a_large_fleet_are_known() {
+fn all_routers_of_a_large_fleet_are_tracked() {
     let peers = Settings::default().max_peers() + 100;
-    assert_eq!(heard_by_one(peers as u32 + 1, peers), peers);
+    assert_eq!(peers_known_after_joins(peers as u32 + 1, peers), peers);
 }
 
 #[test]
-fn peers_beyond_the_bound_are_not_remembered() {
-    let most = Settings { routers: 4, ..Settings::default() }.max_peers();
-    let known = heard_by_one(4, most + 50);
-    assert!(known <= most, "{known} of {most}");
-    assert!(known >= most - 1, "{known} of {most}");
+fn peers_beyond_the_bound_are_ignored() {
+    let max_peers = Settings { routers: 4, ..Settings::default() }.max_peers();
+    let tracked = peers_known_after_joins(4, max_peers + 50);
+    assert!(tracked <= max_peers, "{tracked} of {max_peers}");
+    assert!(tracked >= max_peers - 1, "{tracked} of {max_peers}");
 }
