--- a/crates/limits/src/terms.rs
+++ b/crates/limits/src/terms.rs
@@ -190,9 +190,9 @@
     /// Grace period after a start (ns), during which all owned units count as leased out unless
     /// every peer has reported its leases.
     pub fn grace_ns(&self, kind: Kind) -> u64 {
-        let leased_out = self.owner_lease_ns() + kind.drain_ns(self);
+        let max_lease_ns = self.owner_lease_ns() + kind.drain_ns(self);
         // Requests of this router's previous process continue to run as well.
-        leased_out.max(self.peer_ns_upper_bound(kind.orphan_ns(self)))
+        max_lease_ns.max(self.peer_ns_upper_bound(kind.orphan_ns(self)))
     }
 
     /// Units that router `me` owns of a limit of `units`, for the key with hash `key`. The shares
@@ -202,7 +202,7 @@
         if me >= routers {
             return 0;
         }
-        let place = (u64::from(me) + key % u64::from(routers)) % u64::from(routers);
-        units / routers + u32::from(place < u64::from(units % routers))
+        let rank = (u64::from(me) + key % u64::from(routers)) % u64::from(routers);
+        units / routers + u32::from(rank < u64::from(units % routers))
     }
 }
--- a/crates/peers/src/members.rs
+++ b/crates/peers/src/members.rs
@@ -63,8 +63,8 @@
     /// peer in turn, and the suspicion has to time out. Probes of other routers usually detect the
     /// crash much sooner.
     pub fn max_detection_ns(&self) -> u64 {
-        let looks = 2 * u64::from(self.routers.max(2) - 1);
-        looks * self.probe_interval_ns + self.probe_interval_ns + self.suspicion_timeout_ns
+        let probes = 2 * u64::from(self.routers.max(2) - 1);
+        probes * self.probe_interval_ns + self.probe_interval_ns + self.suspicion_timeout_ns
     }
 
     /// Maximum number of tracked peers. Bounds the memory that datagrams can occupy.
@@ -242,7 +242,7 @@
     pub fn rejected_datagrams(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         REJECT_REASONS
             .iter()
-            .map(|(why, name)| (*name, self.rejected_datagrams.get(why).copied().unwrap_or(0)))
+            .map(|(reason, name)| (*name, self.rejected_datagrams.get(reason).copied().unwrap_or(0)))
     }
 
     /// Datagrams sent, and their bytes.
@@ -274,7 +274,7 @@
     /// Handles a received datagram.
     pub fn hear(&mut self, now: u64, datagram: &[u8]) {
         match self.keys.verify(datagram) {
-            Err(why) => *self.rejected_datagrams.entry(why).or_default() += 1,
+            Err(reason) => *self.rejected_datagrams.entry(reason).or_default() += 1,
             Ok((Kind::Members, content)) => {
                 // Rejects membership messages while the table is full, so that it cannot grow
                 // without bound.
@@ -384,13 +384,13 @@
                     self.rejoins_ns.pop_front();
                 }
                 let first = self.rejoins_ns.front().copied().unwrap_or(now);
-                let often = self.rejoins_ns.len() == DUPLICATE_NAME_REJOINS
+                let is_frequent = self.rejoins_ns.len() == DUPLICATE_NAME_REJOINS
                     && now < first.saturating_add(DUPLICATE_NAME_WINDOW_NS);
                 // Reported at most once per window while the duplicate exists.
-                let quiet = self
+                let may_report = self
                     .duplicate_name_reported_ns
                     .is_none_or(|at| now >= at.saturating_add(DUPLICATE_NAME_WINDOW_NS));
-                if often && quiet {
+                if is_frequent && may_report {
                     self.duplicate_name_reported_ns = Some(now);
                     self.events.push(Event::DuplicateName);
                 }
