--- a/crates/limits/src/demand.rs
+++ b/crates/limits/src/demand.rs
@@ -39,8 +39,8 @@
     /// Applies the decay up to `now`, down to `min_demand`.
     pub(crate) fn decay(&mut self, now: u64, kind: Kind, terms: &Terms, min_demand: f64) {
         let decay_ns = decay_ns(kind, terms) as f64;
-        let left = (-(now.saturating_sub(self.at_ns) as f64) / decay_ns).exp();
-        self.demanded = (self.demanded * left).max(min_demand);
+        let remaining = (-(now.saturating_sub(self.at_ns) as f64) / decay_ns).exp();
+        self.demanded = (self.demanded * remaining).max(min_demand);
         self.at_ns = self.at_ns.max(now);
     }
 
--- a/crates/limits/src/escrow.rs
+++ b/crates/limits/src/escrow.rs
@@ -210,14 +210,14 @@
         }
         let (_, requested_ns, requested) = leased_in.pending[at];
         // The owner may have processed a later, smaller request first.
-        let most = leased_in.pending[at..].iter().map(|(.., units)| *units).min().unwrap_or(0);
+        let max_units = leased_in.pending[at..].iter().map(|(.., units)| *units).min().unwrap_or(0);
         leased_in.confirmed |= at + 1 == leased_in.pending.len();
         leased_in.life = owner.life;
         leased_in.pending.drain(..=at);
         let until = requested_ns.saturating_add(terms.lease_ns);
         if now < until {
-            leased_in.usable.add(units.min(most), until);
-            leased_in.covering.add(units.min(most), until.saturating_add(drain_ns));
+            leased_in.usable.add(units.min(max_units), until);
+            leased_in.covering.add(units.min(max_units), until.saturating_add(drain_ns));
         }
         Some(requested)
     }
@@ -253,8 +253,8 @@
 
     /// Shortens the leases of earlier incarnations of a restarted peer to `until_ns`, when their
     /// remaining requests have ended.
-    pub fn expire_earlier_lives(&mut self, by: Peer, until_ns: u64) {
-        let earlier = |peer: &Peer| peer.number == by.number && peer.life < by.life;
+    pub fn expire_earlier_lives(&mut self, restarted: Peer, until_ns: u64) {
+        let earlier = |peer: &Peer| peer.number == restarted.number && peer.life < restarted.life;
         for (_, leased_out) in self.leased_out.iter_mut().filter(|(peer, _)| earlier(peer)) {
             leased_out.leases.0.iter_mut().for_each(|(_, until)| *until = (*until).min(until_ns));
         }
@@ -270,14 +270,14 @@
             leased_in.pending.clear();
             leased_in.confirmed = true;
         }
-        let left = |(units, until): &(u32, u64)| (*until > now).then(|| (*units, until - now));
-        leased_in.covering.0.iter().filter_map(left).collect()
+        let remaining = |(units, until): &(u32, u64)| (*until > now).then(|| (*units, until - now));
+        leased_in.covering.0.iter().filter_map(remaining).collect()
     }
 
     /// Restores a lease from a peer's report. It was granted by an earlier incarnation of this
     /// router and has `left_ns` left by the peer's clock.
     pub fn restore_lease(&mut self, now: u64, from: Peer, units: u32, left_ns: u64, terms: &Terms) {
-        let left = terms.peer_ns_upper_bound(left_ns);
-        self.leased_out.entry(from).or_default().leases.add(units, now.saturating_add(left));
+        let remaining = terms.peer_ns_upper_bound(left_ns);
+        self.leased_out.entry(from).or_default().leases.add(units, now.saturating_add(remaining));
     }
 }
--- a/crates/limits/src/recovery.rs
+++ b/crates/limits/src/recovery.rs
@@ -37,14 +37,14 @@
     /// already complete report.
     pub(crate) fn accept_part(&mut self, from: u32, (round, part, parts): (u64, u16, u16)) -> bool {
         let Some(missing) = self.missing.get_mut(&from) else { return false };
-        if is_complete(missing) || missing.as_ref().is_some_and(|(before, _)| round < *before) {
+        if is_complete(missing) || missing.as_ref().is_some_and(|(report, _)| round < *report) {
             return false;
         }
-        let (before, left) = missing.get_or_insert_with(|| (round, (0..parts.max(1)).collect()));
-        if *before != round {
-            (*before, *left) = (round, (0..parts.max(1)).collect());
+        let (report, remaining) = missing.get_or_insert_with(|| (round, (0..parts.max(1)).collect()));
+        if *report != round {
+            (*report, *remaining) = (round, (0..parts.max(1)).collect());
         }
-        left.remove(&part);
+        remaining.remove(&part);
         true
     }
 
