--- a/crates/peers/tests/fleet.rs
+++ b/crates/peers/tests/fleet.rs
@@ -145,9 +145,9 @@
         fleet.start(5, 5);
         let restart_reported = |f: &Fleet| {
             let reported_at = |at: usize| {
-                f.events
-                    .iter()
-                    .any(|(by, e)| *by == at && matches!(e, Event::Restarted(_, peer) if peer.number == 5))
+                f.events.iter().any(|(observer, e)| {
+                    *observer == at && matches!(e, Event::Restarted(_, peer) if peer.number == 5)
+                })
             };
             (0..8).filter(|at| *at != 5).all(reported_at)
         };
@@ -230,29 +230,29 @@
     members.take();
     let valid = keys('a').sign(Kind::Limits, b"what is sealed but can't be read");
     let mut sent = 0;
-    let mut hear = |members: &mut Members, datagram: &[u8]| {
+    let mut deliver = |members: &mut Members, datagram: &[u8]| {
         members.hear(now, datagram);
         sent += 1;
     };
     for size in 0..valid.len() {
-        hear(members, &valid[..size]);
+        deliver(members, &valid[..size]);
     }
     for at in 0..valid.len() * 8 {
         let mut flipped = valid.clone();
         flipped[at / 8] ^= 1 << (at % 8);
-        hear(members, &flipped);
+        deliver(members, &flipped);
     }
     for _ in 0..2_000 {
         let noise: Vec<u8> = (0..rng.gen_range(0..1_400)).map(|_| rng.gen()).collect();
-        hear(members, &noise);
+        deliver(members, &noise);
     }
-    hear(members, &keys('b').sign(Kind::Members, b"of another fleet"));
-    hear(members, &vec![b'm'; MAX_DATAGRAM_BYTES + 1]);
+    deliver(members, &keys('b').sign(Kind::Members, b"of another fleet"));
+    deliver(members, &vec![b'm'; MAX_DATAGRAM_BYTES + 1]);
     let mut newer_version = valid.clone();
     newer_version[2] += 1;
-    hear(members, &newer_version);
+    deliver(members, &newer_version);
     for kind in [Kind::Members, Kind::Limits] {
-        hear(members, &keys('a').sign(kind, b"what is sealed but can't be read"));
+        deliver(members, &keys('a').sign(kind, b"what is sealed but can't be read"));
     }
     let rejected: u64 = members.rejected_datagrams().map(|(_, n)| n).sum();
     assert_eq!(rejected, sent);
@@ -266,9 +266,10 @@
     let read = |text: String| Keys::read(&text).unwrap();
     let (before, both, after) =
         (read(old.clone()), read(format!("{new}\n{old} # the last one\n")), read(new.clone()));
-    let opens =
-        |by: &Keys, sealed: &Keys| by.verify(&sealed.sign(Kind::Limits, b"x")).map(|(_, c)| c.to_vec());
-    for (by, sealed, opened) in [
+    let verified = |verifier: &Keys, signer: &Keys| {
+        verifier.verify(&signer.sign(Kind::Limits, b"x")).map(|(_, c)| c.to_vec())
+    };
+    for (verifier, signer, accepted) in [
         (&before, &before, true),
         (&both, &before, true),
         (&both, &both, true),
@@ -276,7 +277,10 @@
         (&before, &both, false),
         (&after, &before, false),
     ] {
-        assert_eq!(opens(by, sealed), if opened { Ok(b"x".to_vec()) } else { Err(RejectReason::Mac) });
+        assert_eq!(
+            verified(verifier, signer),
+            if accepted { Ok(b"x".to_vec()) } else { Err(RejectReason::Mac) }
+        );
     }
     // The seed depends on the signing key only.
     assert_eq!(both.shared_seed(), after.shared_seed());
