--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -105,7 +105,7 @@
 
 /// What became of a connection when it was last looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeyStatus {
+pub struct Look {
     /// It is up.
     pub up: bool,
     /// All output has been written to it.
@@ -369,14 +369,14 @@
     }
 
     /// Moves what is ready in both directions.
-    pub fn service(&mut self, id: u64) -> KeyStatus {
-        let lost = KeyStatus { up: false, drained: false, ended: Some(Ending::Cut) };
+    pub fn service(&mut self, id: u64) -> Look {
+        let lost = Look { up: false, drained: false, ended: Some(Ending::Cut) };
         let Some(conn) = self.conns.get_mut(&id) else { return lost };
         if conn.connecting {
             match conn.stream.take_error() {
                 Ok(None) => match conn.stream.peer_addr() {
                     Ok(_) => conn.connecting = false,
-                    Err(_) => return KeyStatus { up: false, drained: false, ended: None },
+                    Err(_) => return Look { up: false, drained: false, ended: None },
                 },
                 Ok(Some(e)) | Err(e) => {
                     conn.ended = Some(match e.kind() {
@@ -409,11 +409,7 @@
                 Err(_) => conn.ended = Some(Ending::Cut),
             }
         }
-        KeyStatus {
-            up: !conn.connecting,
-            drained: conn.output.is_empty() && !conn.connecting,
-            ended: conn.ended,
-        }
+        Look { up: !conn.connecting, drained: conn.output.is_empty() && !conn.connecting, ended: conn.ended }
     }
 
     /// Whether a connection was left with something to read: no further event tells of it.
