--- a/crates/peers/tests/fleet.rs
+++ b/crates/peers/tests/fleet.rs
@@ -337,7 +337,7 @@
 #[test]
 fn peers_beyond_the_bound_are_ignored() {
     let max_peers = Settings { routers: 4, ..Settings::default() }.max_peers();
-    let tracked = peers_known_after_joins(4, max_peers + 50);
-    assert!(tracked <= max_peers, "{tracked} of {max_peers}");
-    assert!(tracked >= max_peers - 1, "{tracked} of {max_peers}");
+    let peer_count = peers_known_after_joins(4, max_peers + 50);
+    assert!(peer_count <= max_peers, "{peer_count} of {max_peers}");
+    assert!(peer_count >= max_peers - 1, "{peer_count} of {max_peers}");
 }
