--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -56,7 +56,7 @@
             return if admits { Ok(None) } else { Err(refused(default_retry_ns)) };
         }
         let kind = self.kind(limit);
-        let usable = self.settle(now, limit, key);
+        let usable = self.refresh(now, limit, key);
         let Some(entry) = self.keys.get_mut(&(limit, key)) else { return Ok(Some(usable)) };
         let admits = entry.meter.admits(kind, usable);
         entry.demand.record_request(kind, &self.terms, entry.meter.in_flight(), admits);
