--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -186,10 +186,10 @@
 fn model_finds_violations_without_lease_margin_or_grace_period() {
     // The owner reclaims units before the holder's lease has expired.
     let short_owner_lease = Terms { drift: -0.99, ..terms(0.0) };
-    let early_return =
+    let early_reclaim =
         LeaseModel { terms: short_owner_lease, grace: true }.checker().threads(2).spawn_bfs().join();
     assert!(
-        early_return.discovery("limit not exceeded").is_some(),
+        early_reclaim.discovery("limit not exceeded").is_some(),
         "early reclaim by the owner was not detected"
     );
     // A router uses units right after a restart that its previous incarnation had leased out.
