--- a/crates/core/src/cold.rs
+++ b/crates/core/src/cold.rs
@@ -105,7 +105,7 @@
     pub fn limits(&self) -> Vec<Limit> {
         let limit = |kind: usize, at: usize| Limit {
             name: format!("cold engines of kind {kind}, {} classes", ["light", "heavy"][at]),
-            whom: "engine".into(),
+            subject: "engine".into(),
             kind: Kind::Window { units: self.units[kind][at], window_ns: self.window_ns },
             mode: Mode::Strict,
         };
@@ -163,11 +163,11 @@
         let cost = self.costs[class.0];
         let fits = |(.., limit, key, units, owned): &&(bool, u64, u16, u64, u32, u32)| {
             let max_units = f64::from(*owned).max((f64::from(*units) * MAX_WANTED_SHARE).ceil());
-            node.wants(now, *limit, *key) + cost <= max_units
+            node.window_demand(now, *limit, *key) + cost <= max_units
         };
         let found = order.iter().find(fits).or(order.first()).copied();
         if let Some((.., limit, key, _, _)) = found {
-            node.want(now, limit, key, cost);
+            node.record_demand(now, limit, key, cost);
         }
     }
 
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -14,7 +14,7 @@
     RelaySettings, Subscriber, SubscriberSettings,
 };
 use marljunction_control::interface::{EngineEntry, EngineId, EngineState, KindId, ZoneId};
-use marljunction_peers::seal::Kind;
+use marljunction_peers::datagram::Kind;
 use marljunction_settings::{index_of, Names};
 
 use crate::config::{parse_address, FleetConfig};
@@ -216,7 +216,7 @@
             Some(ListMachine::Subscriber(subscriber)) => subscriber.tick(now),
         };
         for (to, message) in outgoing {
-            self.members.say(to, Kind::List, &message.encode());
+            self.members.send_payload(to, Kind::List, &message.encode());
         }
         let (outgoing, events) = self.members.take();
         debug_assert!(events.is_empty());
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -30,7 +30,8 @@
     }
     lines.extend(describe_limits(now, config, limits));
     let (datagrams, bytes) = members.sent();
-    let rejected: Vec<String> = members.spoilt().map(|(reason, count)| format!("{reason} {count}")).collect();
+    let rejected: Vec<String> =
+        members.rejected_datagrams().map(|(reason, count)| format!("{reason} {count}")).collect();
     lines.push(format!("sent {datagrams} datagrams, {bytes} bytes; passed over: {}", rejected.join(", ")));
     lines.join("\n")
 }
@@ -41,10 +42,10 @@
     for (place, entry) in limit_indices.into_iter().zip(&config.limits) {
         let (kind, refused) = (entry.limit.kind, limits.refused(place));
         lines.push(format!("limit {} {kind:?} refused {refused}", entry.limit.name));
-        for (key, state) in limits.node().busiest(now, place) {
+        for (key, state) in limits.node().busiest_keys(now, place) {
             lines.push(format!(
                 "  key {key:016x} owned {} lent {} borrowed {} usable {} out {}",
-                state.owned, state.lent, state.borrowed, state.usable, state.out
+                state.owned, state.leased_out, state.leased_in, state.usable, state.out
             ));
         }
     }
@@ -78,7 +79,7 @@
 
 /// Counters, as one line.
 pub(crate) fn counters_line(members: &Members, limits: &FleetLimits) -> String {
-    let rejected: u64 = members.spoilt().map(|(_, count)| count).sum();
+    let rejected: u64 = members.rejected_datagrams().map(|(_, count)| count).sum();
     let (datagrams, bytes) = members.sent();
     format!(
         "fleet_peers={} fleet_datagrams={datagrams} fleet_bytes={bytes} fleet_spoilt={rejected} fleet_limited={}",
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -4,8 +4,8 @@
 
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::{Kind, Limit, Message, Mode, Node, Terms};
-use marljunction_peers::seal::Kind as Sealed;
-use marljunction_peers::{Keys, Members, Settings, Who};
+use marljunction_peers::datagram::Kind as Sealed;
+use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
 use marljunction_rig::fleet::KEY;
 
 use super::clock::thread_ns;
@@ -37,13 +37,14 @@
 impl Sealer {
     fn new() -> Result<Sealer, String> {
         let to = SocketAddr::from(([10, 0, 0, 1], 4_200));
-        let who = Who { name: "router-00000".into(), number: 0, address: to, life: START_NS, renewal: 0 };
+        let who =
+            PeerIdentity { name: "router-00000".into(), number: 0, address: to, life: START_NS, renewal: 0 };
         Ok(Sealer { members: Members::new(who, Keys::read(KEY)?, &Settings::default(), 1), to })
     }
 
     fn bytes(&mut self, messages: &[&Message]) -> u64 {
         let said = rmp_serde::to_vec(messages).unwrap_or_default();
-        self.members.say(self.to, Sealed::Limits, &said);
+        self.members.send_payload(self.to, Sealed::Limits, &said);
         let (out, _) = self.members.take();
         out.iter().map(|(_, datagram)| datagram.len() as u64).sum()
     }
@@ -52,7 +53,7 @@
 fn limit(routers: usize) -> Limit {
     // Each router owns two units of each key.
     let kind = Kind::Concurrency { at_once: 2 * routers as u32 };
-    Limit { name: "limit".into(), whom: "tenant".into(), kind, mode: Mode::Strict }
+    Limit { name: "limit".into(), subject: "tenant".into(), kind, mode: Mode::Strict }
 }
 
 struct Fleet {
@@ -88,7 +89,7 @@
         self.nodes[at].set_reachable(self.now, others);
     }
 
-    fn say(&mut self, from: usize, said: Vec<(u32, Message)>) {
+    fn send_payload(&mut self, from: usize, said: Vec<(u32, Message)>) {
         let peer = Peer { number: from as u32, life: START_NS };
         for (to, message) in said {
             self.sent.messages += 1;
@@ -103,7 +104,7 @@
             for (to, from, message) in std::mem::take(&mut self.wire) {
                 let answers = self.nodes[to].hear(self.now, from, message);
                 let answers = answers.into_iter().map(|answer| (from.number, answer)).collect();
-                self.say(to, answers);
+                self.send_payload(to, answers);
             }
         }
     }
@@ -112,7 +113,7 @@
         self.now += STEP_NS;
         for at in 0..self.routers {
             let said = self.nodes[at].tick(self.now);
-            self.say(at, said);
+            self.send_payload(at, said);
         }
         self.deliver();
     }
@@ -129,7 +130,7 @@
     let cpu = thread_ns();
     fleet.now += STEP_NS;
     let asked = fleet.nodes[0].tick(fleet.now);
-    fleet.say(0, asked);
+    fleet.send_payload(0, asked);
     fleet.deliver();
     let cpu = thread_ns() - cpu;
     Ok([fleet.sent.messages as f64, fleet.sent.bytes as f64, cpu as f64 / 1e6])
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -109,19 +109,23 @@
     let nobody: Vec<usize> = (0..routers).collect();
     let whole = vec![0; routers];
     let halves: Vec<usize> = (0..routers).map(|at| usize::from(at >= routers / 2)).collect();
-    let terms =
-        Terms { routers: routers as u32, lease_ns: SECOND_NS, longest_ns: LONGEST_NS, ..Terms::default() };
+    let terms = Terms {
+        routers: routers as u32,
+        lease_ns: SECOND_NS,
+        max_request_ns: LONGEST_NS,
+        ..Terms::default()
+    };
     let mode = if bounded { Mode::Bounded { over: 0.5, for_ns: 6 * SECOND_NS } } else { Mode::Strict };
     let limit = Limit {
         name: "all".into(),
-        whom: String::new(),
+        subject: String::new(),
         kind: Kind::Concurrency { at_once: most as u32 },
         mode,
     };
     if schedule == Schedule::Static {
         fleet.cut_into(&nobody);
         // Nobody can say what it holds, so that all of it has to run out first.
-        fleet.run(Duration::from_nanos(terms.quiet_ns(limit.kind)))?;
+        fleet.run(Duration::from_nanos(terms.grace_ns(limit.kind)))?;
     }
     match schedule {
         Schedule::Zipf => {
@@ -138,7 +142,7 @@
     let mut told = Map::new();
     // How long units lie idle after a fault, beside what is stated.
     let regain = |fleet: &mut Fleet, told: &mut Map<String, Value>, units: usize, fault: Fault| {
-        let (began, stated) = (fleet.now(), bound(&limit, &terms, fault).stale_at_most_ns);
+        let (began, stated) = (fleet.now(), bound(&limit, &terms, fault).max_idle_ns);
         // What others had out before is over then, and counts no more.
         fleet.run(Duration::from_millis(2_500))?;
         let most_wait = Duration::from_nanos(stated * 2) + LIMIT;
@@ -156,11 +160,11 @@
             let mut both = vec![0.0; routers];
             (both[0], both[routers - 1]) = (all, all);
             fleet.ask_at(&if bounded { vec![all / 4.0; routers] } else { both });
-            fleet.run(Duration::from_nanos(bound(&limit, &terms, Fault::Cut).stale_at_most_ns))?;
+            fleet.run(Duration::from_nanos(bound(&limit, &terms, Fault::Partition).max_idle_ns))?;
             told.insert("used_share_cut".into(), json!(used(&mut fleet, most)?));
             fleet.cut_into(&whole);
             fleet.ask_at(&one);
-            regain(&mut fleet, &mut told, most, Fault::Cut)?;
+            regain(&mut fleet, &mut told, most, Fault::Partition)?;
         }
         Schedule::OneWay => {
             for to in 1..routers {
@@ -184,7 +188,7 @@
             fleet.kill(0);
             fleet.ask_at(&other);
             // The dead one's own share is nobody else's.
-            regain(&mut fleet, &mut told, most - UNITS_EACH, Fault::HolderDied)?;
+            regain(&mut fleet, &mut told, most - UNITS_EACH, Fault::HolderCrashed)?;
         }
         Schedule::HolderFrozen => {
             fleet.freeze(0, true);
@@ -200,17 +204,17 @@
                 fleet.start(owner)?;
             }
             fleet.run(Duration::from_secs(2))?;
-            regain(&mut fleet, &mut told, most, Fault::OwnerDied)?;
+            regain(&mut fleet, &mut told, most, Fault::OwnerRestarted)?;
         }
         Schedule::AllKilled => {
             (0..routers).for_each(|router| fleet.kill(router));
             fleet.start_all()?;
             fleet.ask_at(&one);
-            regain(&mut fleet, &mut told, most, Fault::AllDied)?;
+            regain(&mut fleet, &mut told, most, Fault::AllRestarted)?;
         }
     }
     let share = used(&mut fleet, most)?;
-    let allowed = bound(&limit, &terms, Fault::Cut).over_at_most;
+    let allowed = bound(&limit, &terms, Fault::Partition).max_overshoot;
     let over = (fleet.held_most as f64 / most as f64 - 1.0).max(0.0);
     let counters = fleet.counters(Duration::from_secs(5))?;
     let seconds = (fleet.now() - fleet.routers[routers - 1].started_ns) as f64 / 1e9;
@@ -228,14 +232,14 @@
 
 /// The same machines for many routers in stepped time.
 fn stepped(routers: u32, seed: u64) -> Value {
-    let terms = Terms { routers, longest_ns: 2 * SECOND_NS, ..Terms::default() };
+    let terms = Terms { routers, max_request_ns: 2 * SECOND_NS, ..Terms::default() };
     let units = routers * UNITS_EACH as u32;
     let kinds = [
         ("concurrency", Kind::Concurrency { at_once: units }),
         ("rate", Kind::Rate { per_s: f64::from(units), burst: units }),
     ];
     let told = kinds.map(|(name, kind)| {
-        let limit = Limit { name: name.into(), whom: String::new(), kind, mode: Mode::Strict };
+        let limit = Limit { name: name.into(), subject: String::new(), kind, mode: Mode::Strict };
         let mut fleet = loans::Fleet::new(limit, terms, 0.01, seed);
         fleet.tell_reachable();
         fleet.routers[3].demand = f64::from(units) * 2.0;
@@ -267,7 +271,7 @@
 fn alone() -> Value {
     let rate = |name: &str| Limit {
         name: name.into(),
-        whom: String::new(),
+        subject: String::new(),
         kind: Kind::Rate { per_s: 1e9, burst: 1_000_000 },
         mode: Mode::Strict,
     };
@@ -287,7 +291,7 @@
     let before = crate::HEAP.current_usage();
     let client = Limit {
         name: "client".into(),
-        whom: "client".into(),
+        subject: "client".into(),
         kind: Kind::Rate { per_s: 10.0, burst: 20 },
         mode: Mode::Strict,
     };
@@ -298,7 +302,7 @@
         }
     }
     let bytes = crate::HEAP.current_usage().saturating_sub(before);
-    json!({"check_ns": check_ns, "admitted": admitted, "bytes_100k_keys": bytes, "tracked": node.tracked()})
+    json!({"check_ns": check_ns, "admitted": admitted, "bytes_100k_keys": bytes, "tracked": node.tracked_keys()})
 }
 
 /// Processor time of an idle router a second, with the fleet and without (us).
--- a/crates/limits/src/escrow.rs
+++ b/crates/limits/src/escrow.rs
@@ -1,270 +1,283 @@
-//! One router's units of one key: what it owns, has lent and has borrowed.
+//! Units of one key on one router: owned, leased out to peers, and leased in from peers.
 //!
-//! A borrower asks to hold so many of an owner's units, under a number that grows with each ask. It holds what it was granted
-//! from when it asked until a lease later by its own clock; an owner keeps them unused from when the ask came until
-//! [`Terms::lender_ns`] later by its own, which is longer by any two clocks. Answers and asks may be lost, doubled, late and out
-//! of order: an owner hears each number once and no older one, a borrower takes an answer for at most what it has asked for
-//! since.
+//! A holder requests a number of units from their owner, with a sequence number that increases with
+//! each request. The holder's lease runs from the time of its request by its own clock. The owner
+//! sets the units aside from the arrival of the request for [`Terms::owner_lease_ns`] by its own
+//! clock, which is longer for any two clocks within the drift. Messages may be lost, duplicated,
+//! delayed and reordered: an owner accepts only increasing sequence numbers, and a holder caps a
+//! grant at the smallest amount requested since.
 
 use std::collections::BTreeMap;
 
 use crate::terms::Terms;
 
-/// Asks whose answers are waited for (count): older ones are not worth an answer any more.
-const ASKED_MOST: usize = 8;
+/// Requests that may still be answered. Grants for older ones are ignored.
+const MAX_PENDING_REQUESTS: usize = 8;
 
-/// A router: its number, and when it started by whatever clock, larger with each start.
+/// A router and its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Peer {
-    /// Its number.
+    /// Number of the router in the fleet.
     pub number: u32,
-    /// Which of its lives.
+    /// Incarnation of the process: increases with each start.
     pub life: u64,
 }
 
-/// Units of one owner that one borrower may hold, and until when (ns): one of these at most at a time, so that the largest
-/// counts. Both sides keep such a list of the same loan.
+/// Leases of the same units as pairs of units and expiry (ns). At most one of them is in effect, so
+/// the largest counts. Owner and holder each store such a set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Holdings(Vec<(u32, u64)>);
+struct LeaseSet(Vec<(u32, u64)>);
 
-impl Holdings {
-    /// The most that is held by any that lasts past `now` (count).
+impl LeaseSet {
+    /// Largest number of units of any lease that expires after `now`.
     fn units(&self, now: u64) -> u32 {
         self.0.iter().filter(|(_, until)| now < *until).map(|(units, _)| *units).max().unwrap_or(0)
     }
 
     fn add(&mut self, units: u32, until: u64) {
-        // What lasts no longer and is no more says nothing further.
+        // Leases that are no larger and expire no later are redundant.
         self.0.retain(|(held, to)| *held > units || *to > until);
         if units > 0 {
             self.0.push((units, until));
         }
     }
 
-    /// No more than so many are held from here on.
-    fn cut(&mut self, units: u32) {
+    /// Caps all leases at `units`.
+    fn reduce_to(&mut self, units: u32) {
         self.0.iter_mut().for_each(|(held, _)| *held = (*held).min(units));
         self.0.retain(|(held, _)| *held > 0);
     }
 
-    fn pass(&mut self, now: u64) {
+    fn expire(&mut self, now: u64) {
         self.0.retain(|(_, until)| now < *until);
     }
 }
 
-/// What a borrower may hold of ours.
+/// Units leased to one holder.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Lent {
-    holdings: Holdings,
-    heard: u64,
+struct LeasedOut {
+    leases: LeaseSet,
+    last_request: u64,
 }
 
-/// What we hold of an owner's. Past its end nothing more is admitted on it, while what was admitted goes on: it covers that
-/// until it has run out.
+/// Units leased from one owner. After expiry they admit nothing more, but cover earlier admissions
+/// until these have drained.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Borrowed {
-    /// Until when units may be used, by our clock.
-    usable: Holdings,
-    /// Until when they cover what was admitted on them.
-    covering: Holdings,
-    /// Asks that may still be answered: number, when, how many units.
-    asked: Vec<(u64, u64, u32)>,
-    /// The last ask has been answered.
-    settled: bool,
-    /// The owner's life that is believed.
+struct LeasedIn {
+    /// Leases that admit requests, with expiry by the local clock.
+    usable: LeaseSet,
+    /// Leases that cover admissions, with the time by which these have drained.
+    covering: LeaseSet,
+    /// Requests that may still be answered: sequence number, time sent (ns), units.
+    pending: Vec<(u64, u64, u32)>,
+    /// The latest request has been answered.
+    confirmed: bool,
+    /// Latest known incarnation of the owner. Grants of earlier ones are ignored.
     life: u64,
 }
 
-/// One router's units of one key.
+/// Units of one key on one router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Escrow {
     owned: u32,
-    lent: BTreeMap<Peer, Lent>,
-    borrowed: BTreeMap<u32, Borrowed>,
-    /// What an owner of an earlier life of ours can't know: all is lent until then (ns).
-    quiet_until_ns: u64,
+    leased_out: BTreeMap<Peer, LeasedOut>,
+    leased_in: BTreeMap<u32, LeasedIn>,
+    /// End of the grace period (ns). Until then all owned units count as leased out, because a
+    /// previous incarnation may have leased them.
+    grace_until_ns: u64,
 }
 
 impl Escrow {
-    /// So many units of its own; they count as lent until `quiet_until_ns`.
-    pub fn new(owned: u32, quiet_until_ns: u64) -> Escrow {
-        Escrow { owned, quiet_until_ns, ..Escrow::default() }
+    /// Creates an escrow of `owned` units that count as leased out until `grace_until_ns`.
+    pub fn new(owned: u32, grace_until_ns: u64) -> Escrow {
+        Escrow { owned, grace_until_ns, ..Escrow::default() }
     }
 
-    /// Everybody has said what it holds: the units count as lent no longer.
-    pub fn end_quiet(&mut self, at_ns: u64) {
-        self.quiet_until_ns = self.quiet_until_ns.min(at_ns);
+    /// Ends the grace period at `at_ns`, once all peers have reported their leases.
+    pub fn end_grace(&mut self, at_ns: u64) {
+        self.grace_until_ns = self.grace_until_ns.min(at_ns);
     }
 
-    /// The limit has another size from here on, of which so many units are owned. What was lent stays lent by the old size; where
-    /// a unit is worth another amount by the new one (`worth`), nothing is used or lent until that is over. Nothing more is
-    /// admitted on what is borrowed.
-    pub fn resize(&mut self, now: u64, owned: u32, worth: bool) {
-        self.pass(now);
+    /// Changes the number of owned units after a change of the limit. Existing leases keep the old
+    /// size until they expire, and units leased in admit nothing more. If `unit_value_changed`, a
+    /// unit is worth a different amount than before, and owned units are neither used nor leased
+    /// until all existing leases have expired.
+    pub fn resize(&mut self, now: u64, owned: u32, unit_value_changed: bool) {
+        self.expire(now);
         self.owned = owned;
-        for borrowed in self.borrowed.values_mut() {
-            borrowed.usable.cut(0);
-            // Answers that are still on their way speak of the old size.
-            borrowed.asked.clear();
-            borrowed.settled = true;
+        for leased_in in self.leased_in.values_mut() {
+            leased_in.usable.reduce_to(0);
+            // Grants in transit are for the old size.
+            leased_in.pending.clear();
+            leased_in.confirmed = true;
         }
-        if worth {
-            self.hold_back(
-                self.lent.values().flat_map(|l| &l.holdings.0).map(|(_, until)| *until).max().unwrap_or(0),
+        if unit_value_changed {
+            self.extend_grace(
+                self.leased_out
+                    .values()
+                    .flat_map(|l| &l.leases.0)
+                    .map(|(_, until)| *until)
+                    .max()
+                    .unwrap_or(0),
             );
         }
     }
 
-    /// Nothing of its own is used or lent before then (ns).
-    pub fn hold_back(&mut self, until_ns: u64) {
-        self.quiet_until_ns = self.quiet_until_ns.max(until_ns);
+    /// Keeps owned units from being used or leased until `until_ns`.
+    pub fn extend_grace(&mut self, until_ns: u64) {
+        self.grace_until_ns = self.grace_until_ns.max(until_ns);
     }
 
-    /// Passes time: what has run out is forgotten.
-    pub fn pass(&mut self, now: u64) {
-        self.lent.values_mut().for_each(|lent| lent.holdings.pass(now));
-        self.lent.retain(|_, lent| !lent.holdings.0.is_empty());
-        for borrowed in self.borrowed.values_mut() {
-            borrowed.usable.pass(now);
-            borrowed.covering.pass(now);
+    /// Drops leases that have expired by `now`. Call this before reading unit counts.
+    pub fn expire(&mut self, now: u64) {
+        self.leased_out.values_mut().for_each(|leased_out| leased_out.leases.expire(now));
+        self.leased_out.retain(|_, leased_out| !leased_out.leases.0.is_empty());
+        for leased_in in self.leased_in.values_mut() {
+            leased_in.usable.expire(now);
+            leased_in.covering.expire(now);
         }
-        self.borrowed.retain(|_, b| !b.covering.0.is_empty() || !b.settled);
+        self.leased_in.retain(|_, b| !b.covering.0.is_empty() || !b.confirmed);
     }
 
-    /// Own units that nobody else may use from `since` on (count).
-    pub fn own(&self, since: u64) -> u32 {
-        if since < self.quiet_until_ns {
+    /// Owned units that are not leased out at any time from `since` on.
+    pub fn unleased(&self, since: u64) -> u32 {
+        if since < self.grace_until_ns {
             return 0;
         }
-        self.owned.saturating_sub(self.lent_out())
+        self.owned.saturating_sub(self.leased_out())
     }
 
-    /// Units lent (count).
-    pub fn lent_out(&self) -> u32 {
-        self.lent.values().map(|lent| lent.holdings.units(0)).sum()
+    /// Units leased out to peers.
+    pub fn leased_out(&self) -> u32 {
+        self.leased_out.values().map(|leased_out| leased_out.leases.units(0)).sum()
     }
 
-    /// Units borrowed that may be used now (count).
-    pub fn borrowed(&self, now: u64) -> u32 {
-        self.borrowed.values().map(|b| b.usable.units(now)).sum()
+    /// Units leased from peers that are usable at `now`.
+    pub fn leased_in(&self, now: u64) -> u32 {
+        self.leased_in.values().map(|b| b.usable.units(now)).sum()
     }
 
-    /// Units that may be used now (count). Call [`Escrow::pass`] first.
+    /// Units usable at `now`. Call [`Escrow::expire`] first.
     pub fn usable(&self, now: u64) -> u32 {
-        self.own(now) + self.borrowed(now)
+        self.unleased(now) + self.leased_in(now)
     }
 
-    /// Units that could be used all the time from `since` to `now`, where nothing but time passed between (count).
-    pub fn steady(&self, since: u64, now: u64) -> u32 {
-        self.own(since) + self.borrowed(now)
+    /// Units usable throughout `since` to `now`, if nothing else changed in between.
+    pub fn usable_throughout(&self, since: u64, now: u64) -> u32 {
+        self.unleased(since) + self.leased_in(now)
     }
 
-    /// Nothing of it is out, so that it may be forgotten.
-    pub fn is_still(&self, now: u64) -> bool {
-        now >= self.quiet_until_ns && self.lent_out() == 0 && self.borrowed(now) == 0
+    /// Whether the grace period is over and no unit is leased out or in. The key can then be
+    /// evicted.
+    pub fn is_idle(&self, now: u64) -> bool {
+        now >= self.grace_until_ns && self.leased_out() == 0 && self.leased_in(now) == 0
     }
 
-    /// Each owner of which something is held, or to whom a return was not confirmed, and how many units: those past their end
-    /// too while they cover what was admitted on them.
+    /// Owners with an active lease or an unconfirmed return, and the units held of each. Includes
+    /// expired leases that still cover admissions.
     pub fn held(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
-        self.borrowed.iter().map(|(owner, b)| (*owner, b.covering.units(0)))
+        self.leased_in.iter().map(|(owner, b)| (*owner, b.covering.units(0)))
     }
 
-    /// Asks to hold so many of an owner's units, under a number above all before. What is asked for less than is held is
-    /// given up now: nothing may be out on it.
-    pub fn ask(&mut self, now: u64, owner: u32, units: u32, number: u64) {
-        let borrowed = self.borrowed.entry(owner).or_default();
-        borrowed.usable.cut(units);
-        borrowed.covering.cut(units);
-        borrowed.settled = false;
-        borrowed.asked.push((number, now, units));
-        if borrowed.asked.len() > ASKED_MOST {
-            borrowed.asked.remove(0);
+    /// Records a request to hold `units` of an owner's units, under a sequence number above all
+    /// earlier ones. Units beyond `units` are returned immediately, so no admission may rely on
+    /// them.
+    pub fn request(&mut self, now: u64, owner: u32, units: u32, number: u64) {
+        let leased_in = self.leased_in.entry(owner).or_default();
+        leased_in.usable.reduce_to(units);
+        leased_in.covering.reduce_to(units);
+        leased_in.confirmed = false;
+        leased_in.pending.push((number, now, units));
+        if leased_in.pending.len() > MAX_PENDING_REQUESTS {
+            leased_in.pending.remove(0);
         }
     }
 
-    /// An owner's answer to an ask; gives how many were asked for, where the answer counts.
-    pub fn granted(
+    /// Applies an owner's grant. Returns the number of units requested, or `None` if the grant is
+    /// ignored.
+    pub fn apply_grant(
         &mut self,
         now: u64,
         owner: Peer,
         number: u64,
         units: u32,
-        (terms, run_out_ns): (&Terms, u64),
+        (terms, drain_ns): (&Terms, u64),
     ) -> Option<u32> {
-        let borrowed = self.borrowed.get_mut(&owner.number)?;
-        let at = borrowed.asked.iter().position(|(n, ..)| *n == number)?;
-        if owner.life < borrowed.life {
+        let leased_in = self.leased_in.get_mut(&owner.number)?;
+        let at = leased_in.pending.iter().position(|(n, ..)| *n == number)?;
+        if owner.life < leased_in.life {
             return None;
         }
-        let (_, asked_ns, wanted) = borrowed.asked[at];
-        // What was asked for since bounds it: the owner may have heard that first.
-        let most = borrowed.asked[at..].iter().map(|(.., units)| *units).min().unwrap_or(0);
-        borrowed.settled |= at + 1 == borrowed.asked.len();
-        borrowed.life = owner.life;
-        borrowed.asked.drain(..=at);
-        let until = asked_ns.saturating_add(terms.lease_ns);
+        let (_, requested_ns, requested) = leased_in.pending[at];
+        // The owner may have processed a later, smaller request first.
+        let max_units = leased_in.pending[at..].iter().map(|(.., units)| *units).min().unwrap_or(0);
+        leased_in.confirmed |= at + 1 == leased_in.pending.len();
+        leased_in.life = owner.life;
+        leased_in.pending.drain(..=at);
+        let until = requested_ns.saturating_add(terms.lease_ns);
         if now < until {
-            borrowed.usable.add(units.min(most), until);
-            borrowed.covering.add(units.min(most), until.saturating_add(run_out_ns));
+            leased_in.usable.add(units.min(max_units), until);
+            leased_in.covering.add(units.min(max_units), until.saturating_add(drain_ns));
         }
-        Some(wanted)
+        Some(requested)
     }
 
-    /// A borrower asks to hold so many of our units; `keep` are those that we want for ourselves. Gives how many it may hold;
-    /// nothing where the ask is old.
-    pub fn asked(
+    /// Handles a peer's request to hold `units` of the owned units, of which `reserved` are for
+    /// local use. Returns the units granted, or `None` for an outdated request.
+    pub fn handle_request(
         &mut self,
         now: u64,
         (from, number): (Peer, u64),
         units: u32,
-        keep: u32,
-        (terms, run_out_ns): (&Terms, u64),
+        reserved: u32,
+        (terms, drain_ns): (&Terms, u64),
     ) -> Option<u32> {
-        if self.lent.keys().any(|peer| peer.number == from.number && peer.life > from.life) {
+        if self.leased_out.keys().any(|peer| peer.number == from.number && peer.life > from.life) {
             return None;
         }
-        let quiet = now < self.quiet_until_ns;
+        let in_grace = now < self.grace_until_ns;
         let others: u32 =
-            self.lent.iter().filter(|(peer, _)| **peer != from).map(|(_, l)| l.holdings.units(0)).sum();
-        let lent = self.lent.entry(from).or_default();
-        if number <= lent.heard {
+            self.leased_out.iter().filter(|(peer, _)| **peer != from).map(|(_, l)| l.leases.units(0)).sum();
+        let leased_out = self.leased_out.entry(from).or_default();
+        if number <= leased_out.last_request {
             return None;
         }
-        lent.heard = number;
-        // It has stopped using what it does not ask for.
-        lent.holdings.cut(units);
-        let free = if quiet { 0 } else { self.owned.saturating_sub(others.saturating_add(keep)) };
+        leased_out.last_request = number;
+        // The holder has already returned units beyond its request.
+        leased_out.leases.reduce_to(units);
+        let free = if in_grace { 0 } else { self.owned.saturating_sub(others.saturating_add(reserved)) };
         let granted = units.min(free);
-        lent.holdings.add(granted, now.saturating_add(terms.lender_ns()).saturating_add(run_out_ns));
+        leased_out.leases.add(granted, now.saturating_add(terms.owner_lease_ns()).saturating_add(drain_ns));
         Some(granted)
     }
 
-    /// A later life of a peer was heard: what its earlier lives hold is over once what they had out has run on.
-    pub fn outlived(&mut self, by: Peer, until_ns: u64) {
-        let earlier = |peer: &Peer| peer.number == by.number && peer.life < by.life;
-        for (_, lent) in self.lent.iter_mut().filter(|(peer, _)| earlier(peer)) {
-            lent.holdings.0.iter_mut().for_each(|(_, until)| *until = (*until).min(until_ns));
+    /// Shortens the leases of earlier incarnations of a restarted peer to `until_ns`, when their
+    /// remaining requests have ended.
+    pub fn expire_earlier_lives(&mut self, restarted: Peer, until_ns: u64) {
+        let earlier = |peer: &Peer| peer.number == restarted.number && peer.life < restarted.life;
+        for (_, leased_out) in self.leased_out.iter_mut().filter(|(peer, _)| earlier(peer)) {
+            leased_out.leases.0.iter_mut().for_each(|(_, until)| *until = (*until).min(until_ns));
         }
     }
 
-    /// What is held of an owner that has started again and asks: units, and for how long they still cover what is out (ns).
-    /// Answers of its earlier lives are believed no longer.
-    pub fn told(&mut self, now: u64, owner: Peer) -> Vec<(u32, u64)> {
-        let Some(borrowed) = self.borrowed.get_mut(&owner.number) else { return Vec::new() };
-        if owner.life > borrowed.life {
-            borrowed.life = owner.life;
-            // An answer that is still on its way was given by the earlier life.
-            borrowed.asked.clear();
-            borrowed.settled = true;
+    /// Units held of a restarted owner, with the time for which they still cover admissions (ns).
+    /// Grants of the owner's earlier incarnations are ignored from here on.
+    pub fn held_from(&mut self, now: u64, owner: Peer) -> Vec<(u32, u64)> {
+        let Some(leased_in) = self.leased_in.get_mut(&owner.number) else { return Vec::new() };
+        if owner.life > leased_in.life {
+            leased_in.life = owner.life;
+            // Grants in transit are from the earlier incarnation.
+            leased_in.pending.clear();
+            leased_in.confirmed = true;
         }
-        let left = |(units, until): &(u32, u64)| (*until > now).then(|| (*units, until - now));
-        borrowed.covering.0.iter().filter_map(left).collect()
+        let remaining = |(units, until): &(u32, u64)| (*until > now).then(|| (*units, until - now));
+        leased_in.covering.0.iter().filter_map(remaining).collect()
     }
 
-    /// A peer says that it holds units of ours, lent by an earlier life, for so long still by its clock (ns).
-    pub fn holds(&mut self, now: u64, from: Peer, units: u32, left_ns: u64, terms: &Terms) {
-        let left = terms.by_any_clock(left_ns);
-        self.lent.entry(from).or_default().holdings.add(units, now.saturating_add(left));
+    /// Restores a lease from a peer's report. It was granted by an earlier incarnation of this
+    /// router and has `left_ns` left by the peer's clock.
+    pub fn restore_lease(&mut self, now: u64, from: Peer, units: u32, left_ns: u64, terms: &Terms) {
+        let remaining = terms.peer_ns_upper_bound(left_ns);
+        self.leased_out.entry(from).or_default().leases.add(units, now.saturating_add(remaining));
     }
 }
--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -1,5 +1,6 @@
-//! Loans between routers as a model that is searched whole: two routers, one key, messages that are lost, doubled, late and out
-//! of order, deaths and restarts at any moment. It calls the crate's own transitions.
+//! Exhaustive model check of leases between two routers and one key. Messages are lost, duplicated,
+//! delayed and reordered, and routers restart at any time. The model runs the crate's own
+//! transitions.
 
 use std::collections::BTreeSet;
 
@@ -7,26 +8,26 @@
 use marljunction_limits::Terms;
 use stateright::{Checker, Model, Property};
 
-/// Units of each router, the last moment that is looked at, messages on their way at once.
+/// Units owned by each router, end of the explored time, and maximum messages in transit.
 const OWNED: u32 = 1;
-const LAST: u64 = 6;
-const WIRE_MOST: usize = 2;
-/// Asks and restarts of one router (count).
-const ASKS_MOST: u64 = 2;
-const LIVES_MOST: u64 = 2;
+const LAST_NS: u64 = 6;
+const MAX_IN_TRANSIT: usize = 2;
+/// Maximum requests and starts of one router.
+const MAX_REQUESTS: u64 = 2;
+const MAX_LIVES: u64 = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Said {
-    Ask { number: u64, units: u32 },
+enum Message {
+    Request { number: u64, units: u32 },
     Grant { number: u64, units: u32 },
-    Recall,
-    Holds { life: u64, held: Vec<(u32, u64)> },
+    Query,
+    Report { life: u64, held: Vec<(u32, u64)> },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
     life: u64,
-    asks: u64,
+    requests: u64,
     escrow: Escrow,
 }
 
@@ -34,98 +35,100 @@
 struct Fleet {
     now: u64,
     nodes: [Node; 2],
-    /// To whom, from which life of the other, what. It may be delivered any number of times while it is here.
-    wire: BTreeSet<(usize, u64, Said)>,
+    /// Receiver, incarnation of the sender, message. A message can be delivered repeatedly until it
+    /// is lost.
+    in_transit: BTreeSet<(usize, u64, Message)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    Pass,
-    Ask(usize, u32),
-    Recall(usize),
-    Deliver((usize, u64, Said)),
-    Lose((usize, u64, Said)),
+    Advance,
+    Request(usize, u32),
+    Query(usize),
+    Deliver((usize, u64, Message)),
+    Lose((usize, u64, Message)),
     Restart(usize),
 }
 
-struct Loans {
+struct LeaseModel {
     terms: Terms,
-    /// A router that starts takes its own units for lent.
-    quiet: bool,
+    /// Whether a router starts with a grace period.
+    grace: bool,
 }
 
-impl Loans {
-    fn send(&self, state: &mut Fleet, to: usize, said: Said) {
-        if state.wire.len() < WIRE_MOST {
+impl LeaseModel {
+    fn send(&self, state: &mut Fleet, to: usize, message: Message) {
+        if state.in_transit.len() < MAX_IN_TRANSIT {
             let life = state.nodes[1 - to].life;
-            state.wire.insert((to, life, said));
+            state.in_transit.insert((to, life, message));
         }
     }
 
-    fn deliver(&self, state: &mut Fleet, (to, life, said): (usize, u64, Said)) {
+    fn deliver(&self, state: &mut Fleet, (to, life, message): (usize, u64, Message)) {
         let (now, terms) = (state.now, &self.terms);
         let from = Peer { number: 1 - to as u32, life };
         let node = &mut state.nodes[to];
-        node.escrow.pass(now);
-        match said {
-            Said::Ask { number, units } => {
-                let granted = node.escrow.asked(now, (from, number), units, 0, (terms, 0));
+        node.escrow.expire(now);
+        match message {
+            Message::Request { number, units } => {
+                let granted = node.escrow.handle_request(now, (from, number), units, 0, (terms, 0));
                 if let Some(units) = granted {
-                    self.send(state, 1 - to, Said::Grant { number, units });
+                    self.send(state, 1 - to, Message::Grant { number, units });
                 }
             }
-            Said::Grant { number, units } => {
-                node.escrow.granted(now, from, number, units, (terms, 0));
+            Message::Grant { number, units } => {
+                node.escrow.apply_grant(now, from, number, units, (terms, 0));
             }
-            Said::Recall => {
-                let held = node.escrow.told(now, from);
-                self.send(state, 1 - to, Said::Holds { life, held });
+            Message::Query => {
+                let held = node.escrow.held_from(now, from);
+                self.send(state, 1 - to, Message::Report { life, held });
             }
-            Said::Holds { life, held } if life == node.life => {
-                held.into_iter().for_each(|(units, left)| node.escrow.holds(now, from, units, left, terms));
-                node.escrow.end_quiet(now);
+            Message::Report { life, held } if life == node.life => {
+                held.into_iter()
+                    .for_each(|(units, left)| node.escrow.restore_lease(now, from, units, left, terms));
+                node.escrow.end_grace(now);
             }
-            Said::Holds { .. } => {}
+            Message::Report { .. } => {}
         }
     }
 
     fn usable(state: &Fleet) -> u32 {
         let of = |node: &Node| {
             let mut escrow = node.escrow.clone();
-            escrow.pass(state.now);
+            escrow.expire(state.now);
             escrow.usable(state.now)
         };
         state.nodes.iter().map(of).sum()
     }
 }
 
-impl Model for Loans {
+impl Model for LeaseModel {
     type State = Fleet;
     type Action = Step;
 
     fn init_states(&self) -> Vec<Fleet> {
-        let node = || Node { life: 1, asks: 0, escrow: Escrow::new(OWNED, 0) };
-        vec![Fleet { now: 1, nodes: [node(), node()], wire: BTreeSet::new() }]
+        let node = || Node { life: 1, requests: 0, escrow: Escrow::new(OWNED, 0) };
+        vec![Fleet { now: 1, nodes: [node(), node()], in_transit: BTreeSet::new() }]
     }
 
     fn actions(&self, state: &Fleet, actions: &mut Vec<Step>) {
-        if state.now < LAST {
-            actions.push(Step::Pass);
+        if state.now < LAST_NS {
+            actions.push(Step::Advance);
         }
         for (at, node) in state.nodes.iter().enumerate() {
-            // One borrows and the other lends; the other way is the same.
-            if at == 1 && node.asks < ASKS_MOST && state.wire.len() < WIRE_MOST {
-                actions.extend((0..=OWNED).map(|units| Step::Ask(at, units)));
+            // Only router 1 requests units; the opposite case is symmetric.
+            if at == 1 && node.requests < MAX_REQUESTS && state.in_transit.len() < MAX_IN_TRANSIT {
+                actions.extend((0..=OWNED).map(|units| Step::Request(at, units)));
             }
-            if node.life > 1 && state.wire.len() < WIRE_MOST {
-                actions.push(Step::Recall(at));
+            if node.life > 1 && state.in_transit.len() < MAX_IN_TRANSIT {
+                actions.push(Step::Query(at));
             }
-            // One that dies is enough: the other only ever sees it by messages.
-            if at == 0 && node.life < LIVES_MOST {
+            // Only router 0 restarts, as the other one observes restarts only through messages.
+            if at == 0 && node.life < MAX_LIVES {
                 actions.push(Step::Restart(at));
             }
         }
-        for message in &state.wire {
+        for message in &state.in_transit {
             actions.push(Step::Deliver(message.clone()));
             actions.push(Step::Lose(message.clone()));
         }
@@ -134,34 +137,34 @@
     fn next_state(&self, last: &Fleet, step: Step) -> Option<Fleet> {
         let mut state = last.clone();
         match step {
-            Step::Pass => state.now += 1,
-            Step::Ask(at, units) => {
+            Step::Advance => state.now += 1,
+            Step::Request(at, units) => {
                 let node = &mut state.nodes[at];
-                node.asks += 1;
-                // Numbers outlast a life nowhere: a new one begins behind the old.
-                let number = node.asks;
-                node.escrow.pass(last.now);
-                node.escrow.ask(last.now, 1 - at as u32, units, number);
-                self.send(&mut state, 1 - at, Said::Ask { number, units });
+                node.requests += 1;
+                // Sequence numbers continue after a restart.
+                let number = node.requests;
+                node.escrow.expire(last.now);
+                node.escrow.request(last.now, 1 - at as u32, units, number);
+                self.send(&mut state, 1 - at, Message::Request { number, units });
             }
-            Step::Recall(at) => self.send(&mut state, 1 - at, Said::Recall),
+            Step::Query(at) => self.send(&mut state, 1 - at, Message::Query),
             Step::Deliver(message) => self.deliver(&mut state, message),
-            Step::Lose(message) => drop(state.wire.remove(&message)),
+            Step::Lose(message) => drop(state.in_transit.remove(&message)),
             Step::Restart(at) => {
-                let quiet = if self.quiet { last.now + self.terms.lender_ns() } else { 0 };
+                let grace = if self.grace { last.now + self.terms.owner_lease_ns() } else { 0 };
                 let life = state.nodes[at].life + 1;
                 state.nodes[at] =
-                    Node { life, asks: state.nodes[at].asks, escrow: Escrow::new(OWNED, quiet) };
+                    Node { life, requests: state.nodes[at].requests, escrow: Escrow::new(OWNED, grace) };
             }
         }
         Some(state)
     }
 
-    fn properties(&self) -> Vec<Property<Loans>> {
+    fn properties(&self) -> Vec<Property<LeaseModel>> {
         vec![
-            Property::always("never over", |_, state| Loans::usable(state) <= 2 * OWNED),
-            Property::sometimes("one uses all", |_, state: &Fleet| {
-                state.nodes.iter().any(|node| node.escrow.borrowed(state.now) == OWNED)
+            Property::always("limit not exceeded", |_, state| LeaseModel::usable(state) <= 2 * OWNED),
+            Property::sometimes("one router uses all units", |_, state: &Fleet| {
+                state.nodes.iter().any(|node| node.escrow.leased_in(state.now) == OWNED)
             }),
         ]
     }
@@ -172,20 +175,28 @@
 }
 
 #[test]
-fn no_two_routers_ever_use_one_unit() {
-    let checker = Loans { terms: terms(0.0), quiet: true }.checker().threads(2).spawn_bfs().join();
-    println!("{} states, {} of them different", checker.state_count(), checker.unique_state_count());
+fn no_unit_is_ever_used_by_two_routers() {
+    let checker = LeaseModel { terms: terms(0.0), grace: true }.checker().threads(2).spawn_bfs().join();
+    println!("{} states, {} of them unique", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000);
 }
 
 #[test]
-fn the_model_goes_over_without_either_guard() {
-    // An owner that takes a unit back before its borrower must be done with it.
-    let short = Terms { drift: -0.99, ..terms(0.0) };
-    let early = Loans { terms: short, quiet: true }.checker().threads(2).spawn_bfs().join();
-    assert!(early.discovery("never over").is_some(), "an owner that forgets its loans early");
-    // A router that starts and uses what its last life lent.
-    let loud = Loans { terms: terms(0.0), quiet: false }.checker().threads(2).spawn_bfs().join();
-    assert!(loud.discovery("never over").is_some(), "an owner that starts without waiting");
+fn model_finds_violations_without_lease_margin_or_grace_period() {
+    // The owner reclaims units before the holder's lease has expired.
+    let short_owner_lease = Terms { drift: -0.99, ..terms(0.0) };
+    let early_reclaim =
+        LeaseModel { terms: short_owner_lease, grace: true }.checker().threads(2).spawn_bfs().join();
+    assert!(
+        early_reclaim.discovery("limit not exceeded").is_some(),
+        "early reclaim by the owner was not detected"
+    );
+    // A router uses units right after a restart that its previous incarnation had leased out.
+    let without_grace =
+        LeaseModel { terms: terms(0.0), grace: false }.checker().threads(2).spawn_bfs().join();
+    assert!(
+        without_grace.discovery("limit not exceeded").is_some(),
+        "start without a grace period was not detected"
+    );
 }
--- a/crates/peers/src/members.rs
+++ b/crates/peers/src/members.rs
@@ -1,4 +1,4 @@
-//! Membership: who is there. SWIM by a library, with time and datagrams passed in and out.
+//! Membership by SWIM. Time and datagrams are passed in and out.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -13,36 +13,36 @@
 use rand_for_foca::rngs::SmallRng;
 use rand_for_foca::SeedableRng;
 
-use crate::seal::{Keys, Kind, Spoilt, CONTENT_MOST, SPOILT};
-use crate::who::Who;
+use crate::datagram::{Keys, Kind, RejectReason, MAX_CONTENT_BYTES, REJECT_REASONS};
+use crate::identity::PeerIdentity;
 
-/// How often seeds that are not known to be there are asked to let this router join (ns).
-const JOIN_NS: u64 = 1_000_000_000;
-/// Peers that are kept at most (count), for each router that there is: those that were replaced are remembered for a while.
+/// Interval at which unreachable seeds are sent a join request.
+const JOIN_INTERVAL_NS: u64 = 1_000_000_000;
+/// Tracked peers per router of the fleet. Replaced incarnations are remembered for a while.
 const PEERS_PER_ROUTER: usize = 2;
-/// Timers that may be set at most (count), for each peer that may be kept: beyond these the farthest give way.
+/// Timers per tracked peer. Beyond the bound the latest timers are dropped.
 const TIMERS_PER_PEER: usize = 4;
-/// Bounds of a small fleet, and of one whose count of routers is not known (count).
+/// Lower bounds, for small fleets and for fleets of unknown size.
 const MIN_MAX_PEERS: usize = 2_000;
 const MIN_MAX_TIMERS: usize = 20_000;
 
-/// A router that comes back so often (count) within this time (ns) has a name that another has too: one that was cut off or
-/// stood still comes back once, and its peers believe that.
-const RETURNS: usize = 4;
-const RETURNS_NS: u64 = 20_000_000_000;
+/// Rejoins within the window that indicate a duplicate name. A router that was partitioned or
+/// suspended rejoins only once.
+const DUPLICATE_NAME_REJOINS: usize = 4;
+const DUPLICATE_NAME_WINDOW_NS: u64 = 20_000_000_000;
 
-/// How membership is set up.
+/// Membership configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Routers that there are, about: news spreads by it.
+    /// Approximate number of routers.
     pub routers: u32,
-    /// How often one peer is looked at (ns).
-    pub probe_ns: u64,
-    /// How long an answer may take, over others too (ns): less than the above.
-    pub answer_ns: u64,
-    /// How long a peer that did not answer may still say that it is there (ns).
-    pub suspect_ns: u64,
-    /// Where routers may be found that know others.
+    /// Interval between probes.
+    pub probe_interval_ns: u64,
+    /// Timeout of a probe, including indirect probes. Must be less than the interval.
+    pub probe_timeout_ns: u64,
+    /// How long a suspected peer may refute the suspicion.
+    pub suspicion_timeout_ns: u64,
+    /// Addresses of routers to join through.
     pub seeds: Vec<SocketAddr>,
 }
 
@@ -50,28 +50,29 @@
     fn default() -> Self {
         Settings {
             routers: 1,
-            probe_ns: 500_000_000,
-            answer_ns: 200_000_000,
-            suspect_ns: 1_500_000_000,
+            probe_interval_ns: 500_000_000,
+            probe_timeout_ns: 200_000_000,
+            suspicion_timeout_ns: 1_500_000_000,
             seeds: Vec::new(),
         }
     }
 }
 
 impl Settings {
-    /// A peer that is gone is looked at by this one at the latest after as many looks as there are peers, and then counts as
-    /// gone once it was suspected for long enough (ns). Others look too, so that it is mostly known far sooner.
-    pub fn detect_at_most_ns(&self) -> u64 {
-        let looks = 2 * u64::from(self.routers.max(2) - 1);
-        looks * self.probe_ns + self.probe_ns + self.suspect_ns
+    /// Upper bound on the time until a crashed peer is declared down (ns): this router probes every
+    /// peer in turn, and the suspicion has to time out. Probes of other routers usually detect the
+    /// crash much sooner.
+    pub fn max_detection_ns(&self) -> u64 {
+        let probes = 2 * u64::from(self.routers.max(2) - 1);
+        probes * self.probe_interval_ns + self.probe_interval_ns + self.suspicion_timeout_ns
     }
 
-    /// Peers that are kept at most (count): what datagrams can make this router remember.
+    /// Maximum number of tracked peers. Bounds the memory that datagrams can occupy.
     pub fn max_peers(&self) -> usize {
         (self.routers as usize).saturating_mul(PEERS_PER_ROUTER).max(MIN_MAX_PEERS)
     }
 
-    /// Timers that may be set at most (count).
+    /// Maximum number of pending timers.
     pub fn max_timers(&self) -> usize {
         self.max_peers().saturating_mul(TIMERS_PER_PEER).max(MIN_MAX_TIMERS)
     }
@@ -82,13 +83,13 @@
             Some(PeriodicParams { frequency: Duration::from_nanos(ns), num_members })
         };
         Config {
-            probe_period: Duration::from_nanos(self.probe_ns),
-            probe_rtt: Duration::from_nanos(self.answer_ns),
+            probe_period: Duration::from_nanos(self.probe_interval_ns),
+            probe_rtt: Duration::from_nanos(self.probe_timeout_ns),
             num_indirect_probes: NonZeroUsize::new(3).unwrap_or(NonZeroUsize::MIN),
             max_transmissions: NonZeroU8::new(12).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: Duration::from_nanos(self.suspect_ns),
+            suspect_to_down_after: Duration::from_nanos(self.suspicion_timeout_ns),
             remove_down_after: Duration::from_secs(60),
-            max_packet_size: NonZeroUsize::new(CONTENT_MOST).unwrap_or(NonZeroUsize::MIN),
+            max_packet_size: NonZeroUsize::new(MAX_CONTENT_BYTES).unwrap_or(NonZeroUsize::MIN),
             notify_down_members: true,
             periodic_announce: every(10_000_000_000, 1),
             periodic_announce_to_down_members: every(2_000_000_000, 2),
@@ -97,140 +98,151 @@
     }
 }
 
-/// Messages as MessagePack.
+/// Encodes messages as MessagePack.
 #[derive(Clone, Copy, Debug)]
-struct Pack;
+struct MessagePackCodec;
 
-/// Why a message can't be packed or unpacked.
+/// Encoding or decoding of a message failed.
 #[derive(Debug)]
-pub struct Unreadable(String);
+pub struct CodecError(String);
 
-impl std::fmt::Display for Unreadable {
+impl std::fmt::Display for CodecError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for CodecError {}
 
-fn pack(value: &impl serde::Serialize, buffer: impl BufMut) -> Result<(), Unreadable> {
-    rmp_serde::encode::write(&mut buffer.writer(), value).map_err(|e| Unreadable(e.to_string()))
+fn write_msgpack(value: &impl serde::Serialize, buffer: impl BufMut) -> Result<(), CodecError> {
+    rmp_serde::encode::write(&mut buffer.writer(), value).map_err(|e| CodecError(e.to_string()))
 }
 
-fn unpack<T: serde::de::DeserializeOwned>(buffer: impl Buf) -> Result<T, Unreadable> {
-    rmp_serde::decode::from_read(buffer.reader()).map_err(|e| Unreadable(e.to_string()))
+fn read_msgpack<T: serde::de::DeserializeOwned>(buffer: impl Buf) -> Result<T, CodecError> {
+    rmp_serde::decode::from_read(buffer.reader()).map_err(|e| CodecError(e.to_string()))
 }
 
-/// Who said what. Of the list it stands behind its sender as it is: as a value of its own it would take half as much again.
-fn unpack_said(kind: Kind, mut content: &[u8]) -> Result<(Who, Vec<u8>), Unreadable> {
+/// Splits a payload from its sender's identity. A list payload follows the identity as raw bytes,
+/// because MessagePack would encode it as an array of numbers and take half as much space again.
+fn decode_payload(kind: Kind, mut content: &[u8]) -> Result<(PeerIdentity, Vec<u8>), CodecError> {
     match kind {
         Kind::List => {
-            let from = unpack::<Who>(&mut content)?;
+            let from = read_msgpack::<PeerIdentity>(&mut content)?;
             Ok((from, content.to_vec()))
         }
-        _ => unpack::<(Who, Vec<u8>)>(content),
+        _ => read_msgpack::<(PeerIdentity, Vec<u8>)>(content),
     }
 }
 
-impl Codec<Who> for Pack {
-    type Error = Unreadable;
+impl Codec<PeerIdentity> for MessagePackCodec {
+    type Error = CodecError;
 
-    fn encode_header(&mut self, header: &Header<Who>, buffer: impl BufMut) -> Result<(), Unreadable> {
-        pack(header, buffer)
+    fn encode_header(
+        &mut self,
+        header: &Header<PeerIdentity>,
+        buffer: impl BufMut,
+    ) -> Result<(), CodecError> {
+        write_msgpack(header, buffer)
     }
 
-    fn decode_header(&mut self, buffer: impl Buf) -> Result<Header<Who>, Unreadable> {
-        unpack(buffer)
+    fn decode_header(&mut self, buffer: impl Buf) -> Result<Header<PeerIdentity>, CodecError> {
+        read_msgpack(buffer)
     }
 
-    fn encode_member(&mut self, member: &Member<Who>, buffer: impl BufMut) -> Result<(), Unreadable> {
-        pack(member, buffer)
+    fn encode_member(
+        &mut self,
+        member: &Member<PeerIdentity>,
+        buffer: impl BufMut,
+    ) -> Result<(), CodecError> {
+        write_msgpack(member, buffer)
     }
 
-    fn decode_member(&mut self, buffer: impl Buf) -> Result<Member<Who>, Unreadable> {
-        unpack(buffer)
+    fn decode_member(&mut self, buffer: impl Buf) -> Result<Member<PeerIdentity>, CodecError> {
+        read_msgpack(buffer)
     }
 }
 
-/// What became known.
+/// A change of membership, or a payload.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A peer is there.
-    Up(Who),
-    /// A peer is gone, or can't be reached.
-    Down(Who),
-    /// A peer has started again under its name: the earlier life, and this one.
-    Again(Who, Who),
-    /// Peers take this router for gone again and again, though it tells them that it is there: another has its name.
-    SameName,
-    /// Another router has this one's number under a name of its own.
-    SameNumber(Who),
-    /// What a peer says of limits, of engines or of the list.
-    Said(Who, Kind, Vec<u8>),
+    /// A peer is reachable.
+    Up(PeerIdentity),
+    /// A peer is down or unreachable.
+    Down(PeerIdentity),
+    /// A peer has restarted under its name: its earlier identity and its new one.
+    Restarted(PeerIdentity, PeerIdentity),
+    /// Peers repeatedly declare this router down although it refutes that: another router has its
+    /// name.
+    DuplicateName,
+    /// A router with another name has this router's number.
+    DuplicateNumber(PeerIdentity),
+    /// A payload from a peer.
+    Payload(PeerIdentity, Kind, Vec<u8>),
 }
 
-/// A router's view of its peers.
+/// One router's view of its peers.
 pub struct Members {
-    foca: Foca<Who, Pack, SmallRng, NoCustomBroadcast>,
+    foca: Foca<PeerIdentity, MessagePackCodec, SmallRng, NoCustomBroadcast>,
     keys: Keys,
     seeds: Vec<SocketAddr>,
-    timers: BTreeMap<(u64, u64), Timer<Who>>,
-    /// Peers and timers that are kept at most (count).
+    timers: BTreeMap<(u64, u64), Timer<PeerIdentity>>,
     max_peers: usize,
     max_timers: usize,
-    serial: u64,
-    joined_ns: u64,
-    up: BTreeMap<String, Who>,
+    sequence: u64,
+    last_join_ns: u64,
+    up: BTreeMap<String, PeerIdentity>,
     out: Vec<(SocketAddr, Vec<u8>)>,
     events: Vec<Event>,
-    spoilt: BTreeMap<Spoilt, u64>,
+    rejected_datagrams: BTreeMap<RejectReason, u64>,
     sent: (u64, u64),
-    /// When peers last took this router for gone (ns), as often as tells of another with its name.
-    returns: VecDeque<u64>,
-    told_ns: Option<u64>,
+    /// Times of the latest rejoins of this router (ns), for the detection of a duplicate name.
+    rejoins_ns: VecDeque<u64>,
+    duplicate_name_reported_ns: Option<u64>,
 }
 
 impl Members {
-    /// A router that knows nobody yet.
-    pub fn new(me: Who, keys: Keys, settings: &Settings, seed: u64) -> Members {
+    /// Creates a view without peers.
+    pub fn new(me: PeerIdentity, keys: Keys, settings: &Settings, seed: u64) -> Members {
         let seeds = settings.seeds.iter().copied().filter(|at| *at != me.address).collect();
         Members {
-            foca: Foca::new(me, settings.config(), SmallRng::seed_from_u64(seed), Pack),
+            foca: Foca::new(me, settings.config(), SmallRng::seed_from_u64(seed), MessagePackCodec),
             keys,
             seeds,
             timers: BTreeMap::new(),
             max_peers: settings.max_peers(),
             max_timers: settings.max_timers(),
-            serial: 0,
-            joined_ns: 0,
+            sequence: 0,
+            last_join_ns: 0,
             up: BTreeMap::new(),
             out: Vec::new(),
             events: Vec::new(),
-            spoilt: BTreeMap::new(),
+            rejected_datagrams: BTreeMap::new(),
             sent: (0, 0),
-            returns: VecDeque::new(),
-            told_ns: None,
+            rejoins_ns: VecDeque::new(),
+            duplicate_name_reported_ns: None,
         }
     }
 
-    /// Who this router is to its peers.
-    pub fn me(&self) -> &Who {
+    /// This router's identity.
+    pub fn me(&self) -> &PeerIdentity {
         self.foca.identity()
     }
 
-    /// Seals with other keys from here on.
+    /// Replaces the keys.
     pub fn set_keys(&mut self, keys: Keys) {
         self.keys = keys;
     }
 
-    /// Peers that are there.
-    pub fn up(&self) -> impl Iterator<Item = &Who> {
+    /// Reachable peers.
+    pub fn up(&self) -> impl Iterator<Item = &PeerIdentity> {
         self.up.values()
     }
 
-    /// Datagrams that were passed over, by why.
-    pub fn spoilt(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
-        SPOILT.iter().map(|(why, name)| (*name, self.spoilt.get(why).copied().unwrap_or(0)))
+    /// Rejected datagrams by reason.
+    pub fn rejected_datagrams(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+        REJECT_REASONS
+            .iter()
+            .map(|(reason, name)| (*name, self.rejected_datagrams.get(reason).copied().unwrap_or(0)))
     }
 
     /// Datagrams sent, and their bytes.
@@ -238,19 +250,19 @@
         self.sent
     }
 
-    /// When it has something to do next (ns).
+    /// Time of the next timer (ns).
     pub fn next_due_ns(&self) -> u64 {
-        let join = self.joined_ns + JOIN_NS;
+        let join = self.last_join_ns + JOIN_INTERVAL_NS;
         self.timers.keys().next().map_or(join, |(due, _)| (*due).min(join))
     }
 
-    /// Passes time.
+    /// Advances time.
     pub fn tick(&mut self, now: u64) {
-        if now >= self.joined_ns + JOIN_NS || self.joined_ns == 0 {
-            self.joined_ns = now;
-            let known: Vec<SocketAddr> = self.up.values().map(|who| who.address).collect();
+        if now >= self.last_join_ns + JOIN_INTERVAL_NS || self.last_join_ns == 0 {
+            self.last_join_ns = now;
+            let known: Vec<SocketAddr> = self.up.values().map(|peer| peer.address).collect();
             for seed in self.seeds.clone().into_iter().filter(|seed| !known.contains(seed)) {
-                self.run(now, |foca, runtime| foca.announce(Who::at(seed), runtime));
+                self.run(now, |foca, runtime| foca.announce(PeerIdentity::from_address(seed), runtime));
             }
         }
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
@@ -259,123 +271,128 @@
         }
     }
 
-    /// Takes a datagram.
+    /// Handles a received datagram.
     pub fn hear(&mut self, now: u64, datagram: &[u8]) {
-        match self.keys.open(datagram) {
-            Err(why) => *self.spoilt.entry(why).or_default() += 1,
+        match self.keys.verify(datagram) {
+            Err(reason) => *self.rejected_datagrams.entry(reason).or_default() += 1,
             Ok((Kind::Members, content)) => {
-                // Guards against peers without end: what would add to a full table is passed over.
+                // Rejects membership messages while the table is full, so that it cannot grow
+                // without bound.
                 let full = self.foca.iter_membership_state().len() >= self.max_peers;
-                let heard = !full && self.run(now, |foca, runtime| foca.handle_data(content, runtime));
-                if !heard {
-                    *self.spoilt.entry(Spoilt::Content).or_default() += 1;
+                let handled = !full && self.run(now, |foca, runtime| foca.handle_data(content, runtime));
+                if !handled {
+                    *self.rejected_datagrams.entry(RejectReason::Content).or_default() += 1;
                 }
             }
-            Ok((kind, content)) => match unpack_said(kind, content) {
-                Ok((from, said)) => self.events.push(Event::Said(from, kind, said)),
-                Err(_) => *self.spoilt.entry(Spoilt::Content).or_default() += 1,
+            Ok((kind, content)) => match decode_payload(kind, content) {
+                Ok((from, payload)) => self.events.push(Event::Payload(from, kind, payload)),
+                Err(_) => *self.rejected_datagrams.entry(RejectReason::Content).or_default() += 1,
             },
         }
     }
 
-    /// Says something of limits, engines or the list to a peer; false where it is larger than a datagram may be.
-    pub fn say(&mut self, to: SocketAddr, kind: Kind, said: &[u8]) -> bool {
+    /// Sends a payload to a peer. Returns false if it does not fit into a datagram.
+    pub fn send_payload(&mut self, to: SocketAddr, kind: Kind, payload: &[u8]) -> bool {
         let mut content = Vec::new();
         let packed = match kind {
             Kind::List => {
-                let packed = pack(self.me(), &mut content);
-                content.extend_from_slice(said);
+                let packed = write_msgpack(self.me(), &mut content);
+                content.extend_from_slice(payload);
                 packed
             }
-            _ => pack(&(self.me(), said), &mut content),
+            _ => write_msgpack(&(self.me(), payload), &mut content),
         };
-        let packed = packed.is_ok() && content.len() <= CONTENT_MOST;
+        let packed = packed.is_ok() && content.len() <= MAX_CONTENT_BYTES;
         if packed {
             self.send(to, kind, &content);
         }
         packed
     }
 
-    /// Tells peers that this router leaves.
+    /// Announces that this router leaves.
     pub fn leave(&mut self, now: u64) {
         self.run(now, |foca, runtime| foca.leave_cluster(runtime));
     }
 
-    /// Datagrams to be sent since this was last called, and what became known.
+    /// Takes the datagrams to send and the events since the last call.
     pub fn take(&mut self) -> (Vec<(SocketAddr, Vec<u8>)>, Vec<Event>) {
         (std::mem::take(&mut self.out), std::mem::take(&mut self.events))
     }
 
     fn send(&mut self, to: SocketAddr, kind: Kind, content: &[u8]) {
-        let datagram = self.keys.seal(kind, content);
+        let datagram = self.keys.sign(kind, content);
         self.sent = (self.sent.0 + 1, self.sent.1 + datagram.len() as u64);
         self.out.push((to, datagram));
     }
 
-    /// Lets the library do something, and carries out what it wants; whether it could.
+    /// Runs an operation of the membership library and carries out its effects. Returns whether the
+    /// operation succeeded.
     fn run<E>(
         &mut self,
         now: u64,
-        what: impl FnOnce(
-            &mut Foca<Who, Pack, SmallRng, NoCustomBroadcast>,
-            &mut AccumulatingRuntime<Who>,
+        operation: impl FnOnce(
+            &mut Foca<PeerIdentity, MessagePackCodec, SmallRng, NoCustomBroadcast>,
+            &mut AccumulatingRuntime<PeerIdentity>,
         ) -> Result<(), E>,
     ) -> bool {
         let mut runtime = AccumulatingRuntime::new();
-        let done = what(&mut self.foca, &mut runtime).is_ok();
+        let succeeded = operation(&mut self.foca, &mut runtime).is_ok();
         while let Some((to, content)) = runtime.to_send() {
             self.send(to.address, Kind::Members, &content);
         }
         while let Some((after, timer)) = runtime.to_schedule() {
-            self.serial += 1;
-            self.timers.insert((now.saturating_add(after.as_nanos() as u64), self.serial), timer);
+            self.sequence += 1;
+            self.timers.insert((now.saturating_add(after.as_nanos() as u64), self.sequence), timer);
             if self.timers.len() > self.max_timers {
                 self.timers.pop_last();
             }
         }
-        while let Some(told) = runtime.to_notify() {
-            self.told(now, told);
+        while let Some(notification) = runtime.to_notify() {
+            self.handle_notification(now, notification);
         }
-        done
+        succeeded
     }
 
-    fn told(&mut self, now: u64, told: OwnedNotification<Who>) {
-        match told {
-            OwnedNotification::MemberUp(who) => {
-                if who.number == self.foca.identity().number {
-                    self.events.push(Event::SameNumber(who.clone()));
+    fn handle_notification(&mut self, now: u64, notification: OwnedNotification<PeerIdentity>) {
+        match notification {
+            OwnedNotification::MemberUp(peer) => {
+                if peer.number == self.foca.identity().number {
+                    self.events.push(Event::DuplicateNumber(peer.clone()));
                 }
-                self.up.insert(who.name.clone(), who.clone());
-                self.events.push(Event::Up(who));
+                self.up.insert(peer.name.clone(), peer.clone());
+                self.events.push(Event::Up(peer));
             }
-            OwnedNotification::MemberDown(who) => {
-                // Guards against the end of an earlier life that is told behind the start of the next.
-                let present = self.up.get(&who.name).is_some_and(|now| !now.win_addr_conflict(&who));
+            OwnedNotification::MemberDown(peer) => {
+                // A late notification about an earlier incarnation must not remove the current one.
+                let present = self.up.get(&peer.name).is_some_and(|now| !now.win_addr_conflict(&peer));
                 if present {
-                    self.up.remove(&who.name);
-                    self.events.push(Event::Down(who));
+                    self.up.remove(&peer.name);
+                    self.events.push(Event::Down(peer));
                 }
             }
-            OwnedNotification::Rename(before, who) => {
-                if self.up.contains_key(&who.name) {
-                    self.up.insert(who.name.clone(), who.clone());
+            OwnedNotification::Rename(previous, peer) => {
+                if self.up.contains_key(&peer.name) {
+                    self.up.insert(peer.name.clone(), peer.clone());
                 }
-                if before.life != who.life {
-                    self.events.push(Event::Again(before, who));
+                if previous.life != peer.life {
+                    self.events.push(Event::Restarted(previous, peer));
                 }
             }
             OwnedNotification::Rejoin(_) => {
-                self.returns.push_back(now);
-                if self.returns.len() > RETURNS {
-                    self.returns.pop_front();
+                self.rejoins_ns.push_back(now);
+                if self.rejoins_ns.len() > DUPLICATE_NAME_REJOINS {
+                    self.rejoins_ns.pop_front();
                 }
-                let first = self.returns.front().copied().unwrap_or(now);
-                let often = self.returns.len() == RETURNS && now < first.saturating_add(RETURNS_NS);
-                // Once a while: it goes on for as long as there are two.
-                let quiet = self.told_ns.is_none_or(|at| now >= at.saturating_add(RETURNS_NS));
-                if often && quiet {
-                    self.told_ns = Some(now);
-                    self.events.push(Event::SameName);
+                let first = self.rejoins_ns.front().copied().unwrap_or(now);
+                let is_frequent = self.rejoins_ns.len() == DUPLICATE_NAME_REJOINS
+                    && now < first.saturating_add(DUPLICATE_NAME_WINDOW_NS);
+                // Reported at most once per window while the duplicate exists.
+                let may_report = self
+                    .duplicate_name_reported_ns
+                    .is_none_or(|at| now >= at.saturating_add(DUPLICATE_NAME_WINDOW_NS));
+                if is_frequent && may_report {
+                    self.duplicate_name_reported_ns = Some(now);
+                    self.events.push(Event::DuplicateName);
                 }
             }
             _ => {}
--- a/crates/rig/src/loans.rs
+++ b/crates/rig/src/loans.rs
@@ -147,7 +147,7 @@
 
     /// Ends a router at once; what it had out runs on for a while.
     pub fn kill(&mut self, at: usize) {
-        let run_on = self.now + self.terms.run_on_ns;
+        let run_on = self.now + self.terms.orphan_ns;
         let router = &mut self.routers[at];
         if router.node.take().is_some() {
             self.lingering.extend(router.out.drain(..).map(|(end, _)| end.min(run_on)));
@@ -244,7 +244,7 @@
                 self.admitted += 1;
                 self.level += 1.0;
                 self.sent.push_back(true_now);
-                let lasts = self.draws.gen_range(50 * MS..self.terms.longest_ns);
+                let lasts = self.draws.gen_range(50 * MS..self.terms.max_request_ns);
                 router.out.push((true_now + lasts, ticket));
             }
         }
