--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -31,7 +31,7 @@
     };
     Settings {
         router_count: ROUTERS,
-        router_index: router_index,
+        router_index,
         classes: vec![class],
         kinds: vec![KindSettings { cores: Some(CORES), memory_mb: None }],
         max_attempts: Some(4),
