--- a/crates/core/src/verdicts.rs
+++ b/crates/core/src/verdicts.rs
@@ -4,8 +4,8 @@
 
 use log::info;
 use marljunction_control::interface::{ClassId, EngineEntry, EngineId, EngineState, MembershipKind, Verdict};
-use marljunction_verdicts::witness::Went;
-use marljunction_verdicts::{Judgement, Node};
+use marljunction_verdicts::observer::AttemptOutcome;
+use marljunction_verdicts::{HealthStatus, Node};
 
 use crate::ending::{Ending, Sight};
 
@@ -62,7 +62,7 @@
     /// An attempt is given up: that it is silent is known now, and not once the engine has had its time to be told so.
     pub fn given_up(&mut self, now: u64, engine: EngineId, class: ClassId, sent_ns: u64) {
         if let Some(started) = self.engines.get(&engine) {
-            self.node.ended(now, (engine.0, *started), class.0, sent_ns, Went::Silent);
+            self.node.ended(now, (engine.0, *started), class.0, sent_ns, AttemptOutcome::Silent);
         }
     }
 
@@ -78,11 +78,13 @@
         let soon = |at: u64| now < at.saturating_add(ANSWERED_NS);
         let went = match ending.sight() {
             // The engine answered the call that ends it: else its end is taken for granted later.
-            Sight::Silent if ending == Ending::GivenUp && given_up_ns.is_some_and(soon) => Went::Alive,
-            Sight::Served => Went::Served(now.saturating_sub(sent_ns)),
-            Sight::Silent => Went::Silent,
-            Sight::Spoilt => Went::Spoilt,
-            Sight::Nothing => Went::Nothing,
+            Sight::Silent if ending == Ending::GivenUp && given_up_ns.is_some_and(soon) => {
+                AttemptOutcome::Alive
+            }
+            Sight::Served => AttemptOutcome::Served(now.saturating_sub(sent_ns)),
+            Sight::Silent => AttemptOutcome::Silent,
+            Sight::Spoilt => AttemptOutcome::Spoilt,
+            Sight::Nothing => AttemptOutcome::Nothing,
         };
         self.node.ended(now, (engine.0, *started), class.0, sent_ns, went);
     }
@@ -95,7 +97,7 @@
             counts.news,
             counts.refused,
             counts.suspected,
-            node.words().len(),
+            node.overrides().len(),
             node.evidence().len()
         )
     }
@@ -106,21 +108,21 @@
             return Vec::new();
         }
         self.next_ns = now + JUDGED_NS;
-        let judged = self.node.judged().engines.clone();
-        if judged.is_empty() && self.told.is_empty() {
+        let evaluation = self.node.evaluation().engines.clone();
+        if evaluation.is_empty() && self.told.is_empty() {
             self.again.clear();
             return Vec::new();
         }
-        let verdict = |(engine, judgement): (&u64, &Judgement)| {
+        let verdict = |(engine, judgement): (&u64, &HealthStatus)| {
             let verdict = match judgement {
-                Judgement::Well => Verdict::Well,
-                Judgement::Out if self.node.tries(now, *engine) => Verdict::Trial,
-                Judgement::Out => Verdict::Out,
-                Judgement::Slow(ratio) => Verdict::Slow(*ratio),
+                HealthStatus::Well => Verdict::Well,
+                HealthStatus::Out if self.node.is_prober(now, *engine) => Verdict::Trial,
+                HealthStatus::Out => Verdict::Out,
+                HealthStatus::Slow(ratio) => Verdict::Slow(*ratio),
             };
             (EngineId(*engine), verdict)
         };
-        let now_so: BTreeMap<EngineId, Verdict> = judged.iter().map(verdict).collect();
+        let now_so: BTreeMap<EngineId, Verdict> = evaluation.iter().map(verdict).collect();
         let ended = self.told.keys().filter(|id| !now_so.contains_key(id)).map(|id| (*id, Verdict::Well));
         let mut changed: Vec<(EngineId, Verdict)> = ended.collect();
         let again = std::mem::take(&mut self.again);
--- a/crates/discovery/src/bans.rs
+++ b/crates/discovery/src/bans.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use marljunction_control::interface::{EngineId, EngineState, MembershipKind};
-use marljunction_verdicts::words::well_formed;
+use marljunction_verdicts::overrides::is_valid_engine_name;
 
 use crate::roster::Roster;
 use crate::{engine_id, Change, Target};
@@ -58,7 +58,7 @@
 
     /// Whether a list names an engine now.
     pub fn knows(&self, name: &str) -> bool {
-        well_formed(name) && self.latest(engine_id(name)).is_some()
+        is_valid_engine_name(name) && self.latest(engine_id(name)).is_some()
     }
 
     /// What the lists said last of an engine.
@@ -69,7 +69,7 @@
     /// The whole fleet leaves these engines out: what the module is to be told. An engine that a router's own ban holds too
     /// stays out.
     pub fn set_fleet<'a>(&mut self, names: impl Iterator<Item = &'a str>, now_ns: u64) -> Vec<Change> {
-        let names = names.filter(|n| well_formed(n)).map(|n| (engine_id(n), n.to_owned())).collect();
+        let names = names.filter(|n| is_valid_engine_name(n)).map(|n| (engine_id(n), n.to_owned())).collect();
         let before = std::mem::replace(&mut self.fleet, names);
         let held = |of: &BTreeMap<EngineId, String>, id: &EngineId| of.contains_key(id);
         let new: Vec<EngineId> =
@@ -174,7 +174,7 @@
     /// Makes the bans those of `names`, as another process wrote them: what the module is to be told.
     pub fn adopt<'a>(&mut self, names: impl IntoIterator<Item = &'a str>, now_ns: u64) -> Vec<Change> {
         let wanted: BTreeMap<EngineId, &str> =
-            names.into_iter().filter(|n| well_formed(n)).map(|n| (engine_id(n), n)).collect();
+            names.into_iter().filter(|n| is_valid_engine_name(n)).map(|n| (engine_id(n), n)).collect();
         let ended: Vec<String> =
             self.banned.iter().filter(|(id, _)| !wanted.contains_key(id)).map(|(_, n)| n.clone()).collect();
         let ends = ended.iter().filter_map(|name| self.enable(name, now_ns).ok().flatten());
@@ -186,7 +186,7 @@
     }
 
     fn id(&self, name: &str) -> Result<EngineId, Refusal> {
-        if well_formed(name) {
+        if is_valid_engine_name(name) {
             Ok(engine_id(name))
         } else {
             Err(Refusal::Malformed)
@@ -202,5 +202,5 @@
 /// The names in a text that [`Bans::to_text`] wrote; lines that can't be names are passed over, and no more than
 /// [`BANNED_MOST`] are read.
 pub fn read_text(text: &str) -> Vec<&str> {
-    text.lines().map(str::trim).filter(|n| well_formed(n)).take(BANNED_MOST).collect()
+    text.lines().map(str::trim).filter(|n| is_valid_engine_name(n)).take(BANNED_MOST).collect()
 }
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -11,8 +11,11 @@
 use marljunction_limits::{Kind, Limit, Mode, Terms};
 use marljunction_peers::{Keys, Settings as MembershipSettings};
 use marljunction_settings::{index_of, Names};
-use marljunction_verdicts::bound::{agree_within_ns, beat_ns, fades_within_ns, heard_within_ns, HANDED_MOST};
-use marljunction_verdicts::Terms as HealthTerms;
+use marljunction_verdicts::bound::{
+    convergence_bound_ns, digest_interval_ns, evidence_expiry_bound_ns, propagation_bound_ns,
+    MAX_ITEMS_PER_DIGEST,
+};
+use marljunction_verdicts::HealthParams;
 
 use crate::error::{FleetError, KeyFileError, NameKind};
 use crate::list::ListConfig;
@@ -98,22 +101,22 @@
     }
 
     /// What the fleet agrees on for engines' health, where it is shared.
-    pub fn health_terms(&self) -> Option<HealthTerms> {
+    pub fn health_params(&self) -> Option<HealthParams> {
         let health = self.health.as_ref()?;
-        Some(HealthTerms {
+        Some(HealthParams {
             routers: self.routers,
-            witnesses: health.min_observers,
-            out_most: health.max_excluded,
-            fade_ns: health.evidence_lifetime_ns,
-            remember_ns: health.override_memory_ns,
-            ..HealthTerms::default()
+            min_observers: health.min_observers,
+            max_excluded: health.max_excluded,
+            evidence_lifetime_ns: health.evidence_lifetime_ns,
+            override_memory_ns: health.override_memory_ns,
+            ..HealthParams::default()
         })
     }
 
     /// What follows for each limit and fault, and for engines' health, as lines for operators.
     pub fn bounds(&self, longest_ns: u64) -> Vec<String> {
         let terms = self.terms(longest_ns);
-        let mut lines: Vec<String> = self.health_terms().iter().map(describe_health_bounds).collect();
+        let mut lines: Vec<String> = self.health_params().iter().map(describe_health_bounds).collect();
         lines.extend(self.list.iter().flat_map(|list| list.bounds(self.routers)));
         for LimitConfig { limit, .. } in &self.limits {
             let units = limit.kind.units();
@@ -208,14 +211,14 @@
     ns as f64 / 1e9
 }
 
-fn describe_health_bounds(terms: &HealthTerms) -> String {
+fn describe_health_bounds(params: &HealthParams) -> String {
     format!(
         "verdicts: heard by all that can be reached within {:.1} s; sides of a cut agree within {:.1} s of its end and {:.1} s \
-         for each {HANDED_MOST} things in which they differ; evidence fades within {:.1} s of its witness's last word",
-        seconds(heard_within_ns(terms)),
-        seconds(agree_within_ns(terms, 0)),
-        seconds(beat_ns(terms)),
-        seconds(fades_within_ns(terms)),
+         for each {MAX_ITEMS_PER_DIGEST} things in which they differ; evidence fades within {:.1} s of its witness's last word",
+        seconds(propagation_bound_ns(params)),
+        seconds(convergence_bound_ns(params, 0)),
+        seconds(digest_interval_ns(params)),
+        seconds(evidence_expiry_bound_ns(params)),
     )
 }
 
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -187,25 +187,25 @@
 
     /// Takes news of the list that the list service told a relay, which is at this version then; it is told on at once. Each
     /// news is the whole list, or engines that changed.
-    pub fn learn_list(&mut self, now: u64, version: u64, news: Vec<(bool, Vec<Engine>)>) {
+    pub fn update_list(&mut self, now: u64, version: u64, changes: Vec<(bool, Vec<Engine>)>) {
         if let Some(ListMachine::Relay(relay)) = &mut self.list {
-            for (whole, engines) in news {
-                relay.learn(version, whole, engines);
+            for (is_full, engines) in changes {
+                relay.learn(version, is_full, engines);
             }
         }
         self.run_list(now);
     }
 
     /// A relay heard the list service so long ago (ns).
-    pub fn hear_list_service(&mut self, now: u64, age_ns: u64) {
+    pub fn record_list_service_contact(&mut self, now: u64, age_ns: u64) {
         if let Some(ListMachine::Relay(relay)) = &mut self.list {
             relay.heard(now, age_ns);
         }
     }
 
     /// What became known of a router's part of the list since this was last called.
-    pub fn take_list_news(&mut self) -> Vec<PartNews> {
-        std::mem::take(&mut self.list_news)
+    pub fn take_list_updates(&mut self) -> Vec<PartNews> {
+        std::mem::take(&mut self.list_updates)
     }
 
     /// Passes time, and sends what is to be sent.
@@ -231,7 +231,7 @@
             (Some(ListMachine::Relay(relay)), Ok(message)) => relay.hear(now, from, message),
             (Some(ListMachine::Relay(relay)), Err(_)) => relay.unreadable(from),
             (Some(ListMachine::Subscriber(subscriber)), Ok(message)) => {
-                self.list_news.extend(subscriber.hear(now, from, message));
+                self.list_updates.extend(subscriber.hear(now, from, message));
             }
             (Some(ListMachine::Subscriber(subscriber)), Err(_)) => subscriber.unreadable(from),
         }
@@ -271,7 +271,7 @@
 }
 
 /// An engine as relays tell of it.
-pub fn engine_of(entry: &EngineEntry, address: SocketAddr, names: &Names) -> Engine {
+pub fn to_cell_engine(entry: &EngineEntry, address: SocketAddr, names: &Names) -> Engine {
     let name = |list: &[String], at: Option<usize>| Some(Arc::from(list.get(at?)?.as_str()));
     Engine {
         id: entry.engine.0,
@@ -290,7 +290,7 @@
 }
 
 /// An engine as the module is told of it.
-pub fn entry_of(engine: &Engine, names: &Names) -> EngineEntry {
+pub fn to_engine_entry(engine: &Engine, names: &Names) -> EngineEntry {
     let number = |list: &[String], name: &Option<Arc<str>>| index_of(list, name.as_deref()?);
     EngineEntry {
         engine: EngineId(engine.id),
@@ -308,6 +308,6 @@
 }
 
 /// An engine that is on the list no more, as the module is told of it.
-pub fn entry_gone(id: u64) -> EngineEntry {
+pub fn removed_entry(id: u64) -> EngineEntry {
     EngineEntry { engine: EngineId(id), state: EngineState::Gone, ..EngineEntry::default() }
 }
--- a/crates/fleet/src/overrides_file.rs
+++ b/crates/fleet/src/overrides_file.rs
@@ -6,7 +6,7 @@
 
 use log::{info, warn};
 use marljunction_settings::atomic_file::write_atomically;
-use marljunction_verdicts::words::Words;
+use marljunction_verdicts::overrides::Overrides;
 use marljunction_verdicts::Node as HealthNode;
 
 /// Name of the file in its directory.
@@ -33,14 +33,14 @@
     }
 
     /// The overrides that were kept, and when a peer had last been heard then (ns); none and `now` where there is no file.
-    pub(crate) fn load(&self, now: u64) -> (Words, u64) {
+    pub(crate) fn load(&self, now: u64) -> (Overrides, u64) {
         let text = match std::fs::read_to_string(&self.path) {
             Ok(text) if text.len() as u64 <= MAX_FILE_BYTES => text,
-            _ => return (Words::default(), now),
+            _ => return (Overrides::default(), now),
         };
         let head = text.lines().next();
         let heard_ms = head.and_then(|line| line.strip_prefix("heard ")?.parse::<u64>().ok());
-        let overrides = Words::of_text(&text);
+        let overrides = Overrides::from_text(&text);
         info!("{} operators' words of the fleet were kept in {}", overrides.len(), self.path.display());
         (overrides, heard_ms.map_or(0, |ms| ms.saturating_mul(NS_PER_MS)))
     }
@@ -48,12 +48,12 @@
     /// Writes the overrides where they changed, and once a period.
     pub(crate) fn store(&mut self, node: &HealthNode) {
         // Half a minute says no less of how long nobody was heard than a second.
-        let state = (node.revision(), node.heard_ns() / REWRITE_PERIOD_NS);
-        let nothing_yet = self.written.is_none() && node.words().is_empty();
+        let state = (node.revision(), node.last_contact_ns() / REWRITE_PERIOD_NS);
+        let nothing_yet = self.written.is_none() && node.overrides().is_empty();
         if self.written == Some(state) || nothing_yet {
             return;
         }
-        let text = format!("heard {}\n{}", node.heard_ns() / NS_PER_MS, node.words().to_text());
+        let text = format!("heard {}\n{}", node.last_contact_ns() / NS_PER_MS, node.overrides().to_text());
         if let Err(fault) = write_atomically(&self.path, &text) {
             warn!("operators' words could not be kept in {}: {fault}", self.path.display());
         }
--- a/crates/fleet/src/payloads.rs
+++ b/crates/fleet/src/payloads.rs
@@ -88,7 +88,7 @@
         let Ok(messages) = rmp_serde::from_slice::<Vec<HealthMessage>>(&payload.bytes) else { return };
         let mut answers = Vec::new();
         for message in messages {
-            answers.extend(health.node().hear(now, payload.from.number, message));
+            answers.extend(health.node().receive(now, payload.from.number, message));
         }
         self.send(Kind::Verdicts, answers);
     }
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -21,8 +21,8 @@
 use marljunction_peers::seal::Kind;
 use marljunction_peers::{Event, Members, Settings as MembershipSettings, Who};
 use marljunction_settings::Names;
-use marljunction_verdicts::words::Words;
-use marljunction_verdicts::{Node as HealthNode, Terms as HealthTerms};
+use marljunction_verdicts::overrides::Overrides;
+use marljunction_verdicts::{HealthParams, Node as HealthNode};
 use mio::{Registry, Token};
 
 use crate::config::{describe_budget, longest_request_ns, parse_address, read_keys, FleetConfig};
@@ -82,7 +82,7 @@
     pub(crate) pending_payloads: Vec<PeerPayload>,
     pub(crate) dropped_payloads: u64,
     pub(crate) list: Option<ListMachine>,
-    pub(crate) list_news: Vec<PartNews>,
+    pub(crate) list_updates: Vec<PartNews>,
 }
 
 impl FleetRuntime {
@@ -100,7 +100,7 @@
         identity: RouterIdentity,
         settings: &Settings,
         names: &Names,
-        kept_directory: Option<&Path>,
+        state_directory: Option<&Path>,
     ) -> Result<FleetStart, FleetError> {
         let (datagrams, local) = open_socket(registry, token, &config.listen)?;
         let members = join(now, &config, &identity, local)?;
@@ -112,13 +112,14 @@
         for line in config.bounds(longest_request_ns(settings)) {
             info!("{line}");
         }
-        let overrides_file = kept_directory.map(OverridesFile::in_directory);
-        let health =
-            config.health_terms().map(|terms| build_health(now, terms, &identity, overrides_file.as_ref()));
+        let overrides_file = state_directory.map(OverridesFile::in_directory);
+        let health = config
+            .health_params()
+            .map(|params| build_health(now, params, &identity, overrides_file.as_ref()));
         let list = ListMachine::start(now, &config, &identity, names)?;
         let runtime = FleetRuntime {
             list,
-            list_news: Vec::new(),
+            list_updates: Vec::new(),
             datagrams,
             members,
             config,
@@ -359,12 +360,12 @@
 
 fn build_health(
     now: u64,
-    terms: HealthTerms,
+    params: HealthParams,
     identity: &RouterIdentity,
     overrides_file: Option<&OverridesFile>,
 ) -> FleetVerdicts {
-    let kept = overrides_file.map_or((Words::default(), now), |file| file.load(now));
+    let restored = overrides_file.map_or((Overrides::default(), now), |file| file.load(now));
     let zone = identity.zone.as_deref().unwrap_or("");
     let zone = stable_hash([zone.as_bytes()]);
-    FleetVerdicts::new(HealthNode::new(now, (identity.number, now, zone), terms, kept))
+    FleetVerdicts::new(HealthNode::new(now, (identity.number, now, zone), params, restored))
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -53,24 +53,24 @@
 
 /// What the fleet agrees on engines' health.
 pub(crate) fn describe_health(now: u64, node: &mut HealthNode) -> String {
-    let agreed = node.judged().clone();
+    let evaluation = node.evaluation().clone();
     let mut lines = vec![format!("{} peers can be reached", node.peers())];
-    for (name, entry) in node.words().iter() {
-        let (state, router) = (if entry.out { "out" } else { "back" }, entry.stamp.router);
-        let age = age_s(now, entry.stamp.ms.saturating_mul(NS_PER_MS));
+    for (name, entry) in node.overrides().iter() {
+        let (state, router) = (if entry.excluded { "out" } else { "back" }, entry.version.router);
+        let age = age_s(now, entry.version.ms.saturating_mul(NS_PER_MS));
         lines.push(format!("engine {name} {state} by an operator at router {router} {age:.0} s ago"));
     }
-    for (engine, status) in &agreed.engines {
+    for (engine, status) in &evaluation.engines {
         lines.push(format!("engine {engine:016x} {status:?} by evidence"));
     }
-    for (engine, observer, held) in node.evidence().iter().take(MAX_SHOWN_EVIDENCE) {
-        let (since, said) = (age_s(now, held.since_ns), age_s(now, held.at_ns));
+    for (engine, observer, stored) in node.evidence().iter().take(MAX_SHOWN_EVIDENCE) {
+        let (since, reported) = (age_s(now, stored.since_ns), age_s(now, stored.reported_ns));
         lines.push(format!(
-            "  engine {engine:016x} router {observer} {:?} since {since:.1} s, said {said:.1} s ago",
-            held.finding
+            "  engine {engine:016x} router {observer} {:?} since {since:.1} s, said {reported:.1} s ago",
+            stored.finding
         ));
     }
-    for router in &agreed.suspects {
+    for router in &evaluation.suspects {
         lines.push(format!("router {router} finds engines bad that serve others: it does not count"));
     }
     lines.join("\n")
--- a/crates/lab/src/capacity/verdicts.rs
+++ b/crates/lab/src/capacity/verdicts.rs
@@ -1,7 +1,7 @@
 //! What it costs a router to share what it believes of engines: at rest by routers, and by evidence that changes.
 
 use marljunction_rig::beliefs::{Fleet, MS, S};
-use marljunction_verdicts::witness::Went;
+use marljunction_verdicts::observer::AttemptOutcome;
 
 use super::clock::thread_ns;
 use super::{series, Figures};
@@ -31,8 +31,8 @@
     let bytes =
         each(fleet.bytes - before.1, routers) + each(fleet.messages - before.0, routers) * SEALED_BYTES;
     let now = fleet.now;
-    fleet.node(0).say(now, "e1", true);
-    let heard = fleet.until(20 * S, "heard", |f| f.all(|n| n.words().get("e1").is_some()));
+    fleet.node(0).set_override(now, "e1", true);
+    let heard = fleet.until(20 * S, "heard", |f| f.all(|n| n.overrides().get("e1").is_some()));
     [bytes, each(cpu, routers) / 1e6, heard as f64 / 1e9]
 }
 
@@ -50,7 +50,8 @@
         }
         while (made as f64) < changes * passed as f64 / 1e9 {
             // Each router in turn changes its mind of one engine.
-            let went = if made / routers % 2 == 0 { Went::Silent } else { Went::Served(MS) };
+            let went =
+                if made / routers % 2 == 0 { AttemptOutcome::Silent } else { AttemptOutcome::Served(MS) };
             fleet.ended(made % routers, (made % 20) as u64, went);
             made += 1;
         }
--- a/crates/lab/src/verdicts.rs
+++ b/crates/lab/src/verdicts.rs
@@ -9,9 +9,9 @@
 use marljunction_rig::link::Shape;
 use marljunction_rig::load::Class;
 use marljunction_rig::process::{counter, mean};
-use marljunction_verdicts::bound::heard_within_ns;
-use marljunction_verdicts::witness::Went;
-use marljunction_verdicts::{Node, Terms};
+use marljunction_verdicts::bound::propagation_bound_ns;
+use marljunction_verdicts::observer::AttemptOutcome;
+use marljunction_verdicts::{HealthParams, Node};
 use serde_json::{json, Map, Value};
 
 use crate::start::{together, Play};
@@ -154,7 +154,7 @@
     let heard = |f: &Fleet| (0..routers).all(|r| f.said(r).contains("the whole fleet leaves out: e1"));
     let all = fleet.run_until(LIMIT, heard)?;
     let took = fleet.now() - said;
-    let bound = heard_within_ns(&Terms { routers: routers as u32, ..Terms::default() });
+    let bound = propagation_bound_ns(&HealthParams { routers: routers as u32, ..HealthParams::default() });
     fleet.run(Duration::from_secs(4))?;
     Ok(json!({
         "answer": answer.1,
@@ -171,21 +171,25 @@
 fn stepped(routers: usize, seed: u64) -> Value {
     let mut fleet = beliefs::Fleet::new(routers, seed);
     fleet.bad_wire();
-    let bound = heard_within_ns(&fleet.terms);
+    let bound = propagation_bound_ns(&fleet.params);
     let idle_from = (fleet.messages, fleet.bytes);
     fleet.run(5 * beliefs::S);
     let each = |n: u64, seconds: f64| n as f64 / seconds / routers as f64;
     let idle = (fleet.messages - idle_from.0, fleet.bytes - idle_from.1);
     let now = fleet.now;
-    fleet.node(0).say(now, "e1", true);
-    let heard = fleet.until(4 * bound, "heard", |f| f.all(|n| n.words().get("e1").is_some()));
-    (0..3).for_each(|at| fleet.ended(at, 4, Went::Silent));
-    let out = |n: &mut Node| n.judged().engines.contains_key(&4);
+    fleet.node(0).set_override(now, "e1", true);
+    let heard = fleet.until(4 * bound, "heard", |f| f.all(|n| n.overrides().get("e1").is_some()));
+    (0..3).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
+    let out = |n: &mut Node| n.evaluation().engines.contains_key(&4);
     let found = fleet.until(4 * bound, "out", |f| f.all(out));
     let busy_from = (fleet.messages, fleet.bytes);
     for second in 0..5 {
         for at in 0..routers.min(40) {
-            fleet.ended(at, 6, if second % 2 == 0 { Went::Silent } else { Went::Served(beliefs::MS) });
+            fleet.ended(
+                at,
+                6,
+                if second % 2 == 0 { AttemptOutcome::Silent } else { AttemptOutcome::Served(beliefs::MS) },
+            );
         }
         fleet.run(beliefs::S);
     }
--- a/crates/rig/src/beliefs.rs
+++ b/crates/rig/src/beliefs.rs
@@ -3,9 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use marljunction_verdicts::witness::Went;
-use marljunction_verdicts::words::Words;
-use marljunction_verdicts::{Message, Node, Terms};
+use marljunction_verdicts::observer::AttemptOutcome;
+use marljunction_verdicts::overrides::Overrides;
+use marljunction_verdicts::{HealthParams, Message, Node};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -23,11 +23,11 @@
     /// The time (ns).
     pub now: u64,
     /// What it agrees on.
-    pub terms: Terms,
+    pub params: HealthParams,
     /// Its routers; none while one is not there.
     pub nodes: Vec<Option<Node>>,
     /// What each router has kept on disk.
-    pub kept: Vec<(Words, u64)>,
+    pub kept: Vec<(Overrides, u64)>,
     /// Routers that stand still.
     pub frozen: BTreeSet<usize>,
     inbox: Vec<Vec<(u32, Message)>>,
@@ -54,12 +54,12 @@
 impl Fleet {
     /// A fleet that has started and knows itself.
     pub fn new(routers: usize, seed: u64) -> Fleet {
-        let terms = Terms { routers: routers as u32, ..Terms::default() };
+        let params = HealthParams { routers: routers as u32, ..HealthParams::default() };
         let mut fleet = Fleet {
             now: T0,
-            terms,
+            params,
             nodes: vec![None; routers],
-            kept: vec![(Words::default(), T0); routers],
+            kept: vec![(Overrides::default(), T0); routers],
             frozen: BTreeSet::new(),
             inbox: vec![Vec::new(); routers],
             cut: BTreeSet::new(),
@@ -88,7 +88,7 @@
         if self.nodes[at].is_none() {
             let zone = (at % 2) as u64;
             let mut node =
-                Node::new(self.now, (at as u32, self.now, zone), self.terms, self.kept[at].clone());
+                Node::new(self.now, (at as u32, self.now, zone), self.params, self.kept[at].clone());
             node.set_engines(self.engines.clone());
             self.nodes[at] = Some(node);
             self.inbox[at].clear();
@@ -98,7 +98,7 @@
     /// Ends a router at once; what it kept stays.
     pub fn kill(&mut self, at: usize) {
         if let Some(node) = self.nodes[at].take() {
-            self.kept[at] = (node.words().clone(), node.heard_ns());
+            self.kept[at] = (node.overrides().clone(), node.last_contact_ns());
         }
     }
 
@@ -118,9 +118,9 @@
         }
     }
 
-    fn hear(&mut self, at: usize, from: u32, message: Message) {
+    fn receive(&mut self, at: usize, from: u32, message: Message) {
         let now = self.now;
-        let answers = self.nodes[at].as_mut().map(|node| node.hear(now, from, message));
+        let answers = self.nodes[at].as_mut().map(|node| node.receive(now, from, message));
         answers.into_iter().flatten().for_each(|(to, answer)| self.send(at, to, answer));
     }
 
@@ -132,12 +132,12 @@
             let (to, from, message) = entry.remove();
             match self.frozen.contains(&to) {
                 true => self.inbox[to].push((from, message)),
-                false => self.hear(to, from, message),
+                false => self.receive(to, from, message),
             }
         }
         for at in (0..self.nodes.len()).filter(|at| !self.frozen.contains(at)).collect::<Vec<_>>() {
             for (from, message) in std::mem::take(&mut self.inbox[at]) {
-                self.hear(at, from, message);
+                self.receive(at, from, message);
             }
             let there = |other: &usize| {
                 *other != at
@@ -184,7 +184,7 @@
     }
 
     /// An attempt of a router's ends.
-    pub fn ended(&mut self, at: usize, engine: u64, went: Went) {
+    pub fn ended(&mut self, at: usize, engine: u64, went: AttemptOutcome) {
         let now = self.now;
         let started = self.engines.iter().find(|(id, _)| *id == engine).map_or(0, |(_, at)| *at);
         self.node(at).ended(now, (engine, started), 0, now - 50 * MS, went);
--- a/crates/rig/src/hollow/relay_feed.rs
+++ b/crates/rig/src/hollow/relay_feed.rs
@@ -6,7 +6,7 @@
 use marljunction_control::interface::{EngineEntry, MembershipKind};
 use marljunction_discovery::stream::Stream;
 use marljunction_discovery::Change;
-use marljunction_fleet::list::{engine_of, entry_gone, entry_of};
+use marljunction_fleet::list::{removed_entry, to_cell_engine, to_engine_entry};
 use marljunction_fleet::FleetRuntime;
 use marljunction_settings::Names;
 
@@ -36,7 +36,7 @@
         let is_whole = |change: &Change| change.kind == MembershipKind::Full;
         self.whole |= changes.iter().any(is_whole);
         let news = changes.iter().map(|change| (is_whole(change), engines_of(change, names))).collect();
-        fleet.learn_list(now, stream.position().0, news);
+        fleet.update_list(now, stream.position().0, news);
     }
 
     /// Tells a relay's routers how old its news is, once nothing of it can be missing.
@@ -47,23 +47,23 @@
         }
         let since_ns = *self.open_since_ns.get_or_insert(now);
         if self.whole || now >= since_ns + CATCH_UP_NS {
-            fleet.hear_list_service(now, stream.view().1.age_ns(now));
+            fleet.record_list_service_contact(now, stream.view().1.age_ns(now));
         }
     }
 }
 
 fn engines_of(change: &Change, names: &Names) -> Vec<Engine> {
-    change.targets.iter().map(|target| engine_of(&target.entry, target.address, names)).collect()
+    change.targets.iter().map(|target| to_cell_engine(&target.entry, target.address, names)).collect()
 }
 
 /// What the module is told of news of a part.
 pub fn membership_of(news: &PartNews, names: &Names) -> (MembershipKind, Vec<EngineEntry>) {
-    let entries = |engines: &[Engine]| engines.iter().map(|engine| entry_of(engine, names)).collect();
+    let entries = |engines: &[Engine]| engines.iter().map(|engine| to_engine_entry(engine, names)).collect();
     match news {
         PartNews::Whole(engines) => (MembershipKind::Full, entries(engines)),
         PartNews::Changed(engines, gone) => {
             let mut entries: Vec<EngineEntry> = entries(engines);
-            entries.extend(gone.iter().map(|id| entry_gone(*id)));
+            entries.extend(gone.iter().map(|id| removed_entry(*id)));
             (MembershipKind::Delta, entries)
         }
     }
--- a/crates/rig/src/hollow/router.rs
+++ b/crates/rig/src/hollow/router.rs
@@ -217,7 +217,7 @@
     /// Takes what relays told of its cell's part.
     fn follow_relays(&mut self, now: u64) {
         let Some(fleet) = &mut self.fleet else { return };
-        for news in fleet.runtime().take_list_news() {
+        for news in fleet.runtime().take_list_updates() {
             self.list.apply_part(&news);
             if self.tells_module {
                 let (kind, entries) = membership_of(&news, &self.shared.1);
--- a/crates/verdicts/src/digest.rs
+++ b/crates/verdicts/src/digest.rs
@@ -1,11 +1,11 @@
 //! Hashes of all that a router holds, by bucket, and what two routers whose hashes differ hand over to each other.
 
-use crate::bound::HANDED_MOST;
-use crate::draws::Draws;
-use crate::evidence::{Evidence, Table};
-use crate::message::{split_words, Message, Named, EVIDENCE_BYTES, MESSAGE_BYTES};
+use crate::bound::MAX_ITEMS_PER_DIGEST;
+use crate::evidence::{Evidence, EvidenceTable};
+use crate::message::{split_overrides, Message, NamedOverride, EVIDENCE_BYTES, MESSAGE_BYTES};
 use crate::mix::mix;
-use crate::words::Words;
+use crate::overrides::Overrides;
+use crate::rng::Rng;
 
 /// Buckets of a digest (count).
 const BUCKETS: usize = 32;
@@ -13,44 +13,45 @@
 /// Hashes by bucket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Digest {
-    pub(crate) words: Vec<u32>,
+    pub(crate) overrides: Vec<u32>,
     pub(crate) evidence: Vec<u32>,
 }
 
 impl Digest {
     /// Of these words, none where they may not be said, and of this evidence.
-    pub(crate) fn of(words: Option<&Words>, table: &Table) -> Digest {
-        let mut digest = Digest { words: vec![0; BUCKETS], evidence: vec![0; BUCKETS] };
-        for (name, word) in words.into_iter().flat_map(Words::iter) {
+    pub(crate) fn of(overrides: Option<&Overrides>, table: &EvidenceTable) -> Digest {
+        let mut digest = Digest { overrides: vec![0; BUCKETS], evidence: vec![0; BUCKETS] };
+        for (name, entry) in overrides.into_iter().flat_map(Overrides::iter) {
             let hash = name_hash(name);
-            let version = mix(hash ^ mix(word.stamp.ms ^ u64::from(word.stamp.count) << 44));
-            let state = mix(u64::from(word.stamp.router) << 1 | u64::from(word.out));
-            digest.words[bucket(hash)] ^= (version ^ state) as u32;
+            let version = mix(hash ^ mix(entry.version.ms ^ u64::from(entry.version.count) << 44));
+            let state = mix(u64::from(entry.version.router) << 1 | u64::from(entry.excluded));
+            digest.overrides[bucket(hash)] ^= (version ^ state) as u32;
         }
-        for (engine, witness, held) in table.iter() {
-            let of = mix(engine ^ mix(u64::from(witness) ^ held.version.0)) ^ mix(u64::from(held.version.1));
-            digest.evidence[bucket(engine)] ^= mix(of) as u32;
+        for (engine, observer, stored) in table.iter() {
+            let hash =
+                mix(engine ^ mix(u64::from(observer) ^ stored.version.0)) ^ mix(u64::from(stored.version.1));
+            digest.evidence[bucket(engine)] ^= mix(hash) as u32;
         }
         digest
     }
 
     /// Words in the buckets in which a peer's differ, in messages that fit datagrams. Another part each time, where there is more
     /// than one comparison hands over.
-    pub(crate) fn differing_words(
+    pub(crate) fn differing_overrides(
         &self,
         theirs: &Digest,
-        words: Option<&Words>,
-        draws: &mut Draws,
+        overrides: Option<&Overrides>,
+        rng: &mut Rng,
     ) -> Vec<Message> {
         let differs = |name: &str| {
             let at = bucket(name_hash(name));
-            self.words.get(at) != theirs.words.get(at)
+            self.overrides.get(at) != theirs.overrides.get(at)
         };
-        let all = words.into_iter().flat_map(Words::iter).filter(|(name, _)| differs(name));
-        let all: Vec<Named> = all.map(|(name, word)| (name.to_owned(), word)).collect();
-        let parts = split_words(some_of(&all, draws));
+        let all = overrides.into_iter().flat_map(Overrides::iter).filter(|(name, _)| differs(name));
+        let all: Vec<NamedOverride> = all.map(|(name, entry)| (name.to_owned(), entry)).collect();
+        let parts = split_overrides(sample(&all, rng));
         let parts = parts.into_iter().filter(|part| !part.is_empty());
-        parts.map(|words| Message::News { words, evidence: Vec::new() }).collect()
+        parts.map(|overrides| Message::Update { overrides, evidence: Vec::new() }).collect()
     }
 
     /// The same for evidence.
@@ -58,27 +59,27 @@
         &self,
         now: u64,
         theirs: &Digest,
-        table: &Table,
-        draws: &mut Draws,
+        table: &EvidenceTable,
+        rng: &mut Rng,
     ) -> Vec<Message> {
         let differs = |engine: u64| {
             let at = bucket(engine);
             self.evidence.get(at) != theirs.evidence.get(at)
         };
         let all = table.iter().filter(|(engine, ..)| differs(*engine));
-        let all: Vec<(u64, u32)> = all.map(|(engine, witness, _)| (engine, witness)).collect();
-        let some = some_of(&all, draws).into_iter();
-        let said: Vec<Evidence> =
-            some.filter_map(|(engine, witness)| table.say(now, engine, witness)).collect();
-        let parts = said.chunks(MESSAGE_BYTES / EVIDENCE_BYTES);
-        parts.map(|part| Message::News { words: Vec::new(), evidence: part.to_vec() }).collect()
+        let all: Vec<(u64, u32)> = all.map(|(engine, observer, _)| (engine, observer)).collect();
+        let sampled = sample(&all, rng).into_iter();
+        let evidence: Vec<Evidence> =
+            sampled.filter_map(|(engine, observer)| table.export(now, engine, observer)).collect();
+        let parts = evidence.chunks(MESSAGE_BYTES / EVIDENCE_BYTES);
+        parts.map(|part| Message::Update { overrides: Vec::new(), evidence: part.to_vec() }).collect()
     }
 }
 
 /// As many as one comparison hands over, from a place by chance on.
-fn some_of<T: Clone>(all: &[T], draws: &mut Draws) -> Vec<T> {
-    let from = draws.below(all.len());
-    all.iter().cycle().skip(from).take(all.len().min(HANDED_MOST)).cloned().collect()
+fn sample<T: Clone>(all: &[T], rng: &mut Rng) -> Vec<T> {
+    let from = rng.below(all.len());
+    all.iter().cycle().skip(from).take(all.len().min(MAX_ITEMS_PER_DIGEST)).cloned().collect()
 }
 
 fn name_hash(name: &str) -> u64 {
--- a/crates/verdicts/src/evidence.rs
+++ b/crates/verdicts/src/evidence.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Pieces of evidence that are kept at most (count).
-pub const EVIDENCE_MOST: usize = 30_000;
+pub const MAX_EVIDENCE: usize = 30_000;
 
 /// What was seen of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
 
 impl Finding {
     /// Whether it speaks against the engine.
-    pub fn is_bad(self) -> bool {
+    pub fn is_fault(self) -> bool {
         self != Finding::Well
     }
 }
@@ -36,7 +36,8 @@
     /// Which of its lives: when it started (ms), as the list says.
     pub started_ms: u64,
     /// The router that saw it, and which of its lives.
-    pub witness: u32,
+    #[serde(rename = "witness")]
+    pub observer: u32,
     /// The witness's life.
     pub life: u64,
     /// Grows with each that the witness says of the engine.
@@ -53,7 +54,7 @@
 
 /// A piece of evidence, as it is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct StoredEvidence {
     /// Which of the engine's lives.
     pub started_ms: u64,
     /// Which of the witness's lives, and the number.
@@ -65,69 +66,69 @@
     /// Since when, by our clock (ns).
     pub since_ns: u64,
     /// When the witness last held to it, by our clock (ns).
-    pub at_ns: u64,
+    pub reported_ns: u64,
 }
 
 /// All evidence, by engine and witness.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Table(BTreeMap<(u64, u32), Held>);
+pub struct EvidenceTable(BTreeMap<(u64, u32), StoredEvidence>);
 
-impl Table {
+impl EvidenceTable {
     /// Takes a piece; whether it is news. What is older than `fade_ns` is not taken.
-    pub fn merge(&mut self, now: u64, said: &Evidence, fade_ns: u64) -> bool {
+    pub fn merge(&mut self, now: u64, report: &Evidence, evidence_lifetime_ns: u64) -> bool {
         let ago = |ms: u32| now.saturating_sub(u64::from(ms) * 1_000_000);
-        let held = Held {
-            started_ms: said.started_ms,
-            version: (said.life, said.number),
-            zone: said.zone,
-            finding: said.finding,
-            since_ns: ago(said.since_ms),
-            at_ns: ago(said.age_ms),
+        let stored = StoredEvidence {
+            started_ms: report.started_ms,
+            version: (report.life, report.number),
+            zone: report.zone,
+            finding: report.finding,
+            since_ns: ago(report.since_ms),
+            reported_ns: ago(report.age_ms),
         };
-        if u64::from(said.age_ms) * 1_000_000 >= fade_ns {
+        if u64::from(report.age_ms) * 1_000_000 >= evidence_lifetime_ns {
             return false;
         }
-        let key = (said.engine, said.witness);
+        let key = (report.engine, report.observer);
         match self.0.get(&key) {
-            Some(known) if known.version >= held.version => false,
-            None if self.0.len() >= EVIDENCE_MOST => false,
+            Some(known) if known.version >= stored.version => false,
+            None if self.0.len() >= MAX_EVIDENCE => false,
             _ => {
-                self.0.insert(key, held);
+                self.0.insert(key, stored);
                 true
             }
         }
     }
 
     /// Forgets what has faded.
-    pub fn forget(&mut self, now: u64, fade_ns: u64) {
-        self.0.retain(|_, held| now < held.at_ns.saturating_add(fade_ns));
+    pub fn expire(&mut self, now: u64, evidence_lifetime_ns: u64) {
+        self.0.retain(|_, stored| now < stored.reported_ns.saturating_add(evidence_lifetime_ns));
     }
 
     /// A piece, as it is said now.
-    pub fn say(&self, now: u64, engine: u64, witness: u32) -> Option<Evidence> {
-        let held = self.0.get(&(engine, witness))?;
+    pub fn export(&self, now: u64, engine: u64, observer: u32) -> Option<Evidence> {
+        let stored = self.0.get(&(engine, observer))?;
         let ago = |ns: u64| (now.saturating_sub(ns) / 1_000_000).min(u64::from(u32::MAX)) as u32;
         Some(Evidence {
             engine,
-            started_ms: held.started_ms,
-            witness,
-            life: held.version.0,
-            number: held.version.1,
-            zone: held.zone,
-            finding: held.finding,
-            since_ms: ago(held.since_ns),
-            age_ms: ago(held.at_ns),
+            started_ms: stored.started_ms,
+            observer,
+            life: stored.version.0,
+            number: stored.version.1,
+            zone: stored.zone,
+            finding: stored.finding,
+            since_ms: ago(stored.since_ns),
+            age_ms: ago(stored.reported_ns),
         })
     }
 
     /// All of it.
-    pub fn iter(&self) -> impl Iterator<Item = (u64, u32, &Held)> + '_ {
-        self.0.iter().map(|((engine, witness), held)| (*engine, *witness, held))
+    pub fn iter(&self) -> impl Iterator<Item = (u64, u32, &StoredEvidence)> + '_ {
+        self.0.iter().map(|((engine, observer), stored)| (*engine, *observer, stored))
     }
 
     /// What is said of one engine, by witness.
-    pub fn of(&self, engine: u64) -> impl Iterator<Item = (u32, &Held)> + '_ {
-        self.0.range((engine, 0)..=(engine, u32::MAX)).map(|((_, witness), held)| (*witness, held))
+    pub fn for_engine(&self, engine: u64) -> impl Iterator<Item = (u32, &StoredEvidence)> + '_ {
+        self.0.range((engine, 0)..=(engine, u32::MAX)).map(|((_, observer), stored)| (*observer, stored))
     }
 
     /// How much there is (count).
--- a/crates/verdicts/src/lib.rs
+++ b/crates/verdicts/src/lib.rs
@@ -12,21 +12,21 @@
 #![forbid(unsafe_code)]
 
 pub mod bound;
-mod catch_up;
 mod digest;
-mod draws;
+pub mod evaluate;
 pub mod evidence;
-mod hot;
-pub mod judge;
+mod full_sync;
+mod gossip;
 pub mod message;
 mod mix;
 pub mod node;
-pub mod stamp;
-pub mod terms;
-pub mod witness;
-pub mod words;
+pub mod observer;
+pub mod overrides;
+pub mod params;
+mod rng;
+pub mod version;
 
-pub use judge::Judgement;
+pub use evaluate::HealthStatus;
 pub use message::Message;
 pub use node::Node;
-pub use terms::Terms;
+pub use params::HealthParams;
--- a/crates/verdicts/src/node.rs
+++ b/crates/verdicts/src/node.rs
@@ -2,27 +2,27 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::bound::{beat_ns, says, FANOUT};
-use crate::catch_up::{hand_over, CatchUp, Part};
+use crate::bound::{digest_interval_ns, gossip_rounds, FANOUT};
 use crate::digest::Digest;
-use crate::draws::Draws;
-use crate::evidence::{Evidence, Finding, Table};
-use crate::hot::HotNews;
-use crate::judge::{judge, triers, tries, Judged, Judgement};
+use crate::evaluate::{evaluate, is_prober, prober_count, Evaluation, HealthStatus};
+use crate::evidence::{Evidence, EvidenceTable, Finding};
+use crate::full_sync::{full_sync_parts, FullSync, Part};
+use crate::gossip::GossipQueue;
 use crate::message::Message;
-use crate::stamp::{Stamp, StampClock};
-use crate::terms::Terms;
-use crate::witness::{Went, Witness};
-use crate::words::{Merged, Word, Words};
+use crate::observer::{AttemptOutcome, LocalObserver};
+use crate::overrides::{MergeOutcome, Override, Overrides};
+use crate::params::HealthParams;
+use crate::rng::Rng;
+use crate::version::{Version, VersionClock};
 
 /// Messages of news that a router makes in one round (count).
-const MESSAGES_MOST: usize = 2;
+const MAX_MESSAGES_PER_ROUND: usize = 2;
 /// Words whose hearers are counted (count).
-const COUNTED_MOST: usize = 64;
+const MAX_TRACKED_VERSIONS: usize = 64;
 /// How often one router praises one engine at most (ns).
-const PRAISE_NS: u64 = 1_000_000_000;
+const RECOVERY_REPORT_INTERVAL_NS: u64 = 1_000_000_000;
 /// Parts of the time that evidence lasts after which its witness says it again (count).
-const RENEWALS: u64 = 3;
+const RENEWALS_PER_LIFETIME: u64 = 3;
 
 /// What happened so far, for counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -38,34 +38,34 @@
 /// One router's part in the verdicts of its fleet.
 #[derive(Clone, Debug)]
 pub struct Node {
-    me: u32,
+    local_id: u32,
     life: u64,
     zone: u64,
-    terms: Terms,
-    clock: StampClock,
-    words: Words,
-    table: Table,
-    witness: Witness,
+    params: HealthParams,
+    clock: VersionClock,
+    overrides: Overrides,
+    table: EvidenceTable,
+    local_observer: LocalObserver,
     number: u32,
     /// What is to be said.
-    hot: HotNews,
+    gossip: GossipQueue,
     peers: Vec<u32>,
     engines: Vec<(u64, u64)>,
-    judged: Judged,
-    stale: bool,
-    draws: Draws,
-    ticked_ns: u64,
-    beat_ns: u64,
-    renewed_ns: u64,
-    heard_ns: u64,
+    evaluation: Evaluation,
+    evaluation_outdated: bool,
+    rng: Rng,
+    last_tick_ns: u64,
+    last_digest_ns: u64,
+    last_renewal_ns: u64,
+    last_contact_ns: u64,
     /// Nobody to ask was found until then, and all words that it knows are its own (ns).
-    alone_until_ns: u64,
+    peer_wait_deadline_ns: u64,
     /// Its asking for all words.
-    catch_up: CatchUp,
+    full_sync: FullSync,
     /// Its own words may have been ended while it was alone: they are nobody else's business.
-    unsure: bool,
-    heard_by: BTreeMap<Stamp, BTreeSet<u32>>,
-    praised: BTreeMap<u64, u64>,
+    overrides_unconfirmed: bool,
+    acks: BTreeMap<Version, BTreeSet<u32>>,
+    recovery_reported_ns: BTreeMap<u64, u64>,
     /// Grows as words change.
     revision: u64,
     /// What happened so far.
@@ -74,38 +74,44 @@
 
 impl Node {
     /// A router that has just started, with words that it kept and when it had last heard a peer then ([`Node::heard_ns`]).
-    pub fn new(now: u64, (me, life, zone): (u32, u64, u64), terms: Terms, kept: (Words, u64)) -> Node {
-        let (words, heard_ns) = kept;
-        let heard_ns = heard_ns.min(now);
-        let mut clock = StampClock::new(me);
-        for (_, word) in words.iter() {
-            clock.heard(now, word.stamp);
+    pub fn new(
+        now: u64,
+        (local_id, life, zone): (u32, u64, u64),
+        params: HealthParams,
+        restored: (Overrides, u64),
+    ) -> Node {
+        let (overrides, last_contact_ns) = restored;
+        let last_contact_ns = last_contact_ns.min(now);
+        let mut clock = VersionClock::new(local_id);
+        for (_, entry) in overrides.iter() {
+            clock.observe(now, entry.version);
         }
         Node {
-            me,
+            local_id,
             life,
             zone,
-            terms,
+            params,
             clock,
-            unsure: !words.is_empty() && now.saturating_sub(heard_ns) >= terms.remember_ns,
-            words,
-            table: Table::default(),
-            witness: Witness::default(),
+            overrides_unconfirmed: !overrides.is_empty()
+                && now.saturating_sub(last_contact_ns) >= params.override_memory_ns,
+            overrides,
+            table: EvidenceTable::default(),
+            local_observer: LocalObserver::default(),
             number: 0,
-            hot: HotNews::new(says(terms.routers)),
+            gossip: GossipQueue::new(gossip_rounds(params.routers)),
             peers: Vec::new(),
             engines: Vec::new(),
-            judged: Judged::default(),
-            stale: false,
-            draws: Draws::new(life ^ u64::from(me).rotate_left(32)),
-            ticked_ns: 0,
-            beat_ns: now,
-            renewed_ns: now,
-            heard_ns,
-            alone_until_ns: now + 2 * beat_ns(&terms),
-            catch_up: CatchUp::begin(),
-            heard_by: BTreeMap::new(),
-            praised: BTreeMap::new(),
+            evaluation: Evaluation::default(),
+            evaluation_outdated: false,
+            rng: Rng::new(life ^ u64::from(local_id).rotate_left(32)),
+            last_tick_ns: 0,
+            last_digest_ns: now,
+            last_renewal_ns: now,
+            last_contact_ns,
+            peer_wait_deadline_ns: now + 2 * digest_interval_ns(&params),
+            full_sync: FullSync::begin(),
+            acks: BTreeMap::new(),
+            recovery_reported_ns: BTreeMap::new(),
             revision: 1,
             counts: Counts::default(),
         }
@@ -113,13 +119,13 @@
 
     /// Whether it knows what its fleet was told: it has all words of a peer, or there was nobody to ask.
     pub fn knows(&self, now: u64) -> bool {
-        self.catch_up.is_done() || self.peers.is_empty() && now >= self.alone_until_ns
+        self.full_sync.is_done() || self.peers.is_empty() && now >= self.peer_wait_deadline_ns
     }
 
     /// The peers that can be reached.
     pub fn set_peers(&mut self, peers: Vec<u32>) {
-        let me = self.me;
-        self.peers = peers.into_iter().filter(|peer| *peer != me).collect();
+        let local_id = self.local_id;
+        self.peers = peers.into_iter().filter(|peer| *peer != local_id).collect();
         self.peers.sort_unstable();
         self.peers.dedup();
     }
@@ -127,15 +133,15 @@
     /// The engines that the list has: the hash of each one's name, and when it started (ms).
     pub fn set_engines(&mut self, engines: Vec<(u64, u64)>) {
         if engines != self.engines {
-            self.witness.keep(|engine| engines.iter().any(|(id, _)| *id == engine));
+            self.local_observer.retain_engines(|engine| engines.iter().any(|(id, _)| *id == engine));
             self.engines = engines;
-            self.stale = true;
+            self.evaluation_outdated = true;
         }
     }
 
     /// When a peer was last heard (ns), of earlier lives too: words are as old as that, however often they were kept since.
-    pub fn heard_ns(&self) -> u64 {
-        self.heard_ns
+    pub fn last_contact_ns(&self) -> u64 {
+        self.last_contact_ns
     }
 
     /// Another number for each state of the words: whoever keeps or follows them need not look at all of them each time.
@@ -144,33 +150,33 @@
     }
 
     /// All words.
-    pub fn words(&self) -> &Words {
-        &self.words
+    pub fn overrides(&self) -> &Overrides {
+        &self.overrides
     }
 
     /// All evidence.
-    pub fn evidence(&self) -> &Table {
+    pub fn evidence(&self) -> &EvidenceTable {
         &self.table
     }
 
     /// An operator says that an engine is out, or back; gives the word's stamp, or nothing where it can't be kept.
-    pub fn say(&mut self, now: u64, name: &str, out: bool) -> Option<Stamp> {
-        let stamp = self.clock.next(now);
-        if self.words.merge(name, Word { stamp, out }) != Merged::News {
+    pub fn set_override(&mut self, now: u64, name: &str, excluded: bool) -> Option<Version> {
+        let version = self.clock.next(now);
+        if self.overrides.merge(name, Override { version, excluded }) != MergeOutcome::Updated {
             return None;
         }
         self.revision += 1;
-        self.hot.add_word(name);
-        if self.heard_by.len() >= COUNTED_MOST {
-            self.heard_by.pop_first();
+        self.gossip.push_override(name);
+        if self.acks.len() >= MAX_TRACKED_VERSIONS {
+            self.acks.pop_first();
         }
-        self.heard_by.insert(stamp, BTreeSet::new());
-        Some(stamp)
+        self.acks.insert(version, BTreeSet::new());
+        Some(version)
     }
 
     /// Routers that have said that they heard a word of this router's, itself left out (count).
-    pub fn heard_by(&self, stamp: Stamp) -> usize {
-        self.heard_by.get(&stamp).map_or(0, BTreeSet::len)
+    pub fn acks(&self, version: Version) -> usize {
+        self.acks.get(&version).map_or(0, BTreeSet::len)
     }
 
     /// Peers that can be reached (count).
@@ -179,232 +185,267 @@
     }
 
     /// An attempt of this router's has ended.
-    pub fn ended(&mut self, now: u64, engine: (u64, u64), class: usize, sent_ns: u64, went: Went) {
-        let said = self.witness.ended(now, engine, class, sent_ns, went);
-        let praise = matches!(went, Went::Served(_)) && said.is_none() && self.doubted(engine) && {
-            let last = self.praised.get(&engine.0).copied().unwrap_or(0);
-            now >= last.saturating_add(PRAISE_NS) && self.witness.bad(engine.0).is_none()
-        };
-        match said {
-            Some((finding, since)) => self.find(now, engine, finding, since),
-            None if praise => self.find(now, engine, Finding::Well, now),
+    pub fn ended(
+        &mut self,
+        now: u64,
+        engine: (u64, u64),
+        class: usize,
+        sent_ns: u64,
+        outcome: AttemptOutcome,
+    ) {
+        let report = self.local_observer.record_attempt(now, engine, class, sent_ns, outcome);
+        let recovered = matches!(outcome, AttemptOutcome::Served(_))
+            && report.is_none()
+            && self.has_fault_report(engine)
+            && {
+                let last = self.recovery_reported_ns.get(&engine.0).copied().unwrap_or(0);
+                now >= last.saturating_add(RECOVERY_REPORT_INTERVAL_NS)
+                    && self.local_observer.fault(engine.0).is_none()
+            };
+        match report {
+            Some((finding, since)) => self.report_finding(now, engine, finding, since),
+            None if recovered => self.report_finding(now, engine, Finding::Well, now),
             None => {}
         }
     }
 
     /// Whether others find an engine bad.
-    fn doubted(&self, (engine, started_ms): (u64, u64)) -> bool {
-        self.table.of(engine).any(|(_, held)| held.finding.is_bad() && held.started_ms == started_ms)
+    fn has_fault_report(&self, (engine, started_ms): (u64, u64)) -> bool {
+        self.table
+            .for_engine(engine)
+            .any(|(_, stored)| stored.finding.is_fault() && stored.started_ms == started_ms)
     }
 
-    fn find(&mut self, now: u64, (engine, started_ms): (u64, u64), finding: Finding, since_ns: u64) {
+    fn report_finding(
+        &mut self,
+        now: u64,
+        (engine, started_ms): (u64, u64),
+        finding: Finding,
+        since_ns: u64,
+    ) {
         if finding == Finding::Well {
-            self.praised.insert(engine, now);
-            self.praised.retain(|_, at| now < at.saturating_add(10 * PRAISE_NS));
+            self.recovery_reported_ns.insert(engine, now);
+            self.recovery_reported_ns
+                .retain(|_, at| now < at.saturating_add(10 * RECOVERY_REPORT_INTERVAL_NS));
         }
         self.number += 1;
         let since_ms = (now.saturating_sub(since_ns) / 1_000_000).min(u64::from(u32::MAX)) as u32;
-        let (witness, life, number, zone) = (self.me, self.life, self.number, self.zone);
-        let said = Evidence { engine, started_ms, witness, life, number, zone, finding, since_ms, age_ms: 0 };
-        if self.table.merge(now, &said, self.terms.fade_ns) {
-            self.stale = true;
-            self.hot.add_evidence(engine, witness, finding);
+        let (observer, life, number, zone) = (self.local_id, self.life, self.number, self.zone);
+        let report =
+            Evidence { engine, started_ms, observer, life, number, zone, finding, since_ms, age_ms: 0 };
+        if self.table.merge(now, &report, self.params.evidence_lifetime_ns) {
+            self.evaluation_outdated = true;
+            self.gossip.push_evidence(engine, observer, finding);
         }
     }
 
     /// Says again what this router still holds against engines.
     fn renew(&mut self, now: u64) {
-        if now < self.renewed_ns.saturating_add(self.terms.fade_ns / RENEWALS) {
+        if now < self.last_renewal_ns.saturating_add(self.params.evidence_lifetime_ns / RENEWALS_PER_LIFETIME)
+        {
             return;
         }
-        self.renewed_ns = now;
+        self.last_renewal_ns = now;
         for engine in self.engines.clone() {
-            if let Some((finding, since)) = self.witness.bad(engine.0) {
-                self.find(now, engine, finding, since);
+            if let Some((finding, since)) = self.local_observer.fault(engine.0) {
+                self.report_finding(now, engine, finding, since);
             }
         }
     }
 
     /// Whether it knows no word, and has not heard either that there is none.
-    fn is_blank(&self) -> bool {
-        !self.catch_up.is_done() && self.words.is_empty()
+    fn lacks_overrides(&self) -> bool {
+        !self.full_sync.is_done() && self.overrides.is_empty()
     }
 
     /// A peer by chance.
-    fn peer(&mut self) -> u32 {
-        let at = self.draws.below(self.peers.len());
-        self.peers.get(at).copied().unwrap_or(self.me)
+    fn random_peer(&mut self) -> u32 {
+        let at = self.rng.below(self.peers.len());
+        self.peers.get(at).copied().unwrap_or(self.local_id)
     }
 
     /// Passes time; gives what is to be said, and to whom.
     pub fn tick(&mut self, now: u64) -> Vec<(u32, Message)> {
-        let mut out = Vec::new();
-        if now < self.ticked_ns.saturating_add(self.terms.round_ns) {
-            return out;
+        let mut messages = Vec::new();
+        if now < self.last_tick_ns.saturating_add(self.params.gossip_interval_ns) {
+            return messages;
         }
-        self.ticked_ns = now;
+        self.last_tick_ns = now;
         let before = self.table.len();
-        self.table.forget(now, self.terms.fade_ns);
-        self.stale |= self.table.len() != before;
-        let words = self.words.len();
-        self.words.forget(now, self.terms.remember_ns);
-        self.revision += u64::from(self.words.len() != words);
+        self.table.expire(now, self.params.evidence_lifetime_ns);
+        self.evaluation_outdated |= self.table.len() != before;
+        let overrides = self.overrides.len();
+        self.overrides.expire(now, self.params.override_memory_ns);
+        self.revision += u64::from(self.overrides.len() != overrides);
         self.renew(now);
         if self.peers.is_empty() {
-            if now.saturating_sub(self.heard_ns) >= self.terms.remember_ns {
+            if now.saturating_sub(self.last_contact_ns) >= self.params.override_memory_ns {
                 // What ended meanwhile may be forgotten elsewhere: it may not come back through this router.
-                self.unsure = !self.words.is_empty();
-                self.catch_up.restart();
+                self.overrides_unconfirmed = !self.overrides.is_empty();
+                self.full_sync.restart();
             }
-            return out;
+            return messages;
         }
-        out.extend(self.catch_up.ask(now, self.me, &self.peers));
-        self.spread(now, &mut out);
-        if now >= self.beat_ns.saturating_add(beat_ns(&self.terms)) {
-            self.beat_ns = now;
-            let peer = self.peer();
-            let Digest { words, evidence } = self.digest();
-            out.push((peer, Message::Digest { words, evidence, answers: false }));
+        messages.extend(self.full_sync.requests(now, self.local_id, &self.peers));
+        self.send_updates(now, &mut messages);
+        if now >= self.last_digest_ns.saturating_add(digest_interval_ns(&self.params)) {
+            self.last_digest_ns = now;
+            let peer = self.random_peer();
+            let Digest { overrides, evidence } = self.digest();
+            messages.push((peer, Message::Digest { overrides, evidence, is_reply: false }));
         }
-        out
+        messages
     }
 
     /// Tells a few peers what is hot.
-    fn spread(&mut self, now: u64, out: &mut Vec<(u32, Message)>) {
-        for _ in 0..MESSAGES_MOST {
-            let words = (!self.unsure).then_some(&self.words);
-            let Some(news) = self.hot.next(now, words, &self.table) else { break };
-            let mut told = BTreeSet::new();
-            while told.len() < FANOUT.min(self.peers.len()) {
-                told.insert(self.peer());
+    fn send_updates(&mut self, now: u64, messages: &mut Vec<(u32, Message)>) {
+        for _ in 0..MAX_MESSAGES_PER_ROUND {
+            let overrides = (!self.overrides_unconfirmed).then_some(&self.overrides);
+            let Some(update) = self.gossip.next_message(now, overrides, &self.table) else { break };
+            let mut targets = BTreeSet::new();
+            while targets.len() < FANOUT.min(self.peers.len()) {
+                targets.insert(self.random_peer());
             }
-            out.extend(told.into_iter().map(|peer| (peer, news.clone())));
+            messages.extend(targets.into_iter().map(|peer| (peer, update.clone())));
         }
     }
 
     /// Hashes of all that this router holds and may say.
     fn digest(&self) -> Digest {
-        Digest::of((!self.unsure).then_some(&self.words), &self.table)
+        Digest::of((!self.overrides_unconfirmed).then_some(&self.overrides), &self.table)
     }
 
     /// Answers a peer's digest: what differs, and this router's own digest where the peer has not seen it.
-    fn compare(&mut self, now: u64, theirs: &Digest, answers: bool) -> Vec<Message> {
+    fn answer_digest(&mut self, now: u64, theirs: &Digest, is_reply: bool) -> Vec<Message> {
         let own = self.digest();
-        let words = (!self.unsure).then_some(&self.words);
-        let mut out = own.differing_words(theirs, words, &mut self.draws);
-        out.extend(own.differing_evidence(now, theirs, &self.table, &mut self.draws));
+        let overrides = (!self.overrides_unconfirmed).then_some(&self.overrides);
+        let mut messages = own.differing_overrides(theirs, overrides, &mut self.rng);
+        messages.extend(own.differing_evidence(now, theirs, &self.table, &mut self.rng));
         // Both hand over what the other lacks.
-        if !answers && own != *theirs {
-            let Digest { words, evidence } = own;
-            out.push(Message::Digest { words, evidence, answers: true });
+        if !is_reply && own != *theirs {
+            let Digest { overrides, evidence } = own;
+            messages.push(Message::Digest { overrides, evidence, is_reply: true });
         }
-        out
+        messages
     }
 
     /// Takes a message of a peer; gives what is to be said to it, or to others.
-    pub fn hear(&mut self, now: u64, from: u32, message: Message) -> Vec<(u32, Message)> {
-        self.heard_ns = now;
+    pub fn receive(&mut self, now: u64, from: u32, message: Message) -> Vec<(u32, Message)> {
+        self.last_contact_ns = now;
         let to_sender = |messages: Vec<Message>| messages.into_iter().map(|m| (from, m)).collect();
         match message {
-            Message::News { words, evidence } => {
-                evidence.iter().for_each(|said| self.take_evidence(now, said));
-                words.into_iter().filter_map(|(name, word)| self.take(now, &name, word)).collect()
+            Message::Update { overrides, evidence } => {
+                evidence.iter().for_each(|report| self.merge_evidence(now, report));
+                overrides
+                    .into_iter()
+                    .filter_map(|(name, entry)| self.merge_override(now, &name, entry))
+                    .collect()
             }
-            Message::Digest { words, evidence, answers } => {
-                to_sender(self.compare(now, &Digest { words, evidence }, answers))
+            Message::Digest { overrides, evidence, is_reply } => {
+                to_sender(self.answer_digest(now, &Digest { overrides, evidence }, is_reply))
             }
-            Message::Heard(stamp) => {
-                if let Some(by) = self.heard_by.get_mut(&stamp) {
-                    by.insert(from);
+            Message::Ack(version) => {
+                if let Some(peers) = self.acks.get_mut(&version) {
+                    peers.insert(from);
                 }
                 Vec::new()
             }
             // One that does not know itself has nothing to hand over.
-            Message::AskAll { .. } if self.unsure || self.is_blank() => to_sender(vec![Message::Doubts]),
-            Message::Doubts => {
-                if self.catch_up.take_doubt(from, &self.peers) {
-                    self.unsure = false;
+            Message::FullSyncRequest { .. } if self.overrides_unconfirmed || self.lacks_overrides() => {
+                to_sender(vec![Message::FullSyncUnavailable])
+            }
+            Message::FullSyncUnavailable => {
+                if self.full_sync.mark_unavailable(from, &self.peers) {
+                    self.overrides_unconfirmed = false;
                 }
                 Vec::new()
             }
-            Message::AskAll { round, wants } => to_sender(hand_over(&self.words, round, &wants)),
-            Message::All { round, part, parts, words } => {
-                if let Some(words) = self.catch_up.take_part(now, from, Part { round, part, parts }, words) {
-                    self.take_all(now, &words);
+            Message::FullSyncRequest { request_id, missing_parts } => {
+                to_sender(full_sync_parts(&self.overrides, request_id, &missing_parts))
+            }
+            Message::FullSyncPart { request_id, part, parts, overrides } => {
+                if let Some(overrides) =
+                    self.full_sync.receive_part(now, from, Part { request_id, part, parts }, overrides)
+                {
+                    self.apply_full_sync(now, &overrides);
                 }
                 Vec::new()
             }
         }
     }
 
-    fn take_evidence(&mut self, now: u64, said: &Evidence) {
+    fn merge_evidence(&mut self, now: u64, report: &Evidence) {
         // What is said of this router's own sight comes from itself alone.
-        if said.witness != self.me && self.table.merge(now, said, self.terms.fade_ns) {
+        if report.observer != self.local_id && self.table.merge(now, report, self.params.evidence_lifetime_ns)
+        {
             self.counts.news += 1;
-            self.stale = true;
-            self.hot.add_evidence(said.engine, said.witness, said.finding);
+            self.evaluation_outdated = true;
+            self.gossip.push_evidence(report.engine, report.observer, report.finding);
         }
     }
 
     /// Takes all words of a peer.
-    fn take_all(&mut self, now: u64, words: &Words) {
-        if std::mem::take(&mut self.unsure) {
+    fn apply_full_sync(&mut self, now: u64, overrides: &Overrides) {
+        if std::mem::take(&mut self.overrides_unconfirmed) {
             // What nobody else knows has ended, and its end is forgotten.
-            self.words = Words::default();
+            self.overrides = Overrides::default();
             self.revision += 1;
-            self.hot.forget_words();
+            self.gossip.drop_overrides();
         }
-        for (name, word) in words.iter() {
-            self.take(now, name, word);
+        for (name, entry) in overrides.iter() {
+            self.merge_override(now, name, entry);
         }
     }
 
     /// Takes one word; gives the answer to whoever said it first.
-    fn take(&mut self, now: u64, name: &str, word: Word) -> Option<(u32, Message)> {
+    fn merge_override(&mut self, now: u64, name: &str, entry: Override) -> Option<(u32, Message)> {
         // A word that ended longer ago than is remembered may have been forgotten by others.
-        let ended = !word.out && word.stamp.ms + self.terms.remember_ns / 1_000_000 <= now / 1_000_000;
-        if ended || !self.clock.heard(now, word.stamp) {
-            self.counts.refused += u64::from(!ended);
+        let outdated = !entry.excluded
+            && entry.version.ms + self.params.override_memory_ns / 1_000_000 <= now / 1_000_000;
+        if outdated || !self.clock.observe(now, entry.version) {
+            self.counts.refused += u64::from(!outdated);
             return None;
         }
-        match self.words.merge(name, word) {
-            Merged::News => {
+        match self.overrides.merge(name, entry) {
+            MergeOutcome::Updated => {
                 self.counts.news += 1;
                 self.revision += 1;
-                self.hot.add_word(name);
+                self.gossip.push_override(name);
             }
-            Merged::Known => {}
-            Merged::Older => return None,
-            Merged::Refused => {
+            MergeOutcome::Unchanged => {}
+            MergeOutcome::Superseded => return None,
+            MergeOutcome::Rejected => {
                 self.counts.refused += 1;
                 return None;
             }
         }
-        let own = word.stamp.router == self.me;
-        (!own).then_some((word.stamp.router, Message::Heard(word.stamp)))
+        let own = entry.version.router == self.local_id;
+        (!own).then_some((entry.version.router, Message::Ack(entry.version)))
     }
 
     /// What is believed now, judged anew where something has changed.
-    pub fn judged(&mut self) -> &Judged {
-        if std::mem::take(&mut self.stale) {
-            let judged = judge(&self.table, &self.engines, &self.terms, self.zone);
-            let newly = judged.suspects.contains(&self.me) && !self.judged.suspects.contains(&self.me);
+    pub fn evaluation(&mut self) -> &Evaluation {
+        if std::mem::take(&mut self.evaluation_outdated) {
+            let evaluation = evaluate(&self.table, &self.engines, &self.params, self.zone);
+            let newly = evaluation.suspects.contains(&self.local_id)
+                && !self.evaluation.suspects.contains(&self.local_id);
             self.counts.suspected += u64::from(newly);
-            self.judged = judged;
+            self.evaluation = evaluation;
         }
-        &self.judged
+        &self.evaluation
     }
 
     /// Whether this router is the suspect: it finds engines bad that serve the others.
     pub fn is_suspect(&self) -> bool {
-        self.judged.suspects.contains(&self.me)
+        self.evaluation.suspects.contains(&self.local_id)
     }
 
     /// Whether it is this router's turn to try an engine that is out.
-    pub fn tries(&self, now: u64, engine: u64) -> bool {
-        let out = self.judged.engines.get(&engine) == Some(&Judgement::Out);
+    pub fn is_prober(&self, now: u64, engine: u64) -> bool {
+        let excluded = self.evaluation.engines.get(&engine) == Some(&HealthStatus::Out);
         let started_ms = self.engines.iter().find(|(id, _)| *id == engine).map_or(0, |(_, at)| *at);
-        let triers = triers(&self.table, (engine, started_ms), now);
-        out && tries(engine, now / 1_000_000, self.me, self.peers.iter().copied(), triers)
+        let prober_count = prober_count(&self.table, (engine, started_ms), now);
+        excluded
+            && is_prober(engine, now / 1_000_000, self.local_id, self.peers.iter().copied(), prober_count)
     }
 }
--- a/crates/verdicts/src/draws.rs
+++ b/crates/verdicts/src/rng.rs
@@ -4,11 +4,11 @@
 
 /// A sequence of draws.
 #[derive(Clone, Debug)]
-pub(crate) struct Draws(u64);
+pub(crate) struct Rng(u64);
 
-impl Draws {
-    pub(crate) fn new(seed: u64) -> Draws {
-        Draws(mix(seed))
+impl Rng {
+    pub(crate) fn new(seed: u64) -> Rng {
+        Rng(mix(seed))
     }
 
     /// A number below this one; 0 where that is 0.
--- a/crates/verdicts/tests/fleet.rs
+++ b/crates/verdicts/tests/fleet.rs
@@ -4,24 +4,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use marljunction_rig::beliefs::{Fleet, MS, S, STEP};
-use marljunction_verdicts::bound::{agree_within_ns, fades_within_ns, heard_within_ns};
-use marljunction_verdicts::evidence::{Evidence, Finding, Held};
-use marljunction_verdicts::stamp::Stamp;
-use marljunction_verdicts::witness::Went;
-use marljunction_verdicts::words::{Word, Words};
-use marljunction_verdicts::{Judgement, Message, Node};
+use marljunction_verdicts::bound::{convergence_bound_ns, evidence_expiry_bound_ns, propagation_bound_ns};
+use marljunction_verdicts::evidence::{Evidence, Finding, StoredEvidence};
+use marljunction_verdicts::observer::AttemptOutcome;
+use marljunction_verdicts::overrides::{Override, Overrides};
+use marljunction_verdicts::version::Version;
+use marljunction_verdicts::{HealthStatus, Message, Node};
 use rand::Rng;
 
 fn is_out(node: &mut Node, engine: u64) -> bool {
-    node.judged().engines.get(&engine) == Some(&Judgement::Out)
+    node.evaluation().engines.get(&engine) == Some(&HealthStatus::Out)
 }
 
-fn said_out(node: &Node, name: &str) -> bool {
-    node.words().get(name).is_some_and(|word| word.out)
+fn is_excluded(node: &Node, name: &str) -> bool {
+    node.overrides().get(name).is_some_and(|entry| entry.excluded)
 }
 
 #[test]
-fn a_word_is_heard_by_all_within_the_bound_on_a_bad_wire_too() {
+fn an_override_reaches_all_routers_within_the_bound_despite_loss() {
     for (routers, seeds) in [(5, 300), (8, 300), (40, 60), (200, 6)] {
         let mut worst = 0.0f64;
         for seed in 0..seeds {
@@ -30,11 +30,11 @@
                 fleet.bad_wire();
             }
             let now = fleet.now;
-            let stamp = fleet.node(0).say(now, "e3", true).unwrap();
-            let bound = heard_within_ns(&fleet.terms);
-            let took = fleet.until(bound, "all have heard it", |f| f.all(|node| said_out(node, "e3")));
+            let version = fleet.node(0).set_override(now, "e3", true).unwrap();
+            let bound = propagation_bound_ns(&fleet.params);
+            let took = fleet.until(bound, "all have heard it", |f| f.all(|node| is_excluded(node, "e3")));
             worst = worst.max(took as f64 / bound as f64);
-            fleet.until(2 * bound, "all have said so", |f| f.node(0).heard_by(stamp) + 1 == routers);
+            fleet.until(2 * bound, "all have said so", |f| f.node(0).acks(version) + 1 == routers);
         }
         println!("{routers} routers: heard after {worst:.2} of the bound at worst");
         assert!(routers < 40 || worst >= 0.3, "the bound is idle");
@@ -42,65 +42,68 @@
 }
 
 #[test]
-fn the_later_of_two_words_wins_on_both_sides_of_a_cut_that_heals() {
+fn the_later_override_wins_on_both_sides_of_a_healed_partition() {
     for seed in 0..100 {
         let mut fleet = Fleet::new(6, seed);
         let now = fleet.now;
-        fleet.node(0).say(now, "e1", true);
+        fleet.node(0).set_override(now, "e1", true);
         fleet.run(3 * S);
         fleet.cut_into(|at| at / 3);
         // Crossing: one side ends what the other says anew, and the other way round.
         let now = fleet.now;
-        fleet.node(0).say(now, "e1", false);
-        fleet.node(5).say(now, "e2", true);
+        fleet.node(0).set_override(now, "e1", false);
+        fleet.node(5).set_override(now, "e2", true);
         fleet.run(S);
         let now = fleet.now;
-        fleet.node(4).say(now, "e1", true);
-        fleet.node(1).say(now, "e2", false);
+        fleet.node(4).set_override(now, "e1", true);
+        fleet.node(1).set_override(now, "e2", false);
         fleet.run(5 * S);
-        assert!(!said_out(fleet.node(2), "e1") && said_out(fleet.node(3), "e1"), "each side has its own");
+        assert!(
+            !is_excluded(fleet.node(2), "e1") && is_excluded(fleet.node(3), "e1"),
+            "each side has its own"
+        );
         fleet.cut.clear();
-        let bound = agree_within_ns(&fleet.terms, 2);
+        let bound = convergence_bound_ns(&fleet.params, 2);
         fleet.until(bound, "all agree", |f| {
-            f.all(|n| said_out(n, "e1") && n.words().get("e2").is_some_and(|w| !w.out))
+            f.all(|n| is_excluded(n, "e1") && n.overrides().get("e2").is_some_and(|entry| !entry.excluded))
         });
     }
 }
 
 #[test]
-fn halves_with_thousands_of_words_agree_within_the_bound_and_with_no_full_copy_of_all() {
+fn partitions_with_thousands_of_overrides_converge_within_the_bound_without_a_full_sync() {
     let mut fleet = Fleet::new(6, 1);
     let now = fleet.now;
     for n in 0..2_000 {
-        fleet.node(0).say(now, &format!("engine-{n}"), true);
+        fleet.node(0).set_override(now, &format!("engine-{n}"), true);
     }
-    fleet.until(600 * S, "all know all", |f| f.all(|n| n.words().len() == 2_000));
+    fleet.until(600 * S, "all know all", |f| f.all(|n| n.overrides().len() == 2_000));
     fleet.run(20 * S);
     fleet.cut_into(|at| at / 3);
     for n in 0..50 {
-        fleet.node(1).say(now + 10 * S, &format!("left-{n}"), true);
-        fleet.node(4).say(now + 10 * S, &format!("right-{n}"), true);
+        fleet.node(1).set_override(now + 10 * S, &format!("left-{n}"), true);
+        fleet.node(4).set_override(now + 10 * S, &format!("right-{n}"), true);
     }
     fleet.run(20 * S);
     let bytes = fleet.bytes;
     fleet.cut.clear();
-    let bound = agree_within_ns(&fleet.terms, 100 * 32);
-    let took = fleet.until(bound, "all agree", |f| f.all(|n| n.words().len() == 2_100));
+    let bound = convergence_bound_ns(&fleet.params, 100 * 32);
+    let took = fleet.until(bound, "all agree", |f| f.all(|n| n.overrides().len() == 2_100));
     println!("agreed after {:.1} s and {} KB", took as f64 / 1e9, (fleet.bytes - bytes) / 1_000);
 }
 
 #[test]
-fn an_engine_that_is_silent_for_enough_is_out_for_all_and_back_once_two_were_served() {
+fn an_engine_silent_for_a_quorum_is_excluded_until_two_routers_are_served() {
     for seed in 0..50 {
         let mut fleet = Fleet::new(12, seed);
         if seed % 2 == 1 {
             fleet.bad_wire();
         }
-        (0..2).for_each(|at| fleet.ended(at, 4, Went::Silent));
-        fleet.run(heard_within_ns(&fleet.terms));
+        (0..2).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
+        fleet.run(propagation_bound_ns(&fleet.params));
         assert!(fleet.all(|n| !is_out(n, 4)), "two are not enough");
-        fleet.ended(2, 4, Went::Silent);
-        let bound = heard_within_ns(&fleet.terms);
+        fleet.ended(2, 4, AttemptOutcome::Silent);
+        let bound = propagation_bound_ns(&fleet.params);
         fleet.until(bound, "out for all", |f| f.all(|n| is_out(n, 4)));
         // Few have their turn to try it, and all have some time.
         let mut tried = BTreeSet::new();
@@ -108,42 +111,42 @@
             fleet.step();
             let now = fleet.now;
             let turns: Vec<usize> =
-                (0..12).filter(|at| fleet.nodes[*at].as_ref().unwrap().tries(now, 4)).collect();
+                (0..12).filter(|at| fleet.nodes[*at].as_ref().unwrap().is_prober(now, 4)).collect();
             assert!(turns.len() <= 3, "{turns:?} at once");
             tried.extend(turns);
         }
         assert!(tried.len() >= 10, "{tried:?}");
         assert!(fleet.all(|n| is_out(n, 4)), "witnesses that hold to it say it again");
-        fleet.ended(7, 4, Went::Served(MS));
+        fleet.ended(7, 4, AttemptOutcome::Served(MS));
         fleet.run(bound);
         assert!(fleet.all(|n| is_out(n, 4)), "one may be lucky");
-        fleet.ended(8, 4, Went::Served(MS));
+        fleet.ended(8, 4, AttemptOutcome::Served(MS));
         fleet.until(bound, "back for all", |f| f.all(|n| !is_out(n, 4)));
     }
 }
 
 #[test]
-fn a_lone_liar_and_a_lone_bad_network_take_out_nothing() {
+fn one_faulty_or_lying_router_excludes_no_engine() {
     for seed in 0..50 {
         let mut fleet = Fleet::new(10, seed);
         fleet.bad_wire();
         // The others are served by all of them, and say so where it is doubted.
         for _ in 0..20 {
             for engine in 0..20 {
-                fleet.ended(3, engine, Went::Silent);
-                (4..8).for_each(|at| fleet.ended(at, engine, Went::Served(MS)));
+                fleet.ended(3, engine, AttemptOutcome::Silent);
+                (4..8).for_each(|at| fleet.ended(at, engine, AttemptOutcome::Served(MS)));
             }
             fleet.run(S);
-            assert!(fleet.all(|n| n.judged().engines.is_empty()), "seed {seed}");
+            assert!(fleet.all(|n| n.evaluation().engines.is_empty()), "seed {seed}");
         }
         let now = fleet.now;
-        let judged = fleet.node(3).judged().suspects.clone();
-        assert_eq!(judged, BTreeSet::from([3]), "it is told so itself, at {now}");
+        let suspects = fleet.node(3).evaluation().suspects.clone();
+        assert_eq!(suspects, BTreeSet::from([3]), "it is told so itself, at {now}");
         // One that says it of others' sight is not believed either: it can speak for itself alone.
-        let lie = |witness| Evidence {
+        let forged = |observer| Evidence {
             engine: 9,
             started_ms: 7,
-            witness,
+            observer,
             life: u64::MAX,
             number: 1,
             zone: 0,
@@ -151,23 +154,23 @@
             since_ms: 0,
             age_ms: 0,
         };
-        let message = Message::News { words: Vec::new(), evidence: vec![lie(5)] };
+        let message = Message::Update { overrides: Vec::new(), evidence: vec![forged(5)] };
         let now = fleet.now;
-        fleet.node(5).hear(now, 3, message);
-        let of_me = |(engine, witness, held): (u64, u32, &Held)| {
-            (engine, witness) == (9, 5) && held.finding == Finding::Silent
+        fleet.node(5).receive(now, 3, message);
+        let is_forged = |(engine, observer, stored): (u64, u32, &StoredEvidence)| {
+            (engine, observer) == (9, 5) && stored.finding == Finding::Silent
         };
-        assert!(!fleet.node(5).evidence().iter().any(of_me));
+        assert!(!fleet.node(5).evidence().iter().any(is_forged));
     }
 }
 
 #[test]
-fn what_only_one_zone_can_not_reach_is_out_for_that_zone_alone() {
+fn an_engine_unreachable_from_one_zone_is_excluded_in_that_zone_only() {
     for seed in 0..30 {
         let mut fleet = Fleet::new(12, seed);
         for _ in 0..10 {
-            [0, 2, 4, 6].into_iter().for_each(|at| fleet.ended(at, 4, Went::Silent));
-            [1, 3, 5, 7, 9, 11].into_iter().for_each(|at| fleet.ended(at, 4, Went::Served(MS)));
+            [0, 2, 4, 6].into_iter().for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
+            [1, 3, 5, 7, 9, 11].into_iter().for_each(|at| fleet.ended(at, 4, AttemptOutcome::Served(MS)));
             fleet.run(S);
         }
         let sides: Vec<bool> = (0..12).map(|at| is_out(fleet.node(at), 4)).collect();
@@ -175,103 +178,107 @@
             (0..12).all(|at| sides[at] == (at % 2 == 0)),
             "out where it is silent, and only there: {sides:?}"
         );
-        let suspects = fleet.node(1).judged().suspects.clone();
+        let suspects = fleet.node(1).evaluation().suspects.clone();
         assert!(suspects.is_empty(), "one engine is nobody's bad network: {suspects:?}");
     }
 }
 
 #[test]
-fn evidence_never_empties_the_list_and_all_slow_is_nobodys_fault() {
+fn exclusions_are_bounded_and_uniform_slowness_excludes_nothing() {
     let mut fleet = Fleet::new(8, 3);
     for engine in 0..20 {
         for at in 0..8 {
-            fleet.ended(at, engine, Went::Silent);
+            fleet.ended(at, engine, AttemptOutcome::Silent);
         }
     }
-    fleet.run(heard_within_ns(&fleet.terms));
-    let out = fleet.node(2).judged().engines.len();
-    assert_eq!(out, 6, "three tenths of twenty");
-    let same = fleet.node(2).judged().clone();
-    assert!(fleet.all(|n| *n.judged() == same), "the same ones for all");
+    fleet.run(propagation_bound_ns(&fleet.params));
+    let excluded = fleet.node(2).evaluation().engines.len();
+    assert_eq!(excluded, 6, "three tenths of twenty");
+    let same = fleet.node(2).evaluation().clone();
+    assert!(fleet.all(|n| *n.evaluation() == same), "the same ones for all");
 
     let mut fleet = Fleet::new(8, 4);
     for round in 0..40u64 {
         // All engines take three times as long from the middle on.
         let took = if round < 20 { 10 * MS } else { 30 * MS };
         for engine in 0..20 {
-            (0..8).for_each(|at| fleet.ended(at, engine, Went::Served(took + engine * MS / 10)));
+            (0..8).for_each(|at| fleet.ended(at, engine, AttemptOutcome::Served(took + engine * MS / 10)));
         }
         fleet.run(S);
-        assert!(fleet.all(|n| n.judged().engines.is_empty()), "round {round}");
+        assert!(fleet.all(|n| n.evaluation().engines.is_empty()), "round {round}");
     }
 }
 
 #[test]
-fn an_engine_that_is_slow_for_half_of_the_routers_is_slow_for_all() {
+fn an_engine_slow_for_half_of_the_routers_is_slow_for_all() {
     let mut fleet = Fleet::new(8, 5);
     for _ in 0..40 {
         for engine in 0..20 {
             for at in 0..4 {
                 let took = if engine == 6 { 35 * MS } else { 10 * MS };
-                fleet.ended(at, engine, Went::Served(took));
+                fleet.ended(at, engine, AttemptOutcome::Served(took));
             }
         }
         fleet.run(S / 2);
     }
-    fleet.run(heard_within_ns(&fleet.terms));
-    assert!(fleet
-        .all(|n| matches!(n.judged().engines.get(&6), Some(Judgement::Slow(r)) if (2.0..4.5).contains(r))));
-    assert!(fleet.all(|n| n.judged().engines.len() == 1));
+    fleet.run(propagation_bound_ns(&fleet.params));
+    assert!(fleet.all(
+        |n| matches!(n.evaluation().engines.get(&6), Some(HealthStatus::Slow(r)) if (2.0..4.5).contains(r))
+    ));
+    assert!(fleet.all(|n| n.evaluation().engines.len() == 1));
 }
 
 #[test]
-fn in_a_cut_evidence_fades_and_words_hold_on() {
+fn in_a_partition_evidence_expires_and_overrides_persist() {
     let mut fleet = Fleet::new(8, 6);
     fleet.cut_into(|at| usize::from(at >= 4));
     fleet.cut.clear();
     let now = fleet.now;
-    fleet.node(0).say(now, "e1", true);
-    (0..3).for_each(|at| fleet.ended(at, 4, Went::Silent));
+    fleet.node(0).set_override(now, "e1", true);
+    (0..3).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
     fleet.run(5 * S);
     assert!(fleet.all(|n| is_out(n, 4)));
     fleet.cut_into(|at| usize::from(at >= 4));
-    fleet.run(fades_within_ns(&fleet.terms) + S);
+    fleet.run(evidence_expiry_bound_ns(&fleet.params) + S);
     assert!((4..8).all(|at| !is_out(fleet.node(at), 4)), "no witness of theirs holds to it");
     assert!((0..4).all(|at| is_out(fleet.node(at), 4)), "here its witnesses do");
-    assert!(fleet.all(|n| said_out(n, "e1")));
+    assert!(fleet.all(|n| is_excluded(n, "e1")));
 }
 
 #[test]
-fn a_word_outlasts_every_router_and_a_joiner_knows_it_before_it_says_ready() {
+fn an_override_survives_a_restart_of_all_routers_and_precedes_readiness() {
     for seed in 0..50 {
         let mut fleet = Fleet::new(6, seed);
         fleet.bad_wire();
         let now = fleet.now;
-        fleet.node(2).say(now, "e9", true);
+        fleet.node(2).set_override(now, "e9", true);
         fleet.run(6 * S);
         (0..6).for_each(|at| fleet.kill(at));
         fleet.run(2 * S);
         // Most have a new disk, and nothing to tell each other.
-        (1..6).for_each(|at| fleet.kept[at] = (Words::default(), fleet.now));
+        (1..6).for_each(|at| fleet.kept[at] = (Overrides::default(), fleet.now));
         (0..6).for_each(|at| fleet.start(at));
         fleet.until(20 * S, "all are ready, and none before it knows", |f| {
             let now = f.now;
-            assert!(f.all(|n| !n.knows(now) || said_out(n, "e9")), "seed {seed}: ready and does not know it");
+            assert!(
+                f.all(|n| !n.knows(now) || is_excluded(n, "e9")),
+                "seed {seed}: ready and does not know it"
+            );
             f.all(|n| n.knows(now))
         });
     }
 }
 
 #[test]
-fn a_joiner_catches_up_with_thousands_of_words_though_a_third_is_lost() {
+fn a_joining_router_syncs_thousands_of_overrides_despite_loss() {
     let mut fleet = Fleet::new(3, 1);
     fleet.kill(2);
     let now = fleet.now;
     for n in 0..5_000 {
-        fleet.node(0).say(now, &format!("engine-{n}"), true);
+        fleet.node(0).set_override(now, &format!("engine-{n}"), true);
     }
     // The other has them from its disk.
-    fleet.kept[1] = (fleet.node(0).words().clone(), now);
+    fleet.kept[1] = (fleet.node(0).overrides().clone(), now);
     fleet.kill(1);
     fleet.start(1);
     fleet.run(5 * S);
@@ -282,49 +289,54 @@
         let now = f.now;
         f.node(2).knows(now)
     });
-    assert_eq!(fleet.node(2).words().len(), 5_000);
+    assert_eq!(fleet.node(2).overrides().len(), 5_000);
     println!("5,000 words after {:.1} s", took as f64 / 1e9);
 }
 
 #[test]
-fn a_joiner_that_meets_only_a_stale_peer_is_set_right_once_it_meets_others() {
+fn a_joining_router_that_syncs_from_a_stale_peer_converges_later() {
     for seed in 0..30 {
         let mut fleet = Fleet::new(6, seed);
         let now = fleet.now;
-        fleet.node(0).say(now, "e1", true);
+        fleet.node(0).set_override(now, "e1", true);
         fleet.run(3 * S);
         // Number 5 is alone, and does not hear that the engine is back; then a joiner hears it only.
         fleet.kill(4);
-        fleet.kept[4] = (Words::default(), fleet.now);
+        fleet.kept[4] = (Overrides::default(), fleet.now);
         fleet.cut_into(|at| usize::from(at >= 4));
         let now = fleet.now;
-        fleet.node(0).say(now, "e1", false);
+        fleet.node(0).set_override(now, "e1", false);
         fleet.run(3 * S);
         fleet.start(4);
         fleet.run(3 * S);
-        assert!(said_out(fleet.node(4), "e1"));
+        assert!(is_excluded(fleet.node(4), "e1"));
         fleet.cut.clear();
-        fleet.until(agree_within_ns(&fleet.terms, 1), "all agree", |f| f.all(|n| !said_out(n, "e1")));
+        fleet
+            .until(convergence_bound_ns(&fleet.params, 1), "all agree", |f| f.all(|n| !is_excluded(n, "e1")));
     }
 }
 
 #[test]
-fn a_word_that_ended_comes_back_neither_within_the_longest_cut_nor_from_one_that_was_alone_for_longer() {
+fn a_reverted_override_does_not_return_after_a_short_or_a_long_partition() {
     for (longer, restarts) in [(false, false), (true, false), (true, true)] {
         let mut fleet = Fleet::new(5, 8);
         let now = fleet.now;
-        fleet.node(0).say(now, "e1", true);
+        fleet.node(0).set_override(now, "e1", true);
         fleet.run(3 * S);
         fleet.cut_into(|at| usize::from(at == 4));
         let now = fleet.now;
-        fleet.node(0).say(now, "e1", false);
+        fleet.node(0).set_override(now, "e1", false);
         fleet.run(3 * S);
         // Nobody steps through a day: time jumps, and all notice it in their next round.
-        fleet.now += if longer { fleet.terms.remember_ns + 60 * S } else { fleet.terms.remember_ns - 60 * S };
+        fleet.now += if longer {
+            fleet.params.override_memory_ns + 60 * S
+        } else {
+            fleet.params.override_memory_ns - 60 * S
+        };
         fleet.run(3 * S);
-        let forgotten = fleet.node(1).words().get("e1").is_none();
+        let forgotten = fleet.node(1).overrides().get("e1").is_none();
         assert_eq!(forgotten, longer);
-        assert!(said_out(fleet.node(4), "e1"));
+        assert!(is_excluded(fleet.node(4), "e1"));
         if restarts {
             // What it keeps is as old as the last peer that it heard, not as its file.
             fleet.kill(4);
@@ -332,33 +344,35 @@
             fleet.run(2 * S);
         }
         fleet.cut.clear();
-        fleet.until(agree_within_ns(&fleet.terms, 1), "all agree", |f| f.all(|n| !said_out(n, "e1")));
+        fleet
+            .until(convergence_bound_ns(&fleet.params, 1), "all agree", |f| f.all(|n| !is_excluded(n, "e1")));
         fleet.run(10 * S);
-        assert!(fleet.all(|n| !said_out(n, "e1")), "it has come back");
+        assert!(fleet.all(|n| !is_excluded(n, "e1")), "it has come back");
     }
 }
 
 #[test]
-fn a_fleet_that_was_down_whole_for_longer_than_words_are_remembered_goes_by_what_it_kept() {
+fn a_fleet_down_for_longer_than_the_override_memory_restores_stored_overrides() {
     let mut fleet = Fleet::new(5, 9);
     let now = fleet.now;
-    fleet.node(0).say(now, "e1", true);
+    fleet.node(0).set_override(now, "e1", true);
     fleet.run(5 * S);
     (0..5).for_each(|at| fleet.kill(at));
-    fleet.now += 2 * fleet.terms.remember_ns;
+    fleet.now += 2 * fleet.params.override_memory_ns;
     (0..5).for_each(|at| fleet.start(at));
     fleet.until(10 * S, "all are ready", |f| {
         let now = f.now;
         f.all(|n| n.knows(now))
     });
-    assert!(fleet.all(|n| said_out(n, "e1")));
+    assert!(fleet.all(|n| is_excluded(n, "e1")));
     let now = fleet.now;
-    fleet.node(3).say(now, "e1", false);
-    fleet.until(heard_within_ns(&fleet.terms), "its end is heard", |f| f.all(|n| !said_out(n, "e1")));
+    fleet.node(3).set_override(now, "e1", false);
+    fleet
+        .until(propagation_bound_ns(&fleet.params), "its end is heard", |f| f.all(|n| !is_excluded(n, "e1")));
 }
 
 #[test]
-fn hundreds_that_start_for_the_first_time_are_ready_soon() {
+fn a_new_fleet_of_hundreds_is_ready_soon() {
     for routers in [2, 5, 300] {
         let mut fleet = Fleet::new(routers, 1);
         let took = fleet.until(10 * S, "all are ready", |f| {
@@ -370,32 +384,32 @@
 }
 
 #[test]
-fn old_words_of_one_that_stood_still_change_nothing() {
+fn stale_overrides_of_a_resumed_router_change_nothing() {
     for seed in 0..50 {
         let mut fleet = Fleet::new(6, seed);
         fleet.bad_wire();
         let now = fleet.now;
-        fleet.node(3).say(now, "e1", true);
+        fleet.node(3).set_override(now, "e1", true);
         // What it would say next is held back with it, while others end it.
         fleet.run(2 * S);
         fleet.frozen.insert(3);
         fleet.run(S);
         let now = fleet.now;
-        fleet.node(0).say(now, "e1", false);
+        fleet.node(0).set_override(now, "e1", false);
         fleet.run(10 * S);
         fleet.frozen.clear();
-        fleet.until(heard_within_ns(&fleet.terms), "it is told", |f| !said_out(f.node(3), "e1"));
+        fleet.until(propagation_bound_ns(&fleet.params), "it is told", |f| !is_excluded(f.node(3), "e1"));
         fleet.run(5 * S);
-        assert!(fleet.all(|n| !said_out(n, "e1")));
+        assert!(fleet.all(|n| !is_excluded(n, "e1")));
     }
 }
 
 #[test]
-fn nothing_comes_back_and_nobody_differs_in_the_end_whatever_breaks() {
+fn all_routers_converge_to_the_latest_overrides_under_random_faults() {
     for seed in 0..200 {
         let mut fleet = Fleet::new(6, seed);
         // What was said last of each engine, by stamp: no router may end with anything else.
-        let mut last = BTreeMap::<String, Word>::new();
+        let mut last = BTreeMap::<String, Override>::new();
         for _ in 0..40 {
             let at = fleet.draws.gen_range(0..6);
             match fleet.draws.gen_range(0..9) {
@@ -412,12 +426,12 @@
                 7 => fleet.frozen.clear(),
                 _ => {}
             }
-            let (name, out) = (format!("e{}", fleet.draws.gen_range(0..3)), fleet.draws.gen_bool(0.5));
+            let (name, excluded) = (format!("e{}", fleet.draws.gen_range(0..3)), fleet.draws.gen_bool(0.5));
             let now = fleet.now;
-            let said = fleet.nodes[at].as_mut().filter(|_| !fleet.frozen.contains(&at));
-            if let Some(stamp) = said.and_then(|node| node.say(now, &name, out)) {
-                let word = last.entry(name).or_insert(Word { stamp: Stamp::default(), out });
-                *word = (*word).max(Word { stamp, out });
+            let running = fleet.nodes[at].as_mut().filter(|_| !fleet.frozen.contains(&at));
+            if let Some(version) = running.and_then(|node| node.set_override(now, &name, excluded)) {
+                let entry = last.entry(name).or_insert(Override { version: Version::default(), excluded });
+                *entry = (*entry).max(Override { version, excluded });
             }
             let ns = fleet.draws.gen_range(50 * MS..2 * S);
             fleet.run(ns);
@@ -426,23 +440,23 @@
         fleet.cut.clear();
         fleet.frozen.clear();
         (0..6).for_each(|at| fleet.start(at));
-        let bound = agree_within_ns(&fleet.terms, 3);
+        let bound = convergence_bound_ns(&fleet.params, 3);
         let same = last.clone();
         fleet.until(bound, "all agree on what was said last", move |f| {
-            f.all(|n| same.iter().all(|(name, word)| n.words().get(name) == Some(*word)))
+            f.all(|n| same.iter().all(|(name, entry)| n.overrides().get(name) == Some(*entry)))
         });
         fleet.run(5 * S);
         assert!(
-            fleet.all(|n| last.iter().all(|(name, word)| n.words().get(name) == Some(*word))),
+            fleet.all(|n| last.iter().all(|(name, entry)| n.overrides().get(name) == Some(*entry))),
             "seed {seed}"
         );
     }
 }
 
 #[test]
-fn an_engine_that_starts_again_is_free_of_what_was_said_of_its_last_life() {
+fn evidence_of_an_earlier_run_of_an_engine_does_not_count() {
     let mut fleet = Fleet::new(6, 1);
-    (0..4).for_each(|at| fleet.ended(at, 4, Went::Silent));
+    (0..4).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
     fleet.run(3 * S);
     assert!(fleet.all(|n| is_out(n, 4)));
     fleet.engines[4].1 = 99;
@@ -452,16 +466,20 @@
 }
 
 #[test]
-fn one_that_flaps_each_second_is_judged_out_by_fresh_findings_and_never_for_good() {
+fn a_flapping_engine_is_not_excluded_forever() {
     let mut fleet = Fleet::new(8, 2);
     for second in 0..30u64 {
         for at in 0..8 {
-            fleet.ended(at, 4, if second % 2 == 0 { Went::Silent } else { Went::Served(MS) });
+            fleet.ended(
+                at,
+                4,
+                if second % 2 == 0 { AttemptOutcome::Silent } else { AttemptOutcome::Served(MS) },
+            );
         }
         fleet.run(S);
     }
     for at in 0..8 {
-        fleet.ended(at, 4, Went::Served(MS));
+        fleet.ended(at, 4, AttemptOutcome::Served(MS));
     }
-    fleet.until(heard_within_ns(&fleet.terms), "back for all", |f| f.all(|n| !is_out(n, 4)));
+    fleet.until(propagation_bound_ns(&fleet.params), "back for all", |f| f.all(|n| !is_out(n, 4)));
 }
--- a/crates/verdicts/tests/merge.rs
+++ b/crates/verdicts/tests/merge.rs
@@ -1,25 +1,25 @@
 //! Words and evidence merge to the same whatever the order, and nothing that ended comes back.
 
-use marljunction_verdicts::evidence::{Evidence, Finding, Table};
-use marljunction_verdicts::stamp::{Stamp, StampClock};
-use marljunction_verdicts::words::{Merged, Word, Words};
+use marljunction_verdicts::evidence::{Evidence, EvidenceTable, Finding};
+use marljunction_verdicts::overrides::{MergeOutcome, Override, Overrides};
+use marljunction_verdicts::version::{Version, VersionClock};
 use proptest::prelude::*;
 
 const S: u64 = 1_000_000_000;
 
-fn word() -> impl Strategy<Value = (String, Word)> {
+fn entry() -> impl Strategy<Value = (String, Override)> {
     let name = prop::sample::select(vec!["a", "b", "c"]);
     // Few values, so that equal stamps come too.
-    (name, 0..4u64, 0..2u32, 0..2u32, any::<bool>()).prop_map(|(name, ms, count, router, out)| {
-        (name.to_owned(), Word { stamp: Stamp { ms, count, router }, out })
+    (name, 0..4u64, 0..2u32, 0..2u32, any::<bool>()).prop_map(|(name, ms, count, router, excluded)| {
+        (name.to_owned(), Override { version: Version { ms, count, router }, excluded })
     })
 }
 
 fn evidence() -> impl Strategy<Value = Evidence> {
-    (0..3u64, 0..3u32, 0..2u64, 0..4u32).prop_map(|(engine, witness, life, number)| Evidence {
+    (0..3u64, 0..3u32, 0..2u64, 0..4u32).prop_map(|(engine, observer, life, number)| Evidence {
         engine,
         started_ms: 1,
-        witness,
+        observer,
         life,
         number,
         zone: 0,
@@ -30,18 +30,18 @@
     })
 }
 
-fn words(all: &[(String, Word)]) -> Words {
-    let mut words = Words::default();
-    for (name, word) in all {
-        words.merge(name, *word);
+fn overrides(all: &[(String, Override)]) -> Overrides {
+    let mut overrides = Overrides::default();
+    for (name, entry) in all {
+        overrides.merge(name, *entry);
     }
-    words
+    overrides
 }
 
-fn table(all: &[Evidence]) -> Table {
-    let mut table = Table::default();
-    for said in all {
-        table.merge(60 * S, said, 30 * S);
+fn table(all: &[Evidence]) -> EvidenceTable {
+    let mut table = EvidenceTable::default();
+    for report in all {
+        table.merge(60 * S, report, 30 * S);
     }
     table
 }
@@ -50,60 +50,60 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn any_order_and_any_repeats_come_to_the_same(
-        all in prop::collection::vec(word(), 0..12).prop_flat_map(|all| (Just(all.clone()), Just(all).prop_shuffle())),
-        seen in prop::collection::vec(evidence(), 0..12).prop_flat_map(|all| (Just(all.clone()), Just(all).prop_shuffle())),
+    fn merging_is_independent_of_order_and_repetition(
+        all in prop::collection::vec(entry(), 0..12).prop_flat_map(|all| (Just(all.clone()), Just(all).prop_shuffle())),
+        reports in prop::collection::vec(evidence(), 0..12).prop_flat_map(|all| (Just(all.clone()), Just(all).prop_shuffle())),
     ) {
         let twice: Vec<_> = all.1.iter().chain(&all.0).cloned().collect();
-        prop_assert_eq!(words(&all.0), words(&all.1));
-        prop_assert_eq!(words(&all.0), words(&twice));
-        let twice: Vec<_> = seen.1.iter().chain(&seen.0).copied().collect();
-        prop_assert_eq!(table(&seen.0), table(&seen.1));
-        prop_assert_eq!(table(&seen.0), table(&twice));
+        prop_assert_eq!(overrides(&all.0), overrides(&all.1));
+        prop_assert_eq!(overrides(&all.0), overrides(&twice));
+        let twice: Vec<_> = reports.1.iter().chain(&reports.0).copied().collect();
+        prop_assert_eq!(table(&reports.0), table(&reports.1));
+        prop_assert_eq!(table(&reports.0), table(&twice));
     }
 
     #[test]
-    fn what_was_merged_in_parts_is_as_if_it_were_merged_at_once(a in prop::collection::vec(word(), 0..8), b in prop::collection::vec(word(), 0..8)) {
-        let mut one = words(&a);
-        for (name, word) in words(&b).iter() {
-            one.merge(name, word);
+    fn merging_two_sets_equals_merging_all_entries(a in prop::collection::vec(entry(), 0..8), b in prop::collection::vec(entry(), 0..8)) {
+        let mut one = overrides(&a);
+        for (name, entry) in overrides(&b).iter() {
+            one.merge(name, entry);
         }
         let all: Vec<_> = a.iter().chain(&b).cloned().collect();
-        prop_assert_eq!(one, words(&all));
+        prop_assert_eq!(one, overrides(&all));
     }
 
     #[test]
-    fn a_word_that_follows_upon_another_wins_whatever_the_clocks_say(ahead in 0..59_000u64, behind in 0..59_000u64) {
-        let (mut here, mut there) = (StampClock::new(1), StampClock::new(2));
-        let out = here.next((100_000 + ahead) * 1_000_000);
-        prop_assert!(there.heard((100_000 + ahead - ahead.min(behind)) * 1_000_000, out));
-        prop_assert!(there.next(50_000 * 1_000_000) > out);
+    fn a_version_issued_after_observing_another_is_later_despite_clock_skew(ahead in 0..59_000u64, behind in 0..59_000u64) {
+        let (mut leading, mut lagging) = (VersionClock::new(1), VersionClock::new(2));
+        let first = leading.next((100_000 + ahead) * 1_000_000);
+        prop_assert!(lagging.observe((100_000 + ahead - ahead.min(behind)) * 1_000_000, first));
+        prop_assert!(lagging.next(50_000 * 1_000_000) > first);
     }
 
     #[test]
-    fn words_are_kept_as_text(all in prop::collection::vec(word(), 0..12)) {
-        let all = words(&all);
-        prop_assert_eq!(Words::of_text(&all.to_text()), all);
+    fn overrides_round_trip_through_text(all in prop::collection::vec(entry(), 0..12)) {
+        let all = overrides(&all);
+        prop_assert_eq!(Overrides::from_text(&all.to_text()), all);
     }
 }
 
 #[test]
-fn a_clock_that_is_far_ahead_is_not_believed() {
-    let mut clock = StampClock::new(1);
-    assert!(!clock.heard(S, Stamp { ms: 3_600_000, count: 0, router: 2 }));
+fn a_version_too_far_ahead_is_rejected_and_does_not_advance_the_clock() {
+    let mut clock = VersionClock::new(1);
+    assert!(!clock.observe(S, Version { ms: 3_600_000, count: 0, router: 2 }));
     assert!(clock.next(S).ms < 2_000);
 }
 
 #[test]
-fn ten_thousand_words_and_no_more_are_kept_and_ends_make_room() {
-    let mut words = Words::default();
-    let word = |ms, out| Word { stamp: Stamp { ms, count: 0, router: 0 }, out };
+fn overrides_are_bounded_and_inclusions_are_evicted_first() {
+    let mut overrides = Overrides::default();
+    let entry = |ms, excluded| Override { version: Version { ms, count: 0, router: 0 }, excluded };
     for n in 0..10_000u64 {
-        assert_eq!(words.merge(&format!("e{n}"), word(n, n != 7)), Merged::News);
+        assert_eq!(overrides.merge(&format!("e{n}"), entry(n, n != 7)), MergeOutcome::Updated);
     }
-    assert_eq!(words.merge("one-more", word(20_000, true)), Merged::News, "in place of an end");
-    assert_eq!(words.get("e7"), None);
-    assert_eq!(words.merge("and-another", word(20_000, true)), Merged::Refused);
-    assert_eq!(words.merge("a b", word(1, true)), Merged::Refused, "not a name");
-    assert_eq!(Words::of_text(&words.to_text()).len(), 10_000);
+    assert_eq!(overrides.merge("one-more", entry(20_000, true)), MergeOutcome::Updated, "in place of an end");
+    assert_eq!(overrides.get("e7"), None);
+    assert_eq!(overrides.merge("and-another", entry(20_000, true)), MergeOutcome::Rejected);
+    assert_eq!(overrides.merge("a b", entry(1, true)), MergeOutcome::Rejected, "not a name");
+    assert_eq!(Overrides::from_text(&overrides.to_text()).len(), 10_000);
 }
--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -3,7 +3,7 @@
 use marljunction_discovery::bans::Refusal;
 use marljunction_discovery::engine_id;
 use marljunction_front::operator::{Call, OperatorFront, Reply};
-use marljunction_verdicts::stamp::Stamp;
+use marljunction_verdicts::version::Version;
 
 use super::overrides::PendingConfirmation;
 use super::Daemon;
@@ -26,7 +26,7 @@
     /// Its answer.
     Reply(Reply),
     /// It is answered once the peers have heard the override of this version.
-    AwaitPeers(Stamp),
+    AwaitPeers(Version),
 }
 
 impl Daemon {
--- a/src/daemon/overrides.rs
+++ b/src/daemon/overrides.rs
@@ -2,7 +2,7 @@
 
 use log::info;
 use marljunction_front::operator::{Call, Reply};
-use marljunction_verdicts::stamp::Stamp;
+use marljunction_verdicts::version::Version;
 
 use super::Daemon;
 
@@ -13,7 +13,7 @@
 pub(super) struct PendingConfirmation {
     conn: u64,
     call: Call,
-    version: Stamp,
+    version: Version,
     /// When it is answered at the latest (ns).
     deadline_ns: u64,
 }
@@ -25,15 +25,15 @@
     }
 
     /// Publishes an override to the fleet, and gives its version.
-    pub(super) fn publish_override(&mut self, now: u64, id: &str, excluded: bool) -> Result<Stamp, Reply> {
+    pub(super) fn publish_override(&mut self, now: u64, id: &str, excluded: bool) -> Result<Version, Reply> {
         let listed = self.engine_list.bans().knows(id);
         let Some(health) = self.router.verdicts() else {
             return Err(Reply::new(404, "this router shares no verdicts"));
         };
-        if !listed && health.node().words().get(id).is_none() {
+        if !listed && health.node().overrides().get(id).is_none() {
             return Err(Reply::new(404, format!("no engine {id}")));
         }
-        let version = health.node().say(now, id, excluded);
+        let version = health.node().set_override(now, id, excluded);
         self.apply_overrides(now);
         version.ok_or_else(|| Reply::new(409, "as many engines are out as may be"))
     }
@@ -47,7 +47,7 @@
             return;
         }
         exclusions.applied_revision = revision;
-        let excluded: Vec<String> = health.node().words().out().map(str::to_owned).collect();
+        let excluded: Vec<String> = health.node().overrides().excluded().map(str::to_owned).collect();
         if excluded == exclusions.fleet_excluded {
             return;
         }
@@ -60,7 +60,7 @@
     }
 
     /// Answers a client once the peers have heard its override.
-    pub(super) fn await_confirmation(&mut self, now: u64, conn: u64, call: Call, version: Stamp) {
+    pub(super) fn await_confirmation(&mut self, now: u64, conn: u64, call: Call, version: Version) {
         let deadline_ns = now + CONFIRM_TIMEOUT_NS;
         self.admin.pending.push(PendingConfirmation { conn, call, version, deadline_ns });
     }
@@ -69,7 +69,7 @@
     pub(super) fn confirm_overrides(&mut self, now: u64) {
         for pending in std::mem::take(&mut self.admin.pending) {
             let Some(health) = self.router.verdicts() else { continue };
-            let (heard, peers) = (health.node().heard_by(pending.version), health.node().peers());
+            let (heard, peers) = (health.node().acks(pending.version), health.node().peers());
             if heard < peers && now < pending.deadline_ns {
                 self.admin.pending.push(pending);
                 continue;
--- a/src/daemon/relayed_list.rs
+++ b/src/daemon/relayed_list.rs
@@ -7,7 +7,7 @@
 use marljunction_cells::{CellConfig, Engine, PartNews};
 use marljunction_control::interface::MembershipKind;
 use marljunction_discovery::{Change, Target};
-use marljunction_fleet::list::{engine_of, entry_gone, entry_of};
+use marljunction_fleet::list::{removed_entry, to_cell_engine, to_engine_entry};
 use marljunction_fleet::{FleetConfig, RouterIdentity};
 use marljunction_settings::Names;
 
@@ -59,11 +59,11 @@
 
 /// The engines of a change, as relays tell of them.
 fn engines_of(change: &Change, names: &Names) -> Vec<Engine> {
-    change.targets.iter().map(|target| engine_of(&target.entry, target.address, names)).collect()
+    change.targets.iter().map(|target| to_cell_engine(&target.entry, target.address, names)).collect()
 }
 
 fn target_of(engine: &Engine, names: &Names) -> Target {
-    Target { entry: entry_of(engine, names), address: engine.address }
+    Target { entry: to_engine_entry(engine, names), address: engine.address }
 }
 
 /// A change of the list, of what a relay told.
@@ -74,7 +74,7 @@
             targets: engines.iter().map(|engine| target_of(engine, names)).collect(),
         },
         PartNews::Changed(engines, gone) => {
-            let gone = gone.into_iter().map(|id| Target { entry: entry_gone(id), address: NOWHERE });
+            let gone = gone.into_iter().map(|id| Target { entry: removed_entry(id), address: NOWHERE });
             let changed = engines.iter().map(|engine| target_of(engine, names));
             Change { kind: MembershipKind::Delta, targets: changed.chain(gone).collect() }
         }
@@ -87,13 +87,13 @@
         let Some(subscriber) = self.fleet.as_ref().and_then(|fleet| fleet.subscriber()) else { return };
         let names = self.config.directory.names();
         let cell = subscriber.cell();
-        change.targets.retain(|target| cell.holds(&engine_of(&target.entry, target.address, names)));
+        change.targets.retain(|target| cell.holds(&to_cell_engine(&target.entry, target.address, names)));
     }
 
     /// Takes what relays told of this router's cell.
     pub(super) fn follow_relays(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
-        for news in fleet.take_list_news() {
+        for news in fleet.take_list_updates() {
             let change = change_of(news, self.config.directory.names());
             self.engines_changed(change);
         }
@@ -106,7 +106,7 @@
         let is_whole = |change: &Change| change.kind == MembershipKind::Full;
         self.engine_list.feed.whole |= changes.iter().any(is_whole);
         let news = changes.iter().map(|change| (is_whole(change), engines_of(change, names))).collect();
-        fleet.learn_list(now, version, news);
+        fleet.update_list(now, version, news);
     }
 
     /// Tells a relay's routers how old its news is, once nothing of it can be missing.
@@ -121,7 +121,7 @@
         let since_ns = *feed.open_since_ns.get_or_insert(now);
         if feed.whole || now >= since_ns + CATCH_UP_NS {
             let was_ready = fleet.relay().is_some_and(|relay| relay.is_ready());
-            fleet.hear_list_service(now, source.age_ns(now));
+            fleet.record_list_service_contact(now, source.age_ns(now));
             if let Some(relay) = fleet.relay().filter(|relay| relay.is_ready() && !was_ready) {
                 info!("relay: knows the whole list, {} engines, and tells routers of it", relay.engines());
             }
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -12,9 +12,9 @@
 use marljunction_rig::fleet::{classes, Fleet, Setup, KEY};
 use marljunction_rig::link::Shape;
 use marljunction_rig::load::Class;
-use marljunction_verdicts::bound::{agree_within_ns, heard_within_ns};
+use marljunction_verdicts::bound::{convergence_bound_ns, propagation_bound_ns};
 use marljunction_verdicts::evidence::{Evidence, Finding};
-use marljunction_verdicts::{Message, Terms};
+use marljunction_verdicts::{HealthParams, Message};
 
 const ROUTERS: usize = 6;
 const ENGINES: usize = 5;
@@ -27,8 +27,8 @@
 /// A router that hears that an engine is out sends it nothing from then on, but for what was decided before.
 const DRAIN_NS: u64 = 500_000_000;
 
-fn terms() -> Terms {
-    Terms { routers: ROUTERS as u32, fade_ns: 10 * S, ..Terms::default() }
+fn params() -> HealthParams {
+    HealthParams { routers: ROUTERS as u32, evidence_lifetime_ns: 10 * S, ..HealthParams::default() }
 }
 
 fn class() -> Vec<Class> {
@@ -75,7 +75,7 @@
 }
 
 fn heard() -> Duration {
-    Duration::from_nanos(heard_within_ns(&terms()) + MACHINE_NS)
+    Duration::from_nanos(propagation_bound_ns(&params()) + MACHINE_NS)
 }
 
 /// Waits until all routers that are there leave out these engines and no others, as their logs say it.
@@ -142,7 +142,7 @@
     fleet.run(Duration::from_secs(1)).unwrap();
     fleet.cut_into(&[0; ROUTERS]);
     // Those who were cut off have to be found first.
-    let agree = Duration::from_nanos(agree_within_ns(&terms(), 2) + MACHINE_NS) + LIMIT;
+    let agree = Duration::from_nanos(convergence_bound_ns(&params(), 2) + MACHINE_NS) + LIMIT;
     all_leave_out(&mut fleet, agree, "e1 e2");
     gets_nothing(&mut fleet, 1);
     end(fleet);
@@ -206,7 +206,7 @@
             let lie = |engine: usize| Evidence {
                 engine: engine_id(&format!("e{engine}")).0,
                 started_ms: 0,
-                witness: number,
+                observer: number,
                 life,
                 number: count,
                 zone: 0,
@@ -214,7 +214,7 @@
                 since_ms: 0,
                 age_ms: 0,
             };
-            let news = Message::News { words: Vec::new(), evidence: (0..ENGINES).map(lie).collect() };
+            let news = Message::Update { overrides: Vec::new(), evidence: (0..ENGINES).map(lie).collect() };
             let said = rmp_serde::to_vec(&[news]).unwrap();
             let peers: Vec<_> = members.up().map(|who| who.address).collect();
             for at in peers {
