--- a/crates/verdicts/src/bound.rs
+++ b/crates/verdicts/src/bound.rs
@@ -1,13 +1,13 @@
-//! By when what one router knows has been heard by all that it can reach.
+//! Upper bounds on the time in which routers learn of changes and agree.
 
 use crate::params::HealthParams;
 
-/// Peers that a router tells in each round (count).
+/// Number of peers that a router sends changes to in each round.
 pub const FANOUT: usize = 3;
-/// Things that one comparison hands over at most (count).
+/// Largest number of overrides, and of pieces of evidence, sent in response to one digest.
 pub const MAX_ITEMS_PER_DIGEST: usize = 64;
 
-/// Rounds in which a router says a thing that is news to it (count): each peer that it tells does the same.
+/// Number of rounds in which each router sends a change that is new to it.
 pub fn gossip_rounds(routers: u32) -> u32 {
     log2_ceil(routers) + 2
 }
@@ -16,28 +16,31 @@
     32 - routers.max(2).saturating_sub(1).leading_zeros()
 }
 
-/// What one router knows is known by all that are reached at all, within this time (ns). While few know it each round about
-/// doubles them, though a third of what is said is lost; six more rounds reach those who are left: each is told by three times as
-/// many as know it, so that chance misses one of thousands, whom the next comparison of digests reaches.
+/// Time in which a change reaches all reachable routers, in nanoseconds. Up to one third of
+/// messages may be lost, so the number of informed routers about doubles in each round. Six more
+/// rounds reach the remaining routers; the few that gossip still misses learn the change from the
+/// next digest.
 pub fn propagation_bound_ns(params: &HealthParams) -> u64 {
     let rounds = u64::from(log2_ceil(params.routers)) + 6;
     rounds * params.gossip_interval_ns
 }
 
-/// How often a router compares all that it knows with one peer (ns).
+/// Interval at which a router sends its digest to a random peer, in nanoseconds.
 pub fn digest_interval_ns(params: &HealthParams) -> u64 {
     5 * params.gossip_interval_ns
 }
 
-/// Two sides of a cut that was healed agree within this time (ns), where they differ by so many words and pieces of evidence: each
-/// comparison hands over a bounded number, and all that is handed over spreads.
+/// Time in which both sides of a healed partition agree, in nanoseconds, if they differ in `differ`
+/// overrides and pieces of evidence. Each digest exchanges a bounded number of them, and gossip
+/// spreads what was exchanged.
 pub fn convergence_bound_ns(params: &HealthParams, differ: usize) -> u64 {
     propagation_bound_ns(params)
         + 2 * digest_interval_ns(params)
         + (differ as u64).div_ceil(MAX_ITEMS_PER_DIGEST as u64) * digest_interval_ns(params)
 }
 
-/// Evidence that its witness no longer says is believed for so long by those who heard it last (ns).
+/// Time in which evidence that its observer no longer renews expires in all routers, in
+/// nanoseconds.
 pub fn evidence_expiry_bound_ns(params: &HealthParams) -> u64 {
     params.evidence_lifetime_ns + propagation_bound_ns(params)
 }
--- a/crates/verdicts/src/digest.rs
+++ b/crates/verdicts/src/digest.rs
@@ -1,4 +1,5 @@
-//! Hashes of all that a router holds, by bucket, and what two routers whose hashes differ hand over to each other.
+//! Digests of a router's state for anti-entropy: hashes by bucket, and the entries of buckets that
+//! differ between two routers.
 
 use crate::bound::MAX_ITEMS_PER_DIGEST;
 use crate::evidence::{Evidence, EvidenceTable};
@@ -7,7 +8,6 @@
 use crate::overrides::Overrides;
 use crate::rng::Rng;
 
-/// Buckets of a digest (count).
 const BUCKETS: usize = 32;
 
 /// Hashes by bucket.
@@ -18,7 +18,7 @@
 }
 
 impl Digest {
-    /// Of these words, none where they may not be said, and of this evidence.
+    /// Computes the digest of the overrides, if given, and of the evidence.
     pub(crate) fn of(overrides: Option<&Overrides>, table: &EvidenceTable) -> Digest {
         let mut digest = Digest { overrides: vec![0; BUCKETS], evidence: vec![0; BUCKETS] };
         for (name, entry) in overrides.into_iter().flat_map(Overrides::iter) {
@@ -35,8 +35,9 @@
         digest
     }
 
-    /// Words in the buckets in which a peer's differ, in messages that fit datagrams. Another part each time, where there is more
-    /// than one comparison hands over.
+    /// Returns messages with overrides from the buckets that differ from the peer's digest. At most
+    /// [`MAX_ITEMS_PER_DIGEST`] are sent, from a random offset so that repeated exchanges cover
+    /// all.
     pub(crate) fn differing_overrides(
         &self,
         theirs: &Digest,
@@ -54,7 +55,7 @@
         parts.map(|overrides| Message::Update { overrides, evidence: Vec::new() }).collect()
     }
 
-    /// The same for evidence.
+    /// Returns messages with evidence from the buckets that differ, limited in the same way.
     pub(crate) fn differing_evidence(
         &self,
         now: u64,
@@ -76,7 +77,7 @@
     }
 }
 
-/// As many as one comparison hands over, from a place by chance on.
+/// Selects up to [`MAX_ITEMS_PER_DIGEST`] items from a random offset.
 fn sample<T: Clone>(all: &[T], rng: &mut Rng) -> Vec<T> {
     let from = rng.below(all.len());
     all.iter().cycle().skip(from).take(all.len().min(MAX_ITEMS_PER_DIGEST)).cloned().collect()
--- a/crates/verdicts/src/evaluate.rs
+++ b/crates/verdicts/src/evaluate.rs
@@ -1,4 +1,5 @@
-//! From evidence to judgements. Pure, and the same in all routers that hold the same evidence.
+//! Evaluates evidence into the health status of engines. Pure: routers of one zone with the same
+//! evidence compute the same result.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,44 +7,46 @@
 use crate::mix::mix;
 use crate::params::HealthParams;
 
-/// Part of those who say something new of an engine that must say the same (share).
+/// Share of the routers with relevant reports on an engine that must report the same fault.
 const MIN_AGREEMENT: f64 = 0.6;
-/// Routers that must have been served by an engine since it was last found bad, for that to be over (count).
+/// Routers that an engine must have served since a fault was reported for the fault to be over.
 const MIN_SERVING_ROUTERS: usize = 2;
-/// Engines of which a router must know something, for it to be a suspect itself (count).
+/// Engines that a router must report as faulty before it can become a suspect.
 const MIN_FAULTY_ENGINES: usize = 3;
-/// How much slower than others an engine must be (ratio).
+/// Smallest latency ratio to other engines at which an engine counts as slow.
 pub const MIN_SLOWDOWN: f64 = 2.0;
 
-/// What is believed of an engine.
+/// Health of an engine as the fleet sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum HealthStatus {
-    /// Nothing against it.
+    /// No fault is known.
     #[default]
     Well,
-    /// Nothing goes there but trials.
+    /// The engine is excluded and receives only probes.
     Out,
-    /// It takes so much longer than others (ratio).
+    /// The engine is slower than others, by this ratio.
     Slow(f64),
 }
 
-/// What follows from all evidence.
+/// Result of an evaluation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Evaluation {
-    /// Engines of which something is believed.
+    /// Engines that are excluded or slow.
     pub engines: BTreeMap<u64, HealthStatus>,
-    /// Routers whose own network is at fault by all that others see: their evidence does not count.
+    /// Routers that report faults which others contradict. Their own network is probably at fault,
+    /// so their evidence is ignored.
     pub suspects: BTreeSet<u32>,
 }
 
-/// Evidence of one engine that counts.
+/// Evidence on one engine that counts.
 struct RelevantEvidence<'a> {
     bad: Vec<(u32, &'a StoredEvidence)>,
     good: Vec<(u32, &'a StoredEvidence)>,
 }
 
-/// What is said of this life of an engine by those who are no suspects, in one zone or in all. Findings that are over are left out: enough others were
-/// served since. So is praise from before the first finding: it says nothing of what came after.
+/// Selects evidence on the current run of an engine, from one zone or from all. Reports of suspects
+/// are left out, and so are faults that are over and successes from before the first remaining
+/// fault.
 fn relevant_evidence<'a>(
     table: &'a EvidenceTable,
     (engine, started_ms): (u64, u64),
@@ -67,7 +70,8 @@
     RelevantEvidence { bad, good }
 }
 
-/// Routers that find most of the engines bad that they know, while for most of these others who know them do not.
+/// Returns routers that report most of the engines they observed as faulty while, for most of
+/// these, other observers contradict them.
 fn suspects(table: &EvidenceTable, engines: &[(u64, u64)]) -> BTreeSet<u32> {
     let no_suspects = BTreeSet::new();
     let mut counts_by_observer = BTreeMap::<u32, (usize, usize, usize)>::new();
@@ -81,7 +85,7 @@
             if stored.finding.is_fault() {
                 *bad += 1;
                 let others = evidence.bad.iter().filter(|(other, _)| *other != observer).count();
-                // Alone with it, or against more who were served since.
+                // No other router reports the fault, or more routers were served since.
                 *contradicted += usize::from(others == 0 || evidence.good.len() > others);
             }
         }
@@ -96,12 +100,12 @@
         .collect()
 }
 
-/// Whether enough of them agree.
+/// Whether enough routers report a fault, both in number and as a share of all reports.
 fn has_quorum(bad: usize, good: usize, min_observers: usize) -> bool {
     bad >= min_observers && bad as f64 >= MIN_AGREEMENT * (bad + good) as f64
 }
 
-/// What a router in `zone` believes of the engines that the list has (by the hash of their names, and when they started).
+/// Evaluates the listed engines, given by name hash and start time, for a router in `zone`.
 pub fn evaluate(
     table: &EvidenceTable,
     engines: &[(u64, u64)],
@@ -109,7 +113,7 @@
     zone: u64,
 ) -> Evaluation {
     let suspects = suspects(table, engines);
-    // A fleet smaller than the witnesses asked for must do with a majority of itself.
+    // A small fleet needs only a majority of its routers.
     let min_observers = (params.min_observers as usize).min(params.routers as usize / 2 + 1).max(2);
     let mut evaluation = Evaluation::default();
     let mut excluded: Vec<(usize, u64)> = Vec::new();
@@ -120,7 +124,7 @@
         let count = |evidence: &RelevantEvidence| {
             (evidence.bad.iter().filter(|(_, stored)| failed(stored)).count(), evidence.good.len())
         };
-        // What only one zone can't reach is out for that zone alone.
+        // An engine that a single zone cannot reach is excluded in that zone only.
         let (all, in_zone) = (count(&evidence), count(&in_zone));
         if has_quorum(all.0, all.1, min_observers) || has_quorum(in_zone.0, in_zone.1, min_observers) {
             excluded.push((all.0.max(in_zone.0), engine.0));
@@ -142,7 +146,7 @@
             }
         }
     }
-    // The worst first, and no more than may be out together.
+    // Exclude the engines with the most reports first, up to the largest share.
     excluded.sort_by_key(|(bad, engine)| (std::cmp::Reverse(*bad), *engine));
     excluded.truncate((engines.len() as f64 * params.max_excluded) as usize);
     evaluation.engines.extend(excluded.into_iter().map(|(_, engine)| (engine, HealthStatus::Out)));
@@ -150,18 +154,19 @@
     evaluation
 }
 
-/// How long a router's turn to try an engine lasts (ms).
+/// Length of a probe turn in milliseconds.
 pub const PROBE_TURN_MS: u64 = 1_000;
-/// Routers whose turn it is at once (count), before any was served since and after: enough to bring it back have to be.
+/// Routers that probe in one turn: before and after a router was served since the last fault. Two
+/// routers must be served for the engine to return.
 pub const PROBERS_PER_TURN: [usize; 2] = [1, 2];
-/// Turns of which one is taken, once an engine has been out for long and nothing has been served (count): what it would cost the
-/// fleet to find it silent once more each second adds up.
+/// Turns per probe of an engine that has been excluded for long and has not served since. Limits
+/// what failing probes cost the fleet.
 pub const TURNS_PER_LATE_PROBE: u64 = 4;
-/// An engine that has been out for less is tried in every turn (ns).
+/// Time after the first fault in which an engine is probed in every turn, in nanoseconds.
 pub const EARLY_PROBE_PERIOD_NS: u64 = 2_000_000_000;
 
-/// How many routers may try an engine that is out in the turn of this time (count): one in each turn as it has just gone out, or
-/// else now and then; more as one was served by it since.
+/// Returns how many routers may probe an excluded engine in the current turn. An engine is probed
+/// in every turn at first, then less often, and by more routers once it has served one.
 pub fn prober_count(table: &EvidenceTable, engine: (u64, u64), now: u64) -> usize {
     let reports = || table.for_engine(engine.0).filter(|(_, stored)| stored.started_ms == engine.1);
     let fault_times =
@@ -181,8 +186,8 @@
     }
 }
 
-/// Whether it is this router's turn to send one request to an engine that is out, of so many triers: few of all routers, others
-/// after them.
+/// Whether this router is one of the `prober_count` routers that may probe an engine in the current
+/// turn. A hash ranks the routers anew in each turn.
 pub fn is_prober(
     engine: u64,
     unix_ms: u64,
--- a/crates/verdicts/src/evidence.rs
+++ b/crates/verdicts/src/evidence.rs
@@ -1,80 +1,82 @@
-//! What routers saw of engines themselves. A piece of evidence is one router's of one engine; only that router says it anew, under
-//! its life and a number that grows, so that merging needs no order and an old message never brings back what was taken back.
+//! Evidence of engine health. Each piece has one writer: only the router that observed an engine
+//! updates its report. Versions order the updates, so merging does not depend on the order of
+//! arrival.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Pieces of evidence that are kept at most (count).
+/// Largest number of stored pieces of evidence.
 pub const MAX_EVIDENCE: usize = 30_000;
 
-/// What was seen of an engine.
+/// What a router observed of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Finding {
-    /// It served.
+    /// It served a request.
     Well,
-    /// It gave no sign of life since an attempt was sent.
+    /// It has not responded since an attempt was sent.
     Silent,
-    /// Its answers can't be read.
+    /// Its responses are malformed.
     Spoils,
-    /// It takes so much longer than other engines (tenths).
+    /// It is slower than other engines, by this ratio in tenths.
     Slow(u16),
 }
 
 impl Finding {
-    /// Whether it speaks against the engine.
+    /// Whether the finding reports a fault.
     pub fn is_fault(self) -> bool {
         self != Finding::Well
     }
 }
 
-/// A piece of evidence, as it is said.
+/// Evidence as it is sent to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The engine, by the hash of its name.
+    /// Hash of the engine's name.
     pub engine: u64,
-    /// Which of its lives: when it started (ms), as the list says.
+    /// Start time of the engine in milliseconds, as listed. It identifies one run of the engine.
     pub started_ms: u64,
-    /// The router that saw it, and which of its lives.
+    /// Router that observed the engine.
     #[serde(rename = "witness")]
     pub observer: u32,
-    /// The witness's life.
+    /// Incarnation of the observer.
     pub life: u64,
-    /// Grows with each that the witness says of the engine.
+    /// Sequence number, which grows with each report of the observer.
     pub number: u32,
-    /// The witness's zone, as a number that all agree on.
+    /// Hash of the observer's zone name.
     pub zone: u64,
-    /// What it saw.
+    /// What was observed.
     pub finding: Finding,
-    /// Since when (ms before it was said), and when the witness last held to it.
+    /// Time since the finding began, in milliseconds before sending.
     pub since_ms: u32,
-    /// When the witness last held to it (ms before it was said).
+    /// Time since the observer last reported it, in milliseconds before sending.
     pub age_ms: u32,
 }
 
-/// A piece of evidence, as it is held.
+/// Evidence as it is stored, with times of the local clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredEvidence {
-    /// Which of the engine's lives.
+    /// Start time of the engine in milliseconds.
     pub started_ms: u64,
-    /// Which of the witness's lives, and the number.
+    /// Incarnation of the observer, and sequence number.
     pub version: (u64, u32),
-    /// The witness's zone.
+    /// Hash of the observer's zone name.
     pub zone: u64,
-    /// What it saw.
+    /// What was observed.
     pub finding: Finding,
-    /// Since when, by our clock (ns).
+    /// When the finding began, in nanoseconds.
     pub since_ns: u64,
-    /// When the witness last held to it, by our clock (ns).
+    /// When the observer last reported it, in nanoseconds.
     pub reported_ns: u64,
 }
 
-/// All evidence, by engine and witness.
+/// All evidence, by engine and observer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EvidenceTable(BTreeMap<(u64, u32), StoredEvidence>);
 
 impl EvidenceTable {
-    /// Takes a piece; whether it is news. What is older than `fade_ns` is not taken.
+    /// Stores a report if it is newer than the stored one and younger than `evidence_lifetime_ns`.
+    /// Returns whether it was stored.
     pub fn merge(&mut self, now: u64, report: &Evidence, evidence_lifetime_ns: u64) -> bool {
         let ago = |ms: u32| now.saturating_sub(u64::from(ms) * 1_000_000);
         let stored = StoredEvidence {
@@ -99,12 +101,12 @@
         }
     }
 
-    /// Forgets what has faded.
+    /// Removes evidence older than `evidence_lifetime_ns`.
     pub fn expire(&mut self, now: u64, evidence_lifetime_ns: u64) {
         self.0.retain(|_, stored| now < stored.reported_ns.saturating_add(evidence_lifetime_ns));
     }
 
-    /// A piece, as it is said now.
+    /// Returns the evidence of one observer on one engine, as it is sent at `now`.
     pub fn export(&self, now: u64, engine: u64, observer: u32) -> Option<Evidence> {
         let stored = self.0.get(&(engine, observer))?;
         let ago = |ns: u64| (now.saturating_sub(ns) / 1_000_000).min(u64::from(u32::MAX)) as u32;
@@ -121,22 +123,22 @@
         })
     }
 
-    /// All of it.
+    /// Iterates over all evidence as engine, observer and report.
     pub fn iter(&self) -> impl Iterator<Item = (u64, u32, &StoredEvidence)> + '_ {
         self.0.iter().map(|((engine, observer), stored)| (*engine, *observer, stored))
     }
 
-    /// What is said of one engine, by witness.
+    /// Iterates over the evidence on one engine, by observer.
     pub fn for_engine(&self, engine: u64) -> impl Iterator<Item = (u32, &StoredEvidence)> + '_ {
         self.0.range((engine, 0)..=(engine, u32::MAX)).map(|((_, observer), stored)| (*observer, stored))
     }
 
-    /// How much there is (count).
+    /// Returns the number of stored pieces of evidence.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there is no evidence.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/verdicts/src/full_sync.rs
+++ b/crates/verdicts/src/full_sync.rs
@@ -1,34 +1,34 @@
-//! A router that knows no words asks a peer for all of them: at its start, and after a time alone that is longer than words are
-//! remembered.
+//! Transfer of all overrides from a peer, after a start or after isolation for longer than the
+//! override memory.
 //!
-//! Words come in parts; the peer that hands over the first part is targets for what is missing, another one where it hands over
-//! nothing more.
+//! Overrides arrive in parts. The peer that sent the first part is asked for the missing ones; if
+//! it stops sending, another peer is asked.
 
 use std::collections::BTreeSet;
 
 use crate::message::{split_overrides, Message, NamedOverride};
 use crate::overrides::Overrides;
 
-/// Parts of all words that are targets for, or handed over, at once (count): more would not find room where they come in.
+/// Largest number of parts requested or sent at once; more would overflow the receiver's buffer.
 const MAX_PARTS: usize = 64;
-/// Peers that are targets at once, where some have no words to hand over (count).
+/// Number of peers asked at once after some peers had no overrides to send.
 const MAX_PARALLEL_PEERS: usize = 16;
-/// A peer that handed over no part for so long is targets no more (ns).
+/// Time without a new part after which another peer is asked, in nanoseconds.
 const PROGRESS_TIMEOUT_NS: u64 = 1_000_000_000;
 
-/// What has come of one ask.
+/// State of one request.
 #[derive(Clone, Debug, Default)]
 struct Transfer {
     request_id: u32,
     peer: u32,
-    /// When the last part came (ns), and how many there are in all.
+    /// When the last part arrived, in nanoseconds.
     progress_ns: u64,
     parts: u16,
     missing: BTreeSet<u16>,
     overrides: Overrides,
 }
 
-/// Which part of all words, and how many there are.
+/// Identifies one part of a transfer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Part {
     pub(crate) request_id: u32,
@@ -36,32 +36,33 @@
     pub(crate) parts: u16,
 }
 
-/// Where the router is in asking for all words.
+/// State of the synchronization.
 #[derive(Clone, Debug)]
 pub(crate) struct FullSync {
-    /// None once it has all words, or nobody has any.
+    /// `None` once all overrides were received, or no peer has any.
     transfer: Option<Transfer>,
-    /// Peers that were alone for too long too.
+    /// Peers that replied that they have no confirmed overrides.
     unavailable_peers: BTreeSet<u32>,
 }
 
 impl FullSync {
-    /// Has to ask.
+    /// Starts a synchronization.
     pub(crate) fn begin() -> FullSync {
         FullSync { transfer: Some(Transfer::default()), unavailable_peers: BTreeSet::new() }
     }
 
-    /// Has to ask again, where it does not ask already.
+    /// Starts a synchronization unless one is in progress.
     pub(crate) fn restart(&mut self) {
         self.transfer.get_or_insert_with(Transfer::default);
     }
 
-    /// Whether nothing is left to be targets for.
+    /// Whether no synchronization is in progress.
     pub(crate) fn is_done(&self) -> bool {
         self.transfer.is_none()
     }
 
-    /// Asks the same peer for what is missing while it hands over something, else another; `peers` are in order.
+    /// Returns the requests to send. Missing parts are requested from the same peer while it makes
+    /// progress; otherwise another peer is asked. `peers` must be sorted.
     pub(crate) fn requests(&mut self, now: u64, local_id: u32, peers: &[u32]) -> Vec<(u32, Message)> {
         let Some(transfer) = &self.transfer else { return Vec::new() };
         let in_progress = !transfer.missing.is_empty()
@@ -76,7 +77,7 @@
         }
         let request_id = transfer.request_id + 1;
         let targets = self.select_peers(local_id, request_id, peers);
-        // Whoever answers first is targets for what is missing.
+        // The first peer that replies replaces this one in `receive_part`.
         let peer = targets.first().copied().unwrap_or(local_id);
         self.transfer = Some(Transfer { request_id, peer, progress_ns: now, ..Transfer::default() });
         targets
@@ -85,23 +86,23 @@
             .collect()
     }
 
-    /// The peers that are targets in a round.
+    /// Selects the peers to ask for a new request.
     fn select_peers(&mut self, local_id: u32, request_id: u32, peers: &[u32]) -> Vec<u32> {
-        // One after the other, and several at once where some have nothing to hand over: if none has, all have to say so.
+        // One peer at a time, and several once some have replied that they have nothing to send.
         let count = if self.unavailable_peers.is_empty() { 1 } else { MAX_PARALLEL_PEERS };
         let from = (local_id as usize + request_id as usize) % peers.len().max(1);
         let order = peers.iter().cycle().skip(from).take(peers.len());
         let targets: Vec<u32> =
             order.filter(|peer| !self.unavailable_peers.contains(peer)).take(count).copied().collect();
         if targets.is_empty() {
-            // All of them doubted, and one may know more by now.
+            // No peer had anything to send; ask all of them again.
             self.unavailable_peers.clear();
         }
         targets
     }
 
-    /// A peer has no words to hand over; whether all have said so, which ends the asking: the whole fleet has just started, or was
-    /// down for so long, and what its routers kept is what there is.
+    /// Records that a peer has no confirmed overrides. Returns whether this holds for all peers;
+    /// the synchronization then ends, and the overrides that routers stored locally are valid.
     pub(crate) fn mark_unavailable(&mut self, from: u32, peers: &[u32]) -> bool {
         self.unavailable_peers.insert(from);
         let none_available = peers.iter().all(|peer| self.unavailable_peers.contains(peer));
@@ -112,7 +113,7 @@
         none_available
     }
 
-    /// Takes a part; gives all words once that was the last one.
+    /// Stores a received part. Returns all overrides once the last part has arrived.
     pub(crate) fn receive_part(
         &mut self,
         now: u64,
@@ -130,7 +131,8 @@
         }
         let parts = received.parts.max(1);
         if transfer.parts != parts {
-            // The first part, or its words have changed so much that parts are others: what came counts, and all are targets for again.
+            // This is the first part, or the peer's overrides changed so that they split
+            // differently. Request all parts again; overrides received so far stay merged.
             transfer.parts = parts;
             transfer.missing = (0..parts).collect();
         }
@@ -147,7 +149,7 @@
     }
 }
 
-/// All words in parts, or those parts that a peer is still missing.
+/// Returns all overrides in parts, or only the requested parts if `missing_parts` is not empty.
 pub(crate) fn full_sync_parts(overrides: &Overrides, request_id: u32, missing_parts: &[u16]) -> Vec<Message> {
     let all = split_overrides(overrides.iter().map(|(name, entry)| (name.to_owned(), entry)).collect());
     let parts = all.len() as u16;
--- a/crates/verdicts/src/gossip.rs
+++ b/crates/verdicts/src/gossip.rs
@@ -1,5 +1,5 @@
-//! News that is still spread: each thing is said in a number of rounds, the gravest first, and among the equally grave those that
-//! were said least.
+//! Queue of recent changes. Each change is sent in a fixed number of rounds: overrides first, then
+//! faults, then recoveries; within one priority, the changes sent least often go first.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 use crate::message::{Message, EVIDENCE_BYTES, MESSAGE_BYTES, OVERRIDE_BYTES};
 use crate::overrides::Overrides;
 
-/// A thing that is spread; the order of the variants is that of their gravity.
+/// A queued change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Item {
     Override(String),
@@ -17,7 +17,7 @@
 }
 
 impl Item {
-    /// How grave it is: the lowest is said first.
+    /// Priority of the change; the lowest value is sent first.
     fn priority(&self) -> u8 {
         match self {
             Item::Override(_) => 0,
@@ -34,26 +34,26 @@
     }
 }
 
-/// What is to be said, and how often still.
+/// Changes to send, with the number of rounds left for each.
 #[derive(Clone, Debug)]
 pub(crate) struct GossipQueue {
-    /// In how many rounds each thing is said (count).
+    /// Number of rounds in which each change is sent.
     rounds: u32,
     items: BTreeMap<Item, u32>,
 }
 
 impl GossipQueue {
-    /// Nothing yet; each thing is said in so many rounds.
+    /// Creates an empty queue that sends each change in `rounds` rounds.
     pub(crate) fn new(rounds: u32) -> GossipQueue {
         GossipQueue { rounds, items: BTreeMap::new() }
     }
 
-    /// The word about an engine is news.
+    /// Queues the override of an engine.
     pub(crate) fn push_override(&mut self, name: &str) {
         self.items.insert(Item::Override(name.to_owned()), self.rounds);
     }
 
-    /// What a router found of an engine is news; it replaces what it found before.
+    /// Queues a finding; it replaces the earlier finding of the same observer on the same engine.
     pub(crate) fn push_evidence(&mut self, engine: u64, observer: u32, finding: Finding) {
         let (added, replaced) = match finding.is_fault() {
             true => (Item::Fault(engine, observer), Item::Recovery(engine, observer)),
@@ -63,12 +63,13 @@
         self.items.insert(added, self.rounds);
     }
 
-    /// Spreads no word any more.
+    /// Removes all overrides from the queue.
     pub(crate) fn drop_overrides(&mut self) {
         self.items.retain(|item, _| !matches!(item, Item::Override(_)));
     }
 
-    /// What is said in the next message, up to a datagram; `words` where they may be said. None where there is nothing.
+    /// Returns the next message, which fits a datagram, or `None` if there is nothing to send. If
+    /// `overrides` is `None`, queued overrides are counted as sent but left out.
     pub(crate) fn next_message(
         &mut self,
         now: u64,
@@ -93,7 +94,7 @@
         (!is_empty).then_some(Message::Update { overrides: named, evidence })
     }
 
-    /// The things that come first and fit one message.
+    /// Selects the first changes by priority that fit one message.
     fn select_batch(&self) -> Vec<Item> {
         let mut order: Vec<(&Item, &u32)> = self.items.iter().collect();
         order.sort_unstable_by_key(|(item, rounds_left)| (item.priority(), Reverse(**rounds_left), *item));
--- a/crates/verdicts/src/lib.rs
+++ b/crates/verdicts/src/lib.rs
@@ -1,11 +1,12 @@
-//! What a fleet of routers believes of its engines, shared among them.
+//! Shared view of engine health in a fleet of routers.
 //!
-//! Two kinds of facts spread. Operators' [`words`] (an engine is out, or back) are versioned by a hybrid [`stamp`]: the later one
-//! wins everywhere, whatever the order in which they come. [`evidence`] is what one router saw of one engine itself; only that
-//! router may say it anew. [`witness`] turns a router's own attempts into evidence, [`judge`] turns all evidence that is still
-//! fresh into judgements, [`bound`] says by when a word or a piece of evidence has been heard, and [`node`] is what one router keeps
-//! and says, as [`message`]s: what is news (`hot`), comparisons of all that is held (`digest`), all words for one that starts
-//! (`catch_up`).
+//! Operators' [`overrides`] exclude or re-include engines. Each carries a [`version`] of a hybrid
+//! logical clock, and the latest wins in all routers. [`evidence`] is what one router observed of
+//! an engine; only that router updates it. [`observer`] derives evidence from a router's own
+//! attempts, and [`evaluate`] derives the health status of engines from the evidence of all
+//! routers. [`node`] is one router's replica. It exchanges [`message`]s: recent changes (`gossip`),
+//! comparisons of the whole state (`digest`), and all overrides for a router that starts
+//! (`full_sync`). [`bound`] computes how long this takes at most.
 //!
 //! Pure: no sockets and no clock. Times are nanoseconds of the router's clock and are passed in.
 
--- a/crates/verdicts/src/message.rs
+++ b/crates/verdicts/src/message.rs
@@ -1,4 +1,4 @@
-//! What routers say to each other of engines, and how much of it fits one datagram.
+//! Messages that routers exchange about engine health, and their sizes.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,71 +6,72 @@
 use crate::overrides::Override;
 use crate::version::Version;
 
-/// Bytes that one message fills about (bytes): it fits a datagram.
+/// Target size of one message in bytes; it fits a datagram.
 pub(crate) const MESSAGE_BYTES: usize = 800;
-/// Bytes of a piece of evidence, and of a word beside its name, as they are packed (bytes).
+/// Encoded size of a piece of evidence, and of an override without the engine's name, in bytes.
 pub(crate) const EVIDENCE_BYTES: usize = 60;
 pub(crate) const OVERRIDE_BYTES: usize = 32;
 
-/// A word with the engine that it is about.
+/// An override with the name of its engine.
 pub type NamedOverride = (String, Override);
 
-/// What routers say to each other. Lost, doubled, late and reordered messages do no harm.
+/// Messages between routers. They may be lost, duplicated, delayed or reordered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// What the sender has heard or seen of late.
+    /// Recent changes.
     #[serde(rename = "News")]
     Update {
-        /// Words.
+        /// Changed overrides.
         #[serde(rename = "words")]
         overrides: Vec<NamedOverride>,
-        /// Evidence.
+        /// Changed evidence.
         evidence: Vec<Evidence>,
     },
-    /// Hashes of all that the sender holds, to be compared.
+    /// Hashes of the sender's whole state, which the receiver compares with its own.
     Digest {
-        /// Of words, by bucket.
+        /// Hashes of overrides, by bucket.
         #[serde(rename = "words")]
         overrides: Vec<u32>,
-        /// Of evidence, by bucket.
+        /// Hashes of evidence, by bucket.
         evidence: Vec<u32>,
-        /// It is an answer to one of the receiver's.
+        /// Whether this replies to a digest of the receiver.
         #[serde(rename = "answers")]
         is_reply: bool,
     },
-    /// The sender has heard this word of the receiver's.
+    /// Acknowledges an override that the receiver issued.
     #[serde(rename = "Heard")]
     Ack(Version),
-    /// The sender has started, or was alone for longer than words are remembered, and wants all words.
+    /// Requests all overrides. Sent after a start, and after isolation for longer than the override
+    /// memory.
     #[serde(rename = "AskAll")]
     FullSyncRequest {
-        /// Which of its asks.
+        /// Number of the request.
         #[serde(rename = "round")]
         request_id: u32,
-        /// The parts that are missing still; none for the first ones.
+        /// Parts that are still missing; empty in the first request.
         #[serde(rename = "wants")]
         missing_parts: Vec<u16>,
     },
-    /// The sender was alone for too long itself, and has no words to hand over.
+    /// The sender has no confirmed overrides to send.
     #[serde(rename = "Doubts")]
     FullSyncUnavailable,
-    /// All words, in parts.
+    /// One part of all overrides.
     #[serde(rename = "All")]
     FullSyncPart {
-        /// The ask's.
+        /// Number of the request.
         #[serde(rename = "round")]
         request_id: u32,
-        /// Which part.
+        /// Index of this part.
         part: u16,
-        /// Parts in all.
+        /// Number of parts.
         parts: u16,
-        /// Words.
+        /// Overrides of this part.
         #[serde(rename = "words")]
         overrides: Vec<NamedOverride>,
     },
 }
 
-/// Cuts words into parts that fit a datagram.
+/// Splits overrides into parts that fit a datagram each.
 pub(crate) fn split_overrides(overrides: Vec<NamedOverride>) -> Vec<Vec<NamedOverride>> {
     let (mut all, mut part, mut size) = (Vec::new(), Vec::new(), 0);
     for entry in overrides {
--- a/crates/verdicts/src/node.rs
+++ b/crates/verdicts/src/node.rs
@@ -1,4 +1,5 @@
-//! What one router keeps of words and evidence, what it says to its peers, and what it believes.
+//! One router's replica of the fleet's engine health: stores overrides and evidence, exchanges them
+//! with peers, and evaluates them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,27 +16,27 @@
 use crate::rng::Rng;
 use crate::version::{Version, VersionClock};
 
-/// Messages of news that a router makes in one round (count).
+/// Largest number of gossip messages created in one round.
 const MAX_MESSAGES_PER_ROUND: usize = 2;
-/// Words whose hearers are counted (count).
+/// Largest number of own overrides whose acknowledgements are counted.
 const MAX_TRACKED_VERSIONS: usize = 64;
-/// How often one router praises one engine at most (ns).
+/// Shortest interval at which a router reports that an engine serves, in nanoseconds.
 const RECOVERY_REPORT_INTERVAL_NS: u64 = 1_000_000_000;
-/// Parts of the time that evidence lasts after which its witness says it again (count).
+/// Number of times that evidence is renewed within its lifetime.
 const RENEWALS_PER_LIFETIME: u64 = 3;
 
-/// What happened so far, for counters.
+/// Totals for counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Words and pieces of evidence that were news.
+    /// Overrides and pieces of evidence that were received and new.
     pub news: u64,
-    /// Words of a clock too far ahead, of a bad name, or without room.
+    /// Overrides rejected for a version too far ahead, an invalid name, or lack of room.
     pub refused: u64,
-    /// Times that this router was found to be the suspect.
+    /// Number of times that this router became a suspect.
     pub suspected: u64,
 }
 
-/// One router's part in the verdicts of its fleet.
+/// Replica of one router.
 #[derive(Clone, Debug)]
 pub struct Node {
     local_id: u32,
@@ -47,7 +48,7 @@
     table: EvidenceTable,
     local_observer: LocalObserver,
     number: u32,
-    /// What is to be said.
+    /// Changes to send.
     gossip: GossipQueue,
     peers: Vec<u32>,
     engines: Vec<(u64, u64)>,
@@ -58,22 +59,25 @@
     last_digest_ns: u64,
     last_renewal_ns: u64,
     last_contact_ns: u64,
-    /// Nobody to ask was found until then, and all words that it knows are its own (ns).
+    /// Without peers, the router waits for some until this time in nanoseconds, before it relies on
+    /// its stored overrides.
     peer_wait_deadline_ns: u64,
-    /// Its asking for all words.
+    /// Transfer of all overrides from a peer.
     full_sync: FullSync,
-    /// Its own words may have been ended while it was alone: they are nobody else's business.
+    /// Whether stored overrides may have been reverted during a long isolation. They are not sent
+    /// until a full sync confirms them.
     overrides_unconfirmed: bool,
     acks: BTreeMap<Version, BTreeSet<u32>>,
     recovery_reported_ns: BTreeMap<u64, u64>,
-    /// Grows as words change.
+    /// Grows with each change of the overrides.
     revision: u64,
-    /// What happened so far.
+    /// Totals since the start.
     pub counts: Counts,
 }
 
 impl Node {
-    /// A router that has just started, with words that it kept and when it had last heard a peer then ([`Node::heard_ns`]).
+    /// Creates the replica of a router that has just started. `restored` holds the stored overrides
+    /// and the time of the last contact with a peer ([`Node::last_contact_ns`]).
     pub fn new(
         now: u64,
         (local_id, life, zone): (u32, u64, u64),
@@ -117,12 +121,13 @@
         }
     }
 
-    /// Whether it knows what its fleet was told: it has all words of a peer, or there was nobody to ask.
+    /// Whether the overrides are complete: all were received from a peer, or no peer was found in
+    /// time.
     pub fn knows(&self, now: u64) -> bool {
         self.full_sync.is_done() || self.peers.is_empty() && now >= self.peer_wait_deadline_ns
     }
 
-    /// The peers that can be reached.
+    /// Sets the reachable peers.
     pub fn set_peers(&mut self, peers: Vec<u32>) {
         let local_id = self.local_id;
         self.peers = peers.into_iter().filter(|peer| *peer != local_id).collect();
@@ -130,7 +135,7 @@
         self.peers.dedup();
     }
 
-    /// The engines that the list has: the hash of each one's name, and when it started (ms).
+    /// Sets the listed engines: name hash and start time in milliseconds.
     pub fn set_engines(&mut self, engines: Vec<(u64, u64)>) {
         if engines != self.engines {
             self.local_observer.retain_engines(|engine| engines.iter().any(|(id, _)| *id == engine));
@@ -139,27 +144,28 @@
         }
     }
 
-    /// When a peer was last heard (ns), of earlier lives too: words are as old as that, however often they were kept since.
+    /// Returns the time of the last message from a peer, in nanoseconds, across restarts. Stored
+    /// overrides are as old as this time.
     pub fn last_contact_ns(&self) -> u64 {
         self.last_contact_ns
     }
 
-    /// Another number for each state of the words: whoever keeps or follows them need not look at all of them each time.
+    /// Returns a number that grows with each change of the overrides.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All words.
+    /// Returns all overrides.
     pub fn overrides(&self) -> &Overrides {
         &self.overrides
     }
 
-    /// All evidence.
+    /// Returns all evidence.
     pub fn evidence(&self) -> &EvidenceTable {
         &self.table
     }
 
-    /// An operator says that an engine is out, or back; gives the word's stamp, or nothing where it can't be kept.
+    /// Records an operator's override and returns its version, or `None` if it cannot be stored.
     pub fn set_override(&mut self, now: u64, name: &str, excluded: bool) -> Option<Version> {
         let version = self.clock.next(now);
         if self.overrides.merge(name, Override { version, excluded }) != MergeOutcome::Updated {
@@ -174,17 +180,17 @@
         Some(version)
     }
 
-    /// Routers that have said that they heard a word of this router's, itself left out (count).
+    /// Returns the number of peers that acknowledged an override issued by this router.
     pub fn acks(&self, version: Version) -> usize {
         self.acks.get(&version).map_or(0, BTreeSet::len)
     }
 
-    /// Peers that can be reached (count).
+    /// Returns the number of reachable peers.
     pub fn peers(&self) -> usize {
         self.peers.len()
     }
 
-    /// An attempt of this router's has ended.
+    /// Records the end of an attempt of this router.
     pub fn ended(
         &mut self,
         now: u64,
@@ -209,7 +215,7 @@
         }
     }
 
-    /// Whether others find an engine bad.
+    /// Whether any router reports a fault of this run of the engine.
     fn has_fault_report(&self, (engine, started_ms): (u64, u64)) -> bool {
         self.table
             .for_engine(engine)
@@ -239,7 +245,7 @@
         }
     }
 
-    /// Says again what this router still holds against engines.
+    /// Repeats this router's reports of current faults, which would expire otherwise.
     fn renew(&mut self, now: u64) {
         if now < self.last_renewal_ns.saturating_add(self.params.evidence_lifetime_ns / RENEWALS_PER_LIFETIME)
         {
@@ -253,18 +259,18 @@
         }
     }
 
-    /// Whether it knows no word, and has not heard either that there is none.
+    /// Whether there are no overrides yet and the full sync is not complete.
     fn lacks_overrides(&self) -> bool {
         !self.full_sync.is_done() && self.overrides.is_empty()
     }
 
-    /// A peer by chance.
+    /// Returns a random peer.
     fn random_peer(&mut self) -> u32 {
         let at = self.rng.below(self.peers.len());
         self.peers.get(at).copied().unwrap_or(self.local_id)
     }
 
-    /// Passes time; gives what is to be said, and to whom.
+    /// Runs periodic work. Returns messages to send and their receivers.
     pub fn tick(&mut self, now: u64) -> Vec<(u32, Message)> {
         let mut messages = Vec::new();
         if now < self.last_tick_ns.saturating_add(self.params.gossip_interval_ns) {
@@ -280,7 +286,8 @@
         self.renew(now);
         if self.peers.is_empty() {
             if now.saturating_sub(self.last_contact_ns) >= self.params.override_memory_ns {
-                // What ended meanwhile may be forgotten elsewhere: it may not come back through this router.
+                // Peers may have removed reverted overrides by now; this router must not bring them
+                // back.
                 self.overrides_unconfirmed = !self.overrides.is_empty();
                 self.full_sync.restart();
             }
@@ -297,7 +304,7 @@
         messages
     }
 
-    /// Tells a few peers what is hot.
+    /// Sends recent changes to a few random peers.
     fn send_updates(&mut self, now: u64, messages: &mut Vec<(u32, Message)>) {
         for _ in 0..MAX_MESSAGES_PER_ROUND {
             let overrides = (!self.overrides_unconfirmed).then_some(&self.overrides);
@@ -310,18 +317,19 @@
         }
     }
 
-    /// Hashes of all that this router holds and may say.
+    /// Returns the digest of everything that this router may send.
     fn digest(&self) -> Digest {
         Digest::of((!self.overrides_unconfirmed).then_some(&self.overrides), &self.table)
     }
 
-    /// Answers a peer's digest: what differs, and this router's own digest where the peer has not seen it.
+    /// Replies to a peer's digest with differing entries, and with its own digest unless the peer's
+    /// is already a reply.
     fn answer_digest(&mut self, now: u64, theirs: &Digest, is_reply: bool) -> Vec<Message> {
         let own = self.digest();
         let overrides = (!self.overrides_unconfirmed).then_some(&self.overrides);
         let mut messages = own.differing_overrides(theirs, overrides, &mut self.rng);
         messages.extend(own.differing_evidence(now, theirs, &self.table, &mut self.rng));
-        // Both hand over what the other lacks.
+        // The peer then sends the entries that this router lacks.
         if !is_reply && own != *theirs {
             let Digest { overrides, evidence } = own;
             messages.push(Message::Digest { overrides, evidence, is_reply: true });
@@ -329,7 +337,7 @@
         messages
     }
 
-    /// Takes a message of a peer; gives what is to be said to it, or to others.
+    /// Handles a message from a peer. Returns messages to send and their receivers.
     pub fn receive(&mut self, now: u64, from: u32, message: Message) -> Vec<(u32, Message)> {
         self.last_contact_ns = now;
         let to_sender = |messages: Vec<Message>| messages.into_iter().map(|m| (from, m)).collect();
@@ -350,7 +358,7 @@
                 }
                 Vec::new()
             }
-            // One that does not know itself has nothing to hand over.
+            // Overrides that are unconfirmed or not synced yet must not be sent.
             Message::FullSyncRequest { .. } if self.overrides_unconfirmed || self.lacks_overrides() => {
                 to_sender(vec![Message::FullSyncUnavailable])
             }
@@ -375,7 +383,7 @@
     }
 
     fn merge_evidence(&mut self, now: u64, report: &Evidence) {
-        // What is said of this router's own sight comes from itself alone.
+        // Only this router itself reports its own observations.
         if report.observer != self.local_id && self.table.merge(now, report, self.params.evidence_lifetime_ns)
         {
             self.counts.news += 1;
@@ -384,10 +392,10 @@
         }
     }
 
-    /// Takes all words of a peer.
+    /// Merges all overrides of a peer.
     fn apply_full_sync(&mut self, now: u64, overrides: &Overrides) {
         if std::mem::take(&mut self.overrides_unconfirmed) {
-            // What nobody else knows has ended, and its end is forgotten.
+            // Overrides that the peer does not have were reverted, and the reversal was removed.
             self.overrides = Overrides::default();
             self.revision += 1;
             self.gossip.drop_overrides();
@@ -397,9 +405,9 @@
         }
     }
 
-    /// Takes one word; gives the answer to whoever said it first.
+    /// Merges one override. Returns the acknowledgement for the router that issued it.
     fn merge_override(&mut self, now: u64, name: &str, entry: Override) -> Option<(u32, Message)> {
-        // A word that ended longer ago than is remembered may have been forgotten by others.
+        // Peers may already have removed a reversal that is older than the override memory.
         let outdated = !entry.excluded
             && entry.version.ms + self.params.override_memory_ns / 1_000_000 <= now / 1_000_000;
         if outdated || !self.clock.observe(now, entry.version) {
@@ -423,7 +431,7 @@
         (!own).then_some((entry.version.router, Message::Ack(entry.version)))
     }
 
-    /// What is believed now, judged anew where something has changed.
+    /// Returns the current evaluation, and updates it first if inputs changed.
     pub fn evaluation(&mut self) -> &Evaluation {
         if std::mem::take(&mut self.evaluation_outdated) {
             let evaluation = evaluate(&self.table, &self.engines, &self.params, self.zone);
@@ -435,12 +443,12 @@
         &self.evaluation
     }
 
-    /// Whether this router is the suspect: it finds engines bad that serve the others.
+    /// Whether other routers contradict this router's reports: its own network may be at fault.
     pub fn is_suspect(&self) -> bool {
         self.evaluation.suspects.contains(&self.local_id)
     }
 
-    /// Whether it is this router's turn to try an engine that is out.
+    /// Whether this router may probe an excluded engine now.
     pub fn is_prober(&self, now: u64, engine: u64) -> bool {
         let excluded = self.evaluation.engines.get(&engine) == Some(&HealthStatus::Out);
         let started_ms = self.engines.iter().find(|(id, _)| *id == engine).map_or(0, |(_, at)| *at);
--- a/crates/verdicts/src/observer.rs
+++ b/crates/verdicts/src/observer.rs
@@ -1,34 +1,35 @@
-//! One router's own attempts as evidence: what it may say of each engine.
+//! Derives evidence on engines from the attempts of this router.
 
 use std::collections::BTreeMap;
 
 use crate::evaluate::MIN_SLOWDOWN;
 use crate::evidence::Finding;
 
-/// Engines that are watched at most (count).
+/// Largest number of observed engines.
 const MAX_ENGINES: usize = 10_000;
-/// Answers that a ratio is made of at least (count), and the weight of one more (share).
+/// Responses required before the latency ratio of an engine counts, and the smallest weight of a
+/// new response in that ratio.
 const MIN_RESPONSES: u32 = 8;
 const SMOOTHING: f64 = 0.12;
-/// Weight of one answer in what a class takes on the average engine (share).
+/// Weight of a new response in the average latency of its class.
 const CLASS_SMOOTHING: f64 = 0.02;
-/// The same failure is said again after so long at the earliest (ns).
+/// Shortest interval at which the same fault is reported again, in nanoseconds.
 const REPEAT_INTERVAL_NS: u64 = 1_000_000_000;
-/// Beyond this an answer counts as this much longer than usual (ratio).
+/// Latency ratios are clamped to this value.
 const MAX_RATIO: f64 = 10.0;
 
-/// How an attempt went, as far as its engine is concerned.
+/// What the end of an attempt shows about its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served, after so long (ns).
+    /// The engine served the request; latency in nanoseconds.
     Served(u64),
-    /// There was no sign of life, as far as this attempt shows.
+    /// The engine did not respond.
     Silent,
-    /// It was given up, and the engine has answered that.
+    /// The attempt was given up and the engine acknowledged its cancellation.
     Alive,
-    /// The answer could not be read.
+    /// The response was malformed.
     Spoilt,
-    /// It says nothing of the engine.
+    /// The attempt shows nothing about the engine.
     Nothing,
 }
 
@@ -37,22 +38,22 @@
     started_ms: u64,
     served_ns: u64,
     fault: Option<(Finding, u64)>,
-    /// When that was last said (ns).
+    /// When the fault was last reported, in nanoseconds.
     reported_ns: u64,
     ratio: f64,
     responses: u32,
 }
 
 impl EngineObservations {
-    /// It is there, however long it takes.
+    /// The engine responds, regardless of its latency.
     fn record_alive(&mut self, now: u64) -> Option<(Finding, u64)> {
         self.served_ns = now;
         let was_silent = self.fault.take_if(|(finding, _)| *finding == Finding::Silent);
         was_silent.map(|_| (Finding::Well, now))
     }
 
-    /// An attempt failed. A failure that is new says more than that the last one has not been mended; not more often than others
-    /// hear it.
+    /// Records a failed attempt. A repeated failure shows that the fault persists; it is reported
+    /// at most once per `REPEAT_INTERVAL_NS`.
     fn record_failure(&mut self, now: u64, finding: Finding, sent_ns: u64) -> Option<(Finding, u64)> {
         let unchanged = self.fault.is_some_and(|(before, _)| before == finding);
         if unchanged && now < self.reported_ns.saturating_add(REPEAT_INTERVAL_NS) {
@@ -69,17 +70,17 @@
     }
 }
 
-/// What one router saw of all engines.
+/// Observations of this router on all engines.
 #[derive(Clone, Debug, Default)]
 pub struct LocalObserver {
     engines: BTreeMap<u64, EngineObservations>,
-    /// What a request of each class takes on the average engine (ns).
+    /// Average latency of each request class over all engines, in nanoseconds.
     classes: BTreeMap<usize, f64>,
 }
 
 impl LocalObserver {
-    /// An attempt that was sent at `sent_ns` has ended. Gives what is to be said of the engine now, and since when it is so (ns),
-    /// where there is something to say.
+    /// Records the end of an attempt sent at `sent_ns`. Returns the finding to report and the time
+    /// since which it holds, in nanoseconds, or `None` if there is nothing to report.
     pub fn record_attempt(
         &mut self,
         now: u64,
@@ -102,14 +103,14 @@
                 observed.served_ns = now;
                 self.record_served(now, engine, class, sent_ns, latency_ns)
             }
-            // Guards against an engine that answers others meanwhile: one of many that is late, or was given up, is no silence.
+            // An engine that served a request since the attempt was sent is not silent.
             AttemptOutcome::Silent | AttemptOutcome::Spoilt if observed.served_ns >= sent_ns => None,
             AttemptOutcome::Silent => observed.record_failure(now, Finding::Silent, sent_ns),
             AttemptOutcome::Spoilt => observed.record_failure(now, Finding::Spoils, sent_ns),
         }
     }
 
-    /// Takes how long an answer took: an engine is slow by its ratio to the others' alone.
+    /// Records a latency. An engine counts as slow only relative to the other engines.
     fn record_served(
         &mut self,
         now: u64,
@@ -134,7 +135,7 @@
         observed.fault
     }
 
-    /// How much longer than usual an answer took (ratio), which counts in what is usual for its class.
+    /// Returns the latency relative to the class average, and updates that average.
     fn relative_latency(&mut self, class: usize, latency_ns: f64) -> f64 {
         let average_ns = self.classes.entry(class).or_insert(latency_ns);
         let ratio = (latency_ns / average_ns.max(1.0)).min(MAX_RATIO);
@@ -142,8 +143,8 @@
         ratio
     }
 
-    /// How much slower than the median of the other engines one is (tenths), where that is enough to be said. All slow at once is
-    /// nobody's fault.
+    /// Returns the slowdown relative to the median of the other engines, in tenths, if it reaches
+    /// [`MIN_SLOWDOWN`]. Slowness that all engines share is not reported.
     fn slowdown_tenths(&self, engine: u64) -> Option<u16> {
         let enough = |s: &&EngineObservations| s.responses >= MIN_RESPONSES;
         let own = self.engines.get(&engine).filter(enough)?.ratio;
@@ -158,12 +159,12 @@
         (slowdown >= MIN_SLOWDOWN).then_some((slowdown * 10.0).min(1_000.0) as u16)
     }
 
-    /// What this router holds against an engine, and since when (ns).
+    /// Returns the current fault of an engine and the time since which it holds, in nanoseconds.
     pub fn fault(&self, engine: u64) -> Option<(Finding, u64)> {
         self.engines.get(&engine)?.fault
     }
 
-    /// Forgets engines that the list has no more.
+    /// Removes engines that are no longer listed.
     pub fn retain_engines(&mut self, is_listed: impl Fn(u64) -> bool) {
         self.engines.retain(|engine, _| is_listed(*engine));
     }
--- a/crates/verdicts/src/overrides.rs
+++ b/crates/verdicts/src/overrides.rs
@@ -1,5 +1,5 @@
-//! Operators' words: which engines are out, and which are back. The later stamp wins, so that merging is commutative, associative
-//! and idempotent.
+//! Operators' overrides, which exclude or re-include engines. The later version wins, so merging is
+//! commutative, associative and idempotent.
 
 use std::collections::BTreeMap;
 
@@ -7,49 +7,50 @@
 
 use crate::version::Version;
 
-/// Words that are kept at most (count), and the longest name (bytes).
+/// Largest number of stored overrides.
 pub const MAX_OVERRIDES: usize = 10_000;
-/// Longest name of an engine (bytes).
+/// Longest name of an engine, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// What an operator said of an engine.
+/// An operator's decision on one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Override {
-    /// When.
+    /// Version that decides which override wins.
     #[serde(rename = "stamp")]
     pub version: Version,
-    /// Out, or back.
+    /// Whether the engine is excluded; `false` re-includes it.
     #[serde(rename = "out")]
     pub excluded: bool,
 }
 
-/// What became of a word that was heard.
+/// Result of merging a received override.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It is the latest.
+    /// The override is the latest and was stored.
     Updated,
-    /// It was known.
+    /// The same override was already stored.
     Unchanged,
-    /// A later one was known.
+    /// A later override was already stored.
     Superseded,
-    /// It can't be one, or there is no room.
+    /// The engine's name is invalid, or there is no room.
     Rejected,
 }
 
-/// All words.
+/// The latest override of each engine, by the engine's name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overrides(BTreeMap<String, Override>);
 
-/// Whether a text may be the name of an engine.
+/// Whether a text is a valid engine name: printable ASCII without spaces, of bounded length.
 pub fn is_valid_engine_name(name: &str) -> bool {
     !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(|b| b.is_ascii_graphic())
 }
 
 impl Overrides {
-    /// Takes a word.
+    /// Stores an override unless a later one is stored for the same engine.
     pub fn merge(&mut self, name: &str, entry: Override) -> MergeOutcome {
         if let Some(known) = self.0.get_mut(name) {
-            // Two routers with one number may give one stamp to two words: then out wins everywhere.
+            // Two routers configured with one number may issue equal versions; an exclusion then
+            // wins.
             return match entry.cmp(known) {
                 std::cmp::Ordering::Greater => {
                     *known = entry;
@@ -66,7 +67,7 @@
         MergeOutcome::Updated
     }
 
-    /// Makes room by the oldest word that an engine is back.
+    /// Evicts the oldest override that re-includes an engine. Returns `false` if there is none.
     fn evict_oldest_inclusion(&mut self) -> bool {
         let oldest =
             self.0.iter().filter(|(_, entry)| !entry.excluded).min_by_key(|(_, entry)| entry.version);
@@ -74,38 +75,39 @@
         self.0.remove(&name).is_some()
     }
 
-    /// Forgets ends that are older than any cut may last: nobody says any more what they ended.
+    /// Removes re-inclusions older than `override_memory_ns`. No partition lasts longer, so no peer
+    /// still sends the exclusion that they revert.
     pub fn expire(&mut self, now_ns: u64, override_memory_ns: u64) {
         let before = now_ns.saturating_sub(override_memory_ns) / 1_000_000;
         self.0.retain(|_, entry| entry.excluded || entry.version.ms >= before);
     }
 
-    /// A word.
+    /// Returns the override of an engine.
     pub fn get(&self, name: &str) -> Option<Override> {
         self.0.get(name).copied()
     }
 
-    /// All of them by name.
+    /// Iterates over all overrides by engine name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, Override)> + '_ {
         self.0.iter().map(|(name, entry)| (name.as_str(), *entry))
     }
 
-    /// Engines that are out.
+    /// Iterates over the names of excluded engines.
     pub fn excluded(&self) -> impl Iterator<Item = &str> {
         self.0.iter().filter(|(_, entry)| entry.excluded).map(|(name, _)| name.as_str())
     }
 
-    /// How many there are (count).
+    /// Returns the number of overrides.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no overrides.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// As text, a word a line.
+    /// Formats all overrides as text, one per line.
     pub fn to_text(&self) -> String {
         let line = |(name, entry): (&str, Override)| {
             let state = if entry.excluded { "out" } else { "back" };
@@ -114,7 +116,7 @@
         self.iter().map(line).collect()
     }
 
-    /// What [`Words::to_text`] wrote; lines that can't be words are passed over.
+    /// Parses the output of [`Overrides::to_text`]; invalid lines are skipped.
     pub fn from_text(text: &str) -> Overrides {
         let mut overrides = Overrides::default();
         for line in text.lines().take(MAX_OVERRIDES) {
--- a/crates/verdicts/src/params.rs
+++ b/crates/verdicts/src/params.rs
@@ -1,19 +1,20 @@
-//! What all routers of a fleet agree on.
+//! Parameters that all routers of a fleet share.
 
-/// The parameters of one fleet, the same in all of its routers.
+/// Parameters of one fleet; they must be equal in all of its routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthParams {
-    /// Routers that there are, about (count).
+    /// Number of routers in the fleet.
     pub routers: u32,
-    /// Routers that must have seen the same of an engine, before others leave it out (count).
+    /// Routers that must report the same fault before the fleet excludes an engine.
     pub min_observers: u32,
-    /// Engines that evidence takes out at most (share of those that the list has).
+    /// Largest share of the listed engines that evidence may exclude at the same time.
     pub max_excluded: f64,
-    /// Evidence that its witness does not say again is believed for so long (ns).
+    /// Lifetime of evidence that its observer does not renew, in nanoseconds.
     pub evidence_lifetime_ns: u64,
-    /// The longest cut after which no old word comes back (ns): words that end are remembered for so long.
+    /// Longest partition, in nanoseconds, after which a reverted override cannot return. Overrides
+    /// that re-include an engine are stored for this long.
     pub override_memory_ns: u64,
-    /// How often a router says what is new (ns).
+    /// Interval between gossip rounds, in nanoseconds.
     pub gossip_interval_ns: u64,
 }
 
--- a/crates/verdicts/src/rng.rs
+++ b/crates/verdicts/src/rng.rs
@@ -1,8 +1,8 @@
-//! Draws by chance, the same for the same seed.
+//! Deterministic pseudorandom numbers.
 
 use crate::mix::mix;
 
-/// A sequence of draws.
+/// A generator that returns the same sequence for the same seed.
 #[derive(Clone, Debug)]
 pub(crate) struct Rng(u64);
 
@@ -11,7 +11,7 @@
         Rng(mix(seed))
     }
 
-    /// A number below this one; 0 where that is 0.
+    /// Returns a number below `bound`, or 0 if `bound` is 0.
     pub(crate) fn below(&mut self, bound: usize) -> usize {
         self.0 = mix(self.0.wrapping_add(0x9e37_79b9_7f4a_7c15));
         (self.0 % bound.max(1) as u64) as usize
