--- a/crates/verdicts/tests/fleet.rs
+++ b/crates/verdicts/tests/fleet.rs
@@ -12,11 +12,11 @@
 use marljunction_verdicts::{HealthStatus, Message, Node};
 use rand::Rng;
 
-fn is_out(node: &mut Node, engine: u64) -> bool {
+fn excluded_by_evidence(node: &mut Node, engine: u64) -> bool {
     node.evaluation().engines.get(&engine) == Some(&HealthStatus::Out)
 }
 
-fn is_excluded(node: &Node, name: &str) -> bool {
+fn excluded_by_override(node: &Node, name: &str) -> bool {
     node.overrides().get(name).is_some_and(|entry| entry.excluded)
 }
 
@@ -32,7 +32,8 @@
             let now = fleet.now;
             let version = fleet.node(0).set_override(now, "e3", true).unwrap();
             let bound = propagation_bound_ns(&fleet.params);
-            let took = fleet.until(bound, "all have heard it", |f| f.all(|node| is_excluded(node, "e3")));
+            let took =
+                fleet.until(bound, "all have heard it", |f| f.all(|node| excluded_by_override(node, "e3")));
             worst = worst.max(took as f64 / bound as f64);
             fleet.until(2 * bound, "all have said so", |f| f.node(0).acks(version) + 1 == routers);
         }
@@ -59,13 +60,15 @@
         fleet.node(1).set_override(now, "e2", false);
         fleet.run(5 * S);
         assert!(
-            !is_excluded(fleet.node(2), "e1") && is_excluded(fleet.node(3), "e1"),
+            !excluded_by_override(fleet.node(2), "e1") && excluded_by_override(fleet.node(3), "e1"),
             "each side has its own"
         );
         fleet.cut.clear();
         let bound = convergence_bound_ns(&fleet.params, 2);
         fleet.until(bound, "all agree", |f| {
-            f.all(|n| is_excluded(n, "e1") && n.overrides().get("e2").is_some_and(|entry| !entry.excluded))
+            f.all(|n| {
+                excluded_by_override(n, "e1") && n.overrides().get("e2").is_some_and(|entry| !entry.excluded)
+            })
         });
     }
 }
@@ -101,10 +104,10 @@
         }
         (0..2).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
         fleet.run(propagation_bound_ns(&fleet.params));
-        assert!(fleet.all(|n| !is_out(n, 4)), "two are not enough");
+        assert!(fleet.all(|n| !excluded_by_evidence(n, 4)), "two are not enough");
         fleet.ended(2, 4, AttemptOutcome::Silent);
         let bound = propagation_bound_ns(&fleet.params);
-        fleet.until(bound, "out for all", |f| f.all(|n| is_out(n, 4)));
+        fleet.until(bound, "out for all", |f| f.all(|n| excluded_by_evidence(n, 4)));
         // Few have their turn to try it, and all have some time.
         let mut tried = BTreeSet::new();
         for _ in 0..60 * S / STEP {
@@ -116,12 +119,12 @@
             tried.extend(turns);
         }
         assert!(tried.len() >= 10, "{tried:?}");
-        assert!(fleet.all(|n| is_out(n, 4)), "witnesses that hold to it say it again");
+        assert!(fleet.all(|n| excluded_by_evidence(n, 4)), "witnesses that hold to it say it again");
         fleet.ended(7, 4, AttemptOutcome::Served(MS));
         fleet.run(bound);
-        assert!(fleet.all(|n| is_out(n, 4)), "one may be lucky");
+        assert!(fleet.all(|n| excluded_by_evidence(n, 4)), "one may be lucky");
         fleet.ended(8, 4, AttemptOutcome::Served(MS));
-        fleet.until(bound, "back for all", |f| f.all(|n| !is_out(n, 4)));
+        fleet.until(bound, "back for all", |f| f.all(|n| !excluded_by_evidence(n, 4)));
     }
 }
 
@@ -157,10 +160,10 @@
         let message = Message::Update { overrides: Vec::new(), evidence: vec![forged(5)] };
         let now = fleet.now;
         fleet.node(5).receive(now, 3, message);
-        let is_forged = |(engine, observer, stored): (u64, u32, &StoredEvidence)| {
+        let is_forged_report = |(engine, observer, stored): (u64, u32, &StoredEvidence)| {
             (engine, observer) == (9, 5) && stored.finding == Finding::Silent
         };
-        assert!(!fleet.node(5).evidence().iter().any(is_forged));
+        assert!(!fleet.node(5).evidence().iter().any(is_forged_report));
     }
 }
 
@@ -173,7 +176,7 @@
             [1, 3, 5, 7, 9, 11].into_iter().for_each(|at| fleet.ended(at, 4, AttemptOutcome::Served(MS)));
             fleet.run(S);
         }
-        let sides: Vec<bool> = (0..12).map(|at| is_out(fleet.node(at), 4)).collect();
+        let sides: Vec<bool> = (0..12).map(|at| excluded_by_evidence(fleet.node(at), 4)).collect();
         assert!(
             (0..12).all(|at| sides[at] == (at % 2 == 0)),
             "out where it is silent, and only there: {sides:?}"
@@ -237,12 +240,12 @@
     fleet.node(0).set_override(now, "e1", true);
     (0..3).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
     fleet.run(5 * S);
-    assert!(fleet.all(|n| is_out(n, 4)));
+    assert!(fleet.all(|n| excluded_by_evidence(n, 4)));
     fleet.cut_into(|at| usize::from(at >= 4));
     fleet.run(evidence_expiry_bound_ns(&fleet.params) + S);
-    assert!((4..8).all(|at| !is_out(fleet.node(at), 4)), "no witness of theirs holds to it");
-    assert!((0..4).all(|at| is_out(fleet.node(at), 4)), "here its witnesses do");
-    assert!(fleet.all(|n| is_excluded(n, "e1")));
+    assert!((4..8).all(|at| !excluded_by_evidence(fleet.node(at), 4)), "no witness of theirs holds to it");
+    assert!((0..4).all(|at| excluded_by_evidence(fleet.node(at), 4)), "here its witnesses do");
+    assert!(fleet.all(|n| excluded_by_override(n, "e1")));
 }
 
 #[test]
@@ -261,7 +264,7 @@
         fleet.until(20 * S, "all are ready, and none before it knows", |f| {
             let now = f.now;
             assert!(
-                f.all(|n| !n.knows(now) || is_excluded(n, "e9")),
+                f.all(|n| !n.knows(now) || excluded_by_override(n, "e9")),
                 "seed {seed}: ready and does not know it"
             );
             f.all(|n| n.knows(now))
@@ -309,10 +312,11 @@
         fleet.run(3 * S);
         fleet.start(4);
         fleet.run(3 * S);
-        assert!(is_excluded(fleet.node(4), "e1"));
+        assert!(excluded_by_override(fleet.node(4), "e1"));
         fleet.cut.clear();
-        fleet
-            .until(convergence_bound_ns(&fleet.params, 1), "all agree", |f| f.all(|n| !is_excluded(n, "e1")));
+        fleet.until(convergence_bound_ns(&fleet.params, 1), "all agree", |f| {
+            f.all(|n| !excluded_by_override(n, "e1"))
+        });
     }
 }
 
@@ -336,7 +340,7 @@
         fleet.run(3 * S);
         let forgotten = fleet.node(1).overrides().get("e1").is_none();
         assert_eq!(forgotten, longer);
-        assert!(is_excluded(fleet.node(4), "e1"));
+        assert!(excluded_by_override(fleet.node(4), "e1"));
         if restarts {
             // What it keeps is as old as the last peer that it heard, not as its file.
             fleet.kill(4);
@@ -344,10 +348,11 @@
             fleet.run(2 * S);
         }
         fleet.cut.clear();
-        fleet
-            .until(convergence_bound_ns(&fleet.params, 1), "all agree", |f| f.all(|n| !is_excluded(n, "e1")));
+        fleet.until(convergence_bound_ns(&fleet.params, 1), "all agree", |f| {
+            f.all(|n| !excluded_by_override(n, "e1"))
+        });
         fleet.run(10 * S);
-        assert!(fleet.all(|n| !is_excluded(n, "e1")), "it has come back");
+        assert!(fleet.all(|n| !excluded_by_override(n, "e1")), "it has come back");
     }
 }
 
@@ -364,11 +369,12 @@
         let now = f.now;
         f.all(|n| n.knows(now))
     });
-    assert!(fleet.all(|n| is_excluded(n, "e1")));
+    assert!(fleet.all(|n| excluded_by_override(n, "e1")));
     let now = fleet.now;
     fleet.node(3).set_override(now, "e1", false);
-    fleet
-        .until(propagation_bound_ns(&fleet.params), "its end is heard", |f| f.all(|n| !is_excluded(n, "e1")));
+    fleet.until(propagation_bound_ns(&fleet.params), "its end is heard", |f| {
+        f.all(|n| !excluded_by_override(n, "e1"))
+    });
 }
 
 #[test]
@@ -398,9 +404,11 @@
         fleet.node(0).set_override(now, "e1", false);
         fleet.run(10 * S);
         fleet.frozen.clear();
-        fleet.until(propagation_bound_ns(&fleet.params), "it is told", |f| !is_excluded(f.node(3), "e1"));
+        fleet.until(propagation_bound_ns(&fleet.params), "it is told", |f| {
+            !excluded_by_override(f.node(3), "e1")
+        });
         fleet.run(5 * S);
-        assert!(fleet.all(|n| !is_excluded(n, "e1")));
+        assert!(fleet.all(|n| !excluded_by_override(n, "e1")));
     }
 }
 
@@ -458,11 +466,11 @@
     let mut fleet = Fleet::new(6, 1);
     (0..4).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
     fleet.run(3 * S);
-    assert!(fleet.all(|n| is_out(n, 4)));
+    assert!(fleet.all(|n| excluded_by_evidence(n, 4)));
     fleet.engines[4].1 = 99;
     let engines = fleet.engines.clone();
     fleet.nodes.iter_mut().flatten().for_each(|n| n.set_engines(engines.clone()));
-    assert!(fleet.all(|n| !is_out(n, 4)));
+    assert!(fleet.all(|n| !excluded_by_evidence(n, 4)));
 }
 
 #[test]
@@ -481,5 +489,7 @@
     for at in 0..8 {
         fleet.ended(at, 4, AttemptOutcome::Served(MS));
     }
-    fleet.until(propagation_bound_ns(&fleet.params), "back for all", |f| f.all(|n| !is_out(n, 4)));
+    fleet.until(propagation_bound_ns(&fleet.params), "back for all", |f| {
+        f.all(|n| !excluded_by_evidence(n, 4))
+    });
 }
