--- a/crates/verdicts/tests/fleet.rs
+++ b/crates/verdicts/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets of nodes in stepped time: messages lost, doubled, late and out of order, links cut, routers killed, frozen and started.
-//! What is heard by when, what is believed, and what never comes back, is held against what the crate states.
+//! Simulated fleets with message loss, duplication, reordering, partitions and restarts. Guards
+//! propagation bounds, exclusion decisions, and that reverted overrides never return.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -32,13 +32,14 @@
             let now = fleet.now;
             let version = fleet.node(0).set_override(now, "e3", true).unwrap();
             let bound = propagation_bound_ns(&fleet.params);
-            let took =
-                fleet.until(bound, "all have heard it", |f| f.all(|node| excluded_by_override(node, "e3")));
+            let took = fleet.until(bound, "all routers have the override", |f| {
+                f.all(|node| excluded_by_override(node, "e3"))
+            });
             worst = worst.max(took as f64 / bound as f64);
-            fleet.until(2 * bound, "all have said so", |f| f.node(0).acks(version) + 1 == routers);
+            fleet.until(2 * bound, "all routers acknowledged it", |f| f.node(0).acks(version) + 1 == routers);
         }
-        println!("{routers} routers: heard after {worst:.2} of the bound at worst");
-        assert!(routers < 40 || worst >= 0.3, "the bound is idle");
+        println!("{routers} routers: worst propagation is {worst:.2} of the bound");
+        assert!(routers < 40 || worst >= 0.3, "the bound is too loose");
     }
 }
 
@@ -50,7 +51,7 @@
         fleet.node(0).set_override(now, "e1", true);
         fleet.run(3 * S);
         fleet.cut_into(|at| at / 3);
-        // Crossing: one side ends what the other says anew, and the other way round.
+        // Conflicting changes: each side reverts what the other sets.
         let now = fleet.now;
         fleet.node(0).set_override(now, "e1", false);
         fleet.node(5).set_override(now, "e2", true);
@@ -61,11 +62,11 @@
         fleet.run(5 * S);
         assert!(
             !excluded_by_override(fleet.node(2), "e1") && excluded_by_override(fleet.node(3), "e1"),
-            "each side has its own"
+            "each side keeps its own override"
         );
         fleet.cut.clear();
         let bound = convergence_bound_ns(&fleet.params, 2);
-        fleet.until(bound, "all agree", |f| {
+        fleet.until(bound, "all routers agree", |f| {
             f.all(|n| {
                 excluded_by_override(n, "e1") && n.overrides().get("e2").is_some_and(|entry| !entry.excluded)
             })
@@ -80,7 +81,7 @@
     for n in 0..2_000 {
         fleet.node(0).set_override(now, &format!("engine-{n}"), true);
     }
-    fleet.until(600 * S, "all know all", |f| f.all(|n| n.overrides().len() == 2_000));
+    fleet.until(600 * S, "all routers have all overrides", |f| f.all(|n| n.overrides().len() == 2_000));
     fleet.run(20 * S);
     fleet.cut_into(|at| at / 3);
     for n in 0..50 {
@@ -91,8 +92,8 @@
     let bytes = fleet.bytes;
     fleet.cut.clear();
     let bound = convergence_bound_ns(&fleet.params, 100 * 32);
-    let took = fleet.until(bound, "all agree", |f| f.all(|n| n.overrides().len() == 2_100));
-    println!("agreed after {:.1} s and {} KB", took as f64 / 1e9, (fleet.bytes - bytes) / 1_000);
+    let took = fleet.until(bound, "all routers agree", |f| f.all(|n| n.overrides().len() == 2_100));
+    println!("converged after {:.1} s and {} KB", took as f64 / 1e9, (fleet.bytes - bytes) / 1_000);
 }
 
 #[test]
@@ -104,27 +105,27 @@
         }
         (0..2).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
         fleet.run(propagation_bound_ns(&fleet.params));
-        assert!(fleet.all(|n| !excluded_by_evidence(n, 4)), "two are not enough");
+        assert!(fleet.all(|n| !excluded_by_evidence(n, 4)), "two reports are below the quorum");
         fleet.ended(2, 4, AttemptOutcome::Silent);
         let bound = propagation_bound_ns(&fleet.params);
-        fleet.until(bound, "out for all", |f| f.all(|n| excluded_by_evidence(n, 4)));
-        // Few have their turn to try it, and all have some time.
+        fleet.until(bound, "excluded by all routers", |f| f.all(|n| excluded_by_evidence(n, 4)));
+        // Few routers probe at once, and nearly all get a turn.
         let mut tried = BTreeSet::new();
         for _ in 0..60 * S / STEP {
             fleet.step();
             let now = fleet.now;
             let turns: Vec<usize> =
                 (0..12).filter(|at| fleet.nodes[*at].as_ref().unwrap().is_prober(now, 4)).collect();
-            assert!(turns.len() <= 3, "{turns:?} at once");
+            assert!(turns.len() <= 3, "{turns:?} probe at once");
             tried.extend(turns);
         }
         assert!(tried.len() >= 10, "{tried:?}");
-        assert!(fleet.all(|n| excluded_by_evidence(n, 4)), "witnesses that hold to it say it again");
+        assert!(fleet.all(|n| excluded_by_evidence(n, 4)), "observers renew their evidence");
         fleet.ended(7, 4, AttemptOutcome::Served(MS));
         fleet.run(bound);
-        assert!(fleet.all(|n| excluded_by_evidence(n, 4)), "one may be lucky");
+        assert!(fleet.all(|n| excluded_by_evidence(n, 4)), "one success is not enough");
         fleet.ended(8, 4, AttemptOutcome::Served(MS));
-        fleet.until(bound, "back for all", |f| f.all(|n| !excluded_by_evidence(n, 4)));
+        fleet.until(bound, "included again by all routers", |f| f.all(|n| !excluded_by_evidence(n, 4)));
     }
 }
 
@@ -133,7 +134,7 @@
     for seed in 0..50 {
         let mut fleet = Fleet::new(10, seed);
         fleet.bad_wire();
-        // The others are served by all of them, and say so where it is doubted.
+        // Other routers are served by every engine, and report it where a fault was reported.
         for _ in 0..20 {
             for engine in 0..20 {
                 fleet.ended(3, engine, AttemptOutcome::Silent);
@@ -144,8 +145,8 @@
         }
         let now = fleet.now;
         let suspects = fleet.node(3).evaluation().suspects.clone();
-        assert_eq!(suspects, BTreeSet::from([3]), "it is told so itself, at {now}");
-        // One that says it of others' sight is not believed either: it can speak for itself alone.
+        assert_eq!(suspects, BTreeSet::from([3]), "router 3 is the suspect at {now}");
+        // A report in the name of another router is ignored by that router.
         let forged = |observer| Evidence {
             engine: 9,
             started_ms: 7,
@@ -179,10 +180,10 @@
         let sides: Vec<bool> = (0..12).map(|at| excluded_by_evidence(fleet.node(at), 4)).collect();
         assert!(
             (0..12).all(|at| sides[at] == (at % 2 == 0)),
-            "out where it is silent, and only there: {sides:?}"
+            "excluded in the unreachable zone only: {sides:?}"
         );
         let suspects = fleet.node(1).evaluation().suspects.clone();
-        assert!(suspects.is_empty(), "one engine is nobody's bad network: {suspects:?}");
+        assert!(suspects.is_empty(), "one faulty engine makes no suspects: {suspects:?}");
     }
 }
 
@@ -196,13 +197,13 @@
     }
     fleet.run(propagation_bound_ns(&fleet.params));
     let excluded = fleet.node(2).evaluation().engines.len();
-    assert_eq!(excluded, 6, "three tenths of twenty");
+    assert_eq!(excluded, 6, "30% of 20 engines");
     let same = fleet.node(2).evaluation().clone();
-    assert!(fleet.all(|n| *n.evaluation() == same), "the same ones for all");
+    assert!(fleet.all(|n| *n.evaluation() == same), "all routers exclude the same engines");
 
     let mut fleet = Fleet::new(8, 4);
     for round in 0..40u64 {
-        // All engines take three times as long from the middle on.
+        // The latency of all engines triples halfway.
         let took = if round < 20 { 10 * MS } else { 30 * MS };
         for engine in 0..20 {
             (0..8).for_each(|at| fleet.ended(at, engine, AttemptOutcome::Served(took + engine * MS / 10)));
@@ -243,8 +244,8 @@
     assert!(fleet.all(|n| excluded_by_evidence(n, 4)));
     fleet.cut_into(|at| usize::from(at >= 4));
     fleet.run(evidence_expiry_bound_ns(&fleet.params) + S);
-    assert!((4..8).all(|at| !excluded_by_evidence(fleet.node(at), 4)), "no witness of theirs holds to it");
-    assert!((0..4).all(|at| excluded_by_evidence(fleet.node(at), 4)), "here its witnesses do");
+    assert!((4..8).all(|at| !excluded_by_evidence(fleet.node(at), 4)), "no observer on this side renews it");
+    assert!((0..4).all(|at| excluded_by_evidence(fleet.node(at), 4)), "the observers on this side renew it");
     assert!(fleet.all(|n| excluded_by_override(n, "e1")));
 }
 
@@ -258,14 +259,14 @@
         fleet.run(6 * S);
         (0..6).for_each(|at| fleet.kill(at));
         fleet.run(2 * S);
-        // Most have a new disk, and nothing to tell each other.
+        // Most routers lost their stored overrides.
         (1..6).for_each(|at| fleet.kept[at] = (Overrides::default(), fleet.now));
         (0..6).for_each(|at| fleet.start(at));
-        fleet.until(20 * S, "all are ready, and none before it knows", |f| {
+        fleet.until(20 * S, "all routers are ready, none before it has the override", |f| {
             let now = f.now;
             assert!(
                 f.all(|n| !n.knows(now) || excluded_by_override(n, "e9")),
-                "seed {seed}: ready and does not know it"
+                "seed {seed}: ready without the override"
             );
             f.all(|n| n.knows(now))
         });
@@ -280,7 +281,7 @@
     for n in 0..5_000 {
         fleet.node(0).set_override(now, &format!("engine-{n}"), true);
     }
-    // The other has them from its disk.
+    // The other peer restores them from its disk.
     fleet.kept[1] = (fleet.node(0).overrides().clone(), now);
     fleet.kill(1);
     fleet.start(1);
@@ -288,12 +289,12 @@
     fleet.bad_wire();
     fleet.kept[2] = Default::default();
     fleet.start(2);
-    let took = fleet.until(20 * S, "it is ready", |f| {
+    let took = fleet.until(20 * S, "the joining router is ready", |f| {
         let now = f.now;
         f.node(2).knows(now)
     });
     assert_eq!(fleet.node(2).overrides().len(), 5_000);
-    println!("5,000 words after {:.1} s", took as f64 / 1e9);
+    println!("5,000 overrides after {:.1} s", took as f64 / 1e9);
 }
 
 #[test]
@@ -303,7 +304,7 @@
         let now = fleet.now;
         fleet.node(0).set_override(now, "e1", true);
         fleet.run(3 * S);
-        // Number 5 is alone, and does not hear that the engine is back; then a joiner hears it only.
+        // Router 5 is partitioned and misses the reversal; router 4 then joins on its side.
         fleet.kill(4);
         fleet.kept[4] = (Overrides::default(), fleet.now);
         fleet.cut_into(|at| usize::from(at >= 4));
@@ -314,7 +315,7 @@
         fleet.run(3 * S);
         assert!(excluded_by_override(fleet.node(4), "e1"));
         fleet.cut.clear();
-        fleet.until(convergence_bound_ns(&fleet.params, 1), "all agree", |f| {
+        fleet.until(convergence_bound_ns(&fleet.params, 1), "all routers agree", |f| {
             f.all(|n| !excluded_by_override(n, "e1"))
         });
     }
@@ -331,7 +332,7 @@
         let now = fleet.now;
         fleet.node(0).set_override(now, "e1", false);
         fleet.run(3 * S);
-        // Nobody steps through a day: time jumps, and all notice it in their next round.
+        // The clock jumps instead of stepping through a day.
         fleet.now += if longer {
             fleet.params.override_memory_ns + 60 * S
         } else {
@@ -342,17 +343,17 @@
         assert_eq!(forgotten, longer);
         assert!(excluded_by_override(fleet.node(4), "e1"));
         if restarts {
-            // What it keeps is as old as the last peer that it heard, not as its file.
+            // Stored overrides are as old as the last contact with a peer, not as the file.
             fleet.kill(4);
             fleet.start(4);
             fleet.run(2 * S);
         }
         fleet.cut.clear();
-        fleet.until(convergence_bound_ns(&fleet.params, 1), "all agree", |f| {
+        fleet.until(convergence_bound_ns(&fleet.params, 1), "all routers agree", |f| {
             f.all(|n| !excluded_by_override(n, "e1"))
         });
         fleet.run(10 * S);
-        assert!(fleet.all(|n| !excluded_by_override(n, "e1")), "it has come back");
+        assert!(fleet.all(|n| !excluded_by_override(n, "e1")), "the reverted override returned");
     }
 }
 
@@ -365,14 +366,14 @@
     (0..5).for_each(|at| fleet.kill(at));
     fleet.now += 2 * fleet.params.override_memory_ns;
     (0..5).for_each(|at| fleet.start(at));
-    fleet.until(10 * S, "all are ready", |f| {
+    fleet.until(10 * S, "all routers are ready", |f| {
         let now = f.now;
         f.all(|n| n.knows(now))
     });
     assert!(fleet.all(|n| excluded_by_override(n, "e1")));
     let now = fleet.now;
     fleet.node(3).set_override(now, "e1", false);
-    fleet.until(propagation_bound_ns(&fleet.params), "its end is heard", |f| {
+    fleet.until(propagation_bound_ns(&fleet.params), "the reversal reaches all routers", |f| {
         f.all(|n| !excluded_by_override(n, "e1"))
     });
 }
@@ -381,11 +382,11 @@
 fn a_new_fleet_of_hundreds_is_ready_soon() {
     for routers in [2, 5, 300] {
         let mut fleet = Fleet::new(routers, 1);
-        let took = fleet.until(10 * S, "all are ready", |f| {
+        let took = fleet.until(10 * S, "all routers are ready", |f| {
             let now = f.now;
             f.all(|n| n.knows(now))
         });
-        println!("{routers} ready {:.1} s after they have run for 3 s", took as f64 / 1e9);
+        println!("{routers} routers ready after 3 s plus {:.1} s", took as f64 / 1e9);
     }
 }
 
@@ -396,7 +397,7 @@
         fleet.bad_wire();
         let now = fleet.now;
         fleet.node(3).set_override(now, "e1", true);
-        // What it would say next is held back with it, while others end it.
+        // The router is frozen with queued gossip while another reverts the override.
         fleet.run(2 * S);
         fleet.frozen.insert(3);
         fleet.run(S);
@@ -404,7 +405,7 @@
         fleet.node(0).set_override(now, "e1", false);
         fleet.run(10 * S);
         fleet.frozen.clear();
-        fleet.until(propagation_bound_ns(&fleet.params), "it is told", |f| {
+        fleet.until(propagation_bound_ns(&fleet.params), "the frozen router learns of the reversal", |f| {
             !excluded_by_override(f.node(3), "e1")
         });
         fleet.run(5 * S);
@@ -416,7 +417,7 @@
 fn all_routers_converge_to_the_latest_overrides_under_random_faults() {
     for seed in 0..200 {
         let mut fleet = Fleet::new(6, seed);
-        // What was said last of each engine, by stamp: no router may end with anything else.
+        // Latest override of each engine by version; all routers must end with it.
         let mut last = BTreeMap::<String, Override>::new();
         for _ in 0..40 {
             let at = fleet.draws.gen_range(0..6);
@@ -450,7 +451,7 @@
         (0..6).for_each(|at| fleet.start(at));
         let bound = convergence_bound_ns(&fleet.params, 3);
         let same = last.clone();
-        fleet.until(bound, "all agree on what was said last", move |f| {
+        fleet.until(bound, "all routers have the latest overrides", move |f| {
             f.all(|n| same.iter().all(|(name, entry)| n.overrides().get(name) == Some(*entry)))
         });
         fleet.run(5 * S);
@@ -489,7 +490,7 @@
     for at in 0..8 {
         fleet.ended(at, 4, AttemptOutcome::Served(MS));
     }
-    fleet.until(propagation_bound_ns(&fleet.params), "back for all", |f| {
+    fleet.until(propagation_bound_ns(&fleet.params), "included again by all routers", |f| {
         f.all(|n| !excluded_by_evidence(n, 4))
     });
 }
--- a/crates/verdicts/tests/merge.rs
+++ b/crates/verdicts/tests/merge.rs
@@ -1,4 +1,5 @@
-//! Words and evidence merge to the same whatever the order, and nothing that ended comes back.
+//! Guards that overrides and evidence merge independently of order and repetition, and the limits
+//! of stored overrides and clocks.
 
 use marljunction_verdicts::evidence::{Evidence, EvidenceTable, Finding};
 use marljunction_verdicts::overrides::{MergeOutcome, Override, Overrides};
@@ -9,7 +10,7 @@
 
 fn entry() -> impl Strategy<Value = (String, Override)> {
     let name = prop::sample::select(vec!["a", "b", "c"]);
-    // Few values, so that equal stamps come too.
+    // Few values, so that equal versions occur.
     (name, 0..4u64, 0..2u32, 0..2u32, any::<bool>()).prop_map(|(name, ms, count, router, excluded)| {
         (name.to_owned(), Override { version: Version { ms, count, router }, excluded })
     })
@@ -23,7 +24,7 @@
         life,
         number,
         zone: 0,
-        // One that speaks the truth says one thing under one number.
+        // A correct observer uses each sequence number for one finding only.
         finding: [Finding::Well, Finding::Silent, Finding::Spoils][(number as usize) % 3],
         since_ms: 5,
         age_ms: 5,
@@ -101,9 +102,13 @@
     for n in 0..10_000u64 {
         assert_eq!(overrides.merge(&format!("e{n}"), entry(n, n != 7)), MergeOutcome::Updated);
     }
-    assert_eq!(overrides.merge("one-more", entry(20_000, true)), MergeOutcome::Updated, "in place of an end");
+    assert_eq!(
+        overrides.merge("one-more", entry(20_000, true)),
+        MergeOutcome::Updated,
+        "it replaces a re-inclusion"
+    );
     assert_eq!(overrides.get("e7"), None);
     assert_eq!(overrides.merge("and-another", entry(20_000, true)), MergeOutcome::Rejected);
-    assert_eq!(overrides.merge("a b", entry(1, true)), MergeOutcome::Rejected, "not a name");
+    assert_eq!(overrides.merge("a b", entry(1, true)), MergeOutcome::Rejected, "invalid name");
     assert_eq!(Overrides::from_text(&overrides.to_text()).len(), 10_000);
 }
