--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -1,6 +1,7 @@
-//! What the operator's file says of the fleet, and the bounds that follow from it.
+//! Configuration of the fleet and the bounds that follow from it.
 //!
-//! Bounds are computed from the configuration by the machines' own functions, the same that their tests hold measurements against.
+//! Bounds are computed by functions of the state machines; tests compare measurements with the same
+//! functions.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,74 +21,78 @@
 use crate::error::{FleetError, KeyFileError, NameKind};
 use crate::list::ListConfig;
 
-/// How long a request may have attempts out behind its deadline (ns): a given-up attempt is out until its engine was told, or 2 s.
+/// How long an attempt of a request may outlive the request's deadline, in nanoseconds. A cancelled
+/// attempt counts until its engine was notified, for at most 2 s.
 const MAX_ATTEMPT_OVERRUN_NS: u64 = 2_500_000_000;
-/// How long attempts of a router that died run on (ns): engines end what nobody asks for.
+/// How long attempts of a router that died continue, in nanoseconds. Engines end requests that no
+/// router waits for.
 const ORPHANED_ATTEMPT_NS: u64 = 2_100_000_000;
 
-/// A limit of the operator's file.
+/// A limit from the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitConfig {
-    /// What is limited, and how it fails.
+    /// The limited quantity, and what happens while peers are unreachable.
     pub limit: Limit,
-    /// What each unit of the limit is for.
+    /// What each key of the limit stands for.
     pub scope: By,
-    /// Only this tenant's requests; none for all.
+    /// Applies to this tenant only; `None` for all.
     pub tenant: Option<String>,
-    /// Only this class's requests; none for all.
+    /// Applies to this class only; `None` for all.
     pub class: Option<String>,
 }
 
-/// How the fleet agrees on engines' health, as the operator's file says.
+/// How engine health is shared, from the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthConfig {
-    /// Routers that must have observed the same (count).
+    /// Routers that must report the same fault.
     pub min_observers: u32,
-    /// Engines that evidence excludes at most (share).
+    /// Largest share of the engines that evidence may exclude.
     pub max_excluded: f64,
-    /// How long evidence counts that its observer does not repeat (ns).
+    /// Lifetime of evidence that its observer does not renew, in nanoseconds.
     pub evidence_lifetime_ns: u64,
-    /// The longest cut after which no ended override comes back (ns).
+    /// Longest partition, in nanoseconds, after which a reverted override cannot return.
     pub override_memory_ns: u64,
 }
 
-/// The fleet, as the operator's file says.
+/// The fleet section of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
-    /// Where datagrams are taken.
+    /// Address on which datagrams are received.
     pub listen: String,
-    /// Where peers send them, where that is another address.
+    /// Address that peers send to, if it differs.
     pub advertise: Option<String>,
-    /// The file of the fleet's keys.
+    /// File with the fleet's keys.
     pub key: PathBuf,
-    /// Routers that know others.
+    /// Addresses of routers that are contacted first.
     pub seeds: Vec<String>,
-    /// Routers that shares are fixed for (count).
+    /// Number of routers among which limits are divided.
     pub routers: u32,
-    /// How long a lease of units lasts (ns).
+    /// Duration of a lease of units, in nanoseconds.
     pub lease_ns: u64,
-    /// How far a clock may run from true time (share).
+    /// Largest drift of a clock, as a share of elapsed time.
     pub drift: f64,
-    /// The limits.
+    /// Limits.
     pub limits: Vec<LimitConfig>,
     /// Whether the warm-up budgets of cold engines are shared too.
     pub cold: bool,
-    /// How engines' health is agreed on; none where it is not shared.
+    /// How engine health is shared; `None` if it is not.
     pub health: Option<HealthConfig>,
-    /// What this process has to do with the list of engines; none for nothing.
+    /// Role of this process in distributing the engine list; `None` if it has none.
     pub list: Option<ListConfig>,
 }
 
 impl FleetConfig {
-    /// The seed of clients' numbers: the same in all routers of the fleet, or a limit by client would be one to each router.
+    /// Returns the seed for hashing client names. It is derived from the keys, so all routers
+    /// of a fleet hash a client to the same key.
     ///
     /// # Errors
-    /// Where the keys can't be read.
+    /// Returns an error if the keys cannot be read.
     pub fn clients_seed(&self) -> Result<u64, KeyFileError> {
         read_keys(&self.key).map(|keys| keys.shared_seed())
     }
 
-    /// What the fleet agrees on for limits, where requests are out for `longest_ns` at most.
+    /// Returns the parameters of the limits. `longest_ns` is the longest time that a request has
+    /// attempts in flight.
     pub fn terms(&self, longest_ns: u64) -> Terms {
         let membership = MembershipSettings { routers: self.routers, ..MembershipSettings::default() };
         Terms {
@@ -100,7 +105,7 @@
         }
     }
 
-    /// What the fleet agrees on for engines' health, where it is shared.
+    /// Returns the parameters of engine health, if it is shared.
     pub fn health_params(&self) -> Option<HealthParams> {
         let health = self.health.as_ref()?;
         Some(HealthParams {
@@ -113,14 +118,15 @@
         })
     }
 
-    /// What follows for each limit and fault, and for engines' health, as lines for operators.
+    /// Formats the bounds of engine health, the engine list, and each limit under each fault.
     pub fn bounds(&self, longest_ns: u64) -> Vec<String> {
         let terms = self.terms(longest_ns);
         let mut lines: Vec<String> = self.health_params().iter().map(describe_health_bounds).collect();
         lines.extend(self.list.iter().flat_map(|list| list.bounds(self.routers)));
         for LimitConfig { limit, .. } in &self.limits {
             let units = limit.kind.units();
-            let idle = if units < self.routers { ", fewer than routers: some own none of it" } else { "" };
+            let idle =
+                if units < self.routers { ", fewer than routers: some routers own no units" } else { "" };
             lines.push(format!("limit {}: {units} units over {} routers{idle}", limit.name, self.routers));
             for (fault, name) in FAULTS {
                 lines.push(describe_bound(name, bound(limit, &terms, fault)));
@@ -129,17 +135,17 @@
         lines
     }
 
-    /// The parsed addresses of the seeds.
+    /// Parses the addresses of the seeds.
     pub(crate) fn seed_addresses(&self) -> Result<Vec<SocketAddr>, FleetError> {
         self.seeds.iter().map(|text| parse_address(text)).collect()
     }
 }
 
 impl LimitConfig {
-    /// Which requests the limit counts, by the numbers of the settings.
+    /// Returns the rule that selects the requests which the limit counts.
     ///
     /// # Errors
-    /// Where it names a tenant or class that is not in the settings.
+    /// Returns an error if the limit names a tenant or class that is not in the settings.
     pub fn rule(&self, names: &Names) -> Result<Rule, FleetError> {
         let tenant = self.resolve(NameKind::Tenant, &names.tenants, self.tenant.as_deref())?;
         let class = self.resolve(NameKind::Class, &names.classes, self.class.as_deref())?;
@@ -159,13 +165,15 @@
     }
 }
 
-/// The longest that a request has attempts out, given-up ones included (ns).
+/// Returns the longest time that a request may have attempts in flight, in nanoseconds, cancelled
+/// attempts included.
 pub fn longest_request_ns(settings: &ModuleSettings) -> u64 {
     let longest_deadline_ns = settings.classes.iter().map(|class| class.deadline_ns).max().unwrap_or(0);
     longest_deadline_ns + MAX_ATTEMPT_OVERRUN_NS
 }
 
-/// What a limit's fields say: a rate (a second) with its burst (count), or how many at once (count); none where neither or both.
+/// Returns the kind of a limit: a rate per second with a burst, or a concurrency. `None` if both or
+/// neither are given.
 pub fn limit_kind(rate: Option<f64>, burst: Option<f64>, at_once: Option<f64>) -> Option<Kind> {
     match (rate, at_once) {
         (Some(per_s), None) => Some(Kind::Rate { per_s, burst: burst.unwrap_or(per_s).max(1.0) as u32 }),
@@ -174,7 +182,8 @@
     }
 }
 
-/// How a limit fails: over by a share for a time (ns), or never where one of them is not said.
+/// Returns how a limit behaves while peers are unreachable: exceeded by a share for a time in
+/// nanoseconds, or never if one of them is missing.
 pub fn failure_mode(over: Option<f64>, for_ns: Option<f64>) -> Mode {
     match (over, for_ns) {
         (Some(over), Some(for_ns)) => Mode::Bounded { over, for_ns: for_ns as u64 },
@@ -182,11 +191,11 @@
     }
 }
 
-/// What follows for a cold engine's budget, as a line for operators.
+/// Formats the bounds of a cold engine's budget.
 pub(crate) fn describe_budget(limit: &Limit, terms: &Terms) -> String {
     let stale_s = |fault| seconds(bound(limit, terms, fault).stale_at_most_ns);
     format!(
-        "{} units in any {:.1} s over {} routers, never over; idle for {:.1} s at most, {:.1} s in a cut, {:.1} s after all died",
+        "{} units in any {:.1} s over {} routers, never exceeded; units unused for at most {:.1} s, {:.1} s in a partition, {:.1} s after all routers died",
         limit.kind.units(),
         seconds(limit.kind.run_on_ns(terms)),
         terms.routers,
@@ -196,7 +205,7 @@
     )
 }
 
-/// Reads a file of the fleet's keys.
+/// Reads a file with the fleet's keys.
 pub(crate) fn read_keys(path: &Path) -> Result<Keys, KeyFileError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| KeyFileError::Unreadable { path: path.to_owned(), source })?;
@@ -213,8 +222,8 @@
 
 fn describe_health_bounds(params: &HealthParams) -> String {
     format!(
-        "verdicts: heard by all that can be reached within {:.1} s; sides of a cut agree within {:.1} s of its end and {:.1} s \
-         for each {MAX_ITEMS_PER_DIGEST} things in which they differ; evidence fades within {:.1} s of its witness's last word",
+        "verdicts: a change reaches all reachable routers within {:.1} s; partitions agree within {:.1} s of healing, plus {:.1} s \
+         per {MAX_ITEMS_PER_DIGEST} differing items; evidence expires within {:.1} s of its observer's last report",
         seconds(propagation_bound_ns(params)),
         seconds(convergence_bound_ns(params, 0)),
         seconds(digest_interval_ns(params)),
@@ -224,13 +233,17 @@
 
 fn describe_bound(fault: &str, bound: Bound) -> String {
     let over = match (bound.over_at_most > 0.0, bound.over_for_ns) {
-        (false, _) => "never over".to_owned(),
+        (false, _) => "never exceeded".to_owned(),
         (true, u64::MAX) => {
-            format!("over by {:.1}% at most, until it is mended", bound.over_at_most * 100.0)
+            format!("exceeded by at most {:.1}%, until the fault is repaired", bound.over_at_most * 100.0)
         }
         (true, ns) => {
-            format!("over by {:.1}% at most, for {:.1} s at most", bound.over_at_most * 100.0, seconds(ns))
+            format!(
+                "exceeded by at most {:.1}%, for at most {:.1} s",
+                bound.over_at_most * 100.0,
+                seconds(ns)
+            )
         }
     };
-    format!("  {fault}: {over}; idle for {:.1} s at most", seconds(bound.stale_at_most_ns))
+    format!("  {fault}: {over}; units unused for at most {:.1} s", seconds(bound.stale_at_most_ns))
 }
--- a/crates/fleet/src/error.rs
+++ b/crates/fleet/src/error.rs
@@ -1,30 +1,30 @@
-//! Why the runtime can't start, or can't take a changed configuration.
+//! Errors of starting the runtime and of reloading its configuration.
 
 use std::net::AddrParseError;
 use std::path::PathBuf;
 
-/// Why a file of the fleet's keys can't be used; neither text holds what is in the file.
+/// An unusable key file. The messages do not contain keys.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyFileError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the machine says.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// The file holds something else than one or two keys.
+    /// The file does not hold one or two keys.
     #[error("{}: {reason}", path.display())]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// What is malformed.
         reason: String,
     },
 }
 
-/// What a limit names that is not in the settings.
+/// Kind of a name that is missing in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NameKind {
     /// A tenant.
@@ -42,39 +42,39 @@
     }
 }
 
-/// Why the runtime can't start.
+/// The runtime cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// An address is not of the form `IP:PORT`.
+    /// An address does not have the form `IP:PORT`.
     #[error("fleet: address {address}: {source}")]
     Address {
-        /// The text.
+        /// Text of the address.
         address: String,
-        /// What is wrong with it.
+        /// Parse error.
         source: AddrParseError,
     },
-    /// The socket can't be bound.
+    /// The socket cannot be bound.
     #[error("fleet: {address}: {source}")]
     Bind {
-        /// Where it was to be bound.
+        /// Address to bind.
         address: String,
-        /// What the machine says.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// The machine does not say where the socket is bound.
+    /// The local address of the socket cannot be determined.
     #[error("fleet: {0}")]
     LocalAddress(#[source] std::io::Error),
-    /// The keys can't be used.
+    /// The keys cannot be used.
     #[error(transparent)]
     Keys(#[from] KeyFileError),
-    /// A limit is for a tenant or class that is not in the settings.
+    /// A limit names a tenant or class that is not in the settings.
     #[error("fleet: limit {limit}: no {kind} {name} in the settings")]
     UnknownName {
-        /// The limit.
+        /// Name of the limit.
         limit: String,
-        /// What it names.
+        /// Kind of the missing name.
         kind: NameKind,
-        /// The name.
+        /// Missing name.
         name: String,
     },
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,12 +1,14 @@
-//! The runtime of what the routers of a fleet share: membership, limits and engine health over one UDP socket.
+//! Runtime of the state that the routers of a fleet share: membership, limits and engine health
+//! over one UDP socket.
 //!
-//! The pure machines live in `marljunction-peers`, `marljunction-limits`, `marljunction-verdicts` and `marljunction-cells`; this crate owns the socket,
-//! passes them time and datagrams, and sends what they say. Invariants:
+//! The pure state machines live in `marljunction-peers`, `marljunction-limits`,
+//! `marljunction-verdicts` and `marljunction-cells`. This crate owns the socket, passes them time
+//! and datagrams, and sends their messages. Invariants:
 //!
-//! - It knows nothing of the program's configuration file: what it needs comes as [`FleetConfig`] and [`RouterIdentity`], so that
-//!   many routers can run in one process.
-//! - A datagram that can't be read costs a counter and nothing else.
-//! - Nothing here reads a clock: times are nanoseconds of the router's clock and are passed in.
+//! - The program's configuration file is not read here. Settings arrive as [`FleetConfig`] and
+//!   [`RouterIdentity`], so that many routers can run in one process.
+//! - A malformed datagram increments a counter and has no other effect.
+//! - No clock is read here: times are nanoseconds of the router's clock and are passed in.
 
 #![forbid(unsafe_code)]
 
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -1,8 +1,9 @@
-//! The list of engines over the fleet's datagrams: a relay tells it, a router of a cell learns its part of it.
+//! Distribution of the engine list over the fleet's datagrams: a relay publishes the list, and
+//! routers of a cell subscribe to their part.
 //!
-//! The machines live in `marljunction-cells`. Invariants: a process is a relay, a router of a cell, or neither; without the
-//! operator's word it is neither and nothing here does anything; numbers of zones and kinds are each process's own, and only their
-//! names travel.
+//! The state machines live in `marljunction-cells`. Invariants: a process is a relay, a router of a
+//! cell, or neither; without a configured role nothing here has an effect. Zones and kinds are sent
+//! by name, because their numbers differ between processes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,52 +23,53 @@
 use crate::payloads::PeerPayload;
 use crate::runtime::{FleetRuntime, RouterIdentity};
 
-/// Engines of a part that one datagram holds at least (count), where names are not unusually long.
+/// Smallest number of engines per datagram, unless names are unusually long.
 const ENGINES_PER_PIECE: u32 = 18;
 const NS_PER_MS: u64 = 1_000_000;
 
-/// What a process has to do with the list, as the operator's file says.
+/// Role of a process in distributing the engine list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListRole {
-    /// It reads the list service itself, and tells routers.
+    /// Reads the list service and publishes to routers.
     Relay,
-    /// It learns its cell's part from relays.
+    /// Subscribes to its cell's part at relays.
     Cell {
-        /// The relays' addresses.
+        /// Addresses of the relays.
         relays: Vec<String>,
-        /// How the fleet is divided.
+        /// How the fleet is divided into cells.
         plan: CellPlan,
-        /// Engines of a cell that bounds are computed for (count).
+        /// Number of engines in a cell for which bounds are computed.
         engines: u32,
     },
 }
 
-/// Times that follow from how the list service is called.
+/// Times derived from how the list service is polled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListTiming {
-    /// A relay that has not heard the list service for longer does not hear it (ns).
+    /// Time without contact after which a relay treats the list service as unavailable, in
+    /// nanoseconds.
     pub silence_ns: u64,
-    /// Time in which a relay that lost the list service hears it again (ns).
+    /// Time in which a relay regains a lost list service, in nanoseconds.
     pub reconnect_ns: u64,
-    /// Age of the list from which a warning is logged (ns).
+    /// Age of the list at which a warning is logged, in nanoseconds.
     pub stale_ns: u64,
 }
 
-/// What is to be done about the list.
+/// Configuration of the list distribution.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListConfig {
-    /// What this process has to do with it.
+    /// Role of this process.
     pub role: ListRole,
-    /// Time between a router's asks (ns).
+    /// Interval between the requests of a router, in nanoseconds.
     pub ask_ns: u64,
-    /// The longest that a datagram takes, as bounds are computed (ns).
+    /// Longest delivery time of a datagram that bounds assume, in nanoseconds.
     pub delay_ns: u64,
-    /// What follows from the calls of the list service.
+    /// Times derived from how the list service is polled.
     pub timing: ListTiming,
 }
 
 impl ListConfig {
-    /// The cell of a router; none for a relay.
+    /// Returns the cell of a router; `None` for a relay.
     pub fn cell(&self, identity: &RouterIdentity, names: &Names, routers: u32) -> Option<CellConfig> {
         let ListRole::Cell { plan, .. } = &self.role else { return None };
         let zones = names.zones.len().max(1) as u32;
@@ -76,12 +78,15 @@
         Some(CellConfig::new(plan, zone, zones, identity.number, routers))
     }
 
-    /// How long relays must say that the list service counts anew: until those that lost it with it have it again (ns).
+    /// Returns how long relays must report that the list service restarted its event numbers
+    /// before a router accepts it, in nanoseconds: until relays that lost the service at the same
+    /// time have contact again.
     fn settle_ns(&self) -> u64 {
         self.timing.reconnect_ns + self.ask_ns
     }
 
-    /// What bounds are computed from, in a fleet of so many routers; none for a relay, which knows no count of relays.
+    /// Returns the inputs of the bounds for a fleet of `routers`; `None` for a relay, which does
+    /// not know the number of relays.
     pub fn terms(&self, routers: u32) -> Option<Terms> {
         let ListRole::Cell { relays, engines, .. } = &self.role else { return None };
         Some(Terms {
@@ -97,21 +102,21 @@
         })
     }
 
-    /// What follows, as lines for operators.
+    /// Formats the bounds for operators.
     pub(crate) fn bounds(&self, routers: u32) -> Vec<String> {
         match self.terms(routers) {
             Some(terms) => {
                 let ranks =
-                    "two routers of one cell with one rank use the same part of cold engines' budgets";
+                    "two routers of one cell with equal ranks use the same share of cold engines' budgets";
                 told(&terms)
                     .into_iter()
-                    .chain([format!("  {ranks}: numbers, or 'rank', keep them apart")])
+                    .chain([format!("  {ranks}: set distinct numbers or 'rank'")])
                     .collect()
             }
             None => {
                 let budget = self.relay_settings(routers).budget_per_s();
                 vec![format!(
-                    "relay: tells {routers} routers of the list, {budget} datagrams a second at most"
+                    "relay: publishes the list to {routers} routers, at most {budget} datagrams per second"
                 )]
             }
         }
@@ -122,14 +127,14 @@
     }
 }
 
-/// The machine of a process that has to do with the list.
+/// State machine of the process's role.
 pub(crate) enum ListMachine {
     Relay(Box<Relay>),
     Subscriber(Box<Subscriber>),
 }
 
 impl ListMachine {
-    /// The machine that the configuration asks for, where it does.
+    /// Creates the state machine of the configured role, if there is one.
     pub(crate) fn start(
         now: u64,
         config: &FleetConfig,
@@ -144,7 +149,7 @@
             return Ok(Some(ListMachine::Relay(Box::new(relay))));
         };
         info!(
-            "learns the engines of cell {} of {} in zone {} from {} relays; shares them with {} routers as number {} of them",
+            "subscribes to the engines of cell {} of {} in zone {} at {} relays; the cell has {} routers, this one has rank {}",
             cell.id.cell,
             cell.id.cells,
             cell.id.zone.as_deref().unwrap_or("-"),
@@ -169,7 +174,7 @@
 }
 
 impl FleetRuntime {
-    /// The relay's state, where this process is one.
+    /// Returns the relay, if this process is one.
     pub fn relay(&self) -> Option<&Relay> {
         match &self.list {
             Some(ListMachine::Relay(relay)) => Some(relay),
@@ -177,7 +182,7 @@
         }
     }
 
-    /// The state of a cell's router, where this process is one.
+    /// Returns the subscriber, if this process is a router of a cell.
     pub fn subscriber(&self) -> Option<&Subscriber> {
         match &self.list {
             Some(ListMachine::Subscriber(subscriber)) => Some(subscriber),
@@ -185,8 +190,9 @@
         }
     }
 
-    /// Takes news of the list that the list service told a relay, which is at this version then; it is told on at once. Each
-    /// news is the whole list, or engines that changed.
+    /// Passes changes from the list service to the relay, which publishes them at once. The relay
+    /// is then at `version`. Each change is the full list if its flag is set, otherwise the changed
+    /// engines.
     pub fn update_list(&mut self, now: u64, version: u64, changes: Vec<(bool, Vec<Engine>)>) {
         if let Some(ListMachine::Relay(relay)) = &mut self.list {
             for (is_full, engines) in changes {
@@ -196,19 +202,19 @@
         self.run_list(now);
     }
 
-    /// A relay heard the list service so long ago (ns).
+    /// Records that the relay last had contact with the list service `age_ns` nanoseconds ago.
     pub fn record_list_service_contact(&mut self, now: u64, age_ns: u64) {
         if let Some(ListMachine::Relay(relay)) = &mut self.list {
             relay.heard(now, age_ns);
         }
     }
 
-    /// What became known of a router's part of the list since this was last called.
+    /// Takes the changes of the router's part of the list since the last call.
     pub fn take_list_updates(&mut self) -> Vec<PartNews> {
         std::mem::take(&mut self.list_updates)
     }
 
-    /// Passes time, and sends what is to be sent.
+    /// Runs periodic work and sends messages.
     pub(crate) fn run_list(&mut self, now: u64) {
         let outgoing = match &mut self.list {
             None => return,
@@ -223,7 +229,7 @@
         self.send_datagrams(outgoing);
     }
 
-    /// Takes what another process said of the list.
+    /// Handles a list message from another process.
     pub(crate) fn handle_list(&mut self, now: u64, payload: &PeerPayload) {
         let from = payload.from.address;
         match (&mut self.list, Message::decode(&payload.bytes)) {
@@ -237,7 +243,7 @@
         }
     }
 
-    /// What is known of the list, as a line for operators; none where this process has nothing to do with it.
+    /// Formats the state of the list as one line for operators; `None` without a role.
     pub(crate) fn view_list(&self, now: u64) -> Option<String> {
         if let Some(relay) = self.relay() {
             let (engines, version, routers) = (relay.engines(), relay.version(), relay.routers());
@@ -260,7 +266,7 @@
         ))
     }
 
-    /// The counters of the list, as one line; none where this process has nothing to do with it.
+    /// Formats the counters of the list as one line; `None` without a role.
     pub(crate) fn list_line(&self, now: u64) -> Option<String> {
         match &self.list {
             None => None,
@@ -270,7 +276,7 @@
     }
 }
 
-/// An engine as relays tell of it.
+/// Converts an engine to the form that relays publish.
 pub fn to_cell_engine(entry: &EngineEntry, address: SocketAddr, names: &Names) -> Engine {
     let name = |list: &[String], at: Option<usize>| Some(Arc::from(list.get(at?)?.as_str()));
     Engine {
@@ -289,7 +295,7 @@
     }
 }
 
-/// An engine as the module is told of it.
+/// Converts a published engine to the form that the decision module uses.
 pub fn to_engine_entry(engine: &Engine, names: &Names) -> EngineEntry {
     let number = |list: &[String], name: &Option<Arc<str>>| index_of(list, name.as_deref()?);
     EngineEntry {
@@ -307,7 +313,7 @@
     }
 }
 
-/// An engine that is on the list no more, as the module is told of it.
+/// Returns the entry that removes an engine from the decision module.
 pub fn removed_entry(id: u64) -> EngineEntry {
     EngineEntry { engine: EngineId(id), state: EngineState::Gone, ..EngineEntry::default() }
 }
--- a/crates/fleet/src/outbox.rs
+++ b/crates/fleet/src/outbox.rs
@@ -1,6 +1,7 @@
 //! Packs messages for peers into datagrams.
 //!
-//! Messages for one peer share datagrams as far as they fit, in their order. A peer number that nobody has is sent nothing.
+//! Messages for one peer share datagrams and keep their order. Messages for an unknown peer number
+//! are dropped.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,7 +10,7 @@
 use marljunction_peers::Members;
 use serde::Serialize;
 
-/// Largest part of a datagram that messages fill (bytes): the sender's name and the seal have the rest.
+/// Size of the messages in one datagram, in bytes; the rest holds the sender's name and the seal.
 const MAX_MESSAGE_BYTES: usize = 900;
 
 /// Sends messages to peers by their numbers.
@@ -29,7 +30,7 @@
     }
 }
 
-/// Sends messages to one address, in as few datagrams as they fit.
+/// Sends messages to one address, in as few datagrams as possible.
 pub(crate) fn send_to_address<M: Serialize>(
     members: &mut Members,
     to: SocketAddr,
--- a/crates/fleet/src/overrides_file.rs
+++ b/crates/fleet/src/overrides_file.rs
@@ -1,6 +1,6 @@
-//! The file that operators' overrides of engine health are kept in for the router's next start.
+//! File that stores operators' overrides of engine health for the next start.
 //!
-//! It is written aside and renamed, so that no start finds half of it; a file that is too large or can't be read counts as none.
+//! The file is replaced atomically. A file that is too large or cannot be read is ignored.
 
 use std::path::{Path, PathBuf};
 
@@ -11,28 +11,31 @@
 
 /// Name of the file in its directory.
 const FILE_NAME: &str = "marljunction-verdicts";
-/// Largest file that is read (bytes).
+/// Largest file that is read, in bytes.
 const MAX_FILE_BYTES: u64 = 4 << 20;
-/// How often it is written though no override changed (ns): the age of what was heard last counts.
+/// Interval at which the file is rewritten without changed overrides, in nanoseconds. It stores the
+/// time of the last contact with a peer.
 const REWRITE_PERIOD_NS: u64 = 30_000_000_000;
 const NS_PER_MS: u64 = 1_000_000;
 
-/// What makes a file outdated: the overrides' revision, and the period in which a peer was heard last.
+/// State that the file was written for: the revision of the overrides, and the rewrite period of
+/// the last contact with a peer.
 type WrittenState = (u64, u64);
 
-/// The file, and what it holds.
+/// The file and the state that it was last written for.
 pub(crate) struct OverridesFile {
     path: PathBuf,
     written: Option<WrittenState>,
 }
 
 impl OverridesFile {
-    /// The file in this directory.
+    /// Uses the file in `directory`.
     pub(crate) fn in_directory(directory: &Path) -> OverridesFile {
         OverridesFile { path: directory.join(FILE_NAME), written: None }
     }
 
-    /// The overrides that were kept, and when a peer had last been heard then (ns); none and `now` where there is no file.
+    /// Loads the overrides and the time of the last contact with a peer, in nanoseconds. Without a
+    /// usable file, returns no overrides and `now`.
     pub(crate) fn load(&self, now: u64) -> (Overrides, u64) {
         let text = match std::fs::read_to_string(&self.path) {
             Ok(text) if text.len() as u64 <= MAX_FILE_BYTES => text,
@@ -41,13 +44,13 @@
         let head = text.lines().next();
         let heard_ms = head.and_then(|line| line.strip_prefix("heard ")?.parse::<u64>().ok());
         let overrides = Overrides::from_text(&text);
-        info!("{} operators' words of the fleet were kept in {}", overrides.len(), self.path.display());
+        info!("loaded {} operators' overrides of the fleet from {}", overrides.len(), self.path.display());
         (overrides, heard_ms.map_or(0, |ms| ms.saturating_mul(NS_PER_MS)))
     }
 
-    /// Writes the overrides where they changed, and once a period.
+    /// Writes the file if the overrides changed, and once per rewrite period.
     pub(crate) fn store(&mut self, node: &HealthNode) {
-        // Half a minute says no less of how long nobody was heard than a second.
+        // A period is precise enough for the time of the last contact.
         let state = (node.revision(), node.last_contact_ns() / REWRITE_PERIOD_NS);
         let nothing_yet = self.written.is_none() && node.overrides().is_empty();
         if self.written == Some(state) || nothing_yet {
@@ -55,7 +58,7 @@
         }
         let text = format!("heard {}\n{}", node.last_contact_ns() / NS_PER_MS, node.overrides().to_text());
         if let Err(fault) = write_atomically(&self.path, &text) {
-            warn!("operators' words could not be kept in {}: {fault}", self.path.display());
+            warn!("could not store operators' overrides in {}: {fault}", self.path.display());
         }
         self.written = Some(state);
     }
--- a/crates/fleet/src/payloads.rs
+++ b/crates/fleet/src/payloads.rs
@@ -1,7 +1,8 @@
-//! What peers say, handed to the machine that it is for.
+//! Dispatches payloads from peers to their state machines.
 //!
-//! Limits and engine health have their machines here. A payload of any other kind waits in a bounded queue for whoever owns that
-//! kind: [`FleetRuntime::take_payloads`] hands it out, [`FleetRuntime::send`] and [`FleetRuntime::send_to`] answer.
+//! Limits and engine health are handled here. Payloads of other kinds wait in a bounded queue for
+//! [`FleetRuntime::take_payloads`]; [`FleetRuntime::send`] and [`FleetRuntime::send_to`] send
+//! replies.
 
 use std::net::SocketAddr;
 
@@ -16,32 +17,33 @@
 use crate::outbox::{send_to_address, send_to_numbers};
 use crate::runtime::FleetRuntime;
 
-/// Payloads without a machine here that wait to be taken (count); further ones are dropped and counted.
+/// Largest number of queued payloads; further ones are dropped and counted.
 pub const MAX_PENDING_PAYLOADS: usize = 1_024;
 
-/// What a peer said to a machine that this crate does not hold.
+/// A payload that this crate does not handle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerPayload {
-    /// Who said it.
+    /// Sender.
     pub from: Who,
-    /// Which machine it is for.
+    /// Kind, which identifies the receiving state machine.
     pub kind: Kind,
-    /// The MessagePack bytes.
+    /// MessagePack bytes.
     pub bytes: Vec<u8>,
 }
 
 impl FleetRuntime {
-    /// Payloads of kinds that have no machine here, in the order in which they came since this was last called.
+    /// Takes the queued payloads in order of arrival.
     pub fn take_payloads(&mut self) -> Vec<PeerPayload> {
         std::mem::take(&mut self.pending_payloads)
     }
 
-    /// Payloads that were dropped as nobody took the ones before them (count).
+    /// Returns how many payloads were dropped because the queue was full.
     pub fn dropped_payloads(&self) -> u64 {
         self.dropped_payloads
     }
 
-    /// Sends messages to peers by their numbers, with the datagrams of the next iteration; a number that nobody has is sent nothing.
+    /// Sends messages to peers by number, with the datagrams of the next iteration. Messages for an
+    /// unknown number are dropped.
     pub fn send<M: Serialize>(&mut self, kind: Kind, messages: Vec<(u32, M)>) {
         send_to_numbers(&mut self.members, kind, messages);
     }
@@ -51,7 +53,7 @@
         send_to_address(&mut self.members, to, kind, messages);
     }
 
-    /// Hands what a peer said to its machine; a new kind of datagram gets its arm here.
+    /// Dispatches a payload by its kind.
     pub(crate) fn handle_payload(&mut self, now: u64, payload: PeerPayload, router: &mut Router) {
         match payload.kind {
             Kind::Verdicts => self.handle_health(now, &payload, router),
--- a/crates/fleet/src/reload.rs
+++ b/crates/fleet/src/reload.rs
@@ -1,6 +1,6 @@
-//! Takes a changed configuration while the router runs: keys and limits, nothing else.
+//! Reloads the configuration of a running router: keys and limits only.
 //!
-//! What can't be read or needs a restart leaves all as it was, and is logged.
+//! Changes that cannot be read or need a restart are logged and change nothing.
 
 use log::{info, warn};
 use marljunction_control::interface::Settings;
@@ -14,7 +14,7 @@
 use crate::runtime::FleetRuntime;
 
 impl FleetRuntime {
-    /// Reads the keys again, and goes by the limits that the operator's file now has: a reload may have changed both.
+    /// Reloads the keys, and applies changed limits.
     pub fn reload(
         &mut self,
         now: u64,
@@ -25,24 +25,26 @@
     ) {
         match read_keys(&self.config.key) {
             Ok(keys) => self.members.set_keys(keys),
-            Err(fault) => warn!("the fleet's keys stay as they were: {fault}"),
+            Err(fault) => warn!("fleet: keys unchanged: {fault}"),
         }
-        let Some(config) = config else { return warn!("a fleet that is there no more needs a restart") };
+        let Some(config) = config else {
+            return warn!("fleet: removing the fleet needs a restart; configuration unchanged");
+        };
         let mut config = config.clone();
-        // What follows from the calls of the list service is as it was at the start.
+        // The timing of the list service is set at start and does not change.
         if let (Some(list), Some(before)) = (&mut config.list, &self.config.list) {
             list.timing = before.timing;
         }
         let same_limits = FleetConfig { limits: self.config.limits.clone(), ..config.clone() };
         if same_limits != self.config {
-            return warn!("changes of the fleet other than its limits need a restart");
+            return warn!("fleet: changes other than to limits need a restart; configuration unchanged");
         }
         if config.limits != self.config.limits {
             self.resize(now, config, settings, names, limits);
         }
     }
 
-    /// Goes by other limits from here on, and logs what that means until all routers do.
+    /// Applies new limits, and logs what holds until all routers apply them.
     fn resize(
         &mut self,
         now: u64,
@@ -55,7 +57,7 @@
         let resized: Result<Vec<(Limit, Rule)>, FleetError> = config.limits.iter().map(with_rule).collect();
         let resized = match resized {
             Ok(resized) => resized,
-            Err(fault) => return warn!("the limits stay as they were: {fault}"),
+            Err(fault) => return warn!("fleet: limits unchanged: {fault}"),
         };
         let terms = config.terms(longest_request_ns(settings));
         for (limit, _) in &resized {
@@ -70,12 +72,15 @@
 
 fn log_resize(before: Option<&Limit>, limit: &Limit, terms: &Terms) {
     let Some(before) = before else {
-        return info!("limit {}: new, its shares are used once all that peers may hold is over", limit.name);
+        return info!(
+            "limit {}: added; its units are used once grants that peers may hold have expired",
+            limit.name
+        );
     };
     if before.version() != limit.version() {
         let bound = change(before, limit, terms);
         info!(
-            "limit {}: changed; over by {:.1}% at most until all routers know it and for {:.1} s more",
+            "limit {}: changed; exceeded by at most {:.1}% until all routers apply it, and for {:.1} s more",
             limit.name,
             bound.over_at_most * 100.0,
             bound.over_for_ns as f64 / 1e9
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -1,7 +1,7 @@
-//! Runs the fleet's machines over one socket: start, datagrams in and out, time, membership changes.
+//! Runs the fleet's state machines over one socket: start, datagrams, time and membership changes.
 //!
-//! Invariants: all that the machines say leaves in the iteration in which they said it; a router that stood still passes over what
-//! peers said of engines meanwhile, as nobody knows how old it is.
+//! Invariants: messages leave in the iteration that creates them. After a stall, queued messages on
+//! engine health are ignored, because their age is unknown.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -32,52 +32,53 @@
 use crate::payloads::PeerPayload;
 use crate::view;
 
-/// Keys of all limits that one router tracks (count).
+/// Largest number of keys of all limits that one router tracks.
 const MAX_LIMIT_KEYS: usize = 16_384;
-/// A router that did nothing for so long stood still (ns).
+/// Time without activity that counts as a stall, in nanoseconds.
 const STALL_NS: u64 = 1_000_000_000;
-/// For how long after a stall peers' messages on engine health are passed over (ns): they repeat what still counts.
+/// How long messages on engine health are ignored after a stall, in nanoseconds. Peers repeat what
+/// is still valid.
 const STALE_HEALTH_NS: u64 = 300_000_000;
-/// Membership changes that are logged one by one (count); of the further ones, one in [`LOG_EVERY`].
+/// Number of membership changes that are logged individually; later, one in [`LOG_EVERY`] is.
 const MAX_LOGGED_CHANGES: u64 = 1_000;
 const LOG_EVERY: u64 = 100;
 
-/// Who this router is.
+/// Identity of this router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouterIdentity {
-    /// Its name; the same over its restarts.
+    /// Name, which stays the same over restarts.
     pub name: String,
-    /// Its number among the routers that shares are fixed for.
+    /// Number among the routers that limits are divided among.
     pub number: u32,
-    /// The name of its zone, where it has one.
+    /// Name of its zone, if it has one.
     pub zone: Option<String>,
-    /// The seed of its own draws; another one in each router.
+    /// Seed of its pseudorandom numbers, different in each router.
     pub seed: u64,
 }
 
-/// What a start gives: the runtime, and the machines that the router is set up with.
+/// Result of [`FleetRuntime::start`].
 pub struct FleetStart {
     /// The runtime.
     pub runtime: FleetRuntime,
-    /// The limits, which go to the [`Router`].
+    /// The limits, to be passed to the [`Router`].
     pub limits: FleetLimits,
-    /// Engines' health where it is shared, which goes to the [`Router`].
+    /// Engine health if it is shared, to be passed to the [`Router`].
     pub health: Option<FleetVerdicts>,
 }
 
-/// The socket, the membership, and what is kept for the next start.
+/// The socket, the membership, and state stored for the next start.
 pub struct FleetRuntime {
     pub(crate) datagrams: Datagrams,
     pub(crate) members: Members,
     pub(crate) config: FleetConfig,
-    /// Membership changes so far (count).
+    /// Number of membership changes so far.
     logged_changes: u64,
-    /// When it last did anything (ns).
+    /// Time of the last activity, in nanoseconds.
     active_ns: u64,
-    /// Until when messages on engine health are passed over (ns).
+    /// Messages on engine health are ignored until this time, in nanoseconds.
     pub(crate) ignore_health_until_ns: u64,
     overrides_file: Option<OverridesFile>,
-    /// Whether this router's own network was the suspect when that was last logged.
+    /// Whether this router was a suspect when that was last logged.
     suspect: bool,
     pub(crate) pending_payloads: Vec<PeerPayload>,
     pub(crate) dropped_payloads: u64,
@@ -86,11 +87,12 @@
 }
 
 impl FleetRuntime {
-    /// Opens the socket and sets the machines up. `kept_directory` is where overrides outlast the process; none for nowhere.
+    /// Opens the socket and creates the state machines. Overrides are stored in `state_directory`,
+    /// if it is given.
     ///
     /// # Errors
-    /// Where an address can't be read, the socket can't be opened, the keys can't be read, or a limit names a tenant or class that
-    /// is not in the settings.
+    /// Returns an error if an address or the keys are invalid, the socket cannot be opened, or a
+    /// limit names a tenant or class that is not in the settings.
     #[allow(clippy::too_many_arguments)]
     pub fn start(
         now: u64,
@@ -134,37 +136,37 @@
         Ok(FleetStart { runtime, limits, health })
     }
 
-    /// Whether datagrams were left to be read: no further event tells of them.
+    /// Whether datagrams remain to be read; no further event announces them.
     pub fn has_more(&self) -> bool {
         self.datagrams.more
     }
 
-    /// Datagrams sent so far (count).
+    /// Returns the number of datagrams sent.
     pub fn sent_datagrams(&self) -> u64 {
         self.members.sent().0
     }
 
-    /// Bytes sent so far, in all datagrams.
+    /// Returns the number of bytes sent in datagrams.
     pub fn sent_bytes(&self) -> u64 {
         self.members.sent().1
     }
 
-    /// Bytes received so far, in all datagrams.
+    /// Returns the number of bytes received in datagrams.
     pub fn received_bytes(&self) -> u64 {
         self.datagrams.received_bytes
     }
 
-    /// Peers that can be reached.
+    /// Iterates over reachable peers.
     pub fn peers(&self) -> impl Iterator<Item = &Who> {
         self.members.up()
     }
 
-    /// Where peers send datagrams to.
+    /// Returns the address that peers send datagrams to.
     pub fn address(&self) -> SocketAddr {
         self.members.me().address
     }
 
-    /// Takes what has come in.
+    /// Handles received datagrams.
     pub fn ready(&mut self, now: u64, router: &mut Router) {
         self.note_activity(now);
         let members = &mut self.members;
@@ -173,7 +175,7 @@
         self.run_list(now);
     }
 
-    /// Passes time.
+    /// Runs periodic work.
     pub fn tick(&mut self, now: u64, router: &mut Router) {
         self.note_activity(now);
         self.members.tick(now);
@@ -193,14 +195,14 @@
         self.run_list(now);
     }
 
-    /// Tells the peers that this router leaves.
+    /// Notifies peers that this router leaves.
     pub fn leave(&mut self, now: u64) {
         self.members.leave(now);
         let (outgoing, _) = self.members.take();
         self.send_datagrams(outgoing);
     }
 
-    /// What is known of peers and limits, as text for operators.
+    /// Formats peers and limits for operators.
     pub fn view(&self, now: u64, limits: &mut FleetLimits) -> String {
         let text = view::describe_fleet(now, &self.members, &self.config, limits);
         match self.view_list(now) {
@@ -209,12 +211,12 @@
         }
     }
 
-    /// What the fleet agrees on engines' health, as text for operators.
+    /// Formats the fleet's engine health for operators.
     pub fn view_health(&self, now: u64, health: &mut FleetVerdicts) -> String {
         view::describe_health(now, health.node())
     }
 
-    /// Counters, as one line.
+    /// Formats counters as one line.
     pub fn line(&self, now: u64, limits: &FleetLimits) -> String {
         let line = view::counters_line(&self.members, limits);
         match self.list_line(now) {
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Notices that this router stood still: what waits for it is old, and nobody said how old.
+    /// Detects a stall: queued datagrams are then of unknown age.
     fn note_activity(&mut self, now: u64) {
         if now.saturating_sub(self.active_ns) >= STALL_NS {
             self.ignore_health_until_ns = now + STALE_HEALTH_NS;
@@ -231,7 +233,7 @@
         self.active_ns = now;
     }
 
-    /// Sends what is to be sent and handles what became known, until handling it calls for no further datagrams.
+    /// Sends datagrams and handles events until handling creates no further datagrams.
     fn exchange(&mut self, now: u64, router: &mut Router) {
         loop {
             let (outgoing, events) = self.members.take();
@@ -253,7 +255,7 @@
 
     fn handle_event(&mut self, now: u64, event: Event, router: &mut Router) {
         if let Event::Said(from, kind, bytes) = event {
-            // Nobody came or went by what was said.
+            // A payload does not change the membership.
             return self.handle_payload(now, PeerPayload { from, kind, bytes }, router);
         }
         self.log_change(event);
@@ -269,28 +271,29 @@
     fn log_change(&mut self, event: Event) {
         match event {
             Event::Said(..) => {}
-            Event::Up(peer) => self.log(&format!("{} is there, at {}", peer.name, peer.address)),
-            Event::Down(peer) => self.log(&format!("{} is gone, or can't be reached", peer.name)),
+            Event::Up(peer) => self.log(&format!("{} is up at {}", peer.name, peer.address)),
+            Event::Down(peer) => self.log(&format!("{} is down or unreachable", peer.name)),
             Event::Again(before, peer) if before.address != peer.address => self.log(&format!(
-                "{} has started again, at {}; if the one at {} is there still, two have its name",
+                "{} restarted at {}; if the one at {} still runs, two routers share this name",
                 peer.name, peer.address, before.address
             )),
-            Event::Again(_, peer) => self.log(&format!("{} has started again", peer.name)),
+            Event::Again(_, peer) => self.log(&format!("{} restarted", peer.name)),
             Event::SameNumber(peer) => warn!(
-                "the fleet: {} at {} has this one's number {}: its shares are used twice",
+                "fleet: {} at {} has the same number {} as this router: both use the same units",
                 peer.name, peer.address, peer.number
             ),
             Event::SameName => warn!(
-                "the fleet: peers take this router for gone again and again: another has this one's name, and shares are used twice"
+                "fleet: peers repeatedly report this router as down: another router has the same name, and both use the same units"
             ),
         }
     }
 
-    /// A line for a change of state, up to a bound: a fleet that flaps must not fill the log.
+    /// Logs a membership change. The number of lines is limited, so that a flapping peer cannot
+    /// fill the log.
     fn log(&mut self, line: &str) {
         self.logged_changes += 1;
         if self.logged_changes <= MAX_LOGGED_CHANGES || self.logged_changes % LOG_EVERY == 0 {
-            info!("the fleet: {line}");
+            info!("fleet: {line}");
         }
     }
 
@@ -301,9 +304,9 @@
         self.suspect = suspect;
         match suspect {
             true => {
-                warn!("this router finds engines bad that serve the others: its own network may be at fault")
+                warn!("other routers contradict this router's fault reports; its own network may be at fault")
             }
-            false => info!("this router is no suspect any more"),
+            false => info!("other routers no longer contradict this router's fault reports"),
         }
     }
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! Text that operators read: peers, limits, engine health, counters.
+//! Text for operators: peers, limits, engine health and counters.
 
 use marljunction_core::limits::FleetLimits;
 use marljunction_peers::Members;
@@ -6,16 +6,16 @@
 
 use crate::config::FleetConfig;
 
-/// Pieces of evidence that are shown (count).
+/// Largest number of pieces of evidence in the output.
 const MAX_SHOWN_EVIDENCE: usize = 200;
 const NS_PER_MS: u64 = 1_000_000;
 
-/// Seconds from a time (ns) until now.
+/// Returns the time since `since_ns`, in seconds.
 fn age_s(now: u64, since_ns: u64) -> f64 {
     now.saturating_sub(since_ns) as f64 / 1e9
 }
 
-/// Peers and limits, as `marljunction fleet` prints them.
+/// Formats peers and limits as `marljunction fleet` prints them.
 pub(crate) fn describe_fleet(
     now: u64,
     members: &Members,
@@ -51,7 +51,7 @@
     lines
 }
 
-/// What the fleet agrees on engines' health.
+/// Formats the fleet's engine health.
 pub(crate) fn describe_health(now: u64, node: &mut HealthNode) -> String {
     let evaluation = node.evaluation().clone();
     let mut lines = vec![format!("{} peers can be reached", node.peers())];
@@ -76,7 +76,7 @@
     lines.join("\n")
 }
 
-/// Counters, as one line.
+/// Formats counters as one line.
 pub(crate) fn counters_line(members: &Members, limits: &FleetLimits) -> String {
     let rejected: u64 = members.spoilt().map(|(_, count)| count).sum();
     let (datagrams, bytes) = members.sent();
