--- a/crates/fleet/src/reload.rs
+++ b/crates/fleet/src/reload.rs
@@ -27,9 +27,7 @@
             Ok(keys) => self.members.set_keys(keys),
             Err(fault) => warn!("fleet: keys unchanged: {fault}"),
         }
-        let Some(config) = config else {
-            return warn!("fleet: removing the fleet needs a restart; configuration unchanged");
-        };
+        let Some(config) = config else { return warn!("fleet: removing the fleet needs a restart") };
         let mut config = config.clone();
         // The timing of the list service is set at start and does not change.
         if let (Some(list), Some(before)) = (&mut config.list, &self.config.list) {
@@ -37,7 +35,7 @@
         }
         let same_limits = FleetConfig { limits: self.config.limits.clone(), ..config.clone() };
         if same_limits != self.config {
-            return warn!("fleet: changes other than to limits need a restart; configuration unchanged");
+            return warn!("fleet: changes other than to limits need a restart");
         }
         if config.limits != self.config.limits {
             self.resize(now, config, settings, names, limits);
