--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -5,8 +5,8 @@
 
 use log::info;
 use marljunction_control::interface::{ClassId, EngineEntry, EngineId, EngineState, MembershipKind, Verdict};
-use marljunction_verdicts::witness::Went;
-use marljunction_verdicts::{Judgement, Node};
+use marljunction_verdicts::observer::AttemptOutcome;
+use marljunction_verdicts::{HealthStatus, Node};
 
 use crate::end_reason::{EndReason, HealthSignal};
 
@@ -65,7 +65,7 @@
     /// cancellation.
     pub fn attempt_cancelled(&mut self, now: u64, engine: EngineId, class: ClassId, sent_ns: u64) {
         if let Some(started) = self.engines.get(&engine) {
-            self.node.ended(now, (engine.0, *started), class.0, sent_ns, Went::Silent);
+            self.node.ended(now, (engine.0, *started), class.0, sent_ns, AttemptOutcome::Silent);
         }
     }
 
@@ -84,12 +84,12 @@
             HealthSignal::NoResponse
                 if end_reason == EndReason::GivenUp && cancelled_ns.is_some_and(within_reply_time) =>
             {
-                Went::Alive
+                AttemptOutcome::Alive
             }
-            HealthSignal::Served => Went::Served(now.saturating_sub(sent_ns)),
-            HealthSignal::NoResponse => Went::Silent,
-            HealthSignal::InvalidResponse => Went::Spoilt,
-            HealthSignal::Inconclusive => Went::Nothing,
+            HealthSignal::Served => AttemptOutcome::Served(now.saturating_sub(sent_ns)),
+            HealthSignal::NoResponse => AttemptOutcome::Silent,
+            HealthSignal::InvalidResponse => AttemptOutcome::Spoilt,
+            HealthSignal::Inconclusive => AttemptOutcome::Nothing,
         };
         self.node.ended(now, (engine.0, *started), class.0, sent_ns, observation);
     }
@@ -102,7 +102,7 @@
             counts.news,
             counts.refused,
             counts.suspected,
-            node.words().len(),
+            node.overrides().len(),
             node.evidence().len()
         )
     }
@@ -113,21 +113,21 @@
             return Vec::new();
         }
         self.next_evaluation_ns = now + EVALUATION_INTERVAL_NS;
-        let judged = self.node.judged().engines.clone();
-        if judged.is_empty() && self.reported.is_empty() {
+        let evaluation = self.node.evaluation().engines.clone();
+        if evaluation.is_empty() && self.reported.is_empty() {
             self.resend.clear();
             return Vec::new();
         }
-        let verdict = |(engine, judgement): (&u64, &Judgement)| {
+        let verdict = |(engine, judgement): (&u64, &HealthStatus)| {
             let verdict = match judgement {
-                Judgement::Well => Verdict::Well,
-                Judgement::Out if self.node.tries(now, *engine) => Verdict::Trial,
-                Judgement::Out => Verdict::Out,
-                Judgement::Slow(ratio) => Verdict::Slow(*ratio),
+                HealthStatus::Well => Verdict::Well,
+                HealthStatus::Out if self.node.is_prober(now, *engine) => Verdict::Trial,
+                HealthStatus::Out => Verdict::Out,
+                HealthStatus::Slow(ratio) => Verdict::Slow(*ratio),
             };
             (EngineId(*engine), verdict)
         };
-        let current: BTreeMap<EngineId, Verdict> = judged.iter().map(verdict).collect();
+        let current: BTreeMap<EngineId, Verdict> = evaluation.iter().map(verdict).collect();
         let recovered =
             self.reported.keys().filter(|id| !current.contains_key(id)).map(|id| (*id, Verdict::Well));
         let mut changed: Vec<(EngineId, Verdict)> = recovered.collect();
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! Text that operators read: peers, limits, engine health, counters.
+//! Text for operators: peers, limits, engine health and counters.
 
 use marljunction_core::limits::FleetLimits;
 use marljunction_peers::Members;
@@ -6,16 +6,16 @@
 
 use crate::config::FleetConfig;
 
-/// Pieces of evidence that are shown (count).
+/// Largest number of pieces of evidence in the output.
 const MAX_SHOWN_EVIDENCE: usize = 200;
 const NS_PER_MS: u64 = 1_000_000;
 
-/// Seconds from a time (ns) until now.
+/// Returns the time since `since_ns`, in seconds.
 fn age_s(now: u64, since_ns: u64) -> f64 {
     now.saturating_sub(since_ns) as f64 / 1e9
 }
 
-/// Peers and limits, as `marljunction fleet` prints them.
+/// Formats peers and limits as `marljunction fleet` prints them.
 pub(crate) fn describe_fleet(
     now: u64,
     members: &Members,
@@ -52,32 +52,32 @@
     lines
 }
 
-/// What the fleet agrees on engines' health.
+/// Formats the fleet's engine health.
 pub(crate) fn describe_health(now: u64, node: &mut HealthNode) -> String {
-    let agreed = node.judged().clone();
+    let evaluation = node.evaluation().clone();
     let mut lines = vec![format!("{} peers can be reached", node.peers())];
-    for (name, entry) in node.words().iter() {
-        let (state, router) = (if entry.out { "out" } else { "back" }, entry.stamp.router);
-        let age = age_s(now, entry.stamp.ms.saturating_mul(NS_PER_MS));
+    for (name, entry) in node.overrides().iter() {
+        let (state, router) = (if entry.excluded { "out" } else { "back" }, entry.version.router);
+        let age = age_s(now, entry.version.ms.saturating_mul(NS_PER_MS));
         lines.push(format!("engine {name} {state} by an operator at router {router} {age:.0} s ago"));
     }
-    for (engine, status) in &agreed.engines {
+    for (engine, status) in &evaluation.engines {
         lines.push(format!("engine {engine:016x} {status:?} by evidence"));
     }
-    for (engine, observer, held) in node.evidence().iter().take(MAX_SHOWN_EVIDENCE) {
-        let (since, said) = (age_s(now, held.since_ns), age_s(now, held.at_ns));
+    for (engine, observer, stored) in node.evidence().iter().take(MAX_SHOWN_EVIDENCE) {
+        let (since, reported) = (age_s(now, stored.since_ns), age_s(now, stored.reported_ns));
         lines.push(format!(
-            "  engine {engine:016x} router {observer} {:?} since {since:.1} s, said {said:.1} s ago",
-            held.finding
+            "  engine {engine:016x} router {observer} {:?} since {since:.1} s, said {reported:.1} s ago",
+            stored.finding
         ));
     }
-    for router in &agreed.suspects {
+    for router in &evaluation.suspects {
         lines.push(format!("router {router} finds engines bad that serve others: it does not count"));
     }
     lines.join("\n")
 }
 
-/// Counters, as one line.
+/// Formats counters as one line.
 pub(crate) fn counters_line(members: &Members, limits: &FleetLimits) -> String {
     let rejected: u64 = members.rejected_datagrams().map(|(_, count)| count).sum();
     let (datagrams, bytes) = members.sent();
