--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -235,7 +235,7 @@
     until(&mut fleet, LIMIT, "all routers are there", |f| f.ready() == ROUTERS);
     fleet.ask_at(&[40.0; ROUTERS]);
     let told =
-        |f: &Fleet| [0, ROUTERS - 1].iter().any(|r| f.said(*r).contains("another has this one's name"));
+        |f: &Fleet| [0, ROUTERS - 1].iter().any(|r| f.said(*r).contains("another router has the same name"));
     assert!(fleet.run_until(LIMIT, told).unwrap(), "neither is told of the other");
     // Nobody has the last number, so that all that it may have borrowed has to run out before anything is used.
     assert!(fleet.run_until(LIMIT, |f| f.held() >= MOST - 3).unwrap(), "{} held at most", fleet.held_most);
