--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -5,8 +5,8 @@
 
 use log::info;
 use marljunction_control::interface::{ClassId, EngineEntry, EngineId, EngineState, MembershipKind, Verdict};
-use marljunction_verdicts::observer::AttemptOutcome;
-use marljunction_verdicts::{HealthStatus, Node};
+use marljunction_health::observer::AttemptOutcome;
+use marljunction_health::{HealthStatus, Node};
 
 use crate::end_reason::{EndReason, HealthSignal};
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -27,7 +27,7 @@
 use limits::FleetLimits;
 use marljunction_control::interface::*;
 use marljunction_control::Controller;
-use marljunction_door::{Advice, Arrival, Door, Verdict};
+use marljunction_fair_queue::{Advice, Arrival, Door, Verdict};
 use marljunction_limits::node::Ticket;
 use statement::Statement;
 
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -5,8 +5,8 @@
 use marljunction_control::interface::*;
 use marljunction_core::end_reason::EndReason;
 use marljunction_core::{Answer, Attempt, Client, ClientRequest, Command, Router, Rows};
-use marljunction_door::settings::DoorSettings;
-use marljunction_door::{Door, Site};
+use marljunction_fair_queue::settings::DoorSettings;
+use marljunction_fair_queue::{Door, Site};
 
 const MS: u64 = 1_000_000;
 const T0: u64 = 1_700_000_000_000 * MS;
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -2,9 +2,9 @@
 
 use marljunction_control::interface::{EngineEntry, EngineId, MembershipKind, Verdict};
 use marljunction_core::health::FleetHealth;
-use marljunction_verdicts::evidence::{Evidence, Finding};
-use marljunction_verdicts::overrides::Overrides;
-use marljunction_verdicts::{HealthParams, Message, Node};
+use marljunction_health::evidence::{Evidence, Finding};
+use marljunction_health::overrides::Overrides;
+use marljunction_health::{HealthParams, Message, Node};
 
 const S: u64 = 1_000_000_000;
 const T0: u64 = 1_000 * S;
--- a/crates/discovery/src/bans.rs
+++ b/crates/discovery/src/bans.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use marljunction_control::interface::{EngineId, EngineState, MembershipKind};
-use marljunction_verdicts::overrides::is_valid_engine_name;
+use marljunction_health::overrides::is_valid_engine_name;
 
 use crate::roster::Roster;
 use crate::{engine_id, Change, Target};
--- a/crates/door/benches/structures.rs
+++ b/crates/fair-queue/benches/structures.rs
@@ -6,10 +6,10 @@
 use std::collections::{BTreeSet, BinaryHeap, HashMap};
 
 use criterion::{black_box, criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
-use marljunction_door::settings::DoorSettings;
-use marljunction_door::sketch::Heavy;
-use marljunction_door::wheel::Wheel;
-use marljunction_door::{Arrival, Door, Site, Verdict};
+use marljunction_fair_queue::settings::DoorSettings;
+use marljunction_fair_queue::sketch::Heavy;
+use marljunction_fair_queue::wheel::Wheel;
+use marljunction_fair_queue::{Arrival, Door, Site, Verdict};
 
 /// Numbers without a pattern (SplitMix64).
 fn random(state: &mut u64) -> u64 {
--- a/crates/door/tests/common/mod.rs
+++ b/crates/fair-queue/tests/common/mod.rs
@@ -4,8 +4,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use marljunction_door::settings::DoorSettings;
-use marljunction_door::{Advice, Arrival, Door, Site, Verdict};
+use marljunction_fair_queue::settings::DoorSettings;
+use marljunction_fair_queue::{Advice, Arrival, Door, Site, Verdict};
 
 pub const MS: u64 = 1_000_000;
 pub const S: u64 = 1_000 * MS;
--- a/crates/door/tests/door.rs
+++ b/crates/fair-queue/tests/door.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use marljunction_door::settings::DoorSettings;
-use marljunction_door::{Arrival, Door, Verdict};
+use marljunction_fair_queue::settings::DoorSettings;
+use marljunction_fair_queue::{Arrival, Door, Verdict};
 
 fn fair() -> DoorSettings {
     DoorSettings::default()
--- a/crates/door/tests/structures.rs
+++ b/crates/fair-queue/tests/structures.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use marljunction_door::fair::{Discipline, StartTime};
-use marljunction_door::settings::{hand, DoorSettings, Identity};
-use marljunction_door::sketch::Heavy;
-use marljunction_door::wheel::Wheel;
+use marljunction_fair_queue::fair::{Discipline, StartTime};
+use marljunction_fair_queue::settings::{hand, DoorSettings, Identity};
+use marljunction_fair_queue::sketch::Heavy;
+use marljunction_fair_queue::wheel::Wheel;
 use proptest::prelude::*;
 
 const TICK: u64 = 1 << 20;
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -8,15 +8,15 @@
 
 use marljunction_control::interface::{ClassId, Settings as ModuleSettings, TenantId};
 use marljunction_core::limits::{LimitRule, LimitScope};
+use marljunction_health::bound::{
+    convergence_bound_ns, digest_interval_ns, evidence_expiry_bound_ns, propagation_bound_ns,
+    MAX_ITEMS_PER_DIGEST,
+};
+use marljunction_health::HealthParams;
 use marljunction_limits::bound::{bound, Bound, Fault, FAULTS};
 use marljunction_limits::{Kind, Limit, Mode, Terms};
 use marljunction_peers::{Keys, Settings as MembershipSettings};
 use marljunction_settings::{index_of, Names};
-use marljunction_verdicts::bound::{
-    convergence_bound_ns, digest_interval_ns, evidence_expiry_bound_ns, propagation_bound_ns,
-    MAX_ITEMS_PER_DIGEST,
-};
-use marljunction_verdicts::HealthParams;
 
 use crate::error::{FleetError, KeyFileError, NameKind};
 use crate::list::ListConfig;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,7 +2,7 @@
 //! over one UDP socket.
 //!
 //! The pure state machines live in `marljunction-peers`, `marljunction-limits`,
-//! `marljunction-verdicts` and `marljunction-cells`. This crate owns the socket, passes them time
+//! `marljunction-health` and `marljunction-cells`. This crate owns the socket, passes them time
 //! and datagrams, and sends their messages. Invariants:
 //!
 //! - The program's configuration file is not read here. Settings arrive as [`FleetConfig`] and
--- a/crates/fleet/src/overrides_file.rs
+++ b/crates/fleet/src/overrides_file.rs
@@ -5,9 +5,9 @@
 use std::path::{Path, PathBuf};
 
 use log::{info, warn};
+use marljunction_health::overrides::Overrides;
+use marljunction_health::Node as HealthNode;
 use marljunction_settings::atomic_file::write_atomically;
-use marljunction_verdicts::overrides::Overrides;
-use marljunction_verdicts::Node as HealthNode;
 
 /// Name of the file in its directory.
 const FILE_NAME: &str = "marljunction-verdicts";
--- a/crates/fleet/src/payloads.rs
+++ b/crates/fleet/src/payloads.rs
@@ -7,11 +7,11 @@
 use std::net::SocketAddr;
 
 use marljunction_core::Router;
+use marljunction_health::Message as HealthMessage;
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::Message as LimitMessage;
 use marljunction_peers::datagram::Kind;
 use marljunction_peers::PeerIdentity;
-use marljunction_verdicts::Message as HealthMessage;
 use serde::Serialize;
 
 use crate::outbox::{send_to_address, send_to_numbers};
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -14,6 +14,8 @@
 use marljunction_core::health::FleetHealth;
 use marljunction_core::limits::FleetLimits;
 use marljunction_core::Router;
+use marljunction_health::overrides::Overrides;
+use marljunction_health::{HealthParams, Node as HealthNode};
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::terms::stable_hash;
 use marljunction_limits::{Limit, Node as LimitNode};
@@ -21,8 +23,6 @@
 use marljunction_peers::datagram::Kind;
 use marljunction_peers::{Event, Members, PeerIdentity, Settings as MembershipSettings};
 use marljunction_settings::Names;
-use marljunction_verdicts::overrides::Overrides;
-use marljunction_verdicts::{HealthParams, Node as HealthNode};
 use mio::{Registry, Token};
 
 use crate::config::{describe_budget, longest_request_ns, parse_address, read_keys, FleetConfig};
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,8 +1,8 @@
 //! Text for operators: peers, limits, engine health and counters.
 
 use marljunction_core::limits::FleetLimits;
+use marljunction_health::Node as HealthNode;
 use marljunction_peers::Members;
-use marljunction_verdicts::Node as HealthNode;
 
 use crate::config::FleetConfig;
 
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -10,7 +10,7 @@
 use std::net::IpAddr;
 
 use marljunction_control::interface::{ClassId, Effect, Settings, TenantId};
-use marljunction_door::settings::{Identity, Who};
+use marljunction_fair_queue::settings::{Identity, Who};
 use marljunction_settings::{index_of, Names};
 
 /// Time that an answer may take from here to the client (ns): what is left of a request's time is shorter by it.
--- a/crates/front/src/msgpack.rs
+++ b/crates/front/src/msgpack.rs
@@ -12,7 +12,7 @@
 use marljunction_core::end_reason::EndReason;
 use marljunction_core::statement::Statement;
 use marljunction_core::{Answer, Client, ClientRequest, Router};
-use marljunction_door::settings::Who;
+use marljunction_fair_queue::settings::Who;
 use marljunction_net::Net;
 use std::net::IpAddr;
 
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -15,7 +15,7 @@
 use marljunction_core::end_reason::EndReason;
 use marljunction_core::statement::Statement;
 use marljunction_core::{Answer, Client, ClientRequest, Column, Router, Row};
-use marljunction_door::settings::Who;
+use marljunction_fair_queue::settings::Who;
 use marljunction_net::Net;
 use std::net::IpAddr;
 
--- a/crates/verdicts/tests/fleet.rs
+++ b/crates/health/tests/fleet.rs
@@ -3,13 +3,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use marljunction_rig::beliefs::{Fleet, MS, S, STEP};
-use marljunction_verdicts::bound::{convergence_bound_ns, evidence_expiry_bound_ns, propagation_bound_ns};
-use marljunction_verdicts::evidence::{Evidence, Finding, StoredEvidence};
-use marljunction_verdicts::observer::AttemptOutcome;
-use marljunction_verdicts::overrides::{Override, Overrides};
-use marljunction_verdicts::version::Version;
-use marljunction_verdicts::{HealthStatus, Message, Node};
+use marljunction_health::bound::{convergence_bound_ns, evidence_expiry_bound_ns, propagation_bound_ns};
+use marljunction_health::evidence::{Evidence, Finding, StoredEvidence};
+use marljunction_health::observer::AttemptOutcome;
+use marljunction_health::overrides::{Override, Overrides};
+use marljunction_health::version::Version;
+use marljunction_health::{HealthStatus, Message, Node};
+use marljunction_testkit::beliefs::{Fleet, MS, S, STEP};
 use rand::Rng;
 
 fn excluded_by_evidence(node: &mut Node, engine: u64) -> bool {
--- a/crates/verdicts/tests/merge.rs
+++ b/crates/health/tests/merge.rs
@@ -1,9 +1,9 @@
 //! Guards that overrides and evidence merge independently of order and repetition, and the limits
 //! of stored overrides and clocks.
 
-use marljunction_verdicts::evidence::{Evidence, EvidenceTable, Finding};
-use marljunction_verdicts::overrides::{MergeOutcome, Override, Overrides};
-use marljunction_verdicts::version::{Version, VersionClock};
+use marljunction_health::evidence::{Evidence, EvidenceTable, Finding};
+use marljunction_health::overrides::{MergeOutcome, Override, Overrides};
+use marljunction_health::version::{Version, VersionClock};
 use proptest::prelude::*;
 
 const S: u64 = 1_000_000_000;
--- a/crates/lab/src/capacity/cells.rs
+++ b/crates/lab/src/capacity/cells.rs
@@ -10,7 +10,7 @@
 };
 use marljunction_peers::datagram::Kind;
 use marljunction_peers::{Event, Keys, Members, PeerIdentity, Settings};
-use marljunction_rig::fleet::KEY;
+use marljunction_testkit::fleet::KEY;
 
 use super::clock::thread_ns;
 use super::{repeated, series, Figures};
--- a/crates/lab/src/capacity/decision.rs
+++ b/crates/lab/src/capacity/decision.rs
@@ -4,9 +4,9 @@
 
 use marljunction_control::interface::*;
 use marljunction_control::Controller;
-use marljunction_rig::fleet::classes;
-use marljunction_rig::stage::{settings, Site};
 use marljunction_settings::read_settings;
+use marljunction_testkit::fleet::classes;
+use marljunction_testkit::stage::{settings, Site};
 
 use super::clock::timed;
 use super::{repeated, series, Figures};
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -6,7 +6,7 @@
 use marljunction_limits::{Kind, Limit, Message, Mode, Node, Terms};
 use marljunction_peers::datagram::Kind as Sealed;
 use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
-use marljunction_rig::fleet::KEY;
+use marljunction_testkit::fleet::KEY;
 
 use super::clock::thread_ns;
 use super::{series, Figures};
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, UdpSocket};
 
 use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
-use marljunction_rig::fleet::KEY;
+use marljunction_testkit::fleet::KEY;
 
 use super::clock::thread_ns;
 use super::{series, Figures};
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -5,10 +5,10 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use marljunction_rig::fleet::{classes, Fleet, Setup};
-use marljunction_rig::load::Class;
-use marljunction_rig::process::Process;
-use marljunction_rig::stage::{settings, Site};
+use marljunction_testkit::fleet::{classes, Fleet, Setup};
+use marljunction_testkit::load::Class;
+use marljunction_testkit::process::Process;
+use marljunction_testkit::stage::{settings, Site};
 use serde_json::json;
 
 use super::list::{whole_list, Service, MEMORY_MB};
--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use marljunction_rig::fleet::{Fleet, Setup};
-use marljunction_rig::process::mean;
+use marljunction_testkit::fleet::{Fleet, Setup};
+use marljunction_testkit::process::mean;
 use serde_json::{json, Map, Value};
 
 use crate::start::{together, Play};
--- a/crates/lab/src/disciplines.rs
+++ b/crates/lab/src/disciplines.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use marljunction_door::fair::{DeficitRoundRobin, Discipline, StartTime, VirtualDeadline, WorstCase};
+use marljunction_fair_queue::fair::{DeficitRoundRobin, Discipline, StartTime, VirtualDeadline, WorstCase};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
--- a/crates/lab/src/door.rs
+++ b/crates/lab/src/door.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use marljunction_rig::load::{Class, Source, Tally};
-use marljunction_rig::stage::{Setup, Stage, Told};
+use marljunction_testkit::load::{Class, Source, Tally};
+use marljunction_testkit::stage::{Setup, Stage, Told};
 use serde_json::{json, Value};
 
 use crate::memory;
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use marljunction_rig::fleet::{Fleet, Setup};
-use marljunction_rig::process::counter;
-use marljunction_rig::schedule::{self, Event};
+use marljunction_testkit::fleet::{Fleet, Setup};
+use marljunction_testkit::process::counter;
+use marljunction_testkit::schedule::{self, Event};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 
@@ -95,7 +95,7 @@
             ),
         );
     }
-    let all = |of: fn(&marljunction_rig::load::Tally) -> u64| fleet.sum(|t| of(t) as f64);
+    let all = |of: fn(&marljunction_testkit::load::Tally) -> u64| fleet.sum(|t| of(t) as f64);
     line(
         &mut text,
         format_args!(
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -7,11 +7,11 @@
 use marljunction_limits::bound::{bound, Fault};
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::{Kind, Limit, Mode, Node, Terms};
-use marljunction_rig::fleet::{classes, Fleet, Setup};
-use marljunction_rig::link::Shape;
-use marljunction_rig::load::Class;
-use marljunction_rig::loans;
-use marljunction_rig::process::mean;
+use marljunction_testkit::fleet::{classes, Fleet, Setup};
+use marljunction_testkit::link::Shape;
+use marljunction_testkit::load::Class;
+use marljunction_testkit::loans;
+use marljunction_testkit::process::mean;
 use serde_json::{json, Map, Value};
 
 use crate::start::{together, Play};
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -18,7 +18,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use marljunction_rig::hollow;
+use marljunction_testkit::hollow;
 use peak_alloc::PeakAlloc;
 
 /// Counts what the experiments' own structures take from the heap.
@@ -70,7 +70,7 @@
         /// Routers.
         #[arg(long, default_value_t = 8)]
         routers: usize,
-        /// A schedule of faults (crates/rig/src/schedule.rs tells its form); the usual one, if not given.
+        /// A schedule of faults (crates/testkit/src/schedule.rs tells its form); the usual one, if not given.
         #[arg(long, value_name = "FILE")]
         faults: Option<PathBuf>,
         /// How long it plays (s).
@@ -159,7 +159,7 @@
 
 /// The router's program that was named, or the one beside this one.
 fn named_or_beside(program: Option<PathBuf>) -> Result<PathBuf, String> {
-    let beside = marljunction_rig::stage::program_beside;
+    let beside = marljunction_testkit::stage::program_beside;
     program.or_else(beside).ok_or_else(|| "no program beside this one: build it, or name it".into())
 }
 
--- a/crates/lab/src/memory.rs
+++ b/crates/lab/src/memory.rs
@@ -2,8 +2,8 @@
 
 use std::time::Instant;
 
-use marljunction_door::settings::DoorSettings;
-use marljunction_door::{Arrival, Door, Site, Verdict};
+use marljunction_fair_queue::settings::DoorSettings;
+use marljunction_fair_queue::{Arrival, Door, Site, Verdict};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
--- a/crates/lab/src/scale/cells.rs
+++ b/crates/lab/src/scale/cells.rs
@@ -4,11 +4,13 @@
 
 use std::time::{Duration, Instant};
 
-use marljunction_rig::hollow::engine_table::ZONES;
-use marljunction_rig::hollow::fleet::{CellsPlan, FleetPlan, HollowFleet};
-use marljunction_rig::hollow::fleet_side::REGIONS;
-use marljunction_rig::hollow::key_files::KeyFiles;
-use marljunction_rig::hollow::protocol::{Expected, FleetSetup, ListedState, RouterReport, ServiceCommand};
+use marljunction_testkit::hollow::engine_table::ZONES;
+use marljunction_testkit::hollow::fleet::{CellsPlan, FleetPlan, HollowFleet};
+use marljunction_testkit::hollow::fleet_side::REGIONS;
+use marljunction_testkit::hollow::key_files::KeyFiles;
+use marljunction_testkit::hollow::protocol::{
+    Expected, FleetSetup, ListedState, RouterReport, ServiceCommand,
+};
 use serde::Serialize;
 
 use super::size::{hosts, median_and_worst, module_settings, CALLS_PER_S, CONCURRENT_SNAPSHOTS};
--- a/crates/lab/src/scale/faults.rs
+++ b/crates/lab/src/scale/faults.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use marljunction_rig::hollow::fleet::HollowFleet;
-use marljunction_rig::hollow::protocol::{Expected, ListedState, ServiceCommand};
+use marljunction_testkit::hollow::fleet::HollowFleet;
+use marljunction_testkit::hollow::protocol::{Expected, ListedState, ServiceCommand};
 use serde::Serialize;
 
 use super::engines_before;
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -14,7 +14,7 @@
 
 use std::path::{Path, PathBuf};
 
-use marljunction_rig::hollow::HollowError;
+use marljunction_testkit::hollow::HollowError;
 use serde_json::Value;
 use thiserror::Error;
 
--- a/crates/lab/src/scale/peers.rs
+++ b/crates/lab/src/scale/peers.rs
@@ -6,10 +6,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use marljunction_rig::hollow::fleet::{FleetPlan, HollowFleet};
-use marljunction_rig::hollow::fleet_side::REGIONS;
-use marljunction_rig::hollow::key_files::KeyFiles;
-use marljunction_rig::hollow::protocol::FleetSetup;
+use marljunction_testkit::hollow::fleet::{FleetPlan, HollowFleet};
+use marljunction_testkit::hollow::fleet_side::REGIONS;
+use marljunction_testkit::hollow::key_files::KeyFiles;
+use marljunction_testkit::hollow::protocol::FleetSetup;
 use serde::Serialize;
 
 use super::size::{hosts, module_settings};
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -3,9 +3,9 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use marljunction_rig::hollow::fleet::HollowFleet;
-use marljunction_rig::hollow::usage;
-use marljunction_rig::process::{counter, Process};
+use marljunction_testkit::hollow::fleet::HollowFleet;
+use marljunction_testkit::hollow::usage;
+use marljunction_testkit::process::{counter, Process};
 use nix::sys::signal::Signal;
 use serde::Serialize;
 use serde_json::json;
--- a/crates/lab/src/scale/size.rs
+++ b/crates/lab/src/scale/size.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use marljunction_rig::fleet::classes;
-use marljunction_rig::hollow::engine_table::in_zones;
-use marljunction_rig::hollow::fleet::{FleetPlan, HollowFleet};
-use marljunction_rig::hollow::protocol::{ListedState, RouterReport};
-use marljunction_rig::stage::{settings, Site};
+use marljunction_testkit::fleet::classes;
+use marljunction_testkit::hollow::engine_table::in_zones;
+use marljunction_testkit::hollow::fleet::{FleetPlan, HollowFleet};
+use marljunction_testkit::hollow::protocol::{ListedState, RouterReport};
+use marljunction_testkit::stage::{settings, Site};
 use serde::Serialize;
 
 use super::real::{RealRouters, RealUsage};
--- a/crates/lab/src/start.rs
+++ b/crates/lab/src/start.rs
@@ -4,9 +4,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-use marljunction_rig::audit::calls_within;
-use marljunction_rig::fleet::{Fleet, Setup};
-use marljunction_rig::list::Manner;
+use marljunction_testkit::audit::calls_within;
+use marljunction_testkit::fleet::{Fleet, Setup};
+use marljunction_testkit::list::Manner;
 use serde_json::{json, Map, Value};
 
 /// Routers of a quick run and of a full one.
--- a/crates/lab/src/verdicts.rs
+++ b/crates/lab/src/verdicts.rs
@@ -4,14 +4,14 @@
 use std::path::Path;
 use std::time::Duration;
 
-use marljunction_rig::beliefs;
-use marljunction_rig::fleet::{Counters, Fleet, Setup};
-use marljunction_rig::link::Shape;
-use marljunction_rig::load::Class;
-use marljunction_rig::process::{counter, mean};
-use marljunction_verdicts::bound::propagation_bound_ns;
-use marljunction_verdicts::observer::AttemptOutcome;
-use marljunction_verdicts::{HealthParams, Node};
+use marljunction_health::bound::propagation_bound_ns;
+use marljunction_health::observer::AttemptOutcome;
+use marljunction_health::{HealthParams, Node};
+use marljunction_testkit::beliefs;
+use marljunction_testkit::fleet::{Counters, Fleet, Setup};
+use marljunction_testkit::link::Shape;
+use marljunction_testkit::load::Class;
+use marljunction_testkit::process::{counter, mean};
 use serde_json::{json, Map, Value};
 
 use crate::start::{together, Play};
@@ -48,7 +48,7 @@
 }
 
 fn class() -> Vec<Class> {
-    let usual = marljunction_rig::fleet::classes().swap_remove(0);
+    let usual = marljunction_testkit::fleet::classes().swap_remove(0);
     vec![Class { work_ms: 30.0, spread: 0.4, share: 1.0, aim_ms: 1_000.0, deadline_ms: 2_500.0, ..usual }]
 }
 
--- a/crates/lab/src/ways.rs
+++ b/crates/lab/src/ways.rs
@@ -2,7 +2,7 @@
 //! seconds, and the return.
 
 use marljunction_pacing::{Failure, Pace, Pacer};
-use marljunction_rig::herd::{Herd, Service, Way};
+use marljunction_testkit::herd::{Herd, Service, Way};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Map, Value};
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -5,12 +5,12 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use marljunction_rig::fleet::classes;
-use marljunction_rig::hollow::engine_table::in_zones;
-use marljunction_rig::hollow::fleet::{CellsPlan, FleetPlan, HollowFleet};
-use marljunction_rig::hollow::key_files::KeyFiles;
-use marljunction_rig::hollow::protocol::{FleetSetup, ListedState, ServiceCommand, ToldEvent};
-use marljunction_rig::stage::{settings, Site};
+use marljunction_testkit::fleet::classes;
+use marljunction_testkit::hollow::engine_table::in_zones;
+use marljunction_testkit::hollow::fleet::{CellsPlan, FleetPlan, HollowFleet};
+use marljunction_testkit::hollow::key_files::KeyFiles;
+use marljunction_testkit::hollow::protocol::{FleetSetup, ListedState, ServiceCommand, ToldEvent};
+use marljunction_testkit::stage::{settings, Site};
 
 const ROUTERS: u32 = 40;
 const ENGINES: u32 = 400;
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -8,7 +8,7 @@
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::node::{Node, Ticket};
 use marljunction_limits::{Kind, Limit, Mode, Terms};
-use marljunction_rig::loans::{Fleet, S};
+use marljunction_testkit::loans::{Fleet, S};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/pacing/tests/pacer.rs
+++ b/crates/pacing/tests/pacer.rs
@@ -2,7 +2,7 @@
 
 use marljunction_pacing::pacer::MAX_USELESS_WAIT_NS;
 use marljunction_pacing::{Failure, Pace, Pacer, Unfit};
-use marljunction_rig::herd::{Herd, Service};
+use marljunction_testkit::herd::{Herd, Service};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
--- a/crates/rig/src/beliefs.rs
+++ b/crates/testkit/src/beliefs.rs
@@ -3,9 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use marljunction_verdicts::observer::AttemptOutcome;
-use marljunction_verdicts::overrides::Overrides;
-use marljunction_verdicts::{HealthParams, Message, Node};
+use marljunction_health::observer::AttemptOutcome;
+use marljunction_health::overrides::Overrides;
+use marljunction_health::{HealthParams, Message, Node};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/rig/tests/engine.rs
+++ b/crates/testkit/tests/engine.rs
@@ -1,6 +1,6 @@
 //! The inside of a stand-in engine: cores shared by priority, work lost in a crowd, loads one behind another.
 
-use marljunction_rig::engine::{Cores, News};
+use marljunction_testkit::engine::{Cores, News};
 
 const MS: u64 = 1_000_000;
 
--- a/crates/rig/tests/link.rs
+++ b/crates/testkit/tests/link.rs
@@ -1,6 +1,6 @@
 //! Links do to what passes them what they were told, by a seed, and nothing else.
 
-use marljunction_rig::link::{Shape, Shaper};
+use marljunction_testkit::link::{Shape, Shaper};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
--- a/crates/rig/tests/schedule.rs
+++ b/crates/testkit/tests/schedule.rs
@@ -1,7 +1,7 @@
 //! Schedules of faults: read as written, drawn the same for one seed, wrong lines told.
 
-use marljunction_rig::list::Manner;
-use marljunction_rig::schedule::{read, Fault, Whom};
+use marljunction_testkit::list::Manner;
+use marljunction_testkit::schedule::{read, Fault, Whom};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -14,7 +14,7 @@
 
 use marljunction_control::interface::Settings;
 use marljunction_discovery::stream::{Update, SILENT_NS};
-use marljunction_door::settings::DoorSettings;
+use marljunction_fair_queue::settings::DoorSettings;
 use marljunction_pacing::opening::Openings;
 use marljunction_pacing::pace::{Pace, Unfit, TOLD_NS};
 use marljunction_settings::{read_settings, Names};
--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -3,7 +3,7 @@
 use marljunction_discovery::bans::Refusal;
 use marljunction_discovery::engine_id;
 use marljunction_front::operator::{Call, OperatorFront, Reply};
-use marljunction_verdicts::version::Version;
+use marljunction_health::version::Version;
 
 use super::overrides::PendingConfirmation;
 use super::Daemon;
--- a/src/daemon/overrides.rs
+++ b/src/daemon/overrides.rs
@@ -2,7 +2,7 @@
 
 use log::info;
 use marljunction_front::operator::{Call, Reply};
-use marljunction_verdicts::version::Version;
+use marljunction_health::version::Version;
 
 use super::Daemon;
 
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -7,7 +7,7 @@
 
 use log::{info, warn};
 use marljunction_discovery::Source;
-use marljunction_door::settings::DoorSettings;
+use marljunction_fair_queue::settings::DoorSettings;
 use marljunction_language::value::{Value, What};
 
 use super::relayed_list::apply_cell;
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use log::LevelFilter;
-use marljunction_door::settings::{DoorSettings, Order, Who};
+use marljunction_fair_queue::settings::{DoorSettings, Order, Who};
 use marljunction_language::eval::Loader;
 use marljunction_language::message::long;
 use marljunction_language::value::{Quantity, RecordValue, Value, What};
--- a/tests/common/stand_in.rs
+++ b/tests/common/stand_in.rs
@@ -229,8 +229,8 @@
         // Of util-linux, as what `command` uses.
         let program = env!("CARGO_BIN_EXE_marljunction");
         let mut command = match with("short descriptors") {
-            true => marljunction_rig::process::command(Path::new("/usr/bin/prlimit")),
-            false => marljunction_rig::process::command(Path::new(program)),
+            true => marljunction_testkit::process::command(Path::new("/usr/bin/prlimit")),
+            false => marljunction_testkit::process::command(Path::new(program)),
         };
         let limit = ["--nofile=40", program];
         let mut child = command
--- a/tests/fleet_cells.rs
+++ b/tests/fleet_cells.rs
@@ -8,9 +8,9 @@
 use marljunction_cells::cell::cell_of;
 use marljunction_cells::{DivideBy, Engine, EngineState};
 use marljunction_discovery::engine_id;
-use marljunction_rig::fleet::{Fleet, Setup};
-use marljunction_rig::link::Shape;
-use marljunction_rig::list::Manner;
+use marljunction_testkit::fleet::{Fleet, Setup};
+use marljunction_testkit::link::Shape;
+use marljunction_testkit::list::Manner;
 
 const RELAYS: usize = 2;
 const ROUTERS: usize = 4;
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -9,9 +9,9 @@
 use marljunction_fleet::FleetConfig;
 use marljunction_limits::bound::{bound, resize_bound, Fault};
 use marljunction_limits::{Kind, Limit};
-use marljunction_rig::fleet::{classes, Fleet, Setup};
-use marljunction_rig::link::Shape;
-use marljunction_rig::load::Class;
+use marljunction_testkit::fleet::{classes, Fleet, Setup};
+use marljunction_testkit::link::Shape;
+use marljunction_testkit::load::Class;
 
 const ROUTERS: usize = 6;
 /// Requests that may be out at once, over all routers: two to each by its own share.
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -7,9 +7,9 @@
 use marljunction::config::StartFile;
 use marljunction_discovery::bound::ListBound;
 use marljunction_pacing::Pace;
-use marljunction_rig::audit::calls_within;
-use marljunction_rig::fleet::{Fleet, Setup, MEMORY_MB};
-use marljunction_rig::list::Manner;
+use marljunction_testkit::audit::calls_within;
+use marljunction_testkit::fleet::{Fleet, Setup, MEMORY_MB};
+use marljunction_testkit::list::Manner;
 use rand::SeedableRng;
 
 const ROUTERS: usize = 8;
@@ -360,7 +360,7 @@
     let faults = "0s link 0 cut-back\n0s link 1 slow 200ms\n0s link 2 trickle 20000\n1s link 1 reset\n\
                   1s link 3 cut-there\n2s link 0 mend\n2s link 3 mend\n2s link 2 reset\n3s link 1 mend\n3s link 2 mend\n";
     let began = fleet.now();
-    for event in marljunction_rig::schedule::read(faults).unwrap() {
+    for event in marljunction_testkit::schedule::read(faults).unwrap() {
         let wait = (began + event.at_ns).saturating_sub(fleet.now());
         fleet.run(Duration::from_nanos(wait)).unwrap();
         fleet.apply(&event.fault, &mut draws).unwrap();
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use marljunction_discovery::engine_id;
+use marljunction_health::bound::{convergence_bound_ns, propagation_bound_ns};
+use marljunction_health::evidence::{Evidence, Finding};
+use marljunction_health::{HealthParams, Message};
 use marljunction_peers::datagram::Kind;
 use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
-use marljunction_rig::fleet::{classes, Fleet, Setup, KEY};
-use marljunction_rig::link::Shape;
-use marljunction_rig::load::Class;
-use marljunction_verdicts::bound::{convergence_bound_ns, propagation_bound_ns};
-use marljunction_verdicts::evidence::{Evidence, Finding};
-use marljunction_verdicts::{HealthParams, Message};
+use marljunction_testkit::fleet::{classes, Fleet, Setup, KEY};
+use marljunction_testkit::link::Shape;
+use marljunction_testkit::load::Class;
 
 const ROUTERS: usize = 6;
 const ENGINES: usize = 5;
--- a/tests/large_list.rs
+++ b/tests/large_list.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use marljunction_rig::process::{counter, Process};
+use marljunction_testkit::process::{counter, Process};
 use nix::sys::signal::Signal;
 use serde_json::json;
 
--- a/tests/setup.rs
+++ b/tests/setup.rs
@@ -6,7 +6,7 @@
 use marljunction::behaviour::{effects, Effect};
 use marljunction::config::EngineFile;
 use marljunction::setup::Setup;
-use marljunction_door::settings::{DoorSettings, Who};
+use marljunction_fair_queue::settings::{DoorSettings, Who};
 use marljunction_fleet::ListRole;
 use marljunction_language::format::format;
 
--- a/tests/terms_fleet.rs
+++ b/tests/terms_fleet.rs
@@ -4,11 +4,11 @@
 use std::path::Path;
 use std::time::Duration;
 
-use marljunction_rig::engine::Cold;
-use marljunction_rig::fleet::{classes, Fleet, Setup};
-use marljunction_rig::list::Manner;
-use marljunction_rig::load::Class;
-use marljunction_rig::stage::COLD;
+use marljunction_testkit::engine::Cold;
+use marljunction_testkit::fleet::{classes, Fleet, Setup};
+use marljunction_testkit::list::Manner;
+use marljunction_testkit::load::Class;
+use marljunction_testkit::stage::COLD;
 
 /// Part of what the settings allow that the routers keep for light classes, as much for heavy ones: half of 0.8 of what 0.85 of
 /// the cores do (share).
