--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -195,7 +195,7 @@
         /// Its priority.
         priority: u8,
         /// The request to send.
-        ask: Rc<ClientRequest>,
+        client_request: Rc<ClientRequest>,
         /// Latest time to start sending (ns): afterwards, engines no longer deduplicate a repeat.
         /// `None` if unlimited.
         begin_by_ns: Option<u64>,
@@ -344,7 +344,12 @@
     }
 
     /// Accepts a request, which will get exactly one final answer unless its client leaves.
-    pub fn take(&mut self, now_ns: u64, client: Client, client_request: ClientRequest) -> RequestId {
+    pub fn accept_request(
+        &mut self,
+        now_ns: u64,
+        client: Client,
+        client_request: ClientRequest,
+    ) -> RequestId {
         self.serial += 1;
         let id = RequestId(self.serial);
         let expires_ns = now_ns.saturating_add(client_request.time_left_ns);
@@ -391,8 +396,8 @@
     }
 
     /// Reports progress of a running attempt.
-    pub fn note(&mut self, attempt: Attempt, note: AttemptUpdate) {
-        self.batch.push(InboundEvent::AttemptUpdate(attempt, note));
+    pub fn attempt_update(&mut self, attempt: Attempt, update: AttemptUpdate) {
+        self.batch.push(InboundEvent::AttemptUpdate(attempt, update));
     }
 
     /// Reports the end of an attempt. Only the first report for an attempt counts.
@@ -616,10 +621,10 @@
                     self.end_request(now, id, Answer::Failed(Some(EndReason::Forgotten), None), commands);
                 }
             }
-            InboundEvent::AttemptUpdate(at, note) => {
+            InboundEvent::AttemptUpdate(at, update) => {
                 let current = self.open.get(&at.request).and_then(|o| o.in_flight.as_ref());
                 if current.is_some_and(|c| c.number == at.number) {
-                    self.decide(now, Event::Progress(at.request, at.number, note), commands);
+                    self.decide(now, Event::Progress(at.request, at.number, update), commands);
                 }
             }
             InboundEvent::Ended(at, end_reason, rows, report) => {
@@ -696,10 +701,10 @@
                 door.over(now, at.request.0, Some(true));
             }
         }
-        let longest_ns =
+        let max_request_ns =
             self.classes[open.client_request.class.0].deadline_ns.saturating_add(UNCONFIRMED_END_GRACE_NS);
         let may_run_until_ns =
-            if end_reason.may_still_run() { in_flight.sent_ns.saturating_add(longest_ns) } else { 0 };
+            if end_reason.may_still_run() { in_flight.sent_ns.saturating_add(max_request_ns) } else { 0 };
         let outcome = Outcome {
             request: at.request,
             attempt: at.number,
@@ -839,7 +844,7 @@
                     engine,
                     timeout_ns,
                     priority,
-                    ask: client_request,
+                    client_request,
                     begin_by_ns,
                 });
             }
--- a/crates/core/tests/batch.rs
+++ b/crates/core/tests/batch.rs
@@ -35,7 +35,7 @@
 fn submit(router: &mut Router, call: u64) -> RequestId {
     let client_request =
         ClientRequest { name: format!("{call:016x}"), time_left_ns: 8_000 * MS, ..ClientRequest::default() };
-    router.take(T0, Client { conn: 1, call }, client_request)
+    router.accept_request(T0, Client { conn: 1, call }, client_request)
 }
 
 fn starts(commands: &[Command]) -> Vec<Option<u64>> {
@@ -110,7 +110,7 @@
         work_estimate_ns,
         ..ClientRequest::default()
     };
-    router.take(now, Client { conn: 1, call }, client_request)
+    router.accept_request(now, Client { conn: 1, call }, client_request)
 }
 
 fn serial_router() -> Router {
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -107,7 +107,7 @@
             time_left_ns: 3 * S,
             ..ClientRequest::default()
         };
-        self.routers[at].take(self.now, Client { conn: 1, call: self.calls }, client_request);
+        self.routers[at].accept_request(self.now, Client { conn: 1, call: self.calls }, client_request);
     }
 
     /// Advances time by 10 ms.
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -79,7 +79,7 @@
             work_estimate_ns: Some(200 * MS),
             ..ClientRequest::default()
         };
-        let id = self.router.take(self.now, Client { conn: 1, call: self.calls }, client_request);
+        let id = self.router.accept_request(self.now, Client { conn: 1, call: self.calls }, client_request);
         (self.calls, id)
     }
 
--- a/crates/engine/src/http.rs
+++ b/crates/engine/src/http.rs
@@ -12,7 +12,7 @@
 use super::{Backend, Context, EngineTable, NewAttempt};
 use marljunction_control::interface::{EngineId, LoadReport};
 use marljunction_core::end_reason::EndReason;
-use marljunction_core::{Attempt, ClientRequest as Ask, Rows};
+use marljunction_core::{Attempt, ClientRequest, Rows};
 use marljunction_discovery::Change;
 use marljunction_http1::head::{has_complete_rows, parse_response, Head};
 use marljunction_pacing::opening::Openings;
@@ -77,7 +77,7 @@
 /// A query of an attempt on an engine.
 struct Query {
     engine: EngineId,
-    ask: Rc<Ask>,
+    client_request: Rc<ClientRequest>,
     class: String,
     timeout_ns: u64,
     at_most_once: bool,
@@ -224,10 +224,10 @@
     }
 
     /// Reports the outcome of an attempt and releases its connections.
-    fn end_attempt(&mut self, cx: &mut Context, attempt: Attempt, ending: EndReason) {
+    fn end_attempt(&mut self, cx: &mut Context, attempt: Attempt, end_reason: EndReason) {
         let Some(query) = self.queries.remove(&attempt) else { return };
-        let rows = (ending == EndReason::Served).then_some(Rows::Text(query.rows));
-        cx.router.ended(attempt, ending, rows, query.load_report);
+        let rows = (end_reason == EndReason::Served).then_some(Rows::Text(query.rows));
+        cx.router.ended(attempt, end_reason, rows, query.load_report);
         let conns = query.conn.into_iter().chain(query.cancellation.and_then(|c| c.conn));
         for conn in conns.collect::<Vec<_>>() {
             if let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.role != Role::Idle) {
@@ -238,9 +238,9 @@
 
     /// Ends an attempt whose POST is not fully written. Closing its connection is enough: an
     /// incomplete call never starts a query.
-    fn abort(&mut self, cx: &mut Context, attempt: Attempt, ending: EndReason) {
+    fn abort(&mut self, cx: &mut Context, attempt: Attempt, end_reason: EndReason) {
         let conn = self.queries.get_mut(&attempt).and_then(|q| q.conn.take());
-        self.end_attempt(cx, attempt, ending);
+        self.end_attempt(cx, attempt, end_reason);
         conn.into_iter().for_each(|conn| self.close(cx, conn));
     }
 
@@ -271,21 +271,24 @@
         // ran.
         let conn = match self.acquire(cx, engine, Role::Post(attempt), new_connection || query.at_most_once) {
             Ok(conn) => conn,
-            Err(ending) => return self.end_attempt(cx, attempt, ending),
+            Err(end_reason) => return self.end_attempt(cx, attempt, end_reason),
         };
         let Some(query) = self.queries.get_mut(&attempt) else { return };
         (query.conn, query.last_call_ns, query.posts) = (Some(conn), cx.now, query.posts + 1);
-        let token =
-            query.ask.token.as_ref().map_or_else(String::new, |token| format!("Once-Key: {token}\r\n"));
+        let token = query
+            .client_request
+            .token
+            .as_ref()
+            .map_or_else(String::new, |token| format!("Once-Key: {token}\r\n"));
         let headers = format!(
             "Request-Id: {}\r\nKind: {}\r\nTimeout-Ms: {}\r\nPool-Rank: {}\r\n{token}",
-            query.ask.name,
+            query.client_request.name,
             query.class,
             (query.timeout_ns / 1_000_000).max(1),
             query.priority
         );
         query.sent_priority = query.priority;
-        let Some(body) = query.ask.statement.inlined() else {
+        let Some(body) = query.client_request.statement.inlined() else {
             return self.end_attempt(cx, attempt, EndReason::Unsent);
         };
         self.send_call(cx, conn, "POST", "/o", &headers, &body);
@@ -327,7 +330,7 @@
         }
         let role =
             if query.pages > 0 { Role::FetchPage(attempt, query.next_page) } else { Role::Poll(attempt) };
-        let (engine, path) = (query.engine, format!("/o/{}/{}", query.ask.name, query.next_page));
+        let (engine, path) = (query.engine, format!("/o/{}/{}", query.client_request.name, query.next_page));
         let found = match reuse {
             Some(conn) => Ok(conn),
             None => self.acquire(cx, engine, role, true),
@@ -356,7 +359,8 @@
         if !due {
             return;
         }
-        let (engine, priority, path) = (query.engine, query.priority, format!("/o/{}", query.ask.name));
+        let (engine, priority, path) =
+            (query.engine, query.priority, format!("/o/{}", query.client_request.name));
         let Ok(conn) = self.acquire(cx, engine, Role::SetPriority(attempt), false) else { return };
         self.queries
             .entry(attempt)
@@ -390,7 +394,7 @@
     /// Sends the DELETE on this connection.
     fn send_cancel_on(&mut self, cx: &mut Context, attempt: Attempt, conn: u64) {
         let Some(query) = self.queries.get_mut(&attempt) else { return };
-        let path = format!("/o/{}", query.ask.name);
+        let path = format!("/o/{}", query.client_request.name);
         let Some(cancellation) = &mut query.cancellation else { return };
         cancellation.conn = Some(conn);
         if let Some(connection) = self.connections.get_mut(&conn) {
@@ -473,7 +477,7 @@
                 match (head.status, head.never_ran) {
                     (202, _) => {
                         if let Some(note) = head.note {
-                            cx.router.note(attempt, note);
+                            cx.router.attempt_update(attempt, note);
                         }
                         // The pending DELETE may have been processed before the POST; it is sent
                         // again.
@@ -524,13 +528,13 @@
         }
     }
 
-    fn finish(&mut self, cx: &mut Context, attempt: Attempt, conn: Option<u64>, ending: EndReason) {
+    fn finish(&mut self, cx: &mut Context, attempt: Attempt, conn: Option<u64>, end_reason: EndReason) {
         self.release(cx, conn);
         // The open POST or poll of a cancelled query gets a 500 before the DELETE gets its response;
         // that is no failure of the engine.
-        let was_cancelled = ending == EndReason::EngineError
+        let was_cancelled = end_reason == EndReason::EngineError
             && self.queries.get(&attempt).is_some_and(|q| q.cancellation.is_some());
-        self.end_attempt(cx, attempt, if was_cancelled { EndReason::GivenUp } else { ending });
+        self.end_attempt(cx, attempt, if was_cancelled { EndReason::GivenUp } else { end_reason });
     }
 
     /// Closes the connection of a response that is malformed or belongs to another call. The engine
@@ -551,24 +555,24 @@
     }
 
     /// Handles the end of a connection.
-    fn connection_lost(&mut self, cx: &mut Context, conn: u64, ending: EndReason) {
+    fn connection_lost(&mut self, cx: &mut Context, conn: u64, end_reason: EndReason) {
         let Some(connection) = self.connections.get(&conn) else { return };
         let (role, up) = (connection.role, connection.up);
-        self.engines.connection_ended(cx.now, connection.engine, up, ending);
+        self.engines.connection_ended(cx.now, connection.engine, up, end_reason);
         self.close(cx, conn);
-        self.handle_disconnect(cx, role, up, ending);
+        self.handle_disconnect(cx, role, up, end_reason);
     }
 
     /// Retries or ends what the connection was used for.
-    fn handle_disconnect(&mut self, cx: &mut Context, role: Role, up: bool, ending: EndReason) {
-        debug!("{role:?}: {} connection ended: {ending:?}", if up { "established" } else { "pending" });
+    fn handle_disconnect(&mut self, cx: &mut Context, role: Role, up: bool, end_reason: EndReason) {
+        debug!("{role:?}: {} connection ended: {end_reason:?}", if up { "established" } else { "pending" });
         match role {
             Role::Idle | Role::Discard => {}
             Role::SetPriority(attempt) => {
                 self.queries.entry(attempt).and_modify(|q| q.priority_update_pending = false);
             }
             Role::Cancel(attempt) => {
-                if !up && ending == EndReason::Refused && !self.has_open_call(attempt) {
+                if !up && end_reason == EndReason::Refused && !self.has_open_call(attempt) {
                     return self.end_attempt(cx, attempt, EndReason::Abandoned);
                 }
                 let last_call_ns = self.queries.get(&attempt).map_or(0, |q| q.last_call_ns);
@@ -590,12 +594,12 @@
                     return;
                 }
                 let may_retry = query.posts < MAX_POSTS;
-                match ending {
+                match end_reason {
                     EndReason::Reset if !up && !may_retry => {
                         self.end_attempt(cx, attempt, EndReason::Refused)
                     }
                     EndReason::Reset if !up => self.post(cx, attempt, true),
-                    _ if !up => self.end_attempt(cx, attempt, ending),
+                    _ if !up => self.end_attempt(cx, attempt, end_reason),
                     // The POST was cut off, so the query did not start.
                     _ if !query.fully_written && may_retry => self.post(cx, attempt, true),
                     _ if !query.fully_written => self.end_attempt(cx, attempt, EndReason::Unsent),
@@ -611,10 +615,10 @@
                 if query.cancellation.is_some() {
                     return;
                 }
-                if !up && ending == EndReason::Refused {
+                if !up && end_reason == EndReason::Refused {
                     // The engine process has exited, and the query may have run.
                     self.end_attempt(cx, attempt, EndReason::Cut);
-                } else if !up && ending != EndReason::Reset {
+                } else if !up && end_reason != EndReason::Reset {
                     query.retry_at_ns = cx.now + RETRY_DELAY_NS;
                 } else {
                     self.poll_again(cx, attempt);
@@ -652,7 +656,7 @@
     fn start(&mut self, cx: &mut Context, new: NewAttempt) {
         let query = Query {
             engine: new.engine,
-            ask: new.ask,
+            client_request: new.client_request,
             class: new.class,
             timeout_ns: new.timeout_ns,
             at_most_once: new.at_most_once,
@@ -738,8 +742,8 @@
                 Err(reason) => return self.invalid_response(cx, Some(conn), role, &reason),
             }
         }
-        if let Some(ending) = readiness.ended {
-            self.connection_lost(cx, conn, ending);
+        if let Some(end_reason) = readiness.ended {
+            self.connection_lost(cx, conn, end_reason);
         }
     }
 
@@ -760,12 +764,12 @@
         stale.sort_unstable();
         late.sort_unstable();
         stale.into_iter().for_each(|conn| self.close(cx, conn));
-        for (conn, ending) in late {
+        for (conn, end_reason) in late {
             if let Some(Connection { role: Role::Post(attempt), up: true, .. }) = self.connections.get(&conn)
             {
                 self.queries.entry(*attempt).and_modify(|q| q.post_timed_out = q.fully_written);
             }
-            self.connection_lost(cx, conn, ending);
+            self.connection_lost(cx, conn, end_reason);
         }
         // A retry whose connection was established too late must not be sent: engines would run it
         // again.
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -26,7 +26,7 @@
     /// Priority sent to the engine.
     pub priority: u8,
     /// The request whose statement is sent.
-    pub ask: Rc<ClientRequest>,
+    pub client_request: Rc<ClientRequest>,
     /// Name of the request's class.
     pub class: String,
     /// The query must not run more than once.
@@ -159,7 +159,7 @@
             }
         }
         let connected = self.connect(cx, engine);
-        connected.inspect_err(|ending| self.connection_ended(cx.now, engine, false, *ending))
+        connected.inspect_err(|end_reason| self.connection_ended(cx.now, engine, false, *end_reason))
     }
 
     /// Records that a connection to an engine was established.
@@ -173,8 +173,8 @@
 
     /// Records that a connection ended. It counts against the engine if it was refused or never
     /// established.
-    pub fn connection_ended(&mut self, now: u64, engine: EngineId, up: bool, ending: EndReason) {
-        if up || !matches!(ending, EndReason::Refused | EndReason::Unreachable) {
+    pub fn connection_ended(&mut self, now: u64, engine: EngineId, up: bool, end_reason: EndReason) {
+        if up || !matches!(end_reason, EndReason::Refused | EndReason::Unreachable) {
             return;
         }
         let pacer = self.engines.get_mut(&engine).and_then(|record| record.pacer.as_mut());
--- a/crates/engine/src/postgres.rs
+++ b/crates/engine/src/postgres.rs
@@ -59,7 +59,7 @@
 
 struct Query {
     engine: EngineId,
-    ask: Rc<ClientRequest>,
+    client_request: Rc<ClientRequest>,
     conn: u64,
     begin_by_ns: Option<u64>,
     /// The query was queued on the connection.
@@ -115,8 +115,8 @@
 
 /// Encodes a request as an extended query; returns nothing if its text is not UTF-8 or cannot be
 /// encoded.
-fn encode_query(ask: &ClientRequest) -> Option<BytesMut> {
-    let (statement, mut bytes) = (&ask.statement, BytesMut::new());
+fn encode_query(client_request: &ClientRequest) -> Option<BytesMut> {
+    let (statement, mut bytes) = (&client_request.statement, BytesMut::new());
     let text = std::str::from_utf8(&statement.text).ok()?;
     frontend::parse("", text, statement.params.iter().map(|p| p.type_id), &mut bytes).ok()?;
     let formats = statement.params.iter().map(|p| i16::from(p.binary));
@@ -205,19 +205,19 @@
         cx.net.close(conn);
     }
 
-    fn end_attempt(&mut self, cx: &mut Context, attempt: Attempt, ending: EndReason) {
+    fn end_attempt(&mut self, cx: &mut Context, attempt: Attempt, end_reason: EndReason) {
         let Some(query) = self.queries.remove(&attempt) else { return };
         if let Some(fault) = query.error {
             cx.router.fault(attempt, fault);
         }
-        let rows = (ending == EndReason::Served).then_some(Rows::Cells(query.columns, query.rows));
-        cx.router.ended(attempt, ending, rows, None);
+        let rows = (end_reason == EndReason::Served).then_some(Rows::Cells(query.columns, query.rows));
+        cx.router.ended(attempt, end_reason, rows, None);
     }
 
     fn send_query(&mut self, cx: &mut Context, attempt: Attempt) {
         let Some(query) = self.queries.get_mut(&attempt) else { return };
         let conn = query.conn;
-        match encode_query(&query.ask) {
+        match encode_query(&query.client_request) {
             Some(bytes) => {
                 query.queued = true;
                 match cx.net.send(conn, &bytes) {
@@ -244,9 +244,9 @@
 
     /// Ends an attempt whose query is not fully written and so never runs. A session that is still
     /// being opened stays for other attempts.
-    fn abort(&mut self, cx: &mut Context, attempt: Attempt, ending: EndReason) {
+    fn abort(&mut self, cx: &mut Context, attempt: Attempt, end_reason: EndReason) {
         let Some((conn, queued)) = self.queries.get(&attempt).map(|q| (q.conn, q.queued)) else { return };
-        self.end_attempt(cx, attempt, ending);
+        self.end_attempt(cx, attempt, end_reason);
         match self.connections.get_mut(&conn) {
             Some(connection) if !queued => connection.role = Role::Opening(None),
             _ => self.close(cx, conn),
@@ -292,14 +292,14 @@
             }
             Role::Running(attempt) => {
                 let Some(query) = self.queries.get(&attempt) else { return self.close(cx, conn) };
-                let ending = match (query.complete, &query.error, query.cancelled_at_ns) {
+                let end_reason = match (query.complete, &query.error, query.cancelled_at_ns) {
                     (true, None, _) => EndReason::Served,
                     (_, _, Some(_)) => EndReason::GivenUp,
                     (_, Some(_), None) => EndReason::EngineError,
                     (false, None, None) => EndReason::Garbled,
                 };
                 let cancelled = query.cancelled_at_ns.is_some();
-                self.end_attempt(cx, attempt, ending);
+                self.end_attempt(cx, attempt, end_reason);
                 // Inside a transaction the next query would become part of it, and a late
                 // CancelRequest would cancel the next query.
                 if status == b'I' && !cancelled {
@@ -364,16 +364,16 @@
         self.queries.get(&attempt).is_some_and(|q| q.session_opens < MAX_SESSION_OPENS)
     }
 
-    fn connection_lost(&mut self, cx: &mut Context, conn: u64, ending: EndReason) {
+    fn connection_lost(&mut self, cx: &mut Context, conn: u64, end_reason: EndReason) {
         let Some(connection) = self.connections.get(&conn) else { return };
         let (role, up) = (connection.role, connection.up);
-        self.engines.connection_ended(cx.now, connection.engine, up, ending);
+        self.engines.connection_ended(cx.now, connection.engine, up, end_reason);
         self.close(cx, conn);
         match role {
             // A session that broke while opening ran nothing, and may be due to the network rather
             // than the engine.
             Role::Opening(Some(attempt))
-                if matches!(ending, EndReason::Cut | EndReason::Reset) && self.may_reopen(attempt) =>
+                if matches!(end_reason, EndReason::Cut | EndReason::Reset) && self.may_reopen(attempt) =>
             {
                 let Some(engine) = self.queries.get(&attempt).map(|q| q.engine) else { return };
                 match self.acquire_session(cx, attempt, engine, true) {
@@ -382,26 +382,26 @@
                             .entry(attempt)
                             .and_modify(|q| (q.conn, q.session_opens) = (conn, q.session_opens + 1));
                     }
-                    Err(ending) => self.end_attempt(cx, attempt, ending),
+                    Err(end_reason) => self.end_attempt(cx, attempt, end_reason),
                 }
             }
             // The session was refused or never established, so nothing ran.
-            Role::Opening(Some(attempt)) if ending == EndReason::Reset => {
+            Role::Opening(Some(attempt)) if end_reason == EndReason::Reset => {
                 self.end_attempt(cx, attempt, EndReason::Refused)
             }
-            Role::Opening(Some(attempt)) if up && ending != EndReason::Unreachable => {
+            Role::Opening(Some(attempt)) if up && end_reason != EndReason::Unreachable => {
                 self.end_attempt(cx, attempt, EndReason::Refused)
             }
-            Role::Opening(Some(attempt)) => self.end_attempt(cx, attempt, ending),
+            Role::Opening(Some(attempt)) => self.end_attempt(cx, attempt, end_reason),
             Role::Running(attempt) => {
                 let Some(query) = self.queries.get(&attempt) else { return };
-                let ending = match (query.cancelled_at_ns, query.fully_written) {
+                let end_reason = match (query.cancelled_at_ns, query.fully_written) {
                     (Some(_), _) => EndReason::GivenUp,
                     (None, false) => EndReason::Unsent,
-                    (None, true) if ending == EndReason::Garbled => EndReason::Garbled,
+                    (None, true) if end_reason == EndReason::Garbled => EndReason::Garbled,
                     (None, true) => EndReason::Cut,
                 };
-                self.end_attempt(cx, attempt, ending);
+                self.end_attempt(cx, attempt, end_reason);
             }
             Role::Idle | Role::Opening(None) | Role::Cancelling(_) => {}
         }
@@ -425,11 +425,11 @@
         let attempt = new.attempt;
         let conn = match self.acquire_session(cx, attempt, new.engine, new.at_most_once) {
             Ok(conn) => conn,
-            Err(ending) => return cx.router.ended(attempt, ending, None, None),
+            Err(end_reason) => return cx.router.ended(attempt, end_reason, None, None),
         };
         #[rustfmt::skip]
         let query = Query {
-            engine: new.engine, ask: new.ask, conn, begin_by_ns: new.begin_by_ns, queued: false,
+            engine: new.engine, client_request: new.client_request, conn, begin_by_ns: new.begin_by_ns, queued: false,
             fully_written: false, session_opens: 1, columns: Vec::new(), rows: Vec::new(), bytes: 0,
             complete: false, error: None, cancelled_at_ns: None,
         };
@@ -492,12 +492,12 @@
             let mut bytes = BytesMut::from(&input[..size]);
             cx.net.consume(conn, size);
             let parsed = Message::parse(&mut bytes).ok().flatten().ok_or(EndReason::Garbled);
-            if let Err(ending) = parsed.and_then(|message| self.handle_message(cx, conn, message)) {
-                return self.connection_lost(cx, conn, ending);
+            if let Err(end_reason) = parsed.and_then(|message| self.handle_message(cx, conn, message)) {
+                return self.connection_lost(cx, conn, end_reason);
             }
         }
-        if let Some(ending) = readiness.ended {
-            self.connection_lost(cx, conn, ending);
+        if let Some(end_reason) = readiness.ended {
+            self.connection_lost(cx, conn, end_reason);
         }
     }
 
@@ -524,7 +524,7 @@
             }
         }
         timed_out.sort_unstable();
-        timed_out.into_iter().for_each(|(conn, ending)| self.connection_lost(cx, conn, ending));
+        timed_out.into_iter().for_each(|(conn, end_reason)| self.connection_lost(cx, conn, end_reason));
         // A retry whose session was opened too late must not be sent: engines would run it again.
         let now = cx.now;
         self.abort_unsent(cx, |_, query| query.begin_by_ns.is_some_and(|by| now > by));
--- a/crates/engine/tests/give_up.rs
+++ b/crates/engine/tests/give_up.rs
@@ -145,8 +145,10 @@
     fn start_with_deadline(&mut self, begin_by_ns: Option<u64>) -> Attempt {
         let statement = Statement::plain(self.statement.clone());
         let name = "aaaabbbbccccdddd".into();
-        let ask = ClientRequest { name, time_left_ns: 9_000 * MS, statement, ..ClientRequest::default() };
-        let request = self.router.take(self.now, Client { conn: 1, call: 1 }, ask.clone());
+        let client_request =
+            ClientRequest { name, time_left_ns: 9_000 * MS, statement, ..ClientRequest::default() };
+        let request =
+            self.router.accept_request(self.now, Client { conn: 1, call: 1 }, client_request.clone());
         self.router.process_events(self.now, &mut Vec::new());
         let attempt = Attempt { request, number: 0 };
         let start = NewAttempt {
@@ -154,7 +156,7 @@
             engine: EngineId(1),
             timeout_ns: 9_000 * MS,
             priority: 1,
-            ask: Rc::new(ask),
+            client_request: Rc::new(client_request),
             class: "lookup".into(),
             at_most_once: false,
             begin_by_ns,
@@ -178,10 +180,11 @@
     }
 
     /// Waits for the outcome of the attempt.
-    fn ending(&mut self) -> EndReason {
+    fn end_reason(&mut self) -> EndReason {
         self.drive_until(|bed| bed.router.has_pending_events());
         self.router.process_events(self.now, &mut Vec::new());
-        let counted = END_REASONS.iter().find(|(ending, _)| self.router.counters.endings(*ending) > 0);
+        let counted =
+            END_REASONS.iter().find(|(end_reason, _)| self.router.counters.endings(*end_reason) > 0);
         counted.expect("an outcome is counted").0
     }
 
@@ -190,7 +193,7 @@
         self.expect_bytes(&mut stream, "DELETE /o/aaaabbbbccccdddd ");
         assert!(!self.router.has_pending_events());
         stream.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
-        assert_eq!(self.ending(), EndReason::GivenUp);
+        assert_eq!(self.end_reason(), EndReason::GivenUp);
     }
 
     /// Starts and cancels a query; returns the connections of the POST and of the DELETE.
@@ -208,7 +211,7 @@
     let mut bed = TestBed::new();
     let (mut first, _second) = bed.start_and_cancel();
     first.write_all(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n").unwrap();
-    assert_eq!(bed.ending(), EndReason::GivenUp, "the engine must not count as failed");
+    assert_eq!(bed.end_reason(), EndReason::GivenUp, "the engine must not count as failed");
 }
 
 #[test]
@@ -235,7 +238,7 @@
     drop(first);
     bed.drive_sockets();
     bed.tick(240);
-    assert_eq!(bed.ending(), EndReason::Abandoned);
+    assert_eq!(bed.end_reason(), EndReason::Abandoned);
 }
 
 #[test]
@@ -248,7 +251,7 @@
     }
     first.write_all(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n").unwrap();
     second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
-    assert_eq!(bed.ending(), EndReason::GivenUp);
+    assert_eq!(bed.end_reason(), EndReason::GivenUp);
 }
 
 #[test]
@@ -300,7 +303,10 @@
             false => b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
         };
         third.write_all(answer).unwrap();
-        assert_eq!(bed.ending(), if engine_starts_it { EndReason::Served } else { EndReason::EngineError });
+        assert_eq!(
+            bed.end_reason(),
+            if engine_starts_it { EndReason::Served } else { EndReason::EngineError }
+        );
     }
 }
 
@@ -329,7 +335,7 @@
         bed.tick(620);
         bed.expect_bytes(&mut second, "DELETE /o/aaaabbbbccccdddd ");
         second.write_all(b"HTTP/1.1 204 Done\r\n\r\n").unwrap();
-        assert_eq!(bed.ending(), EndReason::GivenUp);
+        assert_eq!(bed.end_reason(), EndReason::GivenUp);
     }
 }
 
@@ -367,7 +373,7 @@
         assert!(!bed.router.has_pending_events(), "after {ms} ms the query may still run");
     }
     bed.tick(2_560);
-    assert_eq!(bed.ending(), EndReason::Abandoned);
+    assert_eq!(bed.end_reason(), EndReason::Abandoned);
 }
 
 #[test]
@@ -390,7 +396,7 @@
     let mut bed = TestBed::new();
     let (_attempt, mut first) = bed.start_and_accept();
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n").unwrap();
-    assert_eq!(bed.ending(), EndReason::Served);
+    assert_eq!(bed.end_reason(), EndReason::Served);
     // With little traffic the next query for an engine comes seconds later, and a new connection
     // costs a handshake.
     bed.tick(1_900);
@@ -436,7 +442,7 @@
 fn a_retry_is_not_sent_after_its_deadline() {
     let (mut bed, mut stream) = held_retry();
     bed.tick(101);
-    assert_eq!(bed.ending(), EndReason::Unsent);
+    assert_eq!(bed.end_reason(), EndReason::Unsent);
     bed.net.release();
     bed.drive_until(|_| match stream.read(&mut [0; 16]) {
         Ok(n) if n > 0 => panic!("bytes of the retry were sent"),
@@ -482,7 +488,7 @@
     let mut bed = TestBed::new();
     let (_attempt, mut first) = bed.start_and_accept();
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nChunks: 1\r\n\r\na\tb\tc\n").unwrap();
-    assert_eq!(bed.ending(), EndReason::Served);
+    assert_eq!(bed.end_reason(), EndReason::Served);
     bed.tick(100);
     drop(first);
     wait_for_unhandled_close(&mut bed);
@@ -501,7 +507,7 @@
     let mut bed =
         TestBed::with_backend(Box::new(HttpBackend::new(30_000 * MS, 250 * MS)), limited_output(100));
     bed.start();
-    assert_eq!(bed.ending(), EndReason::Unsent);
+    assert_eq!(bed.end_reason(), EndReason::Unsent);
 }
 
 const READY_FOR_QUERY: &[u8] = b"Z\0\0\0\x05I";
@@ -511,7 +517,7 @@
 fn a_startup_message_over_the_output_limit_ends_as_unsent() {
     let mut bed = TestBed::with_postgres(limited_output(60));
     bed.start();
-    assert_eq!(bed.ending(), EndReason::Unsent);
+    assert_eq!(bed.end_reason(), EndReason::Unsent);
 }
 
 #[test]
@@ -522,7 +528,7 @@
     let mut session = bed.accept();
     bed.expect_bytes(&mut session, "marljunction\0");
     session.write_all(STARTUP_RESPONSE).unwrap();
-    assert_eq!(bed.ending(), EndReason::Unsent);
+    assert_eq!(bed.end_reason(), EndReason::Unsent);
 }
 
 #[test]
@@ -535,7 +541,7 @@
     bed.expect_bytes(&mut first, "S\0\0\0\x04");
     first.write_all(b"1\0\0\0\x042\0\0\0\x04n\0\0\0\x04C\0\0\0\x0dSELECT 0\0").unwrap();
     first.write_all(READY_FOR_QUERY).unwrap();
-    assert_eq!(bed.ending(), EndReason::Served);
+    assert_eq!(bed.end_reason(), EndReason::Served);
     drop(first);
     wait_for_unhandled_close(&mut bed);
     bed.start();
@@ -550,7 +556,7 @@
     let mut session = bed.accept();
     bed.expect_bytes(&mut session, "marljunction\0");
     bed.tick(101);
-    assert_eq!(bed.ending(), EndReason::Unsent);
+    assert_eq!(bed.end_reason(), EndReason::Unsent);
     // The session stays open for other attempts, and carries nothing of this one.
     session.write_all(STARTUP_RESPONSE).unwrap();
     bed.drive_sockets();
--- a/crates/front/src/msgpack.rs
+++ b/crates/front/src/msgpack.rs
@@ -275,25 +275,25 @@
     }
 
     /// A connection is over: nobody waits for what was open on it.
-    pub fn close(&mut self, net: &mut Net, router: &mut Router, conn: u64, ending: EndReason) {
-        self.forget(router, conn, ending);
+    pub fn close(&mut self, net: &mut Net, router: &mut Router, conn: u64, end_reason: EndReason) {
+        self.forget(router, conn, end_reason);
         net.close(conn);
     }
 
-    fn forget(&mut self, router: &mut Router, conn: u64, ending: EndReason) {
+    fn forget(&mut self, router: &mut Router, conn: u64, end_reason: EndReason) {
         if let Some(caller) = self.callers.remove(&conn) {
             let mut open: Vec<RequestId> = caller.open.into_values().collect();
             open.sort_unstable();
             open.into_iter().for_each(|id| router.client_left(id, EndReason::ClientGone));
-            router.counters.ended(ending);
+            router.counters.ended(end_reason);
         }
     }
 
     /// Takes what a client has sent.
     pub fn ready(&mut self, now: u64, net: &mut Net, router: &mut Router, conn: u64) {
         // Guards against running what a client sent that has gone since: nobody waits for it.
-        if let Some(ending) = net.service(conn).ended {
-            return self.close(net, router, conn, ending.for_client_connection());
+        if let Some(end_reason) = net.service(conn).ended {
+            return self.close(net, router, conn, end_reason.for_client_connection());
         }
         // Guards against a client that sends without end: others have their turn between its messages.
         for _ in 0..TAKEN_MOST {
@@ -358,7 +358,7 @@
                         error(id.into(), "Malformed", &[("why", fault)])
                     }
                     // Guards against a query that is taken for another client's: engines know it by this id alone.
-                    Ok(ask) if router.has_open_request(&ask.name) => {
+                    Ok(client_request) if router.has_open_request(&client_request.name) => {
                         router.counters.rejected += 1;
                         error(id.into(), "Malformed", &[("why", "the rid is an open request's".into())])
                     }
@@ -369,9 +369,10 @@
                         router.counters.rejected += 1;
                         error(id.into(), "Backoff", &[("backoff", "200".into())])
                     }
-                    Ok(ask) => {
+                    Ok(client_request) => {
                         caller.rejected = 0;
-                        let request = router.take(now, Client { conn, call: id.into() }, ask);
+                        let request =
+                            router.accept_request(now, Client { conn, call: id.into() }, client_request);
                         caller.open.insert(id, request);
                         return;
                     }
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -89,7 +89,7 @@
 
 /// The one place where an answer that is not served becomes an SQLSTATE. A refusal tells when to come back.
 fn sql_fault(answer: &Answer) -> SqlFault {
-    let (ending, backoff) = match answer {
+    let (end_reason, backoff) = match answer {
         Answer::Refused { after, backoff_ms, .. } => (*after, Some(*backoff_ms)),
         Answer::Failed(after, _) => (*after, None),
         Answer::Served(_) => (Some(EndReason::Served), None),
@@ -98,7 +98,7 @@
         Answer::Refused { fault, .. } | Answer::Failed(_, fault) => fault.clone(),
         Answer::Served(_) => None,
     };
-    let (state, message) = match (ending, told) {
+    let (state, message) = match (end_reason, told) {
         (Some(EndReason::EngineError), Some(told)) => (told.state, told.message),
         (Some(EndReason::TimedOut), _) => {
             ("57014".into(), "canceling statement due to statement timeout".into())
@@ -160,17 +160,17 @@
     }
 
     /// A session is over; what runs for it is given up.
-    pub fn close(&mut self, net: &mut Net, router: &mut Router, conn: u64, ending: EndReason) {
-        self.forget(router, conn, ending);
+    pub fn close(&mut self, net: &mut Net, router: &mut Router, conn: u64, end_reason: EndReason) {
+        self.forget(router, conn, end_reason);
         net.close(conn);
     }
 
-    fn forget(&mut self, router: &mut Router, conn: u64, ending: EndReason) {
+    fn forget(&mut self, router: &mut Router, conn: u64, end_reason: EndReason) {
         if let Some(session) = self.sessions.remove(&conn) {
             if let Some(running) = session.running {
                 router.client_left(running.request, EndReason::ClientGone);
             }
-            router.counters.ended(ending);
+            router.counters.ended(end_reason);
         }
     }
 
@@ -234,8 +234,8 @@
     /// Takes what a client has sent.
     pub fn ready(&mut self, now: u64, net: &mut Net, router: &mut Router, conn: u64) {
         // Guards against running what a client sent that has gone since: nobody waits for it.
-        if let Some(ending) = net.service(conn).ended {
-            return self.close(net, router, conn, ending.for_client_connection());
+        if let Some(end_reason) = net.service(conn).ended {
+            return self.close(net, router, conn, end_reason.for_client_connection());
         }
         self.advance(now, net, router, conn);
     }
@@ -284,12 +284,12 @@
         over: Option<EndReason>,
     ) {
         let sent = reply.bytes.is_empty() || net.send(conn, &reply.bytes);
-        if let Some(ending) = over.filter(|_| sent && !reply.bytes.is_empty()) {
-            self.forget(router, conn, ending);
+        if let Some(end_reason) = over.filter(|_| sent && !reply.bytes.is_empty()) {
+            self.forget(router, conn, end_reason);
             return net.finish(now, conn);
         }
-        if let Some(ending) = over.or((!sent).then_some(EndReason::Garbled)) {
-            self.close(net, router, conn, ending);
+        if let Some(end_reason) = over.or((!sent).then_some(EndReason::Garbled)) {
+            self.close(net, router, conn, end_reason);
         }
     }
 
@@ -569,7 +569,7 @@
             Who::ApplicationName => settings.others.get("application_name").map(String::as_str),
             _ => None,
         });
-        let ask = ClientRequest {
+        let client_request = ClientRequest {
             // Its clients give none; each statement is one of its own.
             token: self.directory.drops_repeats(class).then(|| name.clone()),
             name,
@@ -582,7 +582,7 @@
             memory_estimate_mb: settings.memory_mb,
             statement,
         };
-        let request = router.take(now, Client { conn, call }, ask);
+        let request = router.accept_request(now, Client { conn, call }, client_request);
         let describes = portal.is_none() || session.describing.take().is_some();
         session.running = Some(Running { request, call, portal, kind, describes });
         Ok(())
--- a/crates/lab/src/scale/decide.rs
+++ b/crates/lab/src/scale/decide.rs
@@ -70,7 +70,7 @@
     for request in 0..requests + WARM_UP {
         let now = FIRST_NS + (request + 1) * BETWEEN_NS;
         let began_us = processor_us();
-        router.take(now, Client { conn: 1, call: request }, ask(request));
+        router.accept_request(now, Client { conn: 1, call: request }, client_request(request));
         router.process_events(now, &mut commands);
         let decided_us = processor_us();
         let attempts: Vec<Attempt> = commands.drain(..).filter_map(started).collect();
@@ -101,7 +101,7 @@
     }
 }
 
-fn ask(request: u64) -> ClientRequest {
+fn client_request(request: u64) -> ClientRequest {
     ClientRequest {
         name: request.to_string(),
         class: ClassId(0),
--- a/src/daemon/iteration.rs
+++ b/src/daemon/iteration.rs
@@ -208,15 +208,16 @@
     pub(super) fn execute(&mut self, now: u64, command: Command) {
         let mut context = Context { now, net: &mut self.net, router: &mut self.router };
         match command {
-            Command::Start { attempt, engine, timeout_ns, priority, ask, begin_by_ns } => {
-                let class = self.config.directory.class_name(ask.class).to_owned();
-                let at_most_once = self.config.settings.classes[ask.class.0].effect == Effect::AtMostOnce;
+            Command::Start { attempt, engine, timeout_ns, priority, client_request, begin_by_ns } => {
+                let class = self.config.directory.class_name(client_request.class).to_owned();
+                let at_most_once =
+                    self.config.settings.classes[client_request.class.0].effect == Effect::AtMostOnce;
                 let start = NewAttempt {
                     attempt,
                     engine,
                     timeout_ns,
                     priority,
-                    ask,
+                    client_request,
                     class,
                     at_most_once,
                     begin_by_ns,
