--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -28,7 +28,7 @@
 use marljunction_control::interface::*;
 use marljunction_control::Controller;
 use marljunction_fair_queue::{Advice, Arrival, Door, Verdict};
-use marljunction_limits::node::Ticket;
+use marljunction_limits::node::Permit;
 use statement::Statement;
 
 /// Time after a request's deadline at which the core answers it if nothing else did (ns).
@@ -234,7 +234,7 @@
     received_ns: u64,
     expires_ns: u64,
     /// Units held under fleet-wide limits.
-    ticket: Option<Ticket>,
+    permit: Option<Permit>,
 }
 
 enum InboundEvent {
@@ -368,7 +368,7 @@
             priority: 1,
             received_ns: now_ns,
             expires_ns,
-            ticket: None,
+            permit: None,
         };
         self.open.insert(id, open);
         self.counters.taken += 1;
@@ -574,8 +574,8 @@
     fn admit_under_limits(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) -> bool {
         let (Some(limits), Some(open)) = (&mut self.limits, self.open.get_mut(&id)) else { return true };
         match limits.admit(now, &open.client_request) {
-            Ok(ticket) => {
-                open.ticket = Some(ticket);
+            Ok(permit) => {
+                open.permit = Some(permit);
                 true
             }
             Err(after_ns) => {
@@ -800,8 +800,8 @@
             let Some(open) = self.open.remove(&id) else { return };
             self.statement_bytes -= open.client_request.statement.text.len();
             self.open_names.remove(&open.client_request.name);
-            if let (Some(limits), Some(ticket)) = (&mut self.limits, open.ticket) {
-                limits.release(ticket);
+            if let (Some(limits), Some(permit)) = (&mut self.limits, open.permit) {
+                limits.release(permit);
             }
         }
     }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use marljunction_control::interface::{ClassId, EngineEntry, EngineId, MembershipKind, TenantId};
-use marljunction_limits::node::Ticket;
-use marljunction_limits::terms::{stable_hash, Limit};
+use marljunction_limits::node::Permit;
+use marljunction_limits::params::{stable_hash, Limit};
 use marljunction_limits::Node;
 
 use crate::cold::ColdBudgets;
@@ -146,21 +146,22 @@
     ///
     /// # Errors
     /// Returns the time after which a retry is useful (ns from now).
-    pub fn admit(&mut self, now: u64, client_request: &ClientRequest) -> Result<Ticket, u64> {
+    pub fn admit(&mut self, now: u64, client_request: &ClientRequest) -> Result<Permit, u64> {
         let counts = |rule: &LimitRule| {
             rule.tenant.is_none_or(|t| client_request.tenant == Some(t))
                 && rule.class.is_none_or(|c| client_request.class == c)
         };
         let rules = self.rules.iter().filter(|(_, rule)| counts(rule));
-        let wants: Vec<(u16, u64)> = rules.map(|(at, rule)| (*at, self.key(rule, client_request))).collect();
-        self.node.admit(now, &wants).map_err(|refused| {
+        let limit_keys: Vec<(u16, u64)> =
+            rules.map(|(at, rule)| (*at, self.key(rule, client_request))).collect();
+        self.node.admit(now, &limit_keys).map_err(|refused| {
             *self.refused.entry(refused.limit).or_default() += 1;
             refused.retry_after_ns
         })
     }
 
     /// Releases the units of a finished request.
-    pub fn release(&mut self, ticket: Ticket) {
-        self.node.over(ticket);
+    pub fn release(&mut self, permit: Permit) {
+        self.node.release(permit);
     }
 }
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -10,7 +10,7 @@
 use marljunction_core::limits::FleetLimits;
 use marljunction_core::{Answer, Attempt, Client, ClientRequest, Command, Router, Rows};
 use marljunction_limits::escrow::Peer;
-use marljunction_limits::{Message, Node, Terms};
+use marljunction_limits::{LimitParams, Message, Node};
 
 const MS: u64 = 1_000_000;
 const S: u64 = 1_000 * MS;
@@ -62,8 +62,8 @@
         let router = |router_index: u32| {
             let settings = settings(router_index);
             let (cold, limits) = ColdBudgets::new(&settings, 0).unwrap();
-            let terms = Terms { routers: ROUTERS, lease_ns: S, ..Terms::default() };
-            let node = Node::new(T0, Peer { number: router_index, life: T0 }, terms, limits, 1_000);
+            let params = LimitParams { routers: ROUTERS, lease_ns: S, ..LimitParams::default() };
+            let node = Node::new(T0, Peer { number: router_index, life: T0 }, params, limits, 1_000);
             let limits = FleetLimits::new(node, Vec::new(), &[], &[]).with_cold(Some(cold));
             Router::new(settings, u64::from(router_index), 64.0).with_limits(shared.then_some(limits))
         };
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -14,7 +14,7 @@
 };
 use marljunction_health::HealthParams;
 use marljunction_limits::bound::{bound, Bound, Fault, FAULTS};
-use marljunction_limits::{Kind, Limit, Mode, Terms};
+use marljunction_limits::{Kind, Limit, LimitParams, Mode};
 use marljunction_peers::{Keys, Settings as MembershipSettings};
 use marljunction_settings::{index_of, Names};
 
@@ -91,11 +91,11 @@
         read_keys(&self.key).map(|keys| keys.shared_seed())
     }
 
-    /// Returns the parameters of the limits. `longest_ns` is the longest time that a request has
+    /// Returns the parameters of the limits. `max_request_ns` is the longest time that a request has
     /// attempts in flight.
-    pub fn terms(&self, max_request_ns: u64) -> Terms {
+    pub fn limit_params(&self, max_request_ns: u64) -> LimitParams {
         let membership = MembershipSettings { routers: self.routers, ..MembershipSettings::default() };
-        Terms {
+        LimitParams {
             routers: self.routers,
             lease_ns: self.lease_ns,
             drift: self.drift,
@@ -120,7 +120,7 @@
 
     /// Formats the bounds of engine health, the engine list, and each limit under each fault.
     pub fn bounds(&self, max_request_ns: u64) -> Vec<String> {
-        let terms = self.terms(max_request_ns);
+        let params = self.limit_params(max_request_ns);
         let mut lines: Vec<String> = self.health_params().iter().map(describe_health_bounds).collect();
         lines.extend(self.list.iter().flat_map(|list| list.bounds(self.routers)));
         for LimitConfig { limit, .. } in &self.limits {
@@ -129,7 +129,7 @@
                 if units < self.routers { ", fewer than routers: some routers own no units" } else { "" };
             lines.push(format!("limit {}: {units} units over {} routers{idle}", limit.name, self.routers));
             for (fault, name) in FAULTS {
-                lines.push(describe_bound(name, bound(limit, &terms, fault)));
+                lines.push(describe_bound(name, bound(limit, &params, fault)));
             }
         }
         lines
@@ -167,7 +167,7 @@
 
 /// Returns the longest time that a request may have attempts in flight, in nanoseconds, cancelled
 /// attempts included.
-pub fn longest_request_ns(settings: &ModuleSettings) -> u64 {
+pub fn max_request_ns(settings: &ModuleSettings) -> u64 {
     let longest_deadline_ns = settings.classes.iter().map(|class| class.deadline_ns).max().unwrap_or(0);
     longest_deadline_ns + MAX_ATTEMPT_OVERRUN_NS
 }
@@ -192,13 +192,13 @@
 }
 
 /// Formats the bounds of a cold engine's budget.
-pub(crate) fn describe_budget(limit: &Limit, terms: &Terms) -> String {
-    let stale_s = |fault| seconds(bound(limit, terms, fault).max_idle_ns);
+pub(crate) fn describe_budget(limit: &Limit, params: &LimitParams) -> String {
+    let stale_s = |fault| seconds(bound(limit, params, fault).max_idle_ns);
     format!(
         "{} units in any {:.1} s over {} routers, never exceeded; units unused for at most {:.1} s, {:.1} s in a partition, {:.1} s after all routers died",
         limit.kind.units(),
-        seconds(limit.kind.orphan_ns(terms)),
-        terms.routers,
+        seconds(limit.kind.orphan_ns(params)),
+        params.routers,
         stale_s(Fault::None),
         stale_s(Fault::Partition),
         stale_s(Fault::AllRestarted),
--- a/crates/fleet/src/reload.rs
+++ b/crates/fleet/src/reload.rs
@@ -6,10 +6,10 @@
 use marljunction_control::interface::Settings;
 use marljunction_core::limits::{FleetLimits, LimitRule};
 use marljunction_limits::bound::resize_bound;
-use marljunction_limits::{Limit, Terms};
+use marljunction_limits::{Limit, LimitParams};
 use marljunction_settings::Names;
 
-use crate::config::{longest_request_ns, read_keys, FleetConfig, LimitConfig};
+use crate::config::{max_request_ns, read_keys, FleetConfig, LimitConfig};
 use crate::error::FleetError;
 use crate::runtime::FleetRuntime;
 
@@ -58,18 +58,18 @@
             Ok(resized) => resized,
             Err(fault) => return warn!("fleet: limits unchanged: {fault}"),
         };
-        let terms = config.terms(longest_request_ns(settings));
+        let params = config.limit_params(max_request_ns(settings));
         for (limit, _) in &resized {
             let mut known = self.config.limits.iter().map(|entry| &entry.limit);
             let before = known.find(|before| before.id() == limit.id());
-            log_resize(before, limit, &terms);
+            log_resize(before, limit, &params);
         }
         limits.resize(now, resized);
         self.config = config;
     }
 }
 
-fn log_resize(before: Option<&Limit>, limit: &Limit, terms: &Terms) {
+fn log_resize(before: Option<&Limit>, limit: &Limit, params: &LimitParams) {
     let Some(before) = before else {
         return info!(
             "limit {}: added; its units are used once grants that peers may hold have expired",
@@ -77,7 +77,7 @@
         );
     };
     if before.version() != limit.version() {
-        let bound = resize_bound(before, limit, terms);
+        let bound = resize_bound(before, limit, params);
         info!(
             "limit {}: changed; exceeded by at most {:.1}% until all routers apply it, and for {:.1} s more",
             limit.name,
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -17,7 +17,7 @@
 use marljunction_health::overrides::Overrides;
 use marljunction_health::{HealthParams, Node as HealthNode};
 use marljunction_limits::escrow::Peer;
-use marljunction_limits::terms::stable_hash;
+use marljunction_limits::params::stable_hash;
 use marljunction_limits::{Limit, Node as LimitNode};
 use marljunction_net::datagrams::Datagrams;
 use marljunction_peers::datagram::Kind;
@@ -25,7 +25,7 @@
 use marljunction_settings::Names;
 use mio::{Registry, Token};
 
-use crate::config::{describe_budget, longest_request_ns, parse_address, read_keys, FleetConfig};
+use crate::config::{describe_budget, max_request_ns, parse_address, read_keys, FleetConfig};
 use crate::error::FleetError;
 use crate::list::ListMachine;
 use crate::overrides_file::OverridesFile;
@@ -111,7 +111,7 @@
             "{} talks to the fleet on {local} as router {} of {}",
             identity.name, identity.number, config.routers
         );
-        for line in config.bounds(longest_request_ns(settings)) {
+        for line in config.bounds(max_request_ns(settings)) {
             info!("{line}");
         }
         let overrides_file = state_directory.map(OverridesFile::in_directory);
@@ -348,15 +348,15 @@
     settings: &Settings,
     names: &Names,
 ) -> Result<FleetLimits, FleetError> {
-    let terms = config.terms(longest_request_ns(settings));
+    let params = config.limit_params(max_request_ns(settings));
     let mut limits: Vec<Limit> = config.limits.iter().map(|entry| entry.limit.clone()).collect();
     let cold = config.cold.then(|| ColdBudgets::new(settings, limits.len())).flatten();
     let (cold, budgets) = cold.unzip();
     for budget in budgets.into_iter().flatten() {
-        info!("{}: {}", budget.name, describe_budget(&budget, &terms));
+        info!("{}: {}", budget.name, describe_budget(&budget, &params));
         limits.push(budget);
     }
-    let node = LimitNode::new(now, Peer { number, life: now }, terms, limits, MAX_LIMIT_KEYS);
+    let node = LimitNode::new(now, Peer { number, life: now }, params, limits, MAX_LIMIT_KEYS);
     let rules = config.limits.iter().map(|entry| entry.rule(names)).collect::<Result<_, _>>()?;
     Ok(FleetLimits::new(node, rules, &names.tenants, &names.classes).with_cold(cold))
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -45,7 +45,7 @@
         for (key, state) in limits.node().busiest_keys(now, place) {
             lines.push(format!(
                 "  key {key:016x} owned {} lent {} borrowed {} usable {} out {}",
-                state.owned, state.leased_out, state.leased_in, state.usable, state.out
+                state.owned, state.leased_out, state.leased_in, state.usable, state.in_flight
             ));
         }
     }
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use marljunction_limits::escrow::Peer;
-use marljunction_limits::{Kind, Limit, Message, Mode, Node, Terms};
+use marljunction_limits::{Kind, Limit, LimitParams, Message, Mode, Node};
 use marljunction_peers::datagram::Kind as Sealed;
 use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
 use marljunction_testkit::fleet::KEY;
@@ -67,7 +67,7 @@
 
 impl Fleet {
     fn new(routers: usize) -> Result<Fleet, String> {
-        let terms = Terms { routers: routers as u32, ..Terms::default() };
+        let params = LimitParams { routers: routers as u32, ..LimitParams::default() };
         let mut fleet = Fleet {
             now: START_NS,
             nodes: Vec::new(),
@@ -78,7 +78,7 @@
         };
         for at in 0..routers {
             let me = Peer { number: at as u32, life: START_NS };
-            fleet.nodes.push(Node::new(START_NS, me, terms, vec![limit(routers)], KEYS_MOST));
+            fleet.nodes.push(Node::new(START_NS, me, params, vec![limit(routers)], KEYS_MOST));
         }
         (0..routers).for_each(|at| fleet.see_all(at));
         Ok(fleet)
@@ -144,11 +144,11 @@
     // All know what they lent, and may lend again.
     fleet.run(SECOND_NS);
     fleet.run(30 * SECOND_NS);
-    let mut tickets = Vec::new();
+    let mut permits = Vec::new();
     for at in (0..routers).step_by(10) {
         for key in 0..keys as u64 {
             for _ in 0..6 {
-                tickets.extend(fleet.nodes[at].admit(fleet.now, &[(0, key)]).ok());
+                permits.extend(fleet.nodes[at].admit(fleet.now, &[(0, key)]).ok());
             }
         }
     }
@@ -159,7 +159,7 @@
         for at in (0..routers).step_by(10) {
             for key in 0..keys as u64 {
                 // Demand stays: what can't be admitted is asked for.
-                tickets.extend(fleet.nodes[at].admit(fleet.now, &[(0, key)]).ok());
+                permits.extend(fleet.nodes[at].admit(fleet.now, &[(0, key)]).ok());
             }
         }
         fleet.step();
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -6,7 +6,7 @@
 
 use marljunction_limits::bound::{bound, Fault};
 use marljunction_limits::escrow::Peer;
-use marljunction_limits::{Kind, Limit, Mode, Node, Terms};
+use marljunction_limits::{Kind, Limit, LimitParams, Mode, Node};
 use marljunction_testkit::fleet::{classes, Fleet, Setup};
 use marljunction_testkit::link::Shape;
 use marljunction_testkit::load::Class;
@@ -109,11 +109,11 @@
     let nobody: Vec<usize> = (0..routers).collect();
     let whole = vec![0; routers];
     let halves: Vec<usize> = (0..routers).map(|at| usize::from(at >= routers / 2)).collect();
-    let terms = Terms {
+    let params = LimitParams {
         routers: routers as u32,
         lease_ns: SECOND_NS,
         max_request_ns: LONGEST_NS,
-        ..Terms::default()
+        ..LimitParams::default()
     };
     let mode = if bounded { Mode::Bounded { over: 0.5, for_ns: 6 * SECOND_NS } } else { Mode::Strict };
     let limit = Limit {
@@ -125,7 +125,7 @@
     if schedule == Schedule::Static {
         fleet.cut_into(&nobody);
         // Nobody can say what it holds, so that all of it has to run out first.
-        fleet.run(Duration::from_nanos(terms.grace_ns(limit.kind)))?;
+        fleet.run(Duration::from_nanos(params.grace_ns(limit.kind)))?;
     }
     match schedule {
         Schedule::Zipf => {
@@ -142,7 +142,7 @@
     let mut told = Map::new();
     // How long units lie idle after a fault, beside what is stated.
     let regain = |fleet: &mut Fleet, told: &mut Map<String, Value>, units: usize, fault: Fault| {
-        let (began, stated) = (fleet.now(), bound(&limit, &terms, fault).max_idle_ns);
+        let (began, stated) = (fleet.now(), bound(&limit, &params, fault).max_idle_ns);
         // What others had out before is over then, and counts no more.
         fleet.run(Duration::from_millis(2_500))?;
         let most_wait = Duration::from_nanos(stated * 2) + LIMIT;
@@ -160,7 +160,7 @@
             let mut both = vec![0.0; routers];
             (both[0], both[routers - 1]) = (all, all);
             fleet.ask_at(&if bounded { vec![all / 4.0; routers] } else { both });
-            fleet.run(Duration::from_nanos(bound(&limit, &terms, Fault::Partition).max_idle_ns))?;
+            fleet.run(Duration::from_nanos(bound(&limit, &params, Fault::Partition).max_idle_ns))?;
             told.insert("used_share_cut".into(), json!(used(&mut fleet, most)?));
             fleet.cut_into(&whole);
             fleet.ask_at(&one);
@@ -214,7 +214,7 @@
         }
     }
     let share = used(&mut fleet, most)?;
-    let allowed = bound(&limit, &terms, Fault::Partition).max_overshoot;
+    let allowed = bound(&limit, &params, Fault::Partition).max_overshoot;
     let over = (fleet.held_most as f64 / most as f64 - 1.0).max(0.0);
     let counters = fleet.counters(Duration::from_secs(5))?;
     let seconds = (fleet.now() - fleet.routers[routers - 1].started_ns) as f64 / 1e9;
@@ -232,7 +232,7 @@
 
 /// The same machines for many routers in stepped time.
 fn stepped(routers: u32, seed: u64) -> Value {
-    let terms = Terms { routers, max_request_ns: 2 * SECOND_NS, ..Terms::default() };
+    let params = LimitParams { routers, max_request_ns: 2 * SECOND_NS, ..LimitParams::default() };
     let units = routers * UNITS_EACH as u32;
     let kinds = [
         ("concurrency", Kind::Concurrency { at_once: units }),
@@ -240,7 +240,7 @@
     ];
     let told = kinds.map(|(name, kind)| {
         let limit = Limit { name: name.into(), subject: String::new(), kind, mode: Mode::Strict };
-        let mut fleet = loans::Fleet::new(limit, terms, 0.01, seed);
+        let mut fleet = loans::Fleet::new(limit, params, 0.01, seed);
         fleet.tell_reachable();
         fleet.routers[3].demand = f64::from(units) * 2.0;
         fleet.run(8_000);
@@ -276,15 +276,15 @@
         mode: Mode::Strict,
     };
     let me = Peer { number: 0, life: 1 };
-    let terms = Terms { routers: 1, ..Terms::default() };
-    let mut node = Node::new(0, me, terms, vec![rate("tenant")], 16_384);
+    let params = LimitParams { routers: 1, ..LimitParams::default() };
+    let mut node = Node::new(0, me, params, vec![rate("tenant")], 16_384);
     node.tick(SECOND_NS);
     let (count, began) = (1_000_000u64, Instant::now());
     let mut admitted = 0u64;
     for i in 0..count {
-        if let Ok(ticket) = node.admit(60 * SECOND_NS + i * 1_000, &[(0, i % 64)]) {
+        if let Ok(permit) = node.admit(60 * SECOND_NS + i * 1_000, &[(0, i % 64)]) {
             admitted += 1;
-            node.over(ticket);
+            node.release(permit);
         }
     }
     let check_ns = began.elapsed().as_nanos() as f64 / count as f64;
@@ -295,10 +295,10 @@
         kind: Kind::Rate { per_s: 10.0, burst: 20 },
         mode: Mode::Strict,
     };
-    let mut node = Node::new(0, me, terms, vec![client], 16_384);
+    let mut node = Node::new(0, me, params, vec![client], 16_384);
     for key in 0..100_000u64 {
-        if let Ok(ticket) = node.admit(60 * SECOND_NS, &[(0, key.wrapping_mul(0x9e37_79b9_7f4a_7c15))]) {
-            node.over(ticket);
+        if let Ok(permit) = node.admit(60 * SECOND_NS, &[(0, key.wrapping_mul(0x9e37_79b9_7f4a_7c15))]) {
+            node.release(permit);
         }
     }
     let bytes = crate::HEAP.current_usage().saturating_sub(before);
--- a/crates/limits/src/bound.rs
+++ b/crates/limits/src/bound.rs
@@ -1,7 +1,7 @@
 //! Worst-case overshoot and idle time of a limit for each fault. Operators and tests use the same
 //! functions.
 
-use crate::terms::{Kind, Limit, Mode, Terms};
+use crate::params::{Kind, Limit, LimitParams, Mode};
 
 /// A fault in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,13 +48,13 @@
 }
 
 /// Computes the worst case of a limit under a fault.
-pub fn bound(limit: &Limit, terms: &Terms, fault: Fault) -> Bound {
+pub fn bound(limit: &Limit, params: &LimitParams, fault: Fault) -> Bound {
     let units = limit.kind.units().max(1);
     let over = |share: f64, for_ns: u64| (share, if share > 0.0 { for_ns } else { 0 });
     // Admissions outlast the time in which overshoot is allowed.
     let in_flight_ns = match limit.kind {
         Kind::Rate { .. } => 0,
-        Kind::Concurrency { .. } => terms.max_request_ns + terms.orphan_ns,
+        Kind::Concurrency { .. } => params.max_request_ns + params.orphan_ns,
         Kind::Window { window_ns, .. } => window_ns,
     };
     let allowed = match limit.mode {
@@ -62,27 +62,27 @@
         Mode::Bounded { over: share, for_ns } => {
             // Each router rounds its part down to whole units.
             let overshoot_units: u32 =
-                (0..terms.routers).map(|me| overshoot_units(terms.share(units, me, 0), share)).sum();
+                (0..params.routers).map(|me| overshoot_units(params.share(units, me, 0), share)).sum();
             over(f64::from(overshoot_units) / f64::from(units), for_ns + in_flight_ns)
         }
     };
-    let max_lease_ns = terms.owner_lease_ns() + limit.kind.drain_ns(terms);
+    let max_lease_ns = params.owner_lease_ns() + limit.kind.drain_ns(params);
     // Free units are leased on the next request, and a router that was granted too little waits
     // before it asks again.
-    let request_delay_ns = terms.exhausted_backoff_ns() + terms.request_interval_ns();
-    let largest_share = (0..terms.routers).map(|me| terms.share(units, me, 0)).max().unwrap_or(0);
+    let request_delay_ns = params.exhausted_backoff_ns() + params.request_interval_ns();
+    let largest_share = (0..params.routers).map(|me| params.share(units, me, 0)).max().unwrap_or(0);
     let ((max_overshoot, overshoot_ns), max_idle_ns) = match fault {
         // An unneeded unit is returned, or its lease expires.
-        Fault::None | Fault::HolderPaused => (over(0.0, 0), terms.owner_lease_ns()),
-        Fault::UnknownPeer => (over(0.0, 0), terms.owner_lease_ns()),
+        Fault::None | Fault::HolderPaused => (over(0.0, 0), params.owner_lease_ns()),
+        Fault::UnknownPeer => (over(0.0, 0), params.owner_lease_ns()),
         Fault::Partition => (allowed, max_lease_ns),
         Fault::HolderCrashed => (allowed, max_lease_ns),
-        Fault::OwnerRestarted => (allowed, terms.grace_ns(limit.kind)),
+        Fault::OwnerRestarted => (allowed, params.grace_ns(limit.kind)),
         // Peers report their leases once they are discovered; otherwise all leases expire. Earlier
         // requests continue to run.
         Fault::AllRestarted => {
-            let detected_ns = limit.kind.orphan_ns(terms) + terms.detection_ns;
-            (allowed, detected_ns.min(terms.grace_ns(limit.kind)))
+            let detected_ns = limit.kind.orphan_ns(params) + params.detection_ns;
+            (allowed, detected_ns.min(params.grace_ns(limit.kind)))
         }
         // Both routers use the same share until the configuration is fixed.
         Fault::DuplicateNumber => (over(f64::from(largest_share) / f64::from(units), u64::MAX), max_lease_ns),
@@ -93,13 +93,13 @@
 /// Worst case relative to the new size while routers read a changed limit at different times. The
 /// overshoot lasts until all routers have read the new size and `overshoot_ns` longer. Each router
 /// applies the size that it knows and leases only to routers with the same size.
-pub fn resize_bound(before: &Limit, after: &Limit, terms: &Terms) -> Bound {
+pub fn resize_bound(before: &Limit, after: &Limit, params: &LimitParams) -> Bound {
     let size = |limit: &Limit| match limit.kind {
         Kind::Rate { per_s, .. } => per_s,
         kind => f64::from(kind.units().max(1)),
     };
     let max_overshoot = (size(before) / size(after) - 1.0).max(0.0);
-    let max_lease_ns = terms.owner_lease_ns() + after.kind.drain_ns(terms);
+    let max_lease_ns = params.owner_lease_ns() + after.kind.drain_ns(params);
     Bound {
         max_overshoot,
         overshoot_ns: if max_overshoot > 0.0 { max_lease_ns } else { 0 },
--- a/crates/limits/src/demand.rs
+++ b/crates/limits/src/demand.rs
@@ -1,6 +1,6 @@
 //! Estimates how many units of a key a router's own clients need.
 
-use crate::terms::{Kind, Terms};
+use crate::params::{Kind, LimitParams};
 
 /// Fraction requested beyond recent demand, to absorb variation.
 const HEADROOM: f64 = 0.05;
@@ -14,19 +14,19 @@
 }
 
 /// Time constant of the decay (ns).
-fn decay_ns(kind: Kind, terms: &Terms) -> u64 {
+fn decay_ns(kind: Kind, params: &LimitParams) -> u64 {
     match kind {
-        Kind::Rate { .. } => terms.lease_ns,
+        Kind::Rate { .. } => params.lease_ns,
         // Short, so that units reserved for a brief peak are not left idle.
-        Kind::Concurrency { .. } => terms.lease_ns / 4,
-        Kind::Window { window_ns, .. } => window_ns.max(terms.lease_ns),
+        Kind::Concurrency { .. } => params.lease_ns / 4,
+        Kind::Window { window_ns, .. } => window_ns.max(params.lease_ns),
     }
 }
 
 /// Fraction of the remembered demand that falls into one window.
-fn window_fraction(kind: Kind, terms: &Terms) -> f64 {
+fn window_fraction(kind: Kind, params: &LimitParams) -> f64 {
     match kind {
-        Kind::Window { window_ns, .. } => window_ns as f64 / decay_ns(kind, terms) as f64,
+        Kind::Window { window_ns, .. } => window_ns as f64 / decay_ns(kind, params) as f64,
         _ => 1.0,
     }
 }
@@ -37,8 +37,8 @@
     }
 
     /// Applies the decay up to `now`, down to `min_demand`.
-    pub(crate) fn decay(&mut self, now: u64, kind: Kind, terms: &Terms, min_demand: f64) {
-        let decay_ns = decay_ns(kind, terms) as f64;
+    pub(crate) fn decay(&mut self, now: u64, kind: Kind, params: &LimitParams, min_demand: f64) {
+        let decay_ns = decay_ns(kind, params) as f64;
         let remaining = (-(now.saturating_sub(self.at_ns) as f64) / decay_ns).exp();
         self.demanded = (self.demanded * remaining).max(min_demand);
         self.at_ns = self.at_ns.max(now);
@@ -49,10 +49,16 @@
     }
 
     /// Records a request that arrived with `in_flight` admissions in flight.
-    pub(crate) fn record_request(&mut self, kind: Kind, terms: &Terms, in_flight: u32, admitted: bool) {
+    pub(crate) fn record_request(
+        &mut self,
+        kind: Kind,
+        params: &LimitParams,
+        in_flight: u32,
+        admitted: bool,
+    ) {
         let in_flight = f64::from(in_flight);
         match kind {
-            Kind::Rate { .. } => self.demanded += 1e9 / terms.lease_ns as f64,
+            Kind::Rate { .. } => self.demanded += 1e9 / params.lease_ns as f64,
             Kind::Concurrency { .. } => {
                 self.demanded = self.demanded.max(in_flight) + if admitted { 0.0 } else { 1.0 };
                 self.demanded = self.demanded.max(in_flight + f64::from(u8::from(admitted)));
@@ -63,19 +69,19 @@
     }
 
     /// Units demanded within one window.
-    pub(crate) fn in_window(&self, kind: Kind, terms: &Terms) -> f64 {
-        self.demanded * window_fraction(kind, terms)
+    pub(crate) fn in_window(&self, kind: Kind, params: &LimitParams) -> f64 {
+        self.demanded * window_fraction(kind, params)
     }
 
     /// Units demanded with `in_flight` admissions in flight.
-    pub(crate) fn units(&self, kind: Kind, terms: &Terms, in_flight: u32) -> u32 {
+    pub(crate) fn units(&self, kind: Kind, params: &LimitParams, in_flight: u32) -> u32 {
         let in_flight = f64::from(in_flight);
         let demanded = match kind {
             Kind::Rate { per_s, burst } => {
                 self.demanded * (1.0 + HEADROOM) / (per_s / f64::from(burst.max(1)))
             }
             Kind::Concurrency { .. } => (self.demanded * (1.0 + HEADROOM)).max(in_flight),
-            Kind::Window { .. } => self.in_window(kind, terms).max(in_flight),
+            Kind::Window { .. } => self.in_window(kind, params).max(in_flight),
         };
         (demanded.ceil() as u32).min(kind.units())
     }
--- a/crates/limits/src/escrow.rs
+++ b/crates/limits/src/escrow.rs
@@ -2,14 +2,14 @@
 //!
 //! A holder requests a number of units from their owner, with a sequence number that increases with
 //! each request. The holder's lease runs from the time of its request by its own clock. The owner
-//! sets the units aside from the arrival of the request for [`Terms::owner_lease_ns`] by its own
+//! sets the units aside from the arrival of the request for [`LimitParams::owner_lease_ns`] by its own
 //! clock, which is longer for any two clocks within the drift. Messages may be lost, duplicated,
 //! delayed and reordered: an owner accepts only increasing sequence numbers, and a holder caps a
 //! grant at the smallest amount requested since.
 
 use std::collections::BTreeMap;
 
-use crate::terms::Terms;
+use crate::params::LimitParams;
 
 /// Requests that may still be answered. Grants for older ones are ignored.
 const MAX_PENDING_REQUESTS: usize = 8;
@@ -201,7 +201,7 @@
         owner: Peer,
         number: u64,
         units: u32,
-        (terms, drain_ns): (&Terms, u64),
+        (params, drain_ns): (&LimitParams, u64),
     ) -> Option<u32> {
         let leased_in = self.leased_in.get_mut(&owner.number)?;
         let at = leased_in.pending.iter().position(|(n, ..)| *n == number)?;
@@ -214,7 +214,7 @@
         leased_in.confirmed |= at + 1 == leased_in.pending.len();
         leased_in.life = owner.life;
         leased_in.pending.drain(..=at);
-        let until = requested_ns.saturating_add(terms.lease_ns);
+        let until = requested_ns.saturating_add(params.lease_ns);
         if now < until {
             leased_in.usable.add(units.min(max_units), until);
             leased_in.covering.add(units.min(max_units), until.saturating_add(drain_ns));
@@ -230,7 +230,7 @@
         (from, number): (Peer, u64),
         units: u32,
         reserved: u32,
-        (terms, drain_ns): (&Terms, u64),
+        (params, drain_ns): (&LimitParams, u64),
     ) -> Option<u32> {
         if self.leased_out.keys().any(|peer| peer.number == from.number && peer.life > from.life) {
             return None;
@@ -247,7 +247,7 @@
         leased_out.leases.reduce_to(units);
         let free = if in_grace { 0 } else { self.owned.saturating_sub(others.saturating_add(reserved)) };
         let granted = units.min(free);
-        leased_out.leases.add(granted, now.saturating_add(terms.owner_lease_ns()).saturating_add(drain_ns));
+        leased_out.leases.add(granted, now.saturating_add(params.owner_lease_ns()).saturating_add(drain_ns));
         Some(granted)
     }
 
@@ -276,8 +276,8 @@
 
     /// Restores a lease from a peer's report. It was granted by an earlier incarnation of this
     /// router and has `left_ns` left by the peer's clock.
-    pub fn restore_lease(&mut self, now: u64, from: Peer, units: u32, left_ns: u64, terms: &Terms) {
-        let remaining = terms.peer_ns_upper_bound(left_ns);
+    pub fn restore_lease(&mut self, now: u64, from: Peer, units: u32, left_ns: u64, params: &LimitParams) {
+        let remaining = params.peer_ns_upper_bound(left_ns);
         self.leased_out.entry(from).or_default().leases.add(units, now.saturating_add(remaining));
     }
 }
--- a/crates/limits/src/leasing.rs
+++ b/crates/limits/src/leasing.rs
@@ -6,7 +6,7 @@
 use crate::escrow::Peer;
 use crate::ledger::{Entry, Ledger};
 use crate::message::{HeldLease, Message};
-use crate::terms::Kind;
+use crate::params::Kind;
 
 /// Peers newly asked for units of one key per request interval.
 const MAX_NEW_OWNERS: usize = 64;
@@ -56,7 +56,7 @@
         let kind = self.kind(limit);
         let Some(entry) = self.keys.get(&(limit, key)) else { return };
         let mut new_owners = 0;
-        let routers = self.terms.routers.max(1);
+        let routers = self.params.routers.max(1);
         for step in 1..routers {
             let peer = (self.me.number + step) % routers;
             if remaining == 0 || new_owners >= MAX_NEW_OWNERS {
@@ -65,7 +65,7 @@
             if !reachable.contains(&peer) || entry.exhausted.contains_key(&peer) {
                 continue;
             }
-            let owned = self.terms.share(kind.units(), peer, key);
+            let owned = self.params.share(kind.units(), peer, key);
             match requests.iter_mut().find(|(owner, _)| *owner == peer) {
                 Some((_, units)) if *units < owned => {
                     let more = (owned - *units).min(remaining);
@@ -94,10 +94,10 @@
             return;
         }
         self.refresh(now, limit, key);
-        let retry_ns = now + self.terms.exhausted_backoff_ns();
-        let drain_ns = self.kind(limit).drain_ns(&self.terms);
+        let retry_ns = now + self.params.exhausted_backoff_ns();
+        let drain_ns = self.kind(limit).drain_ns(&self.params);
         let Some(entry) = self.keys.get_mut(&(limit, key)) else { return };
-        let requested = entry.escrow.apply_grant(now, from, number, units, (&self.terms, drain_ns));
+        let requested = entry.escrow.apply_grant(now, from, number, units, (&self.params, drain_ns));
         // Guards against requesting units that the peer does not have.
         if requested.is_some_and(|requested| units < requested) {
             entry.exhausted.insert(from.number, retry_ns);
@@ -119,10 +119,10 @@
         self.refresh(now, limit, key);
         let entry = &self.keys[&(limit, key)];
         let reserved = self.demanded(limit, entry).max(entry.meter.in_flight());
-        let drain_ns = self.kind(limit).drain_ns(&self.terms);
+        let drain_ns = self.kind(limit).drain_ns(&self.params);
         let entry = self.keys.get_mut(&(limit, key))?;
         let units =
-            entry.escrow.handle_request(now, (from, number), units, reserved, (&self.terms, drain_ns))?;
+            entry.escrow.handle_request(now, (from, number), units, reserved, (&self.params, drain_ns))?;
         // Takes the tokens of leased units out of the bucket.
         self.refresh(now, limit, key);
         let of = &self.slots[usize::from(limit)].limit;
@@ -133,8 +133,8 @@
     /// after that all units that they held are free.
     pub(crate) fn expire_earlier_lives(&mut self, now: u64, peer: Peer) {
         for ((limit, _), entry) in &mut self.keys {
-            let orphan_ns = self.slots[usize::from(*limit)].limit.kind.orphan_ns(&self.terms);
-            let until = now + self.terms.peer_ns_upper_bound(orphan_ns);
+            let orphan_ns = self.slots[usize::from(*limit)].limit.kind.orphan_ns(&self.params);
+            let until = now + self.params.peer_ns_upper_bound(orphan_ns);
             entry.escrow.expire_earlier_lives(peer, until);
         }
     }
@@ -178,9 +178,9 @@
             // The lease counts in units of another value.
             let unit_value_changed = of.version() != version && !matches!(of.kind, Kind::Concurrency { .. });
             let Some(entry) = self.keys.get_mut(&(limit_index, key)) else { continue };
-            entry.escrow.restore_lease(now, from, units, left_ns, &self.terms);
+            entry.escrow.restore_lease(now, from, units, left_ns, &self.params);
             if unit_value_changed {
-                entry.escrow.extend_grace(now.saturating_add(self.terms.peer_ns_upper_bound(left_ns)));
+                entry.escrow.extend_grace(now.saturating_add(self.params.peer_ns_upper_bound(left_ns)));
             }
         }
     }
@@ -188,8 +188,8 @@
     /// Longest time over all limits that admissions of a crashed router continue to count, by any
     /// clock within the drift (ns).
     pub(crate) fn max_orphan_ns(&self) -> u64 {
-        let longest = self.slots.iter().map(|slot| slot.limit.kind.orphan_ns(&self.terms)).max();
-        self.terms.peer_ns_upper_bound(longest.unwrap_or(0))
+        let longest = self.slots.iter().map(|slot| slot.limit.kind.orphan_ns(&self.params)).max();
+        self.params.peer_ns_upper_bound(longest.unwrap_or(0))
     }
 }
 
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -9,8 +9,8 @@
 use crate::demand::Demand;
 use crate::escrow::{Escrow, Peer};
 use crate::meter::Meter;
+use crate::params::{Kind, Limit, LimitParams, Mode};
 use crate::sketch::Sketch;
-use crate::terms::{Kind, Limit, Mode, Terms};
 
 /// Keys examined for eviction when the table is full.
 const MAX_EVICTION_CANDIDATES: usize = 16;
@@ -54,14 +54,14 @@
     /// Units usable now.
     pub usable: u32,
     /// Admissions in flight, or units sent within the window.
-    pub out: u32,
+    pub in_flight: u32,
 }
 
 /// The limits and keys of one router.
 #[derive(Clone, Debug)]
 pub(crate) struct Ledger {
     pub(crate) me: Peer,
-    pub(crate) terms: Terms,
+    pub(crate) params: LimitParams,
     pub(crate) slots: Vec<Slot>,
     pub(crate) keys: BTreeMap<(u16, u64), Entry>,
     max_keys: usize,
@@ -74,9 +74,15 @@
 
 impl Ledger {
     /// Creates the ledger of a router that has just started: owned units count as leased out.
-    pub(crate) fn new(now: u64, me: Peer, terms: Terms, limits: Vec<Limit>, max_keys: usize) -> Ledger {
+    pub(crate) fn new(
+        now: u64,
+        me: Peer,
+        params: LimitParams,
+        limits: Vec<Limit>,
+        max_keys: usize,
+    ) -> Ledger {
         let slot = |limit: Limit| Slot {
-            grace_until_ns: now + terms.grace_ns(limit.kind),
+            grace_until_ns: now + params.grace_ns(limit.kind),
             limit,
             retired: false,
             covered_by_reports: true,
@@ -84,7 +90,7 @@
         };
         Ledger {
             me,
-            terms,
+            params,
             slots: limits.into_iter().map(slot).collect(),
             keys: BTreeMap::new(),
             max_keys,
@@ -118,7 +124,7 @@
         let at = existing.unwrap_or_else(|| {
             // Peers may hold units leased by an earlier incarnation, which their reports did not
             // include.
-            let grace_until_ns = self.started_ns + self.terms.grace_ns(limit.kind);
+            let grace_until_ns = self.started_ns + self.params.grace_ns(limit.kind);
             let (retired, covered_by_reports, sketch) = (true, false, None);
             self.slots.push(Slot {
                 limit: limit.clone(),
@@ -140,7 +146,7 @@
         }
         let unit_value_changed = !matches!(limit.kind, Kind::Concurrency { .. });
         for key in keys {
-            let owned = self.terms.share(limit.kind.units(), self.me.number, key);
+            let owned = self.params.share(limit.kind.units(), self.me.number, key);
             if let Some(entry) = self.keys.get_mut(&(limit_index, key)) {
                 entry.escrow.resize(now, owned, unit_value_changed);
                 entry.exhausted.clear();
@@ -165,19 +171,19 @@
 
     /// Updates the set of reachable peers.
     pub(crate) fn set_reachable(&mut self, now: u64, peers: &BTreeSet<u32>) {
-        let counted = |number: &&u32| **number < self.terms.routers && **number != self.me.number;
-        let missing = peers.iter().filter(counted).count() as u32 + 1 < self.terms.routers;
+        let counted = |number: &&u32| **number < self.params.routers && **number != self.me.number;
+        let missing = peers.iter().filter(counted).count() as u32 + 1 < self.params.routers;
         self.partition_since_ns = if missing { self.partition_since_ns.or(Some(now)) } else { None };
     }
 
     /// Units of a key owned by this router.
     pub(crate) fn owned(&self, limit: u16, key: u64) -> u32 {
-        self.terms.share(self.kind(limit).units(), self.me.number, key)
+        self.params.share(self.kind(limit).units(), self.me.number, key)
     }
 
     /// Units of a key demanded by this router's own clients.
     pub(crate) fn demanded(&self, limit: u16, entry: &Entry) -> u32 {
-        entry.demand.units(self.kind(limit), &self.terms, entry.meter.in_flight())
+        entry.demand.units(self.kind(limit), &self.params, entry.meter.in_flight())
     }
 
     /// Units beyond the owned ones that the limit's mode allows now. None during the grace period:
@@ -200,7 +206,7 @@
         let owned = self.owned(limit, key);
         let overshoot_units = self.overshoot_units(now, limit, owned);
         let sketch = self.slots[usize::from(limit)].sketch.as_ref();
-        let untracked = sketch.map_or(0.0, |sketch| sketch.used(now, key, (kind, owned, self.terms.drift)));
+        let untracked = sketch.map_or(0.0, |sketch| sketch.used(now, key, (kind, owned, self.params.drift)));
         let Some(entry) = self.keys.get_mut(&(limit, key)) else { return 0 };
         if let Kind::Concurrency { .. } = kind {
             entry.meter.set_untracked(untracked.ceil() as u32);
@@ -208,10 +214,10 @@
         let usable_throughout = entry.escrow.usable_throughout(entry.meter.refilled_ns(), now);
         entry.escrow.expire(now);
         let usable = entry.escrow.usable(now) + overshoot_units;
-        entry.meter.refill(now, kind, self.terms.drift, (usable_throughout + overshoot_units, usable));
+        entry.meter.refill(now, kind, self.params.drift, (usable_throughout + overshoot_units, usable));
         let min_demand =
             if let Kind::Concurrency { .. } = kind { f64::from(entry.meter.in_flight()) } else { 0.0 };
-        entry.demand.decay(now, kind, &self.terms, min_demand);
+        entry.demand.decay(now, kind, &self.params, min_demand);
         entry.exhausted.retain(|_, until| now < *until);
         usable
     }
@@ -236,7 +242,7 @@
         let grace_until_ns = slot.grace_until_ns;
         let meter = match (&slot.sketch, kind) {
             (Some(sketch), Kind::Rate { .. }) if now >= grace_until_ns => {
-                let used = sketch.used(now, key, (kind, owned, self.terms.drift));
+                let used = sketch.used(now, key, (kind, owned, self.params.drift));
                 Meter::with_tokens(now, (f64::from(owned) - used).max(0.0))
             }
             // Admissions of earlier incarnations are unknown, so the bucket starts empty.
@@ -275,7 +281,7 @@
             return KeyStatus { owned, ..KeyStatus::default() };
         };
         let (leased_out, leased_in) = (entry.escrow.leased_out(), entry.escrow.leased_in(now));
-        KeyStatus { owned, leased_out, leased_in, usable, out: entry.meter.in_flight() }
+        KeyStatus { owned, leased_out, leased_in, usable, in_flight: entry.meter.in_flight() }
     }
 
     /// Returns the status of the most used keys of a limit.
@@ -284,7 +290,7 @@
         let mut all: Vec<(u64, KeyStatus)> =
             keys.into_iter().map(|key| (key, self.key_status(now, limit, key))).collect();
         all.sort_by_key(|(key, key_status)| {
-            (std::cmp::Reverse((key_status.out, key_status.leased_in, key_status.leased_out)), *key)
+            (std::cmp::Reverse((key_status.in_flight, key_status.leased_in, key_status.leased_out)), *key)
         });
         all.truncate(MAX_BUSIEST_KEYS);
         all
@@ -297,7 +303,7 @@
             let end_ns = match slot.limit.kind {
                 Kind::Rate { .. } => now,
                 kind @ (Kind::Concurrency { .. } | Kind::Window { .. }) => {
-                    let own_ns = self.terms.peer_ns_upper_bound(kind.orphan_ns(&self.terms));
+                    let own_ns = self.params.peer_ns_upper_bound(kind.orphan_ns(&self.params));
                     orphans_until_ns.max(self.started_ns + own_ns).max(now)
                 }
             };
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -24,10 +24,10 @@
 pub mod message;
 pub mod meter;
 pub mod node;
+pub mod params;
 mod recovery;
 pub mod sketch;
-pub mod terms;
 
 pub use message::Message;
 pub use node::Node;
-pub use terms::{Kind, Limit, Mode, Terms};
+pub use params::{Kind, Limit, LimitParams, Mode};
--- a/crates/limits/src/meter.rs
+++ b/crates/limits/src/meter.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::terms::Kind;
+use crate::params::Kind;
 
 /// Sends within this time are counted together, at the time of the last one.
 const SEND_MERGE_NS: u64 = 5_000_000;
--- a/crates/limits/src/node.rs
+++ b/crates/limits/src/node.rs
@@ -6,10 +6,10 @@
 use crate::escrow::Peer;
 use crate::ledger::Ledger;
 use crate::message::{HeldLease, Message};
+use crate::params::{Kind, Limit, LimitParams};
 use crate::recovery::Recovery;
-use crate::terms::{Kind, Limit, Terms};
 
-pub use crate::admission::{Refused, Ticket};
+pub use crate::admission::{Permit, Refused};
 pub use crate::ledger::KeyStatus;
 
 /// One router's state of all limits.
@@ -28,10 +28,10 @@
 impl Node {
     /// Creates the node of a router that has just started. Owned units count as leased out until
     /// all peers have reported their leases.
-    pub fn new(now: u64, me: Peer, terms: Terms, limits: Vec<Limit>, max_keys: usize) -> Node {
-        let others = (0..terms.routers).filter(|number| *number != me.number);
+    pub fn new(now: u64, me: Peer, params: LimitParams, limits: Vec<Limit>, max_keys: usize) -> Node {
+        let others = (0..params.routers).filter(|number| *number != me.number);
         let mut node = Node {
-            ledger: Ledger::new(now, me, terms, limits, max_keys),
+            ledger: Ledger::new(now, me, params, limits, max_keys),
             recovery: Some(Recovery::begin(now, others)),
             reachable: BTreeSet::new(),
             latest_lives: BTreeMap::new(),
@@ -59,13 +59,13 @@
     /// # Errors
     ///
     /// Returns the first limit that refuses the request, and when to retry.
-    pub fn admit(&mut self, now: u64, limit_keys: &[(u16, u64)]) -> Result<Ticket, Refused> {
+    pub fn admit(&mut self, now: u64, limit_keys: &[(u16, u64)]) -> Result<Permit, Refused> {
         self.ledger.admit(now, limit_keys)
     }
 
     /// Ends an admitted request.
-    pub fn over(&mut self, ticket: Ticket) {
-        self.ledger.release(ticket);
+    pub fn release(&mut self, permit: Permit) {
+        self.ledger.release(permit);
     }
 
     /// Units of a window limit that are usable throughout `now` to `until`. The caller subtracts
@@ -87,10 +87,10 @@
     /// Units that this router's clients demand within one window of a window limit.
     pub fn window_demand(&self, now: u64, limit: u16, key: u64) -> f64 {
         let Some(entry) = self.ledger.keys.get(&(limit, key)) else { return 0.0 };
-        let (kind, terms) = (self.ledger.kind(limit), &self.ledger.terms);
+        let (kind, params) = (self.ledger.kind(limit), &self.ledger.params);
         let mut demand = entry.demand;
-        demand.decay(now, kind, terms, 0.0);
-        demand.in_window(kind, terms)
+        demand.decay(now, kind, params, 0.0);
+        demand.in_window(kind, params)
     }
 
     /// Records a demand of `units` under a window limit, whether or not they can be sent.
@@ -106,7 +106,7 @@
         self.ledger.refresh(now, limit, key);
         let kind = self.ledger.slots.get(usize::from(limit)).map(|slot| slot.limit.kind);
         let Some(kind @ Kind::Window { .. }) = kind else { return };
-        let until_ns = now.saturating_add(kind.window_charge_ns(&self.ledger.terms));
+        let until_ns = now.saturating_add(kind.window_charge_ns(&self.ledger.params));
         if let Some(entry) = self.ledger.keys.get_mut(&(limit, key)) {
             entry.meter.record_sent(until_ns, units);
         }
@@ -135,7 +135,7 @@
     /// Advances time. Returns messages with the numbers of their receivers.
     pub fn tick(&mut self, now: u64) -> Vec<(u32, Message)> {
         let mut out = Vec::new();
-        if now < self.last_round_ns.saturating_add(self.ledger.terms.request_interval_ns()) {
+        if now < self.last_round_ns.saturating_add(self.ledger.params.request_interval_ns()) {
             return out;
         }
         self.last_round_ns = now;
--- a/crates/limits/src/terms.rs
+++ b/crates/limits/src/params.rs
@@ -92,7 +92,7 @@
 
 /// Parameters that must be the same on all routers of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct LimitParams {
     /// Number of routers that the shares are divided among.
     pub routers: u32,
     /// How long a lease lasts by the holder's clock.
@@ -107,9 +107,9 @@
     pub detection_ns: u64,
 }
 
-impl Default for Terms {
+impl Default for LimitParams {
     fn default() -> Self {
-        Terms {
+        LimitParams {
             routers: 1,
             lease_ns: 2_000_000_000,
             drift: 0.01,
@@ -132,33 +132,33 @@
 
     /// Time until all admissions on a unit have ended after the unit is no longer usable (ns). Zero
     /// for a rate, whose admissions are instantaneous.
-    pub fn drain_ns(self, terms: &Terms) -> u64 {
+    pub fn drain_ns(self, params: &LimitParams) -> u64 {
         match self {
             Kind::Rate { .. } => 0,
-            Kind::Concurrency { .. } => terms.peer_ns_upper_bound(terms.max_request_ns + terms.orphan_ns),
-            Kind::Window { window_ns, .. } => terms.peer_ns_upper_bound(window_ns),
+            Kind::Concurrency { .. } => params.peer_ns_upper_bound(params.max_request_ns + params.orphan_ns),
+            Kind::Window { window_ns, .. } => params.peer_ns_upper_bound(window_ns),
         }
     }
 
     /// How long a send counts under a window limit, by the local clock (ns).
-    pub fn window_charge_ns(self, terms: &Terms) -> u64 {
+    pub fn window_charge_ns(self, params: &LimitParams) -> u64 {
         match self {
-            Kind::Window { window_ns, .. } => terms.true_ns_upper_bound(window_ns),
+            Kind::Window { window_ns, .. } => params.true_ns_upper_bound(window_ns),
             _ => 0,
         }
     }
 
     /// How long admissions of a crashed router continue to count (ns).
-    pub fn orphan_ns(self, terms: &Terms) -> u64 {
+    pub fn orphan_ns(self, params: &LimitParams) -> u64 {
         match self {
             Kind::Rate { .. } => 0,
-            Kind::Concurrency { .. } => terms.orphan_ns,
+            Kind::Concurrency { .. } => params.orphan_ns,
             Kind::Window { window_ns, .. } => window_ns,
         }
     }
 }
 
-impl Terms {
+impl LimitParams {
     /// Upper bound on the local clock of a duration measured by a peer (ns): the peer's clock may
     /// be slow and the local one fast.
     pub fn peer_ns_upper_bound(&self, ns: u64) -> u64 {
--- a/crates/limits/src/sketch.rs
+++ b/crates/limits/src/sketch.rs
@@ -4,7 +4,7 @@
 //! beyond the router's own share. A lightly used key is refused only if each of its cells is also
 //! used by a heavy key.
 
-use crate::terms::Kind;
+use crate::params::Kind;
 
 /// Rows with one hash function each, and cells per row.
 const ROWS: usize = 4;
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -6,14 +6,14 @@
 
 use marljunction_limits::bound::{bound, resize_bound, Fault, FAULTS};
 use marljunction_limits::escrow::Peer;
-use marljunction_limits::node::{Node, Ticket};
-use marljunction_limits::{Kind, Limit, Mode, Terms};
+use marljunction_limits::node::{Node, Permit};
+use marljunction_limits::{Kind, Limit, LimitParams, Mode};
 use marljunction_testkit::loans::{Fleet, S};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-fn terms(routers: u32) -> Terms {
-    Terms { routers, max_request_ns: 2 * S, ..Terms::default() }
+fn params(routers: u32) -> LimitParams {
+    LimitParams { routers, max_request_ns: 2 * S, ..LimitParams::default() }
 }
 
 fn limit(kind: Kind, mode: Mode) -> Limit {
@@ -31,7 +31,7 @@
 fn run_random_faults(seed: u64, mode: Mode, drift: f64) -> (f64, Kind) {
     let mut draws = StdRng::seed_from_u64(seed ^ 0x5eed);
     let kind = random_kind(&mut draws);
-    let mut fleet = Fleet::new(limit(kind, mode), terms(draws.gen_range(2..8)), drift, seed);
+    let mut fleet = Fleet::new(limit(kind, mode), params(draws.gen_range(2..8)), drift, seed);
     fleet.routers[0].demand = f64::from(kind.units());
     for _ in 0..40 {
         let ms = fleet.draws.gen_range(50..1_500);
@@ -61,8 +61,8 @@
         Kind::Window { window_ns, .. } => Kind::Window { units: size(&mut draws), window_ns },
     };
     let [old, new] = [before, after].map(|kind| limit(kind, Mode::Strict));
-    let terms = terms(draws.gen_range(2..8));
-    let mut fleet = Fleet::new(old.clone(), terms, 0.01, seed);
+    let params = params(draws.gen_range(2..8));
+    let mut fleet = Fleet::new(old.clone(), params, 0.01, seed);
     fleet.routers[0].demand = f64::from(before.units().max(after.units())) * 2.0;
     fleet.run(8_000);
     // While the resize is in progress the larger value of each parameter applies.
@@ -74,7 +74,7 @@
         _ => new.clone(),
     };
     fleet.worst = 0.0;
-    for at in 0..terms.routers as usize {
+    for at in 0..params.routers as usize {
         fleet.resize(at, new.clone());
         for _ in 0..4 {
             let ms = fleet.draws.gen_range(50..800);
@@ -83,7 +83,7 @@
         }
     }
     let during_resize = fleet.worst;
-    let left = resize_bound(&old, &new, &terms);
+    let left = resize_bound(&old, &new, &params);
     fleet.run(left.max_idle_ns / 1_000_000 + 1);
     fleet.limit = new;
     fleet.worst = 0.0;
@@ -115,7 +115,7 @@
     let of = |burst| limit(Kind::Rate { per_s: 100.0, burst }, Mode::Strict);
     for (old, new) in [(10, 100), (100, 2)] {
         for changed in [0, 1] {
-            let mut fleet = Fleet::new(of(old), terms(2), 0.0, 1);
+            let mut fleet = Fleet::new(of(old), params(2), 0.0, 1);
             fleet.tell_reachable();
             fleet.routers[1].demand = 400.0;
             fleet.run(4_000);
@@ -159,7 +159,7 @@
         let relevant_faults = FAULTS.iter().filter(|(f, _)| *f != Fault::DuplicateNumber);
         // The number of routers is random; the largest overshoot is that of the mode itself.
         let most = relevant_faults
-            .map(|(f, _)| bound(&limit(kind, mode), &terms(1), *f).max_overshoot)
+            .map(|(f, _)| bound(&limit(kind, mode), &params(1), *f).max_overshoot)
             .fold(0.0, f64::max);
         assert!(worst <= 1.0 + most + 1e-9, "used {worst} of {kind:?}, overshoot bound {most}, seed {seed}");
         if most > 0.0 {
@@ -185,7 +185,7 @@
     demand: impl Fn(u32) -> f64,
     prepare: impl Fn(&mut Fleet),
 ) -> (f64, Fleet) {
-    let mut fleet = Fleet::new(limit(kind, Mode::Strict), terms(routers), 0.01, 7);
+    let mut fleet = Fleet::new(limit(kind, Mode::Strict), params(routers), 0.01, 7);
     (0..routers).for_each(|at| fleet.routers[at as usize].demand = demand(at));
     fleet.tell_reachable();
     fleet.run(6_000);
@@ -247,7 +247,7 @@
     assert!(
         fleet.now
             < healed_ns
-                + fleet.terms.peer_ns_upper_bound(fleet.terms.lease_ns + fleet.terms.max_request_ns)
+                + fleet.params.peer_ns_upper_bound(fleet.params.lease_ns + fleet.params.max_request_ns)
                 + 2 * S
     );
 }
@@ -262,7 +262,7 @@
         while fleet.admitted == before && fleet.now < start_ns + 60 * S {
             fleet.step();
         }
-        let bound_ns = bound(&fleet.limit, &fleet.terms, Fault::AllRestarted).max_idle_ns;
+        let bound_ns = bound(&fleet.limit, &fleet.params, Fault::AllRestarted).max_idle_ns;
         assert!(
             fleet.now - start_ns <= bound_ns,
             "{kind:?}: idle for {} ns, bound {bound_ns} ns",
@@ -278,13 +278,13 @@
     for routers in 1..50 {
         for units in [0, 1, 3, 7, 40, 1_000] {
             for key in [0u64, 1, 17, u64::MAX] {
-                let terms = terms(routers);
-                let sum: u32 = (0..routers + 3).map(|me| terms.share(units, me, key)).sum();
+                let params = params(routers);
+                let sum: u32 = (0..routers + 3).map(|me| params.share(units, me, key)).sum();
                 assert_eq!(sum, units, "{routers} routers, key {key}");
             }
         }
     }
-    let owner = |key| (0..40).find(|me| terms(40).share(1, *me, key) == 1);
+    let owner = |key| (0..40).find(|me| params(40).share(1, *me, key) == 1);
     assert!(
         (0..40).map(owner).collect::<BTreeSet<_>>().len() == 40,
         "the owner of a single unit varies by key"
@@ -294,19 +294,19 @@
 #[test]
 fn tracked_keys_are_bounded_and_keys_in_use_are_not_evicted() {
     let kind = Kind::Concurrency { at_once: 1_000 };
-    let one = Terms { routers: 1, ..Terms::default() };
+    let one = LimitParams { routers: 1, ..LimitParams::default() };
     let mut node = Node::new(0, Peer { number: 0, life: 1 }, one, vec![limit(kind, Mode::Strict)], 1_000);
     let now = 60 * S;
     node.tick(now);
-    let held: Vec<Ticket> = (0..500).map(|key| node.admit(now, &[(0, key)]).unwrap()).collect();
+    let held: Vec<Permit> = (0..500).map(|key| node.admit(now, &[(0, key)]).unwrap()).collect();
     // Untracked light keys are admitted by the sketch and counted while in flight.
-    let light: Vec<Ticket> = (1_000..101_000).filter_map(|key| node.admit(now, &[(0, key)]).ok()).collect();
+    let light: Vec<Permit> = (1_000..101_000).filter_map(|key| node.admit(now, &[(0, key)]).ok()).collect();
     assert!(light.len() >= 99_000, "{} of 100,000 light keys admitted", light.len());
-    light.into_iter().for_each(|ticket| node.over(ticket));
+    light.into_iter().for_each(|permit| node.release(permit));
     // An untracked heavy key is held to its share.
     let heavy = (0..2_000).filter(|_| node.admit(now, &[(0, 77_777)]).is_ok()).count();
     assert!((900..=1_000).contains(&heavy), "{heavy} admitted of a share of 1,000");
     assert!(node.tracked_keys() <= 1_000);
-    assert!((0..500).all(|key| node.key_status(now, 0, key).out == 1));
-    held.into_iter().for_each(|ticket| node.over(ticket));
+    assert!((0..500).all(|key| node.key_status(now, 0, key).in_flight == 1));
+    held.into_iter().for_each(|permit| node.release(permit));
 }
--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use marljunction_limits::escrow::{Escrow, Peer};
-use marljunction_limits::Terms;
+use marljunction_limits::LimitParams;
 use stateright::{Checker, Model, Property};
 
 /// Units owned by each router, end of the explored time, and maximum messages in transit.
@@ -51,7 +51,7 @@
 }
 
 struct LeaseModel {
-    terms: Terms,
+    params: LimitParams,
     /// Whether a router starts with a grace period.
     grace: bool,
 }
@@ -65,19 +65,19 @@
     }
 
     fn deliver(&self, state: &mut Fleet, (to, life, message): (usize, u64, Message)) {
-        let (now, terms) = (state.now, &self.terms);
+        let (now, params) = (state.now, &self.params);
         let from = Peer { number: 1 - to as u32, life };
         let node = &mut state.nodes[to];
         node.escrow.expire(now);
         match message {
             Message::Request { number, units } => {
-                let granted = node.escrow.handle_request(now, (from, number), units, 0, (terms, 0));
+                let granted = node.escrow.handle_request(now, (from, number), units, 0, (params, 0));
                 if let Some(units) = granted {
                     self.send(state, 1 - to, Message::Grant { number, units });
                 }
             }
             Message::Grant { number, units } => {
-                node.escrow.apply_grant(now, from, number, units, (terms, 0));
+                node.escrow.apply_grant(now, from, number, units, (params, 0));
             }
             Message::Query => {
                 let held = node.escrow.held_from(now, from);
@@ -85,7 +85,7 @@
             }
             Message::Report { life, held } if life == node.life => {
                 held.into_iter()
-                    .for_each(|(units, left)| node.escrow.restore_lease(now, from, units, left, terms));
+                    .for_each(|(units, left)| node.escrow.restore_lease(now, from, units, left, params));
                 node.escrow.end_grace(now);
             }
             Message::Report { .. } => {}
@@ -151,7 +151,7 @@
             Step::Deliver(message) => self.deliver(&mut state, message),
             Step::Lose(message) => drop(state.in_transit.remove(&message)),
             Step::Restart(at) => {
-                let grace = if self.grace { last.now + self.terms.owner_lease_ns() } else { 0 };
+                let grace = if self.grace { last.now + self.params.owner_lease_ns() } else { 0 };
                 let life = state.nodes[at].life + 1;
                 state.nodes[at] =
                     Node { life, requests: state.nodes[at].requests, escrow: Escrow::new(OWNED, grace) };
@@ -170,13 +170,13 @@
     }
 }
 
-fn terms(drift: f64) -> Terms {
-    Terms { routers: 2, lease_ns: 3, drift, ..Terms::default() }
+fn params(drift: f64) -> LimitParams {
+    LimitParams { routers: 2, lease_ns: 3, drift, ..LimitParams::default() }
 }
 
 #[test]
 fn no_unit_is_ever_used_by_two_routers() {
-    let checker = LeaseModel { terms: terms(0.0), grace: true }.checker().threads(2).spawn_bfs().join();
+    let checker = LeaseModel { params: params(0.0), grace: true }.checker().threads(2).spawn_bfs().join();
     println!("{} states, {} of them unique", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000);
@@ -185,16 +185,16 @@
 #[test]
 fn model_finds_violations_without_lease_margin_or_grace_period() {
     // The owner reclaims units before the holder's lease has expired.
-    let short_owner_lease = Terms { drift: -0.99, ..terms(0.0) };
+    let short_owner_lease = LimitParams { drift: -0.99, ..params(0.0) };
     let early_reclaim =
-        LeaseModel { terms: short_owner_lease, grace: true }.checker().threads(2).spawn_bfs().join();
+        LeaseModel { params: short_owner_lease, grace: true }.checker().threads(2).spawn_bfs().join();
     assert!(
         early_reclaim.discovery("limit not exceeded").is_some(),
         "early reclaim by the owner was not detected"
     );
     // A router uses units right after a restart that its previous incarnation had leased out.
     let without_grace =
-        LeaseModel { terms: terms(0.0), grace: false }.checker().threads(2).spawn_bfs().join();
+        LeaseModel { params: params(0.0), grace: false }.checker().threads(2).spawn_bfs().join();
     assert!(
         without_grace.discovery("limit not exceeded").is_some(),
         "start without a grace period was not detected"
--- a/crates/testkit/src/loans.rs
+++ b/crates/testkit/src/loans.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use marljunction_limits::escrow::Peer;
-use marljunction_limits::node::{Node, Ticket};
-use marljunction_limits::{Kind, Limit, Message, Mode, Terms};
+use marljunction_limits::node::{Node, Permit};
+use marljunction_limits::{Kind, Limit, LimitParams, Message, Mode};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -46,7 +46,7 @@
     /// It stands still.
     pub frozen: bool,
     inbox: Vec<(Peer, Message)>,
-    out: Vec<(u64, Ticket)>,
+    out: Vec<(u64, Permit)>,
     /// Requests a second that its clients ask for.
     pub demand: f64,
 }
@@ -56,7 +56,7 @@
     /// Its limit, and what it agrees on.
     pub limit: Limit,
     /// What it agrees on.
-    pub terms: Terms,
+    pub params: LimitParams,
     /// Its routers.
     pub routers: Vec<Router>,
     /// The true time (ns).
@@ -84,9 +84,9 @@
 
 impl Fleet {
     /// A fleet that starts whole, with clocks up to `drift` off.
-    pub fn new(limit: Limit, terms: Terms, drift: f64, seed: u64) -> Fleet {
+    pub fn new(limit: Limit, params: LimitParams, drift: f64, seed: u64) -> Fleet {
         let mut draws = StdRng::seed_from_u64(seed);
-        let routers = (0..terms.routers).map(|_| Router {
+        let routers = (0..params.routers).map(|_| Router {
             node: None,
             limit: limit.clone(),
             life: 0,
@@ -99,7 +99,7 @@
         let routers = routers.collect();
         let mut fleet = Fleet {
             limit,
-            terms,
+            params,
             routers,
             now: 1_000 * S,
             draws,
@@ -130,7 +130,7 @@
         if router.node.is_none() {
             let me = Peer { number: at as u32, life };
             (router.life, router.frozen) = (life, false);
-            router.node = Some(Node::new(now, me, self.terms, vec![router.limit.clone()], 100));
+            router.node = Some(Node::new(now, me, self.params, vec![router.limit.clone()], 100));
             router.inbox.clear();
         }
     }
@@ -147,7 +147,7 @@
 
     /// Ends a router at once; what it had out runs on for a while.
     pub fn kill(&mut self, at: usize) {
-        let run_on = self.now + self.terms.orphan_ns;
+        let run_on = self.now + self.params.orphan_ns;
         let router = &mut self.routers[at];
         if router.node.take().is_some() {
             self.lingering.extend(router.out.drain(..).map(|(end, _)| end.min(run_on)));
@@ -235,17 +235,17 @@
         let Some(node) = &mut router.node else { return };
         let (over, out) = std::mem::take(&mut router.out).into_iter().partition(|(end, _)| *end <= true_now);
         router.out = out;
-        let over: Vec<(u64, Ticket)> = over;
-        over.into_iter().for_each(|(_, ticket)| node.over(ticket));
+        let over: Vec<(u64, Permit)> = over;
+        over.into_iter().for_each(|(_, permit)| node.release(permit));
         let mut due = router.demand * STEP as f64 / 1e9;
         while due > 0.0 && self.draws.gen_bool(due.min(1.0)) {
             due -= 1.0;
-            if let Ok(ticket) = node.admit(now, &[(0, 0)]) {
+            if let Ok(permit) = node.admit(now, &[(0, 0)]) {
                 self.admitted += 1;
                 self.level += 1.0;
                 self.sent.push_back(true_now);
-                let lasts = self.draws.gen_range(50 * MS..self.terms.max_request_ns);
-                router.out.push((true_now + lasts, ticket));
+                let lasts = self.draws.gen_range(50 * MS..self.params.max_request_ns);
+                router.out.push((true_now + lasts, permit));
             }
         }
         for (to, message) in node.tick(now) {
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -56,7 +56,7 @@
 fn idle_at_most(fault: Fault) -> Duration {
     let file = file();
     // The deadline, and what a request may have out behind it.
-    let told = bound(&file.limits[0].limit, &file.terms(4_500_000_000), fault);
+    let told = bound(&file.limits[0].limit, &file.limit_params(4_500_000_000), fault);
     assert_eq!(told.max_overshoot, 0.0);
     Duration::from_nanos(told.max_idle_ns + MACHINE_NS)
 }
@@ -219,7 +219,7 @@
     let file = file();
     let old = &file.limits[0].limit;
     let new = Limit { kind: Kind::Concurrency { at_once: 6 }, ..old.clone() };
-    let left = resize_bound(old, &new, &file.terms(4_500_000_000));
+    let left = resize_bound(old, &new, &file.limit_params(4_500_000_000));
     assert!((left.max_overshoot - 1.0).abs() < 1e-9, "twelve are one time over six");
     fleet.run(Duration::from_nanos(left.overshoot_ns)).unwrap();
     fleet.held_most = 0;
@@ -241,7 +241,7 @@
     assert!(fleet.run_until(LIMIT, |f| f.held() >= MOST - 3).unwrap(), "{} held at most", fleet.held_most);
     fleet.run(Duration::from_secs(4)).unwrap();
     let file = file();
-    let b = bound(&file.limits[0].limit, &file.terms(4_500_000_000), Fault::DuplicateNumber);
+    let b = bound(&file.limits[0].limit, &file.limit_params(4_500_000_000), Fault::DuplicateNumber);
     let most = MOST + (b.max_overshoot * MOST as f64).round() as usize;
     assert!(fleet.held_most <= most, "{} were out, {most} may be", fleet.held_most);
     fleet.held_most = 0;
