--- a/crates/cells/examples/divisions.rs
+++ b/crates/cells/examples/divisions.rs
@@ -153,7 +153,7 @@
                 for (_, ask) in asks {
                     bytes[0] += ask.encode().len() as u64 + frame;
                     let since = Instant::now();
-                    relay.hear(now, address(at as u32), ask);
+                    relay.receive(now, address(at as u32), ask);
                     relay_s += since.elapsed().as_secs_f64();
                 }
             }
@@ -169,7 +169,7 @@
                 let at = usize::from(octets[2]) << 8 | usize::from(octets[3]);
                 let since = Instant::now();
                 if let Ok(message) = Message::decode(&encoded) {
-                    routers[at].hear(now, relay_at, message);
+                    routers[at].receive(now, relay_at, message);
                 }
                 router_s += since.elapsed().as_secs_f64();
             }
--- a/crates/cells/src/relay.rs
+++ b/crates/cells/src/relay.rs
@@ -241,7 +241,7 @@
     }
 
     /// Takes a router's message.
-    pub fn hear(&mut self, now: u64, from: SocketAddr, message: Message) {
+    pub fn receive(&mut self, now: u64, from: SocketAddr, message: Message) {
         self.wake(now);
         let Message::Ask(ask) = message else {
             return self.passed.count(Reason::OtherRouter, from);
--- a/crates/cells/src/subscriber.rs
+++ b/crates/cells/src/subscriber.rs
@@ -245,7 +245,7 @@
     }
 
     /// Takes a message from the relay at this address; gives what became known of the part.
-    pub fn hear(&mut self, now: u64, from: SocketAddr, message: Message) -> Option<PartNews> {
+    pub fn receive(&mut self, now: u64, from: SocketAddr, message: Message) -> Option<PartNews> {
         if !self.order.contains(from) {
             self.passed.count(Reason::Stranger, from);
             return None;
--- a/crates/cells/tests/common/mod.rs
+++ b/crates/cells/tests/common/mod.rs
@@ -352,7 +352,7 @@
                 relay.waiting.push((from, bytes));
             } else if let Some(router) = self.routers.iter_mut().find(|router| router.address == to) {
                 match Message::decode(&bytes) {
-                    Ok(message) => router.hear(now, from, message),
+                    Ok(message) => router.receive(now, from, message),
                     Err(_) => router.machine.unreadable(from),
                 }
             }
@@ -373,7 +373,7 @@
         }
         for (from, bytes) in std::mem::take(&mut relay.waiting) {
             match Message::decode(&bytes) {
-                Ok(message) => machine.hear(now, from, message),
+                Ok(message) => machine.receive(now, from, message),
                 Err(_) => machine.unreadable(from),
             }
         }
@@ -422,8 +422,8 @@
 }
 
 impl RouterHost {
-    pub fn hear(&mut self, now: u64, from: SocketAddr, message: Message) {
-        let Some(news) = self.machine.hear(now, from, message) else { return };
+    pub fn receive(&mut self, now: u64, from: SocketAddr, message: Message) {
+        let Some(news) = self.machine.receive(now, from, message) else { return };
         match &news {
             PartNews::Whole(engines) => {
                 self.held = engines.iter().map(|engine| (engine.id, engine.clone())).collect();
--- a/crates/cells/tests/messages.rs
+++ b/crates/cells/tests/messages.rs
@@ -125,7 +125,7 @@
     let (mut largest, mut engines) = (0, 0);
     for zone in 0..8 {
         let ask = Ask { life: 1, sequence: 1, cell: cell(zone), have: None, least: None, missing: None };
-        relay.hear(S, common::address(2, zone as usize), Message::Ask(ask));
+        relay.receive(S, common::address(2, zone as usize), Message::Ask(ask));
         let sent = relay.tick(S + zone * 200 * MS);
         let bytes = sent.iter().map(|(_, message)| message.encode().len()).sum::<usize>();
         let pieces = sent.iter().filter_map(|(_, message)| match message {
--- a/crates/cells/tests/subscriber.rs
+++ b/crates/cells/tests/subscriber.rs
@@ -68,7 +68,7 @@
     let mut subscriber = Subscriber::new(S, settings(count));
     let (relay, ask) = asked(&mut subscriber, S);
     for piece in pieces(&ask, 10, 0, engines) {
-        subscriber.hear(S, relay, piece);
+        subscriber.receive(S, relay, piece);
     }
     assert_eq!(subscriber.version(), Some(10));
     (subscriber, S)
@@ -107,13 +107,13 @@
     assert!(sent.len() > 2);
     let last = sent.pop().expect("a piece");
     for piece in sent {
-        assert_eq!(subscriber.hear(S, relay, piece), None);
+        assert_eq!(subscriber.receive(S, relay, piece), None);
     }
     assert!(subscriber.part().is_none());
     let (_, again) = asked(&mut subscriber, S);
     assert_eq!(again.missing.map(|(_, missing)| missing.len()), Some(1));
     // The rest may answer the earlier ask.
-    assert_eq!(subscriber.hear(2 * S, relay, last), Some(PartNews::Whole(all.clone())));
+    assert_eq!(subscriber.receive(2 * S, relay, last), Some(PartNews::Whole(all.clone())));
     assert_eq!(held(&subscriber), all);
 }
 
@@ -124,7 +124,7 @@
     let (relay, ask) = asked(&mut subscriber, now);
     let Message::Piece(mut piece) = pieces(&ask, 11, 0, &all[..5]).remove(0) else { unreachable!() };
     piece.digest = Digest(1, 2);
-    assert_eq!(subscriber.hear(now, relay, Message::Piece(piece)), None);
+    assert_eq!(subscriber.receive(now, relay, Message::Piece(piece)), None);
     assert_eq!((held(&subscriber), subscriber.passed().of(Reason::Spoilt)), (all, 1));
 }
 
@@ -136,7 +136,7 @@
         let (relay, ask) = asked(&mut subscriber, now);
         let Message::Piece(piece) = pieces(&ask, 11, 0, &all[..5]).remove(0) else { unreachable!() };
         let digest = if of == 0 { Digest::of(&[]) } else { piece.digest };
-        assert_eq!(subscriber.hear(now, relay, Message::Piece(Piece { at, of, digest, ..piece })), None);
+        assert_eq!(subscriber.receive(now, relay, Message::Piece(Piece { at, of, digest, ..piece })), None);
         let (_, again) = asked(&mut subscriber, now);
         assert!(of == 2 || again.missing.is_none(), "pieces are kept of {of}");
     }
@@ -149,7 +149,7 @@
     let (mut subscriber, now) = holds(3, &all);
     let (relay, ask) = asked(&mut subscriber, now);
     for piece in pieces(&ask, 9, 0, &all[..5]) {
-        assert_eq!(subscriber.hear(now, relay, piece), None);
+        assert_eq!(subscriber.receive(now, relay, piece), None);
     }
     assert_eq!((held(&subscriber), subscriber.passed().of(Reason::Old)), (all, 1));
 }
@@ -160,7 +160,7 @@
     let (mut subscriber, now) = holds(3, &all);
     let (relay, ask) = asked(&mut subscriber, now);
     for piece in pieces(&ask, 10, 0, &all[..5]) {
-        assert_eq!(subscriber.hear(now, relay, piece), None);
+        assert_eq!(subscriber.receive(now, relay, piece), None);
     }
     assert_eq!((held(&subscriber), subscriber.passed().of(Reason::Old)), (all, 1));
 }
@@ -187,7 +187,7 @@
                 }
                 false => pieces(&ask, version, age, &few),
             };
-            answers.into_iter().for_each(|message| drop(subscriber.hear(now, to, message)));
+            answers.into_iter().for_each(|message| drop(subscriber.receive(now, to, message)));
         }
     }
     now
@@ -219,7 +219,7 @@
                 // Loss: nobody else is heard.
                 false => Vec::new(),
             };
-            answers.into_iter().for_each(|message| drop(subscriber.hear(now, to, message)));
+            answers.into_iter().for_each(|message| drop(subscriber.receive(now, to, message)));
         }
     }
     assert_eq!((held(&subscriber), subscriber.version()), (engines(10), Some(10)));
@@ -230,7 +230,7 @@
     let (mut subscriber, now) = holds(3, &engines(10));
     let relay = subscriber.relay().expect("a relay");
     let (_, ask) = asked(&mut subscriber, now);
-    subscriber.hear(now, relay, Message::Same(answer(&ask, u64::MAX, 0)));
+    subscriber.receive(now, relay, Message::Same(answer(&ask, u64::MAX, 0)));
     assert_eq!(subscriber.version(), Some(u64::MAX));
     // That relay is gone; the others are where the service is.
     all_say(&mut subscriber, now, 12 * S, |_| (11, 0));
@@ -264,14 +264,14 @@
     ];
     for (from, message, reason) in cases {
         let before = subscriber.passed().of(reason);
-        assert_eq!(subscriber.hear(now, from, message), None, "{reason:?}");
+        assert_eq!(subscriber.receive(now, from, message), None, "{reason:?}");
         assert_eq!(
             (held(&subscriber), subscriber.passed().of(reason)),
             (all.clone(), before + 1),
             "{reason:?}"
         );
     }
-    assert!(subscriber.hear(now, relay, whole(&|_| ())).is_some(), "what is right is taken");
+    assert!(subscriber.receive(now, relay, whole(&|_| ())).is_some(), "what is right is taken");
 }
 
 #[test]
@@ -289,10 +289,10 @@
         (delta(&after, &all, 11), Reason::Gap),
     ];
     for (wrong, reason) in cases {
-        assert_eq!(subscriber.hear(now, relay, Message::Delta(wrong)), None, "{reason:?}");
+        assert_eq!(subscriber.receive(now, relay, Message::Delta(wrong)), None, "{reason:?}");
         assert_eq!((held(&subscriber), subscriber.passed().of(reason)), (all.clone(), 1), "{reason:?}");
     }
-    let news = subscriber.hear(now, relay, Message::Delta(delta(&all, &after, 11)));
+    let news = subscriber.receive(now, relay, Message::Delta(delta(&all, &after, 11)));
     assert_eq!(news, Some(PartNews::Changed(vec![after[0].clone()], Vec::new())));
     assert_eq!((held(&subscriber), subscriber.version(), subscriber.age_ns(now)), (after, Some(11), age));
 }
@@ -303,11 +303,11 @@
     let (mut subscriber, now) = holds(2, &all);
     let (relay, ask) = asked(&mut subscriber, now);
     let now = subscriber.next_due_ns() - 249 * MS;
-    subscriber.hear(now, relay, Message::Same(answer(&ask, 10, 0)));
+    subscriber.receive(now, relay, Message::Same(answer(&ask, 10, 0)));
     let before = subscriber.next_due_ns();
     let sent = before;
     for _ in 0..100 {
-        subscriber.hear(now, relay, Message::Delta(delta(&all[..4], &all[..3], 12)));
+        subscriber.receive(now, relay, Message::Delta(delta(&all[..4], &all[..3], 12)));
     }
     assert!(subscriber.next_due_ns() < sent && subscriber.next_due_ns() <= now + S / 10);
     assert!(subscriber.next_due_ns() >= now.min(S + S / 10), "an ask at once for each");
@@ -320,7 +320,7 @@
     let sent = subscriber.next_due_ns();
     let (relay, ask) = asked(&mut subscriber, now);
     let late = sent + 5 * S;
-    subscriber.hear(late, relay, Message::Same(answer(&ask, 10, 700)));
+    subscriber.receive(late, relay, Message::Same(answer(&ask, 10, 700)));
     assert_eq!(subscriber.age_ns(late), 5 * S + 700 * MS);
 }
 
@@ -330,9 +330,9 @@
     let after = drained(&all);
     let (mut subscriber, now) = holds(1, &all);
     let (relay, ask) = asked(&mut subscriber, now);
-    subscriber.hear(now, relay, Message::Delta(delta(&all, &after, 11)));
+    subscriber.receive(now, relay, Message::Delta(delta(&all, &after, 11)));
     let age = subscriber.age_ns(now);
-    subscriber.hear(now, relay, Message::Same(answer(&ask, 12, 0)));
+    subscriber.receive(now, relay, Message::Same(answer(&ask, 12, 0)));
     assert_eq!((subscriber.version(), subscriber.age_ns(now)), (Some(11), age));
 }
 
@@ -355,7 +355,7 @@
                     let Message::Ask(ask) = message else { continue };
                     let good = vec![Message::Same(answer(&ask, 10, 0))];
                     let said = if is_bad && to == first { bad(&ask) } else { good };
-                    said.into_iter().for_each(|message| drop(subscriber.hear(now, to, message)));
+                    said.into_iter().for_each(|message| drop(subscriber.receive(now, to, message)));
                 }
             }
             now
@@ -411,7 +411,7 @@
 fn a_relay_that_has_not_learned_a_whole_list_and_heard_its_service_says_so() {
     let (mut relay, router) = relay(S);
     let says = |relay: &mut Relay, sequence: u64, now: u64| {
-        relay.hear(now, router, ask(sequence, by_engine(0, 2)));
+        relay.receive(now, router, ask(sequence, by_engine(0, 2)));
         relay.tick(now).into_iter().map(|(_, message)| message).collect::<Vec<_>>()
     };
     assert!(matches!(says(&mut relay, 1, S)[..], [Message::NotReady(_)]));
@@ -432,7 +432,7 @@
     relay.heard(S, 0);
     let thaw = 61 * S;
     relay.heard(thaw, 0);
-    relay.hear(thaw, router, ask(1, by_engine(0, 2)));
+    relay.receive(thaw, router, ask(1, by_engine(0, 2)));
     let told = relay.tick(thaw).into_iter().find_map(|(_, message)| match message {
         Message::Piece(piece) => Some(piece.answer.heard_age_ms),
         _ => None,
@@ -445,7 +445,7 @@
         relay.tick(now);
         relay.heard(now, 0);
     }
-    relay.hear(now, router, ask(2, by_engine(0, 2)));
+    relay.receive(now, router, ask(2, by_engine(0, 2)));
     let fresh = relay.tick(now).into_iter().all(|(_, message)| match message {
         Message::Piece(piece) => piece.answer.heard_age_ms == 0,
         _ => false,
@@ -459,7 +459,7 @@
     let thaw = 20 * S;
     relay.learn(5, true, engines(3));
     relay.heard(thaw, 0);
-    relay.hear(thaw, router, ask(1, by_engine(0, 2)));
+    relay.receive(thaw, router, ask(1, by_engine(0, 2)));
     assert!(matches!(relay.tick(thaw)[..], [(_, Message::NotReady(_))]));
 }
 
@@ -469,8 +469,8 @@
     relay.learn(5, true, (0..40).map(engine).collect());
     relay.heard(S, 0);
     let second = address(2, 1);
-    relay.hear(S, first, ask(1, by_engine(0, 2)));
-    relay.hear(S, second, ask(1, by_engine(1, 2)));
+    relay.receive(S, first, ask(1, by_engine(0, 2)));
+    relay.receive(S, second, ask(1, by_engine(1, 2)));
     relay.tick(S);
     let mut drains = engines(1);
     drains[0].state = EngineState::Draining;
@@ -487,7 +487,7 @@
     let all = engines(100);
     relay.learn(5, true, all.clone());
     relay.heard(S, 0);
-    relay.hear(S, router, ask(1, by_engine(0, 2)));
+    relay.receive(S, router, ask(1, by_engine(0, 2)));
     relay.tick(S);
     let heavier = all.into_iter().map(|engine| Engine { weight: 2.0, ..engine });
     relay.learn(6, false, heavier.collect());
@@ -509,7 +509,7 @@
         sequence += 1;
         // Far more ask, and far more often, than the settings say.
         for router in 0..100 {
-            relay.hear(now, address(2, router), ask(sequence, by_engine(0, 1)));
+            relay.receive(now, address(2, router), ask(sequence, by_engine(0, 1)));
         }
         let told = relay.tick(now).len();
         assert!(told <= budget / 20 + 1, "{told} datagrams at once");
@@ -530,7 +530,7 @@
     relay.learn(5, true, engines(3));
     relay.heard(S, 0);
     for (sequence, answered) in [(5, true), (4, false), (5, false), (6, true)] {
-        relay.hear(S, router, ask(sequence, by_engine(0, 2)));
+        relay.receive(S, router, ask(sequence, by_engine(0, 2)));
         assert_eq!(!relay.tick(S).is_empty(), answered, "{sequence}");
     }
 }
@@ -543,7 +543,7 @@
     all.push(long);
     relay.learn(5, true, all);
     relay.heard(S, 0);
-    relay.hear(S, router, ask(1, by_engine(0, 2)));
+    relay.receive(S, router, ask(1, by_engine(0, 2)));
     assert_eq!((relay.engines(), relay.passed().of(Reason::Engine)), (3, 1));
     assert!(relay.tick(S).iter().all(|(_, message)| message.encode().len() < 1_000));
 }
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -121,7 +121,7 @@
         }
         while let Some((from, to, message)) = messages.pop_front().filter(|_| !self.partitioned) {
             let peer = Peer { number: from as u32, life: T0 };
-            let answers = self.routers[to].limits().unwrap().node().hear(now, peer, message);
+            let answers = self.routers[to].limits().unwrap().node().receive(now, peer, message);
             messages.extend(answers.into_iter().map(|answer| (to, from, answer)));
         }
         let (over, out) = std::mem::take(&mut self.out).into_iter().partition(|(end, ..)| *end <= now);
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -234,10 +234,10 @@
         let from = payload.from.address;
         match (&mut self.list, Message::decode(&payload.bytes)) {
             (None, _) => {}
-            (Some(ListMachine::Relay(relay)), Ok(message)) => relay.hear(now, from, message),
+            (Some(ListMachine::Relay(relay)), Ok(message)) => relay.receive(now, from, message),
             (Some(ListMachine::Relay(relay)), Err(_)) => relay.unreadable(from),
             (Some(ListMachine::Subscriber(subscriber)), Ok(message)) => {
-                self.list_updates.extend(subscriber.hear(now, from, message));
+                self.list_updates.extend(subscriber.receive(now, from, message));
             }
             (Some(ListMachine::Subscriber(subscriber)), Err(_)) => subscriber.unreadable(from),
         }
--- a/crates/fleet/src/payloads.rs
+++ b/crates/fleet/src/payloads.rs
@@ -77,7 +77,7 @@
         let peer = Peer { number: payload.from.number, life: payload.from.life };
         let mut answers = Vec::new();
         for message in messages {
-            answers.extend(limits.node().hear(now, peer, message));
+            answers.extend(limits.node().receive(now, peer, message));
         }
         self.send_to(payload.from.address, Kind::Limits, answers);
     }
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -170,7 +170,7 @@
     pub fn ready(&mut self, now: u64, router: &mut Router) {
         self.note_activity(now);
         let members = &mut self.members;
-        self.datagrams.receive(|datagram| members.hear(now, datagram));
+        self.datagrams.receive(|datagram| members.receive(now, datagram));
         self.exchange(now, router);
         self.run_list(now);
     }
--- a/crates/lab/src/capacity/cells.rs
+++ b/crates/lab/src/capacity/cells.rs
@@ -81,7 +81,7 @@
         let mut buffer = [0; DATAGRAM];
         while let Ok((size, _)) = self.socket.recv_from(&mut buffer) {
             self.read += size as u64;
-            self.members.hear(now, &buffer[..size]);
+            self.members.receive(now, &buffer[..size]);
         }
         let (_, events) = self.members.take();
         let messages = events.into_iter().filter_map(|event| match event {
@@ -164,7 +164,7 @@
         let heard = self.at.receive(now);
         let relay = &mut self.relay;
         let said = timed_at(&mut self.at.cpu_ns, || {
-            heard.into_iter().for_each(|(from, message)| relay.hear(now, from, message));
+            heard.into_iter().for_each(|(from, message)| relay.receive(now, from, message));
             relay.tick(now)
         });
         self.at.send(said);
@@ -173,7 +173,7 @@
             timed_at(&mut port.cpu_ns, || {
                 for (from, message) in heard {
                     // What becomes known is asked of the subscriber.
-                    let _ = subscriber.hear(now, from, message);
+                    let _ = subscriber.receive(now, from, message);
                 }
             });
         }
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -102,7 +102,7 @@
     fn deliver(&mut self) {
         while !self.wire.is_empty() {
             for (to, from, message) in std::mem::take(&mut self.wire) {
-                let answers = self.nodes[to].hear(self.now, from, message);
+                let answers = self.nodes[to].receive(self.now, from, message);
                 let answers = answers.into_iter().map(|answer| (from.number, answer)).collect();
                 self.send_payload(to, answers);
             }
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -105,7 +105,7 @@
                 let Some(to) = self.by_address.get(&to).copied().filter(|_| sent) else { continue };
                 while let Ok((size, _)) = self.sockets[to].recv_from(&mut buffer) {
                     self.read_bytes += size as u64;
-                    self.members[to].hear(self.now, &buffer[..size]);
+                    self.members[to].receive(self.now, &buffer[..size]);
                 }
                 speak.push(to);
             }
--- a/crates/limits/src/node.rs
+++ b/crates/limits/src/node.rs
@@ -152,7 +152,7 @@
     }
 
     /// Handles a message from a peer. Returns messages to send back.
-    pub fn hear(&mut self, now: u64, from: Peer, message: Message) -> Vec<Message> {
+    pub fn receive(&mut self, now: u64, from: Peer, message: Message) -> Vec<Message> {
         if !self.observe_life(now, from) {
             return Vec::new();
         }
--- a/crates/peers/src/members.rs
+++ b/crates/peers/src/members.rs
@@ -272,7 +272,7 @@
     }
 
     /// Handles a received datagram.
-    pub fn hear(&mut self, now: u64, datagram: &[u8]) {
+    pub fn receive(&mut self, now: u64, datagram: &[u8]) {
         match self.keys.verify(datagram) {
             Err(reason) => *self.rejected_datagrams.entry(reason).or_default() += 1,
             Ok((Kind::Members, content)) => {
--- a/crates/peers/tests/fleet.rs
+++ b/crates/peers/tests/fleet.rs
@@ -65,7 +65,7 @@
         while let Some(entry) = self.in_transit.first_entry().filter(|e| e.key().0 <= self.now) {
             let (to, datagram) = entry.remove();
             if let Some(members) = &mut self.members[to] {
-                members.hear(self.now, &datagram);
+                members.receive(self.now, &datagram);
             }
         }
         for at in 0..self.members.len() {
@@ -231,7 +231,7 @@
     let valid = keys('a').sign(Kind::Limits, b"what is sealed but can't be read");
     let mut sent = 0;
     let mut deliver = |members: &mut Members, datagram: &[u8]| {
-        members.hear(now, datagram);
+        members.receive(now, datagram);
         sent += 1;
     };
     for size in 0..valid.len() {
@@ -322,7 +322,7 @@
     for at in 1..=peers {
         let mut peer = start(at, &joining);
         peer.tick(S);
-        peer.take().0.iter().for_each(|(_, datagram)| one.hear(S, datagram));
+        peer.take().0.iter().for_each(|(_, datagram)| one.receive(S, datagram));
         one.take();
     }
     one.up().count()
--- a/crates/testkit/src/loans.rs
+++ b/crates/testkit/src/loans.rs
@@ -168,10 +168,10 @@
         }
     }
 
-    fn hear(&mut self, at: usize, from: Peer, message: Message) {
+    fn receive(&mut self, at: usize, from: Peer, message: Message) {
         let now = self.clock(at);
         let Some(node) = &mut self.routers[at].node else { return };
-        let answers = node.hear(now, from, message);
+        let answers = node.receive(now, from, message);
         for answer in answers {
             self.send(at, from.number, answer);
         }
@@ -198,7 +198,7 @@
             let (to, from, message) = entry.remove();
             match self.routers[to].frozen {
                 true => self.routers[to].inbox.push((from, message)),
-                false => self.hear(to, from, message),
+                false => self.receive(to, from, message),
             }
         }
         if self.now % (500 * MS) == 0 {
@@ -220,7 +220,7 @@
                 continue;
             }
             for (from, message) in std::mem::take(&mut self.routers[at].inbox) {
-                self.hear(at, from, message);
+                self.receive(at, from, message);
             }
             self.live(at);
         }
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -197,7 +197,7 @@
     let (mut buffer, mut count, mut told) = ([0; 2_048], 0, 0);
     while !stop.load(Ordering::Relaxed) {
         if let Ok((size, _)) = socket.recv_from(&mut buffer) {
-            members.hear(clock.now_ns(), &buffer[..size]);
+            members.receive(clock.now_ns(), &buffer[..size]);
         }
         let now = clock.now_ns();
         members.tick(now);
