--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -88,8 +88,8 @@
             }
             HealthSignal::Served => AttemptOutcome::Served(now.saturating_sub(sent_ns)),
             HealthSignal::NoResponse => AttemptOutcome::Silent,
-            HealthSignal::InvalidResponse => AttemptOutcome::Spoilt,
-            HealthSignal::Inconclusive => AttemptOutcome::Nothing,
+            HealthSignal::InvalidResponse => AttemptOutcome::InvalidResponse,
+            HealthSignal::Inconclusive => AttemptOutcome::Inconclusive,
         };
         self.node.ended(now, (engine.0, *started), class.0, sent_ns, observation);
     }
--- a/crates/health/src/node.rs
+++ b/crates/health/src/node.rs
@@ -123,7 +123,7 @@
 
     /// Whether the overrides are complete: all were received from a peer, or no peer was found in
     /// time.
-    pub fn knows(&self, now: u64) -> bool {
+    pub fn is_synced(&self, now: u64) -> bool {
         self.full_sync.is_done() || self.peers.is_empty() && now >= self.peer_wait_deadline_ns
     }
 
--- a/crates/health/src/observer.rs
+++ b/crates/health/src/observer.rs
@@ -28,9 +28,9 @@
     /// The attempt was given up and the engine acknowledged its cancellation.
     Alive,
     /// The response was malformed.
-    Spoilt,
+    InvalidResponse,
     /// The attempt shows nothing about the engine.
-    Nothing,
+    Inconclusive,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -97,16 +97,16 @@
             *observed = EngineObservations { started_ms, ..EngineObservations::default() };
         }
         match outcome {
-            AttemptOutcome::Nothing => None,
+            AttemptOutcome::Inconclusive => None,
             AttemptOutcome::Alive => observed.record_alive(now),
             AttemptOutcome::Served(latency_ns) => {
                 observed.served_ns = now;
                 self.record_served(now, engine, class, sent_ns, latency_ns)
             }
             // An engine that served a request since the attempt was sent is not silent.
-            AttemptOutcome::Silent | AttemptOutcome::Spoilt if observed.served_ns >= sent_ns => None,
+            AttemptOutcome::Silent | AttemptOutcome::InvalidResponse if observed.served_ns >= sent_ns => None,
             AttemptOutcome::Silent => observed.record_failure(now, Finding::Silent, sent_ns),
-            AttemptOutcome::Spoilt => observed.record_failure(now, Finding::Spoils, sent_ns),
+            AttemptOutcome::InvalidResponse => observed.record_failure(now, Finding::Spoils, sent_ns),
         }
     }
 
--- a/crates/health/tests/fleet.rs
+++ b/crates/health/tests/fleet.rs
@@ -9,7 +9,7 @@
 use marljunction_health::overrides::{Override, Overrides};
 use marljunction_health::version::Version;
 use marljunction_health::{HealthStatus, Message, Node};
-use marljunction_testkit::beliefs::{Fleet, MS, S, STEP};
+use marljunction_testkit::health_fleet::{Fleet, MS, S, STEP};
 use rand::Rng;
 
 fn excluded_by_evidence(node: &mut Node, engine: u64) -> bool {
@@ -265,10 +265,10 @@
         fleet.until(20 * S, "all routers are ready, none before it has the override", |f| {
             let now = f.now;
             assert!(
-                f.all(|n| !n.knows(now) || excluded_by_override(n, "e9")),
+                f.all(|n| !n.is_synced(now) || excluded_by_override(n, "e9")),
                 "seed {seed}: ready without the override"
             );
-            f.all(|n| n.knows(now))
+            f.all(|n| n.is_synced(now))
         });
     }
 }
@@ -291,7 +291,7 @@
     fleet.start(2);
     let took = fleet.until(20 * S, "the joining router is ready", |f| {
         let now = f.now;
-        f.node(2).knows(now)
+        f.node(2).is_synced(now)
     });
     assert_eq!(fleet.node(2).overrides().len(), 5_000);
     println!("5,000 overrides after {:.1} s", took as f64 / 1e9);
@@ -368,7 +368,7 @@
     (0..5).for_each(|at| fleet.start(at));
     fleet.until(10 * S, "all routers are ready", |f| {
         let now = f.now;
-        f.all(|n| n.knows(now))
+        f.all(|n| n.is_synced(now))
     });
     assert!(fleet.all(|n| excluded_by_override(n, "e1")));
     let now = fleet.now;
@@ -384,7 +384,7 @@
         let mut fleet = Fleet::new(routers, 1);
         let took = fleet.until(10 * S, "all routers are ready", |f| {
             let now = f.now;
-            f.all(|n| n.knows(now))
+            f.all(|n| n.is_synced(now))
         });
         println!("{routers} routers ready after 3 s plus {:.1} s", took as f64 / 1e9);
     }
--- a/crates/lab/src/capacity/verdicts.rs
+++ b/crates/lab/src/capacity/verdicts.rs
@@ -1,7 +1,7 @@
 //! What it costs a router to share what it believes of engines: at rest by routers, and by evidence that changes.
 
 use marljunction_health::observer::AttemptOutcome;
-use marljunction_testkit::beliefs::{Fleet, MS, S};
+use marljunction_testkit::health_fleet::{Fleet, MS, S};
 
 use super::clock::thread_ns;
 use super::{series, Figures};
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -8,9 +8,9 @@
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::{Kind, Limit, LimitParams, Mode, Node};
 use marljunction_testkit::fleet::{classes, Fleet, Setup};
+use marljunction_testkit::lease_fleet;
 use marljunction_testkit::link::Shape;
 use marljunction_testkit::load::Class;
-use marljunction_testkit::loans;
 use marljunction_testkit::process::mean;
 use serde_json::{json, Map, Value};
 
@@ -240,7 +240,7 @@
     ];
     let told = kinds.map(|(name, kind)| {
         let limit = Limit { name: name.into(), subject: String::new(), kind, mode: Mode::Strict };
-        let mut fleet = loans::Fleet::new(limit, params, 0.01, seed);
+        let mut fleet = lease_fleet::Fleet::new(limit, params, 0.01, seed);
         fleet.tell_reachable();
         fleet.routers[3].demand = f64::from(units) * 2.0;
         fleet.run(8_000);
@@ -250,7 +250,7 @@
             fleet.step();
             out += fleet.out();
         }
-        let seconds = f64::from(steps) * loans::STEP as f64 / 1e9;
+        let seconds = f64::from(steps) * lease_fleet::STEP as f64 / 1e9;
         let used = match kind {
             Kind::Concurrency { .. } => out as f64 / f64::from(steps) / f64::from(units),
             Kind::Rate { per_s, .. } => (fleet.admitted - admitted) as f64 / seconds / per_s,
--- a/crates/lab/src/verdicts.rs
+++ b/crates/lab/src/verdicts.rs
@@ -7,8 +7,8 @@
 use marljunction_health::bound::propagation_bound_ns;
 use marljunction_health::observer::AttemptOutcome;
 use marljunction_health::{HealthParams, Node};
-use marljunction_testkit::beliefs;
 use marljunction_testkit::fleet::{Counters, Fleet, Setup};
+use marljunction_testkit::health_fleet;
 use marljunction_testkit::link::Shape;
 use marljunction_testkit::load::Class;
 use marljunction_testkit::process::{counter, mean};
@@ -169,11 +169,11 @@
 /// The same machines for hundreds of routers in stepped time: how soon a word is heard and an engine is out for all, and what
 /// is said, idle and with evidence that changes each second.
 fn stepped(routers: usize, seed: u64) -> Value {
-    let mut fleet = beliefs::Fleet::new(routers, seed);
+    let mut fleet = health_fleet::Fleet::new(routers, seed);
     fleet.bad_wire();
     let bound = propagation_bound_ns(&fleet.params);
     let idle_from = (fleet.messages, fleet.bytes);
-    fleet.run(5 * beliefs::S);
+    fleet.run(5 * health_fleet::S);
     let each = |n: u64, seconds: f64| n as f64 / seconds / routers as f64;
     let idle = (fleet.messages - idle_from.0, fleet.bytes - idle_from.1);
     let now = fleet.now;
@@ -188,10 +188,14 @@
             fleet.ended(
                 at,
                 6,
-                if second % 2 == 0 { AttemptOutcome::Silent } else { AttemptOutcome::Served(beliefs::MS) },
+                if second % 2 == 0 {
+                    AttemptOutcome::Silent
+                } else {
+                    AttemptOutcome::Served(health_fleet::MS)
+                },
             );
         }
-        fleet.run(beliefs::S);
+        fleet.run(health_fleet::S);
     }
     let busy = (fleet.messages - busy_from.0, fleet.bytes - busy_from.1);
     json!({
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -8,7 +8,7 @@
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::node::{Node, Permit};
 use marljunction_limits::{Kind, Limit, LimitParams, Mode};
-use marljunction_testkit::loans::{Fleet, S};
+use marljunction_testkit::lease_fleet::{Fleet, S};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -4,15 +4,15 @@
 #![forbid(unsafe_code)]
 
 pub mod audit;
-pub mod beliefs;
 pub mod engine;
 pub mod fleet;
+pub mod health_fleet;
 pub mod herd;
 pub mod hollow;
+pub mod lease_fleet;
 pub mod link;
 pub mod list;
 pub mod load;
-pub mod loans;
 pub mod process;
 pub mod schedule;
 pub mod server;
--- a/src/daemon/overrides.rs
+++ b/src/daemon/overrides.rs
@@ -21,7 +21,7 @@
 impl Daemon {
     /// Whether this router knows which engines the fleet was told to leave out.
     pub(super) fn knows_overrides(&mut self, now: u64) -> bool {
-        self.router.health().is_none_or(|health| health.node().knows(now))
+        self.router.health().is_none_or(|health| health.node().is_synced(now))
     }
 
     /// Publishes an override to the fleet, and gives its version.
