--- a/crates/cells/examples/divisions.rs
+++ b/crates/cells/examples/divisions.rs
@@ -117,7 +117,7 @@
         name: "router-0000".into(),
         number: ROUTERS - 1,
         address: address(7),
-        life: 1 << 60,
+        incarnation: 1 << 60,
         renewal: 0,
     };
     let sender = rmp_serde::to_vec(&who).map_or(0, |bytes| bytes.len());
@@ -227,7 +227,7 @@
     let settings = SubscriberSettings {
         cell: cell.id,
         router: u64::from(number),
-        life: 1,
+        incarnation: 1,
         relays: vec![relay],
         ask_ns: S,
         silence_ns: 3 * S,
--- a/crates/cells/src/counters.rs
+++ b/crates/cells/src/counters.rs
@@ -12,7 +12,7 @@
     /// It is of a lower version than what is known, or of the same version and another content.
     Old,
     /// It answers an ask of an earlier life of this router.
-    OtherLife,
+    OtherIncarnation,
     /// It answers no ask that is open.
     OtherAsk,
     /// It is for another router: of another cell, or with engines of another.
@@ -31,7 +31,7 @@
 pub const REASONS: [(Reason, &str, &str); 9] = [
     (Reason::Spoilt, "spoilt", "it can't be read, or is not what its digest says"),
     (Reason::Old, "old", "it is older than what is known"),
-    (Reason::OtherLife, "other_life", "it is for an earlier life of this process"),
+    (Reason::OtherIncarnation, "other_life", "it is for an earlier life of this process"),
     (Reason::OtherAsk, "other_ask", "it answers no ask that is open"),
     (Reason::OtherRouter, "other_router", "it is for another router's cell"),
     (Reason::Stranger, "stranger", "its sender is none of the relays"),
--- a/crates/cells/src/message.rs
+++ b/crates/cells/src/message.rs
@@ -133,7 +133,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
     /// The router's life: larger with each start.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Grows with each of its asks.
     pub sequence: u64,
     /// Its cell.
@@ -150,7 +151,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// The router's life, as it asked.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// The ask.
     pub sequence: u64,
     /// The cell's number.
@@ -180,7 +182,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
     /// The router's life, as it asked last.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// The cell's number.
     pub cell: u64,
     /// Number of the list service's event.
--- a/crates/cells/src/relay.rs
+++ b/crates/cells/src/relay.rs
@@ -77,7 +77,7 @@
 /// A router that asks.
 #[derive(Clone, Debug)]
 struct Client {
-    life: u64,
+    incarnation: u64,
     sequence: u64,
     cell: CellId,
     heard_ns: u64,
@@ -250,9 +250,9 @@
         if ask.cell.cells == 0 || ask.cell.zone.as_ref().is_some_and(|zone| zone.len() > MAX_NAME) {
             return self.passed.count(Reason::Spoilt, from);
         }
-        match self.clients.get(&from).map(|known| (known.life, known.sequence)) {
+        match self.clients.get(&from).map(|known| (known.incarnation, known.sequence)) {
             // An ask that was overtaken, or doubled on its way.
-            Some(known) if known >= (ask.life, ask.sequence) => {
+            Some(known) if known >= (ask.incarnation, ask.sequence) => {
                 return self.passed.count(Reason::OtherAsk, from);
             }
             None if self.clients.len() >= 2 * self.settings.routers as usize => {
@@ -264,7 +264,7 @@
     }
 
     fn owe(&mut self, now: u64, from: SocketAddr, ask: Ask) {
-        let Ask { life, sequence, cell, have, least, missing } = ask;
+        let Ask { incarnation, sequence, cell, have, least, missing } = ask;
         let missing = missing.map(|(digest, all)| (digest, all.into_iter().take(MAX_MISSING).collect()));
         let owed = Some(Owed { rest: None, have, least, missing });
         let before = self.clients.remove(&from);
@@ -278,8 +278,10 @@
         if before.as_ref().is_none_or(|before| before.owed.is_none()) {
             self.answers.push_back(from);
         }
-        let change = before.filter(|before| before.life == life && !moved).and_then(|before| before.change);
-        self.clients.insert(from, Client { life, sequence, cell, heard_ns: now, change, owed });
+        let change = before
+            .filter(|before| before.incarnation == incarnation && !moved)
+            .and_then(|before| before.change);
+        self.clients.insert(from, Client { incarnation, sequence, cell, heard_ns: now, change, owed });
     }
 
     fn join(&mut self, cell: &CellId) {
@@ -379,7 +381,7 @@
         let Some(client) = self.clients.get_mut(&to) else { return };
         let Some(step) = client.change.take() else { return };
         let delta = Delta {
-            life: client.life,
+            incarnation: client.incarnation,
             cell: client.cell.hash(),
             version: self.list.version,
             from: step.from,
@@ -399,7 +401,7 @@
         let Some(client) = self.clients.get_mut(&to) else { return };
         let (Some(mut owed), Some(told)) = (client.owed.take(), self.parts.get(&client.cell)) else { return };
         let answer = Answer {
-            life: client.life,
+            incarnation: client.incarnation,
             sequence: client.sequence,
             cell: client.cell.hash(),
             version,
--- a/crates/cells/src/subscriber.rs
+++ b/crates/cells/src/subscriber.rs
@@ -43,7 +43,7 @@
     /// A number of this router's own, the same in each of its lives: its order of the relays follows from it.
     pub router: u64,
     /// Its life: larger with each start.
-    pub life: u64,
+    pub incarnation: u64,
     /// The relays.
     pub relays: Vec<SocketAddr>,
     /// Time between asks (ns).
@@ -200,7 +200,7 @@
         self.asking.add(open);
         let least = self.version().filter(|_| !self.believes_anew(now));
         Message::Ask(Ask {
-            life: self.settings.life,
+            incarnation: self.settings.incarnation,
             sequence: self.asking.sequence,
             cell: self.settings.cell.clone(),
             have,
@@ -284,8 +284,8 @@
 
     /// The ask that an answer is to, where it is to one of this life and cell that is open.
     fn answered(&mut self, from: SocketAddr, answer: &Answer) -> Option<Open> {
-        let reason = if answer.life != self.settings.life {
-            Reason::OtherLife
+        let reason = if answer.incarnation != self.settings.incarnation {
+            Reason::OtherIncarnation
         } else if answer.cell != self.settings.cell.hash() {
             Reason::OtherRouter
         } else {
@@ -454,7 +454,7 @@
         };
         let ours = changed.iter().all(|engine| self.settings.cell.holds(engine));
         let reason = match &self.known {
-            _ if delta.life != self.settings.life => Reason::OtherLife,
+            _ if delta.incarnation != self.settings.incarnation => Reason::OtherIncarnation,
             _ if delta.cell != self.settings.cell.hash() || !ours => Reason::OtherRouter,
             Some(known) if delta.version <= known.version => Reason::Old,
             Some(known) if delta.from == known.part.digest() => {
--- a/crates/cells/tests/common/mod.rs
+++ b/crates/cells/tests/common/mod.rs
@@ -180,7 +180,7 @@
     pub shape: Shape,
     pub rng: StdRng,
     net: Vec<(u64, SocketAddr, SocketAddr, Vec<u8>)>,
-    lives: u64,
+    incarnations: u64,
     beat_ns: u64,
 }
 
@@ -210,7 +210,7 @@
             shape: Shape::default(),
             rng: StdRng::seed_from_u64(seed),
             net: Vec::new(),
-            lives: 1,
+            incarnations: 1,
             beat_ns: 0,
             terms,
         };
@@ -230,11 +230,11 @@
     }
 
     fn subscriber(&mut self, at: usize, cell: &CellId) -> Subscriber {
-        self.lives += 1;
+        self.incarnations += 1;
         let settings = SubscriberSettings {
             cell: cell.clone(),
             router: at as u64,
-            life: self.lives,
+            incarnation: self.incarnations,
             relays: self.relays.iter().map(|relay| relay.address).collect(),
             ask_ns: self.terms.ask_ns,
             silence_ns: self.terms.silence_ns,
--- a/crates/cells/tests/messages.rs
+++ b/crates/cells/tests/messages.rs
@@ -12,7 +12,7 @@
 
 fn answer() -> Answer {
     let most = u64::MAX;
-    Answer { life: most, sequence: most, cell: most, version: most, heard_age_ms: most }
+    Answer { incarnation: most, sequence: most, cell: most, version: most, heard_age_ms: most }
 }
 
 /// An engine whose every field takes as many bytes as it can.
@@ -39,7 +39,7 @@
         name: "router-".repeat(8),
         number: u32::MAX,
         address: "[ffff::1]:65535".parse().expect("an address"),
-        life: u64::MAX,
+        incarnation: u64::MAX,
         renewal: u32::MAX,
     };
     let sender = rmp_serde::to_vec(&who).expect("a sender").len();
@@ -53,15 +53,21 @@
     }
     let cell = CellId { zone: Some("z".repeat(200)), cells: u32::MAX, cell: u32::MAX, by: DivideBy::Group };
     let missing = Some((digest, vec![u16::MAX; MAX_MISSING]));
-    let ask =
-        Ask { life: u64::MAX, sequence: u64::MAX, cell, have: Some(digest), least: Some(u64::MAX), missing };
+    let ask = Ask {
+        incarnation: u64::MAX,
+        sequence: u64::MAX,
+        cell,
+        have: Some(digest),
+        least: Some(u64::MAX),
+        missing,
+    };
     assert!(Message::Ask(ask).encode().len() <= MAX_MESSAGE);
     for gone in [0, 20, 60, 100, 200] {
         let table = all_tables(&engines[1..3]).swap_remove(0);
         let fits = table.fits_with(gone);
         let gone = vec![u64::MAX; gone];
         let delta = Delta {
-            life: u64::MAX,
+            incarnation: u64::MAX,
             cell: u64::MAX,
             version: u64::MAX,
             from: digest,
@@ -94,7 +100,7 @@
     let whole = Message::Piece(piece).encode();
     assert!((0..whole.len()).all(|cut| Message::decode(&whole[..cut]).is_err()), "a cut message was read");
     let cell = CellId { zone: Some("z".repeat(2 * MAX_MESSAGE)), cells: 1, cell: 0, by: DivideBy::Engine };
-    let long = Ask { life: 1, sequence: 1, cell, have: None, least: None, missing: None };
+    let long = Ask { incarnation: 1, sequence: 1, cell, have: None, least: None, missing: None };
     assert!(Message::decode(&Message::Ask(long).encode()).is_err(), "a message of any length was read");
     assert!(Message::decode(&vec![0x91; MAX_MESSAGE]).is_err());
     for _ in 0..20_000 {
@@ -124,7 +130,8 @@
     relay.heard(S, 0);
     let (mut largest, mut engines) = (0, 0);
     for zone in 0..8 {
-        let ask = Ask { life: 1, sequence: 1, cell: cell(zone), have: None, least: None, missing: None };
+        let ask =
+            Ask { incarnation: 1, sequence: 1, cell: cell(zone), have: None, least: None, missing: None };
         relay.receive(S, common::address(2, zone as usize), Message::Ask(ask));
         let sent = relay.tick(S + zone * 200 * MS);
         let bytes = sent.iter().map(|(_, message)| message.encode().len()).sum::<usize>();
--- a/crates/cells/tests/subscriber.rs
+++ b/crates/cells/tests/subscriber.rs
@@ -11,7 +11,7 @@
     CellId, Digest, Engine, EngineState, Message, PartNews, Relay, Subscriber, SubscriberSettings,
 };
 
-const LIFE: u64 = 50;
+const INCARNATION: u64 = 50;
 
 fn relays(count: usize) -> Vec<SocketAddr> {
     (0..count).map(|at| address(1, at)).collect()
@@ -21,7 +21,7 @@
     SubscriberSettings {
         cell: by_engine(0, 2),
         router: 3,
-        life: LIFE,
+        incarnation: INCARNATION,
         relays: relays(count),
         ask_ns: S,
         silence_ns: 3 * S,
@@ -50,7 +50,13 @@
 }
 
 fn answer(ask: &Ask, version: u64, heard_age_ms: u64) -> Answer {
-    Answer { life: ask.life, sequence: ask.sequence, cell: ask.cell.hash(), version, heard_age_ms }
+    Answer {
+        incarnation: ask.incarnation,
+        sequence: ask.sequence,
+        cell: ask.cell.hash(),
+        version,
+        heard_age_ms,
+    }
 }
 
 fn pieces(ask: &Ask, version: u64, heard_age_ms: u64, engines: &[Engine]) -> Vec<Message> {
@@ -82,7 +88,7 @@
     let changed: Vec<&Engine> = to.iter().filter(|engine| !from.contains(engine)).collect();
     let gone = from.iter().filter(|engine| to.iter().all(|other| other.id != engine.id));
     Delta {
-        life: LIFE,
+        incarnation: INCARNATION,
         cell: by_engine(0, 2).hash(),
         version,
         from: Digest::of(from),
@@ -256,7 +262,7 @@
     };
     let other_cell: Vec<Engine> = (0..40).map(engine).filter(|e| by_engine(1, 2).holds(e)).take(5).collect();
     let cases: [(SocketAddr, Message, Reason); 5] = [
-        (relay, whole(&|piece| piece.answer.life = LIFE - 1), Reason::OtherLife),
+        (relay, whole(&|piece| piece.answer.incarnation = INCARNATION - 1), Reason::OtherIncarnation),
         (relay, whole(&|piece| piece.answer.sequence += 1), Reason::OtherAsk),
         (relay, whole(&|piece| piece.answer.cell += 1), Reason::OtherRouter),
         (relay, pieces(&ask, 11, 0, &other_cell).remove(0), Reason::OtherRouter),
@@ -283,7 +289,7 @@
     let age = subscriber.age_ns(now);
     let cases: [(Delta, Reason); 5] = [
         (Delta { version: 10, ..delta(&all, &after, 11) }, Reason::Old),
-        (Delta { life: LIFE + 1, ..delta(&all, &after, 11) }, Reason::OtherLife),
+        (Delta { incarnation: INCARNATION + 1, ..delta(&all, &after, 11) }, Reason::OtherIncarnation),
         (Delta { cell: 7, ..delta(&all, &after, 11) }, Reason::OtherRouter),
         (Delta { to: Digest(3, 4), ..delta(&all, &after, 11) }, Reason::Spoilt),
         (delta(&after, &all, 11), Reason::Gap),
@@ -404,7 +410,7 @@
 }
 
 fn ask(sequence: u64, cell: CellId) -> Message {
-    Message::Ask(Ask { life: LIFE, sequence, cell, have: None, least: None, missing: None })
+    Message::Ask(Ask { incarnation: INCARNATION, sequence, cell, have: None, least: None, missing: None })
 }
 
 #[test]
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -63,7 +63,7 @@
             let settings = settings(router_index);
             let (cold, limits) = ColdBudgets::new(&settings, 0).unwrap();
             let params = LimitParams { routers: ROUTERS, lease_ns: S, ..LimitParams::default() };
-            let node = Node::new(T0, Peer { number: router_index, life: T0 }, params, limits, 1_000);
+            let node = Node::new(T0, Peer { number: router_index, incarnation: T0 }, params, limits, 1_000);
             let limits = FleetLimits::new(node, Vec::new(), &[], &[]).with_cold(Some(cold));
             Router::new(settings, u64::from(router_index), 64.0).with_limits(shared.then_some(limits))
         };
@@ -120,7 +120,7 @@
             messages.extend(tick.into_iter().map(|(to, message)| (from, to as usize, message)));
         }
         while let Some((from, to, message)) = messages.pop_front().filter(|_| !self.partitioned) {
-            let peer = Peer { number: from as u32, life: T0 };
+            let peer = Peer { number: from as u32, incarnation: T0 };
             let answers = self.routers[to].limits().unwrap().node().receive(now, peer, message);
             messages.extend(answers.into_iter().map(|answer| (to, from, answer)));
         }
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -11,9 +11,9 @@
 const ENGINE: EngineId = EngineId(5);
 
 fn report(health: &mut FleetHealth, now: u64, observer: u32, number: u32, finding: Finding) {
-    let (engine, started_ms, life, zone) = (ENGINE.0, 0, 1, 0);
+    let (engine, started_ms, incarnation, zone) = (ENGINE.0, 0, 1, 0);
     let evidence =
-        Evidence { engine, started_ms, observer, life, number, zone, finding, since_ms: 0, age_ms: 0 };
+        Evidence { engine, started_ms, observer, incarnation, number, zone, finding, since_ms: 0, age_ms: 0 };
     health.node().receive(now, observer, Message::Update { overrides: Vec::new(), evidence: vec![evidence] });
 }
 
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -160,7 +160,7 @@
         let settings = SubscriberSettings {
             cell: cell.id,
             router: u64::from(identity.number),
-            life: now,
+            incarnation: now,
             relays: relays.iter().map(|text| parse_address(text)).collect::<Result<_, _>>()?,
             ask_ns: list.ask_ns,
             silence_ns: list.timing.silence_ns,
--- a/crates/fleet/src/payloads.rs
+++ b/crates/fleet/src/payloads.rs
@@ -74,7 +74,7 @@
     fn handle_limits(&mut self, now: u64, payload: &PeerPayload, router: &mut Router) {
         let Ok(messages) = rmp_serde::from_slice::<Vec<LimitMessage>>(&payload.bytes) else { return };
         let Some(limits) = router.limits() else { return };
-        let peer = Peer { number: payload.from.number, life: payload.from.life };
+        let peer = Peer { number: payload.from.number, incarnation: payload.from.incarnation };
         let mut answers = Vec::new();
         for message in messages {
             answers.extend(limits.node().receive(now, peer, message));
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -333,7 +333,7 @@
         name: identity.name.clone(),
         number: identity.number,
         address: advertised,
-        life: now,
+        incarnation: now,
         renewal: 0,
     };
     let seeds = config.seed_addresses()?;
@@ -356,7 +356,7 @@
         info!("{}: {}", budget.name, describe_budget(&budget, &params));
         limits.push(budget);
     }
-    let node = LimitNode::new(now, Peer { number, life: now }, params, limits, MAX_LIMIT_KEYS);
+    let node = LimitNode::new(now, Peer { number, incarnation: now }, params, limits, MAX_LIMIT_KEYS);
     let rules = config.limits.iter().map(|entry| entry.rule(names)).collect::<Result<_, _>>()?;
     Ok(FleetLimits::new(node, rules, &names.tenants, &names.classes).with_cold(cold))
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -25,7 +25,7 @@
     let recovers = if limits.node().recovers() { ", asks what it lent before" } else { "" };
     let mut lines = vec![format!("router {} of {}{recovers}", members.me().number, config.routers)];
     for peer in members.up() {
-        let age = age_s(now, peer.life);
+        let age = age_s(now, peer.incarnation);
         lines.push(format!("peer {} number {} at {} up {age:.0} s", peer.name, peer.number, peer.address));
     }
     lines.extend(describe_limits(now, config, limits));
--- a/crates/health/src/evidence.rs
+++ b/crates/health/src/evidence.rs
@@ -40,7 +40,8 @@
     #[serde(rename = "witness")]
     pub observer: u32,
     /// Incarnation of the observer.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Sequence number, which grows with each report of the observer.
     pub number: u32,
     /// Hash of the observer's zone name.
@@ -81,7 +82,7 @@
         let ago = |ms: u32| now.saturating_sub(u64::from(ms) * 1_000_000);
         let stored = StoredEvidence {
             started_ms: report.started_ms,
-            version: (report.life, report.number),
+            version: (report.incarnation, report.number),
             zone: report.zone,
             finding: report.finding,
             since_ns: ago(report.since_ms),
@@ -114,7 +115,7 @@
             engine,
             started_ms: stored.started_ms,
             observer,
-            life: stored.version.0,
+            incarnation: stored.version.0,
             number: stored.version.1,
             zone: stored.zone,
             finding: stored.finding,
--- a/crates/health/src/node.rs
+++ b/crates/health/src/node.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub struct Node {
     local_id: u32,
-    life: u64,
+    incarnation: u64,
     zone: u64,
     params: HealthParams,
     clock: VersionClock,
@@ -80,7 +80,7 @@
     /// and the time of the last contact with a peer ([`Node::last_contact_ns`]).
     pub fn new(
         now: u64,
-        (local_id, life, zone): (u32, u64, u64),
+        (local_id, incarnation, zone): (u32, u64, u64),
         params: HealthParams,
         restored: (Overrides, u64),
     ) -> Node {
@@ -92,7 +92,7 @@
         }
         Node {
             local_id,
-            life,
+            incarnation,
             zone,
             params,
             clock,
@@ -107,7 +107,7 @@
             engines: Vec::new(),
             evaluation: Evaluation::default(),
             evaluation_outdated: false,
-            rng: Rng::new(life ^ u64::from(local_id).rotate_left(32)),
+            rng: Rng::new(incarnation ^ u64::from(local_id).rotate_left(32)),
             last_tick_ns: 0,
             last_digest_ns: now,
             last_renewal_ns: now,
@@ -236,9 +236,18 @@
         }
         self.number += 1;
         let since_ms = (now.saturating_sub(since_ns) / 1_000_000).min(u64::from(u32::MAX)) as u32;
-        let (observer, life, number, zone) = (self.local_id, self.life, self.number, self.zone);
-        let report =
-            Evidence { engine, started_ms, observer, life, number, zone, finding, since_ms, age_ms: 0 };
+        let (observer, incarnation, number, zone) = (self.local_id, self.incarnation, self.number, self.zone);
+        let report = Evidence {
+            engine,
+            started_ms,
+            observer,
+            incarnation,
+            number,
+            zone,
+            finding,
+            since_ms,
+            age_ms: 0,
+        };
         if self.table.merge(now, &report, self.params.evidence_lifetime_ns) {
             self.evaluation_outdated = true;
             self.gossip.push_evidence(engine, observer, finding);
--- a/crates/health/tests/fleet.rs
+++ b/crates/health/tests/fleet.rs
@@ -151,7 +151,7 @@
             engine: 9,
             started_ms: 7,
             observer,
-            life: u64::MAX,
+            incarnation: u64::MAX,
             number: 1,
             zone: 0,
             finding: Finding::Silent,
--- a/crates/health/tests/merge.rs
+++ b/crates/health/tests/merge.rs
@@ -17,11 +17,11 @@
 }
 
 fn evidence() -> impl Strategy<Value = Evidence> {
-    (0..3u64, 0..3u32, 0..2u64, 0..4u32).prop_map(|(engine, observer, life, number)| Evidence {
+    (0..3u64, 0..3u32, 0..2u64, 0..4u32).prop_map(|(engine, observer, incarnation, number)| Evidence {
         engine,
         started_ms: 1,
         observer,
-        life,
+        incarnation,
         number,
         zone: 0,
         // A correct observer uses each sequence number for one finding only.
--- a/crates/lab/src/capacity/cells.rs
+++ b/crates/lab/src/capacity/cells.rs
@@ -56,7 +56,7 @@
             name: format!("router-{number:05}"),
             number: number as u32,
             address,
-            life: START_NS,
+            incarnation: START_NS,
             renewal: 0,
         };
         let members = Members::new(who, Keys::read(KEY)?, &Settings::default(), 1);
@@ -139,7 +139,7 @@
             let settings = SubscriberSettings {
                 cell: CellId { zone: Some("zone-00".into()), cells: 1, cell: 0, by: DivideBy::Engine },
                 router: number as u64,
-                life: START_NS,
+                incarnation: START_NS,
                 relays: vec![fleet.at.address],
                 ask_ns: terms.ask_ns,
                 silence_ns: terms.silence_ns,
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -37,8 +37,13 @@
 impl Sealer {
     fn new() -> Result<Sealer, String> {
         let to = SocketAddr::from(([10, 0, 0, 1], 4_200));
-        let who =
-            PeerIdentity { name: "router-00000".into(), number: 0, address: to, life: START_NS, renewal: 0 };
+        let who = PeerIdentity {
+            name: "router-00000".into(),
+            number: 0,
+            address: to,
+            incarnation: START_NS,
+            renewal: 0,
+        };
         Ok(Sealer { members: Members::new(who, Keys::read(KEY)?, &Settings::default(), 1), to })
     }
 
@@ -77,7 +82,7 @@
             routers,
         };
         for at in 0..routers {
-            let me = Peer { number: at as u32, life: START_NS };
+            let me = Peer { number: at as u32, incarnation: START_NS };
             fleet.nodes.push(Node::new(START_NS, me, params, vec![limit(routers)], KEYS_MOST));
         }
         (0..routers).for_each(|at| fleet.see_all(at));
@@ -90,7 +95,7 @@
     }
 
     fn send_payload(&mut self, from: usize, said: Vec<(u32, Message)>) {
-        let peer = Peer { number: from as u32, life: START_NS };
+        let peer = Peer { number: from as u32, incarnation: START_NS };
         for (to, message) in said {
             self.sent.messages += 1;
             self.sent.bytes += self.sealer.bytes(&[&message]);
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -87,7 +87,7 @@
             name: format!("router-{at:05}"),
             number: at as u32,
             address,
-            life: self.now,
+            incarnation: self.now,
             renewal: 0,
         };
         Members::new(who, self.keys.clone(), &self.settings, self.serial)
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -275,7 +275,7 @@
         kind: Kind::Rate { per_s: 1e9, burst: 1_000_000 },
         mode: Mode::Strict,
     };
-    let me = Peer { number: 0, life: 1 };
+    let me = Peer { number: 0, incarnation: 1 };
     let params = LimitParams { routers: 1, ..LimitParams::default() };
     let mut node = Node::new(0, me, params, vec![rate("tenant")], 16_384);
     node.tick(SECOND_NS);
--- a/crates/limits/src/escrow.rs
+++ b/crates/limits/src/escrow.rs
@@ -20,7 +20,7 @@
     /// Number of the router in the fleet.
     pub number: u32,
     /// Incarnation of the process: increases with each start.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// Leases of the same units as pairs of units and expiry (ns). At most one of them is in effect, so
@@ -73,7 +73,7 @@
     /// The latest request has been answered.
     confirmed: bool,
     /// Latest known incarnation of the owner. Grants of earlier ones are ignored.
-    life: u64,
+    incarnation: u64,
 }
 
 /// Units of one key on one router.
@@ -205,14 +205,14 @@
     ) -> Option<u32> {
         let leased_in = self.leased_in.get_mut(&owner.number)?;
         let at = leased_in.pending.iter().position(|(n, ..)| *n == number)?;
-        if owner.life < leased_in.life {
+        if owner.incarnation < leased_in.incarnation {
             return None;
         }
         let (_, requested_ns, requested) = leased_in.pending[at];
         // The owner may have processed a later, smaller request first.
         let max_units = leased_in.pending[at..].iter().map(|(.., units)| *units).min().unwrap_or(0);
         leased_in.confirmed |= at + 1 == leased_in.pending.len();
-        leased_in.life = owner.life;
+        leased_in.incarnation = owner.incarnation;
         leased_in.pending.drain(..=at);
         let until = requested_ns.saturating_add(params.lease_ns);
         if now < until {
@@ -232,7 +232,11 @@
         reserved: u32,
         (params, drain_ns): (&LimitParams, u64),
     ) -> Option<u32> {
-        if self.leased_out.keys().any(|peer| peer.number == from.number && peer.life > from.life) {
+        if self
+            .leased_out
+            .keys()
+            .any(|peer| peer.number == from.number && peer.incarnation > from.incarnation)
+        {
             return None;
         }
         let in_grace = now < self.grace_until_ns;
@@ -253,8 +257,9 @@
 
     /// Shortens the leases of earlier incarnations of a restarted peer to `until_ns`, when their
     /// remaining requests have ended.
-    pub fn expire_earlier_lives(&mut self, restarted: Peer, until_ns: u64) {
-        let earlier = |peer: &Peer| peer.number == restarted.number && peer.life < restarted.life;
+    pub fn expire_earlier_incarnations(&mut self, restarted: Peer, until_ns: u64) {
+        let earlier =
+            |peer: &Peer| peer.number == restarted.number && peer.incarnation < restarted.incarnation;
         for (_, leased_out) in self.leased_out.iter_mut().filter(|(peer, _)| earlier(peer)) {
             leased_out.leases.0.iter_mut().for_each(|(_, until)| *until = (*until).min(until_ns));
         }
@@ -264,8 +269,8 @@
     /// Grants of the owner's earlier incarnations are ignored from here on.
     pub fn held_from(&mut self, now: u64, owner: Peer) -> Vec<(u32, u64)> {
         let Some(leased_in) = self.leased_in.get_mut(&owner.number) else { return Vec::new() };
-        if owner.life > leased_in.life {
-            leased_in.life = owner.life;
+        if owner.incarnation > leased_in.incarnation {
+            leased_in.incarnation = owner.incarnation;
             // Grants in transit are from the earlier incarnation.
             leased_in.pending.clear();
             leased_in.confirmed = true;
--- a/crates/limits/src/leasing.rs
+++ b/crates/limits/src/leasing.rs
@@ -131,11 +131,11 @@
 
     /// Handles the restart of a peer. Requests of its earlier incarnations run on for a while;
     /// after that all units that they held are free.
-    pub(crate) fn expire_earlier_lives(&mut self, now: u64, peer: Peer) {
+    pub(crate) fn expire_earlier_incarnations(&mut self, now: u64, peer: Peer) {
         for ((limit, _), entry) in &mut self.keys {
             let orphan_ns = self.slots[usize::from(*limit)].limit.kind.orphan_ns(&self.params);
             let until = now + self.params.peer_ns_upper_bound(orphan_ns);
-            entry.escrow.expire_earlier_lives(peer, until);
+            entry.escrow.expire_earlier_incarnations(peer, until);
         }
     }
 
@@ -148,8 +148,14 @@
             chunks.push(Vec::new());
         }
         let (parts, up_ns) = (chunks.len() as u16, now - self.started_ns);
-        let part =
-            |(part, held)| Message::Report { life: owner.life, round, part: part as u16, parts, up_ns, held };
+        let part = |(part, held)| Message::Report {
+            incarnation: owner.incarnation,
+            round,
+            part: part as u16,
+            parts,
+            up_ns,
+            held,
+        };
         chunks.into_iter().enumerate().map(part).collect()
     }
 
--- a/crates/limits/src/message.rs
+++ b/crates/limits/src/message.rs
@@ -40,7 +40,8 @@
     #[serde(rename = "Holds")]
     Report {
         /// Incarnation of the receiver that sent the query.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// Sequence number of the report. Only parts of the same report complete it.
         round: u64,
         /// Index of this message among the `parts` of the report.
--- a/crates/limits/src/node.rs
+++ b/crates/limits/src/node.rs
@@ -19,7 +19,7 @@
     recovery: Option<Recovery>,
     reachable: BTreeSet<u32>,
     /// Latest known incarnation of each peer.
-    latest_lives: BTreeMap<u32, u64>,
+    latest_incarnations: BTreeMap<u32, u64>,
     /// Sequence number of this router's latest message.
     sequence: u64,
     last_round_ns: u64,
@@ -34,7 +34,7 @@
             ledger: Ledger::new(now, me, params, limits, max_keys),
             recovery: Some(Recovery::begin(now, others)),
             reachable: BTreeSet::new(),
-            latest_lives: BTreeMap::new(),
+            latest_incarnations: BTreeMap::new(),
             sequence: 0,
             last_round_ns: 0,
         };
@@ -153,7 +153,7 @@
 
     /// Handles a message from a peer. Returns messages to send back.
     pub fn receive(&mut self, now: u64, from: Peer, message: Message) -> Vec<Message> {
-        if !self.observe_life(now, from) {
+        if !self.observe_incarnation(now, from) {
             return Vec::new();
         }
         match message {
@@ -175,8 +175,8 @@
                 self.sequence += 1;
                 self.ledger.lease_report(now, from, self.sequence)
             }
-            Message::Report { life, round, part, parts, up_ns, held } => {
-                if life == self.ledger.me.life {
+            Message::Report { incarnation, round, part, parts, up_ns, held } => {
+                if incarnation == self.ledger.me.incarnation {
                     self.handle_report(now, from, (round, part, parts), up_ns, held);
                 }
                 Vec::new()
@@ -186,15 +186,15 @@
 
     /// Records the sender's incarnation and returns whether it is the latest known. A newer
     /// incarnation expires the leases of earlier ones.
-    fn observe_life(&mut self, now: u64, from: Peer) -> bool {
-        let life = self.latest_lives.entry(from.number).or_insert(from.life);
-        if from.life < *life || from.number == self.ledger.me.number {
+    fn observe_incarnation(&mut self, now: u64, from: Peer) -> bool {
+        let incarnation = self.latest_incarnations.entry(from.number).or_insert(from.incarnation);
+        if from.incarnation < *incarnation || from.number == self.ledger.me.number {
             return false;
         }
-        let restarted = from.life > *life;
-        *life = from.life;
+        let restarted = from.incarnation > *incarnation;
+        *incarnation = from.incarnation;
         if restarted {
-            self.ledger.expire_earlier_lives(now, from);
+            self.ledger.expire_earlier_incarnations(now, from);
         }
         true
     }
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -295,7 +295,8 @@
 fn tracked_keys_are_bounded_and_keys_in_use_are_not_evicted() {
     let kind = Kind::Concurrency { at_once: 1_000 };
     let one = LimitParams { routers: 1, ..LimitParams::default() };
-    let mut node = Node::new(0, Peer { number: 0, life: 1 }, one, vec![limit(kind, Mode::Strict)], 1_000);
+    let mut node =
+        Node::new(0, Peer { number: 0, incarnation: 1 }, one, vec![limit(kind, Mode::Strict)], 1_000);
     let now = 60 * S;
     node.tick(now);
     let held: Vec<Permit> = (0..500).map(|key| node.admit(now, &[(0, key)]).unwrap()).collect();
--- a/crates/limits/tests/model.rs
+++ b/crates/limits/tests/model.rs
@@ -21,12 +21,12 @@
     Request { number: u64, units: u32 },
     Grant { number: u64, units: u32 },
     Query,
-    Report { life: u64, held: Vec<(u32, u64)> },
+    Report { incarnation: u64, held: Vec<(u32, u64)> },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    life: u64,
+    incarnation: u64,
     requests: u64,
     escrow: Escrow,
 }
@@ -59,14 +59,14 @@
 impl LeaseModel {
     fn send(&self, state: &mut Fleet, to: usize, message: Message) {
         if state.in_transit.len() < MAX_IN_TRANSIT {
-            let life = state.nodes[1 - to].life;
-            state.in_transit.insert((to, life, message));
+            let incarnation = state.nodes[1 - to].incarnation;
+            state.in_transit.insert((to, incarnation, message));
         }
     }
 
-    fn deliver(&self, state: &mut Fleet, (to, life, message): (usize, u64, Message)) {
+    fn deliver(&self, state: &mut Fleet, (to, incarnation, message): (usize, u64, Message)) {
         let (now, params) = (state.now, &self.params);
-        let from = Peer { number: 1 - to as u32, life };
+        let from = Peer { number: 1 - to as u32, incarnation };
         let node = &mut state.nodes[to];
         node.escrow.expire(now);
         match message {
@@ -81,9 +81,9 @@
             }
             Message::Query => {
                 let held = node.escrow.held_from(now, from);
-                self.send(state, 1 - to, Message::Report { life, held });
+                self.send(state, 1 - to, Message::Report { incarnation, held });
             }
-            Message::Report { life, held } if life == node.life => {
+            Message::Report { incarnation, held } if incarnation == node.incarnation => {
                 held.into_iter()
                     .for_each(|(units, left)| node.escrow.restore_lease(now, from, units, left, params));
                 node.escrow.end_grace(now);
@@ -107,7 +107,7 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<Fleet> {
-        let node = || Node { life: 1, requests: 0, escrow: Escrow::new(OWNED, 0) };
+        let node = || Node { incarnation: 1, requests: 0, escrow: Escrow::new(OWNED, 0) };
         vec![Fleet { now: 1, nodes: [node(), node()], in_transit: BTreeSet::new() }]
     }
 
@@ -120,11 +120,11 @@
             if at == 1 && node.requests < MAX_REQUESTS && state.in_transit.len() < MAX_IN_TRANSIT {
                 actions.extend((0..=OWNED).map(|units| Step::Request(at, units)));
             }
-            if node.life > 1 && state.in_transit.len() < MAX_IN_TRANSIT {
+            if node.incarnation > 1 && state.in_transit.len() < MAX_IN_TRANSIT {
                 actions.push(Step::Query(at));
             }
             // Only router 0 restarts, as the other one observes restarts only through messages.
-            if at == 0 && node.life < MAX_LIVES {
+            if at == 0 && node.incarnation < MAX_LIVES {
                 actions.push(Step::Restart(at));
             }
         }
@@ -152,9 +152,12 @@
             Step::Lose(message) => drop(state.in_transit.remove(&message)),
             Step::Restart(at) => {
                 let grace = if self.grace { last.now + self.params.owner_lease_ns() } else { 0 };
-                let life = state.nodes[at].life + 1;
-                state.nodes[at] =
-                    Node { life, requests: state.nodes[at].requests, escrow: Escrow::new(OWNED, grace) };
+                let incarnation = state.nodes[at].incarnation + 1;
+                state.nodes[at] = Node {
+                    incarnation,
+                    requests: state.nodes[at].requests,
+                    escrow: Escrow::new(OWNED, grace),
+                };
             }
         }
         Some(state)
--- a/crates/peers/src/identity.rs
+++ b/crates/peers/src/identity.rs
@@ -15,7 +15,8 @@
     pub address: SocketAddr,
     /// Incarnation of the process: its start time (Unix ns) or any value that increases with each
     /// start.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Number of times that this incarnation rejoined after its peers had declared it down.
     pub renewal: u32,
 }
@@ -23,7 +24,7 @@
 impl PeerIdentity {
     /// Identity of an unknown router of which only the address is known.
     pub fn from_address(address: SocketAddr) -> PeerIdentity {
-        PeerIdentity { name: String::new(), number: u32::MAX, address, life: 0, renewal: 0 }
+        PeerIdentity { name: String::new(), number: u32::MAX, address, incarnation: 0, renewal: 0 }
     }
 }
 
@@ -52,6 +53,6 @@
     }
 
     fn win_addr_conflict(&self, other: &PeerIdentity) -> bool {
-        (self.life, self.renewal) > (other.life, other.renewal)
+        (self.incarnation, self.renewal) > (other.incarnation, other.renewal)
     }
 }
--- a/crates/peers/src/members.rs
+++ b/crates/peers/src/members.rs
@@ -374,7 +374,7 @@
                 if self.up.contains_key(&peer.name) {
                     self.up.insert(peer.name.clone(), peer.clone());
                 }
-                if previous.life != peer.life {
+                if previous.incarnation != peer.incarnation {
                     self.events.push(Event::Restarted(previous, peer));
                 }
             }
--- a/crates/peers/tests/fleet.rs
+++ b/crates/peers/tests/fleet.rs
@@ -55,9 +55,10 @@
     }
 
     fn start(&mut self, at: usize, name: usize) {
-        let (number, life) = (name as u32, self.now + at as u64);
-        let me = PeerIdentity { name: format!("r{name}"), number, address: address(at), life, renewal: 0 };
-        self.members[at] = Some(Members::new(me, keys('a'), &self.settings, life ^ at as u64));
+        let (number, incarnation) = (name as u32, self.now + at as u64);
+        let me =
+            PeerIdentity { name: format!("r{name}"), number, address: address(at), incarnation, renewal: 0 };
+        self.members[at] = Some(Members::new(me, keys('a'), &self.settings, incarnation ^ at as u64));
     }
 
     fn step(&mut self) {
@@ -132,15 +133,16 @@
     for seed in 0..10 {
         let mut fleet = Fleet::new(8, seed);
         fleet.run_until(60, "every router knows all others", |f| f.all_connected(|_| true));
-        let life = fleet.members[3].take().unwrap().me().life;
+        let incarnation = fleet.members[3].take().unwrap().me().incarnation;
         let bound = fleet.settings.max_detection_ns().div_ceil(S);
         fleet.run_until(bound, "the router is removed everywhere", |f| f.all_connected(|at| at != 3));
         fleet.events.clear();
         fleet.start(3, 3);
         fleet.run_until(60, "every router knows all others", |f| f.all_connected(|_| true));
-        let has_new_life =
-            |f: &Fleet| f.members[0].as_ref().unwrap().up().any(|peer| peer.number == 3 && peer.life > life);
-        assert!(has_new_life(&fleet));
+        let has_new_incarnation = |f: &Fleet| {
+            f.members[0].as_ref().unwrap().up().any(|peer| peer.number == 3 && peer.incarnation > incarnation)
+        };
+        assert!(has_new_incarnation(&fleet));
         // A restart before the crash has been detected.
         fleet.start(5, 5);
         let restart_reported = |f: &Fleet| {
@@ -313,8 +315,9 @@
 fn peers_known_after_joins(routers: u32, peers: usize) -> usize {
     let settings = Settings { routers, ..Settings::default() };
     let start = |at: usize, settings: &Settings| {
-        let (number, life) = (at as u32, S + at as u64);
-        let me = PeerIdentity { name: format!("r{at}"), number, address: address(at), life, renewal: 0 };
+        let (number, incarnation) = (at as u32, S + at as u64);
+        let me =
+            PeerIdentity { name: format!("r{at}"), number, address: address(at), incarnation, renewal: 0 };
         Members::new(me, keys('a'), settings, at as u64)
     };
     let mut one = start(0, &settings);
--- a/crates/testkit/src/hollow/host.rs
+++ b/crates/testkit/src/hollow/host.rs
@@ -26,7 +26,7 @@
     routers: Vec<Option<HollowRouter>>,
     /// Places of the routers by their numbers, kept over restarts.
     slots: BTreeMap<u32, usize>,
-    lives: u64,
+    incarnations: u64,
     /// Where routers took datagrams last, by number: a restart listens there again.
     addresses: BTreeMap<u32, SocketAddr>,
     /// Sockets with something to take, in turn, and the same as a set.
@@ -50,7 +50,7 @@
         shared: None,
         routers: Vec::new(),
         slots: BTreeMap::new(),
-        lives: 0,
+        incarnations: 0,
         addresses: BTreeMap::new(),
         pending: VecDeque::new(),
         is_pending: BTreeSet::new(),
@@ -158,11 +158,11 @@
             if slot == self.routers.len() {
                 self.routers.push(None);
             }
-            self.lives += 1;
+            self.incarnations += 1;
             // The life before goes first, with its sockets.
             self.routers[slot] = None;
             let now = self.clock.now_ns();
-            let place = (slot, self.lives % (1 << 12));
+            let place = (slot, self.incarnations % (1 << 12));
             let address = self.addresses.get(&start.number).copied();
             let router = HollowRouter::start(now, self.poll.registry(), shared, *start, place, address)?;
             self.addresses.extend(router.fleet_address().map(|address| (start.number, address)));
--- a/crates/testkit/src/hollow/router.rs
+++ b/crates/testkit/src/hollow/router.rs
@@ -23,7 +23,7 @@
 /// Part of a token that names the router; the rest numbers its connections.
 pub(crate) const TOKEN_BITS: u32 = 32;
 /// Connections that one life of a router may open before the next life's numbers begin (count).
-const LIFE_BITS: u32 = 20;
+const INCARNATION_BITS: u32 = 20;
 /// Age from which news counts as too old (ns).
 const STALE_NS: u64 = 7_000_000_000;
 /// Memory that the module's bounds follow from (MB).
@@ -111,8 +111,8 @@
 }
 
 impl HollowRouter {
-    /// Starts it, knowing nothing; `slot` is its place in the host, `life` counts its starts there, and `address` is where its life
-    /// before took datagrams.
+    /// Starts it, knowing nothing; `slot` is its place in the host, `incarnation` counts its starts there, and `address` is where its
+    /// life before took datagrams.
     ///
     /// # Errors
     /// Where it gets no sockets.
@@ -121,13 +121,13 @@
         registry: &Registry,
         shared: &Shared,
         start: RouterStart,
-        (slot, life): (usize, u64),
+        (slot, incarnation): (usize, u64),
         address: Option<SocketAddr>,
     ) -> Result<HollowRouter, HollowError> {
         let own = registry.try_clone().map_err(io("poll"))?;
-        let first = (slot as u64 + 1) << TOKEN_BITS | life << LIFE_BITS;
+        let first = (slot as u64 + 1) << TOKEN_BITS | incarnation << INCARNATION_BITS;
         let net = Net::new(own, first, Room { engines: 0, output: 1 << 20 });
-        let seed = shared.setup.seed ^ u64::from(start.number) << 20 ^ life;
+        let seed = shared.setup.seed ^ u64::from(start.number) << 20 ^ incarnation;
         let pacing = Pacing { pace: shared.pace(start.number), seed, stale_ns: STALE_NS };
         let (settings, names) = &*shared.settings;
         let mut settings = settings.clone();
--- a/crates/testkit/src/lease_fleet.rs
+++ b/crates/testkit/src/lease_fleet.rs
@@ -40,7 +40,7 @@
     pub node: Option<Node>,
     /// The limit as its operator's file has it.
     limit: Limit,
-    life: u64,
+    incarnation: u64,
     /// Its clock: true time times this, from where it started.
     rate: f64,
     /// It stands still.
@@ -89,7 +89,7 @@
         let routers = (0..params.routers).map(|_| Router {
             node: None,
             limit: limit.clone(),
-            life: 0,
+            incarnation: 0,
             rate: 1.0 + draws.gen_range(-drift..=drift),
             frozen: false,
             inbox: Vec::new(),
@@ -125,11 +125,11 @@
     /// Starts a router that is not there.
     pub fn start(&mut self, at: usize) {
         let now = self.clock(at);
-        let life = self.now;
+        let incarnation = self.now;
         let router = &mut self.routers[at];
         if router.node.is_none() {
-            let me = Peer { number: at as u32, life };
-            (router.life, router.frozen) = (life, false);
+            let me = Peer { number: at as u32, incarnation };
+            (router.incarnation, router.frozen) = (incarnation, false);
             router.node = Some(Node::new(now, me, self.params, vec![router.limit.clone()], 100));
             router.inbox.clear();
         }
@@ -160,7 +160,7 @@
         if to >= self.routers.len() || self.cut.contains(&(from, to)) || self.draws.gen_bool(self.net.loss) {
             return;
         }
-        let peer = Peer { number: from as u32, life: self.routers[from].life };
+        let peer = Peer { number: from as u32, incarnation: self.routers[from].incarnation };
         for _ in 0..=u32::from(self.draws.gen_bool(self.net.double)) {
             self.serial += 1;
             let due = self.now + self.net.delay + self.draws.gen_range(0..=self.net.jitter);
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -188,10 +188,15 @@
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
     let clock = marljunction_net::clock::Clock::start();
-    let life = clock.now_ns();
+    let incarnation = clock.now_ns();
     let number = ROUTERS as u32;
-    let me =
-        PeerIdentity { name: "liar".into(), number, address: socket.local_addr().unwrap(), life, renewal: 0 };
+    let me = PeerIdentity {
+        name: "liar".into(),
+        number,
+        address: socket.local_addr().unwrap(),
+        incarnation,
+        renewal: 0,
+    };
     let settings = Settings { routers: number + 1, seeds: vec![seed], ..Settings::default() };
     let mut members = Members::new(me, Keys::read(KEY).unwrap(), &settings, 1);
     let (mut buffer, mut count, mut told) = ([0; 2_048], 0, 0);
@@ -208,7 +213,7 @@
                 engine: engine_id(&format!("e{engine}")).0,
                 started_ms: 0,
                 observer: number,
-                life,
+                incarnation,
                 number: count,
                 zone: 0,
                 finding: Finding::Silent,
