--- a/crates/cells/src/cell.rs
+++ b/crates/cells/src/cell.rs
@@ -81,11 +81,13 @@
     /// A number for it (a stable hash): answers bear it, so that one for another cell is noticed.
     pub fn hash(&self) -> u64 {
         let zone = self.zone.as_deref().unwrap_or_default().bytes();
-        let start = mix(SALT_ID ^ u64::from(self.zone.is_some()));
-        let zone = zone.fold(start, |hash, byte| mix(hash ^ u64::from(byte)));
-        mix(mix(zone ^ u64::from(self.cells))
-            ^ u64::from(self.cell) << 1
-            ^ u64::from(self.by == DivideBy::Group))
+        let start = mix_hash(SALT_ID ^ u64::from(self.zone.is_some()));
+        let zone = zone.fold(start, |hash, byte| mix_hash(hash ^ u64::from(byte)));
+        mix_hash(
+            mix_hash(zone ^ u64::from(self.cells))
+                ^ u64::from(self.cell) << 1
+                ^ u64::from(self.by == DivideBy::Group),
+        )
     }
 }
 
@@ -123,11 +125,11 @@
         (DivideBy::Group, Some(group)) => group,
         _ => engine.id,
     };
-    (mix(key ^ SALT_CELL) % u64::from(cells.max(1))) as u32
+    (mix_hash(key ^ SALT_CELL) % u64::from(cells.max(1))) as u32
 }
 
 /// A mixing function (splitmix64): each bit of the input changes about half of the bits of the output.
-pub(crate) fn mix(number: u64) -> u64 {
+pub(crate) fn mix_hash(number: u64) -> u64 {
     let z = number.wrapping_add(SALT_CELL);
     let z = (z ^ z >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let z = (z ^ z >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/cells/src/order.rs
+++ b/crates/cells/src/order.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::cell::mix;
+use crate::cell::mix_hash;
 use crate::engine::split_address;
 
 /// A relay that failed is left alone for so many asks at first, and twice as long each further time, up to the second (asks).
@@ -86,5 +86,5 @@
 
 fn rank(router: u64, relay: SocketAddr) -> u64 {
     let (high, low, port) = split_address(relay);
-    [high, low, u64::from(port)].into_iter().fold(mix(router), |hash, part| mix(hash ^ part))
+    [high, low, u64::from(port)].into_iter().fold(mix_hash(router), |hash, part| mix_hash(hash ^ part))
 }
--- a/crates/cells/src/schedule.rs
+++ b/crates/cells/src/schedule.rs
@@ -1,6 +1,6 @@
 //! When a router asks: intervals with a part of chance, drawn from its own seed.
 
-use crate::cell::mix;
+use crate::cell::mix_hash;
 
 /// Chance's part of an interval: it is drawn within this share below and above.
 pub(crate) const CHANCE: f64 = 0.1;
@@ -17,7 +17,7 @@
     /// A number from 0 to 1.
     fn share(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(1);
-        (mix(self.0) >> 11) as f64 / (1u64 << 53) as f64
+        (mix_hash(self.0) >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// A time below this (ns).
--- a/crates/health/src/digest.rs
+++ b/crates/health/src/digest.rs
@@ -4,7 +4,7 @@
 use crate::bound::MAX_ITEMS_PER_DIGEST;
 use crate::evidence::{Evidence, EvidenceTable};
 use crate::message::{split_overrides, Message, NamedOverride, EVIDENCE_BYTES, MESSAGE_BYTES};
-use crate::mix::mix;
+use crate::mix::mix_hash;
 use crate::overrides::Overrides;
 use crate::rng::Rng;
 
@@ -23,14 +23,14 @@
         let mut digest = Digest { overrides: vec![0; BUCKETS], evidence: vec![0; BUCKETS] };
         for (name, entry) in overrides.into_iter().flat_map(Overrides::iter) {
             let hash = name_hash(name);
-            let version = mix(hash ^ mix(entry.version.ms ^ u64::from(entry.version.count) << 44));
-            let state = mix(u64::from(entry.version.router) << 1 | u64::from(entry.excluded));
+            let version = mix_hash(hash ^ mix_hash(entry.version.ms ^ u64::from(entry.version.count) << 44));
+            let state = mix_hash(u64::from(entry.version.router) << 1 | u64::from(entry.excluded));
             digest.overrides[bucket(hash)] ^= (version ^ state) as u32;
         }
         for (engine, observer, stored) in table.iter() {
-            let hash =
-                mix(engine ^ mix(u64::from(observer) ^ stored.version.0)) ^ mix(u64::from(stored.version.1));
-            digest.evidence[bucket(engine)] ^= mix(hash) as u32;
+            let hash = mix_hash(engine ^ mix_hash(u64::from(observer) ^ stored.version.0))
+                ^ mix_hash(u64::from(stored.version.1));
+            digest.evidence[bucket(engine)] ^= mix_hash(hash) as u32;
         }
         digest
     }
@@ -84,9 +84,11 @@
 }
 
 fn name_hash(name: &str) -> u64 {
-    mix(name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)))
+    mix_hash(
+        name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)),
+    )
 }
 
 fn bucket(hash: u64) -> usize {
-    (mix(hash) % BUCKETS as u64) as usize
+    (mix_hash(hash) % BUCKETS as u64) as usize
 }
--- a/crates/health/src/evaluate.rs
+++ b/crates/health/src/evaluate.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::evidence::{EvidenceTable, Finding, StoredEvidence};
-use crate::mix::mix;
+use crate::mix::mix_hash;
 use crate::params::HealthParams;
 
 /// Share of the routers with relevant reports on an engine that must report the same fault.
@@ -178,7 +178,7 @@
     }
     let turn = now / 1_000_000 / PROBE_TURN_MS;
     let is_probe_turn = now.saturating_sub(first_fault_ns) < EARLY_PROBE_PERIOD_NS
-        || (turn + mix(engine.0)) % TURNS_PER_LATE_PROBE == 0;
+        || (turn + mix_hash(engine.0)) % TURNS_PER_LATE_PROBE == 0;
     if is_probe_turn {
         PROBERS_PER_TURN[0]
     } else {
@@ -195,7 +195,9 @@
     others: impl Iterator<Item = u32>,
     prober_count: usize,
 ) -> bool {
-    let rank = |router: u32| mix(engine ^ mix(unix_ms / PROBE_TURN_MS) ^ u64::from(router).rotate_left(40));
+    let rank = |router: u32| {
+        mix_hash(engine ^ mix_hash(unix_ms / PROBE_TURN_MS) ^ u64::from(router).rotate_left(40))
+    };
     let own = rank(local_id);
     others.filter(|other| rank(*other) > own).take(prober_count).count() < prober_count
 }
--- a/crates/testkit/src/hollow/known_list.rs
+++ b/crates/testkit/src/hollow/known_list.rs
@@ -86,11 +86,11 @@
     };
     let parts =
         [engine, host as u64, (host >> 64) as u64, u64::from(address.port()), u64::from(draining), boot_ms];
-    parts.into_iter().fold(0x9e37_79b9_7f4a_7c15, |hash, part| mix(hash ^ part))
+    parts.into_iter().fold(0x9e37_79b9_7f4a_7c15, |hash, part| mix_hash(hash ^ part))
 }
 
 /// Spreads each bit over all: splitmix64's last step.
-fn mix(value: u64) -> u64 {
+fn mix_hash(value: u64) -> u64 {
     let value = (value ^ value >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ value >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ value >> 31
