--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -91,8 +91,8 @@
         read_keys(&self.key).map(|keys| keys.shared_seed())
     }
 
-    /// Returns the parameters of the limits. `max_request_ns` is the longest time that a request has
-    /// attempts in flight.
+    /// Returns the parameters of the limits. `max_request_ns` is the longest time that a request
+    /// has attempts in flight.
     pub fn limit_params(&self, max_request_ns: u64) -> LimitParams {
         let membership = MembershipSettings { routers: self.routers, ..MembershipSettings::default() };
         LimitParams {
--- a/crates/limits/src/escrow.rs
+++ b/crates/limits/src/escrow.rs
@@ -2,10 +2,10 @@
 //!
 //! A holder requests a number of units from their owner, with a sequence number that increases with
 //! each request. The holder's lease runs from the time of its request by its own clock. The owner
-//! sets the units aside from the arrival of the request for [`LimitParams::owner_lease_ns`] by its own
-//! clock, which is longer for any two clocks within the drift. Messages may be lost, duplicated,
-//! delayed and reordered: an owner accepts only increasing sequence numbers, and a holder caps a
-//! grant at the smallest amount requested since.
+//! sets the units aside from the arrival of the request for [`LimitParams::owner_lease_ns`] by its
+//! own clock, which is longer for any two clocks within the drift. Messages may be lost,
+//! duplicated, delayed and reordered: an owner accepts only increasing sequence numbers, and a
+//! holder caps a grant at the smallest amount requested since.
 
 use std::collections::BTreeMap;
 
