--- a/crates/discovery/tests/common/mod.rs
+++ b/crates/discovery/tests/common/mod.rs
@@ -7,7 +7,7 @@
 
 use marljunction_control::interface::MembershipKind;
 use marljunction_discovery::{engine_id, Change};
-use marljunction_net::{Net, Room};
+use marljunction_net::{ConnectionLimits, Net};
 use marljunction_pacing::pace::TOLD_NS;
 use marljunction_pacing::Pace;
 use marljunction_settings::Names;
@@ -74,7 +74,7 @@
 impl Wire {
     pub fn new() -> Wire {
         let poll = Poll::new().unwrap();
-        let net = Net::new(poll.registry().try_clone().unwrap(), 1, Room::of(64, 64.0));
+        let net = Net::new(poll.registry().try_clone().unwrap(), 1, ConnectionLimits::of(64, 64.0));
         let service = TcpListener::bind("127.0.0.1:0").unwrap();
         service.set_nonblocking(true).unwrap();
         Wire { poll, net, service, calls: Vec::new(), now: T0 }
--- a/crates/discovery/tests/silent.rs
+++ b/crates/discovery/tests/silent.rs
@@ -6,7 +6,7 @@
 
 use marljunction_discovery::stream::Stream;
 use marljunction_discovery::Pacing;
-use marljunction_net::{Net, Room};
+use marljunction_net::{ConnectionLimits, Net};
 use marljunction_pacing::pace::TOLD_NS;
 use marljunction_pacing::Pace;
 use marljunction_settings::Names;
@@ -18,7 +18,7 @@
 /// When the third call is made, where the first two are silent from their start (ns); the first gives a head before where `head`.
 fn third_call(seed: u64, callers: u32, head: bool) -> u64 {
     let mut poll = Poll::new().unwrap();
-    let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, Room::of(64, 64.0));
+    let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, ConnectionLimits::of(64, 64.0));
     let coordinator = TcpListener::bind("127.0.0.1:0").unwrap();
     let pace = Pace { callers: Some(callers), me: seed as u32 % callers, ..Pace::default() };
     let pacing = Pacing { pace, seed, stale_ns: TOLD_NS };
--- a/crates/engine/src/http.rs
+++ b/crates/engine/src/http.rs
@@ -108,7 +108,7 @@
 
 /// Whether no byte of the POST was sent.
 fn is_unsent(cx: &Context, query: &Query) -> bool {
-    !query.fully_written && query.conn.is_none_or(|conn| cx.net.is_unbegun(conn))
+    !query.fully_written && query.conn.is_none_or(|conn| cx.net.has_unstarted_output(conn))
 }
 
 /// Backend for engines that speak HTTP/1.1.
--- a/crates/engine/src/postgres.rs
+++ b/crates/engine/src/postgres.rs
@@ -135,7 +135,7 @@
 
 /// Whether no byte of the query was sent.
 fn is_unsent(cx: &Context, query: &Query) -> bool {
-    !query.fully_written && (!query.queued || cx.net.is_unbegun(query.conn))
+    !query.fully_written && (!query.queued || cx.net.has_unstarted_output(query.conn))
 }
 
 impl PostgresBackend {
--- a/crates/engine/tests/give_up.rs
+++ b/crates/engine/tests/give_up.rs
@@ -13,7 +13,7 @@
 use marljunction_engine::http::HttpBackend;
 use marljunction_engine::postgres::PostgresBackend;
 use marljunction_engine::{Backend, Context, NewAttempt};
-use marljunction_net::{Net, Room};
+use marljunction_net::{ConnectionLimits, Net};
 use mio::{Events, Poll};
 
 const MS: u64 = 1_000_000;
@@ -32,15 +32,18 @@
 
 impl TestBed {
     fn new() -> TestBed {
-        TestBed::with_backend(Box::new(HttpBackend::new(30_000 * MS, 250 * MS)), Room::of(64, 64.0))
+        TestBed::with_backend(
+            Box::new(HttpBackend::new(30_000 * MS, 250 * MS)),
+            ConnectionLimits::of(64, 64.0),
+        )
     }
 
     /// Creates a test bed whose engine speaks PostgreSQL.
-    fn with_postgres(room: Room) -> TestBed {
+    fn with_postgres(room: ConnectionLimits) -> TestBed {
         TestBed::with_backend(Box::new(PostgresBackend::new("u".into(), "d".into(), 250 * MS)), room)
     }
 
-    fn with_backend(backend: Box<dyn Backend>, room: Room) -> TestBed {
+    fn with_backend(backend: Box<dyn Backend>, room: ConnectionLimits) -> TestBed {
         let poll = Poll::new().unwrap();
         let registry = poll.registry().try_clone().unwrap();
         let net = Net::new(registry, 10, room);
@@ -86,7 +89,7 @@
 
     /// Flushes held calls, as at the end of an event loop iteration.
     fn flush_calls(&mut self) {
-        for conn in self.net.release() {
+        for conn in self.net.flush_engine_writes() {
             let mut cx = Context { now: self.now, net: &mut self.net, router: &mut self.router };
             self.backend.flushed(&mut cx, conn);
         }
@@ -357,7 +360,7 @@
 #[test]
 fn the_unpolled_expiry_counts_from_the_written_post_not_from_the_connect() {
     let mut bed = TestBed::new();
-    bed.net.hold_calls();
+    bed.net.defer_engine_writes();
     let attempt = bed.start();
     let mut first = bed.accept();
     // The connection is established late.
@@ -432,7 +435,7 @@
 /// engine's end of its connection.
 fn held_retry() -> (TestBed, TcpStream) {
     let mut bed = TestBed::new();
-    bed.net.hold_calls();
+    bed.net.defer_engine_writes();
     bed.start_with_deadline(Some(T0 + 100 * MS));
     let stream = bed.accept();
     (bed, stream)
@@ -443,7 +446,7 @@
     let (mut bed, mut stream) = held_retry();
     bed.tick(101);
     assert_eq!(bed.end_reason(), EndReason::Unsent);
-    bed.net.release();
+    bed.net.flush_engine_writes();
     bed.drive_until(|_| match stream.read(&mut [0; 16]) {
         Ok(n) if n > 0 => panic!("bytes of the retry were sent"),
         read => !matches!(&read, Err(e) if e.kind() == ErrorKind::WouldBlock),
@@ -498,8 +501,8 @@
 }
 
 /// Limits the output queued on all connections to `output` bytes.
-fn limited_output(output: usize) -> Room {
-    Room { engines: 32, output }
+fn limited_output(output: usize) -> ConnectionLimits {
+    ConnectionLimits { engines: 32, output }
 }
 
 #[test]
@@ -533,7 +536,7 @@
 
 #[test]
 fn a_session_closed_by_its_engine_is_not_reused() {
-    let mut bed = TestBed::with_postgres(Room::of(64, 64.0));
+    let mut bed = TestBed::with_postgres(ConnectionLimits::of(64, 64.0));
     bed.start();
     let mut first = bed.accept();
     bed.expect_bytes(&mut first, "marljunction\0");
@@ -551,7 +554,7 @@
 
 #[test]
 fn a_retry_is_not_sent_when_its_session_opens_after_its_deadline() {
-    let mut bed = TestBed::with_postgres(Room::of(64, 64.0));
+    let mut bed = TestBed::with_postgres(ConnectionLimits::of(64, 64.0));
     bed.start_with_deadline(Some(T0 + 100 * MS));
     let mut session = bed.accept();
     bed.expect_bytes(&mut session, "marljunction\0");
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -19,7 +19,7 @@
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::params::stable_hash;
 use marljunction_limits::{Limit, Node as LimitNode};
-use marljunction_net::datagrams::Datagrams;
+use marljunction_net::datagrams::DatagramSocket;
 use marljunction_peers::datagram::Kind;
 use marljunction_peers::{Event, Members, PeerIdentity, Settings as MembershipSettings};
 use marljunction_settings::Names;
@@ -68,7 +68,7 @@
 
 /// The socket, the membership, and state stored for the next start.
 pub struct FleetRuntime {
-    pub(crate) datagrams: Datagrams,
+    pub(crate) datagrams: DatagramSocket,
     pub(crate) members: Members,
     pub(crate) config: FleetConfig,
     /// Number of membership changes so far.
@@ -138,7 +138,7 @@
 
     /// Whether datagrams remain to be read; no further event announces them.
     pub fn has_more(&self) -> bool {
-        self.datagrams.more
+        self.datagrams.unread
     }
 
     /// Returns the number of datagrams sent.
@@ -315,8 +315,8 @@
     registry: &Registry,
     token: Token,
     listen: &str,
-) -> Result<(Datagrams, SocketAddr), FleetError> {
-    let datagrams = Datagrams::open(registry, token, parse_address(listen)?)
+) -> Result<(DatagramSocket, SocketAddr), FleetError> {
+    let datagrams = DatagramSocket::open(registry, token, parse_address(listen)?)
         .map_err(|source| FleetError::Bind { address: listen.to_owned(), source })?;
     let local = datagrams.address().map_err(FleetError::LocalAddress)?;
     Ok((datagrams, local))
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -16,14 +16,14 @@
 /// Time that an answer may take from here to the client (ns): what is left of a request's time is shorter by it.
 pub const ANSWER_MARGIN_NS: u64 = 20_000_000;
 /// Longest message of a client (bytes).
-pub const MESSAGE_MOST: usize = 64 << 10;
+pub const MAX_MESSAGE_BYTES: usize = 64 << 10;
 
 /// What the fronts know of classes and tenants.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     names: Names,
     deadlines_ns: Vec<u64>,
-    drops_repeats: Vec<bool>,
+    deduplicates: Vec<bool>,
     who: Who,
     identity: Identity,
 }
@@ -32,8 +32,8 @@
     /// Of a router's settings.
     pub fn new(names: Names, settings: &Settings) -> Self {
         let deadlines_ns = settings.classes.iter().map(|c| c.deadline_ns).collect();
-        let drops_repeats = settings.classes.iter().map(|c| c.effect == Effect::Deduplicated).collect();
-        Directory { names, deadlines_ns, drops_repeats, ..Directory::default() }
+        let deduplicates = settings.classes.iter().map(|c| c.effect == Effect::Deduplicated).collect();
+        Directory { names, deadlines_ns, deduplicates, ..Directory::default() }
     }
 
     /// The names behind the module's numbers.
@@ -42,7 +42,7 @@
     }
 
     /// What names a client, and the key of clients' numbers.
-    pub fn with_clients(self, who: Who, seed: u64) -> Self {
+    pub fn with_client_identity(self, who: Who, seed: u64) -> Self {
         Directory { who, identity: Identity::new(seed), ..self }
     }
 
@@ -83,8 +83,8 @@
     }
 
     /// Whether engines drop repeats of a class's requests, by their tokens.
-    pub fn drops_repeats(&self, class: ClassId) -> bool {
-        self.drops_repeats.get(class.0) == Some(&true)
+    pub fn deduplicates(&self, class: ClassId) -> bool {
+        self.deduplicates.get(class.0) == Some(&true)
     }
 
     /// How long clients of a class wait at most.
--- a/crates/front/src/msgpack.rs
+++ b/crates/front/src/msgpack.rs
@@ -7,7 +7,7 @@
 use rmpv::encode::write_value;
 use rmpv::Value;
 
-use super::{Directory, ANSWER_MARGIN_NS, MESSAGE_MOST};
+use super::{Directory, ANSWER_MARGIN_NS, MAX_MESSAGE_BYTES};
 use marljunction_control::interface::RequestId;
 use marljunction_core::end_reason::EndReason;
 use marljunction_core::statement::Statement;
@@ -51,7 +51,7 @@
     // Values that are to come, besides the one at `at`.
     let (mut at, mut values) = (0_usize, 1_usize);
     while values > 0 {
-        if at + values > MESSAGE_MOST {
+        if at + values > MAX_MESSAGE_BYTES {
             return Err("the message is too long".into());
         }
         let Some(&tag) = input.get(at) else { return Ok(Extent::Needs(at + values)) };
@@ -80,7 +80,7 @@
         };
         at += head + length.unwrap_or(0);
         values = values - 1 + within;
-        if at + values > MESSAGE_MOST {
+        if at + values > MAX_MESSAGE_BYTES {
             return Err("the message is too long".into());
         }
         if input.len() < at {
@@ -199,11 +199,13 @@
     /// clients that lose their connections to those that only connect, and against a crowd that comes at once,
     /// in which each would push out the one before it with its call under way; and against an answer that is cut off, as its
     /// client reads slowly.
-    pub fn idle(&self, now: u64, net: &Net) -> Option<u64> {
+    pub fn eviction_candidate(&self, now: u64, net: &Net) -> Option<u64> {
         let settled = |c: &Caller| c.called || now > c.since_ns + FRESH_NS;
         let free = |conn: &u64, c: &Caller| c.open.is_empty() && !c.more && settled(c) && net.drained(*conn);
-        let idle = self.callers.iter().filter(|(conn, c)| free(conn, c));
-        idle.min_by_key(|(conn, c)| (c.called && c.rejected == 0, c.since_ns, **conn)).map(|(conn, _)| *conn)
+        let eviction_candidate = self.callers.iter().filter(|(conn, c)| free(conn, c));
+        eviction_candidate
+            .min_by_key(|(conn, c)| (c.called && c.rejected == 0, c.since_ns, **conn))
+            .map(|(conn, _)| *conn)
     }
 
     /// Whether a connection has sent messages that were not taken yet.
@@ -242,21 +244,22 @@
     /// Ends the connections of clients that have nothing open, half-sent, untaken or unwritten, where
     /// `closes` says so of the time when each was last busy: a drained or stopping router sends its clients
     /// elsewhere so.
-    pub fn close_quiet(
+    pub fn close_idle(
         &mut self,
         now: u64,
         net: &mut Net,
         router: &mut Router,
-        closes: impl Fn(u64) -> bool,
+        should_close: impl Fn(u64) -> bool,
     ) {
-        let quiet = |c: &Caller| c.open.is_empty() && c.partial.is_none() && !c.more && closes(c.since_ns);
+        let quiet =
+            |c: &Caller| c.open.is_empty() && c.partial.is_none() && !c.more && should_close(c.since_ns);
         let mut over: Vec<u64> = self.callers.iter().filter(|(_, c)| quiet(c)).map(|(c, _)| *c).collect();
         over.sort_unstable();
         for conn in over {
             if self.is_still(now, net, router, conn, quiet) && net.input(conn).is_empty() && net.drained(conn)
             {
                 self.forget(router, conn, EndReason::Idle);
-                net.finish(now, conn);
+                net.close_after_flush(now, conn);
             }
         }
     }
@@ -268,7 +271,7 @@
         // Numbers start at 1: 0 is no call's.
         if net.send(conn, &error(0, "Malformed", &[("why", why.to_owned())])) {
             self.forget(router, conn, EndReason::Garbled);
-            net.finish(now, conn);
+            net.close_after_flush(now, conn);
         } else {
             self.close(net, router, conn, EndReason::Garbled);
         }
--- a/crates/front/src/operator.rs
+++ b/crates/front/src/operator.rs
@@ -19,18 +19,18 @@
 use marljunction_net::Net;
 
 /// Longest head of a call (bytes).
-pub const HEAD_MOST: usize = 2 << 10;
+pub const MAX_HEAD_BYTES: usize = 2 << 10;
 /// Longest body of a call (bytes): an engine's id and some room.
-pub const BODY_MOST: usize = 256;
+pub const MAX_BODY_BYTES: usize = 256;
 /// Time in which a caller must have sent its whole call (ns); then it gets 408 and is closed. The operators' page
 /// allows 3 s; a caller that is quicker than that waits no longer for it.
-pub const CALL_NS: u64 = 2_000_000_000;
+pub const REQUEST_TIMEOUT_NS: u64 = 2_000_000_000;
 /// Part of the descriptor limit that callers at the door may hold at once: 12 of 384.
-pub const SHARE_OF_DESCRIPTORS: usize = 32;
+pub const DESCRIPTORS_PER_CONNECTION: usize = 32;
 
 /// A call of the operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminRequest {
     /// `GET /ready`.
     Ready,
     /// `POST /engines/disable` with the engine's id.
@@ -51,36 +51,36 @@
     Undrain,
 }
 
-impl Call {
+impl AdminRequest {
     /// Its name in counters and log lines.
     pub fn name(&self) -> &'static str {
         match self {
-            Call::Ready => "ready",
-            Call::Disable(_) => "disable",
-            Call::Enable(_) => "enable",
-            Call::DisableForAll(_) => "disable_for_all",
-            Call::EnableForAll(_) => "enable_for_all",
-            Call::Fleet => "fleet",
-            Call::Verdicts => "verdicts",
-            Call::Drain => "drain",
-            Call::Undrain => "undrain",
+            AdminRequest::Ready => "ready",
+            AdminRequest::Disable(_) => "disable",
+            AdminRequest::Enable(_) => "enable",
+            AdminRequest::DisableForAll(_) => "disable_for_all",
+            AdminRequest::EnableForAll(_) => "enable_for_all",
+            AdminRequest::Fleet => "fleet",
+            AdminRequest::Verdicts => "verdicts",
+            AdminRequest::Drain => "drain",
+            AdminRequest::Undrain => "undrain",
         }
     }
 }
 
 /// An answer: its status and a line of text for whoever reads it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reply {
+pub struct AdminResponse {
     /// The status code.
     pub status: u16,
     /// The body, one line.
     pub text: String,
 }
 
-impl Reply {
+impl AdminResponse {
     /// An answer of this status.
     pub fn new(status: u16, text: impl Into<String>) -> Self {
-        Reply { status, text: text.into() }
+        AdminResponse { status, text: text.into() }
     }
 
     /// The bytes on the wire, with `Connection: close`.
@@ -114,15 +114,15 @@
 
 /// Reads the call at the front of `input`: nothing where it has not come whole; a [`Reply`] that says why where
 /// it can never be one.
-pub fn read_call(input: &[u8]) -> Result<Option<Call>, Reply> {
+pub fn parse_request(input: &[u8]) -> Result<Option<AdminRequest>, AdminResponse> {
     let mut headers = [httparse::EMPTY_HEADER; 24];
     let mut request = httparse::Request::new(&mut headers);
     let size = match request.parse(input) {
-        Ok(httparse::Status::Complete(size)) if size <= HEAD_MOST => size,
-        Ok(httparse::Status::Partial) if input.len() <= HEAD_MOST => return Ok(None),
-        Ok(_) => return Err(Reply::new(431, "the head is too long")),
-        Err(httparse::Error::TooManyHeaders) => return Err(Reply::new(431, "too many headers")),
-        Err(e) => return Err(Reply::new(400, format!("not a call of HTTP/1.1: {e}"))),
+        Ok(httparse::Status::Complete(size)) if size <= MAX_HEAD_BYTES => size,
+        Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Ok(None),
+        Ok(_) => return Err(AdminResponse::new(431, "the head is too long")),
+        Err(httparse::Error::TooManyHeaders) => return Err(AdminResponse::new(431, "too many headers")),
+        Err(e) => return Err(AdminResponse::new(400, format!("not a call of HTTP/1.1: {e}"))),
     };
     let mut length = None;
     for header in request.headers.iter() {
@@ -130,41 +130,41 @@
         if header.name.eq_ignore_ascii_case("content-length") {
             let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
             let told = value.parse::<usize>().ok().filter(|_| digits);
-            let Some(told) = told else { return Err(Reply::new(400, "a bad Content-Length")) };
+            let Some(told) = told else { return Err(AdminResponse::new(400, "a bad Content-Length")) };
             if length.replace(told).is_some_and(|before| before != told) {
-                return Err(Reply::new(400, "two lengths"));
+                return Err(AdminResponse::new(400, "two lengths"));
             }
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            return Err(Reply::new(411, "a body needs a Content-Length"));
+            return Err(AdminResponse::new(411, "a body needs a Content-Length"));
         }
     }
     let length = length.unwrap_or(0);
-    if length > BODY_MOST {
-        return Err(Reply::new(413, "the body is too long"));
+    if length > MAX_BODY_BYTES {
+        return Err(AdminResponse::new(413, "the body is too long"));
     }
     if input.len() < size + length {
         return Ok(None);
     }
     let body = std::str::from_utf8(&input[size..size + length]).map(str::trim);
-    let Ok(body) = body else { return Err(Reply::new(400, "the body is not text")) };
+    let Ok(body) = body else { return Err(AdminResponse::new(400, "the body is not text")) };
     let path = request.path.unwrap_or("");
     let path = path.split_once('?').map_or(path, |(path, _)| path);
     let method = request.method.unwrap_or("");
     // Whether the id is one that an engine may have is for the bans to say.
     let engine = || match body {
-        "" => Err(Reply::new(400, "the body names no engine")),
+        "" => Err(AdminResponse::new(400, "the body names no engine")),
         id => Ok(id.to_owned()),
     };
     let call = match (method, path) {
-        ("GET" | "HEAD", "/ready") => Call::Ready,
-        ("POST", "/engines/disable") => Call::Disable(engine()?),
-        ("POST", "/engines/enable") => Call::Enable(engine()?),
-        ("POST", "/fleet/engines/disable") => Call::DisableForAll(engine()?),
-        ("POST", "/fleet/engines/enable") => Call::EnableForAll(engine()?),
-        ("GET", "/fleet") => Call::Fleet,
-        ("GET", "/fleet/verdicts") => Call::Verdicts,
-        ("POST", "/drain") => Call::Drain,
-        ("POST", "/undrain") => Call::Undrain,
+        ("GET" | "HEAD", "/ready") => AdminRequest::Ready,
+        ("POST", "/engines/disable") => AdminRequest::Disable(engine()?),
+        ("POST", "/engines/enable") => AdminRequest::Enable(engine()?),
+        ("POST", "/fleet/engines/disable") => AdminRequest::DisableForAll(engine()?),
+        ("POST", "/fleet/engines/enable") => AdminRequest::EnableForAll(engine()?),
+        ("GET", "/fleet") => AdminRequest::Fleet,
+        ("GET", "/fleet/verdicts") => AdminRequest::Verdicts,
+        ("POST", "/drain") => AdminRequest::Drain,
+        ("POST", "/undrain") => AdminRequest::Undrain,
         (
             _,
             "/ready"
@@ -177,16 +177,16 @@
             | "/drain"
             | "/undrain",
         ) => {
-            return Err(Reply::new(405, format!("{method} is not for {path}")));
+            return Err(AdminResponse::new(405, format!("{method} is not for {path}")));
         }
-        _ => return Err(Reply::new(404, format!("no call {path}"))),
+        _ => return Err(AdminResponse::new(404, format!("no call {path}"))),
     };
     Ok(Some(call))
 }
 
 /// What happened at the door since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct OperatorCounters {
+pub struct AdminCounters {
     /// Calls answered, by name, and of them those answered yes.
     pub calls: BTreeMap<&'static str, (u64, u64)>,
     /// Calls that could not be read: a bad head, method, path or body.
@@ -194,10 +194,10 @@
     /// Callers that sent no whole call in time.
     pub silent: u64,
     /// Callers closed at once because as many were at the door as may be.
-    pub turned_away: u64,
+    pub rejected: u64,
 }
 
-impl OperatorCounters {
+impl AdminCounters {
     /// The counters as `name=value` fields of a log line.
     pub fn line(&self) -> String {
         let mut fields: Vec<String> = self
@@ -206,7 +206,7 @@
             .map(|(name, (all, yes))| format!("operator_{name}={all} operator_{name}_yes={yes}"))
             .collect();
         fields.push(format!("operator_bad={} operator_silent={}", self.bad, self.silent));
-        fields.push(format!("operator_turned_away={}", self.turned_away));
+        fields.push(format!("operator_turned_away={}", self.rejected));
         fields.join(" ")
     }
 }
@@ -219,29 +219,29 @@
 }
 
 /// The callers at the door.
-pub struct OperatorFront {
+pub struct AdminServer {
     callers: BTreeMap<u64, Caller>,
     most: usize,
     /// What happened so far.
-    pub counters: OperatorCounters,
+    pub counters: AdminCounters,
 }
 
-impl OperatorFront {
+impl AdminServer {
     /// A door for at most a [`SHARE_OF_DESCRIPTORS`] part of `sockets`, and for two callers at least.
     pub fn new(sockets: usize) -> Self {
-        let most = (sockets / SHARE_OF_DESCRIPTORS).max(2);
-        OperatorFront { callers: BTreeMap::new(), most, counters: OperatorCounters::default() }
+        let most = (sockets / DESCRIPTORS_PER_CONNECTION).max(2);
+        AdminServer { callers: BTreeMap::new(), most, counters: AdminCounters::default() }
     }
 
     /// Whether one more caller may come in; one that may not is to be closed at once.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.callers.len() < self.most
     }
 
     /// A caller has connected.
     pub fn accept(&mut self, now: u64, net: &mut Net, conn: u64) {
-        if !self.has_room() {
-            self.counters.turned_away += 1;
+        if !self.has_capacity() {
+            self.counters.rejected += 1;
             debug!("the operators' door is full: a caller is closed at once");
             return net.close(conn);
         }
@@ -249,14 +249,14 @@
     }
 
     /// Reads what a caller sent: its call, where it is whole. What can't be a call is answered here.
-    pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) -> Option<Call> {
+    pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) -> Option<AdminRequest> {
         let look = net.service(conn);
         let caller = self.callers.get_mut(&conn)?;
         if caller.called {
             net.consume(conn, usize::MAX);
             return None;
         }
-        match read_call(net.input(conn)) {
+        match parse_request(net.input(conn)) {
             Ok(Some(call)) => {
                 // Guards against a call that is carried out and answered again, as more comes from its caller while it waits.
                 (caller.since_ns, caller.called) = (now, true);
@@ -278,20 +278,20 @@
     }
 
     /// Answers a call that [`OperatorFront::ready`] gave.
-    pub fn answer(&mut self, now: u64, net: &mut Net, conn: u64, call: &Call, reply: Reply) {
+    pub fn answer(&mut self, now: u64, net: &mut Net, conn: u64, call: &AdminRequest, reply: AdminResponse) {
         let counted = self.counters.calls.entry(call.name()).or_default();
         counted.0 += 1;
         counted.1 += u64::from((200..300).contains(&reply.status));
-        if !matches!(call, Call::Ready | Call::Fleet | Call::Verdicts) {
+        if !matches!(call, AdminRequest::Ready | AdminRequest::Fleet | AdminRequest::Verdicts) {
             info!("the operators' door: {} {:?}: {} {}", call.name(), call, reply.status, reply.text);
         }
         self.end(now, net, conn, Some(reply));
     }
 
-    fn end(&mut self, now: u64, net: &mut Net, conn: u64, reply: Option<Reply>) {
+    fn end(&mut self, now: u64, net: &mut Net, conn: u64, reply: Option<AdminResponse>) {
         self.callers.remove(&conn);
         match reply {
-            Some(reply) if net.send(conn, &reply.to_bytes()) => net.finish(now, conn),
+            Some(reply) if net.send(conn, &reply.to_bytes()) => net.close_after_flush(now, conn),
             _ => net.close(conn),
         }
     }
@@ -301,12 +301,12 @@
         let late: Vec<u64> = self
             .callers
             .iter()
-            .filter(|(_, caller)| now >= caller.since_ns + CALL_NS)
+            .filter(|(_, caller)| now >= caller.since_ns + REQUEST_TIMEOUT_NS)
             .map(|(conn, _)| *conn)
             .collect();
         for conn in late {
             self.counters.silent += 1;
-            self.end(now, net, conn, Some(Reply::new(408, "no whole call in time")));
+            self.end(now, net, conn, Some(AdminResponse::new(408, "no whole call in time")));
         }
     }
 }
--- a/crates/front/src/postgres/codec.rs
+++ b/crates/front/src/postgres/codec.rs
@@ -7,7 +7,7 @@
 
 use postgres_protocol::message::backend::Header;
 
-use crate::MESSAGE_MOST;
+use crate::MAX_MESSAGE_BYTES;
 use marljunction_core::Column;
 
 /// What a client can send.
@@ -142,7 +142,7 @@
 pub fn read_message(input: &[u8]) -> Result<Option<(ClientMessage, usize)>, String> {
     let Some(header) = Header::parse(input).map_err(|e| e.to_string())? else { return Ok(None) };
     let size = header.len() as usize + 1;
-    if size > MESSAGE_MOST {
+    if size > MAX_MESSAGE_BYTES {
         return Err("a message is too long".into());
     }
     if input.len() < size {
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -38,9 +38,9 @@
     /// Names of a result's columns.
     pub columns: Vec<String>,
     /// Engines take no parameters but in the text.
-    pub inlines: bool,
+    pub inline_params: bool,
     /// Sessions that may be open.
-    pub sessions_most: usize,
+    pub max_sessions: usize,
 }
 
 /// What a session waits for.
@@ -125,12 +125,12 @@
 
 impl PostgresSetup {
     /// Fewer sessions where the machine's memory could not hold all that they may.
-    pub fn within(self, memory_mb: f64) -> Self {
+    pub fn limit_to_memory(self, memory_mb: f64) -> Self {
         let most = ((memory_mb * SESSIONS_PART / SESSION_MB) as usize).max(1);
-        if self.sessions_most > most {
+        if self.max_sessions > most {
             log::warn!("{most} PostgreSQL sessions at most, for the limit on memory");
         }
-        PostgresSetup { sessions_most: self.sessions_most.min(most), ..self }
+        PostgresSetup { max_sessions: self.max_sessions.min(most), ..self }
     }
 }
 
@@ -207,16 +207,16 @@
     /// Ends the sessions that have nothing running, half-sent, unread, unwritten or half-fetched, where `closes` says so of
     /// the time when each was last busy: a drained or stopping router sends its clients elsewhere so. Each is told
     /// `57P01` first, as PostgreSQL tells its sessions when it shuts down.
-    pub fn close_quiet(
+    pub fn close_idle(
         &mut self,
         now: u64,
         net: &mut Net,
         router: &mut Router,
-        closes: impl Fn(u64) -> bool,
+        should_close: impl Fn(u64) -> bool,
     ) {
         let quiet = |s: &Session| {
             let rests = s.running.is_none() && s.partial_ns.is_none() && !s.skipping && s.suspended == 0;
-            s.started && rests && closes(s.busy_ns)
+            s.started && rests && should_close(s.busy_ns)
         };
         let mut over: Vec<u64> = self.sessions.iter().filter(|(_, s)| quiet(s)).map(|(c, _)| *c).collect();
         over.sort_unstable();
@@ -286,7 +286,7 @@
         let sent = reply.bytes.is_empty() || net.send(conn, &reply.bytes);
         if let Some(end_reason) = over.filter(|_| sent && !reply.bytes.is_empty()) {
             self.forget(router, conn, end_reason);
-            return net.finish(now, conn);
+            return net.close_after_flush(now, conn);
         }
         if let Some(end_reason) = over.or((!sent).then_some(EndReason::Garbled)) {
             self.close(net, router, conn, end_reason);
@@ -367,7 +367,7 @@
         reply: &mut Reply,
     ) -> Option<EndReason> {
         let key = self.random() as i32;
-        let full = self.sessions.len() > self.setup.sessions_most;
+        let full = self.sessions.len() > self.setup.max_sessions;
         let session = self.sessions.get_mut(&conn)?;
         session.settings.class = Some(self.setup.class);
         let mut result = if full { Err(fault("53300", "too many sessions are open")) } else { Ok(()) };
@@ -437,7 +437,7 @@
         message: ClientMessage,
         reply: &mut Reply,
     ) -> Result<(), SqlFault> {
-        let (inlines, columns) = (self.setup.inlines, self.setup.columns.clone());
+        let (inline_params, columns) = (self.setup.inline_params, self.setup.columns.clone());
         let Some(session) = self.sessions.get_mut(&conn) else { return Ok(()) };
         match message {
             ClientMessage::Parse(name, text, types) => {
@@ -445,7 +445,7 @@
                 reply.step(b'1');
             }
             ClientMessage::Bind(bind @ Bind { .. }) => {
-                session.held.bind(bind, inlines)?;
+                session.held.bind(bind, inline_params)?;
                 reply.step(b'2');
             }
             ClientMessage::Describe(true, name) => {
@@ -457,7 +457,7 @@
             }
             ClientMessage::Describe(false, name) => {
                 let portal = session.held.portal(&name)?;
-                if !inlines && matches!(portal.kind, Kind::Routed(true, _)) {
+                if !inline_params && matches!(portal.kind, Kind::Routed(true, _)) {
                     if portal.rows.is_some() {
                         reply.columns(&portal.columns);
                     } else {
@@ -571,7 +571,7 @@
         });
         let client_request = ClientRequest {
             // Its clients give none; each statement is one of its own.
-            token: self.directory.drops_repeats(class).then(|| name.clone()),
+            token: self.directory.deduplicates(class).then(|| name.clone()),
             name,
             class,
             order_key: None,
@@ -598,13 +598,13 @@
             (Answer::Served(rows), portal) => {
                 let (columns, rows) = rows.into_cells();
                 let gives = matches!(running.kind, Kind::Routed(true, _));
-                if gives && running.describes && !self.setup.inlines {
+                if gives && running.describes && !self.setup.inline_params {
                     reply.columns(&columns);
                 } else if gives && running.describes {
                     reply.text_columns(&self.setup.columns, &[]);
                 }
                 let name = portal.as_ref().map_or("", |p| &p.0);
-                let told = self.setup.inlines || session.held.portal(name).is_ok_and(|p| p.told);
+                let told = self.setup.inline_params || session.held.portal(name).is_ok_and(|p| p.told);
                 let odd = |row: &Row| row.len() != self.setup.columns.len();
                 let coded = |c: &Column| c.binary && !is_text(c.type_id);
                 if gives && told && (rows.iter().any(odd) || columns.iter().any(coded)) {
--- a/crates/front/src/postgres/session.rs
+++ b/crates/front/src/postgres/session.rs
@@ -237,7 +237,7 @@
     }
 
     /// Makes a portal; `inlines` says that engines take no parameters but in the text.
-    pub fn bind(&mut self, bind: Bind, inlines: bool) -> Result<(), SqlFault> {
+    pub fn bind(&mut self, bind: Bind, inline_params: bool) -> Result<(), SqlFault> {
         let statement = self.statement(&bind.statement)?.clone();
         if !bind.portal.is_empty() && self.portals.contains_key(&bind.portal) {
             return Err(fault("42P03", format!("portal \"{}\" already exists", bind.portal)));
@@ -250,7 +250,7 @@
         let mut params = Vec::new();
         for (i, (value, type_id)) in bind.params.into_iter().zip(&statement.types).enumerate() {
             let binary = format(i) && !is_text(*type_id);
-            if binary && inlines {
+            if binary && inline_params {
                 return Err(fault("0A000", "binary parameters are supported for text types only"));
             }
             params.push(Param { type_id: *type_id, binary, value });
--- a/crates/front/tests/operator.rs
+++ b/crates/front/tests/operator.rs
@@ -3,29 +3,34 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-use marljunction_front::operator::{read_call, Call, OperatorFront, Reply, BODY_MOST, HEAD_MOST};
-use marljunction_net::{Net, Owner, Room};
+use marljunction_front::operator::{
+    parse_request, AdminRequest, AdminResponse, AdminServer, MAX_BODY_BYTES, MAX_HEAD_BYTES,
+};
+use marljunction_net::{ConnectionLimits, Net, Owner};
 
 fn status(input: &[u8]) -> u16 {
-    read_call(input).expect_err("a no").status
+    parse_request(input).expect_err("a no").status
 }
 
 #[test]
 fn calls_are_read_whole_at_any_cut() {
     let call = b"POST /engines/disable HTTP/1.1\r\nHost: r\r\nContent-Length: 10\r\n\r\ns-363daf7b";
     for cut in 0..call.len() {
-        assert_eq!(read_call(&call[..cut]), Ok(None), "cut at {cut}");
+        assert_eq!(parse_request(&call[..cut]), Ok(None), "cut at {cut}");
     }
-    assert_eq!(read_call(call), Ok(Some(Call::Disable("s-363daf7b".into()))));
-    assert_eq!(read_call(b"GET /ready HTTP/1.1\r\n\r\n"), Ok(Some(Call::Ready)));
-    assert_eq!(read_call(b"GET /ready?verbose=1 HTTP/1.0\r\n\r\n"), Ok(Some(Call::Ready)));
-    assert_eq!(read_call(b"POST /drain HTTP/1.1\r\n\r\n"), Ok(Some(Call::Drain)));
-    assert_eq!(read_call(b"POST /undrain HTTP/1.1\r\nContent-Length: 0\r\n\r\n"), Ok(Some(Call::Undrain)));
+    assert_eq!(parse_request(call), Ok(Some(AdminRequest::Disable("s-363daf7b".into()))));
+    assert_eq!(parse_request(b"GET /ready HTTP/1.1\r\n\r\n"), Ok(Some(AdminRequest::Ready)));
+    assert_eq!(parse_request(b"GET /ready?verbose=1 HTTP/1.0\r\n\r\n"), Ok(Some(AdminRequest::Ready)));
+    assert_eq!(parse_request(b"POST /drain HTTP/1.1\r\n\r\n"), Ok(Some(AdminRequest::Drain)));
+    assert_eq!(
+        parse_request(b"POST /undrain HTTP/1.1\r\nContent-Length: 0\r\n\r\n"),
+        Ok(Some(AdminRequest::Undrain))
+    );
     let fleet = b"POST /fleet/engines/disable HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-1";
-    assert_eq!(read_call(fleet), Ok(Some(Call::DisableForAll("s-1".into()))));
-    assert_eq!(read_call(b"GET /fleet/verdicts HTTP/1.1\r\n\r\n"), Ok(Some(Call::Verdicts)));
+    assert_eq!(parse_request(fleet), Ok(Some(AdminRequest::DisableForAll("s-1".into()))));
+    assert_eq!(parse_request(b"GET /fleet/verdicts HTTP/1.1\r\n\r\n"), Ok(Some(AdminRequest::Verdicts)));
     let enable = b"POST /engines/enable HTTP/1.1\r\nContent-Length: 5\r\n\r\n s-1\n";
-    assert_eq!(read_call(enable), Ok(Some(Call::Enable("s-1".into()))));
+    assert_eq!(parse_request(enable), Ok(Some(AdminRequest::Enable("s-1".into()))));
 }
 
 #[test]
@@ -39,9 +44,9 @@
     assert_eq!(status(b"POST /engines/disable HTTP/1.1\r\nContent-Length: -1\r\n\r\n"), 400);
     assert_eq!(status(b"POST /drain HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx"), 400);
     assert_eq!(status(b"POST /drain HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"), 411);
-    let long = format!("POST /drain HTTP/1.1\r\nContent-Length: {}\r\n\r\n", BODY_MOST + 1);
+    let long = format!("POST /drain HTTP/1.1\r\nContent-Length: {}\r\n\r\n", MAX_BODY_BYTES + 1);
     assert_eq!(status(long.as_bytes()), 413);
-    let head = format!("GET /ready HTTP/1.1\r\nX: {}\r\n", "a".repeat(HEAD_MOST));
+    let head = format!("GET /ready HTTP/1.1\r\nX: {}\r\n", "a".repeat(MAX_HEAD_BYTES));
     assert_eq!(status(head.as_bytes()), 431);
     assert_eq!(status(b"\x16\x03\x01\x00\x05hello"), 400);
     let body = b"POST /engines/disable HTTP/1.1\r\nContent-Length: 2\r\n\r\n\xff\xfe";
@@ -51,22 +56,22 @@
 #[test]
 fn a_call_that_waits_for_its_answer_is_carried_out_once_whatever_its_caller_sends_meanwhile() {
     let poll = mio::Poll::new().unwrap();
-    let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, Room::of(64, 64.0));
+    let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, ConnectionLimits::of(64, 64.0));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut caller = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (stream, _) = listener.accept().unwrap();
     stream.set_nonblocking(true).unwrap();
-    let conn = net.adopt(mio::net::TcpStream::from_std(stream), Owner::Operator).unwrap();
-    let mut door = OperatorFront::new(64);
+    let conn = net.add_accepted(mio::net::TcpStream::from_std(stream), Owner::Admin).unwrap();
+    let mut door = AdminServer::new(64);
     door.accept(0, &mut net, conn);
     caller.write_all(b"POST /fleet/engines/disable HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-1").unwrap();
     let call = door.ready(0, &mut net, conn).expect("a call");
     // It waits until the fleet has heard it; meanwhile more comes, which is no call.
     caller.write_all(b"\r\n\r\nmore\r\n\r\n").unwrap();
     assert_eq!(door.ready(0, &mut net, conn), None, "the same call is not carried out again");
-    door.answer(0, &mut net, conn, &call, Reply::new(200, "heard"));
+    door.answer(0, &mut net, conn, &call, AdminResponse::new(200, "heard"));
     caller.shutdown(std::net::Shutdown::Write).unwrap();
-    net.discard(conn);
+    net.discard_input(conn);
     let mut got = String::new();
     caller.set_read_timeout(Some(std::time::Duration::from_secs(8))).unwrap();
     caller.read_to_string(&mut got).unwrap();
--- a/crates/front/tests/quiet.rs
+++ b/crates/front/tests/quiet.rs
@@ -9,7 +9,7 @@
 use marljunction_front::msgpack::MsgpackFront;
 use marljunction_front::postgres::{PostgresFront, PostgresSetup};
 use marljunction_front::Directory;
-use marljunction_net::{Net, Owner, Room};
+use marljunction_net::{ConnectionLimits, Net, Owner};
 use marljunction_settings::Names;
 
 const CALL: &[u8] =
@@ -31,10 +31,10 @@
 
 /// Both fronts, and one client of one of them.
 fn world(owner: Owner) -> World {
-    world_in(owner, Room::of(64, 64.0))
+    world_in(owner, ConnectionLimits::of(64, 64.0))
 }
 
-fn world_in(owner: Owner, room: Room) -> World {
+fn world_in(owner: Owner, room: ConnectionLimits) -> World {
     let class = ClassSettings {
         target_latency_ns: 1_000_000_000,
         deadline_ns: 6_000_000_000,
@@ -43,7 +43,8 @@
     let settings = Settings { classes: vec![class], ..Settings::default() };
     let names = Names { classes: vec!["lookup".into()], ..Names::default() };
     let directory = Directory::new(names, &settings);
-    let setup = PostgresSetup { class: ClassId(0), columns: Vec::new(), inlines: true, sessions_most: 8 };
+    let setup =
+        PostgresSetup { class: ClassId(0), columns: Vec::new(), inline_params: true, max_sessions: 8 };
     let mut front = MsgpackFront::new(directory.clone());
     let mut sessions = PostgresFront::new(directory, setup, 1);
     let router = Router::new(settings, 1, 64.0);
@@ -53,7 +54,7 @@
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (stream, from) = listener.accept().unwrap();
     stream.set_nonblocking(true).unwrap();
-    let conn = net.adopt(mio::net::TcpStream::from_std(stream), owner).unwrap();
+    let conn = net.add_accepted(mio::net::TcpStream::from_std(stream), owner).unwrap();
     match owner {
         Owner::Msgpack => front.accept(0, conn, from.ip()),
         _ => sessions.accept(0, conn, from.ip()),
@@ -71,9 +72,9 @@
     }
 
     /// Ends what is quiet.
-    fn close_quiet(&mut self) {
-        self.front.close_quiet(LATE_NS, &mut self.net, &mut self.router, |_| true);
-        self.sessions.close_quiet(LATE_NS, &mut self.net, &mut self.router, |_| true);
+    fn close_idle(&mut self) {
+        self.front.close_idle(LATE_NS, &mut self.net, &mut self.router, |_| true);
+        self.sessions.close_idle(LATE_NS, &mut self.net, &mut self.router, |_| true);
     }
 
     /// Writes to the client until no more goes out.
@@ -98,7 +99,7 @@
     let mut w = world(Owner::Msgpack);
     // It comes behind the events of the round that finds its connection quiet for long.
     w.client.write_all(CALL).unwrap();
-    w.close_quiet();
+    w.close_idle();
     assert_eq!((w.router.counters.taken, w.router.unanswered()), (1, 1));
     assert_eq!(w.net.owner(w.conn), Some(Owner::Msgpack));
 }
@@ -107,7 +108,7 @@
 fn a_statement_that_has_come_keeps_its_session_from_being_closed_as_quiet() {
     let mut w = World::session();
     w.client.write_all(QUERY).unwrap();
-    w.close_quiet();
+    w.close_idle();
     assert_eq!((w.router.counters.taken, w.router.unanswered()), (1, 1));
     assert_eq!(w.net.owner(w.conn), Some(Owner::Postgres));
 }
@@ -147,21 +148,21 @@
     let mut w = world(Owner::Msgpack);
     w.client.write_all(&b"\x94\x00\x01\xa6isWell\x91\x80".repeat(70)).unwrap();
     w.front.ready(0, &mut w.net, &mut w.router, w.conn);
-    assert_eq!(w.front.idle(1_000_000_000, &w.net), None);
+    assert_eq!(w.front.eviction_candidate(1_000_000_000, &w.net), None);
     w.front.ready(0, &mut w.net, &mut w.router, w.conn);
-    assert_eq!(w.front.idle(1_000_000_000, &w.net), Some(w.conn));
+    assert_eq!(w.front.eviction_candidate(1_000_000_000, &w.net), Some(w.conn));
 }
 
 #[test]
 fn one_that_has_not_read_its_answer_yet_is_not_closed_as_quiet_and_makes_no_room() {
     let mut w = world(Owner::Msgpack);
     w.clog();
-    w.close_quiet();
+    w.close_idle();
     assert_eq!(w.net.owner(w.conn), Some(Owner::Msgpack));
-    assert_eq!(w.front.idle(LATE_NS, &w.net), None);
+    assert_eq!(w.front.eviction_candidate(LATE_NS, &w.net), None);
     w.read();
-    assert_eq!(w.front.idle(LATE_NS, &w.net), Some(w.conn));
-    w.close_quiet();
+    assert_eq!(w.front.eviction_candidate(LATE_NS, &w.net), Some(w.conn));
+    w.close_idle();
     assert_eq!(w.router.counters.endings(EndReason::Idle), 1);
 }
 
@@ -169,10 +170,10 @@
 fn a_session_that_has_not_read_its_answer_yet_is_not_closed_as_quiet() {
     let mut w = World::session();
     w.clog();
-    w.close_quiet();
+    w.close_idle();
     assert_eq!(w.net.owner(w.conn), Some(Owner::Postgres));
     w.read();
-    w.close_quiet();
+    w.close_idle();
     assert_eq!(w.router.counters.endings(EndReason::Idle), 1);
 }
 
@@ -180,7 +181,7 @@
 fn one_that_does_not_read_makes_way_for_calls_to_engines_and_is_counted() {
     for owner in [Owner::Msgpack, Owner::Postgres] {
         // Four connections may fill it.
-        let mut w = world_in(owner, Room { engines: 8, output: 1 << 20 });
+        let mut w = world_in(owner, ConnectionLimits { engines: 8, output: 1 << 20 });
         w.clog();
         let engine = TcpListener::bind("127.0.0.1:0").unwrap();
         for _ in 0..4 {
--- a/crates/lab/src/capacity/list.rs
+++ b/crates/lab/src/capacity/list.rs
@@ -11,7 +11,7 @@
 use marljunction_discovery::stream::Stream;
 use marljunction_discovery::{Change, Pacing};
 use marljunction_net::clock::Clock;
-use marljunction_net::{Net, Room};
+use marljunction_net::{ConnectionLimits, Net};
 use marljunction_pacing::Pace;
 use marljunction_settings::Names;
 use mio::{Events, Poll};
@@ -161,7 +161,7 @@
     let fault = |e: std::io::Error| format!("sockets: {e}");
     let mut poll = Poll::new().map_err(fault)?;
     let registry = poll.registry().try_clone().map_err(fault)?;
-    let mut net = Net::new(registry, FIRST_CONN, Room::of(1_024, MEMORY_MB));
+    let mut net = Net::new(registry, FIRST_CONN, ConnectionLimits::of(1_024, MEMORY_MB));
     let clock = Clock::start();
     let names = Names {
         classes: Vec::new(),
--- a/crates/net/src/datagrams.rs
+++ b/crates/net/src/datagrams.rs
@@ -7,31 +7,37 @@
 use mio::{Interest, Registry, Token};
 
 /// Datagrams that one round reads (count): clients have their turn between.
-const ROUND_MOST: usize = 256;
+const MAX_DATAGRAMS_PER_READ: usize = 256;
 /// Largest datagram that is read (bytes); more of it is cut off, and so does not bear its sum.
-const DATAGRAM_MOST: usize = 2_048;
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 /// An open socket.
-pub struct Datagrams {
+pub struct DatagramSocket {
     socket: UdpSocket,
     buffer: Vec<u8>,
     /// It was left with something to read: no further event tells of it.
-    pub more: bool,
+    pub unread: bool,
     /// Datagrams that the machine had no room to send.
-    pub unsent: u64,
+    pub send_errors: u64,
     /// Bytes of datagrams that were taken.
     pub received_bytes: u64,
 }
 
-impl Datagrams {
+impl DatagramSocket {
     /// Opens it.
     ///
     /// # Errors
     /// Where the address can't be bound.
-    pub fn open(registry: &Registry, token: Token, at: SocketAddr) -> std::io::Result<Datagrams> {
+    pub fn open(registry: &Registry, token: Token, at: SocketAddr) -> std::io::Result<DatagramSocket> {
         let mut socket = UdpSocket::bind(at)?;
         registry.register(&mut socket, token, Interest::READABLE)?;
-        Ok(Datagrams { socket, buffer: vec![0; DATAGRAM_MOST], more: false, unsent: 0, received_bytes: 0 })
+        Ok(DatagramSocket {
+            socket,
+            buffer: vec![0; MAX_DATAGRAM_BYTES],
+            unread: false,
+            send_errors: 0,
+            received_bytes: 0,
+        })
     }
 
     /// Where it is open.
@@ -44,8 +50,8 @@
 
     /// Hands over what has come in, up to a bound.
     pub fn receive(&mut self, mut take: impl FnMut(&[u8])) {
-        self.more = false;
-        for _ in 0..ROUND_MOST {
+        self.unread = false;
+        for _ in 0..MAX_DATAGRAMS_PER_READ {
             match self.socket.recv_from(&mut self.buffer) {
                 Ok((size, _)) => {
                     self.received_bytes += size as u64;
@@ -56,11 +62,11 @@
                 Err(_) => {}
             }
         }
-        self.more = true;
+        self.unread = true;
     }
 
     /// Sends a datagram; one that finds no room is lost, as any may be.
     pub fn send(&mut self, to: SocketAddr, datagram: &[u8]) {
-        self.unsent += u64::from(self.socket.send_to(datagram, to).is_err());
+        self.send_errors += u64::from(self.socket.send_to(datagram, to).is_err());
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -32,17 +32,17 @@
 
 /// What the machine allows all connections together.
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
+pub struct ConnectionLimits {
     /// Connections to engines.
     pub engines: usize,
     /// Output that waits (bytes).
     pub output: usize,
 }
 
-impl Room {
+impl ConnectionLimits {
     /// Of a machine with so many descriptors and so many megabytes.
     pub fn of(sockets: usize, memory_mb: f64) -> Self {
-        Room { engines: sockets / 2, output: (memory_mb * OUTPUT_ALL * 1e6) as usize }
+        ConnectionLimits { engines: sockets / 2, output: (memory_mb * OUTPUT_ALL * 1e6) as usize }
     }
 }
 
@@ -58,14 +58,14 @@
     /// The source of membership news.
     Discovery,
     /// A caller at the operators' door.
-    Operator,
+    Admin,
     /// A client whose connection is being ended: it may still read what was written to it.
-    Leaver,
+    Lingering,
 }
 
 impl Owner {
     fn is_client(self) -> bool {
-        matches!(self, Owner::Msgpack | Owner::Postgres | Owner::Operator | Owner::Leaver)
+        matches!(self, Owner::Msgpack | Owner::Postgres | Owner::Admin | Owner::Lingering)
     }
 }
 
@@ -77,12 +77,12 @@
     written: usize,
     connecting: bool,
     /// It has more to read than was taken so far.
-    more: bool,
+    unread: bool,
     /// Its peer has closed its side, whatever it sent before that was not read yet.
     closed: bool,
     ended: Option<EndReason>,
     /// While it is being ended: what it may still send, and until when.
-    discard: (usize, u64),
+    discard_input: (usize, u64),
 }
 
 /// All connections, by numbers that are never used twice.
@@ -93,7 +93,7 @@
     waiting: usize,
     engine_conns: usize,
     client_conns: usize,
-    room: Room,
+    room: ConnectionLimits,
     leavers: Vec<u64>,
     scratch: Vec<u8>,
     /// Bytes read from all connections so far.
@@ -105,7 +105,7 @@
 
 /// What became of a connection when it was last looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Look {
+pub struct ConnectionStatus {
     /// It is up.
     pub up: bool,
     /// All output has been written to it.
@@ -116,7 +116,7 @@
 
 impl Net {
     /// No connections yet.
-    pub fn new(registry: Registry, first: u64, room: Room) -> Self {
+    pub fn new(registry: Registry, first: u64, room: ConnectionLimits) -> Self {
         Net {
             registry,
             conns: HashMap::new(),
@@ -135,12 +135,12 @@
 
     /// From here on, calls to engines are written by [`Net::release`] only, at the end of a round. Guards against a call that
     /// goes out as its connection comes up, in the very round that also brings its client's leaving, or a drain of its engine.
-    pub fn hold_calls(&mut self) {
+    pub fn defer_engine_writes(&mut self) {
         self.holds = true;
     }
 
     /// Writes what waits for engines, as far as it can be written; gives the connections that it was written to.
-    pub fn release(&mut self) -> Vec<u64> {
+    pub fn flush_engine_writes(&mut self) -> Vec<u64> {
         let mut held = std::mem::take(&mut self.held);
         held.sort_unstable();
         held.dedup();
@@ -161,13 +161,13 @@
     }
 
     /// Whether something waits to be written of which no byte has gone out.
-    pub fn is_unbegun(&self, id: u64) -> bool {
+    pub fn has_unstarted_output(&self, id: u64) -> bool {
         self.conns.get(&id).is_some_and(|c| c.written == 0 && !c.output.is_empty())
     }
 
     /// The peer has closed its side. Guards against a client that has gone, unseen behind what it sent before: reading from it
     /// may be at rest for as long as its request runs.
-    pub fn peer_closed(&mut self, id: u64) {
+    pub fn mark_peer_closed(&mut self, id: u64) {
         if let Some(conn) =
             self.conns.get_mut(&id).filter(|c| matches!(c.owner, Owner::Msgpack | Owner::Postgres))
         {
@@ -188,7 +188,7 @@
     }
 
     /// Takes over a connection that a client opened.
-    pub fn adopt(&mut self, stream: TcpStream, owner: Owner) -> Result<u64, EndReason> {
+    pub fn add_accepted(&mut self, stream: TcpStream, owner: Owner) -> Result<u64, EndReason> {
         self.add(stream, owner, false)
     }
 
@@ -203,8 +203,8 @@
         self.client_conns += usize::from(owner.is_client());
         #[rustfmt::skip]
         let conn = Conn {
-            stream, owner, connecting, input: Vec::new(), output: Vec::new(), written: 0, more: false, closed: false, ended: None,
-            discard: (0, 0),
+            stream, owner, connecting, input: Vec::new(), output: Vec::new(), written: 0, unread: false, closed: false, ended: None,
+            discard_input: (0, 0),
         };
         self.conns.insert(self.serial, conn);
         Ok(self.serial)
@@ -227,27 +227,27 @@
 
     /// Ends a client's connection behind what was written to it. Guards against an error that the client never
     /// sees: a connection closed with unread input is reset, and takes with it what the client had not read.
-    pub fn finish(&mut self, now: u64, id: u64) {
+    pub fn close_after_flush(&mut self, now: u64, id: u64) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         if conn.ended.is_some() {
             return self.close(id);
         }
-        (conn.owner, conn.discard) = (Owner::Leaver, (DISCARD_MOST, now + DISCARD_NS));
+        (conn.owner, conn.discard_input) = (Owner::Lingering, (DISCARD_MOST, now + DISCARD_NS));
         conn.input = Vec::new();
         self.leavers.push(id);
-        self.discard(id);
+        self.discard_input(id);
     }
 
     /// Reads on from a connection that is being ended, up to a bound, and closes it once its client has.
-    pub fn discard(&mut self, id: u64) {
+    pub fn discard_input(&mut self, id: u64) {
         self.flush(id);
-        let Some(conn) = self.conns.get_mut(&id).filter(|c| c.owner == Owner::Leaver) else { return };
+        let Some(conn) = self.conns.get_mut(&id).filter(|c| c.owner == Owner::Lingering) else { return };
         if conn.output.is_empty() {
             let _ = conn.stream.shutdown(std::net::Shutdown::Write);
         }
-        while conn.discard.0 > 0 {
+        while conn.discard_input.0 > 0 {
             match conn.stream.read(&mut self.scratch) {
-                Ok(n) if n > 0 => conn.discard.0 = conn.discard.0.saturating_sub(n),
+                Ok(n) if n > 0 => conn.discard_input.0 = conn.discard_input.0.saturating_sub(n),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 _ => break,
@@ -258,14 +258,14 @@
 
     /// Ends all clients' connections behind what was written to them, as the program ends. Guards against answers that are
     /// reset away: what ends with unread input resets its connection.
-    pub fn finish_all(&mut self, now: u64) {
+    pub fn close_all_after_flush(&mut self, now: u64) {
         let clients = |(id, c): (&u64, &Conn)| c.owner.is_client().then_some(*id);
         let clients: Vec<u64> = self.conns.iter().filter_map(clients).collect();
-        clients.into_iter().for_each(|id| self.finish(now, id));
+        clients.into_iter().for_each(|id| self.close_after_flush(now, id));
     }
 
     /// Closes the oldest connection that is being ended, to make room; false where there is none.
-    pub fn drop_leaver(&mut self) -> bool {
+    pub fn close_oldest_lingering(&mut self) -> bool {
         let oldest = self.leavers.iter().copied().find(|id| self.conns.contains_key(id));
         oldest.map(|id| self.close(id)).is_some()
     }
@@ -274,7 +274,7 @@
     pub fn tick(&mut self, now: u64) {
         let mut leavers = std::mem::take(&mut self.leavers);
         leavers.retain(|id| match self.conns.get(id) {
-            Some(conn) if now < conn.discard.1 => true,
+            Some(conn) if now < conn.discard_input.1 => true,
             _ => {
                 self.close(*id);
                 false
@@ -369,14 +369,14 @@
     }
 
     /// Moves what is ready in both directions.
-    pub fn service(&mut self, id: u64) -> Look {
-        let lost = Look { up: false, drained: false, ended: Some(EndReason::Cut) };
+    pub fn service(&mut self, id: u64) -> ConnectionStatus {
+        let lost = ConnectionStatus { up: false, drained: false, ended: Some(EndReason::Cut) };
         let Some(conn) = self.conns.get_mut(&id) else { return lost };
         if conn.connecting {
             match conn.stream.take_error() {
                 Ok(None) => match conn.stream.peer_addr() {
                     Ok(_) => conn.connecting = false,
-                    Err(_) => return Look { up: false, drained: false, ended: None },
+                    Err(_) => return ConnectionStatus { up: false, drained: false, ended: None },
                 },
                 Ok(Some(e)) | Err(e) => {
                     conn.ended = Some(match e.kind() {
@@ -389,13 +389,13 @@
         }
         self.put(id);
         let Some(conn) = self.conns.get_mut(&id) else { return lost };
-        conn.more = false;
+        conn.unread = false;
         if conn.closed {
             conn.ended = conn.ended.or(Some(EndReason::Cut));
         }
         while conn.ended.is_none() {
             if conn.input.len() >= INPUT_MOST {
-                conn.more = true;
+                conn.unread = true;
                 break;
             }
             match conn.stream.read(&mut self.scratch) {
@@ -409,13 +409,17 @@
                 Err(_) => conn.ended = Some(EndReason::Cut),
             }
         }
-        Look { up: !conn.connecting, drained: conn.output.is_empty() && !conn.connecting, ended: conn.ended }
+        ConnectionStatus {
+            up: !conn.connecting,
+            drained: conn.output.is_empty() && !conn.connecting,
+            ended: conn.ended,
+        }
     }
 
     /// Whether a connection was left with something to read: no further event tells of it.
     pub fn has_more(&self, id: u64) -> bool {
         // Where its owner leaves the input full, it waits for something else and looks again by itself.
-        self.conns.get(&id).is_some_and(|c| c.more && c.input.len() < INPUT_MOST)
+        self.conns.get(&id).is_some_and(|c| c.unread && c.input.len() < INPUT_MOST)
     }
 
     /// What has come in and was not taken yet.
--- a/crates/net/src/phase.rs
+++ b/crates/net/src/phase.rs
@@ -23,7 +23,7 @@
 /// Time for which a client's connection with nothing open must have been quiet before a drained or stopping
 /// process closes it (ns). Guards against closing one on a call that its client is writing as its answer goes
 /// out; the operators' front stops new connections 0.2 s after a no, and clients keep to those that are open.
-pub const QUIET_NS: u64 = 50_000_000;
+pub const MIN_IDLE_NS: u64 = 50_000_000;
 
 impl Phase {
     /// Whether the process says that it is ready to serve.
@@ -80,8 +80,8 @@
     }
 
     /// Whether a client's connection that has nothing open and was last busy at `busy_ns` is to be closed now.
-    pub fn closes(self, now_ns: u64, busy_ns: u64) -> bool {
-        let quiet = now_ns >= busy_ns.saturating_add(QUIET_NS);
+    pub fn should_close(self, now_ns: u64, busy_ns: u64) -> bool {
+        let quiet = now_ns >= busy_ns.saturating_add(MIN_IDLE_NS);
         match self {
             Phase::Serving | Phase::Stopping { handing_over: false, .. } => false,
             Phase::Drained(_) | Phase::Stopping { handing_over: true, .. } => quiet,
--- a/crates/net/tests/close.rs
+++ b/crates/net/tests/close.rs
@@ -3,7 +3,7 @@
 use std::io::Read;
 
 use marljunction_core::end_reason::EndReason;
-use marljunction_net::{Net, Owner, Room};
+use marljunction_net::{ConnectionLimits, Net, Owner};
 
 /// A client, and its connection's number.
 fn client(net: &mut Net, owner: Owner) -> (std::net::TcpStream, u64) {
@@ -11,13 +11,13 @@
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (stream, _) = listener.accept().unwrap();
     stream.set_nonblocking(true).unwrap();
-    (client, net.adopt(mio::net::TcpStream::from_std(stream), owner).unwrap())
+    (client, net.add_accepted(mio::net::TcpStream::from_std(stream), owner).unwrap())
 }
 
 #[test]
 fn a_closed_connection_to_an_engine_is_reset_so_that_nothing_it_held_is_sent_later() {
     let poll = mio::Poll::new().unwrap();
-    let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, Room::of(64, 64.0));
+    let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, ConnectionLimits::of(64, 64.0));
     let engine = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let id = net.connect(engine.local_addr().unwrap(), Owner::Engine).unwrap();
     let (mut peer, _) = engine.accept().unwrap();
@@ -34,12 +34,12 @@
 #[test]
 fn what_was_written_to_a_client_outlives_the_program_s_end_though_it_sent_more() {
     let poll = mio::Poll::new().unwrap();
-    let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, Room::of(64, 64.0));
+    let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, ConnectionLimits::of(64, 64.0));
     let (mut client, id) = client(&mut net, Owner::Msgpack);
     client.set_read_timeout(Some(std::time::Duration::from_secs(8))).unwrap();
     assert!(net.send(id, b"the answer"));
     std::io::Write::write_all(&mut client, b"more than was asked for").unwrap();
-    net.finish_all(0);
+    net.close_all_after_flush(0);
     drop(net);
     let mut got = Vec::new();
     client.read_to_end(&mut got).expect("an end, not a reset");
@@ -49,7 +49,7 @@
 #[test]
 fn a_client_that_has_closed_is_gone_though_no_more_is_read_from_it() {
     let mut poll = mio::Poll::new().unwrap();
-    let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, Room::of(64, 64.0));
+    let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, ConnectionLimits::of(64, 64.0));
     let (mut client, id) = client(&mut net, Owner::Postgres);
     // More than is read before its owner takes some of it.
     std::io::Write::write_all(&mut client, &[b'x'; 100 << 10]).unwrap();
@@ -60,7 +60,7 @@
         poll.poll(&mut events, Some(std::time::Duration::from_secs(8))).unwrap();
         assert!(!events.is_empty(), "no event tells of the end");
     }
-    net.peer_closed(id);
+    net.mark_peer_closed(id);
     assert!(net.service(id).ended.is_some());
 }
 
@@ -76,7 +76,7 @@
 fn a_client_that_does_not_read_makes_way_for_others_answers_and_engines_calls() {
     let mut poll = mio::Poll::new().unwrap();
     // One may have a quarter of it waiting.
-    let room = Room { engines: 8, output: 4 << 20 };
+    let room = ConnectionLimits { engines: 8, output: 4 << 20 };
     let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, room);
     let idler = |net: &mut Net, kilobytes: usize| {
         let (stream, id) = client(net, Owner::Msgpack);
--- a/crates/net/tests/phase.rs
+++ b/crates/net/tests/phase.rs
@@ -1,20 +1,20 @@
 //! The phase of the process.
 
-use marljunction_net::phase::{Phase, QUIET_NS};
+use marljunction_net::phase::{Phase, MIN_IDLE_NS};
 
 #[test]
 fn a_drained_process_is_not_ready_closes_quiet_connections_and_comes_back() {
     let mut phase = Phase::Serving;
-    assert!(phase.is_ready() && !phase.closes(10 * QUIET_NS, 0));
+    assert!(phase.is_ready() && !phase.should_close(10 * MIN_IDLE_NS, 0));
     assert!(phase.is_well());
     assert!(phase.drain(100));
     assert!(!phase.is_well(), "its clients are to go elsewhere");
     assert!(!phase.drain(200), "a second drain is no news");
     assert!(!phase.is_ready());
-    assert!(!phase.closes(100 + QUIET_NS - 1, 100), "busy a moment ago: its client may be writing");
-    assert!(phase.closes(100 + QUIET_NS, 100));
+    assert!(!phase.should_close(100 + MIN_IDLE_NS - 1, 100), "busy a moment ago: its client may be writing");
+    assert!(phase.should_close(100 + MIN_IDLE_NS, 100));
     assert!(phase.undrain());
-    assert!(phase.is_ready() && !phase.closes(10 * QUIET_NS, 0));
+    assert!(phase.is_ready() && !phase.should_close(10 * MIN_IDLE_NS, 0));
     assert!(!phase.undrain());
 }
 
@@ -26,10 +26,10 @@
     phase.stop(20, false);
     assert_eq!(phase.stopping_since(), Some(10), "the first stop counts");
     assert!(!phase.undrain() && !phase.drain(30) && !phase.is_ready());
-    assert!(phase.closes(10 + QUIET_NS, 10));
+    assert!(phase.should_close(10 + MIN_IDLE_NS, 10));
     let mut alone = Phase::Serving;
     alone.stop(10, false);
-    assert!(!alone.closes(u64::MAX, 0), "without a successor, clients stay to the end");
+    assert!(!alone.should_close(u64::MAX, 0), "without a successor, clients stay to the end");
     assert!(alone.is_well() && !alone.is_ready(), "alone, it takes connections for a while yet");
     assert!(!phase.is_well());
 }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use marljunction_net::clock::Clock;
-use marljunction_net::{Net, Room};
+use marljunction_net::{ConnectionLimits, Net};
 use mio::{Events, Poll, Token};
 use nix::sys::signal::Signal;
 use rand::rngs::StdRng;
@@ -238,7 +238,7 @@
         }
         let list =
             ListService::new(&registry, LIST_TOKEN, setup.routers, setup.capacity).map_err(fault("list"))?;
-        let net = Net::new(registry, FIRST_CONN, Room { engines: 1 << 20, output: 1 << 30 });
+        let net = Net::new(registry, FIRST_CONN, ConnectionLimits { engines: 1 << 20, output: 1 << 30 });
         let dir = std::env::temp_dir().join(format!("marljunction-{}-{}", std::process::id(), setup.name));
         std::fs::create_dir_all(&dir).map_err(fault("folder"))?;
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
@@ -255,7 +255,11 @@
             let seed = setup.seed.wrapping_mul(7_919).wrapping_add(i as u64);
             let mut load = Load::new(nowhere, setup.classes.clone(), LONGEST_MS, 0.0, seed);
             load.router = i;
-            load.gone(&mut Net::new(poll.registry().try_clone()?, 0, Room { engines: 0, output: 0 }));
+            load.gone(&mut Net::new(
+                poll.registry().try_clone()?,
+                0,
+                ConnectionLimits { engines: 0, output: 0 },
+            ));
             Ok::<_, std::io::Error>(load)
         };
         let loads = (0..setup.routers).map(load).collect::<Result<_, _>>().map_err(fault("clients"))?;
--- a/crates/testkit/src/hollow/router.rs
+++ b/crates/testkit/src/hollow/router.rs
@@ -8,7 +8,7 @@
 use marljunction_discovery::bound::ListBound;
 use marljunction_discovery::stream::Stream;
 use marljunction_discovery::{Change, Pacing};
-use marljunction_net::{Net, Room};
+use marljunction_net::{ConnectionLimits, Net};
 use marljunction_pacing::Pace;
 use marljunction_settings::{read_settings, Names};
 use mio::{Registry, Token};
@@ -126,7 +126,7 @@
     ) -> Result<HollowRouter, HollowError> {
         let own = registry.try_clone().map_err(io("poll"))?;
         let first = (slot as u64 + 1) << TOKEN_BITS | incarnation << INCARNATION_BITS;
-        let net = Net::new(own, first, Room { engines: 0, output: 1 << 20 });
+        let net = Net::new(own, first, ConnectionLimits { engines: 0, output: 1 << 20 });
         let seed = shared.setup.seed ^ u64::from(start.number) << 20 ^ incarnation;
         let pacing = Pacing { pace: shared.pace(start.number), seed, stale_ns: STALE_NS };
         let (settings, names) = &*shared.settings;
--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -207,7 +207,7 @@
     /// Takes new connections.
     pub fn accept(&mut self, now: u64, net: &mut Net) {
         while let Ok((stream, _)) = self.listener.accept() {
-            let Ok(client) = net.adopt(stream, Owner::Engine) else { continue };
+            let Ok(client) = net.add_accepted(stream, Owner::Engine) else { continue };
             let Ok(server) = net.connect(self.to, Owner::Engine) else {
                 net.close(client);
                 continue;
--- a/crates/testkit/src/list.rs
+++ b/crates/testkit/src/list.rs
@@ -187,7 +187,7 @@
         while let Ok((stream, _)) = self.doors[router].listener.accept() {
             // Those of a service that is away are reset, as the owner of the number tells the sockets.
             let owner = if self.manner == Manner::Away { Owner::Engine } else { Owner::Discovery };
-            let Ok(conn) = net.adopt(stream, owner) else { continue };
+            let Ok(conn) = net.add_accepted(stream, owner) else { continue };
             if self.manner == Manner::Away {
                 self.calls.push(Seen { at_ns: now, router, taken: false });
                 net.close(conn);
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -151,7 +151,7 @@
             if self.conns.len() >= self.conns_most {
                 continue;
             }
-            if let Ok(conn) = net.adopt(stream, Owner::Engine) {
+            if let Ok(conn) = net.add_accepted(stream, Owner::Engine) {
                 self.accepted += 1;
                 self.fresh.insert(conn);
                 self.conns.insert(conn);
@@ -304,7 +304,7 @@
     /// Takes new connections.
     pub fn accept(&mut self, net: &mut Net) {
         while let Ok((stream, _)) = self.listener.accept() {
-            if let Ok(conn) = net.adopt(stream, Owner::Discovery) {
+            if let Ok(conn) = net.add_accepted(stream, Owner::Discovery) {
                 self.conns.insert(conn, false);
             }
         }
--- a/crates/testkit/src/stage.rs
+++ b/crates/testkit/src/stage.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use marljunction_net::clock::Clock;
-use marljunction_net::{Net, Room};
+use marljunction_net::{ConnectionLimits, Net};
 use mio::{Events, Poll, Token};
 use serde_json::{json, Value};
 
@@ -156,7 +156,7 @@
             engines.push(engine.map_err(fault("engine"))?);
         }
         let coordinator = Coordinator::new(&registry, COORDINATOR).map_err(fault("coordinator"))?;
-        let net = Net::new(registry, FIRST_CONN, Room { engines: 100_000, output: 256 << 20 });
+        let net = Net::new(registry, FIRST_CONN, ConnectionLimits { engines: 100_000, output: 256 << 20 });
         let all: Vec<Value> = engines.iter().map(|e| target(e, "in_service")).collect();
         let site = Site {
             classes: &setup.classes,
--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -2,7 +2,7 @@
 
 use marljunction_discovery::bans::Refusal;
 use marljunction_discovery::engine_id;
-use marljunction_front::operator::{Call, OperatorFront, Reply};
+use marljunction_front::operator::{AdminRequest, AdminResponse, AdminServer};
 use marljunction_health::version::Version;
 
 use super::overrides::PendingConfirmation;
@@ -10,30 +10,30 @@
 
 /// The server, and clients that wait until the fleet has heard their override.
 pub(super) struct Admin {
-    pub(super) server: OperatorFront,
+    pub(super) server: AdminServer,
     pub(super) pending: Vec<PendingConfirmation>,
 }
 
 impl Admin {
     /// A server for a process with so many descriptors (count).
     pub(super) fn new(descriptors: usize) -> Admin {
-        Admin { server: OperatorFront::new(descriptors), pending: Vec::new() }
+        Admin { server: AdminServer::new(descriptors), pending: Vec::new() }
     }
 }
 
 /// What a call came to.
 enum Outcome {
     /// Its answer.
-    Reply(Reply),
+    AdminResponse(AdminResponse),
     /// It is answered once the peers have heard the override of this version.
     AwaitPeers(Version),
 }
 
 impl Daemon {
     /// Executes one call and answers it, at once or when the peers have heard of it.
-    pub(super) fn handle_call(&mut self, now: u64, conn: u64, call: Call) {
+    pub(super) fn handle_call(&mut self, now: u64, conn: u64, call: AdminRequest) {
         match self.execute_call(now, &call) {
-            Outcome::Reply(reply) => {
+            Outcome::AdminResponse(reply) => {
                 self.fronts.msgpack.set_well(self.stop.phase.is_well());
                 self.admin.server.answer(now, &mut self.net, conn, &call, reply);
             }
@@ -41,32 +41,32 @@
         }
     }
 
-    fn execute_call(&mut self, now: u64, call: &Call) -> Outcome {
+    fn execute_call(&mut self, now: u64, call: &AdminRequest) -> Outcome {
         let reply = match call {
-            Call::Ready => self.readiness(now),
-            Call::Disable(id) => self.exclude_engine(id),
-            Call::Enable(id) => self.restore_engine(now, id),
-            Call::DisableForAll(id) => return self.override_engine(now, id, true),
-            Call::EnableForAll(id) => return self.override_engine(now, id, false),
-            Call::Fleet => self.describe_fleet(now),
-            Call::Verdicts => self.describe_health(now),
-            Call::Drain => self.drain(now),
-            Call::Undrain => self.undrain(),
+            AdminRequest::Ready => self.readiness(now),
+            AdminRequest::Disable(id) => self.exclude_engine(id),
+            AdminRequest::Enable(id) => self.restore_engine(now, id),
+            AdminRequest::DisableForAll(id) => return self.override_engine(now, id, true),
+            AdminRequest::EnableForAll(id) => return self.override_engine(now, id, false),
+            AdminRequest::Fleet => self.describe_fleet(now),
+            AdminRequest::Verdicts => self.describe_health(now),
+            AdminRequest::Drain => self.drain(now),
+            AdminRequest::Undrain => self.undrain(),
         };
-        Outcome::Reply(reply)
+        Outcome::AdminResponse(reply)
     }
 
-    fn readiness(&mut self, now: u64) -> Reply {
+    fn readiness(&mut self, now: u64) -> AdminResponse {
         if !self.knows_overrides(now) {
-            return Reply::new(503, "not ready: asks the fleet which engines are out");
+            return AdminResponse::new(503, "not ready: asks the fleet which engines are out");
         }
         match self.stop.phase.is_ready() {
-            true => Reply::new(200, "ready"),
-            false => Reply::new(503, format!("not ready: {}", self.stop.phase.name())),
+            true => AdminResponse::new(200, "ready"),
+            false => AdminResponse::new(503, format!("not ready: {}", self.stop.phase.name())),
         }
     }
 
-    fn exclude_engine(&mut self, id: &str) -> Reply {
+    fn exclude_engine(&mut self, id: &str) -> AdminResponse {
         let change = match self.engine_list.bans().disable(id, false) {
             Ok(change) => change,
             Err(refusal) => return refusal_reply(refusal, id),
@@ -75,70 +75,70 @@
             self.notify(change);
         }
         self.engine_list.exclusions.write();
-        Reply::new(200, format!("{id} is out"))
+        AdminResponse::new(200, format!("{id} is out"))
     }
 
-    fn restore_engine(&mut self, now: u64, id: &str) -> Reply {
+    fn restore_engine(&mut self, now: u64, id: &str) -> AdminResponse {
         let was_out = self.engine_list.bans().holds(engine_id(id));
         let change = match self.engine_list.bans().enable(id, now) {
             Ok(change) => change,
             Err(refusal) => return refusal_reply(refusal, id),
         };
         if !was_out {
-            return Reply::new(200, format!("{id} was not out"));
+            return AdminResponse::new(200, format!("{id} was not out"));
         }
         if let Some(change) = change {
             self.notify(change);
         }
         self.engine_list.exclusions.write();
         match self.engine_list.bans().holds(engine_id(id)) {
-            true => Reply::new(409, format!("the whole fleet leaves {id} out")),
-            false => Reply::new(200, format!("{id} is back")),
+            true => AdminResponse::new(409, format!("the whole fleet leaves {id} out")),
+            false => AdminResponse::new(200, format!("{id} is back")),
         }
     }
 
     fn override_engine(&mut self, now: u64, id: &str, excluded: bool) -> Outcome {
         match self.publish_override(now, id, excluded) {
             Ok(version) => Outcome::AwaitPeers(version),
-            Err(reply) => Outcome::Reply(reply),
+            Err(reply) => Outcome::AdminResponse(reply),
         }
     }
 
-    fn describe_fleet(&mut self, now: u64) -> Reply {
+    fn describe_fleet(&mut self, now: u64) -> AdminResponse {
         match (&self.fleet, self.router.limits()) {
-            (Some(fleet), Some(limits)) => Reply::new(200, fleet.view(now, limits)),
-            _ => Reply::new(404, "this router talks to no fleet"),
+            (Some(fleet), Some(limits)) => AdminResponse::new(200, fleet.view(now, limits)),
+            _ => AdminResponse::new(404, "this router talks to no fleet"),
         }
     }
 
-    fn describe_health(&mut self, now: u64) -> Reply {
+    fn describe_health(&mut self, now: u64) -> AdminResponse {
         match (&self.fleet, self.router.health()) {
-            (Some(fleet), Some(health)) => Reply::new(200, fleet.view_health(now, health)),
-            _ => Reply::new(404, "this router shares no verdicts"),
+            (Some(fleet), Some(health)) => AdminResponse::new(200, fleet.view_health(now, health)),
+            _ => AdminResponse::new(404, "this router shares no verdicts"),
         }
     }
 
-    fn drain(&mut self, now: u64) -> Reply {
+    fn drain(&mut self, now: u64) -> AdminResponse {
         if self.stop.phase.stopping_since().is_some() {
-            return Reply::new(409, "stopping");
+            return AdminResponse::new(409, "stopping");
         }
         self.stop.phase.drain(now);
-        Reply::new(200, "drained")
+        AdminResponse::new(200, "drained")
     }
 
-    fn undrain(&mut self) -> Reply {
+    fn undrain(&mut self) -> AdminResponse {
         if self.stop.phase.stopping_since().is_some() {
-            return Reply::new(409, "stopping");
+            return AdminResponse::new(409, "stopping");
         }
         self.stop.phase.undrain();
-        Reply::new(200, "serving")
+        AdminResponse::new(200, "serving")
     }
 }
 
-fn refusal_reply(refusal: Refusal, id: &str) -> Reply {
+fn refusal_reply(refusal: Refusal, id: &str) -> AdminResponse {
     match refusal {
-        Refusal::Unknown => Reply::new(404, format!("no engine {id}")),
-        Refusal::Malformed => Reply::new(400, "the body is not an engine's id"),
-        Refusal::Full => Reply::new(409, "as many engines are out as may be"),
+        Refusal::Unknown => AdminResponse::new(404, format!("no engine {id}")),
+        Refusal::Malformed => AdminResponse::new(400, "the body is not an engine's id"),
+        Refusal::Full => AdminResponse::new(409, "as many engines are out as may be"),
     }
 }
--- a/src/daemon/clients.rs
+++ b/src/daemon/clients.rs
@@ -76,7 +76,7 @@
         if self.client_listener(owner).is_none() {
             return Accepted::Drained;
         }
-        let full = self.net.clients() >= self.listeners.max_clients && !self.net.drop_leaver();
+        let full = self.net.clients() >= self.listeners.max_clients && !self.net.close_oldest_lingering();
         // Guards against running out of descriptors: who has nothing open makes room, else all wait.
         let evicted = if full { self.idle_client(now) } else { None };
         if full && evicted.is_none() {
@@ -86,7 +86,7 @@
         let Some(listener) = self.client_listener(owner) else { return Accepted::Drained };
         match listener.accept() {
             Ok((stream, from)) => {
-                if let Ok(conn) = self.net.adopt(stream, owner) {
+                if let Ok(conn) = self.net.add_accepted(stream, owner) {
                     self.admit_client(now, owner, (conn, from.ip()), evicted);
                 }
                 Accepted::More
@@ -99,7 +99,7 @@
         let Some(listener) = &self.listeners.admin else { return Accepted::Drained };
         match listener.accept() {
             Ok((stream, _)) => {
-                match self.net.adopt(stream, Owner::Operator) {
+                match self.net.add_accepted(stream, Owner::Admin) {
                     Ok(conn) => self.admin.server.accept(now, &mut self.net, conn),
                     Err(_) => self.router.counters.short_of_descriptors += 1,
                 }
@@ -120,8 +120,8 @@
     fn admit_client(&mut self, now: u64, owner: Owner, (conn, peer): (u64, IpAddr), evicted: Option<u64>) {
         self.router.counters.accepted += 1;
         // Only now: guards against closing one whenever nobody else comes.
-        if let Some(idle) = evicted {
-            self.close_idle(idle);
+        if let Some(eviction_candidate) = evicted {
+            self.close_idle(eviction_candidate);
         }
         match (owner, &mut self.fronts.postgres) {
             (Owner::Postgres, Some(front)) => front.accept(now, conn, peer),
@@ -147,21 +147,21 @@
         warn!("accept: {fault}");
         self.router.counters.short_of_descriptors += 1;
         let short = fault.raw_os_error().is_some_and(|code| NO_DESCRIPTOR_CODES.contains(&code));
-        let idle = if short { self.idle_client(now) } else { None };
-        match idle {
-            Some(idle) => self.close_idle(idle),
+        let eviction_candidate = if short { self.idle_client(now) } else { None };
+        match eviction_candidate {
+            Some(eviction_candidate) => self.close_idle(eviction_candidate),
             None => self.listeners.retry_ns = Some(now + ACCEPT_RETRY_DELAY_NS),
         }
-        idle.is_some()
+        eviction_candidate.is_some()
     }
 
     /// The client that makes room for another, looked at once more. Guards against one that does so with its request unread.
     fn idle_client(&mut self, now: u64) -> Option<u64> {
         loop {
-            let idle = self.fronts.msgpack.idle(now, &self.net)?;
-            self.connection_ready(now, idle);
-            if self.fronts.msgpack.idle(now, &self.net) == Some(idle) {
-                return Some(idle);
+            let eviction_candidate = self.fronts.msgpack.eviction_candidate(now, &self.net)?;
+            self.connection_ready(now, eviction_candidate);
+            if self.fronts.msgpack.eviction_candidate(now, &self.net) == Some(eviction_candidate) {
+                return Some(eviction_candidate);
             }
         }
     }
--- a/src/daemon/iteration.rs
+++ b/src/daemon/iteration.rs
@@ -63,7 +63,7 @@
             let now = self.clock.now_ns();
             self.run_iteration(now, &events);
             if self.finished(now) {
-                self.net.finish_all(now);
+                self.net.close_all_after_flush(now);
                 self.log_counters();
                 let line = self.counters_line();
                 info!("ends; {line}");
@@ -98,7 +98,7 @@
 
     fn dispatch(&mut self, now: u64, events: &Events) {
         for event in events.iter().filter(|event| event.is_read_closed()) {
-            self.net.peer_closed(event.token().0 as u64);
+            self.net.mark_peer_closed(event.token().0 as u64);
         }
         let mut tokens: Vec<usize> = events.iter().map(|event| event.token().0).collect();
         let unread = std::mem::take(&mut self.event_loop.unread);
@@ -118,7 +118,7 @@
     pub(super) fn connection_ready(&mut self, now: u64, conn: u64) {
         match self.net.owner(conn) {
             None => {}
-            Some(Owner::Leaver) => self.net.discard(conn),
+            Some(Owner::Lingering) => self.net.discard_input(conn),
             Some(Owner::Msgpack) => {
                 self.fronts.msgpack.ready(now, &mut self.net, &mut self.router, conn);
             }
@@ -131,7 +131,7 @@
                 let mut context = Context { now, net: &mut self.net, router: &mut self.router };
                 self.engines.ready(&mut context, conn);
             }
-            Some(Owner::Operator) => {
+            Some(Owner::Admin) => {
                 if let Some(call) = self.admin.server.ready(now, &mut self.net, conn) {
                     self.handle_call(now, conn, call);
                 }
@@ -177,14 +177,14 @@
 
     fn tick_fronts(&mut self, now: u64) {
         let phase = self.stop.phase;
-        let closes = |busy_ns| phase.closes(now, busy_ns);
+        let should_close = |busy_ns| phase.should_close(now, busy_ns);
         let msgpack = &mut self.fronts.msgpack;
         msgpack.tick(now, &mut self.net, &mut self.router);
-        msgpack.close_quiet(now, &mut self.net, &mut self.router, closes);
+        msgpack.close_idle(now, &mut self.net, &mut self.router, should_close);
         self.poll_exclusions(now);
         if let Some(front) = &mut self.fronts.postgres {
             front.tick(now, &mut self.net, &mut self.router);
-            front.close_quiet(now, &mut self.net, &mut self.router, closes);
+            front.close_idle(now, &mut self.net, &mut self.router, should_close);
         }
     }
 
@@ -249,7 +249,7 @@
     /// Writes the calls to engines that wait for the end of the iteration.
     fn flush_pending(&mut self) {
         let now = self.clock.now_ns();
-        for conn in self.net.release() {
+        for conn in self.net.flush_engine_writes() {
             let mut context = Context { now, net: &mut self.net, router: &mut self.router };
             self.engines.flushed(&mut context, conn);
         }
--- a/src/daemon/overrides.rs
+++ b/src/daemon/overrides.rs
@@ -1,7 +1,7 @@
 //! Operators' overrides of engine health that hold for the whole fleet: published, applied, and confirmed to whoever asked.
 
 use log::info;
-use marljunction_front::operator::{Call, Reply};
+use marljunction_front::operator::{AdminRequest, AdminResponse};
 use marljunction_health::version::Version;
 
 use super::Daemon;
@@ -12,7 +12,7 @@
 /// A client of the admin API whose override is on its way to the fleet.
 pub(super) struct PendingConfirmation {
     conn: u64,
-    call: Call,
+    call: AdminRequest,
     version: Version,
     /// When it is answered at the latest (ns).
     deadline_ns: u64,
@@ -25,17 +25,22 @@
     }
 
     /// Publishes an override to the fleet, and gives its version.
-    pub(super) fn publish_override(&mut self, now: u64, id: &str, excluded: bool) -> Result<Version, Reply> {
+    pub(super) fn publish_override(
+        &mut self,
+        now: u64,
+        id: &str,
+        excluded: bool,
+    ) -> Result<Version, AdminResponse> {
         let listed = self.engine_list.bans().knows(id);
         let Some(health) = self.router.health() else {
-            return Err(Reply::new(404, "this router shares no verdicts"));
+            return Err(AdminResponse::new(404, "this router shares no verdicts"));
         };
         if !listed && health.node().overrides().get(id).is_none() {
-            return Err(Reply::new(404, format!("no engine {id}")));
+            return Err(AdminResponse::new(404, format!("no engine {id}")));
         }
         let version = health.node().set_override(now, id, excluded);
         self.apply_overrides(now);
-        version.ok_or_else(|| Reply::new(409, "as many engines are out as may be"))
+        version.ok_or_else(|| AdminResponse::new(409, "as many engines are out as may be"))
     }
 
     /// Excludes the engines that the fleet's overrides exclude, and no others.
@@ -60,7 +65,7 @@
     }
 
     /// Answers a client once the peers have heard its override.
-    pub(super) fn await_confirmation(&mut self, now: u64, conn: u64, call: Call, version: Version) {
+    pub(super) fn await_confirmation(&mut self, now: u64, conn: u64, call: AdminRequest, version: Version) {
         let deadline_ns = now + CONFIRM_TIMEOUT_NS;
         self.admin.pending.push(PendingConfirmation { conn, call, version, deadline_ns });
     }
@@ -76,12 +81,12 @@
             }
             let PendingConfirmation { conn, call, .. } = pending;
             let (id, state) = match &call {
-                Call::DisableForAll(id) => (id, "out"),
-                Call::EnableForAll(id) => (id, "back"),
+                AdminRequest::DisableForAll(id) => (id, "out"),
+                AdminRequest::EnableForAll(id) => (id, "back"),
                 _ => continue,
             };
             let text = format!("{id} is {state}; heard by {heard} of {peers} other routers");
-            self.admin.server.answer(now, &mut self.net, conn, &call, Reply::new(200, text));
+            self.admin.server.answer(now, &mut self.net, conn, &call, AdminResponse::new(200, text));
         }
     }
 }
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -23,7 +23,7 @@
 use marljunction_front::postgres::{PostgresFront, PostgresSetup};
 use marljunction_front::Directory;
 use marljunction_net::clock::Clock;
-use marljunction_net::{Net, Room};
+use marljunction_net::{ConnectionLimits, Net};
 use mio::Registry;
 
 use super::admin::Admin;
@@ -121,7 +121,7 @@
         None => config.seed,
     };
     let directory = Directory::new(config.names.clone(), &config.settings);
-    Ok(directory.with_clients(client, clients_seed))
+    Ok(directory.with_client_identity(client, clients_seed))
 }
 
 fn build_fair_queue(now: u64, settings: DoorSettings, config: &Config) -> Door {
@@ -202,10 +202,10 @@
         class,
         columns: file.columns,
         // Engines that speak HTTP take no parameters but in the text.
-        inlines: !matches!(file.engines, EngineFile::Postgres { .. }),
-        sessions_most: file.sessions,
+        inline_params: !matches!(file.engines, EngineFile::Postgres { .. }),
+        max_sessions: file.sessions,
     };
-    let setup = setup.within(config.limits.memory_mb);
+    let setup = setup.limit_to_memory(config.limits.memory_mb);
     let postgres = PostgresFront::new(directory.clone(), setup, !config.seed);
     Ok(Fronts { msgpack, postgres: Some(postgres) })
 }
@@ -244,7 +244,8 @@
 
 fn build_net(registry: Registry, config: &Config) -> Net {
     let descriptors = config.limits.sockets.max(MIN_DESCRIPTORS);
-    let mut net = Net::new(registry, FIRST_CONNECTION, Room::of(descriptors, config.limits.memory_mb));
-    net.hold_calls();
+    let mut net =
+        Net::new(registry, FIRST_CONNECTION, ConnectionLimits::of(descriptors, config.limits.memory_mb));
+    net.defer_engine_writes();
     net
 }
