--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -3,8 +3,8 @@
 
 #![forbid(unsafe_code)]
 
+pub mod admin;
 pub mod msgpack;
-pub mod operator;
 pub mod postgres;
 
 use std::net::IpAddr;
--- a/crates/front/tests/operator.rs
+++ b/crates/front/tests/admin.rs
@@ -3,7 +3,7 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-use marljunction_front::operator::{
+use marljunction_front::admin::{
     parse_request, AdminRequest, AdminResponse, AdminServer, MAX_BODY_BYTES, MAX_HEAD_BYTES,
 };
 use marljunction_net::{ConnectionLimits, Net, Owner};
--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -2,7 +2,7 @@
 
 use marljunction_discovery::bans::Refusal;
 use marljunction_discovery::engine_id;
-use marljunction_front::operator::{AdminRequest, AdminResponse, AdminServer};
+use marljunction_front::admin::{AdminRequest, AdminResponse, AdminServer};
 use marljunction_health::version::Version;
 
 use super::overrides::PendingConfirmation;
--- a/src/daemon/overrides.rs
+++ b/src/daemon/overrides.rs
@@ -1,7 +1,7 @@
 //! Operators' overrides of engine health that hold for the whole fleet: published, applied, and confirmed to whoever asked.
 
 use log::info;
-use marljunction_front::operator::{AdminRequest, AdminResponse};
+use marljunction_front::admin::{AdminRequest, AdminResponse};
 use marljunction_health::version::Version;
 
 use super::Daemon;
