--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -116,8 +116,8 @@
 /// it can never be one.
 pub fn parse_request(input: &[u8]) -> Result<Option<AdminRequest>, AdminResponse> {
     let mut headers = [httparse::EMPTY_HEADER; 24];
-    let mut request = httparse::Request::new(&mut headers);
-    let size = match request.parse(input) {
+    let mut parsed_head = httparse::Request::new(&mut headers);
+    let size = match parsed_head.parse(input) {
         Ok(httparse::Status::Complete(size)) if size <= MAX_HEAD_BYTES => size,
         Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Ok(None),
         Ok(_) => return Err(AdminResponse::new(431, "the head is too long")),
@@ -125,13 +125,13 @@
         Err(e) => return Err(AdminResponse::new(400, format!("not a call of HTTP/1.1: {e}"))),
     };
     let mut length = None;
-    for header in request.headers.iter() {
+    for header in parsed_head.headers.iter() {
         let value = std::str::from_utf8(header.value).map(str::trim).unwrap_or("\u{0}");
         if header.name.eq_ignore_ascii_case("content-length") {
             let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
-            let told = value.parse::<usize>().ok().filter(|_| digits);
-            let Some(told) = told else { return Err(AdminResponse::new(400, "a bad Content-Length")) };
-            if length.replace(told).is_some_and(|before| before != told) {
+            let parsed = value.parse::<usize>().ok().filter(|_| digits);
+            let Some(parsed) = parsed else { return Err(AdminResponse::new(400, "a bad Content-Length")) };
+            if length.replace(parsed).is_some_and(|previous| previous != parsed) {
                 return Err(AdminResponse::new(400, "two lengths"));
             }
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
@@ -147,15 +147,15 @@
     }
     let body = std::str::from_utf8(&input[size..size + length]).map(str::trim);
     let Ok(body) = body else { return Err(AdminResponse::new(400, "the body is not text")) };
-    let path = request.path.unwrap_or("");
+    let path = parsed_head.path.unwrap_or("");
     let path = path.split_once('?').map_or(path, |(path, _)| path);
-    let method = request.method.unwrap_or("");
+    let method = parsed_head.method.unwrap_or("");
     // Whether the id is one that an engine may have is for the bans to say.
     let engine = || match body {
         "" => Err(AdminResponse::new(400, "the body names no engine")),
         id => Ok(id.to_owned()),
     };
-    let call = match (method, path) {
+    let request = match (method, path) {
         ("GET" | "HEAD", "/ready") => AdminRequest::Ready,
         ("POST", "/engines/disable") => AdminRequest::Disable(engine()?),
         ("POST", "/engines/enable") => AdminRequest::Enable(engine()?),
@@ -181,18 +181,18 @@
         }
         _ => return Err(AdminResponse::new(404, format!("no call {path}"))),
     };
-    Ok(Some(call))
+    Ok(Some(request))
 }
 
 /// What happened at the door since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AdminCounters {
     /// Calls answered, by name, and of them those answered yes.
-    pub calls: BTreeMap<&'static str, (u64, u64)>,
+    pub requests: BTreeMap<&'static str, (u64, u64)>,
     /// Calls that could not be read: a bad head, method, path or body.
-    pub bad: u64,
+    pub malformed: u64,
     /// Callers that sent no whole call in time.
-    pub silent: u64,
+    pub incomplete: u64,
     /// Callers closed at once because as many were at the door as may be.
     pub rejected: u64,
 }
@@ -201,27 +201,27 @@
     /// The counters as `name=value` fields of a log line.
     pub fn line(&self) -> String {
         let mut fields: Vec<String> = self
-            .calls
+            .requests
             .iter()
-            .map(|(name, (all, yes))| format!("operator_{name}={all} operator_{name}_yes={yes}"))
+            .map(|(name, (all, succeeded))| format!("operator_{name}={all} operator_{name}_yes={succeeded}"))
             .collect();
-        fields.push(format!("operator_bad={} operator_silent={}", self.bad, self.silent));
+        fields.push(format!("operator_bad={} operator_silent={}", self.malformed, self.incomplete));
         fields.push(format!("operator_turned_away={}", self.rejected));
         fields.join(" ")
     }
 }
 
-struct Caller {
+struct Connection {
     /// Since when it has been there, or its call has waited for its answer.
     since_ns: u64,
     /// Its call has been taken, and waits for its answer.
-    called: bool,
+    awaits_response: bool,
 }
 
 /// The callers at the door.
 pub struct AdminServer {
-    callers: BTreeMap<u64, Caller>,
-    most: usize,
+    connections: BTreeMap<u64, Connection>,
+    max_connections: usize,
     /// What happened so far.
     pub counters: AdminCounters,
 }
@@ -229,13 +229,13 @@
 impl AdminServer {
     /// A door for at most a [`SHARE_OF_DESCRIPTORS`] part of `sockets`, and for two callers at least.
     pub fn new(sockets: usize) -> Self {
-        let most = (sockets / DESCRIPTORS_PER_CONNECTION).max(2);
-        AdminServer { callers: BTreeMap::new(), most, counters: AdminCounters::default() }
+        let max_connections = (sockets / DESCRIPTORS_PER_CONNECTION).max(2);
+        AdminServer { connections: BTreeMap::new(), max_connections, counters: AdminCounters::default() }
     }
 
     /// Whether one more caller may come in; one that may not is to be closed at once.
     pub fn has_capacity(&self) -> bool {
-        self.callers.len() < self.most
+        self.connections.len() < self.max_connections
     }
 
     /// A caller has connected.
@@ -245,67 +245,80 @@
             debug!("the operators' door is full: a caller is closed at once");
             return net.close(conn);
         }
-        self.callers.insert(conn, Caller { since_ns: now, called: false });
+        self.connections.insert(conn, Connection { since_ns: now, awaits_response: false });
     }
 
     /// Reads what a caller sent: its call, where it is whole. What can't be a call is answered here.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) -> Option<AdminRequest> {
-        let look = net.service(conn);
-        let caller = self.callers.get_mut(&conn)?;
-        if caller.called {
+        let connection_status = net.service(conn);
+        let connection = self.connections.get_mut(&conn)?;
+        if connection.awaits_response {
             net.consume(conn, usize::MAX);
             return None;
         }
         match parse_request(net.input(conn)) {
-            Ok(Some(call)) => {
+            Ok(Some(request)) => {
                 // Guards against a call that is carried out and answered again, as more comes from its caller while it waits.
-                (caller.since_ns, caller.called) = (now, true);
-                Some(call)
+                (connection.since_ns, connection.awaits_response) = (now, true);
+                Some(request)
             }
-            Ok(None) if look.ended.is_some() => {
-                self.counters.silent += 1;
+            Ok(None) if connection_status.ended.is_some() => {
+                self.counters.incomplete += 1;
                 self.end(now, net, conn, None);
                 None
             }
             Ok(None) => None,
-            Err(reply) => {
-                self.counters.bad += 1;
-                debug!("the operators' door: {} {}", reply.status, reply.text);
-                self.end(now, net, conn, Some(reply));
+            Err(response) => {
+                self.counters.malformed += 1;
+                debug!("the operators' door: {} {}", response.status, response.text);
+                self.end(now, net, conn, Some(response));
                 None
             }
         }
     }
 
     /// Answers a call that [`OperatorFront::ready`] gave.
-    pub fn answer(&mut self, now: u64, net: &mut Net, conn: u64, call: &AdminRequest, reply: AdminResponse) {
-        let counted = self.counters.calls.entry(call.name()).or_default();
-        counted.0 += 1;
-        counted.1 += u64::from((200..300).contains(&reply.status));
-        if !matches!(call, AdminRequest::Ready | AdminRequest::Fleet | AdminRequest::Verdicts) {
-            info!("the operators' door: {} {:?}: {} {}", call.name(), call, reply.status, reply.text);
+    pub fn answer(
+        &mut self,
+        now: u64,
+        net: &mut Net,
+        conn: u64,
+        request: &AdminRequest,
+        response: AdminResponse,
+    ) {
+        let counts = self.counters.requests.entry(request.name()).or_default();
+        counts.0 += 1;
+        counts.1 += u64::from((200..300).contains(&response.status));
+        if !matches!(request, AdminRequest::Ready | AdminRequest::Fleet | AdminRequest::Verdicts) {
+            info!(
+                "the operators' door: {} {:?}: {} {}",
+                request.name(),
+                request,
+                response.status,
+                response.text
+            );
         }
-        self.end(now, net, conn, Some(reply));
+        self.end(now, net, conn, Some(response));
     }
 
-    fn end(&mut self, now: u64, net: &mut Net, conn: u64, reply: Option<AdminResponse>) {
-        self.callers.remove(&conn);
-        match reply {
-            Some(reply) if net.send(conn, &reply.to_bytes()) => net.close_after_flush(now, conn),
+    fn end(&mut self, now: u64, net: &mut Net, conn: u64, response: Option<AdminResponse>) {
+        self.connections.remove(&conn);
+        match response {
+            Some(response) if net.send(conn, &response.to_bytes()) => net.close_after_flush(now, conn),
             _ => net.close(conn),
         }
     }
 
     /// Guards against callers that say nothing, or half of a call: they hold a place that others need.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
-        let late: Vec<u64> = self
-            .callers
+        let timed_out: Vec<u64> = self
+            .connections
             .iter()
-            .filter(|(_, caller)| now >= caller.since_ns + REQUEST_TIMEOUT_NS)
+            .filter(|(_, connection)| now >= connection.since_ns + REQUEST_TIMEOUT_NS)
             .map(|(conn, _)| *conn)
             .collect();
-        for conn in late {
-            self.counters.silent += 1;
+        for conn in timed_out {
+            self.counters.incomplete += 1;
             self.end(now, net, conn, Some(AdminResponse::new(408, "no whole call in time")));
         }
     }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -24,7 +24,7 @@
     names: Names,
     deadlines_ns: Vec<u64>,
     deduplicates: Vec<bool>,
-    who: Who,
+    client_key: Who,
     identity: Identity,
 }
 
@@ -42,8 +42,8 @@
     }
 
     /// What names a client, and the key of clients' numbers.
-    pub fn with_client_identity(self, who: Who, seed: u64) -> Self {
-        Directory { who, identity: Identity::new(seed), ..self }
+    pub fn with_client_identity(self, client_key: Who, seed: u64) -> Self {
+        Directory { client_key, identity: Identity::new(seed), ..self }
     }
 
     /// The number of the address that a client connects from.
@@ -55,10 +55,10 @@
     }
 
     /// The number of a client, by `named` where that finds the name that the operator chose, else by its address.
-    pub fn client<'a>(&self, peer: u64, named: impl FnOnce(&Who) -> Option<&'a str>) -> u64 {
-        match &self.who {
+    pub fn client<'a>(&self, peer: u64, read_name: impl FnOnce(&Who) -> Option<&'a str>) -> u64 {
+        match &self.client_key {
             Who::Peer => peer,
-            who => named(who).map_or(peer, |name| self.identity.of(name.as_bytes())),
+            client_key => read_name(client_key).map_or(peer, |name| self.identity.of(name.as_bytes())),
         }
     }
 
--- a/crates/front/src/msgpack.rs
+++ b/crates/front/src/msgpack.rs
@@ -17,50 +17,50 @@
 use std::net::IpAddr;
 
 /// Requests that a connection may have open.
-const OPEN_ON_CONN: usize = 32;
+const MAX_OPEN_REQUESTS: usize = 32;
 /// Nesting of values in a message, as the library counts it: two for a list or a map and three for a text, so
 /// nine for a request. Guards against a message that nests until the stack ends.
-const DEPTH: usize = 16;
+const MAX_DEPTH: usize = 16;
 
 /// Time in which a client must have made its first call, and in which a message must have come whole (ns): a
 /// connection that says nothing holds a descriptor that others need.
-const SILENT_NS: u64 = 2_000_000_000;
+const RECEIVE_TIMEOUT_NS: u64 = 2_000_000_000;
 /// Time in which a new connection makes no room for others (ns): its first call is on its way.
-const FRESH_NS: u64 = 250_000_000;
+const EVICTION_GRACE_NS: u64 = 250_000_000;
 /// Messages of one connection that are taken in one round (count).
-const TAKEN_MOST: usize = 64;
+const MAX_MESSAGES_PER_READ: usize = 64;
 /// Messages in a row that are turned away on one connection before it is closed (count).
-const REJECTED_MOST: u32 = 100;
+const MAX_REJECTED_IN_ROW: u32 = 100;
 /// Longest token by which engines drop repeats (bytes).
-const TOKEN_MOST: usize = 64;
+const MAX_TOKEN_BYTES: usize = 64;
 /// A client's time may pass its class's deadline by this factor: it is rounded.
-const BUDGET_SLACK: f64 = 1.01;
+const DEADLINE_TOLERANCE: f64 = 1.01;
 
 /// How much of a message has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Extent {
+pub enum FrameLength {
     /// All of it: so many bytes.
-    Whole(usize),
+    Complete(usize),
     /// Not all; it can't be whole before this many bytes have come.
-    Needs(usize),
+    AtLeast(usize),
 }
 
 /// Looks how far the message at the front of `input` goes, by its lengths alone. Guards against lengths that no
 /// message has: they are turned away before what they claim has come, and nothing is decoded before it is whole.
-pub fn extent(input: &[u8]) -> Result<Extent, String> {
+pub fn frame_length(input: &[u8]) -> Result<FrameLength, String> {
     // Values that are to come, besides the one at `at`.
-    let (mut at, mut values) = (0_usize, 1_usize);
-    while values > 0 {
-        if at + values > MAX_MESSAGE_BYTES {
+    let (mut at, mut pending_values) = (0_usize, 1_usize);
+    while pending_values > 0 {
+        if at + pending_values > MAX_MESSAGE_BYTES {
             return Err("the message is too long".into());
         }
-        let Some(&tag) = input.get(at) else { return Ok(Extent::Needs(at + values)) };
+        let Some(&tag) = input.get(at) else { return Ok(FrameLength::AtLeast(at + pending_values)) };
         let size = |bytes: usize| {
             let digits = input.get(at + 1..at + 1 + bytes)?;
             Some(digits.iter().fold(0_usize, |n, b| n << 8 | usize::from(*b)))
         };
         // Bytes of the tag and the length, bytes behind them, and values within.
-        let (head, length, within) = match tag {
+        let (head, length, nested) = match tag {
             0x00..=0x7f | 0xc0 | 0xc2 | 0xc3 | 0xe0..=0xff => (1, Some(0), 0),
             0x80..=0x8f => (1, Some(0), 2 * usize::from(tag & 15)),
             0x90..=0x9f => (1, Some(0), usize::from(tag & 15)),
@@ -79,15 +79,15 @@
             0xc1 => return Err("no such type".into()),
         };
         at += head + length.unwrap_or(0);
-        values = values - 1 + within;
-        if at + values > MAX_MESSAGE_BYTES {
+        pending_values = pending_values - 1 + nested;
+        if at + pending_values > MAX_MESSAGE_BYTES {
             return Err("the message is too long".into());
         }
         if input.len() < at {
-            return Ok(Extent::Needs(at + values));
+            return Ok(FrameLength::AtLeast(at + pending_values));
         }
     }
-    Ok(Extent::Whole(at))
+    Ok(FrameLength::Complete(at))
 }
 
 /// A client's message.
@@ -111,8 +111,8 @@
 
 /// Reads one message off the front of `input`, with its size; nothing where it has not come whole.
 pub fn read_message(input: &[u8]) -> Result<Option<(Message, usize)>, String> {
-    let Extent::Whole(size) = extent(input)? else { return Ok(None) };
-    let value = read_value_with_max_depth(&mut &input[..size], DEPTH).map_err(|e| e.to_string())?;
+    let FrameLength::Complete(size) = frame_length(input)? else { return Ok(None) };
+    let value = read_value_with_max_depth(&mut &input[..size], MAX_DEPTH).map_err(|e| e.to_string())?;
     let parts = value.as_array().ok_or("not an array")?.as_slice();
     let number = |v: &Value| v.as_u64().and_then(|n| u32::try_from(n).ok());
     let message = match (parts.first().and_then(Value::as_u64), parts) {
@@ -146,32 +146,32 @@
     bytes
 }
 
-fn error(id: u64, word: &str, fields: &[(&str, String)]) -> Vec<u8> {
+fn error(id: u64, code: &str, fields: &[(&str, String)]) -> Vec<u8> {
     let fields = fields.iter().map(|(k, v)| (Value::from(*k), Value::from(v.as_str()))).collect();
-    reply(id, Value::Array(vec![word.into(), Value::Map(fields)]), Value::Nil)
+    reply(id, Value::Array(vec![code.into(), Value::Map(fields)]), Value::Nil)
 }
 
 #[derive(Default)]
-struct Caller {
+struct Connection {
     /// The number of its address.
     peer: u64,
-    open: HashMap<u32, RequestId>,
+    open_requests: HashMap<u32, RequestId>,
     /// When it last did something: connected, called, or was answered.
-    since_ns: u64,
+    active_ns: u64,
     /// It has made a call that could be read.
-    called: bool,
+    has_called: bool,
     /// Since when a message has been coming, and bytes that it needs at least.
     partial: Option<(u64, usize)>,
     /// Messages turned away in a row.
     rejected: u32,
     /// It has sent more than was taken in this round.
-    more: bool,
+    unread: bool,
 }
 
 /// The front.
 pub struct MsgpackFront {
     directory: Directory,
-    callers: HashMap<u64, Caller>,
+    connections: HashMap<u64, Connection>,
     /// What `isWell` answers: whether the process is ready to serve.
     well: bool,
 }
@@ -179,7 +179,7 @@
 impl MsgpackFront {
     /// No clients yet.
     pub fn new(directory: Directory) -> Self {
-        MsgpackFront { directory, callers: HashMap::new(), well: true }
+        MsgpackFront { directory, connections: HashMap::new(), well: true }
     }
 
     /// Says from now on whether the process is ready to serve: a drained or stopping one is not, so that the front
@@ -191,7 +191,7 @@
     /// A client has connected.
     pub fn accept(&mut self, now: u64, conn: u64, peer: IpAddr) {
         let peer = self.directory.peer(peer);
-        self.callers.insert(conn, Caller { peer, since_ns: now, ..Caller::default() });
+        self.connections.insert(conn, Connection { peer, active_ns: now, ..Connection::default() });
     }
 
     /// The client with no open request that makes room for another: one that has had its time to call and did
@@ -200,27 +200,32 @@
     /// in which each would push out the one before it with its call under way; and against an answer that is cut off, as its
     /// client reads slowly.
     pub fn eviction_candidate(&self, now: u64, net: &Net) -> Option<u64> {
-        let settled = |c: &Caller| c.called || now > c.since_ns + FRESH_NS;
-        let free = |conn: &u64, c: &Caller| c.open.is_empty() && !c.more && settled(c) && net.drained(*conn);
-        let eviction_candidate = self.callers.iter().filter(|(conn, c)| free(conn, c));
-        eviction_candidate
-            .min_by_key(|(conn, c)| (c.called && c.rejected == 0, c.since_ns, **conn))
+        let grace_over = |c: &Connection| c.has_called || now > c.active_ns + EVICTION_GRACE_NS;
+        let is_evictable = |conn: &u64, c: &Connection| {
+            c.open_requests.is_empty() && !c.unread && grace_over(c) && net.drained(*conn)
+        };
+        let candidates = self.connections.iter().filter(|(conn, c)| is_evictable(conn, c));
+        candidates
+            .min_by_key(|(conn, c)| (c.has_called && c.rejected == 0, c.active_ns, **conn))
             .map(|(conn, _)| *conn)
     }
 
     /// Whether a connection has sent messages that were not taken yet.
     pub fn has_more(&self, conn: u64) -> bool {
-        self.callers.get(&conn).is_some_and(|c| c.more)
+        self.connections.get(&conn).is_some_and(|c| c.unread)
     }
 
     /// Guards against connections that say nothing, or only half of something.
     pub fn tick(&mut self, now: u64, net: &mut Net, router: &mut Router) {
-        let late = |since: u64| now > since + SILENT_NS;
-        let silent = |c: &Caller| !c.called && late(c.since_ns) || c.partial.is_some_and(|p| late(p.0));
-        let mut over: Vec<u64> = self.callers.iter().filter(|(_, c)| silent(c)).map(|(c, _)| *c).collect();
-        over.sort_unstable();
-        for conn in over {
-            if self.is_still(now, net, router, conn, silent) {
+        let is_expired = |since: u64| now > since + RECEIVE_TIMEOUT_NS;
+        let timed_out = |c: &Connection| {
+            !c.has_called && is_expired(c.active_ns) || c.partial.is_some_and(|p| is_expired(p.0))
+        };
+        let mut to_close: Vec<u64> =
+            self.connections.iter().filter(|(_, c)| timed_out(c)).map(|(c, _)| *c).collect();
+        to_close.sort_unstable();
+        for conn in to_close {
+            if self.still_matches(now, net, router, conn, timed_out) {
                 router.counters.rejected += 1;
                 self.close(net, router, conn, EndReason::Silent);
             }
@@ -229,16 +234,16 @@
 
     /// Looks at a client once more that is about to be closed for what it does not do. Guards against closing it on a request
     /// that has come since it was last looked at.
-    fn is_still(
+    fn still_matches(
         &mut self,
         now: u64,
         net: &mut Net,
         router: &mut Router,
         conn: u64,
-        so: impl Fn(&Caller) -> bool,
+        condition: impl Fn(&Connection) -> bool,
     ) -> bool {
         self.ready(now, net, router, conn);
-        self.callers.get(&conn).is_some_and(so)
+        self.connections.get(&conn).is_some_and(condition)
     }
 
     /// Ends the connections of clients that have nothing open, half-sent, untaken or unwritten, where
@@ -251,26 +256,30 @@
         router: &mut Router,
         should_close: impl Fn(u64) -> bool,
     ) {
-        let quiet =
-            |c: &Caller| c.open.is_empty() && c.partial.is_none() && !c.more && should_close(c.since_ns);
-        let mut over: Vec<u64> = self.callers.iter().filter(|(_, c)| quiet(c)).map(|(c, _)| *c).collect();
-        over.sort_unstable();
-        for conn in over {
-            if self.is_still(now, net, router, conn, quiet) && net.input(conn).is_empty() && net.drained(conn)
+        let is_idle = |c: &Connection| {
+            c.open_requests.is_empty() && c.partial.is_none() && !c.unread && should_close(c.active_ns)
+        };
+        let mut to_close: Vec<u64> =
+            self.connections.iter().filter(|(_, c)| is_idle(c)).map(|(c, _)| *c).collect();
+        to_close.sort_unstable();
+        for conn in to_close {
+            if self.still_matches(now, net, router, conn, is_idle)
+                && net.input(conn).is_empty()
+                && net.drained(conn)
             {
-                self.forget(router, conn, EndReason::Idle);
+                self.remove_connection(router, conn, EndReason::Idle);
                 net.close_after_flush(now, conn);
             }
         }
     }
 
     /// Tells a client why and ends its connection.
-    fn end(&mut self, now: u64, net: &mut Net, router: &mut Router, conn: u64, why: &str) {
+    fn reject_and_close(&mut self, now: u64, net: &mut Net, router: &mut Router, conn: u64, why: &str) {
         debug!("a client's message: {why}");
         router.counters.rejected += 1;
         // Numbers start at 1: 0 is no call's.
         if net.send(conn, &error(0, "Malformed", &[("why", why.to_owned())])) {
-            self.forget(router, conn, EndReason::Garbled);
+            self.remove_connection(router, conn, EndReason::Garbled);
             net.close_after_flush(now, conn);
         } else {
             self.close(net, router, conn, EndReason::Garbled);
@@ -279,15 +288,15 @@
 
     /// A connection is over: nobody waits for what was open on it.
     pub fn close(&mut self, net: &mut Net, router: &mut Router, conn: u64, end_reason: EndReason) {
-        self.forget(router, conn, end_reason);
+        self.remove_connection(router, conn, end_reason);
         net.close(conn);
     }
 
-    fn forget(&mut self, router: &mut Router, conn: u64, end_reason: EndReason) {
-        if let Some(caller) = self.callers.remove(&conn) {
-            let mut open: Vec<RequestId> = caller.open.into_values().collect();
-            open.sort_unstable();
-            open.into_iter().for_each(|id| router.client_left(id, EndReason::ClientGone));
+    fn remove_connection(&mut self, router: &mut Router, conn: u64, end_reason: EndReason) {
+        if let Some(connection) = self.connections.remove(&conn) {
+            let mut open_requests: Vec<RequestId> = connection.open_requests.into_values().collect();
+            open_requests.sort_unstable();
+            open_requests.into_iter().for_each(|id| router.client_left(id, EndReason::ClientGone));
             router.counters.ended(end_reason);
         }
     }
@@ -299,84 +308,88 @@
             return self.close(net, router, conn, end_reason.for_client_connection());
         }
         // Guards against a client that sends without end: others have their turn between its messages.
-        for _ in 0..TAKEN_MOST {
+        for _ in 0..MAX_MESSAGES_PER_READ {
             let input = net.input(conn);
-            let Some(caller) = self.callers.get_mut(&conn) else { return };
-            caller.more = false;
-            if caller.partial.is_some_and(|(_, needs)| input.len() < needs) {
+            let Some(connection) = self.connections.get_mut(&conn) else { return };
+            connection.unread = false;
+            if connection.partial.is_some_and(|(_, min_bytes)| input.len() < min_bytes) {
                 return;
             }
             match read_message(input) {
                 Ok(None) => {
-                    let since = caller.partial.map_or(now, |p| p.0);
-                    let needs = extent(input).map_or(0, |e| if let Extent::Needs(n) = e { n } else { 0 });
-                    caller.partial = (!input.is_empty()).then_some((since, needs));
+                    let since = connection.partial.map_or(now, |p| p.0);
+                    let min_bytes =
+                        frame_length(input)
+                            .map_or(0, |e| if let FrameLength::AtLeast(n) = e { n } else { 0 });
+                    connection.partial = (!input.is_empty()).then_some((since, min_bytes));
                     return;
                 }
                 Ok(Some((message, size))) => {
-                    caller.partial = None;
+                    connection.partial = None;
                     net.consume(conn, size);
                     self.message(now, net, router, conn, message);
                 }
-                Err(fault) => return self.end(now, net, router, conn, &fault),
+                Err(reason) => return self.reject_and_close(now, net, router, conn, &reason),
             }
         }
         let rest = !net.input(conn).is_empty();
-        self.callers.entry(conn).and_modify(|c| c.more = rest);
+        self.connections.entry(conn).and_modify(|c| c.unread = rest);
     }
 
     fn message(&mut self, now: u64, net: &mut Net, router: &mut Router, conn: u64, message: Message) {
-        let Some(caller) = self.callers.get_mut(&conn) else { return };
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
         if let Message::Call(..) = message {
-            (caller.called, caller.since_ns) = (true, now);
+            (connection.has_called, connection.active_ns) = (true, now);
         }
-        let rejected = caller.rejected;
-        caller.rejected += 1;
+        let rejected = connection.rejected;
+        connection.rejected += 1;
         let answer = match message {
             Message::Unknown => return,
             Message::Forget(id) => {
-                caller.rejected = rejected;
-                if let Some(request) = caller.open.remove(&id) {
+                connection.rejected = rejected;
+                if let Some(request) = connection.open_requests.remove(&id) {
                     router.client_left(request, EndReason::Forgotten);
                 }
                 return;
             }
             Message::Call(id, method, _, _) if method == "isWell" => {
-                caller.rejected = rejected;
+                connection.rejected = rejected;
                 let well = Value::Array(vec![self.well.into(), Value::Map(Vec::new())]);
                 reply(id.into(), Value::Nil, well)
             }
             // A second call by an open call's number could only be answered in that one's place.
-            Message::Call(id, ..) if caller.open.contains_key(&id) => {
-                return self.end(now, net, router, conn, "the number of an open call");
+            Message::Call(id, ..) if connection.open_requests.contains_key(&id) => {
+                return self.reject_and_close(now, net, router, conn, "the number of an open call");
             }
             // Guards against a client that asks the same again as fast as it is turned away.
-            Message::Call(..) if rejected >= REJECTED_MOST => {
-                return self.end(now, net, router, conn, "turned away too often");
+            Message::Call(..) if rejected >= MAX_REJECTED_IN_ROW => {
+                return self.reject_and_close(now, net, router, conn, "turned away too often");
             }
             Message::Call(id, method, fields, body) => {
-                match self.directory.read(caller.peer, &method, &fields, body) {
-                    Err(fault) => {
+                match self.directory.parse_request(connection.peer, &method, &fields, body) {
+                    Err(reason) => {
                         router.counters.rejected += 1;
-                        error(id.into(), "Malformed", &[("why", fault)])
+                        error(id.into(), "Malformed", &[("why", reason)])
                     }
                     // Guards against a query that is taken for another client's: engines know it by this id alone.
                     Ok(client_request) if router.has_open_request(&client_request.name) => {
                         router.counters.rejected += 1;
                         error(id.into(), "Malformed", &[("why", "the rid is an open request's".into())])
                     }
-                    Ok(_) if caller.open.len() >= OPEN_ON_CONN || !router.has_capacity() => {
-                        if caller.open.len() < OPEN_ON_CONN {
-                            caller.rejected = rejected;
+                    Ok(_)
+                        if connection.open_requests.len() >= MAX_OPEN_REQUESTS || !router.has_capacity() =>
+                    {
+                        if connection.open_requests.len() < MAX_OPEN_REQUESTS {
+                            connection.rejected = rejected;
                         }
                         router.counters.rejected += 1;
                         error(id.into(), "Backoff", &[("backoff", "200".into())])
                     }
                     Ok(client_request) => {
-                        caller.rejected = 0;
+                        connection.rejected = 0;
                         let request =
                             router.accept_request(now, Client { conn, call: id.into() }, client_request);
-                        caller.open.insert(id, request);
+                        connection.open_requests.insert(id, request);
                         return;
                     }
                 }
@@ -389,9 +402,9 @@
 
     /// Gives a request its final answer.
     pub fn answer(&mut self, now: u64, net: &mut Net, router: &mut Router, client: Client, answer: Answer) {
-        let Some(caller) = self.callers.get_mut(&client.conn) else { return };
-        caller.since_ns = now;
-        if caller.open.remove(&(client.call as u32)).is_none() {
+        let Some(connection) = self.connections.get_mut(&client.conn) else { return };
+        connection.active_ns = now;
+        if connection.open_requests.remove(&(client.call as u32)).is_none() {
             return;
         }
         let bytes = match answer {
@@ -402,8 +415,8 @@
             Answer::Refused { backoff_ms, .. } => {
                 error(client.call, "Backoff", &[("backoff", backoff_ms.to_string())])
             }
-            Answer::Failed(after, _) => {
-                let why = after.map_or_else(String::new, |e| format!("{e:?}"));
+            Answer::Failed(last_end_reason, _) => {
+                let why = last_end_reason.map_or_else(String::new, |e| format!("{e:?}"));
                 error(client.call, "Lost", &[("why", why)])
             }
         };
@@ -415,7 +428,7 @@
 
 impl Directory {
     /// Reads a call into what is asked.
-    fn read(
+    fn parse_request(
         &self,
         peer: u64,
         method: &str,
@@ -436,14 +449,15 @@
             return Err("bad rid".into());
         }
         // Guards against times that no client of the class has: none waits past its deadline.
-        let longest = self.deadline_ns(class) as f64 * BUDGET_SLACK;
+        let max_budget = self.deadline_ns(class) as f64 * DEADLINE_TOLERANCE;
         let budget = number("budget")?.ok_or("no budget")? * 1e6;
-        let budget_ns = Some(budget).filter(|b| *b > 0.0 && *b <= longest).ok_or("bad budget")? as u64;
+        let budget_ns = Some(budget).filter(|b| *b > 0.0 && *b <= max_budget).ok_or("bad budget")? as u64;
         let token = field("token").map(str::to_owned);
         // Guards against a token that could not stand in a head of HTTP.
-        let fits =
-            |t: &String| (1..=TOKEN_MOST).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_alphanumeric());
-        if !token.iter().all(fits) {
+        let is_valid = |t: &String| {
+            (1..=MAX_TOKEN_BYTES).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_alphanumeric())
+        };
+        if !token.iter().all(is_valid) {
             return Err("bad token".into());
         }
         let hex = |v: &str| (1..=16).contains(&v.len()) && v.bytes().all(|b| b.is_ascii_hexdigit());
@@ -463,7 +477,10 @@
             class,
             order_key,
             tenant,
-            client: self.client(peer, |who| if let Who::Field(name) = who { field(name) } else { None }),
+            client: self.client(
+                peer,
+                |client_key| if let Who::Field(name) = client_key { field(name) } else { None },
+            ),
             time_left_ns: budget_ns.saturating_sub(ANSWER_MARGIN_NS),
             work_estimate_ns: work,
             memory_estimate_mb: number("mem")?.filter(|m| *m > 0.0),
--- a/crates/front/src/postgres/codec.rs
+++ b/crates/front/src/postgres/codec.rs
@@ -59,9 +59,9 @@
 }
 
 /// The parts of one message, none of them past its end.
-struct Parts<'a>(&'a [u8]);
+struct MessageReader<'a>(&'a [u8]);
 
-impl<'a> Parts<'a> {
+impl<'a> MessageReader<'a> {
     fn take(&mut self, bytes: usize) -> Result<&'a [u8], String> {
         let (part, rest) = self.0.split_at_checked(bytes).ok_or("a message is cut short")?;
         self.0 = rest;
@@ -70,10 +70,10 @@
     fn byte(&mut self) -> Result<u8, String> {
         Ok(self.take(1)?[0])
     }
-    fn short(&mut self) -> Result<u16, String> {
+    fn int16(&mut self) -> Result<u16, String> {
         self.take(2).map(|b| u16::from_be_bytes([b[0], b[1]]))
     }
-    fn long(&mut self) -> Result<i32, String> {
+    fn int32(&mut self) -> Result<i32, String> {
         self.take(4).map(|b| i32::from_be_bytes([b[0], b[1], b[2], b[3]]))
     }
     fn bytes(&mut self) -> Result<&'a [u8], String> {
@@ -86,18 +86,18 @@
         String::from_utf8(self.bytes()?.to_vec()).map_err(|_| "a name is not UTF-8".into())
     }
     fn list<T>(&mut self, one: impl Fn(&mut Self) -> Result<T, String>) -> Result<Vec<T>, String> {
-        let count = self.short()?;
+        let count = self.int16()?;
         (0..count).map(|_| one(self)).collect()
     }
     fn format(&mut self) -> Result<bool, String> {
-        match self.short()? {
+        match self.int16()? {
             0 => Ok(false),
             1 => Ok(true),
             other => Err(format!("unknown format {other}")),
         }
     }
     fn value(&mut self) -> Result<Option<Vec<u8>>, String> {
-        match self.long()? {
+        match self.int32()? {
             -1 => Ok(None),
             length => {
                 let length = usize::try_from(length).map_err(|_| "bad length of a value")?;
@@ -116,20 +116,20 @@
 
 /// Reads the first message of a connection, with its size; nothing where it has not come whole.
 pub fn read_startup(input: &[u8]) -> Result<Option<(ClientMessage, usize)>, String> {
-    let mut parts = Parts(input);
-    let Ok(length) = parts.long() else { return Ok(None) };
+    let mut reader = MessageReader(input);
+    let Ok(length) = reader.int32() else { return Ok(None) };
     let size = usize::try_from(length).ok().filter(|s| (8..=10_000).contains(s)).ok_or("bad length")?;
     if input.len() < size {
         return Ok(None);
     }
-    let mut parts = Parts(&input[4..size]);
-    let message = match (parts.short()?, parts.short()?) {
+    let mut reader = MessageReader(&input[4..size]);
+    let message = match (reader.int16()?, reader.int16()?) {
         (1234, 5679 | 5680) => ClientMessage::Encrypt,
-        (1234, 5678) => ClientMessage::Cancel(parts.long()?, parts.long()?),
+        (1234, 5678) => ClientMessage::Cancel(reader.int32()?, reader.int32()?),
         (3, minor) => {
             let mut params = Vec::new();
-            while let Some(name) = Some(parts.text()?).filter(|n| !n.is_empty()) {
-                params.push((name, parts.text()?));
+            while let Some(name) = Some(reader.text()?).filter(|n| !n.is_empty()) {
+                params.push((name, reader.text()?));
             }
             ClientMessage::Startup(minor, params)
         }
@@ -148,23 +148,23 @@
     if input.len() < size {
         return Ok(None);
     }
-    let mut parts = Parts(&input[5..size]);
+    let mut reader = MessageReader(&input[5..size]);
     let message = match header.tag() {
-        b'Q' => ClientMessage::Query(parts.bytes()?.to_vec()),
+        b'Q' => ClientMessage::Query(reader.bytes()?.to_vec()),
         b'P' => {
-            let (name, text) = (parts.text()?, parts.bytes()?.to_vec());
-            ClientMessage::Parse(name, text, parts.list(|p| p.long().map(|t| t as u32))?)
+            let (name, text) = (reader.text()?, reader.bytes()?.to_vec());
+            ClientMessage::Parse(name, text, reader.list(|p| p.int32().map(|t| t as u32))?)
         }
         b'B' => ClientMessage::Bind(Bind {
-            portal: parts.text()?,
-            statement: parts.text()?,
-            formats: parts.list(Parts::format)?,
-            params: parts.list(Parts::value)?,
-            results: parts.list(Parts::format)?,
+            portal: reader.text()?,
+            statement: reader.text()?,
+            formats: reader.list(MessageReader::format)?,
+            params: reader.list(MessageReader::value)?,
+            results: reader.list(MessageReader::format)?,
         }),
-        b'D' => ClientMessage::Describe(parts.is_statement()?, parts.text()?),
-        b'E' => ClientMessage::Execute(parts.text()?, u32::try_from(parts.long()?).unwrap_or(0)),
-        b'C' => ClientMessage::Close(parts.is_statement()?, parts.text()?),
+        b'D' => ClientMessage::Describe(reader.is_statement()?, reader.text()?),
+        b'E' => ClientMessage::Execute(reader.text()?, u32::try_from(reader.int32()?).unwrap_or(0)),
+        b'C' => ClientMessage::Close(reader.is_statement()?, reader.text()?),
         b'H' => ClientMessage::Flush,
         b'S' => ClientMessage::Sync,
         b'X' => ClientMessage::Terminate,
@@ -172,7 +172,7 @@
         b'F' => return Ok(Some((ClientMessage::Call, size))),
         other => return Err(format!("unknown message {other}")),
     };
-    match parts.0 {
+    match reader.0 {
         [] => Ok(Some((message, size))),
         _ => Err("a message is longer than its parts".into()),
     }
@@ -180,21 +180,21 @@
 
 /// Messages of the server, in the order written.
 #[derive(Default)]
-pub struct Reply {
+pub struct ResponseBuffer {
     /// The bytes.
     pub bytes: Vec<u8>,
 }
 
-impl Reply {
+impl ResponseBuffer {
     fn message(&mut self, tag: u8, body: &[u8]) {
         self.bytes.push(tag);
         self.bytes.extend_from_slice(&(body.len() as u32 + 4).to_be_bytes());
         self.bytes.extend_from_slice(body);
     }
 
-    fn texts(&mut self, tag: u8, texts: &[&str]) {
+    fn strings(&mut self, tag: u8, strings: &[&str]) {
         let mut body = Vec::new();
-        for text in texts {
+        for text in strings {
             body.extend_from_slice(text.as_bytes());
             body.push(0);
         }
@@ -207,7 +207,7 @@
     }
 
     /// The session is open, under a number and a key for its cancellation.
-    pub fn welcome(&mut self, statuses: &[(&str, &str)], number: i32, key: i32) {
+    pub fn session_start(&mut self, statuses: &[(&str, &str)], number: i32, key: i32) {
         self.message(b'R', &0_u32.to_be_bytes());
         statuses.iter().for_each(|(name, value)| self.status(name, value));
         self.message(b'K', &[number.to_be_bytes(), key.to_be_bytes()].concat());
@@ -215,13 +215,13 @@
     }
 
     /// Only the older minor version is spoken.
-    pub fn negotiate(&mut self) {
+    pub fn negotiate_version(&mut self) {
         self.message(b'v', &[0; 8]);
     }
 
     /// A parameter's value.
     pub fn status(&mut self, name: &str, value: &str) {
-        self.texts(b'S', &[name, value]);
+        self.strings(b'S', &[name, value]);
     }
 
     /// Ready for the next query; there is never a transaction.
@@ -231,7 +231,7 @@
 
     /// One of the messages that say a step is done: `1` parse, `2` bind, `3` close, `n` no data, `s` portal
     /// suspended, `I` empty query.
-    pub fn step(&mut self, tag: u8) {
+    pub fn empty_message(&mut self, tag: u8) {
         self.message(tag, &[]);
     }
 
@@ -282,7 +282,7 @@
 
     /// A statement is done.
     pub fn complete(&mut self, tag: &str) {
-        self.texts(b'C', &[tag]);
+        self.strings(b'C', &[tag]);
     }
 
     /// An error; `fatal` ends the session.
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -8,8 +8,8 @@
 
 use log::debug;
 
-use self::codec::{fault, read_message, read_startup, Bind, ClientMessage, Reply, SqlFault, TEXT};
-use self::session::{is_text, Held, Kind, Settings};
+use self::codec::{fault, read_message, read_startup, Bind, ClientMessage, ResponseBuffer, SqlFault, TEXT};
+use self::session::{is_text, SessionObjects, Settings, StatementKind};
 use super::{Directory, ANSWER_MARGIN_NS};
 use marljunction_control::interface::{ClassId, RequestId};
 use marljunction_core::end_reason::EndReason;
@@ -22,13 +22,13 @@
 /// The version that clients are told: what the protocol's present drivers expect.
 pub const SERVER_VERSION: &str = "15.0";
 /// Time in which a client must have started its session, and in which a message must have come whole (ns).
-const START_NS: u64 = 2_000_000_000;
+const STARTUP_TIMEOUT_NS: u64 = 2_000_000_000;
 /// What a session may hold at most: its statements, its suspended portals and its buffers (megabytes).
-const SESSION_MB: f64 = 1.6;
+const MAX_SESSION_MB: f64 = 1.6;
 /// Part of the machine's memory that all sessions may hold (share).
-const SESSIONS_PART: f64 = 0.5;
+const SESSIONS_MEMORY_SHARE: f64 = 0.5;
 /// Portals of a session that may hold rows at one time (count).
-const SUSPENDED_MOST: usize = 4;
+const MAX_SUSPENDED_PORTALS: usize = 4;
 
 /// How the front is set up.
 #[derive(Clone, Debug)]
@@ -44,14 +44,14 @@
 }
 
 /// What a session waits for.
-struct Running {
+struct RunningRequest {
     request: RequestId,
     call: u64,
     /// The portal with its row limit; absent for a simple query.
     portal: Option<(String, u32)>,
-    kind: Kind,
+    kind: StatementKind,
     /// The client is still to be told the columns.
-    describes: bool,
+    sends_columns: bool,
 }
 
 #[derive(Default)]
@@ -63,19 +63,19 @@
     /// When its client connected.
     since_ns: u64,
     /// When it last sent a message or was answered.
-    busy_ns: u64,
+    active_ns: u64,
     key: i32,
     settings: Settings,
-    start: Settings,
-    held: Held,
-    running: Option<Running>,
+    startup_settings: Settings,
+    objects: SessionObjects,
+    running: Option<RunningRequest>,
     /// Since when a message has been coming.
     partial_ns: Option<u64>,
     /// After an error: everything up to `Sync` is discarded.
-    skipping: bool,
-    suspended: usize,
+    skips_to_sync: bool,
+    suspended_portals: usize,
     /// A portal whose columns the engine is to tell, if its `Execute` comes next.
-    describing: Option<String>,
+    pending_describe: Option<String>,
     calls: u64,
 }
 
@@ -94,12 +94,12 @@
         Answer::Failed(after, _) => (*after, None),
         Answer::Served(_) => (Some(EndReason::Served), None),
     };
-    let told = match answer {
+    let engine_fault = match answer {
         Answer::Refused { fault, .. } | Answer::Failed(_, fault) => fault.clone(),
         Answer::Served(_) => None,
     };
-    let (state, message) = match (end_reason, told) {
-        (Some(EndReason::EngineError), Some(told)) => (told.state, told.message),
+    let (state, message) = match (end_reason, engine_fault) {
+        (Some(EndReason::EngineError), Some(fault)) => (fault.state, fault.message),
         (Some(EndReason::TimedOut), _) => {
             ("57014".into(), "canceling statement due to statement timeout".into())
         }
@@ -126,7 +126,7 @@
 impl PostgresSetup {
     /// Fewer sessions where the machine's memory could not hold all that they may.
     pub fn limit_to_memory(self, memory_mb: f64) -> Self {
-        let most = ((memory_mb * SESSIONS_PART / SESSION_MB) as usize).max(1);
+        let most = ((memory_mb * SESSIONS_MEMORY_SHARE / MAX_SESSION_MB) as usize).max(1);
         if self.max_sessions > most {
             log::warn!("{most} PostgreSQL sessions at most, for the limit on memory");
         }
@@ -143,7 +143,7 @@
     /// A client has connected.
     pub fn accept(&mut self, now: u64, conn: u64, peer: IpAddr) {
         let peer = self.directory.peer(peer);
-        self.sessions.insert(conn, Session { peer, since_ns: now, busy_ns: now, ..Session::default() });
+        self.sessions.insert(conn, Session { peer, since_ns: now, active_ns: now, ..Session::default() });
     }
 
     /// Sessions that are open.
@@ -161,11 +161,11 @@
 
     /// A session is over; what runs for it is given up.
     pub fn close(&mut self, net: &mut Net, router: &mut Router, conn: u64, end_reason: EndReason) {
-        self.forget(router, conn, end_reason);
+        self.remove_session(router, conn, end_reason);
         net.close(conn);
     }
 
-    fn forget(&mut self, router: &mut Router, conn: u64, end_reason: EndReason) {
+    fn remove_session(&mut self, router: &mut Router, conn: u64, end_reason: EndReason) {
         if let Some(session) = self.sessions.remove(&conn) {
             if let Some(running) = session.running {
                 router.client_left(running.request, EndReason::ClientGone);
@@ -176,14 +176,16 @@
 
     /// Guards against connections that never start a session, or send half a message: each holds a descriptor.
     pub fn tick(&mut self, now: u64, net: &mut Net, router: &mut Router) {
-        let past = |since: u64| now > since + START_NS;
-        let late = |s: &Session| {
-            !s.started && past(s.since_ns) || s.running.is_none() && s.partial_ns.is_some_and(past)
+        let is_expired = |since: u64| now > since + STARTUP_TIMEOUT_NS;
+        let timed_out = |s: &Session| {
+            !s.started && is_expired(s.since_ns)
+                || s.running.is_none() && s.partial_ns.is_some_and(is_expired)
         };
-        let mut over: Vec<u64> = self.sessions.iter().filter(|(_, s)| late(s)).map(|(c, _)| *c).collect();
-        over.sort_unstable();
-        for conn in over {
-            if self.is_still(now, net, router, conn, late) {
+        let mut to_close: Vec<u64> =
+            self.sessions.iter().filter(|(_, s)| timed_out(s)).map(|(c, _)| *c).collect();
+        to_close.sort_unstable();
+        for conn in to_close {
+            if self.still_matches(now, net, router, conn, timed_out) {
                 router.counters.rejected += 1;
                 self.close(net, router, conn, EndReason::Silent);
             }
@@ -192,16 +194,16 @@
 
     /// Looks at a session once more that is about to be closed for what it does not do. Guards against closing it on a statement
     /// that has come since it was last looked at.
-    fn is_still(
+    fn still_matches(
         &mut self,
         now: u64,
         net: &mut Net,
         router: &mut Router,
         conn: u64,
-        so: impl Fn(&Session) -> bool,
+        condition: impl Fn(&Session) -> bool,
     ) -> bool {
         self.ready(now, net, router, conn);
-        self.sessions.get(&conn).is_some_and(so)
+        self.sessions.get(&conn).is_some_and(condition)
     }
 
     /// Ends the sessions that have nothing running, half-sent, unread, unwritten or half-fetched, where `closes` says so of
@@ -214,20 +216,22 @@
         router: &mut Router,
         should_close: impl Fn(u64) -> bool,
     ) {
-        let quiet = |s: &Session| {
-            let rests = s.running.is_none() && s.partial_ns.is_none() && !s.skipping && s.suspended == 0;
-            s.started && rests && should_close(s.busy_ns)
+        let is_idle = |s: &Session| {
+            let at_rest =
+                s.running.is_none() && s.partial_ns.is_none() && !s.skips_to_sync && s.suspended_portals == 0;
+            s.started && at_rest && should_close(s.active_ns)
         };
-        let mut over: Vec<u64> = self.sessions.iter().filter(|(_, s)| quiet(s)).map(|(c, _)| *c).collect();
-        over.sort_unstable();
-        for conn in over {
-            let still = self.is_still(now, net, router, conn, quiet);
-            if !still || !net.input(conn).is_empty() || !net.drained(conn) {
+        let mut to_close: Vec<u64> =
+            self.sessions.iter().filter(|(_, s)| is_idle(s)).map(|(c, _)| *c).collect();
+        to_close.sort_unstable();
+        for conn in to_close {
+            let still_idle = self.still_matches(now, net, router, conn, is_idle);
+            if !still_idle || !net.input(conn).is_empty() || !net.drained(conn) {
                 continue;
             }
-            let mut reply = Reply::default();
-            reply.error(&fault("57P01", "terminating connection: the router is drained or stops"), true);
-            self.write(now, net, router, conn, reply, Some(EndReason::Idle));
+            let mut response = ResponseBuffer::default();
+            response.error(&fault("57P01", "terminating connection: the router is drained or stops"), true);
+            self.write(now, net, router, conn, response, Some(EndReason::Idle));
         }
     }
 
@@ -242,8 +246,8 @@
 
     /// Takes messages until one has to wait for its answer.
     fn advance(&mut self, now: u64, net: &mut Net, router: &mut Router, conn: u64) {
-        let mut reply = Reply::default();
-        let mut over = None;
+        let mut response = ResponseBuffer::default();
+        let mut end_reason = None;
         while let Some(session) = self.sessions.get(&conn).filter(|s| s.running.is_none()) {
             let read =
                 if session.started { read_message(net.input(conn)) } else { read_startup(net.input(conn)) };
@@ -257,21 +261,21 @@
                 }
                 Ok(Some((message, size))) => {
                     net.consume(conn, size);
-                    self.sessions.entry(conn).and_modify(|s| (s.partial_ns, s.busy_ns) = (None, now));
-                    over = self.message(now, router, conn, message, &mut reply);
+                    self.sessions.entry(conn).and_modify(|s| (s.partial_ns, s.active_ns) = (None, now));
+                    end_reason = self.message(now, router, conn, message, &mut response);
                 }
                 Err(why) => {
                     debug!("a client's message: {why}");
                     router.counters.rejected += 1;
-                    reply.error(&fault("08P01", why), true);
-                    over = Some(EndReason::Garbled);
+                    response.error(&fault("08P01", why), true);
+                    end_reason = Some(EndReason::Garbled);
                 }
             }
-            if over.is_some() {
+            if end_reason.is_some() {
                 break;
             }
         }
-        self.write(now, net, router, conn, reply, over);
+        self.write(now, net, router, conn, response, end_reason);
     }
 
     fn write(
@@ -280,15 +284,15 @@
         net: &mut Net,
         router: &mut Router,
         conn: u64,
-        reply: Reply,
-        over: Option<EndReason>,
+        response: ResponseBuffer,
+        end_reason: Option<EndReason>,
     ) {
-        let sent = reply.bytes.is_empty() || net.send(conn, &reply.bytes);
-        if let Some(end_reason) = over.filter(|_| sent && !reply.bytes.is_empty()) {
-            self.forget(router, conn, end_reason);
+        let sent = response.bytes.is_empty() || net.send(conn, &response.bytes);
+        if let Some(end_reason) = end_reason.filter(|_| sent && !response.bytes.is_empty()) {
+            self.remove_session(router, conn, end_reason);
             return net.close_after_flush(now, conn);
         }
-        if let Some(end_reason) = over.or((!sent).then_some(EndReason::Garbled)) {
+        if let Some(end_reason) = end_reason.or((!sent).then_some(EndReason::Garbled)) {
             self.close(net, router, conn, end_reason);
         }
     }
@@ -299,11 +303,11 @@
         router: &mut Router,
         conn: u64,
         message: ClientMessage,
-        reply: &mut Reply,
+        response: &mut ResponseBuffer,
     ) -> Option<EndReason> {
-        self.settle_describe(conn, &message, reply);
+        self.resolve_describe(conn, &message, response);
         match message {
-            ClientMessage::Encrypt => reply.no_encryption(),
+            ClientMessage::Encrypt => response.no_encryption(),
             ClientMessage::Cancel(number, key) => {
                 let found =
                     self.sessions.iter().find(|(c, s)| s.started && **c as i32 == number && s.key == key);
@@ -312,32 +316,34 @@
                 }
                 return Some(EndReason::Idle);
             }
-            ClientMessage::Startup(minor, params) => return self.startup(router, conn, minor, params, reply),
+            ClientMessage::Startup(minor, params) => {
+                return self.startup(router, conn, minor, params, response)
+            }
             ClientMessage::Terminate => return Some(EndReason::ClientGone),
             ClientMessage::Sync => {
                 if let Some(session) = self.sessions.get_mut(&conn) {
-                    (session.skipping, session.suspended) = (false, 0);
-                    session.held.drop_portals();
+                    (session.skips_to_sync, session.suspended_portals) = (false, 0);
+                    session.objects.clear_portals();
                 }
-                reply.ready();
+                response.ready();
             }
             ClientMessage::Query(text) => {
-                if self.sessions.get(&conn).is_some_and(|s| s.skipping) {
+                if self.sessions.get(&conn).is_some_and(|s| s.skips_to_sync) {
                     return None;
                 }
-                if let Err(fault) = self.query(now, router, conn, text, reply) {
-                    reply.error(&fault, false);
-                    reply.ready();
+                if let Err(fault) = self.query(now, router, conn, text, response) {
+                    response.error(&fault, false);
+                    response.ready();
                 }
             }
             message => {
-                if self.sessions.get(&conn).is_some_and(|s| s.skipping) {
+                if self.sessions.get(&conn).is_some_and(|s| s.skips_to_sync) {
                     return None;
                 }
-                if let Err(fault) = self.extended(now, router, conn, message, reply) {
-                    reply.error(&fault, false);
+                if let Err(fault) = self.extended(now, router, conn, message, response) {
+                    response.error(&fault, false);
                     if let Some(session) = self.sessions.get_mut(&conn) {
-                        session.skipping = true;
+                        session.skips_to_sync = true;
                     }
                 }
             }
@@ -347,14 +353,17 @@
 
     /// Only an engine knows the columns, and only a run asks one: where no `Execute` follows a `Describe`, the
     /// service's usual columns are told.
-    fn settle_describe(&mut self, conn: u64, next: &ClientMessage, reply: &mut Reply) {
+    fn resolve_describe(&mut self, conn: u64, next: &ClientMessage, response: &mut ResponseBuffer) {
         let Some(session) = self.sessions.get_mut(&conn) else { return };
-        if matches!(next, ClientMessage::Execute(name, _) if session.describing.as_ref() == Some(name)) {
+        if matches!(next, ClientMessage::Execute(name, _) if session.pending_describe.as_ref() == Some(name))
+        {
             return;
         }
-        if let Some(portal) = session.describing.take().and_then(|name| session.held.portal(&name).ok()) {
-            describe(&portal.kind, &self.setup.columns, &portal.results, reply);
-            portal.told = true;
+        if let Some(portal) =
+            session.pending_describe.take().and_then(|name| session.objects.portal(&name).ok())
+        {
+            describe(&portal.kind, &self.setup.columns, &portal.results, response);
+            portal.described = true;
         }
     }
 
@@ -364,7 +373,7 @@
         conn: u64,
         minor: u16,
         params: Vec<(String, String)>,
-        reply: &mut Reply,
+        response: &mut ResponseBuffer,
     ) -> Option<EndReason> {
         let key = self.random() as i32;
         let full = self.sessions.len() > self.setup.max_sessions;
@@ -393,12 +402,12 @@
         }
         if let Err(fault) = result {
             router.counters.rejected += 1;
-            reply.error(&fault, true);
+            response.error(&fault, true);
             return Some(EndReason::Garbled);
         }
-        (session.started, session.key, session.start) = (true, key, session.settings.clone());
+        (session.started, session.key, session.startup_settings) = (true, key, session.settings.clone());
         if minor > 0 {
-            reply.negotiate();
+            response.negotiate_version();
         }
         let statuses = [
             ("server_version", SERVER_VERSION),
@@ -409,7 +418,7 @@
             ("integer_datetimes", "on"),
             ("standard_conforming_strings", "on"),
         ];
-        reply.welcome(&statuses, conn as i32, key);
+        response.session_start(&statuses, conn as i32, key);
         None
     }
 
@@ -419,11 +428,11 @@
         router: &mut Router,
         conn: u64,
         text: Vec<u8>,
-        reply: &mut Reply,
+        response: &mut ResponseBuffer,
     ) -> Result<(), SqlFault> {
         let kind = session::classify(&text)?;
-        if self.local(conn, &kind, reply, true)? {
-            reply.ready();
+        if self.execute_local(conn, &kind, response, true)? {
+            response.ready();
             return Ok(());
         }
         self.run(now, router, conn, Statement::plain(text), kind, None)
@@ -435,54 +444,58 @@
         router: &mut Router,
         conn: u64,
         message: ClientMessage,
-        reply: &mut Reply,
+        response: &mut ResponseBuffer,
     ) -> Result<(), SqlFault> {
         let (inline_params, columns) = (self.setup.inline_params, self.setup.columns.clone());
         let Some(session) = self.sessions.get_mut(&conn) else { return Ok(()) };
         match message {
             ClientMessage::Parse(name, text, types) => {
-                session.held.parse(name, text, types)?;
-                reply.step(b'1');
+                session.objects.parse(name, text, types)?;
+                response.empty_message(b'1');
             }
             ClientMessage::Bind(bind @ Bind { .. }) => {
-                session.held.bind(bind, inline_params)?;
-                reply.step(b'2');
+                session.objects.bind(bind, inline_params)?;
+                response.empty_message(b'2');
             }
             ClientMessage::Describe(true, name) => {
-                let statement = session.held.statement(&name)?;
-                let described = |t: &u32| if *t == 0 { TEXT } else { *t };
-                reply.parameters(&statement.types.iter().map(described).collect::<Vec<_>>());
-                describe(&statement.kind, &columns, &[], reply);
-                statement.told = true;
+                let statement = session.objects.statement(&name)?;
+                let type_or_text = |t: &u32| if *t == 0 { TEXT } else { *t };
+                response.parameters(&statement.types.iter().map(type_or_text).collect::<Vec<_>>());
+                describe(&statement.kind, &columns, &[], response);
+                statement.described = true;
             }
             ClientMessage::Describe(false, name) => {
-                let portal = session.held.portal(&name)?;
-                if !inline_params && matches!(portal.kind, Kind::Routed(true, _)) {
+                let portal = session.objects.portal(&name)?;
+                if !inline_params && matches!(portal.kind, StatementKind::Routed(true, _)) {
                     if portal.rows.is_some() {
-                        reply.columns(&portal.columns);
+                        response.columns(&portal.columns);
                     } else {
-                        session.describing = Some(name);
+                        session.pending_describe = Some(name);
                     }
                     return Ok(());
                 }
-                describe(&portal.kind, &columns, &portal.results, reply);
+                describe(&portal.kind, &columns, &portal.results, response);
             }
             ClientMessage::Close(statement, name) => {
-                session.held.drop_one(statement, &name);
-                reply.step(b'3');
+                session.objects.remove(statement, &name);
+                response.empty_message(b'3');
             }
             ClientMessage::Execute(name, limit) => {
-                let portal = session.held.portal(&name)?;
+                let portal = session.objects.portal(&name)?;
                 if portal.rows.is_some() {
-                    give_rows(session, &name, limit, reply);
+                    send_rows(session, &name, limit, response);
                     return Ok(());
                 }
                 let (statement, kind) = (portal.statement.clone(), portal.kind.clone());
-                if self.local(conn, &kind, reply, false)? {
+                if self.execute_local(conn, &kind, response, false)? {
                     return Ok(());
                 }
                 // Guards against results that wait for their client without bound.
-                if self.sessions.get(&conn).is_some_and(|s| limit > 0 && s.suspended >= SUSPENDED_MOST) {
+                if self
+                    .sessions
+                    .get(&conn)
+                    .is_some_and(|s| limit > 0 && s.suspended_portals >= MAX_SUSPENDED_PORTALS)
+                {
                     return Err(fault("54000", "too many portals are suspended"));
                 }
                 self.run(now, router, conn, statement, kind, Some((name, limit)))?;
@@ -494,44 +507,44 @@
     }
 
     /// Does what needs no engine; false for what does. `describes` says that columns are to be told too.
-    fn local(
+    fn execute_local(
         &mut self,
         conn: u64,
-        kind: &Kind,
-        reply: &mut Reply,
-        describes: bool,
+        kind: &StatementKind,
+        response: &mut ResponseBuffer,
+        sends_columns: bool,
     ) -> Result<bool, SqlFault> {
         let Some(session) = self.sessions.get_mut(&conn) else { return Ok(true) };
         match kind {
-            Kind::Routed(..) => return Ok(false),
-            Kind::Empty => reply.step(b'I'),
-            Kind::Set(name, None) if name == "all" => {
-                session.settings = session.start.clone();
-                reply.complete("RESET");
+            StatementKind::Routed(..) => return Ok(false),
+            StatementKind::Empty => response.empty_message(b'I'),
+            StatementKind::Set(name, None) if name == "all" => {
+                session.settings = session.startup_settings.clone();
+                response.complete("RESET");
             }
-            Kind::Set(name, None) => {
-                let start = session.start.show(&self.directory, name).unwrap_or_default();
-                if !start.is_empty() || !name.starts_with("marljunction.") {
-                    session.settings.set(&self.directory, name, &start)?;
+            StatementKind::Set(name, None) => {
+                let initial = session.startup_settings.show(&self.directory, name).unwrap_or_default();
+                if !initial.is_empty() || !name.starts_with("marljunction.") {
+                    session.settings.set(&self.directory, name, &initial)?;
                 } else {
                     session.settings.tenant = None;
                 }
-                reply.complete("RESET");
+                response.complete("RESET");
             }
-            Kind::Set(name, Some(value)) => {
+            StatementKind::Set(name, Some(value)) => {
                 session.settings.set(&self.directory, name, value)?;
                 if name == "application_name" {
-                    reply.status(name, value);
+                    response.status(name, value);
                 }
-                reply.complete("SET");
+                response.complete("SET");
             }
-            Kind::Show(name) => {
+            StatementKind::Show(name) => {
                 let value = session.settings.show(&self.directory, name)?;
-                if describes {
-                    reply.text_columns(std::slice::from_ref(name), &[]);
+                if sends_columns {
+                    response.text_columns(std::slice::from_ref(name), &[]);
                 }
-                reply.row(&[Some(value.into_bytes())]);
-                reply.complete("SHOW");
+                response.row(&[Some(value.into_bytes())]);
+                response.complete("SHOW");
             }
         }
         Ok(true)
@@ -544,7 +557,7 @@
         router: &mut Router,
         conn: u64,
         statement: Statement,
-        kind: Kind,
+        kind: StatementKind,
         portal: Option<(String, u32)>,
     ) -> Result<(), SqlFault> {
         if !router.has_capacity() {
@@ -566,7 +579,7 @@
         };
         let client = self.directory.client(session.peer, |who| match who {
             Who::User => session.user.as_deref(),
-            Who::ApplicationName => settings.others.get("application_name").map(String::as_str),
+            Who::ApplicationName => settings.other_params.get("application_name").map(String::as_str),
             _ => None,
         });
         let client_request = ClientRequest {
@@ -583,8 +596,8 @@
             statement,
         };
         let request = router.accept_request(now, Client { conn, call }, client_request);
-        let describes = portal.is_none() || session.describing.take().is_some();
-        session.running = Some(Running { request, call, portal, kind, describes });
+        let sends_columns = portal.is_none() || session.pending_describe.take().is_some();
+        session.running = Some(RunningRequest { request, call, portal, kind, sends_columns });
         Ok(())
     }
 
@@ -592,48 +605,52 @@
     pub fn answer(&mut self, now: u64, net: &mut Net, router: &mut Router, client: Client, answer: Answer) {
         let Some(session) = self.sessions.get_mut(&client.conn) else { return };
         let Some(running) = session.running.take_if(|r| r.call == client.call) else { return };
-        session.busy_ns = now;
-        let mut reply = Reply::default();
+        session.active_ns = now;
+        let mut response = ResponseBuffer::default();
         match (answer, running.portal) {
             (Answer::Served(rows), portal) => {
                 let (columns, rows) = rows.into_cells();
-                let gives = matches!(running.kind, Kind::Routed(true, _));
-                if gives && running.describes && !self.setup.inline_params {
-                    reply.columns(&columns);
-                } else if gives && running.describes {
-                    reply.text_columns(&self.setup.columns, &[]);
+                let returns_rows = matches!(running.kind, StatementKind::Routed(true, _));
+                if returns_rows && running.sends_columns && !self.setup.inline_params {
+                    response.columns(&columns);
+                } else if returns_rows && running.sends_columns {
+                    response.text_columns(&self.setup.columns, &[]);
                 }
                 let name = portal.as_ref().map_or("", |p| &p.0);
-                let told = self.setup.inline_params || session.held.portal(name).is_ok_and(|p| p.told);
-                let odd = |row: &Row| row.len() != self.setup.columns.len();
-                let coded = |c: &Column| c.binary && !is_text(c.type_id);
-                if gives && told && (rows.iter().any(odd) || columns.iter().any(coded)) {
+                let described =
+                    self.setup.inline_params || session.objects.portal(name).is_ok_and(|p| p.described);
+                let has_other_width = |row: &Row| row.len() != self.setup.columns.len();
+                let is_binary = |c: &Column| c.binary && !is_text(c.type_id);
+                if returns_rows
+                    && described
+                    && (rows.iter().any(has_other_width) || columns.iter().any(is_binary))
+                {
                     // Guards against rows that don't fit what the client was told of them.
                     let wrong = fault("42804", "the result has other columns than the client was told");
-                    reply.error(&wrong, false);
-                    session.skipping = portal.is_some();
+                    response.error(&wrong, false);
+                    session.skips_to_sync = portal.is_some();
                 } else if let Some((name, limit)) = &portal {
-                    if let Ok(portal) = session.held.portal(name) {
+                    if let Ok(portal) = session.objects.portal(name) {
                         (portal.rows, portal.columns) = (Some((rows.into(), 0)), columns);
                     }
-                    give_rows(session, name, *limit, &mut reply);
+                    send_rows(session, name, *limit, &mut response);
                 } else {
-                    rows.iter().filter(|_| gives).for_each(|row| reply.row(row));
-                    reply.complete(&tag(&running.kind, rows.len()));
+                    rows.iter().filter(|_| returns_rows).for_each(|row| response.row(row));
+                    response.complete(&tag(&running.kind, rows.len()));
                 }
                 if portal.is_none() {
-                    reply.ready();
+                    response.ready();
                 }
             }
             (answer, portal) => {
-                reply.error(&sql_fault(&answer), false);
-                session.skipping = portal.is_some();
+                response.error(&sql_fault(&answer), false);
+                session.skips_to_sync = portal.is_some();
                 if portal.is_none() {
-                    reply.ready();
+                    response.ready();
                 }
             }
         }
-        self.write(now, net, router, client.conn, reply, None);
+        self.write(now, net, router, client.conn, response, None);
         // What came in meanwhile waits in the connection; reading goes on where it stopped for lack of room.
         if self.sessions.contains_key(&client.conn) {
             self.ready(now, net, router, client.conn);
@@ -641,39 +658,39 @@
     }
 }
 
-fn tag(kind: &Kind, rows: usize) -> String {
+fn tag(kind: &StatementKind, rows: usize) -> String {
     match kind {
-        Kind::Routed(_, word) => format!("{word} {rows}"),
+        StatementKind::Routed(_, word) => format!("{word} {rows}"),
         _ => "SELECT 0".into(),
     }
 }
 
-fn describe(kind: &Kind, columns: &[String], binary: &[bool], reply: &mut Reply) {
+fn describe(kind: &StatementKind, columns: &[String], binary: &[bool], response: &mut ResponseBuffer) {
     match kind {
-        Kind::Routed(true, _) => reply.text_columns(columns, binary),
-        Kind::Show(name) => reply.text_columns(std::slice::from_ref(name), binary),
-        _ => reply.step(b'n'),
+        StatementKind::Routed(true, _) => response.text_columns(columns, binary),
+        StatementKind::Show(name) => response.text_columns(std::slice::from_ref(name), binary),
+        _ => response.empty_message(b'n'),
     }
 }
 
 /// Gives rows of a portal that has run, up to a limit, and says whether more are left.
-fn give_rows(session: &mut Session, name: &str, limit: u32, reply: &mut Reply) {
-    let Ok(portal) = session.held.portal(name) else { return };
+fn send_rows(session: &mut Session, name: &str, limit: u32, response: &mut ResponseBuffer) {
+    let Ok(portal) = session.objects.portal(name) else { return };
     let Some((rows, given)) = &mut portal.rows else { return };
-    let gives = matches!(portal.kind, Kind::Routed(true, _));
-    let count = if limit == 0 || !gives { rows.len() } else { rows.len().min(limit as usize) };
+    let returns_rows = matches!(portal.kind, StatementKind::Routed(true, _));
+    let count = if limit == 0 || !returns_rows { rows.len() } else { rows.len().min(limit as usize) };
     for row in rows.drain(..count) {
-        if gives {
-            reply.row(&row);
+        if returns_rows {
+            response.row(&row);
         }
     }
     let first = *given == 0;
     *given += count;
     if rows.is_empty() {
-        reply.complete(&tag(&portal.kind, count));
-        session.suspended = session.suspended.saturating_sub(usize::from(!first));
+        response.complete(&tag(&portal.kind, count));
+        session.suspended_portals = session.suspended_portals.saturating_sub(usize::from(!first));
     } else {
-        reply.step(b's');
-        session.suspended += usize::from(first);
+        response.empty_message(b's');
+        session.suspended_portals += usize::from(first);
     }
 }
--- a/crates/front/src/postgres/session.rs
+++ b/crates/front/src/postgres/session.rs
@@ -9,8 +9,8 @@
 use marljunction_core::{Column, Row};
 
 /// Statements and portals that a session may hold, of each (count), and their bytes in all.
-const HELD_MOST: usize = 64;
-const HELD_BYTES: usize = 512 << 10;
+const MAX_OBJECTS: usize = 64;
+const MAX_OBJECT_BYTES: usize = 512 << 10;
 
 /// Whether a type is a text: its values are the same bytes in both forms.
 pub fn is_text(type_id: u32) -> bool {
@@ -19,7 +19,7 @@
 
 /// What a statement is to the router.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum StatementKind {
     /// Nothing at all.
     Empty,
     /// Goes to an engine; whether it gives rows, and the word of its completion.
@@ -38,9 +38,9 @@
     /// Types of its parameters; 0 where the client left them to the engine.
     pub types: Vec<u32>,
     /// What it is.
-    pub kind: Kind,
+    pub kind: StatementKind,
     /// The client was told of the usual columns.
-    pub told: bool,
+    pub described: bool,
 }
 
 /// A portal.
@@ -49,11 +49,11 @@
     /// The statement with its parameters.
     pub statement: Statement,
     /// What it is.
-    pub kind: Kind,
+    pub kind: StatementKind,
     /// Columns wanted in binary form.
     pub results: Vec<bool>,
     /// The client was told of the usual columns: others would be misread.
-    pub told: bool,
+    pub described: bool,
     /// Columns of its result, where the engine told them.
     pub columns: Vec<Column>,
     /// What is left of its result once it has run, and how many rows were given.
@@ -74,7 +74,7 @@
     /// Estimated memory, in megabytes.
     pub memory_mb: Option<f64>,
     /// Whatever else was set, as clients ask for it again.
-    pub others: BTreeMap<String, String>,
+    pub other_params: BTreeMap<String, String>,
 }
 
 /// A span of time as PostgreSQL writes it: milliseconds, or with a unit.
@@ -110,10 +110,10 @@
             }
             _ => {
                 // Guards against a session that sets names without end.
-                if self.others.len() >= HELD_MOST && !self.others.contains_key(name) {
+                if self.other_params.len() >= MAX_OBJECTS && !self.other_params.contains_key(name) {
                     return Err(fault("54000", "too many parameters are set"));
                 }
-                self.others.insert(name.to_owned(), value.chars().take(1_000).collect());
+                self.other_params.insert(name.to_owned(), value.chars().take(1_000).collect());
             }
         }
         Ok(())
@@ -130,7 +130,7 @@
             "server_version" => super::SERVER_VERSION.to_owned(),
             "transaction_isolation" | "transaction" => "read committed".to_owned(),
             _ => {
-                self.others.get(name).cloned().ok_or_else(|| {
+                self.other_params.get(name).cloned().ok_or_else(|| {
                     fault("42704", format!("unrecognized configuration parameter \"{name}\""))
                 })?
             }
@@ -154,10 +154,10 @@
 }
 
 /// Says what a text is; what one routed statement can't do is refused before anything runs.
-pub fn classify(text: &[u8]) -> Result<Kind, SqlFault> {
+pub fn classify(text: &[u8]) -> Result<StatementKind, SqlFault> {
     let statements = split(text);
     let (statement, words) = match &statements[..] {
-        [] => return Ok(Kind::Empty),
+        [] => return Ok(StatementKind::Empty),
         [one] => one,
         _ => return Err(fault("0A000", "several statements in one query are not supported")),
     };
@@ -168,13 +168,13 @@
             Err(fault("0A000", "explicit transactions are not supported"))
         }
         "set" => match read_set(&text) {
-            Some((name, value)) => Ok(Kind::Set(name, value)),
+            Some((name, value)) => Ok(StatementKind::Set(name, value)),
             None => Err(fault("42601", "cannot read this SET")),
         },
-        "reset" | "discard" if word(1) == "all" => Ok(Kind::Set("all".into(), None)),
+        "reset" | "discard" if word(1) == "all" => Ok(StatementKind::Set("all".into(), None)),
         "reset" | "show" => {
             let name = text.split_whitespace().nth(1).unwrap_or("").to_ascii_lowercase();
-            Ok(if word(0) == "show" { Kind::Show(name) } else { Kind::Set(name, None) })
+            Ok(if word(0) == "show" { StatementKind::Show(name) } else { StatementKind::Set(name, None) })
         }
         "begin" | "start" | "commit" | "rollback" | "end" | "abort" | "savepoint" | "release" => {
             Err(fault("0A000", "explicit transactions are not supported"))
@@ -184,30 +184,30 @@
             Err(fault("0A000", format!("{} is not supported", word(0).to_ascii_uppercase())))
         }
         first => {
-            let plain = !matches!(first, "insert" | "update" | "delete" | "merge");
-            let returning = text.to_ascii_lowercase().contains("returning");
-            let rows = plain
+            let is_query = !matches!(first, "insert" | "update" | "delete" | "merge");
+            let has_returning = text.to_ascii_lowercase().contains("returning");
+            let rows = is_query
                 && !matches!(first, "create" | "alter" | "drop" | "truncate" | "call" | "do" | "refresh")
-                || returning;
-            let done = match first {
+                || has_returning;
+            let command_tag = match first {
                 "insert" => "INSERT 0".to_owned(),
                 "update" | "delete" | "merge" => first.to_ascii_uppercase(),
                 _ => "SELECT".to_owned(),
             };
-            Ok(Kind::Routed(rows, done))
+            Ok(StatementKind::Routed(rows, command_tag))
         }
     }
 }
 
 /// The statements and portals of a session, within bounds.
 #[derive(Default)]
-pub struct Held {
+pub struct SessionObjects {
     statements: BTreeMap<String, Prepared>,
     portals: BTreeMap<String, Portal>,
     bytes: usize,
 }
 
-impl Held {
+impl SessionObjects {
     /// Prepares a statement.
     pub fn parse(&mut self, name: String, text: Vec<u8>, types: Vec<u32>) -> Result<(), SqlFault> {
         if !name.is_empty() && self.statements.contains_key(&name) {
@@ -219,16 +219,16 @@
             return Err(fault("54000", "too many parameters"));
         }
         let types = (0..count).map(|i| types.get(i).copied().unwrap_or(0)).collect();
-        self.drop_one(true, &name);
-        self.room(self.statements.len(), text.len())?;
+        self.remove(true, &name);
+        self.check_capacity(self.statements.len(), text.len())?;
         self.bytes += text.len();
-        self.statements.insert(name, Prepared { text, types, kind, told: false });
+        self.statements.insert(name, Prepared { text, types, kind, described: false });
         Ok(())
     }
 
     /// Guards against a session that prepares without end.
-    fn room(&self, count: usize, bytes: usize) -> Result<(), SqlFault> {
-        let full = count >= HELD_MOST || self.bytes + bytes > HELD_BYTES;
+    fn check_capacity(&self, count: usize, bytes: usize) -> Result<(), SqlFault> {
+        let full = count >= MAX_OBJECTS || self.bytes + bytes > MAX_OBJECT_BYTES;
         if full {
             Err(fault("54000", "too many statements or portals are open"))
         } else {
@@ -256,15 +256,15 @@
             params.push(Param { type_id: *type_id, binary, value });
         }
         let bytes = statement.text.len() + params.iter().flat_map(|p| &p.value).map(Vec::len).sum::<usize>();
-        self.drop_one(false, &bind.portal);
-        self.room(self.portals.len(), bytes)?;
+        self.remove(false, &bind.portal);
+        self.check_capacity(self.portals.len(), bytes)?;
         self.bytes += bytes;
         let statement_of = Statement { text: statement.text, params, results: bind.results.clone() };
         let portal = Portal {
             statement: statement_of,
             kind: statement.kind,
             results: bind.results,
-            told: statement.told,
+            described: statement.described,
             columns: Vec::new(),
             rows: None,
         };
@@ -285,7 +285,7 @@
     }
 
     /// Drops a statement or a portal, where it is there.
-    pub fn drop_one(&mut self, statement: bool, name: &str) {
+    pub fn remove(&mut self, statement: bool, name: &str) {
         if statement {
             self.bytes -= self.statements.remove(name).map_or(0, |s| s.text.len());
         } else {
@@ -294,7 +294,7 @@
     }
 
     /// Portals end with the run of messages that made them.
-    pub fn drop_portals(&mut self) {
+    pub fn clear_portals(&mut self) {
         let bytes: usize = std::mem::take(&mut self.portals).values().map(portal_bytes).sum();
         self.bytes -= bytes;
     }
--- a/crates/front/tests/close_idle.rs
+++ b/crates/front/tests/close_idle.rs
@@ -19,7 +19,7 @@
 /// Past all times that a front waits for its client (ns).
 const LATE_NS: u64 = 3_000_000_000;
 
-struct World {
+struct Fixture {
     front: MsgpackFront,
     sessions: PostgresFront,
     router: Router,
@@ -30,11 +30,11 @@
 }
 
 /// Both fronts, and one client of one of them.
-fn world(owner: Owner) -> World {
-    world_in(owner, ConnectionLimits::of(64, 64.0))
+fn fixture(owner: Owner) -> Fixture {
+    fixture_with_limits(owner, ConnectionLimits::of(64, 64.0))
 }
 
-fn world_in(owner: Owner, room: ConnectionLimits) -> World {
+fn fixture_with_limits(owner: Owner, limits: ConnectionLimits) -> Fixture {
     let class = ClassSettings {
         target_latency_ns: 1_000_000_000,
         deadline_ns: 6_000_000_000,
@@ -49,7 +49,7 @@
     let mut sessions = PostgresFront::new(directory, setup, 1);
     let router = Router::new(settings, 1, 64.0);
     let poll = mio::Poll::new().unwrap();
-    let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, room);
+    let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, limits);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (stream, from) = listener.accept().unwrap();
@@ -59,13 +59,13 @@
         Owner::Msgpack => front.accept(0, conn, from.ip()),
         _ => sessions.accept(0, conn, from.ip()),
     }
-    World { front, sessions, router, net, client, conn, _poll: poll }
+    Fixture { front, sessions, router, net, client, conn, _poll: poll }
 }
 
-impl World {
+impl Fixture {
     /// A client whose session of PostgreSQL has started.
-    fn session() -> World {
-        let mut w = world(Owner::Postgres);
+    fn session() -> Fixture {
+        let mut w = fixture(Owner::Postgres);
         w.client.write_all(STARTUP).unwrap();
         w.sessions.ready(0, &mut w.net, &mut w.router, w.conn);
         w
@@ -78,14 +78,14 @@
     }
 
     /// Writes to the client until no more goes out.
-    fn clog(&mut self) {
+    fn fill_output(&mut self) {
         while self.net.drained(self.conn) {
             assert!(self.net.send(self.conn, &[b'x'; 64 << 10]));
         }
     }
 
     /// The client reads until all that waited for it has gone out.
-    fn read(&mut self) {
+    fn read_output(&mut self) {
         self.client.set_read_timeout(Some(std::time::Duration::from_secs(8))).unwrap();
         while !self.net.drained(self.conn) {
             assert!(self.client.read(&mut [0; 64 << 10]).unwrap() > 0);
@@ -95,8 +95,8 @@
 }
 
 #[test]
-fn a_request_that_has_come_keeps_its_connection_from_being_closed_as_quiet() {
-    let mut w = world(Owner::Msgpack);
+fn a_connection_with_an_unread_request_is_not_closed_as_idle() {
+    let mut w = fixture(Owner::Msgpack);
     // It comes behind the events of the round that finds its connection quiet for long.
     w.client.write_all(CALL).unwrap();
     w.close_idle();
@@ -105,8 +105,8 @@
 }
 
 #[test]
-fn a_statement_that_has_come_keeps_its_session_from_being_closed_as_quiet() {
-    let mut w = World::session();
+fn a_session_with_an_unread_statement_is_not_closed_as_idle() {
+    let mut w = Fixture::session();
     w.client.write_all(QUERY).unwrap();
     w.close_idle();
     assert_eq!((w.router.counters.taken, w.router.unanswered()), (1, 1));
@@ -114,38 +114,38 @@
 }
 
 #[test]
-fn a_first_request_that_has_come_keeps_its_connection_from_being_closed_as_silent() {
-    let mut w = world(Owner::Msgpack);
+fn a_connection_with_an_unread_first_request_does_not_time_out() {
+    let mut w = fixture(Owner::Msgpack);
     w.client.write_all(CALL).unwrap();
     w.front.tick(LATE_NS, &mut w.net, &mut w.router);
     assert_eq!((w.router.counters.taken, w.router.unanswered(), w.router.counters.rejected), (1, 1, 0));
 }
 
 #[test]
-fn a_startup_that_has_come_keeps_its_session_from_being_closed_as_silent() {
-    let mut w = world(Owner::Postgres);
+fn a_session_with_an_unread_startup_message_does_not_time_out() {
+    let mut w = fixture(Owner::Postgres);
     w.client.write_all(STARTUP).unwrap();
     w.sessions.tick(LATE_NS, &mut w.net, &mut w.router);
     assert_eq!((w.sessions.sessions(), w.router.counters.rejected), (1, 0));
 }
 
 #[test]
-fn one_that_is_silent_is_closed_and_counted() {
-    let (mut w, mut s) = (world(Owner::Msgpack), world(Owner::Postgres));
+fn a_client_that_sends_nothing_times_out_and_is_counted() {
+    let (mut w, mut s) = (fixture(Owner::Msgpack), fixture(Owner::Postgres));
     w.front.tick(LATE_NS, &mut w.net, &mut w.router);
     s.sessions.tick(LATE_NS, &mut s.net, &mut s.router);
-    for world in [w, s] {
-        assert_eq!(world.router.counters.rejected, 1);
+    for fixture in [w, s] {
+        assert_eq!(fixture.router.counters.rejected, 1);
         assert_eq!(
-            (world.router.counters.endings(EndReason::Silent), world.net.owner(world.conn)),
+            (fixture.router.counters.endings(EndReason::Silent), fixture.net.owner(fixture.conn)),
             (1, None)
         );
     }
 }
 
 #[test]
-fn one_that_has_sent_more_than_a_round_takes_makes_no_room_for_others() {
-    let mut w = world(Owner::Msgpack);
+fn a_connection_with_unread_messages_is_not_evicted() {
+    let mut w = fixture(Owner::Msgpack);
     w.client.write_all(&b"\x94\x00\x01\xa6isWell\x91\x80".repeat(70)).unwrap();
     w.front.ready(0, &mut w.net, &mut w.router, w.conn);
     assert_eq!(w.front.eviction_candidate(1_000_000_000, &w.net), None);
@@ -154,35 +154,35 @@
 }
 
 #[test]
-fn one_that_has_not_read_its_answer_yet_is_not_closed_as_quiet_and_makes_no_room() {
-    let mut w = world(Owner::Msgpack);
-    w.clog();
+fn a_connection_with_queued_output_is_neither_closed_as_idle_nor_evicted() {
+    let mut w = fixture(Owner::Msgpack);
+    w.fill_output();
     w.close_idle();
     assert_eq!(w.net.owner(w.conn), Some(Owner::Msgpack));
     assert_eq!(w.front.eviction_candidate(LATE_NS, &w.net), None);
-    w.read();
+    w.read_output();
     assert_eq!(w.front.eviction_candidate(LATE_NS, &w.net), Some(w.conn));
     w.close_idle();
     assert_eq!(w.router.counters.endings(EndReason::Idle), 1);
 }
 
 #[test]
-fn a_session_that_has_not_read_its_answer_yet_is_not_closed_as_quiet() {
-    let mut w = World::session();
-    w.clog();
+fn a_session_with_queued_output_is_not_closed_as_idle() {
+    let mut w = Fixture::session();
+    w.fill_output();
     w.close_idle();
     assert_eq!(w.net.owner(w.conn), Some(Owner::Postgres));
-    w.read();
+    w.read_output();
     w.close_idle();
     assert_eq!(w.router.counters.endings(EndReason::Idle), 1);
 }
 
 #[test]
-fn one_that_does_not_read_makes_way_for_calls_to_engines_and_is_counted() {
+fn a_client_that_does_not_read_is_evicted_for_engine_output_and_counted() {
     for owner in [Owner::Msgpack, Owner::Postgres] {
         // Four connections may fill it.
-        let mut w = world_in(owner, ConnectionLimits { engines: 8, output: 1 << 20 });
-        w.clog();
+        let mut w = fixture_with_limits(owner, ConnectionLimits { engines: 8, output: 1 << 20 });
+        w.fill_output();
         let engine = TcpListener::bind("127.0.0.1:0").unwrap();
         for _ in 0..4 {
             let call = w.net.connect(engine.local_addr().unwrap(), Owner::Engine).unwrap();
--- a/crates/net/src/datagrams.rs
+++ b/crates/net/src/datagrams.rs
@@ -28,8 +28,8 @@
     ///
     /// # Errors
     /// Where the address can't be bound.
-    pub fn open(registry: &Registry, token: Token, at: SocketAddr) -> std::io::Result<DatagramSocket> {
-        let mut socket = UdpSocket::bind(at)?;
+    pub fn open(registry: &Registry, token: Token, address: SocketAddr) -> std::io::Result<DatagramSocket> {
+        let mut socket = UdpSocket::bind(address)?;
         registry.register(&mut socket, token, Interest::READABLE)?;
         Ok(DatagramSocket {
             socket,
@@ -49,13 +49,13 @@
     }
 
     /// Hands over what has come in, up to a bound.
-    pub fn receive(&mut self, mut take: impl FnMut(&[u8])) {
+    pub fn receive(&mut self, mut handle: impl FnMut(&[u8])) {
         self.unread = false;
         for _ in 0..MAX_DATAGRAMS_PER_READ {
             match self.socket.recv_from(&mut self.buffer) {
                 Ok((size, _)) => {
                     self.received_bytes += size as u64;
-                    take(&self.buffer[..size]);
+                    handle(&self.buffer[..size]);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 // A peer that is not there answers so to what was sent to it before.
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -18,17 +18,17 @@
 
 /// Output that one connection may have waiting (bytes): 32 results of the largest size and some room; and the
 /// part of what all may have.
-const OUTPUT_MOST: usize = 2 << 20;
-const OUTPUT_PART: usize = 4;
+const MAX_OUTPUT_BYTES: usize = 2 << 20;
+const MAX_OUTPUT_DIVISOR: usize = 4;
 /// Output that all connections together may have waiting (share of the memory limit).
-const OUTPUT_ALL: f64 = 0.15;
+const OUTPUT_MEMORY_SHARE: f64 = 0.15;
 /// Input that is read from one connection before its owner has taken some of it (bytes): one message and more.
-const INPUT_MOST: usize = 72 << 10;
+const MAX_INPUT_BYTES: usize = 72 << 10;
 /// Space that a buffer with nothing in it keeps (bytes).
-const KEPT_MOST: usize = 4 << 10;
+const MAX_IDLE_BUFFER_BYTES: usize = 4 << 10;
 /// What a connection that is being ended may still send, and for how long (bytes, ns).
-const DISCARD_MOST: usize = 512 << 10;
-const DISCARD_NS: u64 = 500_000_000;
+const MAX_LINGER_BYTES: usize = 512 << 10;
+const MAX_LINGER_NS: u64 = 500_000_000;
 
 /// What the machine allows all connections together.
 #[derive(Clone, Copy, Debug)]
@@ -42,7 +42,7 @@
 impl ConnectionLimits {
     /// Of a machine with so many descriptors and so many megabytes.
     pub fn of(sockets: usize, memory_mb: f64) -> Self {
-        ConnectionLimits { engines: sockets / 2, output: (memory_mb * OUTPUT_ALL * 1e6) as usize }
+        ConnectionLimits { engines: sockets / 2, output: (memory_mb * OUTPUT_MEMORY_SHARE * 1e6) as usize }
     }
 }
 
@@ -79,28 +79,28 @@
     /// It has more to read than was taken so far.
     unread: bool,
     /// Its peer has closed its side, whatever it sent before that was not read yet.
-    closed: bool,
+    peer_closed: bool,
     ended: Option<EndReason>,
     /// While it is being ended: what it may still send, and until when.
-    discard_input: (usize, u64),
+    linger: (usize, u64),
 }
 
 /// All connections, by numbers that are never used twice.
 pub struct Net {
     registry: Registry,
     conns: HashMap<u64, Conn>,
-    serial: u64,
-    waiting: usize,
+    last_id: u64,
+    queued_bytes: usize,
     engine_conns: usize,
     client_conns: usize,
-    room: ConnectionLimits,
-    leavers: Vec<u64>,
+    limits: ConnectionLimits,
+    lingering: Vec<u64>,
     scratch: Vec<u8>,
     /// Bytes read from all connections so far.
-    received: u64,
+    received_bytes: u64,
     /// Calls to engines wait for [`Net::release`].
-    holds: bool,
-    held: Vec<u64>,
+    defers_engine_writes: bool,
+    deferred: Vec<u64>,
 }
 
 /// What became of a connection when it was last looked at.
@@ -116,44 +116,44 @@
 
 impl Net {
     /// No connections yet.
-    pub fn new(registry: Registry, first: u64, room: ConnectionLimits) -> Self {
+    pub fn new(registry: Registry, first_id: u64, limits: ConnectionLimits) -> Self {
         Net {
             registry,
             conns: HashMap::new(),
-            serial: first,
-            waiting: 0,
+            last_id: first_id,
+            queued_bytes: 0,
             engine_conns: 0,
             client_conns: 0,
-            room,
-            leavers: Vec::new(),
+            limits,
+            lingering: Vec::new(),
             scratch: vec![0; 64 << 10],
-            received: 0,
-            holds: false,
-            held: Vec::new(),
+            received_bytes: 0,
+            defers_engine_writes: false,
+            deferred: Vec::new(),
         }
     }
 
     /// From here on, calls to engines are written by [`Net::release`] only, at the end of a round. Guards against a call that
     /// goes out as its connection comes up, in the very round that also brings its client's leaving, or a drain of its engine.
     pub fn defer_engine_writes(&mut self) {
-        self.holds = true;
+        self.defers_engine_writes = true;
     }
 
     /// Writes what waits for engines, as far as it can be written; gives the connections that it was written to.
     pub fn flush_engine_writes(&mut self) -> Vec<u64> {
-        let mut held = std::mem::take(&mut self.held);
-        held.sort_unstable();
-        held.dedup();
-        held.iter().for_each(|id| self.flush(*id));
-        held
+        let mut deferred = std::mem::take(&mut self.deferred);
+        deferred.sort_unstable();
+        deferred.dedup();
+        deferred.iter().for_each(|id| self.flush(*id));
+        deferred
     }
 
     /// Writes what can be written, or has it wait for the end of the round.
-    fn put(&mut self, id: u64) {
+    fn write_or_defer(&mut self, id: u64) {
         match self.conns.get(&id) {
-            Some(conn) if self.holds && conn.owner == Owner::Engine => {
+            Some(conn) if self.defers_engine_writes && conn.owner == Owner::Engine => {
                 if !conn.connecting && !conn.output.is_empty() {
-                    self.held.push(id);
+                    self.deferred.push(id);
                 }
             }
             _ => self.flush(id),
@@ -171,13 +171,13 @@
         if let Some(conn) =
             self.conns.get_mut(&id).filter(|c| matches!(c.owner, Owner::Msgpack | Owner::Postgres))
         {
-            conn.closed = true;
+            conn.peer_closed = true;
         }
     }
 
     /// Starts a connection. No descriptor to be had is an ending like others.
     pub fn connect(&mut self, to: SocketAddr, owner: Owner) -> Result<u64, EndReason> {
-        if owner == Owner::Engine && self.engine_conns >= self.room.engines {
+        if owner == Owner::Engine && self.engine_conns >= self.limits.engines {
             return Err(EndReason::NoDescriptor);
         }
         let stream = TcpStream::connect(to).map_err(|e| match e.kind() {
@@ -193,9 +193,9 @@
     }
 
     fn add(&mut self, mut stream: TcpStream, owner: Owner, connecting: bool) -> Result<u64, EndReason> {
-        self.serial += 1;
+        self.last_id += 1;
         let interest = Interest::READABLE | Interest::WRITABLE;
-        let registered = self.registry.register(&mut stream, Token(self.serial as usize), interest);
+        let registered = self.registry.register(&mut stream, Token(self.last_id as usize), interest);
         registered.map_err(|_| EndReason::NoDescriptor)?;
         // Small messages must not wait for the acknowledgement of the ones before.
         let _ = stream.set_nodelay(true);
@@ -203,11 +203,11 @@
         self.client_conns += usize::from(owner.is_client());
         #[rustfmt::skip]
         let conn = Conn {
-            stream, owner, connecting, input: Vec::new(), output: Vec::new(), written: 0, unread: false, closed: false, ended: None,
-            discard_input: (0, 0),
+            stream, owner, connecting, input: Vec::new(), output: Vec::new(), written: 0, unread: false, peer_closed: false, ended: None,
+            linger: (0, 0),
         };
-        self.conns.insert(self.serial, conn);
-        Ok(self.serial)
+        self.conns.insert(self.last_id, conn);
+        Ok(self.last_id)
     }
 
     /// Who a connection belongs to, while it is there.
@@ -217,7 +217,7 @@
 
     /// Bytes read from all connections so far.
     pub fn received_bytes(&self) -> u64 {
-        self.received
+        self.received_bytes
     }
 
     /// Connections of clients.
@@ -232,9 +232,9 @@
         if conn.ended.is_some() {
             return self.close(id);
         }
-        (conn.owner, conn.discard_input) = (Owner::Lingering, (DISCARD_MOST, now + DISCARD_NS));
+        (conn.owner, conn.linger) = (Owner::Lingering, (MAX_LINGER_BYTES, now + MAX_LINGER_NS));
         conn.input = Vec::new();
-        self.leavers.push(id);
+        self.lingering.push(id);
         self.discard_input(id);
     }
 
@@ -245,9 +245,9 @@
         if conn.output.is_empty() {
             let _ = conn.stream.shutdown(std::net::Shutdown::Write);
         }
-        while conn.discard_input.0 > 0 {
+        while conn.linger.0 > 0 {
             match conn.stream.read(&mut self.scratch) {
-                Ok(n) if n > 0 => conn.discard_input.0 = conn.discard_input.0.saturating_sub(n),
+                Ok(n) if n > 0 => conn.linger.0 = conn.linger.0.saturating_sub(n),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 _ => break,
@@ -266,21 +266,21 @@
 
     /// Closes the oldest connection that is being ended, to make room; false where there is none.
     pub fn close_oldest_lingering(&mut self) -> bool {
-        let oldest = self.leavers.iter().copied().find(|id| self.conns.contains_key(id));
+        let oldest = self.lingering.iter().copied().find(|id| self.conns.contains_key(id));
         oldest.map(|id| self.close(id)).is_some()
     }
 
     /// Closes connections whose time to end is over.
     pub fn tick(&mut self, now: u64) {
-        let mut leavers = std::mem::take(&mut self.leavers);
-        leavers.retain(|id| match self.conns.get(id) {
-            Some(conn) if now < conn.discard_input.1 => true,
+        let mut lingering = std::mem::take(&mut self.lingering);
+        lingering.retain(|id| match self.conns.get(id) {
+            Some(conn) if now < conn.linger.1 => true,
             _ => {
                 self.close(*id);
                 false
             }
         });
-        self.leavers = leavers;
+        self.lingering = lingering;
     }
 
     /// Closes a connection; what it had not written is lost. One to an engine is reset: guards against a call that
@@ -291,7 +291,7 @@
             if conn.owner == Owner::Engine {
                 let _ = socket2::SockRef::from(&conn.stream).set_linger(Some(std::time::Duration::ZERO));
             }
-            self.waiting -= conn.output.len() - conn.written;
+            self.queued_bytes -= conn.output.len() - conn.written;
             self.engine_conns -= usize::from(conn.owner == Owner::Engine);
             self.client_conns -= usize::from(conn.owner.is_client());
             let _ = self.registry.deregister(&mut conn.stream);
@@ -304,31 +304,33 @@
         let Some(conn) = self.conns.get_mut(&id) else { return false };
         let pending = conn.output.len() - conn.written + bytes.len();
         // Guards against clients that ask and do not read: what waits for them is memory.
-        let most = OUTPUT_MOST.min(self.room.output / OUTPUT_PART);
+        let most = MAX_OUTPUT_BYTES.min(self.limits.output / MAX_OUTPUT_DIVISOR);
         if pending > most {
             return false;
         }
-        while self.waiting + bytes.len() > self.room.output {
-            if !self.crowd_out(id, pending - bytes.len()) {
+        while self.queued_bytes + bytes.len() > self.limits.output {
+            if !self.evict_largest_backlog(id, pending - bytes.len()) {
                 return false;
             }
         }
         let Some(conn) = self.conns.get_mut(&id) else { return false };
         conn.output.extend_from_slice(bytes);
-        self.waiting += bytes.len();
-        self.put(id);
+        self.queued_bytes += bytes.len();
+        self.write_or_defer(id);
         true
     }
 
     /// Drops what waits for the client that has the most waiting, and ends its connection; false where nobody has as much as the
     /// `waits` bytes of connection `id`, for which room is needed. Guards against some clients that ask and do not read, for whom
     /// others' answers and engines' calls would find no room.
-    fn crowd_out(&mut self, id: u64, waits: usize) -> bool {
-        let waits_for = |conn: &Conn| conn.output.len() - conn.written;
+    fn evict_largest_backlog(&mut self, id: u64, min_backlog: usize) -> bool {
+        let backlog = |conn: &Conn| conn.output.len() - conn.written;
         let clients = self.conns.iter_mut().filter(|(other, conn)| **other != id && conn.owner.is_client());
-        let most = clients.max_by_key(|(other, conn)| (waits_for(conn), **other));
-        let Some((_, conn)) = most.filter(|(_, conn)| waits_for(conn) >= waits.max(1)) else { return false };
-        self.waiting -= waits_for(conn);
+        let most = clients.max_by_key(|(other, conn)| (backlog(conn), **other));
+        let Some((_, conn)) = most.filter(|(_, conn)| backlog(conn) >= min_backlog.max(1)) else {
+            return false;
+        };
+        self.queued_bytes -= backlog(conn);
         (conn.output, conn.written, conn.ended) = (Vec::new(), 0, conn.ended.or(Some(EndReason::Garbled)));
         // The machine tells of its end then, and its owner looks at it.
         let _ = conn.stream.shutdown(std::net::Shutdown::Both);
@@ -341,7 +343,7 @@
             match conn.stream.write(&conn.output[conn.written..]) {
                 Ok(n) => {
                     conn.written += n;
-                    self.waiting -= n;
+                    self.queued_bytes -= n;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
@@ -352,7 +354,7 @@
         if conn.written == conn.output.len() {
             conn.output.clear();
             // Guards against memory that grows with every connection that once had a large answer.
-            conn.output.shrink_to(KEPT_MOST);
+            conn.output.shrink_to(MAX_IDLE_BUFFER_BYTES);
             conn.written = 0;
         }
     }
@@ -387,21 +389,21 @@
                 }
             }
         }
-        self.put(id);
+        self.write_or_defer(id);
         let Some(conn) = self.conns.get_mut(&id) else { return lost };
         conn.unread = false;
-        if conn.closed {
+        if conn.peer_closed {
             conn.ended = conn.ended.or(Some(EndReason::Cut));
         }
         while conn.ended.is_none() {
-            if conn.input.len() >= INPUT_MOST {
+            if conn.input.len() >= MAX_INPUT_BYTES {
                 conn.unread = true;
                 break;
             }
             match conn.stream.read(&mut self.scratch) {
                 Ok(0) => conn.ended = Some(EndReason::Cut),
                 Ok(n) => {
-                    self.received += n as u64;
+                    self.received_bytes += n as u64;
                     conn.input.extend_from_slice(&self.scratch[..n]);
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -419,7 +421,7 @@
     /// Whether a connection was left with something to read: no further event tells of it.
     pub fn has_more(&self, id: u64) -> bool {
         // Where its owner leaves the input full, it waits for something else and looks again by itself.
-        self.conns.get(&id).is_some_and(|c| c.unread && c.input.len() < INPUT_MOST)
+        self.conns.get(&id).is_some_and(|c| c.unread && c.input.len() < MAX_INPUT_BYTES)
     }
 
     /// What has come in and was not taken yet.
@@ -432,7 +434,7 @@
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.input.drain(..bytes.min(conn.input.len()));
             if conn.input.is_empty() {
-                conn.input.shrink_to(KEPT_MOST);
+                conn.input.shrink_to(MAX_IDLE_BUFFER_BYTES);
             }
         }
     }
--- a/crates/net/src/phase.rs
+++ b/crates/net/src/phase.rs
@@ -39,20 +39,20 @@
 
     /// Told to drain; true where that is news.
     pub fn drain(&mut self, now_ns: u64) -> bool {
-        let news = *self == Phase::Serving;
-        if news {
+        let changed = *self == Phase::Serving;
+        if changed {
             *self = Phase::Drained(now_ns);
         }
-        news
+        changed
     }
 
     /// Told that the drain is over; true where that is news. A stop is not undone.
     pub fn undrain(&mut self) -> bool {
-        let news = matches!(self, Phase::Drained(_));
-        if news {
+        let changed = matches!(self, Phase::Drained(_));
+        if changed {
             *self = Phase::Serving;
         }
-        news
+        changed
     }
 
     /// Told to stop, with a successor on the same listening socket or not; the first time counts.
@@ -80,11 +80,11 @@
     }
 
     /// Whether a client's connection that has nothing open and was last busy at `busy_ns` is to be closed now.
-    pub fn should_close(self, now_ns: u64, busy_ns: u64) -> bool {
-        let quiet = now_ns >= busy_ns.saturating_add(MIN_IDLE_NS);
+    pub fn should_close(self, now_ns: u64, active_ns: u64) -> bool {
+        let idle_long_enough = now_ns >= active_ns.saturating_add(MIN_IDLE_NS);
         match self {
             Phase::Serving | Phase::Stopping { handing_over: false, .. } => false,
-            Phase::Drained(_) | Phase::Stopping { handing_over: true, .. } => quiet,
+            Phase::Drained(_) | Phase::Stopping { handing_over: true, .. } => idle_long_enough,
         }
     }
 }
--- a/crates/net/tests/close.rs
+++ b/crates/net/tests/close.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_closed_connection_to_an_engine_is_reset_so_that_nothing_it_held_is_sent_later() {
+fn closing_an_engine_connection_resets_it_and_drops_queued_output() {
     let poll = mio::Poll::new().unwrap();
     let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, ConnectionLimits::of(64, 64.0));
     let engine = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_was_written_to_a_client_outlives_the_program_s_end_though_it_sent_more() {
+fn output_to_a_client_is_delivered_at_exit_despite_unread_input() {
     let poll = mio::Poll::new().unwrap();
     let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, ConnectionLimits::of(64, 64.0));
     let (mut client, id) = client(&mut net, Owner::Msgpack);
@@ -41,13 +41,13 @@
     std::io::Write::write_all(&mut client, b"more than was asked for").unwrap();
     net.close_all_after_flush(0);
     drop(net);
-    let mut got = Vec::new();
-    client.read_to_end(&mut got).expect("an end, not a reset");
-    assert_eq!(got, b"the answer");
+    let mut received = Vec::new();
+    client.read_to_end(&mut received).expect("an end, not a reset");
+    assert_eq!(received, b"the answer");
 }
 
 #[test]
-fn a_client_that_has_closed_is_gone_though_no_more_is_read_from_it() {
+fn a_peer_close_is_reported_while_the_input_buffer_is_full() {
     let mut poll = mio::Poll::new().unwrap();
     let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, ConnectionLimits::of(64, 64.0));
     let (mut client, id) = client(&mut net, Owner::Postgres);
@@ -65,7 +65,7 @@
 }
 
 /// Sends to a client that reads nothing until so many bytes wait for it.
-fn let_wait(net: &mut Net, id: u64, bytes: usize) {
+fn queue_output(net: &mut Net, id: u64, bytes: usize) {
     while net.drained(id) {
         assert!(net.send(id, &[b'x'; 64 << 10]));
     }
@@ -73,32 +73,32 @@
 }
 
 #[test]
-fn a_client_that_does_not_read_makes_way_for_others_answers_and_engines_calls() {
+fn the_client_with_the_largest_backlog_is_evicted_for_other_output() {
     let mut poll = mio::Poll::new().unwrap();
     // One may have a quarter of it waiting.
-    let room = ConnectionLimits { engines: 8, output: 4 << 20 };
-    let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, room);
-    let idler = |net: &mut Net, kilobytes: usize| {
+    let limits = ConnectionLimits { engines: 8, output: 4 << 20 };
+    let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, limits);
+    let add_non_reader = |net: &mut Net, kilobytes: usize| {
         let (stream, id) = client(net, Owner::Msgpack);
-        let_wait(net, id, kilobytes << 10);
+        queue_output(net, id, kilobytes << 10);
         (stream, id)
     };
-    let idlers = [600, 650, 800, 650, 600].map(|kilobytes| idler(&mut net, kilobytes));
-    assert!(idlers.iter().all(|(_, id)| net.service(*id).ended.is_none()));
-    let (_reader, reads) = client(&mut net, Owner::Msgpack);
-    assert!(net.send(reads, &vec![b'y'; 900 << 10]), "an answer to one that reads finds room");
-    let ended: Vec<bool> = idlers.iter().map(|(_, id)| net.service(*id).ended.is_some()).collect();
+    let non_readers = [600, 650, 800, 650, 600].map(|kilobytes| add_non_reader(&mut net, kilobytes));
+    assert!(non_readers.iter().all(|(_, id)| net.service(*id).ended.is_none()));
+    let (_reader, reader_id) = client(&mut net, Owner::Msgpack);
+    assert!(net.send(reader_id, &vec![b'y'; 900 << 10]), "an answer to one that reads finds room");
+    let ended: Vec<bool> = non_readers.iter().map(|(_, id)| net.service(*id).ended.is_some()).collect();
     assert_eq!(ended, [false, false, true, false, false], "the one with the most waiting makes way");
     let mut events = mio::Events::with_capacity(16);
-    while !events.iter().any(|e| e.is_read_closed() && e.token().0 as u64 == idlers[2].1) {
+    while !events.iter().any(|e| e.is_read_closed() && e.token().0 as u64 == non_readers[2].1) {
         poll.poll(&mut events, Some(std::time::Duration::from_secs(8))).unwrap();
         assert!(!events.is_empty(), "no event tells its owner");
     }
-    let more = idler(&mut net, 800);
+    let more = add_non_reader(&mut net, 800);
     let engine = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let call = net.connect(engine.local_addr().unwrap(), Owner::Engine).unwrap();
+    let engine_id = net.connect(engine.local_addr().unwrap(), Owner::Engine).unwrap();
     assert!(
-        net.send(call, &vec![b'z'; 900 << 10]),
+        net.send(engine_id, &vec![b'z'; 900 << 10]),
         "a call to an engine finds room, though it can't be written yet"
     );
     assert_eq!(net.service(more.1).ended, Some(EndReason::Garbled));
--- a/crates/net/tests/listener.rs
+++ b/crates/net/tests/listener.rs
@@ -6,7 +6,7 @@
 use marljunction_net::listener::Listen;
 
 #[test]
-fn the_descriptor_named_wins_over_the_address() {
+fn an_inherited_descriptor_overrides_the_address() {
     assert_eq!(Listen::of("127.0.0.1:4100", Some("3")), Ok(Listen::Inherited(3)));
     assert_eq!(Listen::of("127.0.0.1:4100", None), Ok(Listen::Bind("127.0.0.1:4100".parse().unwrap())));
     assert!(Listen::of("127.0.0.1:4100", Some("three")).is_err());
@@ -16,7 +16,7 @@
 
 // One test: the descriptor is named in the environment, which all tests of a process share.
 #[test]
-fn a_handed_down_socket_is_listened_on_and_anything_else_refused() {
+fn an_inherited_tcp_listener_is_accepted_and_other_descriptors_are_rejected() {
     let bound = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = bound.local_addr().unwrap();
     let listen = Listen::Inherited(bound.into_raw_fd());
--- a/crates/net/tests/phase.rs
+++ b/crates/net/tests/phase.rs
@@ -3,7 +3,7 @@
 use marljunction_net::phase::{Phase, MIN_IDLE_NS};
 
 #[test]
-fn a_drained_process_is_not_ready_closes_quiet_connections_and_comes_back() {
+fn a_drained_process_is_not_ready_and_closes_idle_connections_until_undrained() {
     let mut phase = Phase::Serving;
     assert!(phase.is_ready() && !phase.should_close(10 * MIN_IDLE_NS, 0));
     assert!(phase.is_well());
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_stop_is_not_undone_and_hands_connections_over_only_to_a_successor() {
+fn a_stop_is_final_and_closes_idle_connections_only_for_a_successor() {
     let mut phase = Phase::Serving;
     phase.drain(5);
     phase.stop(10, true);
