--- a/crates/front/src/postgres/codec.rs
+++ b/crates/front/src/postgres/codec.rs
@@ -40,7 +40,7 @@
     /// A password, though none was asked for; or copied data, though no copy runs.
     Ignored,
     /// A function call, which is not supported.
-    Call,
+    FunctionCall,
 }
 
 /// A `Bind` message.
@@ -62,24 +62,24 @@
 struct MessageReader<'a>(&'a [u8]);
 
 impl<'a> MessageReader<'a> {
-    fn take(&mut self, bytes: usize) -> Result<&'a [u8], String> {
+    fn read_bytes(&mut self, bytes: usize) -> Result<&'a [u8], String> {
         let (part, rest) = self.0.split_at_checked(bytes).ok_or("a message is cut short")?;
         self.0 = rest;
         Ok(part)
     }
     fn byte(&mut self) -> Result<u8, String> {
-        Ok(self.take(1)?[0])
+        Ok(self.read_bytes(1)?[0])
     }
     fn int16(&mut self) -> Result<u16, String> {
-        self.take(2).map(|b| u16::from_be_bytes([b[0], b[1]]))
+        self.read_bytes(2).map(|b| u16::from_be_bytes([b[0], b[1]]))
     }
     fn int32(&mut self) -> Result<i32, String> {
-        self.take(4).map(|b| i32::from_be_bytes([b[0], b[1], b[2], b[3]]))
+        self.read_bytes(4).map(|b| i32::from_be_bytes([b[0], b[1], b[2], b[3]]))
     }
     fn bytes(&mut self) -> Result<&'a [u8], String> {
         let end = self.0.iter().position(|b| *b == 0).ok_or("a text does not end")?;
-        let text = self.take(end)?;
-        self.take(1)?;
+        let text = self.read_bytes(end)?;
+        self.read_bytes(1)?;
         Ok(text)
     }
     fn text(&mut self) -> Result<String, String> {
@@ -101,7 +101,7 @@
             -1 => Ok(None),
             length => {
                 let length = usize::try_from(length).map_err(|_| "bad length of a value")?;
-                Ok(Some(self.take(length)?.to_vec()))
+                Ok(Some(self.read_bytes(length)?.to_vec()))
             }
         }
     }
@@ -169,7 +169,7 @@
         b'S' => ClientMessage::Sync,
         b'X' => ClientMessage::Terminate,
         b'p' | b'd' | b'c' | b'f' => return Ok(Some((ClientMessage::Ignored, size))),
-        b'F' => return Ok(Some((ClientMessage::Call, size))),
+        b'F' => return Ok(Some((ClientMessage::FunctionCall, size))),
         other => return Err(format!("unknown message {other}")),
     };
     match reader.0 {
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -500,7 +500,7 @@
                 }
                 self.run(now, router, conn, statement, kind, Some((name, limit)))?;
             }
-            ClientMessage::Call => return Err(fault("0A000", "function calls are not supported")),
+            ClientMessage::FunctionCall => return Err(fault("0A000", "function calls are not supported")),
             _ => {}
         }
         Ok(())
@@ -626,8 +626,8 @@
                     && (rows.iter().any(has_other_width) || columns.iter().any(is_binary))
                 {
                     // Guards against rows that don't fit what the client was told of them.
-                    let wrong = fault("42804", "the result has other columns than the client was told");
-                    response.error(&wrong, false);
+                    let mismatch = fault("42804", "the result has other columns than the client was told");
+                    response.error(&mismatch, false);
                     session.skips_to_sync = portal.is_some();
                 } else if let Some((name, limit)) = &portal {
                     if let Ok(portal) = session.objects.portal(name) {
@@ -676,7 +676,7 @@
 /// Gives rows of a portal that has run, up to a limit, and says whether more are left.
 fn send_rows(session: &mut Session, name: &str, limit: u32, response: &mut ResponseBuffer) {
     let Ok(portal) = session.objects.portal(name) else { return };
-    let Some((rows, given)) = &mut portal.rows else { return };
+    let Some((rows, sent_rows)) = &mut portal.rows else { return };
     let returns_rows = matches!(portal.kind, StatementKind::Routed(true, _));
     let count = if limit == 0 || !returns_rows { rows.len() } else { rows.len().min(limit as usize) };
     for row in rows.drain(..count) {
@@ -684,8 +684,8 @@
             response.row(&row);
         }
     }
-    let first = *given == 0;
-    *given += count;
+    let first = *sent_rows == 0;
+    *sent_rows += count;
     if rows.is_empty() {
         response.complete(&tag(&portal.kind, count));
         session.suspended_portals = session.suspended_portals.saturating_sub(usize::from(!first));
--- a/crates/front/src/postgres/session.rs
+++ b/crates/front/src/postgres/session.rs
@@ -242,9 +242,12 @@
         if !bind.portal.is_empty() && self.portals.contains_key(&bind.portal) {
             return Err(fault("42P03", format!("portal \"{}\" already exists", bind.portal)));
         }
-        let (given, wanted) = (bind.params.len(), statement.types.len());
-        if given != wanted || bind.formats.len() > 1 && bind.formats.len() != given {
-            return Err(fault("08P01", format!("bind gives {given} parameters, the statement has {wanted}")));
+        let (supplied, required) = (bind.params.len(), statement.types.len());
+        if supplied != required || bind.formats.len() > 1 && bind.formats.len() != supplied {
+            return Err(fault(
+                "08P01",
+                format!("bind gives {supplied} parameters, the statement has {required}"),
+            ));
         }
         let format = |i: usize| bind.formats.get(i).or(bind.formats.first()).copied().unwrap_or(false);
         let mut params = Vec::new();
