--- a/crates/net/src/datagrams.rs
+++ b/crates/net/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! A socket for datagrams between routers, with bounds on what one round reads.
+//! The UDP socket for datagrams between routers.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -6,28 +6,28 @@
 use mio::net::UdpSocket;
 use mio::{Interest, Registry, Token};
 
-/// Datagrams that one round reads (count): clients have their turn between.
+/// Maximum number of datagrams that one call reads, so that clients are served in between.
 const MAX_DATAGRAMS_PER_READ: usize = 256;
-/// Largest datagram that is read (bytes); more of it is cut off, and so does not bear its sum.
+/// Maximum size of a datagram. The rest is cut off, and the checksum of the datagram then fails.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// An open socket.
+/// A non-blocking UDP socket.
 pub struct DatagramSocket {
     socket: UdpSocket,
     buffer: Vec<u8>,
-    /// It was left with something to read: no further event tells of it.
+    /// Datagrams may remain to be read for which no further event will come.
     pub unread: bool,
-    /// Datagrams that the machine had no room to send.
+    /// Number of datagrams that could not be sent.
     pub send_errors: u64,
-    /// Bytes of datagrams that were taken.
+    /// Number of bytes received.
     pub received_bytes: u64,
 }
 
 impl DatagramSocket {
-    /// Opens it.
+    /// Binds the socket and registers it for events.
     ///
     /// # Errors
-    /// Where the address can't be bound.
+    /// Returns an error if the address cannot be bound.
     pub fn open(registry: &Registry, token: Token, address: SocketAddr) -> std::io::Result<DatagramSocket> {
         let mut socket = UdpSocket::bind(address)?;
         registry.register(&mut socket, token, Interest::READABLE)?;
@@ -40,15 +40,15 @@
         })
     }
 
-    /// Where it is open.
+    /// Returns the local address.
     ///
     /// # Errors
-    /// Where the machine does not say.
+    /// Returns an error if the system does not report it.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Hands over what has come in, up to a bound.
+    /// Passes received datagrams to `handle`, up to [`MAX_DATAGRAMS_PER_READ`].
     pub fn receive(&mut self, mut handle: impl FnMut(&[u8])) {
         self.unread = false;
         for _ in 0..MAX_DATAGRAMS_PER_READ {
@@ -58,14 +58,14 @@
                     handle(&self.buffer[..size]);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                // A peer that is not there answers so to what was sent to it before.
+                // An unreachable peer causes an error for an earlier send.
                 Err(_) => {}
             }
         }
         self.unread = true;
     }
 
-    /// Sends a datagram; one that finds no room is lost, as any may be.
+    /// Sends a datagram, and drops it if that fails.
     pub fn send(&mut self, to: SocketAddr, datagram: &[u8]) {
         self.send_errors += u64::from(self.socket.send_to(datagram, to).is_err());
     }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,4 +1,4 @@
-//! Sockets: connections with bounded buffers, and the budget of descriptors. Nothing here knows a protocol.
+//! Non-blocking TCP connections with bounded buffers, independent of the protocol.
 
 #![forbid(unsafe_code)]
 
@@ -16,50 +16,51 @@
 
 use marljunction_core::end_reason::EndReason;
 
-/// Output that one connection may have waiting (bytes): 32 results of the largest size and some room; and the
-/// part of what all may have.
+/// Maximum output queued on one connection: 32 results of the largest size, with a margin.
 const MAX_OUTPUT_BYTES: usize = 2 << 20;
+/// One connection may use this fraction (1/n) of the output limit of all connections.
 const MAX_OUTPUT_DIVISOR: usize = 4;
-/// Output that all connections together may have waiting (share of the memory limit).
+/// Share of the memory limit for the output queued on all connections.
 const OUTPUT_MEMORY_SHARE: f64 = 0.15;
-/// Input that is read from one connection before its owner has taken some of it (bytes): one message and more.
+/// Maximum input buffered for one connection: more than the largest message.
 const MAX_INPUT_BYTES: usize = 72 << 10;
-/// Space that a buffer with nothing in it keeps (bytes).
+/// Maximum capacity of an empty buffer.
 const MAX_IDLE_BUFFER_BYTES: usize = 4 << 10;
-/// What a connection that is being ended may still send, and for how long (bytes, ns).
+/// Maximum input that a lingering close discards.
 const MAX_LINGER_BYTES: usize = 512 << 10;
+/// Maximum duration of a lingering close.
 const MAX_LINGER_NS: u64 = 500_000_000;
 
-/// What the machine allows all connections together.
+/// Limits on all connections together.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Connections to engines.
+    /// Maximum number of connections to engines.
     pub engines: usize,
-    /// Output that waits (bytes).
+    /// Maximum queued output in bytes.
     pub output: usize,
 }
 
 impl ConnectionLimits {
-    /// Of a machine with so many descriptors and so many megabytes.
+    /// Derives the limits from the number of file descriptors and the memory limit.
     pub fn of(sockets: usize, memory_mb: f64) -> Self {
         ConnectionLimits { engines: sockets / 2, output: (memory_mb * OUTPUT_MEMORY_SHARE * 1e6) as usize }
     }
 }
 
-/// Who a connection belongs to.
+/// The component that handles a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owner {
-    /// A client of the platform's protocol.
+    /// The front for MessagePack clients.
     Msgpack,
-    /// A client that speaks PostgreSQL.
+    /// The front for PostgreSQL clients.
     Postgres,
-    /// An engine.
+    /// The engine backend.
     Engine,
-    /// The source of membership news.
+    /// The source of the engine list.
     Discovery,
-    /// A caller at the operators' door.
+    /// The admin API.
     Admin,
-    /// A client whose connection is being ended: it may still read what was written to it.
+    /// None: the connection is in a lingering close, so that the client can read the queued output.
     Lingering,
 }
 
@@ -76,16 +77,16 @@
     output: Vec<u8>,
     written: usize,
     connecting: bool,
-    /// It has more to read than was taken so far.
+    /// Reading stopped at the input limit.
     unread: bool,
-    /// Its peer has closed its side, whatever it sent before that was not read yet.
+    /// The peer has closed its side; input that it sent before may still be unread.
     peer_closed: bool,
     ended: Option<EndReason>,
-    /// While it is being ended: what it may still send, and until when.
+    /// Input bytes left to discard and deadline (ns) of the lingering close.
     linger: (usize, u64),
 }
 
-/// All connections, by numbers that are never used twice.
+/// All connections, by ids that are never reused.
 pub struct Net {
     registry: Registry,
     conns: HashMap<u64, Conn>,
@@ -96,26 +97,25 @@
     limits: ConnectionLimits,
     lingering: Vec<u64>,
     scratch: Vec<u8>,
-    /// Bytes read from all connections so far.
     received_bytes: u64,
-    /// Calls to engines wait for [`Net::release`].
     defers_engine_writes: bool,
+    /// Engine connections with output to write in [`Net::flush_engine_writes`].
     deferred: Vec<u64>,
 }
 
-/// What became of a connection when it was last looked at.
+/// The state of a connection after [`Net::service`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionStatus {
-    /// It is up.
+    /// The connection is established.
     pub up: bool,
-    /// All output has been written to it.
+    /// The connection is established and all output is written.
     pub drained: bool,
-    /// It is over; its input may still hold something.
+    /// Why the connection ended, if it has; buffered input can still be read.
     pub ended: Option<EndReason>,
 }
 
 impl Net {
-    /// No connections yet.
+    /// Creates an empty set of connections, whose ids are above `first_id`.
     pub fn new(registry: Registry, first_id: u64, limits: ConnectionLimits) -> Self {
         Net {
             registry,
@@ -133,13 +133,14 @@
         }
     }
 
-    /// From here on, calls to engines are written by [`Net::release`] only, at the end of a round. Guards against a call that
-    /// goes out as its connection comes up, in the very round that also brings its client's leaving, or a drain of its engine.
+    /// Defers writes to engines to [`Net::flush_engine_writes`], at the end of an iteration of the
+    /// event loop. A request can then still be cancelled by an event of the same iteration, such as
+    /// the client's disconnect or a drain of the engine.
     pub fn defer_engine_writes(&mut self) {
         self.defers_engine_writes = true;
     }
 
-    /// Writes what waits for engines, as far as it can be written; gives the connections that it was written to.
+    /// Writes the deferred output to engines as far as possible. Returns the connections concerned.
     pub fn flush_engine_writes(&mut self) -> Vec<u64> {
         let mut deferred = std::mem::take(&mut self.deferred);
         deferred.sort_unstable();
@@ -148,7 +149,8 @@
         deferred
     }
 
-    /// Writes what can be written, or has it wait for the end of the round.
+    /// Writes queued output, or defers it if the connection is to an engine and writes are
+    /// deferred.
     fn write_or_defer(&mut self, id: u64) {
         match self.conns.get(&id) {
             Some(conn) if self.defers_engine_writes && conn.owner == Owner::Engine => {
@@ -160,13 +162,13 @@
         }
     }
 
-    /// Whether something waits to be written of which no byte has gone out.
+    /// Returns whether output is queued of which no byte has been written.
     pub fn has_unstarted_output(&self, id: u64) -> bool {
         self.conns.get(&id).is_some_and(|c| c.written == 0 && !c.output.is_empty())
     }
 
-    /// The peer has closed its side. Guards against a client that has gone, unseen behind what it sent before: reading from it
-    /// may be at rest for as long as its request runs.
+    /// Records that the peer has closed its side. Reading alone would not notice it in time: it
+    /// pauses at the input limit while the client's request runs.
     pub fn mark_peer_closed(&mut self, id: u64) {
         if let Some(conn) =
             self.conns.get_mut(&id).filter(|c| matches!(c.owner, Owner::Msgpack | Owner::Postgres))
@@ -175,7 +177,11 @@
         }
     }
 
-    /// Starts a connection. No descriptor to be had is an ending like others.
+    /// Starts connecting to an address.
+    ///
+    /// # Errors
+    /// [`EndReason::Refused`] if the peer refuses at once, [`EndReason::NoDescriptor`] if the limit
+    /// on engine connections is reached or the socket cannot be created.
     pub fn connect(&mut self, to: SocketAddr, owner: Owner) -> Result<u64, EndReason> {
         if owner == Owner::Engine && self.engine_conns >= self.limits.engines {
             return Err(EndReason::NoDescriptor);
@@ -187,7 +193,10 @@
         self.add(stream, owner, true)
     }
 
-    /// Takes over a connection that a client opened.
+    /// Adds a connection that a listener accepted.
+    ///
+    /// # Errors
+    /// [`EndReason::NoDescriptor`] if it cannot be registered for events.
     pub fn add_accepted(&mut self, stream: TcpStream, owner: Owner) -> Result<u64, EndReason> {
         self.add(stream, owner, false)
     }
@@ -197,7 +206,7 @@
         let interest = Interest::READABLE | Interest::WRITABLE;
         let registered = self.registry.register(&mut stream, Token(self.last_id as usize), interest);
         registered.map_err(|_| EndReason::NoDescriptor)?;
-        // Small messages must not wait for the acknowledgement of the ones before.
+        // With Nagle's algorithm, small messages would wait for earlier acknowledgements.
         let _ = stream.set_nodelay(true);
         self.engine_conns += usize::from(owner == Owner::Engine);
         self.client_conns += usize::from(owner.is_client());
@@ -210,23 +219,24 @@
         Ok(self.last_id)
     }
 
-    /// Who a connection belongs to, while it is there.
+    /// Returns the owner of an open connection.
     pub fn owner(&self, id: u64) -> Option<Owner> {
         self.conns.get(&id).map(|c| c.owner)
     }
 
-    /// Bytes read from all connections so far.
+    /// Returns the number of bytes read from all connections, without those discarded.
     pub fn received_bytes(&self) -> u64 {
         self.received_bytes
     }
 
-    /// Connections of clients.
+    /// Returns the number of client connections.
     pub fn clients(&self) -> usize {
         self.client_conns
     }
 
-    /// Ends a client's connection behind what was written to it. Guards against an error that the client never
-    /// sees: a connection closed with unread input is reset, and takes with it what the client had not read.
+    /// Starts a lingering close of a client's connection: writes the queued output and discards
+    /// input. Closing with unread input would reset the connection, and the client could lose that
+    /// output.
     pub fn close_after_flush(&mut self, now: u64, id: u64) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         if conn.ended.is_some() {
@@ -238,7 +248,7 @@
         self.discard_input(id);
     }
 
-    /// Reads on from a connection that is being ended, up to a bound, and closes it once its client has.
+    /// Continues a lingering close: discards input up to the limit, then closes the connection.
     pub fn discard_input(&mut self, id: u64) {
         self.flush(id);
         let Some(conn) = self.conns.get_mut(&id).filter(|c| c.owner == Owner::Lingering) else { return };
@@ -256,21 +266,20 @@
         self.close(id);
     }
 
-    /// Ends all clients' connections behind what was written to them, as the program ends. Guards against answers that are
-    /// reset away: what ends with unread input resets its connection.
+    /// Starts a lingering close of all client connections, for the end of the process.
     pub fn close_all_after_flush(&mut self, now: u64) {
         let clients = |(id, c): (&u64, &Conn)| c.owner.is_client().then_some(*id);
         let clients: Vec<u64> = self.conns.iter().filter_map(clients).collect();
         clients.into_iter().for_each(|id| self.close_after_flush(now, id));
     }
 
-    /// Closes the oldest connection that is being ended, to make room; false where there is none.
+    /// Closes the oldest connection in a lingering close. Returns false if there is none.
     pub fn close_oldest_lingering(&mut self) -> bool {
         let oldest = self.lingering.iter().copied().find(|id| self.conns.contains_key(id));
         oldest.map(|id| self.close(id)).is_some()
     }
 
-    /// Closes connections whose time to end is over.
+    /// Closes connections whose lingering close has timed out.
     pub fn tick(&mut self, now: u64) {
         let mut lingering = std::mem::take(&mut self.lingering);
         lingering.retain(|id| match self.conns.get(id) {
@@ -283,9 +292,9 @@
         self.lingering = lingering;
     }
 
-    /// Closes a connection; what it had not written is lost. One to an engine is reset: guards against a call that
-    /// waits in the machine's buffers for a peer that can't be reached, and would arrive when it came back, after
-    /// the query was called over.
+    /// Closes a connection and drops its queued output. A connection to an engine is reset, so that
+    /// a request in the socket's send buffer cannot reach an unreachable engine after its attempt
+    /// ended.
     pub fn close(&mut self, id: u64) {
         if let Some(mut conn) = self.conns.remove(&id) {
             if conn.owner == Owner::Engine {
@@ -298,12 +307,12 @@
         }
     }
 
-    /// Queues bytes and writes what can be written. False where they pass a bound: the connection is of no
-    /// use any more then.
+    /// Queues bytes and writes as much as possible. Returns false if an output limit is exceeded;
+    /// the caller must then close the connection, since the bytes are dropped.
     pub fn send(&mut self, id: u64, bytes: &[u8]) -> bool {
         let Some(conn) = self.conns.get_mut(&id) else { return false };
         let pending = conn.output.len() - conn.written + bytes.len();
-        // Guards against clients that ask and do not read: what waits for them is memory.
+        // Bounds the memory used for clients that send requests and do not read the responses.
         let most = MAX_OUTPUT_BYTES.min(self.limits.output / MAX_OUTPUT_DIVISOR);
         if pending > most {
             return false;
@@ -320,9 +329,9 @@
         true
     }
 
-    /// Drops what waits for the client that has the most waiting, and ends its connection; false where nobody has as much as the
-    /// `waits` bytes of connection `id`, for which room is needed. Guards against some clients that ask and do not read, for whom
-    /// others' answers and engines' calls would find no room.
+    /// Drops the queued output of the client with the most of it and ends its connection. Returns
+    /// false if no client but `id` has at least `min_backlog` bytes queued. Without this, clients
+    /// that do not read would use up the output limit that other clients and engines need.
     fn evict_largest_backlog(&mut self, id: u64, min_backlog: usize) -> bool {
         let backlog = |conn: &Conn| conn.output.len() - conn.written;
         let clients = self.conns.iter_mut().filter(|(other, conn)| **other != id && conn.owner.is_client());
@@ -332,7 +341,7 @@
         };
         self.queued_bytes -= backlog(conn);
         (conn.output, conn.written, conn.ended) = (Vec::new(), 0, conn.ended.or(Some(EndReason::Garbled)));
-        // The machine tells of its end then, and its owner looks at it.
+        // The shutdown raises an event, on which the owner handles the end.
         let _ = conn.stream.shutdown(std::net::Shutdown::Both);
         true
     }
@@ -347,30 +356,31 @@
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                // An idle connection may close as it is written to; reading tells what came before.
+                // The peer may have closed an idle connection; reading reports its last bytes and
+                // the end.
                 Err(_) => break,
             }
         }
         if conn.written == conn.output.len() {
             conn.output.clear();
-            // Guards against memory that grows with every connection that once had a large answer.
+            // A connection must not hold the memory of its largest response for ever.
             conn.output.shrink_to(MAX_IDLE_BUFFER_BYTES);
             conn.written = 0;
         }
     }
 
-    /// Whether all output has been written to a connection that is up.
+    /// Returns whether a connection is established and all its output is written.
     pub fn drained(&self, id: u64) -> bool {
         self.conns.get(&id).is_some_and(|c| !c.connecting && c.output.is_empty())
     }
 
-    /// Whether nothing waits to be written to any client.
+    /// Returns whether all output to MessagePack and PostgreSQL clients is written.
     pub fn all_written(&self) -> bool {
         let client = |c: &&Conn| matches!(c.owner, Owner::Msgpack | Owner::Postgres);
         self.conns.values().filter(client).all(|c| c.output.is_empty())
     }
 
-    /// Moves what is ready in both directions.
+    /// Completes the connect, writes queued output and reads available input.
     pub fn service(&mut self, id: u64) -> ConnectionStatus {
         let lost = ConnectionStatus { up: false, drained: false, ended: Some(EndReason::Cut) };
         let Some(conn) = self.conns.get_mut(&id) else { return lost };
@@ -418,18 +428,18 @@
         }
     }
 
-    /// Whether a connection was left with something to read: no further event tells of it.
+    /// Returns whether input remains to be read for which no further event will come.
     pub fn has_more(&self, id: u64) -> bool {
-        // Where its owner leaves the input full, it waits for something else and looks again by itself.
+        // An owner that leaves the buffer full waits for another event and then reads again.
         self.conns.get(&id).is_some_and(|c| c.unread && c.input.len() < MAX_INPUT_BYTES)
     }
 
-    /// What has come in and was not taken yet.
+    /// Returns the buffered input.
     pub fn input(&self, id: u64) -> &[u8] {
         self.conns.get(&id).map_or(&[], |c| &c.input)
     }
 
-    /// Takes the first bytes of the input.
+    /// Removes the first `bytes` of the buffered input.
     pub fn consume(&mut self, id: u64, bytes: usize) {
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.input.drain(..bytes.min(conn.input.len()));
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -1,24 +1,24 @@
-//! Listening sockets: bound here, or handed down by whoever started the process.
+//! Listening sockets: bound by this process or inherited from its parent.
 
 use std::io;
 use std::net::SocketAddr;
 
 use mio::net::TcpListener;
 
-/// Where the listener for clients comes from.
+/// The origin of a listening socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listen {
-    /// Bound here, at this address.
+    /// Bind to this address.
     Bind(SocketAddr),
-    /// Handed down as this open descriptor, by the platform (`$ROUTER_FD`); several processes may share it.
+    /// Use this inherited descriptor (`$ROUTER_FD`), which other processes may share.
     Inherited(i32),
 }
 
 impl Listen {
-    /// Which one: a descriptor named by `fd` (the text of `$ROUTER_FD`, where set) wins over the address.
+    /// Parses `fd` (the value of `$ROUTER_FD`, if set), else `address`.
     ///
     /// # Errors
-    /// Where `fd` is not a number of a descriptor, or the address is not `IP:port`.
+    /// Returns an error if `fd` is not a descriptor number, or `address` is not `IP:port`.
     pub fn of(address: &str, fd: Option<&str>) -> Result<Listen, String> {
         match fd.map(str::trim) {
             Some(fd) => fd
@@ -26,35 +26,35 @@
                 .ok()
                 .filter(|fd| *fd >= 0)
                 .map(Listen::Inherited)
-                .ok_or(format!("ROUTER_FD {fd:?} names no descriptor")),
+                .ok_or(format!("ROUTER_FD {fd:?} is not a descriptor number")),
             None => address.parse().map(Listen::Bind).map_err(|e| format!("listen address {address}: {e}")),
         }
     }
 
-    /// Opens it, not blocking.
+    /// Opens the socket in non-blocking mode.
     ///
     /// # Errors
-    /// Where the address can't be bound, or the descriptor is not a TCP listening socket of this process.
+    /// Returns an error if the address cannot be bound, or the descriptor is not a TCP listener.
     pub fn open(self) -> io::Result<TcpListener> {
         match self {
             Listen::Bind(address) => TcpListener::bind(address),
             Listen::Inherited(fd) => {
-                // `listenfd` holds the one unsafe step, after it has checked that the descriptor is a TCP socket;
-                // it reads which descriptor from the environment, in the way of systemd's socket activation.
+                // This crate forbids unsafe code, so `listenfd` checks and wraps the descriptor. It
+                // reads the descriptor's number from the variables of systemd socket activation.
                 std::env::set_var("LISTEN_FDS", "1");
                 std::env::set_var("LISTEN_FDS_FIRST_FD", fd.to_string());
                 std::env::remove_var("LISTEN_PID");
                 let listener = listenfd::ListenFd::from_env().take_tcp_listener(0);
                 std::env::remove_var("LISTEN_FDS_FIRST_FD");
-                let listener = listener?.ok_or(io::Error::other(format!("descriptor {fd} is not there")))?;
+                let listener = listener?.ok_or(io::Error::other(format!("descriptor {fd} is not open")))?;
                 listener.set_nonblocking(true)?;
                 Ok(TcpListener::from_std(listener))
             }
         }
     }
 
-    /// Whether others may take connections from the same socket: then a stopping process leaves them to its
-    /// successor at once.
+    /// Returns whether another process may accept from the same socket. A stopping process then
+    /// leaves new connections to its successor.
     pub fn is_shared(self) -> bool {
         matches!(self, Listen::Inherited(_))
     }
--- a/crates/net/src/phase.rs
+++ b/crates/net/src/phase.rs
@@ -1,43 +1,42 @@
-//! The phase of the process: serving, drained by its operators, or stopping; and what each means for readiness,
-//! for new connections and for clients' idle ones. Nothing here reads a clock: times come in.
+//! The lifecycle phase of the process, and what it means for readiness, new connections and idle
+//! ones.
 
-/// Where the process is in its life.
+/// A lifecycle phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Serves, and says that it is ready.
+    /// Ready and serving.
     Serving,
-    /// Told to drain at this time (ns): serves what comes, says that it is not ready, and closes clients'
-    /// connections as they fall idle, so that their clients go elsewhere.
+    /// Drained by an operator at this time (ns): serves requests, is not ready, and closes idle
+    /// client connections, so that their clients connect to another router.
     Drained(u64),
-    /// Told to stop at this time (ns): takes nothing new and ends once all is answered. Nothing brings it back.
-    /// Where a successor takes from the same listening socket, it closes clients' connections as they fall idle,
-    /// as a drained process does, so that they go on with the successor; else they stay until the end.
+    /// Stopping: ends once all requests are answered. This phase is final. Idle client connections
+    /// are closed only if a successor accepts from the same listening socket; else they stay to the
+    /// end.
     Stopping {
-        /// When it was told (ns).
+        /// Start of the stop (ns).
         since: u64,
-        /// A successor takes over the listening socket.
+        /// A successor accepts from the same listening socket.
         handing_over: bool,
     },
 }
 
-/// Time for which a client's connection with nothing open must have been quiet before a drained or stopping
-/// process closes it (ns). Guards against closing one on a call that its client is writing as its answer goes
-/// out; the operators' front stops new connections 0.2 s after a no, and clients keep to those that are open.
+/// Idle time after which a drained or stopping process closes a client connection. It must cover
+/// the time in which a client sends its next request after a response.
 pub const MIN_IDLE_NS: u64 = 50_000_000;
 
 impl Phase {
-    /// Whether the process says that it is ready to serve.
+    /// Returns whether the process reports that it is ready.
     pub fn is_ready(self) -> bool {
         self == Phase::Serving
     }
 
-    /// Whether the process tells clients that it is well, and so takes new connections: as ready, and also while
-    /// it stops alone, when it still takes connections for a while, since no successor would take them.
+    /// Returns the answer to clients' `isWell`: whether to send new connections here. It stays true
+    /// during a stop without a successor, when no other process would accept them.
     pub fn is_well(self) -> bool {
         matches!(self, Phase::Serving | Phase::Stopping { handing_over: false, .. })
     }
 
-    /// Told to drain; true where that is news.
+    /// Drains the process. Returns whether the phase changed.
     pub fn drain(&mut self, now_ns: u64) -> bool {
         let changed = *self == Phase::Serving;
         if changed {
@@ -46,7 +45,7 @@
         changed
     }
 
-    /// Told that the drain is over; true where that is news. A stop is not undone.
+    /// Ends the drain. Returns whether the phase changed. Has no effect on a stop.
     pub fn undrain(&mut self) -> bool {
         let changed = matches!(self, Phase::Drained(_));
         if changed {
@@ -55,14 +54,14 @@
         changed
     }
 
-    /// Told to stop, with a successor on the same listening socket or not; the first time counts.
+    /// Starts the stop, unless it has started already.
     pub fn stop(&mut self, now_ns: u64, handing_over: bool) {
         if !matches!(self, Phase::Stopping { .. }) {
             *self = Phase::Stopping { since: now_ns, handing_over };
         }
     }
 
-    /// Its name, for those who ask.
+    /// Returns the name shown to operators.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Serving => "serving",
@@ -71,7 +70,7 @@
         }
     }
 
-    /// Since when the process stops, where it does.
+    /// Returns the start of the stop (ns), if the process is stopping.
     pub fn stopping_since(self) -> Option<u64> {
         match self {
             Phase::Stopping { since, .. } => Some(since),
@@ -79,7 +78,8 @@
         }
     }
 
-    /// Whether a client's connection that has nothing open and was last busy at `busy_ns` is to be closed now.
+    /// Returns whether to close a client connection without open requests that was last active at
+    /// `active_ns`.
     pub fn should_close(self, now_ns: u64, active_ns: u64) -> bool {
         let idle_long_enough = now_ns >= active_ns.saturating_add(MIN_IDLE_NS);
         match self {
--- a/crates/net/tests/close.rs
+++ b/crates/net/tests/close.rs
@@ -1,11 +1,11 @@
-//! How connections end.
+//! Closing connections, and the limit on queued output.
 
 use std::io::Read;
 
 use marljunction_core::end_reason::EndReason;
 use marljunction_net::{ConnectionLimits, Net, Owner};
 
-/// A client, and its connection's number.
+/// Connects a client. Returns its socket and the id of its accepted connection.
 fn client(net: &mut Net, owner: Owner) -> (std::net::TcpStream, u64) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -27,7 +27,7 @@
     let read = peer.read(&mut buffer);
     assert!(
         matches!(&read, Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset),
-        "the engine saw {read:?}, not a reset"
+        "the engine read {read:?}, not a reset"
     );
 }
 
@@ -38,11 +38,11 @@
     let (mut client, id) = client(&mut net, Owner::Msgpack);
     client.set_read_timeout(Some(std::time::Duration::from_secs(8))).unwrap();
     assert!(net.send(id, b"the answer"));
-    std::io::Write::write_all(&mut client, b"more than was asked for").unwrap();
+    std::io::Write::write_all(&mut client, b"input nobody reads").unwrap();
     net.close_all_after_flush(0);
     drop(net);
     let mut received = Vec::new();
-    client.read_to_end(&mut received).expect("an end, not a reset");
+    client.read_to_end(&mut received).expect("end of file, not a reset");
     assert_eq!(received, b"the answer");
 }
 
@@ -51,20 +51,20 @@
     let mut poll = mio::Poll::new().unwrap();
     let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, ConnectionLimits::of(64, 64.0));
     let (mut client, id) = client(&mut net, Owner::Postgres);
-    // More than is read before its owner takes some of it.
+    // More than the limit on buffered input.
     std::io::Write::write_all(&mut client, &[b'x'; 100 << 10]).unwrap();
     assert_eq!(net.service(id).ended, None);
     drop(client);
     let mut events = mio::Events::with_capacity(4);
     while !events.iter().any(|e| e.is_read_closed()) {
         poll.poll(&mut events, Some(std::time::Duration::from_secs(8))).unwrap();
-        assert!(!events.is_empty(), "no event tells of the end");
+        assert!(!events.is_empty(), "no event reports the peer's close");
     }
     net.mark_peer_closed(id);
     assert!(net.service(id).ended.is_some());
 }
 
-/// Sends to a client that reads nothing until so many bytes wait for it.
+/// Fills the socket of a client that does not read, then queues `bytes` of output.
 fn queue_output(net: &mut Net, id: u64, bytes: usize) {
     while net.drained(id) {
         assert!(net.send(id, &[b'x'; 64 << 10]));
@@ -75,7 +75,7 @@
 #[test]
 fn the_client_with_the_largest_backlog_is_evicted_for_other_output() {
     let mut poll = mio::Poll::new().unwrap();
-    // One may have a quarter of it waiting.
+    // One connection may queue a quarter of it.
     let limits = ConnectionLimits { engines: 8, output: 4 << 20 };
     let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, limits);
     let add_non_reader = |net: &mut Net, kilobytes: usize| {
@@ -86,20 +86,24 @@
     let non_readers = [600, 650, 800, 650, 600].map(|kilobytes| add_non_reader(&mut net, kilobytes));
     assert!(non_readers.iter().all(|(_, id)| net.service(*id).ended.is_none()));
     let (_reader, reader_id) = client(&mut net, Owner::Msgpack);
-    assert!(net.send(reader_id, &vec![b'y'; 900 << 10]), "an answer to one that reads finds room");
+    assert!(
+        net.send(reader_id, &vec![b'y'; 900 << 10]),
+        "a response to a client that reads exceeds the limit"
+    );
     let ended: Vec<bool> = non_readers.iter().map(|(_, id)| net.service(*id).ended.is_some()).collect();
-    assert_eq!(ended, [false, false, true, false, false], "the one with the most waiting makes way");
+    assert_eq!(
+        ended,
+        [false, false, true, false, false],
+        "the client with the largest backlog is not the one evicted"
+    );
     let mut events = mio::Events::with_capacity(16);
     while !events.iter().any(|e| e.is_read_closed() && e.token().0 as u64 == non_readers[2].1) {
         poll.poll(&mut events, Some(std::time::Duration::from_secs(8))).unwrap();
-        assert!(!events.is_empty(), "no event tells its owner");
+        assert!(!events.is_empty(), "no event reports the eviction");
     }
     let more = add_non_reader(&mut net, 800);
     let engine = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let engine_id = net.connect(engine.local_addr().unwrap(), Owner::Engine).unwrap();
-    assert!(
-        net.send(engine_id, &vec![b'z'; 900 << 10]),
-        "a call to an engine finds room, though it can't be written yet"
-    );
+    assert!(net.send(engine_id, &vec![b'z'; 900 << 10]), "a request to an engine exceeds the limit");
     assert_eq!(net.service(more.1).ended, Some(EndReason::Garbled));
 }
--- a/crates/net/tests/listener.rs
+++ b/crates/net/tests/listener.rs
@@ -1,4 +1,4 @@
-//! The clients' listener: bound, or handed down as a descriptor.
+//! Choice and opening of the client listener.
 
 use std::io::Write;
 use std::os::fd::IntoRawFd;
@@ -14,14 +14,14 @@
     assert!(Listen::of("nowhere", None).is_err());
 }
 
-// One test: the descriptor is named in the environment, which all tests of a process share.
+// A single test, since the descriptor is passed in environment variables of the process.
 #[test]
 fn an_inherited_tcp_listener_is_accepted_and_other_descriptors_are_rejected() {
     let bound = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = bound.local_addr().unwrap();
     let listen = Listen::Inherited(bound.into_raw_fd());
     assert!(listen.is_shared());
-    let listener = listen.open().expect("a TCP listener handed down");
+    let listener = listen.open().expect("an inherited TCP listener");
     assert_eq!(listener.local_addr().unwrap(), address);
     let mut client = std::net::TcpStream::connect(address).unwrap();
     client.write_all(b"x").unwrap();
@@ -29,10 +29,10 @@
         std::thread::yield_now();
         listener.accept().ok()
     });
-    assert!(accepted.is_some(), "the connection was not taken from the handed-down socket");
+    assert!(accepted.is_some(), "no connection accepted from the inherited socket");
 
     let file = std::fs::File::open("Cargo.toml").unwrap();
-    assert!(Listen::Inherited(file.into_raw_fd()).open().is_err(), "a file taken for a listener");
+    assert!(Listen::Inherited(file.into_raw_fd()).open().is_err(), "a file was accepted as a listener");
     let udp = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    assert!(Listen::Inherited(udp.into_raw_fd()).open().is_err(), "a UDP socket taken for a listener");
+    assert!(Listen::Inherited(udp.into_raw_fd()).open().is_err(), "a UDP socket was accepted as a listener");
 }
