--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -1,16 +1,16 @@
-//! The operators' door: HTTP/1.1, one call a connection, closed behind its answer. 2xx is yes, 4xx or 5xx no.
+//! The admin API for operators: HTTP/1.1 with one request per connection.
 //!
-//! | call | |
+//! | request | effect |
 //! | --- | --- |
-//! | `GET /ready` | whether this process is ready to serve |
-//! | `POST /engines/disable`, body `ID` | leave engine `ID` out |
-//! | `POST /engines/enable`, body `ID` | put engine `ID` back |
-//! | `POST /fleet/engines/disable`, `POST /fleet/engines/enable`, body `ID` | the same for the whole fleet |
-//! | `GET /fleet`, `GET /fleet/verdicts` | what is known of the fleet, and what it believes of engines |
-//! | `POST /drain` | empty the router |
-//! | `POST /undrain` | end of the drain |
-//!
-//! Reading a call and writing its answer know nothing of sockets; [`OperatorFront`] holds the connections.
+//! | `GET /ready` | returns whether this process is ready |
+//! | `POST /engines/disable`, body `ID` | excludes engine `ID` |
+//! | `POST /engines/enable`, body `ID` | restores engine `ID` |
+//! | `POST /fleet/engines/disable`, body `ID` | excludes engine `ID` in the whole fleet |
+//! | `POST /fleet/engines/enable`, body `ID` | restores engine `ID` in the whole fleet |
+//! | `GET /fleet` | returns the state of the fleet's routers |
+//! | `GET /fleet/verdicts` | returns the engines' health as the fleet sees it |
+//! | `POST /drain` | drains the router |
+//! | `POST /undrain` | ends the drain |
 
 use std::collections::BTreeMap;
 
@@ -18,17 +18,16 @@
 
 use marljunction_net::Net;
 
-/// Longest head of a call (bytes).
+/// Maximum size of a request's head.
 pub const MAX_HEAD_BYTES: usize = 2 << 10;
-/// Longest body of a call (bytes): an engine's id and some room.
+/// Maximum size of a request's body, which holds an engine's id.
 pub const MAX_BODY_BYTES: usize = 256;
-/// Time in which a caller must have sent its whole call (ns); then it gets 408 and is closed. The operators' page
-/// allows 3 s; a caller that is quicker than that waits no longer for it.
+/// Time within which a request must be complete; later the response is 408.
 pub const REQUEST_TIMEOUT_NS: u64 = 2_000_000_000;
-/// Part of the descriptor limit that callers at the door may hold at once: 12 of 384.
+/// File descriptors of the process per connection that the admin API accepts.
 pub const DESCRIPTORS_PER_CONNECTION: usize = 32;
 
-/// A call of the operators.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
     /// `GET /ready`.
@@ -52,7 +51,7 @@
 }
 
 impl AdminRequest {
-    /// Its name in counters and log lines.
+    /// Returns the name used in counters and log lines.
     pub fn name(&self) -> &'static str {
         match self {
             AdminRequest::Ready => "ready",
@@ -68,22 +67,22 @@
     }
 }
 
-/// An answer: its status and a line of text for whoever reads it.
+/// A response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdminResponse {
     /// The status code.
     pub status: u16,
-    /// The body, one line.
+    /// The body, one line without its end.
     pub text: String,
 }
 
 impl AdminResponse {
-    /// An answer of this status.
+    /// Creates a response.
     pub fn new(status: u16, text: impl Into<String>) -> Self {
         AdminResponse { status, text: text.into() }
     }
 
-    /// The bytes on the wire, with `Connection: close`.
+    /// Encodes the response with `Connection: close`.
     pub fn to_bytes(&self) -> Vec<u8> {
         let reason = match self.status {
             200 => "OK",
@@ -112,8 +111,10 @@
     }
 }
 
-/// Reads the call at the front of `input`: nothing where it has not come whole; a [`Reply`] that says why where
-/// it can never be one.
+/// Parses the request at the start of `input`. Returns `None` if it is incomplete.
+///
+/// # Errors
+/// Returns the response to send if the request is invalid.
 pub fn parse_request(input: &[u8]) -> Result<Option<AdminRequest>, AdminResponse> {
     let mut headers = [httparse::EMPTY_HEADER; 24];
     let mut parsed_head = httparse::Request::new(&mut headers);
@@ -150,7 +151,7 @@
     let path = parsed_head.path.unwrap_or("");
     let path = path.split_once('?').map_or(path, |(path, _)| path);
     let method = parsed_head.method.unwrap_or("");
-    // Whether the id is one that an engine may have is for the bans to say.
+    // The engine exclusions check the id.
     let engine = || match body {
         "" => Err(AdminResponse::new(400, "the body names no engine")),
         id => Ok(id.to_owned()),
@@ -184,21 +185,21 @@
     Ok(Some(request))
 }
 
-/// What happened at the door since the start.
+/// Counters of the admin API since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AdminCounters {
-    /// Calls answered, by name, and of them those answered yes.
+    /// Requests answered and those answered with a 2xx status, by name.
     pub requests: BTreeMap<&'static str, (u64, u64)>,
-    /// Calls that could not be read: a bad head, method, path or body.
+    /// Invalid requests.
     pub malformed: u64,
-    /// Callers that sent no whole call in time.
+    /// Connections that timed out or ended before their request was complete.
     pub incomplete: u64,
-    /// Callers closed at once because as many were at the door as may be.
+    /// Connections closed at once because the limit was reached.
     pub rejected: u64,
 }
 
 impl AdminCounters {
-    /// The counters as `name=value` fields of a log line.
+    /// Returns the counters as `name=value` fields of a log line.
     pub fn line(&self) -> String {
         let mut fields: Vec<String> = self
             .requests
@@ -212,43 +213,44 @@
 }
 
 struct Connection {
-    /// Since when it has been there, or its call has waited for its answer.
+    /// When it was accepted, or since when its request awaits a response (ns).
     since_ns: u64,
-    /// Its call has been taken, and waits for its answer.
     awaits_response: bool,
 }
 
-/// The callers at the door.
+/// The server of the admin API.
 pub struct AdminServer {
     connections: BTreeMap<u64, Connection>,
     max_connections: usize,
-    /// What happened so far.
+    /// The server's counters.
     pub counters: AdminCounters,
 }
 
 impl AdminServer {
-    /// A door for at most a [`SHARE_OF_DESCRIPTORS`] part of `sockets`, and for two callers at least.
+    /// Creates a server for a process with so many file descriptors. It accepts at least two
+    /// connections.
     pub fn new(sockets: usize) -> Self {
         let max_connections = (sockets / DESCRIPTORS_PER_CONNECTION).max(2);
         AdminServer { connections: BTreeMap::new(), max_connections, counters: AdminCounters::default() }
     }
 
-    /// Whether one more caller may come in; one that may not is to be closed at once.
+    /// Returns whether the server accepts one more connection.
     pub fn has_capacity(&self) -> bool {
         self.connections.len() < self.max_connections
     }
 
-    /// A caller has connected.
+    /// Adds an accepted connection, or closes it if the limit is reached.
     pub fn accept(&mut self, now: u64, net: &mut Net, conn: u64) {
         if !self.has_capacity() {
             self.counters.rejected += 1;
-            debug!("the operators' door is full: a caller is closed at once");
+            debug!("admin API: connection closed, since the limit on connections is reached");
             return net.close(conn);
         }
         self.connections.insert(conn, Connection { since_ns: now, awaits_response: false });
     }
 
-    /// Reads what a caller sent: its call, where it is whole. What can't be a call is answered here.
+    /// Reads a connection. Returns its request once it is complete; an invalid one is answered
+    /// here.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) -> Option<AdminRequest> {
         let connection_status = net.service(conn);
         let connection = self.connections.get_mut(&conn)?;
@@ -258,7 +260,7 @@
         }
         match parse_request(net.input(conn)) {
             Ok(Some(request)) => {
-                // Guards against a call that is carried out and answered again, as more comes from its caller while it waits.
+                // Further input must not cause a pending request to be executed again.
                 (connection.since_ns, connection.awaits_response) = (now, true);
                 Some(request)
             }
@@ -270,14 +272,14 @@
             Ok(None) => None,
             Err(response) => {
                 self.counters.malformed += 1;
-                debug!("the operators' door: {} {}", response.status, response.text);
+                debug!("admin API: invalid request: {} {}", response.status, response.text);
                 self.end(now, net, conn, Some(response));
                 None
             }
         }
     }
 
-    /// Answers a call that [`OperatorFront::ready`] gave.
+    /// Answers a request that [`AdminServer::ready`] returned.
     pub fn answer(
         &mut self,
         now: u64,
@@ -290,13 +292,7 @@
         counts.0 += 1;
         counts.1 += u64::from((200..300).contains(&response.status));
         if !matches!(request, AdminRequest::Ready | AdminRequest::Fleet | AdminRequest::Verdicts) {
-            info!(
-                "the operators' door: {} {:?}: {} {}",
-                request.name(),
-                request,
-                response.status,
-                response.text
-            );
+            info!("admin API: {} {:?}: {} {}", request.name(), request, response.status, response.text);
         }
         self.end(now, net, conn, Some(response));
     }
@@ -309,7 +305,7 @@
         }
     }
 
-    /// Guards against callers that say nothing, or half of a call: they hold a place that others need.
+    /// Closes connections whose request is incomplete or unanswered after [`REQUEST_TIMEOUT_NS`].
     pub fn tick(&mut self, now: u64, net: &mut Net) {
         let timed_out: Vec<u64> = self
             .connections
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,5 +1,5 @@
-//! The fronts: clients' messages become requests, answers become messages. All fronts make the same requests
-//! of the same core.
+//! The protocol fronts for clients and the admin API. The client fronts parse messages into
+//! requests of the core and encode its answers.
 
 #![forbid(unsafe_code)]
 
@@ -13,12 +13,12 @@
 use marljunction_fair_queue::settings::{Identity, Who};
 use marljunction_settings::{index_of, Names};
 
-/// Time that an answer may take from here to the client (ns): what is left of a request's time is shorter by it.
+/// Time reserved for the way of an answer to the client, subtracted from a request's timeout.
 pub const ANSWER_MARGIN_NS: u64 = 20_000_000;
-/// Longest message of a client (bytes).
+/// Maximum size of a client's message.
 pub const MAX_MESSAGE_BYTES: usize = 64 << 10;
 
-/// What the fronts know of classes and tenants.
+/// Classes and tenants by name, and how clients are identified.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     names: Names,
@@ -29,24 +29,24 @@
 }
 
 impl Directory {
-    /// Of a router's settings.
+    /// Creates a directory from a router's settings.
     pub fn new(names: Names, settings: &Settings) -> Self {
         let deadlines_ns = settings.classes.iter().map(|c| c.deadline_ns).collect();
         let deduplicates = settings.classes.iter().map(|c| c.effect == Effect::Deduplicated).collect();
         Directory { names, deadlines_ns, deduplicates, ..Directory::default() }
     }
 
-    /// The names behind the module's numbers.
+    /// Returns the names of the decision module's ids.
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    /// What names a client, and the key of clients' numbers.
+    /// Sets what identifies a client, and the seed of the hash that forms client ids.
     pub fn with_client_identity(self, client_key: Who, seed: u64) -> Self {
         Directory { client_key, identity: Identity::new(seed), ..self }
     }
 
-    /// The number of the address that a client connects from.
+    /// Returns the id of a client's address.
     pub fn peer(&self, address: IpAddr) -> u64 {
         match address {
             IpAddr::V4(v4) => self.identity.of(&v4.octets()),
@@ -54,7 +54,8 @@
         }
     }
 
-    /// The number of a client, by `named` where that finds the name that the operator chose, else by its address.
+    /// Returns the id of a client: by the name that `read_name` returns, else the id of its
+    /// address.
     pub fn client<'a>(&self, peer: u64, read_name: impl FnOnce(&Who) -> Option<&'a str>) -> u64 {
         match &self.client_key {
             Who::Peer => peer,
@@ -62,32 +63,32 @@
         }
     }
 
-    /// A class by its name.
+    /// Looks up a class by name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         index_of(&self.names.classes, name).map(ClassId)
     }
 
-    /// A tenant by its name.
+    /// Looks up a tenant by name.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         index_of(&self.names.tenants, name).map(TenantId)
     }
 
-    /// The name of a class.
+    /// Returns the name of a class, empty if it is unknown.
     pub fn class_name(&self, class: ClassId) -> &str {
         self.names.classes.get(class.0).map_or("", |n| n)
     }
 
-    /// The name of a tenant.
+    /// Returns the name of a tenant, empty if it is unknown.
     pub fn tenant_name(&self, tenant: TenantId) -> &str {
         self.names.tenants.get(tenant.0).map_or("", |n| n)
     }
 
-    /// Whether engines drop repeats of a class's requests, by their tokens.
+    /// Returns whether engines deduplicate a class's requests by their tokens.
     pub fn deduplicates(&self, class: ClassId) -> bool {
         self.deduplicates.get(class.0) == Some(&true)
     }
 
-    /// How long clients of a class wait at most.
+    /// Returns the time limit of a class's requests (ns).
     pub fn deadline_ns(&self, class: ClassId) -> u64 {
         self.deadlines_ns.get(class.0).copied().unwrap_or(0)
     }
--- a/crates/front/src/msgpack.rs
+++ b/crates/front/src/msgpack.rs
@@ -1,4 +1,4 @@
-//! The platform's front: MessagePack-RPC, the class as the method.
+//! The front for MessagePack-RPC clients. The method of a call is the request's class.
 
 use std::collections::HashMap;
 
@@ -16,39 +16,42 @@
 use marljunction_net::Net;
 use std::net::IpAddr;
 
-/// Requests that a connection may have open.
+/// Maximum number of open requests per connection.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Nesting of values in a message, as the library counts it: two for a list or a map and three for a text, so
-/// nine for a request. Guards against a message that nests until the stack ends.
+/// Maximum nesting of values in a message, which bounds the decoder's recursion. The library counts
+/// two levels for a list or map and three for a string; a valid request has nine.
 const MAX_DEPTH: usize = 16;
 
-/// Time in which a client must have made its first call, and in which a message must have come whole (ns): a
-/// connection that says nothing holds a descriptor that others need.
+/// Timeout for a client's first call, and for the rest of a partial message.
 const RECEIVE_TIMEOUT_NS: u64 = 2_000_000_000;
-/// Time in which a new connection makes no room for others (ns): its first call is on its way.
+/// Time for which a new connection is not evicted, so that its first call can arrive.
 const EVICTION_GRACE_NS: u64 = 250_000_000;
-/// Messages of one connection that are taken in one round (count).
+/// Maximum number of messages handled per read of a connection.
 const MAX_MESSAGES_PER_READ: usize = 64;
-/// Messages in a row that are turned away on one connection before it is closed (count).
+/// Number of consecutive rejected messages after which a connection is closed.
 const MAX_REJECTED_IN_ROW: u32 = 100;
-/// Longest token by which engines drop repeats (bytes).
+/// Maximum length of a deduplication token.
 const MAX_TOKEN_BYTES: usize = 64;
-/// A client's time may pass its class's deadline by this factor: it is rounded.
+/// A client's time budget may exceed its class's deadline by this factor, because clients round it.
 const DEADLINE_TOLERANCE: f64 = 1.01;
 
-/// How much of a message has come.
+/// The length of the message at the start of an input buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameLength {
-    /// All of it: so many bytes.
+    /// The message is complete and has this many bytes.
     Complete(usize),
-    /// Not all; it can't be whole before this many bytes have come.
+    /// The message is incomplete and has at least this many bytes.
     AtLeast(usize),
 }
 
-/// Looks how far the message at the front of `input` goes, by its lengths alone. Guards against lengths that no
-/// message has: they are turned away before what they claim has come, and nothing is decoded before it is whole.
+/// Determines the length of the message at the start of `input` from its tags and lengths, without
+/// decoding values.
+///
+/// # Errors
+/// Returns an error as soon as the stated lengths exceed [`MAX_MESSAGE_BYTES`], or a tag is
+/// invalid.
 pub fn frame_length(input: &[u8]) -> Result<FrameLength, String> {
-    // Values that are to come, besides the one at `at`.
+    // `pending_values` counts the values that are still to be scanned, with the one at `at`.
     let (mut at, mut pending_values) = (0_usize, 1_usize);
     while pending_values > 0 {
         if at + pending_values > MAX_MESSAGE_BYTES {
@@ -59,7 +62,7 @@
             let digits = input.get(at + 1..at + 1 + bytes)?;
             Some(digits.iter().fold(0_usize, |n, b| n << 8 | usize::from(*b)))
         };
-        // Bytes of the tag and the length, bytes behind them, and values within.
+        // Size of the tag and the length field, size of the data, and number of nested values.
         let (head, length, nested) = match tag {
             0x00..=0x7f | 0xc0 | 0xc2 | 0xc3 | 0xe0..=0xff => (1, Some(0), 0),
             0x80..=0x8f => (1, Some(0), 2 * usize::from(tag & 15)),
@@ -76,7 +79,7 @@
             0xd4..=0xd8 => (2 + (1 << (tag - 0xd4)), Some(0), 0),
             0xdc | 0xde => (3, Some(0), size(2).unwrap_or(0) * (1 + usize::from(tag == 0xde))),
             0xdd | 0xdf => (5, Some(0), size(4).unwrap_or(0) * (1 + usize::from(tag == 0xdf))),
-            0xc1 => return Err("no such type".into()),
+            0xc1 => return Err("invalid MessagePack tag".into()),
         };
         at += head + length.unwrap_or(0);
         pending_values = pending_values - 1 + nested;
@@ -93,11 +96,11 @@
 /// A client's message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// A call with its number, method, fields and body.
+    /// A call: message id, method, fields and body.
     Call(u32, String, Vec<(String, String)>, Option<Vec<u8>>),
-    /// The client waits no longer for a call.
+    /// The client no longer waits for the call with this message id.
     Forget(u32),
-    /// A notice that means nothing here.
+    /// An unknown notification, which is ignored.
     Unknown,
 }
 
@@ -109,7 +112,11 @@
     }
 }
 
-/// Reads one message off the front of `input`, with its size; nothing where it has not come whole.
+/// Parses the message at the start of `input`. Returns it with its size, or `None` if it is
+/// incomplete.
+///
+/// # Errors
+/// Returns the reason why the message is invalid.
 pub fn read_message(input: &[u8]) -> Result<Option<(Message, usize)>, String> {
     let FrameLength::Complete(size) = frame_length(input)? else { return Ok(None) };
     let value = read_value_with_max_depth(&mut &input[..size], MAX_DEPTH).map_err(|e| e.to_string())?;
@@ -134,14 +141,14 @@
             Message::Forget(id)
         }
         (Some(2), [_, _, _]) => Message::Unknown,
-        _ => return Err("neither call nor notice".into()),
+        _ => return Err("neither a request nor a notification".into()),
     };
     Ok(Some((message, size)))
 }
 
 fn reply(id: u64, error: Value, result: Value) -> Vec<u8> {
     let mut bytes = Vec::new();
-    // Writing to a vector can't fail.
+    // Writing to a vector cannot fail.
     let _ = write_value(&mut bytes, &Value::Array(vec![1.into(), id.into(), error, result]));
     bytes
 }
@@ -153,52 +160,50 @@
 
 #[derive(Default)]
 struct Connection {
-    /// The number of its address.
+    /// The id of the client's address.
     peer: u64,
     open_requests: HashMap<u32, RequestId>,
-    /// When it last did something: connected, called, or was answered.
+    /// When the client last connected, sent a call or was answered (ns).
     active_ns: u64,
-    /// It has made a call that could be read.
+    /// The client has sent a valid call.
     has_called: bool,
-    /// Since when a message has been coming, and bytes that it needs at least.
+    /// A partial message: when it was first seen (ns), and its minimum size.
     partial: Option<(u64, usize)>,
-    /// Messages turned away in a row.
+    /// Consecutive rejected messages.
     rejected: u32,
-    /// It has sent more than was taken in this round.
+    /// Messages remain in the input that no event will announce.
     unread: bool,
 }
 
-/// The front.
+/// The front for MessagePack clients.
 pub struct MsgpackFront {
     directory: Directory,
     connections: HashMap<u64, Connection>,
-    /// What `isWell` answers: whether the process is ready to serve.
+    /// The answer to `isWell`: whether to send new connections here.
     well: bool,
 }
 
 impl MsgpackFront {
-    /// No clients yet.
+    /// Creates a front without clients.
     pub fn new(directory: Directory) -> Self {
         MsgpackFront { directory, connections: HashMap::new(), well: true }
     }
 
-    /// Says from now on whether the process is ready to serve: a drained or stopping one is not, so that the front
-    /// sends new connections elsewhere.
+    /// Sets the answer to `isWell`, by which balancers decide whether to send new connections here.
     pub fn set_well(&mut self, well: bool) {
         self.well = well;
     }
 
-    /// A client has connected.
+    /// Adds an accepted client connection.
     pub fn accept(&mut self, now: u64, conn: u64, peer: IpAddr) {
         let peer = self.directory.peer(peer);
         self.connections.insert(conn, Connection { peer, active_ns: now, ..Connection::default() });
     }
 
-    /// The client with no open request that makes room for another: one that has had its time to call and did
-    /// not, if there is one, or was turned away last, else the one that did nothing for longest. Guards against
-    /// clients that lose their connections to those that only connect, and against a crowd that comes at once,
-    /// in which each would push out the one before it with its call under way; and against an answer that is cut off, as its
-    /// client reads slowly.
+    /// Returns the connection to evict for a new one, if any. Connections with open requests,
+    /// unread messages or queued output are not evicted, nor are new ones within
+    /// [`EVICTION_GRACE_NS`]. Clients without a call, or whose last message was rejected, come
+    /// first, then the least recently active.
     pub fn eviction_candidate(&self, now: u64, net: &Net) -> Option<u64> {
         let grace_over = |c: &Connection| c.has_called || now > c.active_ns + EVICTION_GRACE_NS;
         let is_evictable = |conn: &u64, c: &Connection| {
@@ -210,12 +215,13 @@
             .map(|(conn, _)| *conn)
     }
 
-    /// Whether a connection has sent messages that were not taken yet.
+    /// Returns whether messages remain in a connection's input that no event will announce.
     pub fn has_more(&self, conn: u64) -> bool {
         self.connections.get(&conn).is_some_and(|c| c.unread)
     }
 
-    /// Guards against connections that say nothing, or only half of something.
+    /// Closes connections that sent no call or only a partial message within
+    /// [`RECEIVE_TIMEOUT_NS`].
     pub fn tick(&mut self, now: u64, net: &mut Net, router: &mut Router) {
         let is_expired = |since: u64| now > since + RECEIVE_TIMEOUT_NS;
         let timed_out = |c: &Connection| {
@@ -232,8 +238,8 @@
         }
     }
 
-    /// Looks at a client once more that is about to be closed for what it does not do. Guards against closing it on a request
-    /// that has come since it was last looked at.
+    /// Reads a connection that is about to be closed, and returns whether `condition` still holds.
+    /// A request may have arrived since the last read.
     fn still_matches(
         &mut self,
         now: u64,
@@ -246,9 +252,8 @@
         self.connections.get(&conn).is_some_and(condition)
     }
 
-    /// Ends the connections of clients that have nothing open, half-sent, untaken or unwritten, where
-    /// `closes` says so of the time when each was last busy: a drained or stopping router sends its clients
-    /// elsewhere so.
+    /// Closes idle connections for which `should_close` returns true, given the time of their last
+    /// activity (ns). A connection is idle without open requests, input and queued output.
     pub fn close_idle(
         &mut self,
         now: u64,
@@ -273,11 +278,11 @@
         }
     }
 
-    /// Tells a client why and ends its connection.
+    /// Answers an invalid message with the reason, and closes the connection.
     fn reject_and_close(&mut self, now: u64, net: &mut Net, router: &mut Router, conn: u64, why: &str) {
-        debug!("a client's message: {why}");
+        debug!("invalid message from a client: {why}");
         router.counters.rejected += 1;
-        // Numbers start at 1: 0 is no call's.
+        // The message ids of calls start at 1, so 0 refers to none.
         if net.send(conn, &error(0, "Malformed", &[("why", why.to_owned())])) {
             self.remove_connection(router, conn, EndReason::Garbled);
             net.close_after_flush(now, conn);
@@ -286,7 +291,7 @@
         }
     }
 
-    /// A connection is over: nobody waits for what was open on it.
+    /// Closes a connection and cancels its open requests.
     pub fn close(&mut self, net: &mut Net, router: &mut Router, conn: u64, end_reason: EndReason) {
         self.remove_connection(router, conn, end_reason);
         net.close(conn);
@@ -301,13 +306,13 @@
         }
     }
 
-    /// Takes what a client has sent.
+    /// Handles the messages that a client has sent.
     pub fn ready(&mut self, now: u64, net: &mut Net, router: &mut Router, conn: u64) {
-        // Guards against running what a client sent that has gone since: nobody waits for it.
+        // Requests of a disconnected client must not run.
         if let Some(end_reason) = net.service(conn).ended {
             return self.close(net, router, conn, end_reason.for_client_connection());
         }
-        // Guards against a client that sends without end: others have their turn between its messages.
+        // Other connections are served between the batches of one client.
         for _ in 0..MAX_MESSAGES_PER_READ {
             let input = net.input(conn);
             let Some(connection) = self.connections.get_mut(&conn) else { return };
@@ -357,13 +362,19 @@
                 let well = Value::Array(vec![self.well.into(), Value::Map(Vec::new())]);
                 reply(id.into(), Value::Nil, well)
             }
-            // A second call by an open call's number could only be answered in that one's place.
+            // The answers of two open calls with one message id could not be told apart.
             Message::Call(id, ..) if connection.open_requests.contains_key(&id) => {
-                return self.reject_and_close(now, net, router, conn, "the number of an open call");
+                return self.reject_and_close(
+                    now,
+                    net,
+                    router,
+                    conn,
+                    "message id is already in use by an open call",
+                );
             }
-            // Guards against a client that asks the same again as fast as it is turned away.
+            // Closes clients that retry rejected calls without pause.
             Message::Call(..) if rejected >= MAX_REJECTED_IN_ROW => {
-                return self.reject_and_close(now, net, router, conn, "turned away too often");
+                return self.reject_and_close(now, net, router, conn, "too many rejected calls in a row");
             }
             Message::Call(id, method, fields, body) => {
                 match self.directory.parse_request(connection.peer, &method, &fields, body) {
@@ -371,10 +382,14 @@
                         router.counters.rejected += 1;
                         error(id.into(), "Malformed", &[("why", reason)])
                     }
-                    // Guards against a query that is taken for another client's: engines know it by this id alone.
+                    // Engines identify a query by this id alone.
                     Ok(client_request) if router.has_open_request(&client_request.name) => {
                         router.counters.rejected += 1;
-                        error(id.into(), "Malformed", &[("why", "the rid is an open request's".into())])
+                        error(
+                            id.into(),
+                            "Malformed",
+                            &[("why", "rid is already in use by an open request".into())],
+                        )
                     }
                     Ok(_)
                         if connection.open_requests.len() >= MAX_OPEN_REQUESTS || !router.has_capacity() =>
@@ -400,7 +415,7 @@
         }
     }
 
-    /// Gives a request its final answer.
+    /// Sends the final answer to a request.
     pub fn answer(&mut self, now: u64, net: &mut Net, router: &mut Router, client: Client, answer: Answer) {
         let Some(connection) = self.connections.get_mut(&client.conn) else { return };
         connection.active_ns = now;
@@ -427,7 +442,7 @@
 }
 
 impl Directory {
-    /// Reads a call into what is asked.
+    /// Converts a call into a request.
     fn parse_request(
         &self,
         peer: u64,
@@ -448,12 +463,12 @@
         if name.len() != 16 || !name.bytes().all(|b| b.is_ascii_hexdigit()) {
             return Err("bad rid".into());
         }
-        // Guards against times that no client of the class has: none waits past its deadline.
+        // No client of a class waits longer than the class's deadline.
         let max_budget = self.deadline_ns(class) as f64 * DEADLINE_TOLERANCE;
         let budget = number("budget")?.ok_or("no budget")? * 1e6;
         let budget_ns = Some(budget).filter(|b| *b > 0.0 && *b <= max_budget).ok_or("bad budget")? as u64;
         let token = field("token").map(str::to_owned);
-        // Guards against a token that could not stand in a head of HTTP.
+        // The token is sent to engines as an HTTP header.
         let is_valid = |t: &String| {
             (1..=MAX_TOKEN_BYTES).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_alphanumeric())
         };
--- a/crates/front/src/postgres/codec.rs
+++ b/crates/front/src/postgres/codec.rs
@@ -1,69 +1,68 @@
-//! Messages of the PostgreSQL protocol 3.0, as a server reads and writes them.
+//! The server side of the PostgreSQL protocol 3.0: decodes client messages and encodes responses.
 //!
-//! Every read is checked against the message's own bounds. `postgres-protocol` reads and writes a client's
-//! side only, and `pgwire`, which has both, was measured: without its async parts it brings 24 crates, and its
-//! readers trust the lengths inside a message, so that a cut `Parse` panics. So the server's side is here, and
-//! the engines' side uses `postgres-protocol`, whose framing is used here too.
+//! Every read is checked against the bounds of its message. `postgres-protocol` covers only the
+//! client side; its framing is used here. `pgwire` trusts the lengths inside a message and panics
+//! on a truncated `Parse`.
 
 use postgres_protocol::message::backend::Header;
 
 use crate::MAX_MESSAGE_BYTES;
 use marljunction_core::Column;
 
-/// What a client can send.
+/// A message of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientMessage {
-    /// Asks for encryption.
+    /// Requests encryption (TLS or GSSAPI).
     Encrypt,
-    /// Asks for the end of what another connection runs, by its number and key.
+    /// Cancels the running statement of another session: its process id and cancel key.
     Cancel(i32, i32),
-    /// Starts a session: minor version and parameters.
+    /// Starts a session: minor protocol version and parameters.
     Startup(u16, Vec<(String, String)>),
     /// A simple query.
     Query(Vec<u8>),
-    /// Prepares a statement: name, text, types of parameters.
+    /// Prepares a statement: name, text, parameter types.
     Parse(String, Vec<u8>, Vec<u32>),
-    /// Makes a portal.
+    /// Creates a portal.
     Bind(Bind),
-    /// Asks what a statement (true) or a portal takes and gives.
+    /// Requests the description of a statement (true) or a portal (false).
     Describe(bool, String),
-    /// Runs a portal, for so many rows at most; 0 for all.
+    /// Executes a portal, up to this number of rows; 0 for all.
     Execute(String, u32),
-    /// Drops a statement (true) or a portal.
+    /// Closes a statement (true) or a portal (false).
     Close(bool, String),
-    /// Asks for all answers so far.
+    /// Requests the pending responses.
     Flush,
-    /// Ends a run of extended messages.
+    /// Ends a sequence of extended-query messages.
     Sync,
     /// Ends the session.
     Terminate,
-    /// A password, though none was asked for; or copied data, though no copy runs.
+    /// An unexpected password or `COPY` message.
     Ignored,
-    /// A function call, which is not supported.
+    /// A function call, which is unsupported.
     FunctionCall,
 }
 
 /// A `Bind` message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Bind {
-    /// The portal to make.
+    /// Name of the portal.
     pub portal: String,
-    /// The statement that it is of.
+    /// Name of the statement.
     pub statement: String,
-    /// Whether parameters are in binary form: none, one for all, or one each.
+    /// Whether parameters are in binary format: empty for none, one for all, or one each.
     pub formats: Vec<bool>,
-    /// The parameters; absent for NULL.
+    /// Parameter values; `None` for NULL.
     pub params: Vec<Option<Vec<u8>>>,
-    /// Whether columns are wanted in binary form, as for parameters.
+    /// Whether result columns are requested in binary format, as for parameters.
     pub results: Vec<bool>,
 }
 
-/// The parts of one message, none of them past its end.
+/// Reads the fields of one message, within its bounds.
 struct MessageReader<'a>(&'a [u8]);
 
 impl<'a> MessageReader<'a> {
     fn read_bytes(&mut self, bytes: usize) -> Result<&'a [u8], String> {
-        let (part, rest) = self.0.split_at_checked(bytes).ok_or("a message is cut short")?;
+        let (part, rest) = self.0.split_at_checked(bytes).ok_or("the message is truncated")?;
         self.0 = rest;
         Ok(part)
     }
@@ -77,13 +76,13 @@
         self.read_bytes(4).map(|b| i32::from_be_bytes([b[0], b[1], b[2], b[3]]))
     }
     fn bytes(&mut self) -> Result<&'a [u8], String> {
-        let end = self.0.iter().position(|b| *b == 0).ok_or("a text does not end")?;
+        let end = self.0.iter().position(|b| *b == 0).ok_or("a string is not terminated")?;
         let text = self.read_bytes(end)?;
         self.read_bytes(1)?;
         Ok(text)
     }
     fn text(&mut self) -> Result<String, String> {
-        String::from_utf8(self.bytes()?.to_vec()).map_err(|_| "a name is not UTF-8".into())
+        String::from_utf8(self.bytes()?.to_vec()).map_err(|_| "a string is not valid UTF-8".into())
     }
     fn list<T>(&mut self, one: impl Fn(&mut Self) -> Result<T, String>) -> Result<Vec<T>, String> {
         let count = self.int16()?;
@@ -100,7 +99,7 @@
         match self.int32()? {
             -1 => Ok(None),
             length => {
-                let length = usize::try_from(length).map_err(|_| "bad length of a value")?;
+                let length = usize::try_from(length).map_err(|_| "invalid length of a value")?;
                 Ok(Some(self.read_bytes(length)?.to_vec()))
             }
         }
@@ -109,16 +108,23 @@
         match self.byte()? {
             b'S' => Ok(true),
             b'P' => Ok(false),
-            other => Err(format!("neither statement nor portal: {other}")),
+            other => Err(format!("expected S (statement) or P (portal), got byte {other}")),
         }
     }
 }
 
-/// Reads the first message of a connection, with its size; nothing where it has not come whole.
+/// Parses the first message of a connection. Returns it with its size, or `None` if it is
+/// incomplete.
+///
+/// # Errors
+/// Returns the reason why the message is invalid.
 pub fn read_startup(input: &[u8]) -> Result<Option<(ClientMessage, usize)>, String> {
     let mut reader = MessageReader(input);
     let Ok(length) = reader.int32() else { return Ok(None) };
-    let size = usize::try_from(length).ok().filter(|s| (8..=10_000).contains(s)).ok_or("bad length")?;
+    let size = usize::try_from(length)
+        .ok()
+        .filter(|s| (8..=10_000).contains(s))
+        .ok_or("invalid length of the startup message")?;
     if input.len() < size {
         return Ok(None);
     }
@@ -133,17 +139,20 @@
             }
             ClientMessage::Startup(minor, params)
         }
-        (major, minor) => return Err(format!("unsupported protocol {major}.{minor}")),
+        (major, minor) => return Err(format!("unsupported protocol version {major}.{minor}")),
     };
     Ok(Some((message, size)))
 }
 
-/// Reads one message of a session, with its size; nothing where it has not come whole.
+/// Parses one message of a session. Returns it with its size, or `None` if it is incomplete.
+///
+/// # Errors
+/// Returns the reason why the message is invalid.
 pub fn read_message(input: &[u8]) -> Result<Option<(ClientMessage, usize)>, String> {
     let Some(header) = Header::parse(input).map_err(|e| e.to_string())? else { return Ok(None) };
     let size = header.len() as usize + 1;
     if size > MAX_MESSAGE_BYTES {
-        return Err("a message is too long".into());
+        return Err("the message is too long".into());
     }
     if input.len() < size {
         return Ok(None);
@@ -170,18 +179,18 @@
         b'X' => ClientMessage::Terminate,
         b'p' | b'd' | b'c' | b'f' => return Ok(Some((ClientMessage::Ignored, size))),
         b'F' => return Ok(Some((ClientMessage::FunctionCall, size))),
-        other => return Err(format!("unknown message {other}")),
+        other => return Err(format!("unknown message type {other}")),
     };
     match reader.0 {
         [] => Ok(Some((message, size))),
-        _ => Err("a message is longer than its parts".into()),
+        _ => Err("the message has trailing bytes".into()),
     }
 }
 
-/// Messages of the server, in the order written.
+/// Encoded messages to a client.
 #[derive(Default)]
 pub struct ResponseBuffer {
-    /// The bytes.
+    /// The encoded messages.
     pub bytes: Vec<u8>,
 }
 
@@ -201,12 +210,13 @@
         self.message(tag, &body);
     }
 
-    /// No encryption.
+    /// Rejects encryption.
     pub fn no_encryption(&mut self) {
         self.bytes.push(b'N');
     }
 
-    /// The session is open, under a number and a key for its cancellation.
+    /// Completes the startup: authentication, parameters, and the process id and key for
+    /// cancellation.
     pub fn session_start(&mut self, statuses: &[(&str, &str)], number: i32, key: i32) {
         self.message(b'R', &0_u32.to_be_bytes());
         statuses.iter().for_each(|(name, value)| self.status(name, value));
@@ -214,35 +224,36 @@
         self.ready();
     }
 
-    /// Only the older minor version is spoken.
+    /// Negotiates minor protocol version 0.
     pub fn negotiate_version(&mut self) {
         self.message(b'v', &[0; 8]);
     }
 
-    /// A parameter's value.
+    /// Reports a parameter's value.
     pub fn status(&mut self, name: &str, value: &str) {
         self.strings(b'S', &[name, value]);
     }
 
-    /// Ready for the next query; there is never a transaction.
+    /// Reports readiness for the next query, outside a transaction.
     pub fn ready(&mut self) {
         self.message(b'Z', b"I");
     }
 
-    /// One of the messages that say a step is done: `1` parse, `2` bind, `3` close, `n` no data, `s` portal
-    /// suspended, `I` empty query.
+    /// A message without a body: `1` parse complete, `2` bind complete, `3` close complete, `n` no
+    /// data, `s` portal suspended, `I` empty query.
     pub fn empty_message(&mut self, tag: u8) {
         self.message(tag, &[]);
     }
 
-    /// Types of a statement's parameters.
+    /// The types of a statement's parameters.
     pub fn parameters(&mut self, types: &[u32]) {
         let mut body = (types.len() as u16).to_be_bytes().to_vec();
         types.iter().for_each(|t| body.extend_from_slice(&t.to_be_bytes()));
         self.message(b't', &body);
     }
 
-    /// Columns of text, each in binary form or not; the two forms of a text are the same bytes.
+    /// A row description of text columns. The text and binary formats of a text have the same
+    /// bytes.
     pub fn text_columns(&mut self, names: &[String], binary: &[bool]) {
         let form = |i: usize| binary.get(i).or(binary.first()).copied().unwrap_or(false);
         let column = |(i, name): (usize, &String)| Column {
@@ -255,12 +266,12 @@
         self.columns(&names.iter().enumerate().map(column).collect::<Vec<_>>());
     }
 
-    /// Columns.
+    /// A row description.
     pub fn columns(&mut self, columns: &[Column]) {
         let mut body = (columns.len() as u16).to_be_bytes().to_vec();
         for column in columns {
             body.extend_from_slice(column.name.as_bytes());
-            // Table and number of the column there are not told.
+            // The terminator of the name, then no table id and column number.
             body.extend_from_slice(&[0; 7]);
             body.extend_from_slice(&column.type_id.to_be_bytes());
             body.extend_from_slice(&column.size.to_be_bytes());
@@ -270,7 +281,7 @@
         self.message(b'T', &body);
     }
 
-    /// A row.
+    /// A data row; `None` for NULL.
     pub fn row(&mut self, cells: &[Option<Vec<u8>>]) {
         let mut body = (cells.len() as u16).to_be_bytes().to_vec();
         for cell in cells {
@@ -280,12 +291,12 @@
         self.message(b'D', &body);
     }
 
-    /// A statement is done.
+    /// Reports the completion of a statement.
     pub fn complete(&mut self, tag: &str) {
         self.strings(b'C', &[tag]);
     }
 
-    /// An error; `fatal` ends the session.
+    /// An error response; with `fatal`, the session ends.
     pub fn error(&mut self, fault: &SqlFault, fatal: bool) {
         let severity = if fatal { "FATAL" } else { "ERROR" };
         let mut body = format!("S{severity}\0V{severity}\0C{}\0M{}\0", fault.state, fault.message);
@@ -297,21 +308,21 @@
     }
 }
 
-/// The type of text.
+/// The type id of `text`.
 pub const TEXT: u32 = 25;
 
-/// An error as a client is told.
+/// An error reported to a client.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SqlFault {
-    /// SQLSTATE.
+    /// The SQLSTATE.
     pub state: String,
-    /// What went wrong.
+    /// The message.
     pub message: String,
-    /// What to do about it.
+    /// The hint, empty if there is none.
     pub hint: String,
 }
 
-/// An error without a hint.
+/// Creates an error without a hint.
 pub fn fault(state: &str, message: impl Into<String>) -> SqlFault {
     SqlFault { state: state.into(), message: message.into().replace('\0', " "), hint: String::new() }
 }
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -1,5 +1,6 @@
-//! The front for clients that speak PostgreSQL, with extended queries. Each `Execute` of a routed statement is
-//! one request of the core; the messages behind it wait in the connection's input until it is answered.
+//! The front for PostgreSQL clients, with simple and extended queries. Each `Execute` of a routed
+//! statement is one request of the core; later messages stay in the connection's input until it is
+//! answered.
 
 pub mod codec;
 pub mod session;
@@ -19,67 +20,67 @@
 use marljunction_net::Net;
 use std::net::IpAddr;
 
-/// The version that clients are told: what the protocol's present drivers expect.
+/// The server version reported to clients.
 pub const SERVER_VERSION: &str = "15.0";
-/// Time in which a client must have started its session, and in which a message must have come whole (ns).
+/// Timeout for the start of a session, and for the rest of a partial message.
 const STARTUP_TIMEOUT_NS: u64 = 2_000_000_000;
-/// What a session may hold at most: its statements, its suspended portals and its buffers (megabytes).
+/// Maximum memory of a session: its statements, suspended portals and buffers.
 const MAX_SESSION_MB: f64 = 1.6;
-/// Part of the machine's memory that all sessions may hold (share).
+/// Share of the memory limit for all sessions.
 const SESSIONS_MEMORY_SHARE: f64 = 0.5;
-/// Portals of a session that may hold rows at one time (count).
+/// Maximum number of suspended portals per session.
 const MAX_SUSPENDED_PORTALS: usize = 4;
 
-/// How the front is set up.
+/// Settings of the front.
 #[derive(Clone, Debug)]
 pub struct PostgresSetup {
-    /// Class of requests whose session names none.
+    /// Class of requests if the session sets none.
     pub class: ClassId,
-    /// Names of a result's columns.
+    /// Column names of results, for engines that do not describe them.
     pub columns: Vec<String>,
-    /// Engines take no parameters but in the text.
+    /// Parameters are inlined into the statement's text, because engines accept no others.
     pub inline_params: bool,
-    /// Sessions that may be open.
+    /// Maximum number of open sessions.
     pub max_sessions: usize,
 }
 
-/// What a session waits for.
+/// The request that a session waits for.
 struct RunningRequest {
     request: RequestId,
     call: u64,
-    /// The portal with its row limit; absent for a simple query.
+    /// The portal and its row limit; `None` for a simple query.
     portal: Option<(String, u32)>,
     kind: StatementKind,
-    /// The client is still to be told the columns.
+    /// The row description must be sent before the rows.
     sends_columns: bool,
 }
 
 #[derive(Default)]
 struct Session {
-    /// The number of its address, and its user.
+    /// The id of the client's address.
     peer: u64,
     user: Option<String>,
     started: bool,
-    /// When its client connected.
+    /// When the client connected (ns).
     since_ns: u64,
-    /// When it last sent a message or was answered.
+    /// When the client last sent a message or was answered (ns).
     active_ns: u64,
     key: i32,
     settings: Settings,
     startup_settings: Settings,
     objects: SessionObjects,
     running: Option<RunningRequest>,
-    /// Since when a message has been coming.
+    /// When a partial message was first seen (ns).
     partial_ns: Option<u64>,
-    /// After an error: everything up to `Sync` is discarded.
+    /// After an error, messages are discarded up to `Sync`.
     skips_to_sync: bool,
     suspended_portals: usize,
-    /// A portal whose columns the engine is to tell, if its `Execute` comes next.
+    /// A portal whose `Describe` is answered with the engine's columns if its `Execute` comes next.
     pending_describe: Option<String>,
     calls: u64,
 }
 
-/// The front.
+/// The front for PostgreSQL clients.
 pub struct PostgresFront {
     directory: Directory,
     setup: PostgresSetup,
@@ -87,7 +88,7 @@
     seed: u64,
 }
 
-/// The one place where an answer that is not served becomes an SQLSTATE. A refusal tells when to come back.
+/// Maps an unsuccessful answer to an SQLSTATE. The hint of a refusal states when to retry.
 fn sql_fault(answer: &Answer) -> SqlFault {
     let (end_reason, backoff) = match answer {
         Answer::Refused { after, backoff_ms, .. } => (*after, Some(*backoff_ms)),
@@ -108,10 +109,10 @@
             ("08007".into(), "the engine was lost: the statement may have run".to_owned())
         }
         (Some(EndReason::GivenUp | EndReason::Abandoned | EndReason::Withdrawn), _) => {
-            ("57014".into(), "the statement took too long and was given up".into())
+            ("57014".into(), "the statement took too long and was cancelled".into())
         }
         (Some(EndReason::EngineError), None) => ("58000".into(), "the engine reported an error".into()),
-        (Some(EndReason::Garbled), _) => ("08P01".into(), "the engine's answer cannot be read".into()),
+        (Some(EndReason::Garbled), _) => ("08P01".into(), "the engine sent an invalid response".into()),
         (Some(EndReason::Refused | EndReason::Unreachable | EndReason::Reset | EndReason::Unsent), _) => {
             ("57P03".into(), "no engine could be reached: the statement never ran".into())
         }
@@ -124,42 +125,42 @@
 }
 
 impl PostgresSetup {
-    /// Fewer sessions where the machine's memory could not hold all that they may.
+    /// Reduces the maximum number of sessions to what the memory limit allows.
     pub fn limit_to_memory(self, memory_mb: f64) -> Self {
         let most = ((memory_mb * SESSIONS_MEMORY_SHARE / MAX_SESSION_MB) as usize).max(1);
         if self.max_sessions > most {
-            log::warn!("{most} PostgreSQL sessions at most, for the limit on memory");
+            log::warn!("the memory limit allows at most {most} PostgreSQL sessions");
         }
         PostgresSetup { max_sessions: self.max_sessions.min(most), ..self }
     }
 }
 
 impl PostgresFront {
-    /// No sessions yet.
+    /// Creates a front without sessions. Request ids and cancel keys are derived from `seed`.
     pub fn new(directory: Directory, setup: PostgresSetup, seed: u64) -> Self {
         PostgresFront { directory, setup, sessions: HashMap::new(), seed }
     }
 
-    /// A client has connected.
+    /// Adds an accepted client connection.
     pub fn accept(&mut self, now: u64, conn: u64, peer: IpAddr) {
         let peer = self.directory.peer(peer);
         self.sessions.insert(conn, Session { peer, since_ns: now, active_ns: now, ..Session::default() });
     }
 
-    /// Sessions that are open.
+    /// Returns the number of open sessions.
     pub fn sessions(&self) -> usize {
         self.sessions.len()
     }
 
     fn random(&mut self) -> u64 {
-        // Weyl's sequence through a mixer: numbers to tell requests apart, and keys as hard to guess as the seed.
+        // SplitMix64: request ids must be unique, and cancel keys as hard to guess as the seed.
         self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let x = (self.seed ^ (self.seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         x ^ (x >> 31)
     }
 
-    /// A session is over; what runs for it is given up.
+    /// Closes a session and cancels its running request.
     pub fn close(&mut self, net: &mut Net, router: &mut Router, conn: u64, end_reason: EndReason) {
         self.remove_session(router, conn, end_reason);
         net.close(conn);
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Guards against connections that never start a session, or send half a message: each holds a descriptor.
+    /// Closes connections that did not start a session or complete a message in time.
     pub fn tick(&mut self, now: u64, net: &mut Net, router: &mut Router) {
         let is_expired = |since: u64| now > since + STARTUP_TIMEOUT_NS;
         let timed_out = |s: &Session| {
@@ -192,8 +193,8 @@
         }
     }
 
-    /// Looks at a session once more that is about to be closed for what it does not do. Guards against closing it on a statement
-    /// that has come since it was last looked at.
+    /// Reads a session that is about to be closed, and returns whether `condition` still holds. A
+    /// statement may have arrived since the last read.
     fn still_matches(
         &mut self,
         now: u64,
@@ -206,9 +207,9 @@
         self.sessions.get(&conn).is_some_and(condition)
     }
 
-    /// Ends the sessions that have nothing running, half-sent, unread, unwritten or half-fetched, where `closes` says so of
-    /// the time when each was last busy: a drained or stopping router sends its clients elsewhere so. Each is told
-    /// `57P01` first, as PostgreSQL tells its sessions when it shuts down.
+    /// Closes idle sessions for which `should_close` returns true, given the time of their last
+    /// activity (ns). A session is idle without a running request, suspended portals, input and
+    /// queued output. The client receives `57P01`, as at a shutdown of a PostgreSQL server.
     pub fn close_idle(
         &mut self,
         now: u64,
@@ -235,16 +236,16 @@
         }
     }
 
-    /// Takes what a client has sent.
+    /// Handles the messages that a client has sent.
     pub fn ready(&mut self, now: u64, net: &mut Net, router: &mut Router, conn: u64) {
-        // Guards against running what a client sent that has gone since: nobody waits for it.
+        // Statements of a disconnected client must not run.
         if let Some(end_reason) = net.service(conn).ended {
             return self.close(net, router, conn, end_reason.for_client_connection());
         }
         self.advance(now, net, router, conn);
     }
 
-    /// Takes messages until one has to wait for its answer.
+    /// Handles messages until one has to wait for its answer.
     fn advance(&mut self, now: u64, net: &mut Net, router: &mut Router, conn: u64) {
         let mut response = ResponseBuffer::default();
         let mut end_reason = None;
@@ -265,7 +266,7 @@
                     end_reason = self.message(now, router, conn, message, &mut response);
                 }
                 Err(why) => {
-                    debug!("a client's message: {why}");
+                    debug!("invalid message from a client: {why}");
                     router.counters.rejected += 1;
                     response.error(&fault("08P01", why), true);
                     end_reason = Some(EndReason::Garbled);
@@ -351,8 +352,8 @@
         None
     }
 
-    /// Only an engine knows the columns, and only a run asks one: where no `Execute` follows a `Describe`, the
-    /// service's usual columns are told.
+    /// Answers a pending `Describe` with the configured columns if `next` is not the portal's
+    /// `Execute`. An engine reports the columns of a result only with the result itself.
     fn resolve_describe(&mut self, conn: u64, next: &ClientMessage, response: &mut ResponseBuffer) {
         let Some(session) = self.sessions.get_mut(&conn) else { return };
         if matches!(next, ClientMessage::Execute(name, _) if session.pending_describe.as_ref() == Some(name))
@@ -381,7 +382,7 @@
         session.settings.class = Some(self.setup.class);
         let mut result = if full { Err(fault("53300", "too many sessions are open")) } else { Ok(()) };
         for (name, value) in params {
-            // `options` holds settings as a server's command line would: `-c name=value`.
+            // `options` holds settings in the form `-c name=value`.
             let pairs: Vec<(String, String)> = match name.as_str() {
                 "options" => value
                     .split_whitespace()
@@ -490,7 +491,7 @@
                 if self.execute_local(conn, &kind, response, false)? {
                     return Ok(());
                 }
-                // Guards against results that wait for their client without bound.
+                // Bounds the results that are held for the client.
                 if self
                     .sessions
                     .get(&conn)
@@ -506,7 +507,8 @@
         Ok(())
     }
 
-    /// Does what needs no engine; false for what does. `describes` says that columns are to be told too.
+    /// Executes a statement that needs no engine. Returns false if it needs one. With
+    /// `sends_columns`, the response includes the row description.
     fn execute_local(
         &mut self,
         conn: u64,
@@ -550,7 +552,7 @@
         Ok(true)
     }
 
-    /// Makes a request of a statement.
+    /// Submits a statement to the core as a request.
     fn run(
         &mut self,
         now: u64,
@@ -583,7 +585,7 @@
             _ => None,
         });
         let client_request = ClientRequest {
-            // Its clients give none; each statement is one of its own.
+            // PostgreSQL clients provide no token, so each statement gets its own.
             token: self.directory.deduplicates(class).then(|| name.clone()),
             name,
             class,
@@ -601,7 +603,7 @@
         Ok(())
     }
 
-    /// Gives a request its final answer, and goes on with the messages behind it.
+    /// Sends the final answer to a request, and continues with the session's next messages.
     pub fn answer(&mut self, now: u64, net: &mut Net, router: &mut Router, client: Client, answer: Answer) {
         let Some(session) = self.sessions.get_mut(&client.conn) else { return };
         let Some(running) = session.running.take_if(|r| r.call == client.call) else { return };
@@ -625,8 +627,8 @@
                     && described
                     && (rows.iter().any(has_other_width) || columns.iter().any(is_binary))
                 {
-                    // Guards against rows that don't fit what the client was told of them.
-                    let mismatch = fault("42804", "the result has other columns than the client was told");
+                    // The client would misread rows that differ from their description.
+                    let mismatch = fault("42804", "the result's columns differ from their description");
                     response.error(&mismatch, false);
                     session.skips_to_sync = portal.is_some();
                 } else if let Some((name, limit)) = &portal {
@@ -651,7 +653,7 @@
             }
         }
         self.write(now, net, router, client.conn, response, None);
-        // What came in meanwhile waits in the connection; reading goes on where it stopped for lack of room.
+        // Messages may be buffered, and reading may have stopped at the input limit.
         if self.sessions.contains_key(&client.conn) {
             self.ready(now, net, router, client.conn);
         }
@@ -673,7 +675,8 @@
     }
 }
 
-/// Gives rows of a portal that has run, up to a limit, and says whether more are left.
+/// Sends up to `limit` rows of an executed portal (0 for all), and whether the portal is suspended
+/// or complete.
 fn send_rows(session: &mut Session, name: &str, limit: u32, response: &mut ResponseBuffer) {
     let Ok(portal) = session.objects.portal(name) else { return };
     let Some((rows, sent_rows)) = &mut portal.rows else { return };
--- a/crates/front/src/postgres/session.rs
+++ b/crates/front/src/postgres/session.rs
@@ -1,4 +1,4 @@
-//! What a session remembers: its parameters, statements and portals.
+//! The state of a session: its parameters, prepared statements and portals.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,23 +8,24 @@
 use marljunction_core::statement::{param_count, split, Param, Statement};
 use marljunction_core::{Column, Row};
 
-/// Statements and portals that a session may hold, of each (count), and their bytes in all.
+/// Maximum number of prepared statements, of portals and of other parameters, each.
 const MAX_OBJECTS: usize = 64;
+/// Maximum size of a session's statements and portals together.
 const MAX_OBJECT_BYTES: usize = 512 << 10;
 
-/// Whether a type is a text: its values are the same bytes in both forms.
+/// Returns whether a type is textual, so that its text and binary formats have the same bytes.
 pub fn is_text(type_id: u32) -> bool {
     matches!(type_id, 18 | 19 | 25 | 705 | 1042 | 1043)
 }
 
-/// What a statement is to the router.
+/// How the router handles a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementKind {
-    /// Nothing at all.
+    /// An empty statement.
     Empty,
-    /// Goes to an engine; whether it gives rows, and the word of its completion.
+    /// Sent to an engine: whether it returns rows, and its command tag.
     Routed(bool, String),
-    /// Sets a session parameter, or all of them back to their start.
+    /// Sets a session parameter; without a value, resets it (`all` for all of them).
     Set(String, Option<String>),
     /// Shows a session parameter.
     Show(String),
@@ -33,51 +34,51 @@
 /// A prepared statement.
 #[derive(Clone, Debug)]
 pub struct Prepared {
-    /// Its text.
+    /// The statement's text.
     pub text: Vec<u8>,
-    /// Types of its parameters; 0 where the client left them to the engine.
+    /// Parameter types; 0 if the client leaves the type to the engine.
     pub types: Vec<u32>,
-    /// What it is.
+    /// How the statement is handled.
     pub kind: StatementKind,
-    /// The client was told of the usual columns.
+    /// The configured columns were sent to the client.
     pub described: bool,
 }
 
 /// A portal.
 #[derive(Clone, Debug)]
 pub struct Portal {
-    /// The statement with its parameters.
+    /// The statement and its parameters.
     pub statement: Statement,
-    /// What it is.
+    /// How the statement is handled.
     pub kind: StatementKind,
-    /// Columns wanted in binary form.
+    /// Whether result columns are requested in binary format.
     pub results: Vec<bool>,
-    /// The client was told of the usual columns: others would be misread.
+    /// The configured columns were sent to the client, which would misread others.
     pub described: bool,
-    /// Columns of its result, where the engine told them.
+    /// Columns of the result, if the engine reported them.
     pub columns: Vec<Column>,
-    /// What is left of its result once it has run, and how many rows were given.
+    /// After execution: the rows left to send, and the number of rows sent.
     pub rows: Option<(VecDeque<Row>, usize)>,
 }
 
 /// Session parameters.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Class of its requests.
+    /// Class of the session's requests.
     pub class: Option<ClassId>,
-    /// Tenant of its requests.
+    /// Tenant of the session's requests.
     pub tenant: Option<TenantId>,
-    /// `statement_timeout`, in milliseconds; 0 for none.
+    /// `statement_timeout`; 0 for none.
     pub timeout_ms: u64,
-    /// Estimated work, in milliseconds.
+    /// Estimated work per request.
     pub cost_ms: Option<f64>,
-    /// Estimated memory, in megabytes.
+    /// Estimated memory per request.
     pub memory_mb: Option<f64>,
-    /// Whatever else was set, as clients ask for it again.
+    /// Other parameters, stored for `SHOW` and to identify clients.
     pub other_params: BTreeMap<String, String>,
 }
 
-/// A span of time as PostgreSQL writes it: milliseconds, or with a unit.
+/// Parses a PostgreSQL duration: milliseconds, or a number with a unit.
 fn milliseconds(text: &str) -> Option<u64> {
     let text = text.trim();
     let digits = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
@@ -92,7 +93,7 @@
 }
 
 impl Settings {
-    /// Sets one parameter.
+    /// Sets a parameter.
     pub fn set(&mut self, directory: &Directory, name: &str, value: &str) -> Result<(), SqlFault> {
         let bad = || fault("22023", format!("invalid value for parameter \"{name}\": \"{value}\""));
         let number = || match value.parse::<f64>() {
@@ -109,7 +110,7 @@
                 return Err(fault("42704", format!("unrecognized configuration parameter \"{name}\"")))
             }
             _ => {
-                // Guards against a session that sets names without end.
+                // Bounds the memory of a session.
                 if self.other_params.len() >= MAX_OBJECTS && !self.other_params.contains_key(name) {
                     return Err(fault("54000", "too many parameters are set"));
                 }
@@ -119,7 +120,7 @@
         Ok(())
     }
 
-    /// A parameter's value as text.
+    /// Returns a parameter's value as text.
     pub fn show(&self, directory: &Directory, name: &str) -> Result<String, SqlFault> {
         Ok(match name {
             "marljunction.class" => self.class.map_or("", |c| directory.class_name(c)).to_owned(),
@@ -138,7 +139,7 @@
     }
 }
 
-/// The name and value of `SET [SESSION] name {= | TO} value`.
+/// Parses `SET [SESSION] name {= | TO} value` into name and value; `None` for `DEFAULT`.
 fn read_set(text: &str) -> Option<(String, Option<String>)> {
     let rest = text.trim().get(3..)?.trim_start();
     let first = rest.split_whitespace().next()?;
@@ -153,7 +154,10 @@
     Some((name, Some(value).filter(|v| !v.eq_ignore_ascii_case("default"))))
 }
 
-/// Says what a text is; what one routed statement can't do is refused before anything runs.
+/// Determines how to handle a statement's text.
+///
+/// # Errors
+/// Returns an error for commands that the router does not support, before anything runs.
 pub fn classify(text: &[u8]) -> Result<StatementKind, SqlFault> {
     let statements = split(text);
     let (statement, words) = match &statements[..] {
@@ -169,7 +173,7 @@
         }
         "set" => match read_set(&text) {
             Some((name, value)) => Ok(StatementKind::Set(name, value)),
-            None => Err(fault("42601", "cannot read this SET")),
+            None => Err(fault("42601", "syntax error in SET")),
         },
         "reset" | "discard" if word(1) == "all" => Ok(StatementKind::Set("all".into(), None)),
         "reset" | "show" => {
@@ -199,7 +203,7 @@
     }
 }
 
-/// The statements and portals of a session, within bounds.
+/// The prepared statements and portals of a session, within limits.
 #[derive(Default)]
 pub struct SessionObjects {
     statements: BTreeMap<String, Prepared>,
@@ -226,7 +230,7 @@
         Ok(())
     }
 
-    /// Guards against a session that prepares without end.
+    /// Returns an error if another statement or portal would exceed a session's limits.
     fn check_capacity(&self, count: usize, bytes: usize) -> Result<(), SqlFault> {
         let full = count >= MAX_OBJECTS || self.bytes + bytes > MAX_OBJECT_BYTES;
         if full {
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Makes a portal; `inlines` says that engines take no parameters but in the text.
+    /// Creates a portal. With `inline_params`, parameters must be in text form, to be inlined.
     pub fn bind(&mut self, bind: Bind, inline_params: bool) -> Result<(), SqlFault> {
         let statement = self.statement(&bind.statement)?.clone();
         if !bind.portal.is_empty() && self.portals.contains_key(&bind.portal) {
@@ -246,7 +250,7 @@
         if supplied != required || bind.formats.len() > 1 && bind.formats.len() != supplied {
             return Err(fault(
                 "08P01",
-                format!("bind gives {supplied} parameters, the statement has {required}"),
+                format!("bind message supplies {supplied} parameters, the statement requires {required}"),
             ));
         }
         let format = |i: usize| bind.formats.get(i).or(bind.formats.first()).copied().unwrap_or(false);
@@ -275,19 +279,19 @@
         Ok(())
     }
 
-    /// A statement by its name.
+    /// Looks up a statement by name.
     pub fn statement(&mut self, name: &str) -> Result<&mut Prepared, SqlFault> {
         let missing = || fault("26000", format!("prepared statement \"{name}\" does not exist"));
         self.statements.get_mut(name).ok_or_else(missing)
     }
 
-    /// A portal by its name.
+    /// Looks up a portal by name.
     pub fn portal(&mut self, name: &str) -> Result<&mut Portal, SqlFault> {
         let missing = || fault("34000", format!("portal \"{name}\" does not exist"));
         self.portals.get_mut(name).ok_or_else(missing)
     }
 
-    /// Drops a statement or a portal, where it is there.
+    /// Closes a statement (true) or a portal (false), if it exists.
     pub fn remove(&mut self, statement: bool, name: &str) {
         if statement {
             self.bytes -= self.statements.remove(name).map_or(0, |s| s.text.len());
@@ -296,7 +300,7 @@
         }
     }
 
-    /// Portals end with the run of messages that made them.
+    /// Closes all portals; they last until the next `Sync`.
     pub fn clear_portals(&mut self) {
         let bytes: usize = std::mem::take(&mut self.portals).values().map(portal_bytes).sum();
         self.bytes -= bytes;
--- a/crates/front/tests/admin.rs
+++ b/crates/front/tests/admin.rs
@@ -1,4 +1,4 @@
-//! Reading the operators' calls, and answering them.
+//! Parsing requests of the admin API and answering them.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -9,7 +9,7 @@
 use marljunction_net::{ConnectionLimits, Net, Owner};
 
 fn rejection_status(input: &[u8]) -> u16 {
-    parse_request(input).expect_err("a no").status
+    parse_request(input).expect_err("an invalid request").status
 }
 
 #[test]
@@ -68,18 +68,18 @@
     let mut server = AdminServer::new(64);
     server.accept(0, &mut net, conn);
     client.write_all(b"POST /fleet/engines/disable HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-1").unwrap();
-    let request = server.ready(0, &mut net, conn).expect("a call");
-    // It waits until the fleet has heard it; meanwhile more comes, which is no call.
+    let request = server.ready(0, &mut net, conn).expect("a request");
+    // The request is pending, as it is until the fleet has confirmed it; more input arrives.
     client.write_all(b"\r\n\r\nmore\r\n\r\n").unwrap();
-    assert_eq!(server.ready(0, &mut net, conn), None, "the same call is not carried out again");
-    server.answer(0, &mut net, conn, &request, AdminResponse::new(200, "heard"));
+    assert_eq!(server.ready(0, &mut net, conn), None, "the request is returned a second time");
+    server.answer(0, &mut net, conn, &request, AdminResponse::new(200, "confirmed"));
     client.shutdown(std::net::Shutdown::Write).unwrap();
     net.discard_input(conn);
     let mut received = String::new();
     client.set_read_timeout(Some(std::time::Duration::from_secs(8))).unwrap();
     client.read_to_string(&mut received).unwrap();
     assert_eq!(
-        (received.matches("HTTP/1.1 ").count(), received.ends_with("heard\n")),
+        (received.matches("HTTP/1.1 ").count(), received.ends_with("confirmed\n")),
         (1, true),
         "{received}"
     );
--- a/crates/front/tests/close_idle.rs
+++ b/crates/front/tests/close_idle.rs
@@ -1,4 +1,4 @@
-//! Closing clients that are quiet, and what comes as they are closed.
+//! Closing idle and silent clients, and messages that arrive just before.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -16,7 +16,7 @@
     b"\x94\x00\x01\xa6lookup\x92\x82\xa3rid\xb09b1f03aa5c7e2d41\xa6budget\xa45000\xc4\x08select 1";
 const STARTUP: &[u8] = b"\0\0\0\x13\0\x03\0\0user\0shop\0\0";
 const QUERY: &[u8] = b"Q\0\0\0\x0dselect 1\0";
-/// Past all times that a front waits for its client (ns).
+/// A time past all of a front's timeouts.
 const LATE_NS: u64 = 3_000_000_000;
 
 struct Fixture {
@@ -29,7 +29,7 @@
     _poll: mio::Poll,
 }
 
-/// Both fronts, and one client of one of them.
+/// Both fronts, and a client connected to one of them.
 fn fixture(owner: Owner) -> Fixture {
     fixture_with_limits(owner, ConnectionLimits::of(64, 64.0))
 }
@@ -63,7 +63,7 @@
 }
 
 impl Fixture {
-    /// A client whose session of PostgreSQL has started.
+    /// A client with a started PostgreSQL session.
     fn session() -> Fixture {
         let mut w = fixture(Owner::Postgres);
         w.client.write_all(STARTUP).unwrap();
@@ -71,20 +71,20 @@
         w
     }
 
-    /// Ends what is quiet.
+    /// Closes idle connections and sessions.
     fn close_idle(&mut self) {
         self.front.close_idle(LATE_NS, &mut self.net, &mut self.router, |_| true);
         self.sessions.close_idle(LATE_NS, &mut self.net, &mut self.router, |_| true);
     }
 
-    /// Writes to the client until no more goes out.
+    /// Writes to the client until its socket is full.
     fn fill_output(&mut self) {
         while self.net.drained(self.conn) {
             assert!(self.net.send(self.conn, &[b'x'; 64 << 10]));
         }
     }
 
-    /// The client reads until all that waited for it has gone out.
+    /// The client reads until all queued output is written.
     fn read_output(&mut self) {
         self.client.set_read_timeout(Some(std::time::Duration::from_secs(8))).unwrap();
         while !self.net.drained(self.conn) {
@@ -97,7 +97,7 @@
 #[test]
 fn a_connection_with_an_unread_request_is_not_closed_as_idle() {
     let mut w = fixture(Owner::Msgpack);
-    // It comes behind the events of the round that finds its connection quiet for long.
+    // The request arrives after the events of the iteration in which its connection counts as idle.
     w.client.write_all(CALL).unwrap();
     w.close_idle();
     assert_eq!((w.router.counters.taken, w.router.unanswered()), (1, 1));
@@ -180,7 +180,7 @@
 #[test]
 fn a_client_that_does_not_read_is_evicted_for_engine_output_and_counted() {
     for owner in [Owner::Msgpack, Owner::Postgres] {
-        // Four connections may fill it.
+        // The output of four connections reaches the limit.
         let mut w = fixture_with_limits(owner, ConnectionLimits { engines: 8, output: 1 << 20 });
         w.fill_output();
         let engine = TcpListener::bind("127.0.0.1:0").unwrap();
