--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -212,8 +212,8 @@
         self.client_conns += usize::from(owner.is_client());
         #[rustfmt::skip]
         let conn = Conn {
-            stream, owner, connecting, input: Vec::new(), output: Vec::new(), written: 0, unread: false, peer_closed: false, ended: None,
-            linger: (0, 0),
+            stream, owner, connecting, input: Vec::new(), output: Vec::new(), written: 0, unread: false,
+            peer_closed: false, ended: None, linger: (0, 0),
         };
         self.conns.insert(self.last_id, conn);
         Ok(self.last_id)
