--- a/crates/front/src/msgpack.rs
+++ b/crates/front/src/msgpack.rs
@@ -79,7 +79,7 @@
             0xd4..=0xd8 => (2 + (1 << (tag - 0xd4)), Some(0), 0),
             0xdc | 0xde => (3, Some(0), size(2).unwrap_or(0) * (1 + usize::from(tag == 0xde))),
             0xdd | 0xdf => (5, Some(0), size(4).unwrap_or(0) * (1 + usize::from(tag == 0xdf))),
-            0xc1 => return Err("invalid MessagePack tag".into()),
+            0xc1 => return Err("no such type".into()),
         };
         at += head + length.unwrap_or(0);
         pending_values = pending_values - 1 + nested;
@@ -141,7 +141,7 @@
             Message::Forget(id)
         }
         (Some(2), [_, _, _]) => Message::Unknown,
-        _ => return Err("neither a request nor a notification".into()),
+        _ => return Err("neither call nor notice".into()),
     };
     Ok(Some((message, size)))
 }
@@ -364,17 +364,11 @@
             }
             // The answers of two open calls with one message id could not be told apart.
             Message::Call(id, ..) if connection.open_requests.contains_key(&id) => {
-                return self.reject_and_close(
-                    now,
-                    net,
-                    router,
-                    conn,
-                    "message id is already in use by an open call",
-                );
+                return self.reject_and_close(now, net, router, conn, "the number of an open call");
             }
             // Closes clients that retry rejected calls without pause.
             Message::Call(..) if rejected >= MAX_REJECTED_IN_ROW => {
-                return self.reject_and_close(now, net, router, conn, "too many rejected calls in a row");
+                return self.reject_and_close(now, net, router, conn, "turned away too often");
             }
             Message::Call(id, method, fields, body) => {
                 match self.directory.parse_request(connection.peer, &method, &fields, body) {
@@ -385,11 +379,7 @@
                     // Engines identify a query by this id alone.
                     Ok(client_request) if router.has_open_request(&client_request.name) => {
                         router.counters.rejected += 1;
-                        error(
-                            id.into(),
-                            "Malformed",
-                            &[("why", "rid is already in use by an open request".into())],
-                        )
+                        error(id.into(), "Malformed", &[("why", "the rid is an open request's".into())])
                     }
                     Ok(_)
                         if connection.open_requests.len() >= MAX_OPEN_REQUESTS || !router.has_capacity() =>
--- a/crates/front/src/postgres/codec.rs
+++ b/crates/front/src/postgres/codec.rs
@@ -62,7 +62,7 @@
 
 impl<'a> MessageReader<'a> {
     fn read_bytes(&mut self, bytes: usize) -> Result<&'a [u8], String> {
-        let (part, rest) = self.0.split_at_checked(bytes).ok_or("the message is truncated")?;
+        let (part, rest) = self.0.split_at_checked(bytes).ok_or("a message is cut short")?;
         self.0 = rest;
         Ok(part)
     }
@@ -76,13 +76,13 @@
         self.read_bytes(4).map(|b| i32::from_be_bytes([b[0], b[1], b[2], b[3]]))
     }
     fn bytes(&mut self) -> Result<&'a [u8], String> {
-        let end = self.0.iter().position(|b| *b == 0).ok_or("a string is not terminated")?;
+        let end = self.0.iter().position(|b| *b == 0).ok_or("a text does not end")?;
         let text = self.read_bytes(end)?;
         self.read_bytes(1)?;
         Ok(text)
     }
     fn text(&mut self) -> Result<String, String> {
-        String::from_utf8(self.bytes()?.to_vec()).map_err(|_| "a string is not valid UTF-8".into())
+        String::from_utf8(self.bytes()?.to_vec()).map_err(|_| "a name is not UTF-8".into())
     }
     fn list<T>(&mut self, one: impl Fn(&mut Self) -> Result<T, String>) -> Result<Vec<T>, String> {
         let count = self.int16()?;
@@ -99,7 +99,7 @@
         match self.int32()? {
             -1 => Ok(None),
             length => {
-                let length = usize::try_from(length).map_err(|_| "invalid length of a value")?;
+                let length = usize::try_from(length).map_err(|_| "bad length of a value")?;
                 Ok(Some(self.read_bytes(length)?.to_vec()))
             }
         }
@@ -108,7 +108,7 @@
         match self.byte()? {
             b'S' => Ok(true),
             b'P' => Ok(false),
-            other => Err(format!("expected S (statement) or P (portal), got byte {other}")),
+            other => Err(format!("neither statement nor portal: {other}")),
         }
     }
 }
@@ -121,10 +121,7 @@
 pub fn read_startup(input: &[u8]) -> Result<Option<(ClientMessage, usize)>, String> {
     let mut reader = MessageReader(input);
     let Ok(length) = reader.int32() else { return Ok(None) };
-    let size = usize::try_from(length)
-        .ok()
-        .filter(|s| (8..=10_000).contains(s))
-        .ok_or("invalid length of the startup message")?;
+    let size = usize::try_from(length).ok().filter(|s| (8..=10_000).contains(s)).ok_or("bad length")?;
     if input.len() < size {
         return Ok(None);
     }
@@ -139,7 +136,7 @@
             }
             ClientMessage::Startup(minor, params)
         }
-        (major, minor) => return Err(format!("unsupported protocol version {major}.{minor}")),
+        (major, minor) => return Err(format!("unsupported protocol {major}.{minor}")),
     };
     Ok(Some((message, size)))
 }
@@ -152,7 +149,7 @@
     let Some(header) = Header::parse(input).map_err(|e| e.to_string())? else { return Ok(None) };
     let size = header.len() as usize + 1;
     if size > MAX_MESSAGE_BYTES {
-        return Err("the message is too long".into());
+        return Err("a message is too long".into());
     }
     if input.len() < size {
         return Ok(None);
@@ -179,11 +176,11 @@
         b'X' => ClientMessage::Terminate,
         b'p' | b'd' | b'c' | b'f' => return Ok(Some((ClientMessage::Ignored, size))),
         b'F' => return Ok(Some((ClientMessage::FunctionCall, size))),
-        other => return Err(format!("unknown message type {other}")),
+        other => return Err(format!("unknown message {other}")),
     };
     match reader.0 {
         [] => Ok(Some((message, size))),
-        _ => Err("the message has trailing bytes".into()),
+        _ => Err("a message is longer than its parts".into()),
     }
 }
 
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -109,10 +109,10 @@
             ("08007".into(), "the engine was lost: the statement may have run".to_owned())
         }
         (Some(EndReason::GivenUp | EndReason::Abandoned | EndReason::Withdrawn), _) => {
-            ("57014".into(), "the statement took too long and was cancelled".into())
+            ("57014".into(), "the statement took too long and was given up".into())
         }
         (Some(EndReason::EngineError), None) => ("58000".into(), "the engine reported an error".into()),
-        (Some(EndReason::Garbled), _) => ("08P01".into(), "the engine sent an invalid response".into()),
+        (Some(EndReason::Garbled), _) => ("08P01".into(), "the engine's answer cannot be read".into()),
         (Some(EndReason::Refused | EndReason::Unreachable | EndReason::Reset | EndReason::Unsent), _) => {
             ("57P03".into(), "no engine could be reached: the statement never ran".into())
         }
@@ -628,7 +628,7 @@
                     && (rows.iter().any(has_other_width) || columns.iter().any(is_binary))
                 {
                     // The client would misread rows that differ from their description.
-                    let mismatch = fault("42804", "the result's columns differ from their description");
+                    let mismatch = fault("42804", "the result has other columns than the client was told");
                     response.error(&mismatch, false);
                     session.skips_to_sync = portal.is_some();
                 } else if let Some((name, limit)) = &portal {
--- a/crates/front/src/postgres/session.rs
+++ b/crates/front/src/postgres/session.rs
@@ -173,7 +173,7 @@
         }
         "set" => match read_set(&text) {
             Some((name, value)) => Ok(StatementKind::Set(name, value)),
-            None => Err(fault("42601", "syntax error in SET")),
+            None => Err(fault("42601", "cannot read this SET")),
         },
         "reset" | "discard" if word(1) == "all" => Ok(StatementKind::Set("all".into(), None)),
         "reset" | "show" => {
@@ -250,7 +250,7 @@
         if supplied != required || bind.formats.len() > 1 && bind.formats.len() != supplied {
             return Err(fault(
                 "08P01",
-                format!("bind message supplies {supplied} parameters, the statement requires {required}"),
+                format!("bind gives {supplied} parameters, the statement has {required}"),
             ));
         }
         let format = |i: usize| bind.formats.get(i).or(bind.formats.first()).copied().unwrap_or(false);
