--- a/crates/lab/src/capacity/configuration.rs
+++ b/crates/lab/src/capacity/configuration.rs
@@ -32,7 +32,7 @@
 fn cost(entries: usize) -> Result<[f64; 2], String> {
     let text = file(entries);
     let (ns, outcome) = timed(|| read("operator.conf", &text, &mut NoFiles, DEFINITIONS, "#Main"));
-    match outcome.faults.first() {
+    match outcome.diagnostics.first() {
         Some(fault) => Err(format!("the file of {entries} entries can't be read: {fault:?}")),
         None => Ok([text.len() as f64, ns as f64 / 1e6]),
     }
--- a/crates/language/src/fault.rs
+++ b/crates/language/src/diagnostic.rs
@@ -20,7 +20,7 @@
     }
 
     /// The same part of another file.
-    pub fn within(self, file: usize) -> Self {
+    pub fn in_file(self, file: usize) -> Self {
         Span { file, ..self }
     }
 
@@ -32,30 +32,30 @@
 
 /// One thing that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct Diagnostic {
     /// Where.
     pub span: Span,
     /// What.
-    pub what: String,
+    pub message: String,
     /// How to mend it.
     pub fix: String,
     /// Another place that has to do with it, and why.
-    pub other: Option<(Span, String)>,
+    pub related: Option<(Span, String)>,
 }
 
-impl Fault {
+impl Diagnostic {
     /// A fault at a place.
-    pub fn new(span: Span, what: impl Into<String>) -> Self {
-        Fault { span, what: what.into(), fix: String::new(), other: None }
+    pub fn new(span: Span, message: impl Into<String>) -> Self {
+        Diagnostic { span, message: message.into(), fix: String::new(), related: None }
     }
 
     /// How to mend it.
     pub fn fix(self, fix: impl Into<String>) -> Self {
-        Fault { fix: fix.into(), ..self }
+        Diagnostic { fix: fix.into(), ..self }
     }
 
     /// Another place that has to do with it.
-    pub fn with(self, span: Span, why: impl Into<String>) -> Self {
-        Fault { other: Some((span, why.into())), ..self }
+    pub fn with_related(self, span: Span, why: impl Into<String>) -> Self {
+        Diagnostic { related: Some((span, why.into())), ..self }
     }
 }
--- a/crates/language/src/diff.rs
+++ b/crates/language/src/diff.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::value::{RecordValue, Value, What};
+use crate::value::{RecordValue, Value, ValueKind};
 
 /// One thing that two files say differently.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,25 +23,25 @@
 }
 
 fn compare(path: &str, from: Option<&Value>, to: Option<&Value>, out: &mut Vec<Change>) {
-    match (parts(from), parts(to)) {
+    match (children(from), children(to)) {
         (None, None) => {
-            let said = |v: Option<&Value>| v.map(Value::told);
-            if !same(from, to) {
-                out.push(Change { path: path.to_owned(), from: said(from), to: said(to) });
+            let described = |v: Option<&Value>| v.map(Value::describe);
+            if !same_value(from, to) {
+                out.push(Change { path: path.to_owned(), from: described(from), to: described(to) });
             }
         }
         (one, other) => {
             // A part that came or went is told by what it holds, and by itself where the other has something else there.
             if (one.is_none() && from.is_some()) || (other.is_none() && to.is_some()) {
-                let said = |v: Option<&Value>| v.map(Value::told);
-                out.push(Change { path: path.to_owned(), from: said(from), to: said(to) });
+                let described = |v: Option<&Value>| v.map(Value::describe);
+                out.push(Change { path: path.to_owned(), from: described(from), to: described(to) });
                 return;
             }
             let (one, other) = (one.unwrap_or_default(), other.unwrap_or_default());
             let names: std::collections::BTreeSet<&String> = one.keys().chain(other.keys()).collect();
             if names.is_empty() && from.is_some() != to.is_some() {
-                let said = |v: Option<&Value>| v.map(|_| "empty".to_owned());
-                out.push(Change { path: path.to_owned(), from: said(from), to: said(to) });
+                let described = |v: Option<&Value>| v.map(|_| "empty".to_owned());
+                out.push(Change { path: path.to_owned(), from: described(from), to: described(to) });
             }
             for name in names {
                 let inner = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
@@ -52,19 +52,19 @@
 }
 
 /// The parts of a record or list.
-fn parts(value: Option<&Value>) -> Option<BTreeMap<String, &Value>> {
+fn children(value: Option<&Value>) -> Option<BTreeMap<String, &Value>> {
     match &value?.what {
-        What::Record(record) => Some(fields(record)),
-        What::List(all, _) => Some(elements(all)),
+        ValueKind::Record(record) => Some(fields(record)),
+        ValueKind::List(all, _) => Some(elements(all)),
         _ => None,
     }
 }
 
-fn same(from: Option<&Value>, to: Option<&Value>) -> bool {
+fn same_value(from: Option<&Value>, to: Option<&Value>) -> bool {
     match (from.map(|v| &v.what), to.map(|v| &v.what)) {
-        (Some(What::Number(a)), Some(What::Number(b))) => a.value == b.value && a.unit == b.unit,
+        (Some(ValueKind::Number(a)), Some(ValueKind::Number(b))) => a.value == b.value && a.unit == b.unit,
         // Where something was written is no part of what it means.
-        (Some(What::OneOf(a, x)), Some(What::OneOf(b, y))) => {
+        (Some(ValueKind::Disjunction(a, x)), Some(ValueKind::Disjunction(b, y))) => {
             x == y && a.len() == b.len() && a.iter().zip(b).all(|(a, b)| diff(a, b).is_empty())
         }
         (a, b) => a == b,
@@ -78,8 +78,8 @@
 /// Elements by their `name` where all have one of their own, so that a moved element is not a changed one.
 fn elements(all: &[Value]) -> BTreeMap<String, &Value> {
     let name = |v: &Value| match &v.what {
-        What::Record(record) => match &record.fields.get("name")?.value.what {
-            What::Text(name) => Some(name.clone()),
+        ValueKind::Record(record) => match &record.fields.get("name")?.value.what {
+            ValueKind::Text(name) => Some(name.clone()),
             _ => None,
         },
         _ => None,
--- a/crates/language/src/eval.rs
+++ b/crates/language/src/eval.rs
@@ -2,16 +2,18 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::fault::{Fault, Span};
+use crate::diagnostic::{Diagnostic, Span};
 use crate::parser::parse;
-use crate::syntax::{Kind, Node, Token};
-use crate::unify::{distance, unify};
-use crate::value::{read_number, unit_like, FieldValue, NumberFault, Order, RecordValue, Type, Value, What};
+use crate::syntax::{Node, SyntaxKind, Token};
+use crate::unify::{edit_distance, unify};
+use crate::value::{
+    parse_number, suggest_unit, Comparison, FieldValue, NumberError, RecordValue, Type, Value, ValueKind,
+};
 
 /// Files that may be included in all (count).
-const FILES_MOST: usize = 64;
+const MAX_FILES: usize = 64;
 /// Deepest chain of references.
-const CHAIN_MOST: usize = 64;
+const MAX_REFERENCE_DEPTH: usize = 64;
 
 /// Where included files come from.
 pub trait Loader {
@@ -46,17 +48,22 @@
 
 impl Sources {
     /// Reads a file and what it includes. A file that is included twice is read once.
-    pub fn read(name: &str, text: &str, loader: &mut dyn Loader, faults: &mut Vec<Fault>) -> Sources {
+    pub fn read(
+        name: &str,
+        text: &str,
+        loader: &mut dyn Loader,
+        diagnostics: &mut Vec<Diagnostic>,
+    ) -> Sources {
         let mut sources = Sources::default();
         let mut chain = Vec::new();
-        sources.add(name.to_owned(), text.to_owned(), loader, &mut chain, faults);
+        sources.add(name.to_owned(), text.to_owned(), loader, &mut chain, diagnostics);
         sources
     }
 
     /// Reads one more beside them, such as the definitions that all files are held against.
-    pub fn add_text(&mut self, name: &str, text: &str, faults: &mut Vec<Fault>) {
+    pub fn add_text(&mut self, name: &str, text: &str, diagnostics: &mut Vec<Diagnostic>) {
         let mut none = BTreeMap::new();
-        self.add(name.to_owned(), text.to_owned(), &mut none, &mut Vec::new(), faults);
+        self.add(name.to_owned(), text.to_owned(), &mut none, &mut Vec::new(), diagnostics);
     }
 
     fn add(
@@ -65,82 +72,87 @@
         text: String,
         loader: &mut dyn Loader,
         chain: &mut Vec<String>,
-        faults: &mut Vec<Fault>,
+        diagnostics: &mut Vec<Diagnostic>,
     ) {
         let file = self.files.len();
         let parsed = parse(&text);
-        faults.extend(parsed.faults.iter().cloned().map(|f| Fault { span: f.span.within(file), ..f }));
+        diagnostics.extend(
+            parsed.diagnostics.iter().cloned().map(|f| Diagnostic { span: f.span.in_file(file), ..f }),
+        );
         let root = parsed.root();
         self.files.push(Source { name: name.clone(), text });
         self.roots.push(root.clone());
         chain.push(name.clone());
-        for line in root.children().filter(|n| n.kind() == Kind::IncludeLine) {
-            let Some(token) = tokens(&line).find(|t| t.kind() == Kind::Text) else { continue };
-            let (span, wanted) = (span_of(&token, file), unquote(token.text()));
-            match loader.load(&name, &wanted) {
-                Err(why) => {
-                    let fault = Fault::new(span, format!("{wanted} can't be included: {why}"));
-                    faults.push(fault.fix("name a file below the search root"));
+        for line in root.children().filter(|n| n.kind() == SyntaxKind::IncludeStatement) {
+            let Some(token) = tokens(&line).find(|t| t.kind() == SyntaxKind::Text) else { continue };
+            let (span, path) = (token_span(&token, file), unquote(token.text()));
+            match loader.load(&name, &path) {
+                Err(reason) => {
+                    let diagnostic = Diagnostic::new(span, format!("{path} can't be included: {reason}"));
+                    diagnostics.push(diagnostic.fix("name a file below the search root"));
                 }
                 Ok((found, _)) if chain.contains(&found) => {
                     let from = chain.iter().position(|n| *n == found).unwrap_or(0);
-                    let round: Vec<&str> =
+                    let cycle: Vec<&str> =
                         chain[from..].iter().map(String::as_str).chain([found.as_str()]).collect();
-                    let fault = Fault::new(span, format!("includes go round: {}", round.join(" includes ")));
-                    faults.push(fault.fix("take one of these includes out"));
+                    let diagnostic =
+                        Diagnostic::new(span, format!("includes go round: {}", cycle.join(" includes ")));
+                    diagnostics.push(diagnostic.fix("take one of these includes out"));
                 }
                 Ok((found, _)) if self.files.iter().any(|s| s.name == found) => {}
-                Ok(_) if self.files.len() >= FILES_MOST => {
-                    let fault = Fault::new(span, format!("more than {FILES_MOST} files are included"));
-                    faults.push(fault.fix("put files together"));
+                Ok(_) if self.files.len() >= MAX_FILES => {
+                    let diagnostic =
+                        Diagnostic::new(span, format!("more than {MAX_FILES} files are included"));
+                    diagnostics.push(diagnostic.fix("put files together"));
                 }
-                Ok((found, text)) => self.add(found, text, loader, chain, faults),
+                Ok((found, text)) => self.add(found, text, loader, chain, diagnostics),
             }
         }
         chain.pop();
     }
 
     /// What all files say together, held against a definition of theirs.
-    pub fn value_of(&self, main: &str, faults: &mut Vec<Fault>) -> Value {
+    pub fn evaluate(&self, main: &str, diagnostics: &mut Vec<Diagnostic>) -> Value {
         let mut evaluator = Evaluator {
             sources: self,
             names: HashMap::new(),
-            faults: Vec::new(),
+            diagnostics: Vec::new(),
             depth: 0,
             path: Vec::new(),
         };
-        let written = evaluator.top();
-        let wanted = evaluator.named(main, None).map(|(value, ..)| value);
-        faults.append(&mut evaluator.faults);
-        match wanted {
-            Some(wanted) => unify(&wanted, &written, "", faults),
+        let written = evaluator.top_level();
+        let definition = evaluator.resolve_name(main, None).map(|(value, ..)| value);
+        diagnostics.append(&mut evaluator.diagnostics);
+        match definition {
+            Some(definition) => unify(&definition, &written, "", diagnostics),
             None => written,
         }
     }
 }
 
 fn tokens(node: &Node) -> impl Iterator<Item = Token> {
-    node.children_with_tokens().filter_map(rowan::NodeOrToken::into_token).filter(|t| !is_blank(t.kind()))
+    node.children_with_tokens().filter_map(rowan::NodeOrToken::into_token).filter(|t| !is_trivia(t.kind()))
 }
 
-fn is_blank(kind: Kind) -> bool {
-    matches!(kind, Kind::Space | Kind::Newline | Kind::Comment)
+fn is_trivia(kind: SyntaxKind) -> bool {
+    matches!(kind, SyntaxKind::Whitespace | SyntaxKind::Newline | SyntaxKind::Comment)
 }
 
-fn span_of(token: &Token, file: usize) -> Span {
+fn token_span(token: &Token, file: usize) -> Span {
     let range = token.text_range();
-    Span::new(range.start().into(), range.end().into()).within(file)
+    Span::new(range.start().into(), range.end().into()).in_file(file)
 }
 
 /// A node's part of its file, without the blanks round it.
-fn span_of_node(node: &Node, file: usize) -> Span {
-    let solid = |t: &Token| !is_blank(t.kind());
-    let all = || node.descendants_with_tokens().filter_map(rowan::NodeOrToken::into_token).filter(solid);
+fn node_span(node: &Node, file: usize) -> Span {
+    let significant = |t: &Token| !is_trivia(t.kind());
+    let all =
+        || node.descendants_with_tokens().filter_map(rowan::NodeOrToken::into_token).filter(significant);
     match (all().next(), all().last()) {
         (Some(first), Some(last)) => {
-            Span::new(first.text_range().start().into(), last.text_range().end().into()).within(file)
+            Span::new(first.text_range().start().into(), last.text_range().end().into()).in_file(file)
         }
-        _ => Span::new(node.text_range().start().into(), node.text_range().end().into()).within(file),
+        _ => Span::new(node.text_range().start().into(), node.text_range().end().into()).in_file(file),
     }
 }
 
@@ -166,42 +178,43 @@
 /// The fields of a record or file: name, whether optional, where named, and the value's node.
 fn fields(node: &Node, file: usize) -> Vec<(String, bool, Span, Option<Node>)> {
     let of = |field: Node| {
-        let label = field.children().find(|n| n.kind() == Kind::Label)?;
+        let label = field.children().find(|n| n.kind() == SyntaxKind::Label)?;
         let name = tokens(&label).next()?;
-        let optional = tokens(&label).any(|t| t.kind() == Kind::Question);
-        let value = field.children().find(|n| n.kind() != Kind::Label);
-        let plain = if name.kind() == Kind::Text { unquote(name.text()) } else { name.text().to_owned() };
-        Some((plain, optional, span_of(&name, file), value))
+        let optional = tokens(&label).any(|t| t.kind() == SyntaxKind::Question);
+        let value = field.children().find(|n| n.kind() != SyntaxKind::Label);
+        let plain =
+            if name.kind() == SyntaxKind::Text { unquote(name.text()) } else { name.text().to_owned() };
+        Some((plain, optional, token_span(&name, file), value))
     };
-    node.children().filter(|n| n.kind() == Kind::Field).filter_map(of).collect()
+    node.children().filter(|n| n.kind() == SyntaxKind::Field).filter_map(of).collect()
 }
 
 /// The records round a place, the innermost last, each with its file.
 type Scope = Vec<(usize, Node)>;
 
-enum Named {
-    UnderWay,
-    Known(Value),
+enum Resolution {
+    InProgress,
+    Done(Value),
 }
 
 struct Evaluator<'a> {
     sources: &'a Sources,
     /// Names of the top by what they stand for.
-    names: HashMap<String, Named>,
-    faults: Vec<Fault>,
+    names: HashMap<String, Resolution>,
+    diagnostics: Vec<Diagnostic>,
     depth: usize,
     /// The field that is being evaluated, for messages.
     path: Vec<String>,
 }
 
 impl Evaluator<'_> {
-    fn fault(&mut self, span: Span, what: impl Into<String>, fix: impl Into<String>) -> Value {
-        self.faults.push(Fault::new(span, what).fix(fix));
-        Value::new(What::Wrong, span)
+    fn report(&mut self, span: Span, message: impl Into<String>, fix: impl Into<String>) -> Value {
+        self.diagnostics.push(Diagnostic::new(span, message).fix(fix));
+        Value::new(ValueKind::Invalid, span)
     }
 
     /// All top fields that are no definitions, as one record.
-    fn top(&mut self) -> Value {
+    fn top_level(&mut self) -> Value {
         let mut names: Vec<String> = Vec::new();
         for (file, root) in self.sources.roots.iter().enumerate() {
             for (name, ..) in fields(root, file) {
@@ -212,16 +225,16 @@
         }
         let mut record = RecordValue::default();
         for name in names {
-            let Some((value, optional, span)) = self.named(&name, None) else { continue };
+            let Some((value, optional, span)) = self.resolve_name(&name, None) else { continue };
             if !name.starts_with('#') {
                 record.fields.insert(name, FieldValue { value, optional, span });
             }
         }
-        Value::new(What::Record(record), Span::default())
+        Value::new(ValueKind::Record(record), Span::default())
     }
 
     /// What a name of the top stands for: what all files say of it together.
-    fn named(&mut self, name: &str, from: Option<Span>) -> Option<(Value, bool, Span)> {
+    fn resolve_name(&mut self, name: &str, from: Option<Span>) -> Option<(Value, bool, Span)> {
         let mut found = Vec::new();
         for (file, root) in self.sources.roots.iter().enumerate() {
             let own = fields(root, file).into_iter().filter(|(n, ..)| n == name);
@@ -230,9 +243,9 @@
         let (_, _, (_, _, first, _)) = found.first()?;
         let (first, optional) = (*first, found.iter().all(|(_, _, (_, optional, ..))| *optional));
         match self.names.get(name) {
-            Some(Named::Known(value)) => return Some((value.clone(), optional, first)),
-            Some(Named::UnderWay) => {
-                let value = self.fault(
+            Some(Resolution::Done(value)) => return Some((value.clone(), optional, first)),
+            Some(Resolution::InProgress) => {
+                let value = self.report(
                     from.unwrap_or(first),
                     format!("{name} stands for itself"),
                     "break the circle: give one of these names a value of its own",
@@ -241,18 +254,18 @@
             }
             None => {}
         }
-        self.names.insert(name.to_owned(), Named::UnderWay);
+        self.names.insert(name.to_owned(), Resolution::InProgress);
         let outer = std::mem::replace(&mut self.path, vec![name.to_owned()]);
         let mut value: Option<Value> = None;
         for (file, root, (_, _, label, node)) in found {
             let scope = vec![(file, root)];
             let own = match node {
                 Some(node) => self.value(&node, &scope),
-                None => Value::new(What::Wrong, label),
+                None => Value::new(ValueKind::Invalid, label),
             };
             value = Some(match value {
                 None => own,
-                Some(before) => unify(&before, &own, name, &mut self.faults),
+                Some(before) => unify(&before, &own, name, &mut self.diagnostics),
             });
         }
         self.path = outer;
@@ -260,18 +273,18 @@
         if name.starts_with('#') {
             close(&mut value);
         }
-        self.names.insert(name.to_owned(), Named::Known(value.clone()));
+        self.names.insert(name.to_owned(), Resolution::Done(value.clone()));
         Some((value, optional, first))
     }
 
     fn value(&mut self, node: &Node, scope: &Scope) -> Value {
         let file = scope.last().map_or(0, |(file, _)| *file);
-        let at = span_of_node(node, file);
-        if self.depth >= CHAIN_MOST {
-            return self.fault(
+        let at = node_span(node, file);
+        if self.depth >= MAX_REFERENCE_DEPTH {
+            return self.report(
                 at,
                 "references go too deep",
-                format!("refer through no more than {CHAIN_MOST} names"),
+                format!("refer through no more than {MAX_REFERENCE_DEPTH} names"),
             );
         }
         self.depth += 1;
@@ -282,57 +295,57 @@
 
     fn value_within(&mut self, node: &Node, scope: &Scope, file: usize, at: Span) -> Value {
         let what = match node.kind() {
-            Kind::Literal => return self.literal(node, at),
-            Kind::Group => match node.children().next() {
+            SyntaxKind::Literal => return self.literal(node, at),
+            SyntaxKind::Group => match node.children().next() {
                 Some(inner) => return self.value(&inner, scope),
-                None => What::Wrong,
+                None => ValueKind::Invalid,
             },
-            Kind::Default => match node.children().next() {
+            SyntaxKind::Default => match node.children().next() {
                 Some(inner) => return self.value(&inner, scope),
-                None => What::Wrong,
+                None => ValueKind::Invalid,
             },
-            Kind::Reference => return self.reference(node, scope, file, at),
-            Kind::Bound => return self.bound(node, scope, at),
-            Kind::Conjunction => {
+            SyntaxKind::Reference => return self.reference(node, scope, file, at),
+            SyntaxKind::Bound => return self.bound(node, scope, at),
+            SyntaxKind::Conjunction => {
                 let mut all: Option<Value> = None;
                 for part in node.children() {
                     let own = self.value(&part, scope);
                     all = Some(match all {
                         None => own,
                         Some(before) => {
-                            let mut both = unify(&before, &own, &self.path.join("."), &mut self.faults);
+                            let mut both = unify(&before, &own, &self.path.join("."), &mut self.diagnostics);
                             both.span = at;
                             both
                         }
                     });
                 }
-                return all.unwrap_or(Value::new(What::Wrong, at));
+                return all.unwrap_or(Value::new(ValueKind::Invalid, at));
             }
-            Kind::Disjunction => {
+            SyntaxKind::Disjunction => {
                 let (mut all, mut default) = (Vec::new(), None);
                 for part in node.children() {
-                    if part.kind() == Kind::Default {
+                    if part.kind() == SyntaxKind::Default {
                         default = Some(all.len());
                     }
                     all.push(self.value(&part, scope));
                 }
-                What::OneOf(all, default)
+                ValueKind::Disjunction(all, default)
             }
-            Kind::List => {
-                let (mut all, mut more) = (Vec::new(), None);
+            SyntaxKind::List => {
+                let (mut all, mut rest) = (Vec::new(), None);
                 for part in node.children() {
-                    if part.kind() == Kind::Open {
-                        let any = Value::new(What::Type(Type::Any), at);
+                    if part.kind() == SyntaxKind::Rest {
+                        let any = Value::new(ValueKind::Type(Type::Any), at);
                         let of = part.children().next().map(|inner| self.value(&inner, scope));
-                        more = Some(Box::new(of.unwrap_or(any)));
+                        rest = Some(Box::new(of.unwrap_or(any)));
                     } else {
                         all.push(self.value(&part, scope));
                     }
                 }
-                What::List(all, more)
+                ValueKind::List(all, rest)
             }
-            Kind::Record => What::Record(self.record(node, scope, file)),
-            _ => What::Wrong,
+            SyntaxKind::Record => ValueKind::Record(self.record(node, scope, file)),
+            _ => ValueKind::Invalid,
         };
         Value::new(what, at)
     }
@@ -343,105 +356,109 @@
         let mut record = RecordValue::default();
         for (name, optional, span, value) in fields(node, file) {
             self.path.push(name.clone());
-            let value = value.map_or(Value::new(What::Wrong, span), |v| self.value(&v, &inner));
+            let value = value.map_or(Value::new(ValueKind::Invalid, span), |v| self.value(&v, &inner));
             self.path.pop();
             let field = match record.fields.remove(&name) {
                 None => FieldValue { value, optional, span },
                 Some(before) => FieldValue {
-                    value: unify(&before.value, &value, &name, &mut self.faults),
+                    value: unify(&before.value, &value, &name, &mut self.diagnostics),
                     optional: before.optional && optional,
                     span,
                 },
             };
             record.fields.insert(name, field);
         }
-        if let Some(open) = node.children().find(|n| n.kind() == Kind::Open) {
-            let any = Value::new(What::Type(Type::Any), span_of_node(&open, file));
-            let of = open.children().next().map(|v| self.value(&v, &inner));
-            record.others = Some(Box::new(of.unwrap_or(any)));
+        if let Some(rest) = node.children().find(|n| n.kind() == SyntaxKind::Rest) {
+            let any = Value::new(ValueKind::Type(Type::Any), node_span(&rest, file));
+            let of = rest.children().next().map(|v| self.value(&v, &inner));
+            record.rest = Some(Box::new(of.unwrap_or(any)));
         }
         record
     }
 
     fn literal(&mut self, node: &Node, at: Span) -> Value {
-        let Some(token) = tokens(node).next() else { return Value::new(What::Wrong, at) };
+        let Some(token) = tokens(node).next() else { return Value::new(ValueKind::Invalid, at) };
         let what = match token.kind() {
-            Kind::True => What::Bool(true),
-            Kind::False => What::Bool(false),
-            Kind::Text => What::Text(unquote(token.text())),
-            Kind::Number => {
-                match read_number(token.text()) {
-                    Ok(quantity) => What::Number(quantity),
-                    Err(NumberFault::Unit(unit)) => {
+            SyntaxKind::True => ValueKind::Bool(true),
+            SyntaxKind::False => ValueKind::Bool(false),
+            SyntaxKind::Text => ValueKind::Text(unquote(token.text())),
+            SyntaxKind::Number => {
+                match parse_number(token.text()) {
+                    Ok(quantity) => ValueKind::Number(quantity),
+                    Err(NumberError::UnknownUnit(unit)) => {
                         let digits = token.text().strip_suffix(unit.as_str()).unwrap_or("");
-                        let fix = match unit_like(&unit) {
+                        let fix = match suggest_unit(&unit) {
                         Some(like) => format!("did you mean {digits}{like}?"),
                         None => "the units are ns us ms s min h d, B KB MB GB KiB MiB GiB, /s /min /h /d, and %".to_owned(),
                     };
-                        return self.fault(at, format!("{unit} is no unit"), fix);
+                        return self.report(at, format!("{unit} is no unit"), fix);
                     }
-                    Err(NumberFault::Digits) => {
-                        return self.fault(at, format!("{} is no number", token.text()), "write digits")
+                    Err(NumberError::InvalidDigits) => {
+                        return self.report(at, format!("{} is no number", token.text()), "write digits")
                     }
                 }
             }
-            _ => What::Wrong,
+            _ => ValueKind::Invalid,
         };
         Value::new(what, at)
     }
 
     fn bound(&mut self, node: &Node, scope: &Scope, at: Span) -> Value {
-        let order = tokens(node).find_map(|t| {
+        let comparison = tokens(node).find_map(|t| {
             Some(match t.kind() {
-                Kind::Below => Order::Below,
-                Kind::AtMost => Order::AtMost,
-                Kind::Above => Order::Above,
-                Kind::AtLeast => Order::AtLeast,
-                Kind::Not => Order::Not,
+                SyntaxKind::Less => Comparison::Less,
+                SyntaxKind::LessOrEqual => Comparison::LessOrEqual,
+                SyntaxKind::Greater => Comparison::Greater,
+                SyntaxKind::GreaterOrEqual => Comparison::GreaterOrEqual,
+                SyntaxKind::NotEqual => Comparison::NotEqual,
                 _ => return None,
             })
         });
         let inner = node.children().next().map(|v| self.value(&v, scope));
-        match (order, inner.map(|v| v.what)) {
-            (Some(order), Some(What::Number(q))) => {
-                Value::new(What::Bounded(Type::Number(q.unit, false), vec![(order, q.value)]), at)
+        match (comparison, inner.map(|v| v.what)) {
+            (Some(comparison), Some(ValueKind::Number(q))) => {
+                Value::new(ValueKind::Bounded(Type::Number(q.unit, false), vec![(comparison, q.value)]), at)
             }
-            (_, Some(What::Wrong)) => Value::new(What::Wrong, at),
-            _ => self.fault(at, "only a number can be a bound", "write the bound as a number with its unit"),
+            (_, Some(ValueKind::Invalid)) => Value::new(ValueKind::Invalid, at),
+            _ => self.report(at, "only a number can be a bound", "write the bound as a number with its unit"),
         }
     }
 
     fn reference(&mut self, node: &Node, scope: &Scope, file: usize, at: Span) -> Value {
-        let path: Vec<Token> = tokens(node).filter(|t| matches!(t.kind(), Kind::Name | Kind::Text)).collect();
-        let Some(first) = path.first() else { return Value::new(What::Wrong, at) };
+        let path: Vec<Token> =
+            tokens(node).filter(|t| matches!(t.kind(), SyntaxKind::Name | SyntaxKind::Text)).collect();
+        let Some(first) = path.first() else { return Value::new(ValueKind::Invalid, at) };
         let name = first.text().to_owned();
         // Types are the language's own words: a field of such a name is not meant.
-        let mut value = match Type::named(&name).map(|known| Value::new(What::Type(known), at)) {
+        let mut value = match Type::from_name(&name).map(|known| Value::new(ValueKind::Type(known), at)) {
             Some(known) => known,
-            None => match self.find(&name, scope, at) {
+            None => match self.lookup(&name, scope, at) {
                 Some(value) => value,
                 None => {
-                    let near = self.near(&name, scope);
-                    let fix = near.map_or("define it, or put a text in quotes".to_owned(), |n| {
+                    let closest = self.closest_name(&name, scope);
+                    let fix = closest.map_or("define it, or put a text in quotes".to_owned(), |n| {
                         format!("did you mean {n}?")
                     });
-                    return self.fault(span_of(first, file), format!("nothing is called {name}"), fix);
+                    return self.report(token_span(first, file), format!("nothing is called {name}"), fix);
                 }
             },
         };
         for token in &path[1..] {
-            let part =
-                if token.kind() == Kind::Text { unquote(token.text()) } else { token.text().to_owned() };
+            let part = if token.kind() == SyntaxKind::Text {
+                unquote(token.text())
+            } else {
+                token.text().to_owned()
+            };
             let next = match &value.what {
-                What::Record(record) => record.fields.get(&part).map(|f| f.value.clone()),
-                What::Wrong => return value,
+                ValueKind::Record(record) => record.fields.get(&part).map(|f| f.value.clone()),
+                ValueKind::Invalid => return value,
                 _ => None,
             };
             match next {
                 Some(next) => value = next,
                 None => {
                     let fix = "name a field that the record has";
-                    return self.fault(span_of(token, file), format!("{name} has no field {part}"), fix);
+                    return self.report(token_span(token, file), format!("{name} has no field {part}"), fix);
                 }
             }
         }
@@ -449,7 +466,7 @@
     }
 
     /// The innermost field of a name round a place.
-    fn find(&mut self, name: &str, scope: &Scope, from: Span) -> Option<Value> {
+    fn lookup(&mut self, name: &str, scope: &Scope, from: Span) -> Option<Value> {
         for depth in (1..scope.len()).rev() {
             let (file, node) = scope[depth].clone();
             let own = fields(&node, file).into_iter().find(|(n, ..)| n == name);
@@ -457,62 +474,71 @@
                 return Some(self.value(&value, &scope[..=depth].to_vec()));
             }
         }
-        self.named(name, Some(from)).map(|(value, ..)| value)
+        self.resolve_name(name, Some(from)).map(|(value, ..)| value)
     }
 
-    fn near(&self, name: &str, scope: &Scope) -> Option<String> {
+    fn closest_name(&self, name: &str, scope: &Scope) -> Option<String> {
         let tops = self.sources.roots.iter().enumerate().map(|(file, root)| (file, root.clone()));
         let all = tops.chain(scope.iter().skip(1).cloned()).flat_map(|(file, node)| fields(&node, file));
         let types = ["int", "number", "time", "size", "rate", "share", "text", "bool", "any"];
         let names = all.map(|(n, ..)| n).chain(types.map(str::to_owned));
-        names.map(|n| (distance(name, &n), n)).min().filter(|(far, _)| *far <= 2).map(|(_, n)| n)
+        names.map(|n| (edit_distance(name, &n), n)).min().filter(|(edits, _)| *edits <= 2).map(|(_, n)| n)
     }
 }
 
 /// A definition's records take no other fields than it names, at any depth.
 fn close(value: &mut Value) {
     match &mut value.what {
-        What::Record(record) => {
-            record.closed = record.others.is_none();
+        ValueKind::Record(record) => {
+            record.closed = record.rest.is_none();
             record.fields.values_mut().for_each(|field| close(&mut field.value));
-            record.others.iter_mut().for_each(|other| close(other));
+            record.rest.iter_mut().for_each(|other| close(other));
         }
-        What::List(all, more) => {
+        ValueKind::List(all, rest) => {
             all.iter_mut().for_each(close);
-            more.iter_mut().for_each(|more| close(more));
+            rest.iter_mut().for_each(|rest| close(rest));
         }
-        What::OneOf(all, _) => all.iter_mut().for_each(close),
+        ValueKind::Disjunction(all, _) => all.iter_mut().for_each(close),
         _ => {}
     }
 }
 
 /// What is left of a value once defaults are taken: something definite, or a fault that says what is
 /// missing. `round` is the record or list round it, where what is missing would stand.
-pub fn settle(value: &Value, path: &str, round: Span, faults: &mut Vec<Fault>) -> Value {
+pub fn resolve_defaults(
+    value: &Value,
+    path: &str,
+    enclosing: Span,
+    diagnostics: &mut Vec<Diagnostic>,
+) -> Value {
     let join = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     let what = match &value.what {
-        What::OneOf(all, Some(default)) => return settle(&all[*default], path, round, faults),
-        What::Type(_) | What::Bounded(..) | What::OneOf(..) => {
-            let fault = Fault::new(round, format!("{path} is missing"));
-            faults.push(fault.fix(format!("write {path}: {}", value.told())));
-            What::Wrong
+        ValueKind::Disjunction(all, Some(default)) => {
+            return resolve_defaults(&all[*default], path, enclosing, diagnostics)
+        }
+        ValueKind::Type(_) | ValueKind::Bounded(..) | ValueKind::Disjunction(..) => {
+            let diagnostic = Diagnostic::new(enclosing, format!("{path} is missing"));
+            diagnostics.push(diagnostic.fix(format!("write {path}: {}", value.describe())));
+            ValueKind::Invalid
         }
-        What::Record(record) => {
-            let mut out = RecordValue { others: None, ..RecordValue::default() };
+        ValueKind::Record(record) => {
+            let mut out = RecordValue { rest: None, ..RecordValue::default() };
             for (name, field) in &record.fields {
                 // Whoever wrote the field made it count; a definition alone does not.
                 if field.optional {
                     continue;
                 }
-                let value = settle(&field.value, &join(name), value.span, faults);
+                let value = resolve_defaults(&field.value, &join(name), value.span, diagnostics);
                 out.fields.insert(name.clone(), FieldValue { value, ..field.clone() });
             }
-            What::Record(out)
+            ValueKind::Record(out)
         }
-        What::List(all, _) => {
-            let settled =
-                all.iter().enumerate().map(|(i, v)| settle(v, &format!("{path}[{i}]"), value.span, faults));
-            What::List(settled.collect(), None)
+        ValueKind::List(all, _) => {
+            let resolved = all
+                .iter()
+                .enumerate()
+                .map(|(i, v)| resolve_defaults(v, &format!("{path}[{i}]"), value.span, diagnostics));
+            ValueKind::List(resolved.collect(), None)
         }
         other => other.clone(),
     };
--- a/crates/language/src/format.rs
+++ b/crates/language/src/format.rs
@@ -1,89 +1,97 @@
 //! The formatter: one way to lay a file out. Only blanks change; formatting what was formatted changes nothing.
 
 use crate::parser::parse;
-use crate::syntax::{lex, Kind};
+use crate::syntax::{lex, SyntaxKind};
 
 /// Blanks of a level.
 const INDENT: usize = 2;
 /// Longest line on which a record or list that was written on one line stays.
-const WIDTH: usize = 100;
+const MAX_LINE_WIDTH: usize = 100;
 
 /// Lays a file out; none where it can't be read.
 pub fn format(text: &str) -> Option<String> {
-    if !parse(text).faults.is_empty() {
+    if !parse(text).diagnostics.is_empty() {
         return None;
     }
-    let tokens: Vec<(Kind, &str)> = lex(text).into_iter().map(|t| (t.kind, t.text)).collect();
-    let mut out = Out { text: String::with_capacity(text.len()), depth: 0, lines: 0, fresh: true };
+    let tokens: Vec<(SyntaxKind, &str)> = lex(text).into_iter().map(|t| (t.kind, t.text)).collect();
+    let mut out = Output {
+        text: String::with_capacity(text.len()),
+        depth: 0,
+        pending_newlines: 0,
+        at_line_start: true,
+    };
     let mut at = 0;
-    let mut flat: Vec<bool> = Vec::new();
-    let mut last = None;
-    while let Some(&(kind, word)) = tokens.get(at) {
+    let mut inline: Vec<bool> = Vec::new();
+    let mut previous = None;
+    while let Some(&(kind, text)) = tokens.get(at) {
         match kind {
-            Kind::Space => {}
-            Kind::Newline => out.lines += 1,
-            Kind::Comment => out.comment(word.trim_end()),
-            Kind::OpenBrace | Kind::OpenBracket => {
-                let is_flat = flat.last().copied().unwrap_or(false) || fits(&tokens[at..], out.column());
-                let empty =
-                    next(&tokens, at + 1).is_some_and(|k| matches!(k, Kind::CloseBrace | Kind::CloseBracket));
-                out.word(kind, word, last);
-                flat.push(is_flat);
-                out.depth += usize::from(!is_flat);
-                if !is_flat && !empty {
-                    out.lines = 1;
+            SyntaxKind::Whitespace => {}
+            SyntaxKind::Newline => out.pending_newlines += 1,
+            SyntaxKind::Comment => out.write_comment(text.trim_end()),
+            SyntaxKind::OpenBrace | SyntaxKind::OpenBracket => {
+                let is_inline =
+                    inline.last().copied().unwrap_or(false) || fits_on_line(&tokens[at..], out.column());
+                let empty = next_significant(&tokens, at + 1)
+                    .is_some_and(|k| matches!(k, SyntaxKind::CloseBrace | SyntaxKind::CloseBracket));
+                out.write_token(kind, text, previous);
+                inline.push(is_inline);
+                out.depth += usize::from(!is_inline);
+                if !is_inline && !empty {
+                    out.pending_newlines = 1;
                     out.break_line();
                 }
-                if is_flat {
-                    out.lines = 0;
+                if is_inline {
+                    out.pending_newlines = 0;
                 }
             }
-            Kind::CloseBrace | Kind::CloseBracket => {
-                let is_flat = flat.pop().unwrap_or(true);
-                if is_flat {
-                    out.lines = 0;
+            SyntaxKind::CloseBrace | SyntaxKind::CloseBracket => {
+                let is_inline = inline.pop().unwrap_or(true);
+                if is_inline {
+                    out.pending_newlines = 0;
                 } else {
                     out.depth = out.depth.saturating_sub(1);
-                    if !matches!(last, Some(Kind::OpenBrace | Kind::OpenBracket)) {
-                        out.lines = 1;
+                    if !matches!(previous, Some(SyntaxKind::OpenBrace | SyntaxKind::OpenBracket)) {
+                        out.pending_newlines = 1;
                         out.break_line();
                     } else {
-                        out.lines = 0;
-                        out.unbreak();
+                        out.pending_newlines = 0;
+                        out.undo_line_break();
                     }
                 }
-                out.word(kind, word, last);
+                out.write_token(kind, text, previous);
             }
-            Kind::Comma => {
+            SyntaxKind::Comma => {
                 // At the end of a line a comma says nothing that the line's end does not.
-                let ends = ends_line(&tokens, at + 1);
-                let is_flat = flat.last().copied().unwrap_or(false);
-                let closes =
-                    matches!(next(&tokens, at + 1), Some(Kind::CloseBrace | Kind::CloseBracket) | None);
-                if is_flat && !closes {
-                    out.lines = 0;
+                let at_line_end = ends_line(&tokens, at + 1);
+                let is_inline = inline.last().copied().unwrap_or(false);
+                let closes = matches!(
+                    next_significant(&tokens, at + 1),
+                    Some(SyntaxKind::CloseBrace | SyntaxKind::CloseBracket) | None
+                );
+                if is_inline && !closes {
+                    out.pending_newlines = 0;
                     out.text.push(',');
-                } else if !is_flat && !ends {
-                    out.lines = 1;
+                } else if !is_inline && !at_line_end {
+                    out.pending_newlines = 1;
                     out.break_line();
-                    last = None;
+                    previous = None;
                     at += 1;
                     continue;
                 }
             }
             _ => {
-                if flat.last().copied().unwrap_or(false) {
+                if inline.last().copied().unwrap_or(false) {
                     // Lines of what fits on one line are joined; commas stand between its fields.
-                    if out.lines > 0 && joins(last) {
+                    if out.pending_newlines > 0 && ends_value(previous) {
                         out.text.push(',');
                     }
-                    out.lines = 0;
+                    out.pending_newlines = 0;
                 }
-                out.word(kind, word, last);
+                out.write_token(kind, text, previous);
             }
         }
-        if !matches!(kind, Kind::Space | Kind::Newline) {
-            last = Some(kind);
+        if !matches!(kind, SyntaxKind::Whitespace | SyntaxKind::Newline) {
+            previous = Some(kind);
         }
         at += 1;
     }
@@ -95,124 +103,125 @@
     Some(out.text)
 }
 
-struct Out {
+struct Output {
     text: String,
     depth: usize,
     /// Line ends since the last word.
-    lines: usize,
+    pending_newlines: usize,
     /// Nothing stands on the present line.
-    fresh: bool,
+    at_line_start: bool,
 }
 
-impl Out {
+impl Output {
     fn column(&self) -> usize {
         self.text.len() - self.text.rfind('\n').map_or(0, |at| at + 1)
     }
 
     fn break_line(&mut self) {
-        if !self.fresh {
+        if !self.at_line_start {
             self.text.push('\n');
-            self.fresh = true;
+            self.at_line_start = true;
         }
         // One empty line is kept, more are not; none stands at the start of a file.
-        if self.lines > 1 && !self.text.is_empty() && !self.text.ends_with("\n\n") {
+        if self.pending_newlines > 1 && !self.text.is_empty() && !self.text.ends_with("\n\n") {
             self.text.push('\n');
         }
-        self.lines = 0;
+        self.pending_newlines = 0;
     }
 
     /// Takes back a line end that was made for nothing.
-    fn unbreak(&mut self) {
+    fn undo_line_break(&mut self) {
         let end = self.text.trim_end().len();
         self.text.truncate(end);
-        self.fresh = false;
+        self.at_line_start = false;
     }
 
-    fn begin(&mut self) {
-        if self.fresh {
+    fn write_indent(&mut self) {
+        if self.at_line_start {
             self.text.push_str(&" ".repeat(INDENT * self.depth));
-            self.fresh = false;
+            self.at_line_start = false;
         }
     }
 
-    fn word(&mut self, kind: Kind, word: &str, last: Option<Kind>) {
-        if self.lines > 0 {
+    fn write_token(&mut self, kind: SyntaxKind, text: &str, previous: Option<SyntaxKind>) {
+        if self.pending_newlines > 0 {
             self.break_line();
         }
-        let first = self.fresh;
-        self.begin();
-        if !first && last.is_some_and(|last| spaced(last, kind)) {
+        let first = self.at_line_start;
+        self.write_indent();
+        if !first && previous.is_some_and(|previous| needs_space(previous, kind)) {
             self.text.push(' ');
         }
-        self.text.push_str(word);
+        self.text.push_str(text);
     }
 
-    fn comment(&mut self, word: &str) {
-        if self.lines > 0 || self.fresh {
+    fn write_comment(&mut self, text: &str) {
+        if self.pending_newlines > 0 || self.at_line_start {
             self.break_line();
-            self.begin();
+            self.write_indent();
         } else {
             self.text.push_str("  ");
         }
-        self.text.push_str(word);
-        self.lines = 0;
+        self.text.push_str(text);
+        self.pending_newlines = 0;
         // What follows a comment is on another line whatever comes.
         self.text.push('\n');
-        self.fresh = true;
+        self.at_line_start = true;
     }
 }
 
 /// Whether a blank stands between two words on a line.
-fn spaced(last: Kind, next: Kind) -> bool {
-    use Kind::*;
+fn needs_space(previous: SyntaxKind, next: SyntaxKind) -> bool {
+    use SyntaxKind::*;
     !matches!(
-        (last, next),
+        (previous, next),
         (_, Colon | Comma | Question | Dot | CloseParen | CloseBracket)
             | (Dot | OpenParen | OpenBracket | Star | Ellipsis, _)
-            | (AtMost | AtLeast | Below | Above | Not, _)
+            | (LessOrEqual | GreaterOrEqual | Less | Greater | NotEqual, _)
             | (OpenBrace, CloseBrace)
     )
 }
 
 /// Whether a field or element ends here, so that a comma must stand before the next.
-fn joins(last: Option<Kind>) -> bool {
-    use Kind::*;
+fn ends_value(previous: Option<SyntaxKind>) -> bool {
+    use SyntaxKind::*;
     matches!(
-        last,
+        previous,
         Some(Name | Number | Text | True | False | CloseBrace | CloseBracket | CloseParen | Ellipsis)
     )
 }
 
-fn next(tokens: &[(Kind, &str)], from: usize) -> Option<Kind> {
-    let solid = |k: &Kind| !matches!(k, Kind::Space | Kind::Newline | Kind::Comment);
-    tokens[from.min(tokens.len())..].iter().map(|t| t.0).find(solid)
+fn next_significant(tokens: &[(SyntaxKind, &str)], from: usize) -> Option<SyntaxKind> {
+    let significant =
+        |k: &SyntaxKind| !matches!(k, SyntaxKind::Whitespace | SyntaxKind::Newline | SyntaxKind::Comment);
+    tokens[from.min(tokens.len())..].iter().map(|t| t.0).find(significant)
 }
 
-fn ends_line(tokens: &[(Kind, &str)], from: usize) -> bool {
+fn ends_line(tokens: &[(SyntaxKind, &str)], from: usize) -> bool {
     let rest = &tokens[from.min(tokens.len())..];
     rest.iter()
         .map(|t| t.0)
-        .find(|k| *k != Kind::Space)
-        .is_none_or(|k| matches!(k, Kind::Newline | Kind::Comment))
+        .find(|k| *k != SyntaxKind::Whitespace)
+        .is_none_or(|k| matches!(k, SyntaxKind::Newline | SyntaxKind::Comment))
 }
 
 /// Whether a record or list was written on one line and fits on one.
-fn fits(tokens: &[(Kind, &str)], column: usize) -> bool {
+fn fits_on_line(tokens: &[(SyntaxKind, &str)], column: usize) -> bool {
     let (mut depth, mut width) = (0_usize, column);
-    for (kind, word) in tokens {
+    for (kind, text) in tokens {
         match kind {
-            Kind::Newline | Kind::Comment => return false,
-            Kind::OpenBrace | Kind::OpenBracket => depth += 1,
-            Kind::CloseBrace | Kind::CloseBracket => {
+            SyntaxKind::Newline | SyntaxKind::Comment => return false,
+            SyntaxKind::OpenBrace | SyntaxKind::OpenBracket => depth += 1,
+            SyntaxKind::CloseBrace | SyntaxKind::CloseBracket => {
                 depth -= 1;
                 if depth == 0 {
-                    return width < WIDTH;
+                    return width < MAX_LINE_WIDTH;
                 }
             }
-            Kind::Space => continue,
+            SyntaxKind::Whitespace => continue,
             _ => {}
         }
-        width += word.len() + 1;
+        width += text.len() + 1;
     }
     false
 }
--- a/crates/language/src/lib.rs
+++ b/crates/language/src/lib.rs
@@ -6,9 +6,9 @@
 
 #![forbid(unsafe_code)]
 
+pub mod diagnostic;
 pub mod diff;
 pub mod eval;
-pub mod fault;
 pub mod format;
 pub mod message;
 pub mod parser;
@@ -16,9 +16,9 @@
 pub mod unify;
 pub mod value;
 
-use eval::{settle, Loader, Sources};
-use fault::Fault;
-use value::{Value, What};
+use diagnostic::Diagnostic;
+use eval::{resolve_defaults, Loader, Sources};
+use value::{Value, ValueKind};
 
 /// What reading a configuration came to.
 #[derive(Clone, Debug)]
@@ -28,23 +28,23 @@
     /// What they say, with all defaults taken; parts that are wrong are [`What::Wrong`].
     pub value: Value,
     /// What is wrong, in the order of files and lines.
-    pub faults: Vec<Fault>,
+    pub diagnostics: Vec<Diagnostic>,
 }
 
 /// Reads a file with all that it includes, and holds it against the definition `main` of `definitions`.
 pub fn read(name: &str, text: &str, loader: &mut dyn Loader, definitions: &str, main: &str) -> Outcome {
-    let mut faults = Vec::new();
-    let mut sources = Sources::read(name, text, loader, &mut faults);
+    let mut diagnostics = Vec::new();
+    let mut sources = Sources::read(name, text, loader, &mut diagnostics);
     // Guards against messages about what is missing only because it could not be read.
-    let mut settled = Value::new(What::Wrong, Default::default());
-    if faults.is_empty() {
-        sources.add_text("(definitions)", definitions, &mut faults);
-        let value = sources.value_of(main, &mut faults);
-        if faults.is_empty() {
-            settled = settle(&value, "", Default::default(), &mut faults);
+    let mut resolved = Value::new(ValueKind::Invalid, Default::default());
+    if diagnostics.is_empty() {
+        sources.add_text("(definitions)", definitions, &mut diagnostics);
+        let value = sources.evaluate(main, &mut diagnostics);
+        if diagnostics.is_empty() {
+            resolved = resolve_defaults(&value, "", Default::default(), &mut diagnostics);
         }
     }
-    faults.sort_by_key(|f| f.span);
-    faults.dedup();
-    Outcome { sources, value: settled, faults }
+    diagnostics.sort_by_key(|d| d.span);
+    diagnostics.dedup();
+    Outcome { sources, value: resolved, diagnostics }
 }
--- a/crates/language/src/message.rs
+++ b/crates/language/src/message.rs
@@ -1,16 +1,19 @@
 //! Messages as operators read them: file, line, column, the text in question, and the way to mend it.
 
-use miette::{Diagnostic, GraphicalReportHandler, GraphicalTheme, LabeledSpan, NamedSource, SourceCode};
+use miette::{
+    Diagnostic as MietteDiagnostic, GraphicalReportHandler, GraphicalTheme, LabeledSpan, NamedSource,
+    SourceCode,
+};
 
+use crate::diagnostic::{Diagnostic, Span};
 use crate::eval::Sources;
-use crate::fault::{Fault, Span};
 
 /// Line and column of a place, both from 1; columns count characters.
 pub fn line_and_column(text: &str, at: usize) -> (usize, usize) {
     let before = &text[..floor(text, at)];
     let line = before.matches('\n').count() + 1;
-    let begun = before.rfind('\n').map_or(0, |at| at + 1);
-    (line, before[begun..].chars().count() + 1)
+    let line_start = before.rfind('\n').map_or(0, |at| at + 1);
+    (line, before[line_start..].chars().count() + 1)
 }
 
 /// The last boundary of a character up to a place.
@@ -23,23 +26,23 @@
 }
 
 /// One line for one fault: `FILE:LINE:COLUMN: what is wrong: how to mend it`.
-pub fn short(sources: &Sources, fault: &Fault) -> String {
-    let Some(source) = sources.files.get(fault.span.file) else { return fault.what.clone() };
-    let (line, column) = line_and_column(&source.text, fault.span.start);
-    let fix = if fault.fix.is_empty() { String::new() } else { format!(": {}", fault.fix) };
-    format!("{}:{line}:{column}: {}{fix}", source.name, fault.what)
+pub fn format_line(sources: &Sources, diagnostic: &Diagnostic) -> String {
+    let Some(source) = sources.files.get(diagnostic.span.file) else { return diagnostic.message.clone() };
+    let (line, column) = line_and_column(&source.text, diagnostic.span.start);
+    let fix = if diagnostic.fix.is_empty() { String::new() } else { format!(": {}", diagnostic.fix) };
+    format!("{}:{line}:{column}: {}{fix}", source.name, diagnostic.message)
 }
 
 #[derive(Debug, thiserror::Error)]
-#[error("{what}")]
+#[error("{message}")]
 struct Report {
-    what: String,
+    message: String,
     fix: String,
     labels: Vec<LabeledSpan>,
     file: NamedSource<String>,
 }
 
-impl Diagnostic for Report {
+impl MietteDiagnostic for Report {
     fn help<'a>(&'a self) -> Option<Box<dyn std::fmt::Display + 'a>> {
         (!self.fix.is_empty()).then(|| Box::new(&self.fix) as Box<dyn std::fmt::Display>)
     }
@@ -54,18 +57,18 @@
 }
 
 /// A fault with the lines that it is about.
-pub fn long(sources: &Sources, fault: &Fault) -> String {
-    let Some(source) = sources.files.get(fault.span.file) else { return fault.what.clone() };
+pub fn format_report(sources: &Sources, diagnostic: &Diagnostic) -> String {
+    let Some(source) = sources.files.get(diagnostic.span.file) else { return diagnostic.message.clone() };
     let label = |span: Span, text: &str| {
         let (start, end) = (floor(&source.text, span.start), floor(&source.text, span.end));
         LabeledSpan::new(Some(text.to_owned()), start, end.saturating_sub(start))
     };
-    let mut labels = vec![label(fault.span, "here")];
-    let other = fault.other.as_ref().filter(|(span, _)| span.file == fault.span.file);
-    labels.extend(other.map(|(span, why)| label(*span, why)));
+    let mut labels = vec![label(diagnostic.span, "here")];
+    let related = diagnostic.related.as_ref().filter(|(span, _)| span.file == diagnostic.span.file);
+    labels.extend(related.map(|(span, why)| label(*span, why)));
     let report = Report {
-        what: short(sources, &Fault { fix: String::new(), ..fault.clone() }),
-        fix: fault.fix.clone(),
+        message: format_line(sources, &Diagnostic { fix: String::new(), ..diagnostic.clone() }),
+        fix: diagnostic.fix.clone(),
         labels,
         file: NamedSource::new(&source.name, source.text.clone()),
     };
@@ -73,6 +76,6 @@
     let handler = GraphicalReportHandler::new_themed(GraphicalTheme::unicode_nocolor());
     match handler.render_report(&mut out, &report) {
         Ok(()) => out,
-        Err(_) => short(sources, fault),
+        Err(_) => format_line(sources, diagnostic),
     }
 }
--- a/crates/language/src/parser.rs
+++ b/crates/language/src/parser.rs
@@ -5,22 +5,22 @@
 
 use rowan::{GreenNode, GreenNodeBuilder, Language as _};
 
-use crate::fault::{Fault, Span};
-use crate::syntax::{lex, Kind, Language, Lexeme, Node};
+use crate::diagnostic::{Diagnostic, Span};
+use crate::syntax::{lex, Language, Lexeme, Node, SyntaxKind};
 
 /// Longest file (bytes), and deepest nesting of records, lists and groups.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_FILE_BYTES: usize = 1 << 20;
 /// Deepest nesting of records, lists and groups.
-pub const DEEPEST: usize = 64;
+pub const MAX_DEPTH: usize = 64;
 /// Faults told of one file (count): what follows so many says little.
-const FAULTS_MOST: usize = 20;
+const MAX_DIAGNOSTICS: usize = 20;
 
 /// A file's tree with what is wrong with it.
 #[derive(Clone, Debug)]
 pub struct Parsed {
     green: GreenNode,
     /// What is wrong with its syntax, in order.
-    pub faults: Vec<Fault>,
+    pub diagnostics: Vec<Diagnostic>,
 }
 
 impl Parsed {
@@ -35,7 +35,7 @@
     at: usize,
     depth: usize,
     builder: GreenNodeBuilder<'static>,
-    faults: Vec<Fault>,
+    diagnostics: Vec<Diagnostic>,
     length: usize,
 }
 
@@ -46,36 +46,36 @@
         at: 0,
         depth: 0,
         builder: GreenNodeBuilder::new(),
-        faults: Vec::new(),
+        diagnostics: Vec::new(),
         length: text.len(),
     };
-    if text.len() > LONGEST {
-        let fault = Fault::new(Span::new(0, 0), "the file is too long")
-            .fix(format!("keep a file under {LONGEST} bytes; divide it with include"));
-        parser.faults.push(fault);
+    if text.len() > MAX_FILE_BYTES {
+        let diagnostic = Diagnostic::new(Span::new(0, 0), "the file is too long")
+            .fix(format!("keep a file under {MAX_FILE_BYTES} bytes; divide it with include"));
+        parser.diagnostics.push(diagnostic);
     } else {
         parser.tokens = lex(text);
     }
-    parser.builder.start_node(Language::kind_to_raw(Kind::File));
+    parser.builder.start_node(Language::kind_to_raw(SyntaxKind::File));
     parser.fields(None);
     parser.builder.finish_node();
-    Parsed { green: parser.builder.finish(), faults: parser.faults }
+    Parsed { green: parser.builder.finish(), diagnostics: parser.diagnostics }
 }
 
 impl Parser<'_> {
     // ---- Tokens ------------------------------------------------------------------------------------
 
-    fn raw(&self, at: usize) -> Option<Kind> {
+    fn kind_at(&self, at: usize) -> Option<SyntaxKind> {
         self.tokens.get(at).map(|t| t.kind)
     }
 
     /// Index of the next token that says something, and whether a line ends before it.
-    fn ahead(&self) -> (usize, bool) {
+    fn lookahead(&self) -> (usize, bool) {
         let (mut at, mut newline) = (self.at, false);
-        while let Some(kind) = self.raw(at) {
+        while let Some(kind) = self.kind_at(at) {
             match kind {
-                Kind::Newline => newline = true,
-                Kind::Space | Kind::Comment => {}
+                SyntaxKind::Newline => newline = true,
+                SyntaxKind::Whitespace | SyntaxKind::Comment => {}
                 _ => break,
             }
             at += 1;
@@ -83,24 +83,24 @@
         (at, newline)
     }
 
-    fn peek(&self) -> Option<Kind> {
-        self.raw(self.ahead().0)
+    fn peek(&self) -> Option<SyntaxKind> {
+        self.kind_at(self.lookahead().0)
     }
 
     fn span(&self) -> Span {
-        match self.tokens.get(self.ahead().0) {
+        match self.tokens.get(self.lookahead().0) {
             Some(token) => Span::new(token.at, token.at + token.text.len()),
             None => Span::new(self.length, self.length),
         }
     }
 
     fn text(&self) -> &str {
-        self.tokens.get(self.ahead().0).map_or("the end of the file", |t| t.text)
+        self.tokens.get(self.lookahead().0).map_or("the end of the file", |t| t.text)
     }
 
     /// Puts blanks and comments up to the next token into the tree.
-    fn blanks(&mut self) {
-        let (to, _) = self.ahead();
+    fn bump_trivia(&mut self) {
+        let (to, _) = self.lookahead();
         while self.at < to {
             self.push();
         }
@@ -113,28 +113,28 @@
         }
     }
 
-    fn take(&mut self) {
-        self.blanks();
+    fn bump(&mut self) {
+        self.bump_trivia();
         self.push();
     }
 
-    fn eat(&mut self, kind: Kind) -> bool {
+    fn eat(&mut self, kind: SyntaxKind) -> bool {
         let there = self.peek() == Some(kind);
         if there {
-            self.take();
+            self.bump();
         }
         there
     }
 
-    fn start(&mut self, kind: Kind) {
+    fn start(&mut self, kind: SyntaxKind) {
         self.builder.start_node(Language::kind_to_raw(kind));
     }
 
-    fn fault(&mut self, span: Span, what: impl Into<String>, fix: impl Into<String>) {
+    fn report(&mut self, span: Span, message: impl Into<String>, fix: impl Into<String>) {
         // One fault a place: what follows from the first says nothing new.
-        let same = self.faults.last().is_some_and(|f| f.span.start == span.start);
-        if !same && self.faults.len() < FAULTS_MOST {
-            self.faults.push(Fault::new(span, what).fix(fix));
+        let same = self.diagnostics.last().is_some_and(|f| f.span.start == span.start);
+        if !same && self.diagnostics.len() < MAX_DIAGNOSTICS {
+            self.diagnostics.push(Diagnostic::new(span, message).fix(fix));
         }
     }
 
@@ -143,67 +143,78 @@
     /// Fields up to the closing brace, or to the end of the file.
     fn fields(&mut self, open: Option<Span>) {
         loop {
-            self.blanks();
+            self.bump_trivia();
             match self.peek() {
                 None => {
                     if let Some(open) = open {
-                        self.fault(open, "this record has no end", "close it with }");
+                        self.report(open, "this record has no end", "close it with }");
                     }
                     return;
                 }
-                Some(Kind::CloseBrace) if open.is_some() => return,
-                Some(Kind::Comma) => self.take(),
-                Some(Kind::Ellipsis) => {
-                    self.start(Kind::Open);
-                    self.take();
-                    let (at, newline) = self.ahead();
-                    if !newline && !matches!(self.raw(at), Some(Kind::CloseBrace | Kind::Comma) | None) {
+                Some(SyntaxKind::CloseBrace) if open.is_some() => return,
+                Some(SyntaxKind::Comma) => self.bump(),
+                Some(SyntaxKind::Ellipsis) => {
+                    self.start(SyntaxKind::Rest);
+                    self.bump();
+                    let (at, newline) = self.lookahead();
+                    if !newline
+                        && !matches!(
+                            self.kind_at(at),
+                            Some(SyntaxKind::CloseBrace | SyntaxKind::Comma) | None
+                        )
+                    {
                         self.value();
                     }
                     self.builder.finish_node();
                     self.separator();
                 }
-                Some(Kind::Include) if open.is_none() => self.include(),
-                Some(Kind::Name | Kind::Text | Kind::Include | Kind::True | Kind::False) => self.field(),
+                Some(SyntaxKind::Include) if open.is_none() => self.include(),
+                Some(
+                    SyntaxKind::Name
+                    | SyntaxKind::Text
+                    | SyntaxKind::Include
+                    | SyntaxKind::True
+                    | SyntaxKind::False,
+                ) => self.field(),
                 Some(_) => {
                     let (span, text) = (self.span(), self.text().to_owned());
-                    self.fault(span, format!("{text:?} does not begin a field"), "write NAME: VALUE");
-                    self.skip();
+                    self.report(span, format!("{text:?} does not begin a field"), "write NAME: VALUE");
+                    self.skip_to_separator();
                 }
             }
         }
     }
 
     fn include(&mut self) {
-        self.start(Kind::IncludeLine);
-        self.take();
-        if !self.eat(Kind::Text) {
+        self.start(SyntaxKind::IncludeStatement);
+        self.bump();
+        if !self.eat(SyntaxKind::Text) {
             let span = self.span();
-            self.fault(span, "include names no file", "write the file's name: include \"pools.conf\"");
+            self.report(span, "include names no file", "write the file's name: include \"pools.conf\"");
         }
         self.builder.finish_node();
         self.separator();
     }
 
     fn field(&mut self) {
-        self.start(Kind::Field);
-        self.start(Kind::Label);
+        self.start(SyntaxKind::Field);
+        self.start(SyntaxKind::Label);
         let (span, name) = (self.span(), self.text().to_owned());
-        self.take();
-        self.eat(Kind::Question);
+        self.bump();
+        self.eat(SyntaxKind::Question);
         self.builder.finish_node();
-        if self.eat(Kind::Colon) {
+        if self.eat(SyntaxKind::Colon) {
             self.value();
-        } else if self.peek() == Some(Kind::OpenBrace) {
+        } else if self.peek() == Some(SyntaxKind::OpenBrace) {
             let fix = format!("write {name}: {{");
-            self.fault(span, format!("no : stands behind {name}"), fix);
+            self.report(span, format!("no : stands behind {name}"), fix);
             self.value();
         } else {
             let fix = format!("write {name}: VALUE");
-            self.fault(span, format!("no : stands behind {name}"), fix);
+            self.report(span, format!("no : stands behind {name}"), fix);
             // What else is on the line was meant to be the value.
-            if !self.ahead().1 {
-                self.skip();
+            if !self.lookahead().1 {
+                self.skip_to_separator();
             }
         }
         self.builder.finish_node();
@@ -212,31 +223,33 @@
 
     /// A comma, the end of the line, or what closes the record must follow a field.
     fn separator(&mut self) {
-        let (at, newline) = self.ahead();
-        match self.raw(at) {
-            None | Some(Kind::CloseBrace | Kind::CloseBracket) => {}
-            Some(Kind::Comma) => self.take(),
+        let (at, newline) = self.lookahead();
+        match self.kind_at(at) {
+            None | Some(SyntaxKind::CloseBrace | SyntaxKind::CloseBracket) => {}
+            Some(SyntaxKind::Comma) => self.bump(),
             Some(_) if newline => {}
             Some(_) => {
                 let (span, text) = (self.span(), self.text().to_owned());
                 let fix = "end the field with a comma or a new line";
-                self.fault(span, format!("{text:?} stands behind the end of a field"), fix);
-                self.skip();
+                self.report(span, format!("{text:?} stands behind the end of a field"), fix);
+                self.skip_to_separator();
             }
         }
     }
 
     /// Passes over what can't be read, up to the next line or what closes the record.
-    fn skip(&mut self) {
-        self.blanks();
-        self.start(Kind::Error);
+    fn skip_to_separator(&mut self) {
+        self.bump_trivia();
+        self.start(SyntaxKind::Error);
         let mut depth = 0_usize;
-        while let Some(kind) = self.raw(self.at) {
+        while let Some(kind) = self.kind_at(self.at) {
             match kind {
-                Kind::Newline | Kind::Comma if depth == 0 => break,
-                Kind::OpenBrace | Kind::OpenBracket | Kind::OpenParen => depth += 1,
-                Kind::CloseBrace | Kind::CloseBracket | Kind::CloseParen if depth > 0 => depth -= 1,
-                Kind::CloseBrace if self.depth > 0 => break,
+                SyntaxKind::Newline | SyntaxKind::Comma if depth == 0 => break,
+                SyntaxKind::OpenBrace | SyntaxKind::OpenBracket | SyntaxKind::OpenParen => depth += 1,
+                SyntaxKind::CloseBrace | SyntaxKind::CloseBracket | SyntaxKind::CloseParen if depth > 0 => {
+                    depth -= 1
+                }
+                SyntaxKind::CloseBrace if self.depth > 0 => break,
                 _ => {}
             }
             self.push();
@@ -247,10 +260,10 @@
     // ---- Values ------------------------------------------------------------------------------------
 
     fn value(&mut self) {
-        if self.depth >= DEEPEST {
+        if self.depth >= MAX_DEPTH {
             let span = self.span();
-            self.fault(span, "values are nested too deep", format!("nest no deeper than {DEEPEST}"));
-            return self.skip();
+            self.report(span, "values are nested too deep", format!("nest no deeper than {MAX_DEPTH}"));
+            return self.skip_to_separator();
         }
         self.depth += 1;
         self.disjunction();
@@ -258,13 +271,13 @@
     }
 
     fn disjunction(&mut self) {
-        self.blanks();
+        self.bump_trivia();
         let before = self.builder.checkpoint();
         self.alternative();
-        if self.peek() == Some(Kind::Or) {
-            self.builder.start_node_at(before, Language::kind_to_raw(Kind::Disjunction));
-            while self.eat(Kind::Or) {
-                self.blanks();
+        if self.peek() == Some(SyntaxKind::Or) {
+            self.builder.start_node_at(before, Language::kind_to_raw(SyntaxKind::Disjunction));
+            while self.eat(SyntaxKind::Or) {
+                self.bump_trivia();
                 self.alternative();
             }
             self.builder.finish_node();
@@ -272,9 +285,9 @@
     }
 
     fn alternative(&mut self) {
-        if self.peek() == Some(Kind::Star) {
-            self.start(Kind::Default);
-            self.take();
+        if self.peek() == Some(SyntaxKind::Star) {
+            self.start(SyntaxKind::Default);
+            self.bump();
             self.conjunction();
             self.builder.finish_node();
         } else {
@@ -283,13 +296,13 @@
     }
 
     fn conjunction(&mut self) {
-        self.blanks();
+        self.bump_trivia();
         let before = self.builder.checkpoint();
         self.operand();
-        if self.peek() == Some(Kind::And) {
-            self.builder.start_node_at(before, Language::kind_to_raw(Kind::Conjunction));
-            while self.eat(Kind::And) {
-                self.blanks();
+        if self.peek() == Some(SyntaxKind::And) {
+            self.builder.start_node_at(before, Language::kind_to_raw(SyntaxKind::Conjunction));
+            while self.eat(SyntaxKind::And) {
+                self.bump_trivia();
                 self.operand();
             }
             self.builder.finish_node();
@@ -298,10 +311,16 @@
 
     fn operand(&mut self) {
         match self.peek() {
-            Some(Kind::AtMost | Kind::AtLeast | Kind::Below | Kind::Above | Kind::Not) => {
-                self.start(Kind::Bound);
-                self.take();
-                self.blanks();
+            Some(
+                SyntaxKind::LessOrEqual
+                | SyntaxKind::GreaterOrEqual
+                | SyntaxKind::Less
+                | SyntaxKind::Greater
+                | SyntaxKind::NotEqual,
+            ) => {
+                self.start(SyntaxKind::Bound);
+                self.bump();
+                self.bump_trivia();
                 self.primary();
                 self.builder.finish_node();
             }
@@ -312,98 +331,100 @@
     fn primary(&mut self) {
         let span = self.span();
         match self.peek() {
-            Some(Kind::Number | Kind::Text | Kind::True | Kind::False) => {
-                self.start(Kind::Literal);
-                self.take();
+            Some(SyntaxKind::Number | SyntaxKind::Text | SyntaxKind::True | SyntaxKind::False) => {
+                self.start(SyntaxKind::Literal);
+                self.bump();
                 self.builder.finish_node();
             }
-            Some(Kind::OpenText) => {
-                self.fault(span, "this text has no end", "close it with \" on the same line");
-                self.start(Kind::Literal);
-                self.take();
+            Some(SyntaxKind::UnterminatedText) => {
+                self.report(span, "this text has no end", "close it with \" on the same line");
+                self.start(SyntaxKind::Literal);
+                self.bump();
                 self.builder.finish_node();
             }
-            Some(Kind::Name) => {
-                self.start(Kind::Reference);
-                self.take();
-                while self.eat(Kind::Dot) {
-                    if !(self.eat(Kind::Name) || self.eat(Kind::Text)) {
+            Some(SyntaxKind::Name) => {
+                self.start(SyntaxKind::Reference);
+                self.bump();
+                while self.eat(SyntaxKind::Dot) {
+                    if !(self.eat(SyntaxKind::Name) || self.eat(SyntaxKind::Text)) {
                         let span = self.span();
-                        self.fault(span, "no name stands behind the dot", "write RECORD.FIELD");
+                        self.report(span, "no name stands behind the dot", "write RECORD.FIELD");
                         break;
                     }
                 }
                 self.builder.finish_node();
             }
-            Some(Kind::OpenBrace) => {
-                self.start(Kind::Record);
-                self.take();
+            Some(SyntaxKind::OpenBrace) => {
+                self.start(SyntaxKind::Record);
+                self.bump();
                 self.fields(Some(span));
-                self.eat(Kind::CloseBrace);
+                self.eat(SyntaxKind::CloseBrace);
                 self.builder.finish_node();
             }
-            Some(Kind::OpenBracket) => self.list(span),
-            Some(Kind::OpenParen) => {
-                self.start(Kind::Group);
-                self.take();
+            Some(SyntaxKind::OpenBracket) => self.list(span),
+            Some(SyntaxKind::OpenParen) => {
+                self.start(SyntaxKind::Group);
+                self.bump();
                 self.value();
-                if !self.eat(Kind::CloseParen) {
-                    self.fault(span, "this group has no end", "close it with )");
+                if !self.eat(SyntaxKind::CloseParen) {
+                    self.report(span, "this group has no end", "close it with )");
                 }
                 self.builder.finish_node();
             }
             _ => {
                 let text = self.text().to_owned();
                 let fix = "write a number with its unit, a text, true, false, a name, { } or [ ]";
-                self.fault(span, format!("{} is no value", shown(&text)), fix);
+                self.report(span, format!("{} is no value", quoted(&text)), fix);
                 // What closes a record or begins the next line is left to whoever waits for it.
-                let (at, newline) = self.ahead();
+                let (at, newline) = self.lookahead();
                 let closes = matches!(
-                    self.raw(at),
-                    None | Some(Kind::CloseBrace | Kind::CloseBracket | Kind::CloseParen)
+                    self.kind_at(at),
+                    None | Some(SyntaxKind::CloseBrace | SyntaxKind::CloseBracket | SyntaxKind::CloseParen)
                 );
                 if !closes && !newline {
-                    self.skip();
+                    self.skip_to_separator();
                 }
             }
         }
     }
 
     fn list(&mut self, open: Span) {
-        self.start(Kind::List);
-        self.take();
+        self.start(SyntaxKind::List);
+        self.bump();
         loop {
             match self.peek() {
-                Some(Kind::CloseBracket) => break self.take(),
-                None => break self.fault(open, "this list has no end", "close it with ]"),
-                Some(Kind::Ellipsis) => {
-                    self.blanks();
-                    self.start(Kind::Open);
-                    self.take();
-                    if !matches!(self.peek(), Some(Kind::CloseBracket | Kind::Comma) | None) {
+                Some(SyntaxKind::CloseBracket) => break self.bump(),
+                None => break self.report(open, "this list has no end", "close it with ]"),
+                Some(SyntaxKind::Ellipsis) => {
+                    self.bump_trivia();
+                    self.start(SyntaxKind::Rest);
+                    self.bump();
+                    if !matches!(self.peek(), Some(SyntaxKind::CloseBracket | SyntaxKind::Comma) | None) {
                         self.value();
                     }
                     self.builder.finish_node();
                 }
-                Some(Kind::CloseBrace) => break self.fault(open, "this list has no end", "close it with ]"),
+                Some(SyntaxKind::CloseBrace) => {
+                    break self.report(open, "this list has no end", "close it with ]")
+                }
                 Some(_) => {
                     let before = self.at;
                     self.value();
                     if self.at == before {
-                        self.take();
+                        self.bump();
                     }
                 }
             }
-            let (at, newline) = self.ahead();
-            match self.raw(at) {
-                Some(Kind::Comma) => self.take(),
-                Some(Kind::CloseBracket) | None => {}
+            let (at, newline) = self.lookahead();
+            match self.kind_at(at) {
+                Some(SyntaxKind::Comma) => self.bump(),
+                Some(SyntaxKind::CloseBracket) | None => {}
                 Some(_) if newline => {}
                 Some(_) => {
                     let (span, text) = (self.span(), self.text().to_owned());
-                    self.fault(
+                    self.report(
                         span,
-                        format!("{} stands behind the end of an element", shown(&text)),
+                        format!("{} stands behind the end of an element", quoted(&text)),
                         "put a comma between elements",
                     );
                 }
@@ -413,7 +434,7 @@
     }
 }
 
-fn shown(text: &str) -> String {
+fn quoted(text: &str) -> String {
     if text == "\n" || text.starts_with("the end") {
         text.trim().to_owned()
     } else {
--- a/crates/language/src/syntax.rs
+++ b/crates/language/src/syntax.rs
@@ -6,9 +6,9 @@
 #[derive(Logos, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u16)]
 #[allow(missing_docs)]
-pub enum Kind {
+pub enum SyntaxKind {
     #[regex(r"[ \t\r]+")]
-    Space,
+    Whitespace,
     #[token("\n")]
     Newline,
     #[regex(r"//[^\n]*")]
@@ -42,15 +42,15 @@
     #[token("*")]
     Star,
     #[token("<=")]
-    AtMost,
+    LessOrEqual,
     #[token(">=")]
-    AtLeast,
+    GreaterOrEqual,
     #[token("<")]
-    Below,
+    Less,
     #[token(">")]
-    Above,
+    Greater,
     #[token("!=")]
-    Not,
+    NotEqual,
     #[token("include")]
     Include,
     #[token("true")]
@@ -66,17 +66,17 @@
     Text,
     /// A text without its end.
     #[regex(r#""([^"\\\n]|\\[^\n])*"#, priority = 1)]
-    OpenText,
+    UnterminatedText,
 
     // Nodes.
     Error,
     File,
-    IncludeLine,
+    IncludeStatement,
     Field,
     Label,
     Record,
     List,
-    Open,
+    Rest,
     Disjunction,
     Default,
     Conjunction,
@@ -90,61 +90,61 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Language {}
 
-const KINDS: [Kind; 42] = [
-    Kind::Space,
-    Kind::Newline,
-    Kind::Comment,
-    Kind::OpenBrace,
-    Kind::CloseBrace,
-    Kind::OpenBracket,
-    Kind::CloseBracket,
-    Kind::OpenParen,
-    Kind::CloseParen,
-    Kind::Colon,
-    Kind::Comma,
-    Kind::Question,
-    Kind::Dot,
-    Kind::Ellipsis,
-    Kind::Or,
-    Kind::And,
-    Kind::Star,
-    Kind::AtMost,
-    Kind::AtLeast,
-    Kind::Below,
-    Kind::Above,
-    Kind::Not,
-    Kind::Include,
-    Kind::True,
-    Kind::False,
-    Kind::Name,
-    Kind::Number,
-    Kind::Text,
-    Kind::OpenText,
-    Kind::Error,
-    Kind::File,
-    Kind::IncludeLine,
-    Kind::Field,
-    Kind::Label,
-    Kind::Record,
-    Kind::List,
-    Kind::Open,
-    Kind::Disjunction,
-    Kind::Default,
-    Kind::Conjunction,
-    Kind::Bound,
-    Kind::Reference,
+const KINDS: [SyntaxKind; 42] = [
+    SyntaxKind::Whitespace,
+    SyntaxKind::Newline,
+    SyntaxKind::Comment,
+    SyntaxKind::OpenBrace,
+    SyntaxKind::CloseBrace,
+    SyntaxKind::OpenBracket,
+    SyntaxKind::CloseBracket,
+    SyntaxKind::OpenParen,
+    SyntaxKind::CloseParen,
+    SyntaxKind::Colon,
+    SyntaxKind::Comma,
+    SyntaxKind::Question,
+    SyntaxKind::Dot,
+    SyntaxKind::Ellipsis,
+    SyntaxKind::Or,
+    SyntaxKind::And,
+    SyntaxKind::Star,
+    SyntaxKind::LessOrEqual,
+    SyntaxKind::GreaterOrEqual,
+    SyntaxKind::Less,
+    SyntaxKind::Greater,
+    SyntaxKind::NotEqual,
+    SyntaxKind::Include,
+    SyntaxKind::True,
+    SyntaxKind::False,
+    SyntaxKind::Name,
+    SyntaxKind::Number,
+    SyntaxKind::Text,
+    SyntaxKind::UnterminatedText,
+    SyntaxKind::Error,
+    SyntaxKind::File,
+    SyntaxKind::IncludeStatement,
+    SyntaxKind::Field,
+    SyntaxKind::Label,
+    SyntaxKind::Record,
+    SyntaxKind::List,
+    SyntaxKind::Rest,
+    SyntaxKind::Disjunction,
+    SyntaxKind::Default,
+    SyntaxKind::Conjunction,
+    SyntaxKind::Bound,
+    SyntaxKind::Reference,
 ];
-const LATER: [Kind; 2] = [Kind::Literal, Kind::Group];
+const REMAINING_KINDS: [SyntaxKind; 2] = [SyntaxKind::Literal, SyntaxKind::Group];
 
 impl rowan::Language for Language {
-    type Kind = Kind;
+    type Kind = SyntaxKind;
 
-    fn kind_from_raw(raw: rowan::SyntaxKind) -> Kind {
+    fn kind_from_raw(raw: rowan::SyntaxKind) -> SyntaxKind {
         let at = raw.0 as usize;
-        KINDS.get(at).or_else(|| LATER.get(at - KINDS.len())).copied().unwrap_or(Kind::Error)
+        KINDS.get(at).or_else(|| REMAINING_KINDS.get(at - KINDS.len())).copied().unwrap_or(SyntaxKind::Error)
     }
 
-    fn kind_to_raw(kind: Kind) -> rowan::SyntaxKind {
+    fn kind_to_raw(kind: SyntaxKind) -> rowan::SyntaxKind {
         rowan::SyntaxKind(kind as u16)
     }
 }
@@ -158,7 +158,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Lexeme<'a> {
     /// What it is; [`Kind::Error`] for what belongs to no token.
-    pub kind: Kind,
+    pub kind: SyntaxKind,
     /// Its text.
     pub text: &'a str,
     /// Where it begins (bytes).
@@ -167,10 +167,14 @@
 
 /// Cuts a text into tokens; all of it.
 pub fn lex(text: &str) -> Vec<Lexeme<'_>> {
-    let mut lexer = Kind::lexer(text);
+    let mut lexer = SyntaxKind::lexer(text);
     let mut all = Vec::new();
     while let Some(kind) = lexer.next() {
-        all.push(Lexeme { kind: kind.unwrap_or(Kind::Error), text: lexer.slice(), at: lexer.span().start });
+        all.push(Lexeme {
+            kind: kind.unwrap_or(SyntaxKind::Error),
+            text: lexer.slice(),
+            at: lexer.span().start,
+        });
     }
     all
 }
--- a/crates/language/src/unify.rs
+++ b/crates/language/src/unify.rs
@@ -1,55 +1,61 @@
 //! Unification: what two descriptions of one value say together, or why they can't both hold. Associative and
 //! commutative but for the words of its messages, as in CUE, whose lattice this follows.
 
-use crate::fault::{Fault, Span};
-use crate::value::{FieldValue, Order, Quantity, RecordValue, Type, Unit, Value, What};
+use crate::diagnostic::{Diagnostic, Span};
+use crate::value::{Comparison, FieldValue, Quantity, RecordValue, Type, Unit, Value, ValueKind};
 
 /// What two values say together. `path` is the field's, for messages.
-pub fn unify(a: &Value, b: &Value, path: &str, faults: &mut Vec<Fault>) -> Value {
-    let span = told_at(a.span, b.span);
+pub fn unify(a: &Value, b: &Value, path: &str, diagnostics: &mut Vec<Diagnostic>) -> Value {
+    let span = reported_span(a.span, b.span);
     let what = match (&a.what, &b.what) {
-        (What::Wrong, _) | (_, What::Wrong) => What::Wrong,
-        (What::Type(Type::Any), other) | (other, What::Type(Type::Any)) => other.clone(),
-        (What::OneOf(..), _) | (_, What::OneOf(..)) => return one_of(a, b, path, faults),
-        (What::Record(x), What::Record(y)) => What::Record(records(x, y, path, faults)),
-        (What::List(x, more_x), What::List(y, more_y)) => {
-            return lists((a, x, more_x), (b, y, more_y), path, faults);
+        (ValueKind::Invalid, _) | (_, ValueKind::Invalid) => ValueKind::Invalid,
+        (ValueKind::Type(Type::Any), other) | (other, ValueKind::Type(Type::Any)) => other.clone(),
+        (ValueKind::Disjunction(..), _) | (_, ValueKind::Disjunction(..)) => {
+            return unify_disjunctions(a, b, path, diagnostics)
         }
-        (What::Type(x), What::Type(y)) => match types(*x, *y) {
-            Some(both) => What::Type(both),
-            None => return clash(a, b, path, faults),
-        },
-        (What::Bounded(x, bounds), What::Type(y)) | (What::Type(y), What::Bounded(x, bounds)) => {
-            match types(*x, *y) {
-                Some(both) => What::Bounded(both, bounds.clone()),
-                None => return clash(a, b, path, faults),
-            }
+        (ValueKind::Record(x), ValueKind::Record(y)) => {
+            ValueKind::Record(unify_records(x, y, path, diagnostics))
         }
-        (What::Bounded(x, some), What::Bounded(y, more)) => match types(*x, *y) {
-            Some(both) => What::Bounded(both, some.iter().chain(more).copied().collect()),
-            None => return clash(a, b, path, faults),
+        (ValueKind::List(x, rest_x), ValueKind::List(y, rest_y)) => {
+            return unify_lists((a, x, rest_x), (b, y, rest_y), path, diagnostics);
+        }
+        (ValueKind::Type(x), ValueKind::Type(y)) => match unify_types(*x, *y) {
+            Some(both) => ValueKind::Type(both),
+            None => return conflict(a, b, path, diagnostics),
+        },
+        (ValueKind::Bounded(x, bounds), ValueKind::Type(y))
+        | (ValueKind::Type(y), ValueKind::Bounded(x, bounds)) => match unify_types(*x, *y) {
+            Some(both) => ValueKind::Bounded(both, bounds.clone()),
+            None => return conflict(a, b, path, diagnostics),
         },
-        (What::Number(q), What::Type(t)) | (What::Type(t), What::Number(q)) => {
-            return number(*q, *t, &[], span, path, faults);
+        (ValueKind::Bounded(x, some), ValueKind::Bounded(y, more)) => match unify_types(*x, *y) {
+            Some(both) => ValueKind::Bounded(both, some.iter().chain(more).copied().collect()),
+            None => return conflict(a, b, path, diagnostics),
+        },
+        (ValueKind::Number(q), ValueKind::Type(t)) | (ValueKind::Type(t), ValueKind::Number(q)) => {
+            return unify_number(*q, *t, &[], span, path, diagnostics);
+        }
+        (ValueKind::Number(q), ValueKind::Bounded(t, bounds))
+        | (ValueKind::Bounded(t, bounds), ValueKind::Number(q)) => {
+            return unify_number(*q, *t, bounds, span, path, diagnostics);
         }
-        (What::Number(q), What::Bounded(t, bounds)) | (What::Bounded(t, bounds), What::Number(q)) => {
-            return number(*q, *t, bounds, span, path, faults);
+        (ValueKind::Number(x), ValueKind::Number(y)) if x.unit == y.unit && x.value == y.value => {
+            a.what.clone()
         }
-        (What::Number(x), What::Number(y)) if x.unit == y.unit && x.value == y.value => a.what.clone(),
-        (What::Text(_), What::Type(Type::Text)) => a.what.clone(),
-        (What::Type(Type::Text), What::Text(_)) => b.what.clone(),
-        (What::Bool(_), What::Type(Type::Bool)) => a.what.clone(),
-        (What::Type(Type::Bool), What::Bool(_)) => b.what.clone(),
-        (What::Text(x), What::Text(y)) if x == y => a.what.clone(),
-        (What::Bool(x), What::Bool(y)) if x == y => a.what.clone(),
-        _ => return clash(a, b, path, faults),
+        (ValueKind::Text(_), ValueKind::Type(Type::Text)) => a.what.clone(),
+        (ValueKind::Type(Type::Text), ValueKind::Text(_)) => b.what.clone(),
+        (ValueKind::Bool(_), ValueKind::Type(Type::Bool)) => a.what.clone(),
+        (ValueKind::Type(Type::Bool), ValueKind::Bool(_)) => b.what.clone(),
+        (ValueKind::Text(x), ValueKind::Text(y)) if x == y => a.what.clone(),
+        (ValueKind::Bool(x), ValueKind::Bool(y)) if x == y => a.what.clone(),
+        _ => return conflict(a, b, path, diagnostics),
     };
     Value::new(what, span)
 }
 
 /// Of two places the one to tell: the operator's file comes before those that it is held against, and within a file
 /// what was written later is what is wrong.
-fn told_at(a: Span, b: Span) -> Span {
+fn reported_span(a: Span, b: Span) -> Span {
     if a.file == b.file {
         a.max(b)
     } else {
@@ -57,37 +63,43 @@
     }
 }
 
-fn wrong(span: Span) -> Value {
-    Value::new(What::Wrong, span)
+fn invalid(span: Span) -> Value {
+    Value::new(ValueKind::Invalid, span)
 }
 
 fn is_concrete(value: &Value) -> bool {
-    !matches!(value.what, What::Type(_) | What::Bounded(..) | What::OneOf(..))
+    !matches!(value.what, ValueKind::Type(_) | ValueKind::Bounded(..) | ValueKind::Disjunction(..))
 }
 
-fn clash(a: &Value, b: &Value, path: &str, faults: &mut Vec<Fault>) -> Value {
+fn conflict(a: &Value, b: &Value, path: &str, diagnostics: &mut Vec<Diagnostic>) -> Value {
     // What was written counts as wrong, what it must be as right.
-    let of_a = match (is_concrete(a), is_concrete(b)) {
+    let a_is_reported = match (is_concrete(a), is_concrete(b)) {
         (true, false) => true,
         (false, true) => false,
-        _ => told_at(a.span, b.span) == a.span,
+        _ => reported_span(a.span, b.span) == a.span,
     };
-    let (written, must) = if of_a { (a, b) } else { (b, a) };
-    let fault = if is_concrete(must) {
-        Fault::new(written.span, format!("{path} is {} here and {} elsewhere", written.told(), must.told()))
-            .fix("keep one of the two")
+    let (written, expected) = if a_is_reported { (a, b) } else { (b, a) };
+    let diagnostic = if is_concrete(expected) {
+        Diagnostic::new(
+            written.span,
+            format!("{path} is {} here and {} elsewhere", written.describe(), expected.describe()),
+        )
+        .fix("keep one of the two")
     } else {
-        Fault::new(written.span, format!("{path} is {}, where {} is wanted", written.told(), must.told()))
-            .fix(format!("write {}", example(must)))
+        Diagnostic::new(
+            written.span,
+            format!("{path} is {}, where {} is wanted", written.describe(), expected.describe()),
+        )
+        .fix(format!("write {}", example(expected)))
     };
-    faults.push(fault.with(must.span, format!("{} is said here", must.told())));
-    wrong(written.span)
+    diagnostics.push(diagnostic.with_related(expected.span, format!("{} is said here", expected.describe())));
+    invalid(written.span)
 }
 
 /// Something that would do in a value's place.
 fn example(value: &Value) -> String {
     match &value.what {
-        What::Type(t) | What::Bounded(t, _) => match t {
+        ValueKind::Type(t) | ValueKind::Bounded(t, _) => match t {
             Type::Number(Unit::Plain, true) => "a whole number".to_owned(),
             Type::Number(Unit::Plain, false) => "a number".to_owned(),
             Type::Number(unit, _) => format!("a {} with its unit: {}", unit.name(), unit.examples()),
@@ -95,75 +107,86 @@
             Type::Bool => "true or false".to_owned(),
             Type::Any => "any value".to_owned(),
         },
-        What::Record(_) => "a record in { }".to_owned(),
-        What::List(..) => "a list in [ ]".to_owned(),
-        _ => value.told(),
+        ValueKind::Record(_) => "a record in { }".to_owned(),
+        ValueKind::List(..) => "a list in [ ]".to_owned(),
+        _ => value.describe(),
     }
 }
 
-fn types(a: Type, b: Type) -> Option<Type> {
+fn unify_types(a: Type, b: Type) -> Option<Type> {
     match (a, b) {
         (Type::Any, t) | (t, Type::Any) => Some(t),
-        (Type::Number(x, whole), Type::Number(y, also)) if x == y => Some(Type::Number(x, whole || also)),
+        (Type::Number(x, x_integer), Type::Number(y, y_integer)) if x == y => {
+            Some(Type::Number(x, x_integer || y_integer))
+        }
         _ => (a == b).then_some(a),
     }
 }
 
-fn number(
+fn unify_number(
     q: Quantity,
     t: Type,
-    bounds: &[(Order, f64)],
+    bounds: &[(Comparison, f64)],
     span: Span,
     path: &str,
-    faults: &mut Vec<Fault>,
+    diagnostics: &mut Vec<Diagnostic>,
 ) -> Value {
-    let Type::Number(unit, whole) = t else {
-        let fault = Fault::new(span, format!("{path} is {q}, where {} is wanted", t.name()));
-        let wanted = Value::new(What::Type(t), span);
-        faults.push(fault.fix(format!("write {}", example(&wanted))));
-        return wrong(span);
+    let Type::Number(unit, integer) = t else {
+        let diagnostic = Diagnostic::new(span, format!("{path} is {q}, where {} is wanted", t.name()));
+        let expected = Value::new(ValueKind::Type(t), span);
+        diagnostics.push(diagnostic.fix(format!("write {}", example(&expected))));
+        return invalid(span);
     };
     if q.unit != unit {
-        let fault = match (q.unit, unit) {
+        let diagnostic = match (q.unit, unit) {
             (Unit::Plain, _) => {
                 let first = unit.examples().split([',', ' ']).nth(if unit == Unit::Time { 4 } else { 0 });
                 let first = first.filter(|u| !u.is_empty()).unwrap_or("s");
-                Fault::new(span, format!("{path} is {q} with no unit, where a {} is wanted", unit.name()))
-                    .fix(format!("write {q}{first}; the units are {}", unit.examples()))
+                Diagnostic::new(
+                    span,
+                    format!("{path} is {q} with no unit, where a {} is wanted", unit.name()),
+                )
+                .fix(format!("write {q}{first}; the units are {}", unit.examples()))
             }
-            (_, Unit::Plain) => Fault::new(
+            (_, Unit::Plain) => Diagnostic::new(
                 span,
                 format!("{path} is {q}, a {}, where a plain number is wanted", q.unit.name()),
             )
             .fix("leave the unit out"),
-            _ => Fault::new(
+            _ => Diagnostic::new(
                 span,
                 format!("{path} is {q}, a {}, where a {} is wanted", q.unit.name(), unit.name()),
             )
             .fix(format!("the units of a {} are {}", unit.name(), unit.examples())),
         };
-        faults.push(fault);
-        return wrong(span);
+        diagnostics.push(diagnostic);
+        return invalid(span);
     }
-    if whole && q.value.fract() != 0.0 {
-        faults
-            .push(Fault::new(span, format!("{path} is {q}, not a whole number")).fix("write a whole number"));
-        return wrong(span);
+    if integer && q.value.fract() != 0.0 {
+        diagnostics.push(
+            Diagnostic::new(span, format!("{path} is {q}, not a whole number")).fix("write a whole number"),
+        );
+        return invalid(span);
     }
-    let broken = bounds.iter().find(|(order, bound)| !order.holds(q.value, *bound));
-    if let Some((order, bound)) = broken {
-        let bound = Quantity { value: *bound, unit, whole: false };
-        let fault = Fault::new(span, format!("{path} is {q}, out of its bounds"));
-        faults.push(fault.fix(format!("choose a {} {} {bound}", t.name(), order.sign())));
-        return wrong(span);
+    let violated = bounds.iter().find(|(comparison, bound)| !comparison.holds(q.value, *bound));
+    if let Some((comparison, bound)) = violated {
+        let bound = Quantity { value: *bound, unit, is_integer: false };
+        let diagnostic = Diagnostic::new(span, format!("{path} is {q}, out of its bounds"));
+        diagnostics.push(diagnostic.fix(format!("choose a {} {} {bound}", t.name(), comparison.symbol())));
+        return invalid(span);
     }
-    Value::new(What::Number(q), span)
+    Value::new(ValueKind::Number(q), span)
 }
 
-fn records(x: &RecordValue, y: &RecordValue, path: &str, faults: &mut Vec<Fault>) -> RecordValue {
+fn unify_records(
+    x: &RecordValue,
+    y: &RecordValue,
+    path: &str,
+    diagnostics: &mut Vec<Diagnostic>,
+) -> RecordValue {
     let mut all = RecordValue {
         fields: Default::default(),
-        others: x.others.clone().or_else(|| y.others.clone()),
+        rest: x.rest.clone().or_else(|| y.rest.clone()),
         closed: x.closed || y.closed,
     };
     let join = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
@@ -173,18 +196,18 @@
                 continue;
             }
             let path = join(name);
-            let joined = match (other.fields.get(name), &other.others) {
+            let joined = match (other.fields.get(name), &other.rest) {
                 (Some(there), _) => FieldValue {
-                    value: unify(&field.value, &there.value, &path, faults),
+                    value: unify(&field.value, &there.value, &path, diagnostics),
                     optional: field.optional && there.optional,
-                    span: told_at(field.span, there.span),
+                    span: reported_span(field.span, there.span),
                 },
-                (None, Some(others)) => {
-                    FieldValue { value: unify(others, &field.value, &path, faults), ..field.clone() }
+                (None, Some(rest)) => {
+                    FieldValue { value: unify(rest, &field.value, &path, diagnostics), ..field.clone() }
                 }
-                (None, None) if field.value.what == What::Wrong => continue,
+                (None, None) if field.value.what == ValueKind::Invalid => continue,
                 (None, None) if other.closed && !own.closed => {
-                    faults.push(unknown(name, field.span, path.as_str(), other));
+                    diagnostics.push(unknown_field(name, field.span, path.as_str(), other));
                     continue;
                 }
                 (None, None) => field.clone(),
@@ -195,23 +218,25 @@
     all
 }
 
-fn unknown(name: &str, span: Span, path: &str, record: &RecordValue) -> Fault {
-    let fault = Fault::new(span, format!("there is no {path}"));
-    let near = record.fields.keys().map(|known| (distance(name, known), known)).min();
-    match near {
-        Some((far, known)) if far <= 2.max(name.len() / 3) => {
+fn unknown_field(name: &str, span: Span, path: &str, record: &RecordValue) -> Diagnostic {
+    let diagnostic = Diagnostic::new(span, format!("there is no {path}"));
+    let closest = record.fields.keys().map(|known| (edit_distance(name, known), known)).min();
+    match closest {
+        Some((edits, known)) if edits <= 2.max(name.len() / 3) => {
             let at = record.fields[known].span;
-            fault.fix(format!("did you mean {known}?")).with(at, format!("{known} is defined here"))
+            diagnostic
+                .fix(format!("did you mean {known}?"))
+                .with_related(at, format!("{known} is defined here"))
         }
         _ => {
             let known: Vec<&str> = record.fields.keys().map(String::as_str).collect();
-            fault.fix(format!("use one of {}, or leave it out", known.join(", ")))
+            diagnostic.fix(format!("use one of {}, or leave it out", known.join(", ")))
         }
     }
 }
 
 /// Edits between two names (Levenshtein, 1966; with the row-by-row table of Wagner and Fischer, 1974).
-pub fn distance(a: &str, b: &str) -> usize {
+pub fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.chars().enumerate() {
@@ -228,39 +253,39 @@
 
 type Elements<'a> = (&'a Value, &'a Vec<Value>, &'a Option<Box<Value>>);
 
-fn lists(x: Elements, y: Elements, path: &str, faults: &mut Vec<Fault>) -> Value {
-    let ((a, x, more_x), (b, y, more_y)) = (x, y);
+fn unify_lists(x: Elements, y: Elements, path: &str, diagnostics: &mut Vec<Diagnostic>) -> Value {
+    let ((a, x, rest_x), (b, y, rest_y)) = (x, y);
     let count = x.len().max(y.len());
     let mut all = Vec::with_capacity(count);
     for i in 0..count {
         let path = format!("{path}[{i}]");
-        let there = |own: &Vec<Value>, more: &Option<Box<Value>>| own.get(i).or(more.as_deref()).cloned();
-        match (there(x, more_x), there(y, more_y)) {
-            (Some(one), Some(other)) => all.push(unify(&one, &other, &path, faults)),
+        let there = |own: &Vec<Value>, rest: &Option<Box<Value>>| own.get(i).or(rest.as_deref()).cloned();
+        match (there(x, rest_x), there(y, rest_y)) {
+            (Some(one), Some(other)) => all.push(unify(&one, &other, &path, diagnostics)),
             (Some(one), None) | (None, Some(one)) => {
-                let short = x.len().min(y.len());
-                let fault = Fault::new(one.span, format!("{path} is one element too many"));
-                faults.push(fault.fix(format!("keep {short} elements")));
+                let shorter = x.len().min(y.len());
+                let diagnostic = Diagnostic::new(one.span, format!("{path} is one element too many"));
+                diagnostics.push(diagnostic.fix(format!("keep {shorter} elements")));
                 break;
             }
             (None, None) => break,
         }
     }
-    let more = match (more_x, more_y) {
-        (Some(p), Some(q)) => Some(Box::new(unify(p, q, path, faults))),
+    let rest = match (rest_x, rest_y) {
+        (Some(p), Some(q)) => Some(Box::new(unify(p, q, path, diagnostics))),
         _ => None,
     };
-    Value::new(What::List(all, more), told_at(a.span, b.span))
+    Value::new(ValueKind::List(all, rest), reported_span(a.span, b.span))
 }
 
-fn one_of(a: &Value, b: &Value, path: &str, faults: &mut Vec<Fault>) -> Value {
+fn unify_disjunctions(a: &Value, b: &Value, path: &str, diagnostics: &mut Vec<Diagnostic>) -> Value {
     let alternatives = |v: &Value| match &v.what {
-        What::OneOf(all, default) => (all.clone(), *default),
+        ValueKind::Disjunction(all, default) => (all.clone(), *default),
         _ => (vec![v.clone()], None),
     };
     let ((x, default_x), (y, default_y)) = (alternatives(a), alternatives(b));
-    let (mut left, mut default) = (Vec::new(), None);
-    let mut told: Vec<Vec<Fault>> = Vec::new();
+    let (mut remaining, mut default) = (Vec::new(), None);
+    let mut conflicts: Vec<Vec<Diagnostic>> = Vec::new();
     for (i, p) in x.iter().enumerate() {
         for (j, q) in y.iter().enumerate() {
             let mut own = Vec::new();
@@ -270,28 +295,28 @@
                 let of = |d: Option<usize>, at: usize| d.is_none_or(|d| d == at);
                 let some = default_x.is_some() || default_y.is_some();
                 if some && of(default_x, i) && of(default_y, j) {
-                    default = default.or(Some(left.len()));
+                    default = default.or(Some(remaining.len()));
                 }
-                left.push(both);
+                remaining.push(both);
             } else {
-                told.push(own);
+                conflicts.push(own);
             }
         }
     }
-    match left.len() {
+    match remaining.len() {
         0 => {
             // One alternative that is a record, or nothing else to say: its own faults tell more than that none fits.
-            let written = if told_at(a.span, b.span) == a.span { a } else { b };
-            let closest = told.into_iter().min_by_key(Vec::len).unwrap_or_default();
-            let of_one_kind =
-                x.len() * y.len() == 1 || matches!(written.what, What::Record(_) | What::Number(_));
-            if of_one_kind && !closest.is_empty() {
-                faults.extend(closest);
-                return wrong(written.span);
+            let written = if reported_span(a.span, b.span) == a.span { a } else { b };
+            let closest = conflicts.into_iter().min_by_key(Vec::len).unwrap_or_default();
+            let report_closest =
+                x.len() * y.len() == 1 || matches!(written.what, ValueKind::Record(_) | ValueKind::Number(_));
+            if report_closest && !closest.is_empty() {
+                diagnostics.extend(closest);
+                return invalid(written.span);
             }
-            clash(a, b, path, faults)
+            conflict(a, b, path, diagnostics)
         }
-        1 => left.remove(0),
-        _ => Value::new(What::OneOf(left, default), told_at(a.span, b.span)),
+        1 => remaining.remove(0),
+        _ => Value::new(ValueKind::Disjunction(remaining, default), reported_span(a.span, b.span)),
     }
 }
--- a/crates/language/src/value.rs
+++ b/crates/language/src/value.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use crate::fault::Span;
+use crate::diagnostic::Span;
 
 /// What a number counts. A figure with no unit is a plain number, and only that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -75,37 +75,37 @@
     /// What it counts.
     pub unit: Unit,
     /// It was written without a decimal point.
-    pub whole: bool,
+    pub is_integer: bool,
 }
 
 /// Why a number can't be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NumberFault {
+pub enum NumberError {
     /// What stands behind the digits is no unit.
-    Unit(String),
+    UnknownUnit(String),
     /// The digits are no number.
-    Digits,
+    InvalidDigits,
 }
 
 /// Reads a number with its unit.
-pub fn read_number(text: &str) -> Result<Quantity, NumberFault> {
+pub fn parse_number(text: &str) -> Result<Quantity, NumberError> {
     let end =
         text.find(|c: char| !(c.is_ascii_digit() || matches!(c, '-' | '_' | '.'))).unwrap_or(text.len());
     let digits: String = text[..end].chars().filter(|c| *c != '_').collect();
-    let value: f64 = digits.parse().map_err(|_| NumberFault::Digits)?;
-    let whole = !digits.contains('.');
+    let value: f64 = digits.parse().map_err(|_| NumberError::InvalidDigits)?;
+    let is_integer = !digits.contains('.');
     let suffix = &text[end..];
     if suffix.is_empty() {
-        return Ok(Quantity { value, unit: Unit::Plain, whole });
+        return Ok(Quantity { value, unit: Unit::Plain, is_integer });
     }
     let found = UNITS.iter().find(|(name, ..)| *name == suffix);
-    let (_, unit, times) = found.ok_or_else(|| NumberFault::Unit(suffix.to_owned()))?;
-    Ok(Quantity { value: value * times, unit: *unit, whole })
+    let (_, unit, factor) = found.ok_or_else(|| NumberError::UnknownUnit(suffix.to_owned()))?;
+    Ok(Quantity { value: value * factor, unit: *unit, is_integer })
 }
 
 /// The unit that somebody may have meant.
-pub fn unit_like(suffix: &str) -> Option<&'static str> {
-    let meant = match suffix.to_ascii_lowercase().as_str() {
+pub fn suggest_unit(suffix: &str) -> Option<&'static str> {
+    let unit = match suffix.to_ascii_lowercase().as_str() {
         "sec" | "secs" | "second" | "seconds" => "s",
         "msec" | "msecs" | "millis" | "milliseconds" => "ms",
         "m" | "mins" | "minute" | "minutes" => "min",
@@ -122,7 +122,7 @@
         "/m" | "/minute" => "/min",
         _ => return None,
     };
-    Some(meant)
+    Some(unit)
 }
 
 impl fmt::Display for Quantity {
@@ -131,20 +131,20 @@
             return write!(f, "{}", self.value);
         }
         // The largest unit in which the figure is whole, binary sizes only where decimal ones are not.
-        let whole = |(_, unit, times): &&(&str, Unit, f64)| {
-            let figure = self.value / times;
-            *unit == self.unit && (figure.round() - figure).abs() < 1e-9 && figure.round() != 0.0
+        let is_whole = |(_, unit, factor): &&(&str, Unit, f64)| {
+            let amount = self.value / factor;
+            *unit == self.unit && (amount.round() - amount).abs() < 1e-9 && amount.round() != 0.0
         };
-        let rank = |(name, _, times): &&(&str, Unit, f64)| {
-            (times * if name.contains("iB") { 0.999 } else { 1.0 }) as u64
+        let scale = |(name, _, factor): &&(&str, Unit, f64)| {
+            (factor * if name.contains("iB") { 0.999 } else { 1.0 }) as u64
         };
-        let best = UNITS.iter().filter(whole).max_by_key(rank);
+        let best = UNITS.iter().filter(is_whole).max_by_key(scale);
         let first = UNITS.iter().find(|(_, unit, _)| *unit == self.unit);
         match best.or(first) {
-            Some((name, _, times)) => {
-                let figure = self.value / times;
-                let round = (figure * 1e6).round() / 1e6;
-                write!(f, "{round}{name}")
+            Some((name, _, factor)) => {
+                let amount = self.value / factor;
+                let rounded = (amount * 1e6).round() / 1e6;
+                write!(f, "{rounded}{name}")
             }
             None => write!(f, "{}", self.value),
         }
@@ -153,39 +153,39 @@
 
 /// How a number is bounded.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Order {
+pub enum Comparison {
     /// Under.
-    Below,
+    Less,
     /// Up to.
-    AtMost,
+    LessOrEqual,
     /// Over.
-    Above,
+    Greater,
     /// From.
-    AtLeast,
+    GreaterOrEqual,
     /// Anything but.
-    Not,
+    NotEqual,
 }
 
-impl Order {
+impl Comparison {
     /// Whether a figure keeps to it.
     pub fn holds(self, value: f64, bound: f64) -> bool {
         match self {
-            Order::Below => value < bound,
-            Order::AtMost => value <= bound,
-            Order::Above => value > bound,
-            Order::AtLeast => value >= bound,
-            Order::Not => value != bound,
+            Comparison::Less => value < bound,
+            Comparison::LessOrEqual => value <= bound,
+            Comparison::Greater => value > bound,
+            Comparison::GreaterOrEqual => value >= bound,
+            Comparison::NotEqual => value != bound,
         }
     }
 
     /// As it is written.
-    pub fn sign(self) -> &'static str {
+    pub fn symbol(self) -> &'static str {
         match self {
-            Order::Below => "<",
-            Order::AtMost => "<=",
-            Order::Above => ">",
-            Order::AtLeast => ">=",
-            Order::Not => "!=",
+            Comparison::Less => "<",
+            Comparison::LessOrEqual => "<=",
+            Comparison::Greater => ">",
+            Comparison::GreaterOrEqual => ">=",
+            Comparison::NotEqual => "!=",
         }
     }
 }
@@ -205,7 +205,7 @@
 
 impl Type {
     /// A type by its name.
-    pub fn named(name: &str) -> Option<Type> {
+    pub fn from_name(name: &str) -> Option<Type> {
         Some(match name {
             "any" => Type::Any,
             "int" => Type::Number(Unit::Plain, true),
@@ -249,7 +249,7 @@
     /// Its fields by name.
     pub fields: BTreeMap<String, FieldValue>,
     /// What fields with other names must be; absent where there may be none.
-    pub others: Option<Box<Value>>,
+    pub rest: Option<Box<Value>>,
     /// It came from a definition, and takes only fields that it names.
     pub closed: bool,
 }
@@ -258,18 +258,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Value {
     /// What it is.
-    pub what: What,
+    pub what: ValueKind,
     /// Where it was written.
     pub span: Span,
 }
 
 /// What a value is.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum ValueKind {
     /// One of a type.
     Type(Type),
     /// A number within bounds.
-    Bounded(Type, Vec<(Order, f64)>),
+    Bounded(Type, Vec<(Comparison, f64)>),
     /// A number.
     Number(Quantity),
     /// A text.
@@ -281,39 +281,39 @@
     /// Elements, and what further ones must be, where there may be some.
     List(Vec<Value>, Option<Box<Value>>),
     /// One of several; the default, where there is one, by its place.
-    OneOf(Vec<Value>, Option<usize>),
+    Disjunction(Vec<Value>, Option<usize>),
     /// Nothing can be said, as it was wrong and has been told.
-    Wrong,
+    Invalid,
 }
 
 impl Value {
     /// A value that was written somewhere.
-    pub fn new(what: What, span: Span) -> Self {
+    pub fn new(what: ValueKind, span: Span) -> Self {
         Value { what, span }
     }
 
     /// What is told of it in messages.
-    pub fn told(&self) -> String {
+    pub fn describe(&self) -> String {
         match &self.what {
-            What::Type(t) => t.name().to_owned(),
-            What::Bounded(t, bounds) => {
+            ValueKind::Type(t) => t.name().to_owned(),
+            ValueKind::Bounded(t, bounds) => {
                 let unit = if let Type::Number(unit, _) = t { *unit } else { Unit::Plain };
-                let bound = |(order, value): &(Order, f64)| {
-                    format!("{}{}", order.sign(), Quantity { value: *value, unit, whole: false })
+                let bound = |(comparison, value): &(Comparison, f64)| {
+                    format!("{}{}", comparison.symbol(), Quantity { value: *value, unit, is_integer: false })
                 };
                 let all: Vec<String> = bounds.iter().map(bound).collect();
                 format!("{} {}", t.name(), all.join(" & "))
             }
-            What::Number(q) => q.to_string(),
-            What::Text(t) => format!("{t:?}"),
-            What::Bool(b) => b.to_string(),
-            What::Record(_) => "a record".to_owned(),
-            What::List(..) => "a list".to_owned(),
-            What::OneOf(all, _) => {
-                let all: Vec<String> = all.iter().map(Value::told).collect();
+            ValueKind::Number(q) => q.to_string(),
+            ValueKind::Text(t) => format!("{t:?}"),
+            ValueKind::Bool(b) => b.to_string(),
+            ValueKind::Record(_) => "a record".to_owned(),
+            ValueKind::List(..) => "a list".to_owned(),
+            ValueKind::Disjunction(all, _) => {
+                let all: Vec<String> = all.iter().map(Value::describe).collect();
                 all.join(" or ")
             }
-            What::Wrong => "something wrong".to_owned(),
+            ValueKind::Invalid => "something wrong".to_owned(),
         }
     }
 }
--- a/crates/language/tests/language.rs
+++ b/crates/language/tests/language.rs
@@ -5,9 +5,9 @@
 use marljunction_language::diff::diff;
 use marljunction_language::eval::{Loader, Sources};
 use marljunction_language::format::format;
-use marljunction_language::message::{long, short};
-use marljunction_language::parser::{parse, DEEPEST, LONGEST};
-use marljunction_language::value::{read_number, Unit, What};
+use marljunction_language::message::{format_line, format_report};
+use marljunction_language::parser::{parse, MAX_DEPTH, MAX_FILE_BYTES};
+use marljunction_language::value::{parse_number, Unit, ValueKind};
 use marljunction_language::{read, Outcome};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -27,20 +27,20 @@
     ])
 }
 
-fn held(text: &str) -> Outcome {
+fn read_main(text: &str) -> Outcome {
     read("main", text, &mut files(), DEFINITIONS, "#Main")
 }
 
 fn messages(outcome: &Outcome) -> Vec<String> {
-    outcome.faults.iter().map(|fault| short(&outcome.sources, fault)).collect()
+    outcome.diagnostics.iter().map(|diagnostic| format_line(&outcome.sources, diagnostic)).collect()
 }
 
-fn at<'a>(outcome: &'a Outcome, path: &str) -> &'a What {
+fn at<'a>(outcome: &'a Outcome, path: &str) -> &'a ValueKind {
     let mut value = &outcome.value;
     for part in path.split('.') {
         value = match &value.what {
-            What::Record(record) => &record.fields[part].value,
-            What::List(all, _) => &all[part.parse::<usize>().unwrap()],
+            ValueKind::Record(record) => &record.fields[part].value,
+            ValueKind::List(all, _) => &all[part.parse::<usize>().unwrap()],
             other => panic!("{path}: {other:?}"),
         };
     }
@@ -48,17 +48,17 @@
 }
 
 #[test]
-fn each_broken_file_draws_one_clear_message() {
+fn each_broken_file_reports_one_diagnostic_with_place_and_fix() {
     let mut count = 0;
     for case in BROKEN.split("\n== ").skip(1) {
         let (name, rest) = case.split_once('\n').unwrap();
         let (text, wanted) = rest.split_once("---\n").unwrap();
-        let outcome = held(text);
+        let outcome = read_main(text);
         assert_eq!(messages(&outcome), [wanted.trim_end()], "{name}");
-        let shown = long(&outcome.sources, &outcome.faults[0]);
+        let shown = format_report(&outcome.sources, &outcome.diagnostics[0]);
         assert!(
             shown.contains("help: ")
-                && shown.contains(&outcome.sources.files[outcome.faults[0].span.file].name),
+                && shown.contains(&outcome.sources.files[outcome.diagnostics[0].span.file].name),
             "{name}: {shown}"
         );
         count += 1;
@@ -67,8 +67,8 @@
 }
 
 #[test]
-fn a_file_with_includes_definitions_and_references_is_read() {
-    let outcome = held(
+fn includes_definitions_references_and_defaults_are_resolved() {
+    let outcome = read_main(
         "include \"pools.conf\"\n\nname: \"main\"\nusual: 20s\n\
          routes: [{ name: \"r\", pool: \"fast\", deadline: usual, share: 25% }]\n",
     );
@@ -77,13 +77,13 @@
         messages(&outcome),
         ["main:4:1: there is no usual: use one of door, memory, name, pools, routes, or leave it out"]
     );
-    let outcome = held(
+    let outcome = read_main(
         "include \"pools.conf\"\n\nname: \"main\"\n#usual: 20s\n\
          routes: [{ name: \"r\", pool: \"fast\", deadline: #usual, share: 25% }]\n",
     );
     assert_eq!(messages(&outcome), Vec::<String>::new());
     let number = |path| match at(&outcome, path) {
-        What::Number(q) => (q.value, q.unit),
+        ValueKind::Number(q) => (q.value, q.unit),
         other => panic!("{other:?}"),
     };
     assert_eq!(number("routes.0.deadline"), (20e9, Unit::Time));
@@ -91,17 +91,22 @@
     assert_eq!(number("pools.fast.concurrency"), (64.0, Unit::Plain));
     assert_eq!(number("pools.slow.concurrency"), (8.0, Unit::Plain));
     assert_eq!(number("memory"), (64e6, Unit::Size));
-    assert_eq!(at(&outcome, "routes.0.when_full"), &What::Text("refuse".into()));
-    let What::Record(main) = &outcome.value.what else { panic!("a record") };
+    assert_eq!(at(&outcome, "routes.0.when_full"), &ValueKind::Text("refuse".into()));
+    let ValueKind::Record(main) = &outcome.value.what else { panic!("a record") };
     assert!(!main.fields.contains_key("door"), "what nobody wrote is absent");
 }
 
 #[test]
-fn several_faults_are_told_at_once() {
-    let outcome = held("name: 5\nmemory: 6\npools: { p: { zones: [], engines: 0 } }\nroutes: [\n");
-    assert_eq!(outcome.faults.len(), 1, "what follows from the syntax is not told: {:?}", messages(&outcome));
-    let outcome = held("name: 5\nmemory: 6\npools: { p: { zones: [], engines: 0 } }\nroutes: []\n");
-    assert_eq!(outcome.faults.len(), 3, "{:?}", messages(&outcome));
+fn independent_mistakes_are_reported_together() {
+    let outcome = read_main("name: 5\nmemory: 6\npools: { p: { zones: [], engines: 0 } }\nroutes: [\n");
+    assert_eq!(
+        outcome.diagnostics.len(),
+        1,
+        "what follows from the syntax is not told: {:?}",
+        messages(&outcome)
+    );
+    let outcome = read_main("name: 5\nmemory: 6\npools: { p: { zones: [], engines: 0 } }\nroutes: []\n");
+    assert_eq!(outcome.diagnostics.len(), 3, "{:?}", messages(&outcome));
 }
 
 #[rstest]
@@ -113,19 +118,19 @@
 #[case("120/min", 2.0, Unit::Rate)]
 #[case("12.5%", 0.125, Unit::Share)]
 #[case("-3", -3.0, Unit::Plain)]
-fn numbers_have_units(#[case] text: &str, #[case] value: f64, #[case] unit: Unit) {
-    let read = read_number(text).unwrap();
+fn numbers_with_units_are_parsed_and_printed(#[case] text: &str, #[case] value: f64, #[case] unit: Unit) {
+    let read = parse_number(text).unwrap();
     assert_eq!((read.value, read.unit), (value, unit));
-    let again = read_number(&read.to_string()).unwrap();
+    let again = parse_number(&read.to_string()).unwrap();
     assert!((again.value - value).abs() <= value.abs() * 1e-6 && again.unit == unit, "{read}");
 }
 
 #[test]
-fn what_is_too_deep_or_too_long_is_told() {
-    let deep = format!("a: {}1{}", "[".repeat(DEEPEST + 5), "]".repeat(DEEPEST + 5));
-    assert!(parse(&deep).faults[0].what.contains("too deep"));
-    let long = " ".repeat(LONGEST + 1);
-    assert!(parse(&long).faults[0].what.contains("too long"));
+fn too_deep_or_too_long_input_is_reported() {
+    let deep = format!("a: {}1{}", "[".repeat(MAX_DEPTH + 5), "]".repeat(MAX_DEPTH + 5));
+    assert!(parse(&deep).diagnostics[0].message.contains("too deep"));
+    let format_report = " ".repeat(MAX_FILE_BYTES + 1);
+    assert!(parse(&format_report).diagnostics[0].message.contains("too long"));
 }
 
 #[rstest]
@@ -138,13 +143,13 @@
 #[case("a: int&>0|*64\n", "a: int & >0 | *64\n")]
 #[case("a: b . c\n", "a: b.c\n")]
 #[case("x: { ... #P }\n", "x: { ...#P }\n")]
-fn the_formatter_has_one_way(#[case] text: &str, #[case] wanted: &str) {
+fn formatting_is_canonical(#[case] text: &str, #[case] wanted: &str) {
     assert_eq!(format(text).as_deref(), Some(wanted));
     assert_eq!(format(wanted).as_deref(), Some(wanted));
 }
 
 /// Words of the language in any order, more or less like a file.
-fn anything() -> impl Strategy<Value = String> {
+fn arbitrary_tokens() -> impl Strategy<Value = String> {
     let word = proptest::sample::select(vec![
         "a", "b", "#P", ":", ": ", "{", "}", "[", "]", "(", ")", ",", "\n", "\n\n", " ", "1", "5ms", "\"t\"",
         "\"", "|", "&", "*", "<", ">=", "...", ".", "?", "// c\n", "include", "true", "ü", ";",
@@ -153,7 +158,7 @@
 }
 
 /// Files that can be read.
-fn sound() -> impl Strategy<Value = String> {
+fn valid_file() -> impl Strategy<Value = String> {
     let leaf = proptest::sample::select(vec!["1", "5ms", "\"t\"", "true", "int & >0 | *64", "#P.x"]);
     let value = leaf.prop_map(str::to_owned).prop_recursive(4, 24, 4, |inner| {
         let field = ("[a-z]{1,6}", inner.clone(), "( |\n|  // c\n)").prop_map(|(n, v, end)| {
@@ -174,31 +179,31 @@
 
     /// Nothing that anybody writes ends the program, and the tree holds all of it.
     #[test]
-    fn any_text_is_read_and_kept(text in anything()) {
+    fn parsing_is_lossless_and_never_panics(text in arbitrary_tokens()) {
         prop_assert_eq!(parse(&text).root().to_string(), text.clone());
-        let outcome = held(&text);
-        for fault in &outcome.faults {
-            prop_assert!(!fault.fix.is_empty(), "{}", fault.what);
-            prop_assert!(!long(&outcome.sources, fault).is_empty());
+        let outcome = read_main(&text);
+        for diagnostic in &outcome.diagnostics {
+            prop_assert!(!diagnostic.fix.is_empty(), "{}", diagnostic.message);
+            prop_assert!(!format_report(&outcome.sources, diagnostic).is_empty());
         }
     }
 
     /// Formatting what was formatted changes nothing, and formatting never changes what a file says.
     #[test]
-    fn formatting_is_done_once(text in sound()) {
+    fn formatting_is_idempotent_and_preserves_meaning(text in valid_file()) {
         let once = format(&text).expect("a sound file");
         let twice = format(&once).expect("a formatted file");
         prop_assert_eq!(&once, &twice, "from {:?}", text);
-        let solid = |t: &str| t.replace([' ', '\n', ','], "");
-        prop_assert_eq!(solid(&once), solid(&text));
+        let significant = |t: &str| t.replace([' ', '\n', ','], "");
+        prop_assert_eq!(significant(&once), significant(&text));
         let meaning = |t: &str| {
-            let (mut faults, mut none) = (Vec::new(), BTreeMap::<String, String>::new());
-            let sources = Sources::read("f", t, &mut none as &mut dyn Loader, &mut faults);
-            let told: Vec<String> = faults.iter().map(|f| f.what.clone()).collect();
-            (told, sources.value_of("#None", &mut faults))
+            let (mut diagnostics, mut none) = (Vec::new(), BTreeMap::<String, String>::new());
+            let sources = Sources::read("f", t, &mut none as &mut dyn Loader, &mut diagnostics);
+            let found: Vec<String> = diagnostics.iter().map(|d| d.message.clone()).collect();
+            (found, sources.evaluate("#None", &mut diagnostics))
         };
-        let ((told, value), (told_before, before)) = (meaning(&once), meaning(&text));
-        prop_assert_eq!(told, told_before);
+        let ((found, value), (found_before, before)) = (meaning(&once), meaning(&text));
+        prop_assert_eq!(found, found_before);
         prop_assert_eq!(diff(&before, &value), Vec::new());
     }
 }
--- a/src/behaviour.rs
+++ b/src/behaviour.rs
@@ -83,7 +83,9 @@
         let fits = |(prefix, ..): &&(&str, When, &str)| path.starts_with(prefix);
         let (_, when, what) = FIELDS.iter().find(fits).unwrap_or(&("", When::Restart, "an unknown part"));
         let has = |value: &Value| match &value.what {
-            marljunction_language::value::What::Record(record) => record.fields.contains_key(&part(path)),
+            marljunction_language::value::ValueKind::Record(record) => {
+                record.fields.contains_key(&part(path))
+            }
             _ => false,
         };
         let when = if whole && has(from) != has(to) { When::Restart } else { *when };
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -109,7 +109,7 @@
 
 /// Whether a file is right; what is wrong with it goes to standard error.
 fn check(path: &Path) -> bool {
-    match setup::read_file(path).map(|outcome| setup::faults(&outcome)) {
+    match setup::read_file(path).map(|outcome| setup::diagnostics(&outcome)) {
         Ok(None) => {
             println!("{}: right", path.display());
             if let Ok(setup) = Setup::of_file(path) {
@@ -150,7 +150,7 @@
     let text = std::fs::read_to_string(path).map_err(ConfigError::unreadable(path))?;
     let Some(laid_out) = marljunction_language::format::format(&text) else {
         let outcome = setup::read_file(path)?;
-        return Err(CliError::Refused(setup::faults(&outcome).unwrap_or_default()));
+        return Err(CliError::Refused(setup::diagnostics(&outcome).unwrap_or_default()));
     };
     let right = laid_out == text;
     if !right && !only_check {
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -8,7 +8,7 @@
 use log::{info, warn};
 use marljunction_discovery::Source;
 use marljunction_fair_queue::settings::DoorSettings;
-use marljunction_language::value::{Value, What};
+use marljunction_language::value::{Value, ValueKind};
 
 use super::relayed_list::apply_cell;
 use super::wiring::parse_address;
@@ -78,7 +78,7 @@
     }
 
     fn log_effects(&self, operator_file: Option<&Value>) {
-        let nothing = Value::new(What::Record(Default::default()), Default::default());
+        let nothing = Value::new(ValueKind::Record(Default::default()), Default::default());
         let before = self.config.operator_file.as_ref().unwrap_or(&nothing);
         for effect in effects(before, operator_file.unwrap_or(&nothing)) {
             info!("the operator's file: {effect}");
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -6,8 +6,8 @@
 use log::LevelFilter;
 use marljunction_fair_queue::settings::{DoorSettings, Order, Who};
 use marljunction_language::eval::Loader;
-use marljunction_language::message::long;
-use marljunction_language::value::{Quantity, RecordValue, Value, What};
+use marljunction_language::message::format_report;
+use marljunction_language::value::{Quantity, RecordValue, Value, ValueKind};
 use marljunction_language::{read, Outcome};
 
 use marljunction_cells::{CellPlan, DivideBy, Numbers};
@@ -70,8 +70,9 @@
 }
 
 /// All that is wrong with a file, as operators read it; none where nothing is.
-pub fn faults(outcome: &Outcome) -> Option<String> {
-    let all: Vec<String> = outcome.faults.iter().map(|fault| long(&outcome.sources, fault)).collect();
+pub fn diagnostics(outcome: &Outcome) -> Option<String> {
+    let all: Vec<String> =
+        outcome.diagnostics.iter().map(|fault| format_report(&outcome.sources, fault)).collect();
     (!all.is_empty()).then(|| all.join("\n"))
 }
 
@@ -82,7 +83,7 @@
     /// Where it can't be read, or is wrong.
     pub fn of_file(path: &Path) -> Result<Setup, ConfigError> {
         let outcome = read_file(path)?;
-        if let Some(messages) = faults(&outcome) {
+        if let Some(messages) = diagnostics(&outcome) {
             return Err(ConfigError::OperatorFile { path: path.to_owned(), messages });
         }
         Setup::of(&outcome.value).ok_or_else(|| ConfigError::OperatorFileShape { path: path.to_owned() })
@@ -117,7 +118,7 @@
 }
 
 fn record(value: &Value) -> Option<&RecordValue> {
-    if let What::Record(record) = &value.what {
+    if let ValueKind::Record(record) = &value.what {
         Some(record)
     } else {
         None
@@ -130,14 +131,14 @@
 
 fn text(record: &RecordValue, name: &str) -> Option<String> {
     match &field(record, name)?.what {
-        What::Text(text) => Some(text.clone()),
+        ValueKind::Text(text) => Some(text.clone()),
         _ => None,
     }
 }
 
 fn number(record: &RecordValue, name: &str) -> Option<f64> {
     match field(record, name)?.what {
-        What::Number(Quantity { value, .. }) => Some(value),
+        ValueKind::Number(Quantity { value, .. }) => Some(value),
         _ => None,
     }
 }
@@ -149,14 +150,14 @@
 fn door(value: &Value) -> Option<DoorSettings> {
     let door = record(value)?;
     let client = match &field(door, "client")?.what {
-        What::Record(of) => Who::Field(text(of, "field")?),
-        What::Text(name) if name == "user" => Who::User,
-        What::Text(name) if name == "application_name" => Who::ApplicationName,
+        ValueKind::Record(of) => Who::Field(text(of, "field")?),
+        ValueKind::Text(name) if name == "user" => Who::User,
+        ValueKind::Text(name) if name == "application_name" => Who::ApplicationName,
         _ => Who::Peer,
     };
     let weights = field(door, "weights").and_then(record);
     let weight = |(name, f): (&String, &marljunction_language::value::FieldValue)| match f.value.what {
-        What::Number(Quantity { value, .. }) => Some((name.clone(), value)),
+        ValueKind::Number(Quantity { value, .. }) => Some((name.clone(), value)),
         _ => None,
     };
     Some(DoorSettings {
@@ -192,9 +193,9 @@
 }
 
 fn texts(value: &Value) -> Option<Vec<String>> {
-    let What::List(all, _) = &value.what else { return None };
+    let ValueKind::List(all, _) = &value.what else { return None };
     let one = |v: &Value| match &v.what {
-        What::Text(text) => Some(text.clone()),
+        ValueKind::Text(text) => Some(text.clone()),
         _ => None,
     };
     all.iter().map(one).collect()
@@ -283,12 +284,14 @@
 fn postgres(value: &Value, consul: Option<ConsulFile>) -> Option<PostgresFile> {
     let side = record(value)?;
     let engines = match &field(side, "engines")?.what {
-        What::Record(of) => EngineFile::Postgres { user: text(of, "user")?, database: text(of, "database")? },
+        ValueKind::Record(of) => {
+            EngineFile::Postgres { user: text(of, "user")?, database: text(of, "database")? }
+        }
         _ => EngineFile::Http,
     };
     let columns = match &field(side, "columns")?.what {
-        What::List(all, _) => all.iter().map(|v| match &v.what {
-            What::Text(name) => Some(name.clone()),
+        ValueKind::List(all, _) => all.iter().map(|v| match &v.what {
+            ValueKind::Text(name) => Some(name.clone()),
             _ => None,
         }),
         _ => return None,
