--- a/crates/language/src/diagnostic.rs
+++ b/crates/language/src/diagnostic.rs
@@ -1,60 +1,60 @@
-//! What is wrong with a file: where, what, and how to mend it.
+//! Errors in a file, each with its position and a suggested fix.
 
 use std::ops::Range;
 
-/// A part of a file (bytes).
+/// A byte range of a file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span {
-    /// Which of the files that were read.
+    /// Index of the file in [`crate::eval::Sources`].
     pub file: usize,
-    /// Its first byte.
+    /// Offset of the first byte.
     pub start: usize,
-    /// The byte behind its last.
+    /// Offset after the last byte.
     pub end: usize,
 }
 
 impl Span {
-    /// A part of the first file.
+    /// A range of the first file.
     pub fn new(start: usize, end: usize) -> Self {
         Span { file: 0, start, end }
     }
 
-    /// The same part of another file.
+    /// The same range in another file.
     pub fn in_file(self, file: usize) -> Self {
         Span { file, ..self }
     }
 
-    /// As a range.
+    /// The range without the file.
     pub fn range(self) -> Range<usize> {
         self.start..self.end
     }
 }
 
-/// One thing that is wrong.
+/// An error in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Where.
+    /// Position of the error.
     pub span: Span,
-    /// What.
+    /// Description of the error.
     pub message: String,
-    /// How to mend it.
+    /// Suggested fix; may be empty.
     pub fix: String,
-    /// Another place that has to do with it, and why.
+    /// A related position and how it is related.
     pub related: Option<(Span, String)>,
 }
 
 impl Diagnostic {
-    /// A fault at a place.
+    /// A diagnostic without a fix.
     pub fn new(span: Span, message: impl Into<String>) -> Self {
         Diagnostic { span, message: message.into(), fix: String::new(), related: None }
     }
 
-    /// How to mend it.
+    /// Adds a suggested fix.
     pub fn fix(self, fix: impl Into<String>) -> Self {
         Diagnostic { fix: fix.into(), ..self }
     }
 
-    /// Another place that has to do with it.
+    /// Adds a related position.
     pub fn with_related(self, span: Span, why: impl Into<String>) -> Self {
         Diagnostic { related: Some((span, why.into())), ..self }
     }
--- a/crates/language/src/diff.rs
+++ b/crates/language/src/diff.rs
@@ -1,21 +1,23 @@
-//! What two files say differently, once includes, references and defaults are taken: not their text.
+//! Semantic difference of two evaluated configurations, not of their text.
 
 use std::collections::BTreeMap;
 
 use crate::value::{RecordValue, Value, ValueKind};
 
-/// One thing that two files say differently.
+/// One difference.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The field, such as `door.weights.acme`; an element of a list by its name where it has one, else by its place.
+    /// Path of the field, such as `door.weights.acme`; see [`diff`] for list elements.
     pub path: String,
-    /// What the first says; absent where it says nothing.
+    /// The old value; `None` if the field was absent.
     pub from: Option<String>,
-    /// What the second says; absent where it says nothing.
+    /// The new value; `None` if the field is now absent.
     pub to: Option<String>,
 }
 
-/// What the second value says differently from the first; nothing where they are equal in meaning.
+/// The differences from the first value to the second; empty if they are equivalent.
+///
+/// List elements are matched by `name` if each has a distinct one, else by index.
 pub fn diff(from: &Value, to: &Value) -> Vec<Change> {
     let mut all = Vec::new();
     compare("", Some(from), Some(to), &mut all);
@@ -31,7 +33,7 @@
             }
         }
         (one, other) => {
-            // A part that came or went is told by what it holds, and by itself where the other has something else there.
+            // A record or list replaced by a scalar, or the reverse, is one change.
             if (one.is_none() && from.is_some()) || (other.is_none() && to.is_some()) {
                 let described = |v: Option<&Value>| v.map(Value::describe);
                 out.push(Change { path: path.to_owned(), from: described(from), to: described(to) });
@@ -51,7 +53,7 @@
     }
 }
 
-/// The parts of a record or list.
+/// The fields of a record or elements of a list.
 fn children(value: Option<&Value>) -> Option<BTreeMap<String, &Value>> {
     match &value?.what {
         ValueKind::Record(record) => Some(fields(record)),
@@ -63,7 +65,7 @@
 fn same_value(from: Option<&Value>, to: Option<&Value>) -> bool {
     match (from.map(|v| &v.what), to.map(|v| &v.what)) {
         (Some(ValueKind::Number(a)), Some(ValueKind::Number(b))) => a.value == b.value && a.unit == b.unit,
-        // Where something was written is no part of what it means.
+        // Spans are ignored.
         (Some(ValueKind::Disjunction(a, x)), Some(ValueKind::Disjunction(b, y))) => {
             x == y && a.len() == b.len() && a.iter().zip(b).all(|(a, b)| diff(a, b).is_empty())
         }
@@ -75,7 +77,8 @@
     record.fields.iter().map(|(name, field)| (name.clone(), &field.value)).collect()
 }
 
-/// Elements by their `name` where all have one of their own, so that a moved element is not a changed one.
+/// Elements by their `name` if each has a distinct one, so that reordering is not a change; else by
+/// index.
 fn elements(all: &[Value]) -> BTreeMap<String, &Value> {
     let name = |v: &Value| match &v.what {
         ValueKind::Record(record) => match &record.fields.get("name")?.value.what {
--- a/crates/language/src/eval.rs
+++ b/crates/language/src/eval.rs
@@ -1,4 +1,4 @@
-//! From trees to one value: includes, scopes, references, definitions.
+//! Evaluates syntax trees to one value: includes, scopes, references and definitions.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,44 +10,47 @@
     parse_number, suggest_unit, Comparison, FieldValue, NumberError, RecordValue, Type, Value, ValueKind,
 };
 
-/// Files that may be included in all (count).
+/// Files in one configuration, the main file included.
 const MAX_FILES: usize = 64;
-/// Deepest chain of references.
+/// Deepest nesting of references and values during evaluation.
 const MAX_REFERENCE_DEPTH: usize = 64;
 
-/// Where included files come from.
+/// Loads included files.
 pub trait Loader {
-    /// The text of a file that `from` names; the name by which it is known from then on.
+    /// The canonical name and the text of the file `name` that `from` includes.
+    ///
+    /// # Errors
+    /// A reason for the operator if the file cannot be read.
     fn load(&mut self, from: &str, name: &str) -> Result<(String, String), String>;
 }
 
-/// Files that are already there.
+/// Files held in memory.
 impl Loader for BTreeMap<String, String> {
     fn load(&mut self, _from: &str, name: &str) -> Result<(String, String), String> {
-        let text = self.get(name).ok_or("there is no such file")?;
+        let text = self.get(name).ok_or("no such file")?;
         Ok((name.to_owned(), text.clone()))
     }
 }
 
-/// A file that was read.
+/// A source file.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// Its name.
+    /// Canonical name.
     pub name: String,
-    /// Its text.
+    /// Content.
     pub text: String,
 }
 
-/// A file with all that it includes.
+/// A file and its includes.
 #[derive(Clone, Debug, Default)]
 pub struct Sources {
-    /// The files, by number.
+    /// The files; [`Span::file`] is an index into them.
     pub files: Vec<Source>,
     roots: Vec<Node>,
 }
 
 impl Sources {
-    /// Reads a file and what it includes. A file that is included twice is read once.
+    /// Reads a file and its includes. A file that is included twice is read once.
     pub fn read(
         name: &str,
         text: &str,
@@ -60,7 +63,7 @@
         sources
     }
 
-    /// Reads one more beside them, such as the definitions that all files are held against.
+    /// Adds another text without includes, such as the definitions.
     pub fn add_text(&mut self, name: &str, text: &str, diagnostics: &mut Vec<Diagnostic>) {
         let mut none = BTreeMap::new();
         self.add(name.to_owned(), text.to_owned(), &mut none, &mut Vec::new(), diagnostics);
@@ -96,14 +99,14 @@
                     let cycle: Vec<&str> =
                         chain[from..].iter().map(String::as_str).chain([found.as_str()]).collect();
                     let diagnostic =
-                        Diagnostic::new(span, format!("includes go round: {}", cycle.join(" includes ")));
-                    diagnostics.push(diagnostic.fix("take one of these includes out"));
+                        Diagnostic::new(span, format!("include cycle: {}", cycle.join(" includes ")));
+                    diagnostics.push(diagnostic.fix("remove one of these includes"));
                 }
                 Ok((found, _)) if self.files.iter().any(|s| s.name == found) => {}
                 Ok(_) if self.files.len() >= MAX_FILES => {
                     let diagnostic =
                         Diagnostic::new(span, format!("more than {MAX_FILES} files are included"));
-                    diagnostics.push(diagnostic.fix("put files together"));
+                    diagnostics.push(diagnostic.fix("merge some of the files"));
                 }
                 Ok((found, text)) => self.add(found, text, loader, chain, diagnostics),
             }
@@ -111,7 +114,7 @@
         chain.pop();
     }
 
-    /// What all files say together, held against a definition of theirs.
+    /// Evaluates all files together and unifies the result with the definition `main`.
     pub fn evaluate(&self, main: &str, diagnostics: &mut Vec<Diagnostic>) -> Value {
         let mut evaluator = Evaluator {
             sources: self,
@@ -143,7 +146,7 @@
     Span::new(range.start().into(), range.end().into()).in_file(file)
 }
 
-/// A node's part of its file, without the blanks round it.
+/// The span of a node without surrounding trivia.
 fn node_span(node: &Node, file: usize) -> Span {
     let significant = |t: &Token| !is_trivia(t.kind());
     let all =
@@ -156,7 +159,7 @@
     }
 }
 
-/// A text without its quotes; `\n`, `\t`, `\"` and `\\` stand for themselves.
+/// Removes the quotes and resolves escapes: `\n`, `\t`, and a backslash before any other character.
 pub fn unquote(text: &str) -> String {
     let inner = text.strip_prefix('"').unwrap_or(text);
     let inner = inner.strip_suffix('"').unwrap_or(inner);
@@ -175,7 +178,7 @@
     out
 }
 
-/// The fields of a record or file: name, whether optional, where named, and the value's node.
+/// The fields of a record or file: name, whether optional, span of the name, and node of the value.
 fn fields(node: &Node, file: usize) -> Vec<(String, bool, Span, Option<Node>)> {
     let of = |field: Node| {
         let label = field.children().find(|n| n.kind() == SyntaxKind::Label)?;
@@ -189,7 +192,7 @@
     node.children().filter(|n| n.kind() == SyntaxKind::Field).filter_map(of).collect()
 }
 
-/// The records round a place, the innermost last, each with its file.
+/// The enclosing records with their files, innermost last.
 type Scope = Vec<(usize, Node)>;
 
 enum Resolution {
@@ -199,11 +202,11 @@
 
 struct Evaluator<'a> {
     sources: &'a Sources,
-    /// Names of the top by what they stand for.
+    /// Top-level names that are resolved or being resolved.
     names: HashMap<String, Resolution>,
     diagnostics: Vec<Diagnostic>,
     depth: usize,
-    /// The field that is being evaluated, for messages.
+    /// Path of the field being evaluated, for messages.
     path: Vec<String>,
 }
 
@@ -213,7 +216,7 @@
         Value::new(ValueKind::Invalid, span)
     }
 
-    /// All top fields that are no definitions, as one record.
+    /// All top-level fields except definitions, as one record.
     fn top_level(&mut self) -> Value {
         let mut names: Vec<String> = Vec::new();
         for (file, root) in self.sources.roots.iter().enumerate() {
@@ -233,7 +236,7 @@
         Value::new(ValueKind::Record(record), Span::default())
     }
 
-    /// What a name of the top stands for: what all files say of it together.
+    /// Resolves a top-level name: the unification of its values in all files.
     fn resolve_name(&mut self, name: &str, from: Option<Span>) -> Option<(Value, bool, Span)> {
         let mut found = Vec::new();
         for (file, root) in self.sources.roots.iter().enumerate() {
@@ -247,8 +250,8 @@
             Some(Resolution::InProgress) => {
                 let value = self.report(
                     from.unwrap_or(first),
-                    format!("{name} stands for itself"),
-                    "break the circle: give one of these names a value of its own",
+                    format!("{name} refers to itself"),
+                    "break the cycle: give one of these names a value of its own",
                 );
                 return Some((value, optional, first));
             }
@@ -283,8 +286,8 @@
         if self.depth >= MAX_REFERENCE_DEPTH {
             return self.report(
                 at,
-                "references go too deep",
-                format!("refer through no more than {MAX_REFERENCE_DEPTH} names"),
+                "references are nested too deeply",
+                format!("nest at most {MAX_REFERENCE_DEPTH} references"),
             );
         }
         self.depth += 1;
@@ -391,10 +394,14 @@
                         Some(like) => format!("did you mean {digits}{like}?"),
                         None => "the units are ns us ms s min h d, B KB MB GB KiB MiB GiB, /s /min /h /d, and %".to_owned(),
                     };
-                        return self.report(at, format!("{unit} is no unit"), fix);
+                        return self.report(at, format!("unknown unit {unit}"), fix);
                     }
                     Err(NumberError::InvalidDigits) => {
-                        return self.report(at, format!("{} is no number", token.text()), "write digits")
+                        return self.report(
+                            at,
+                            format!("invalid number {}", token.text()),
+                            "write decimal digits",
+                        )
                     }
                 }
             }
@@ -429,17 +436,17 @@
             tokens(node).filter(|t| matches!(t.kind(), SyntaxKind::Name | SyntaxKind::Text)).collect();
         let Some(first) = path.first() else { return Value::new(ValueKind::Invalid, at) };
         let name = first.text().to_owned();
-        // Types are the language's own words: a field of such a name is not meant.
+        // Type names take precedence over fields of the same name.
         let mut value = match Type::from_name(&name).map(|known| Value::new(ValueKind::Type(known), at)) {
             Some(known) => known,
             None => match self.lookup(&name, scope, at) {
                 Some(value) => value,
                 None => {
                     let closest = self.closest_name(&name, scope);
-                    let fix = closest.map_or("define it, or put a text in quotes".to_owned(), |n| {
+                    let fix = closest.map_or("define it, or quote it if it is a text".to_owned(), |n| {
                         format!("did you mean {n}?")
                     });
-                    return self.report(token_span(first, file), format!("nothing is called {name}"), fix);
+                    return self.report(token_span(first, file), format!("unknown name {name}"), fix);
                 }
             },
         };
@@ -457,7 +464,7 @@
             match next {
                 Some(next) => value = next,
                 None => {
-                    let fix = "name a field that the record has";
+                    let fix = "use a field of the record";
                     return self.report(token_span(token, file), format!("{name} has no field {part}"), fix);
                 }
             }
@@ -465,7 +472,7 @@
         Value { span: at, ..value }
     }
 
-    /// The innermost field of a name round a place.
+    /// Finds a name in the innermost enclosing record that has it, else at the top level.
     fn lookup(&mut self, name: &str, scope: &Scope, from: Span) -> Option<Value> {
         for depth in (1..scope.len()).rev() {
             let (file, node) = scope[depth].clone();
@@ -486,7 +493,7 @@
     }
 }
 
-/// A definition's records take no other fields than it names, at any depth.
+/// Closes all records of a definition, at any depth: fields that it does not list are rejected.
 fn close(value: &mut Value) {
     match &mut value.what {
         ValueKind::Record(record) => {
@@ -503,8 +510,8 @@
     }
 }
 
-/// What is left of a value once defaults are taken: something definite, or a fault that says what is
-/// missing. `round` is the record or list round it, where what is missing would stand.
+/// Applies defaults and reports each value that is not concrete as missing, at the span `enclosing`
+/// of its record or list.
 pub fn resolve_defaults(
     value: &Value,
     path: &str,
@@ -524,7 +531,7 @@
         ValueKind::Record(record) => {
             let mut out = RecordValue { rest: None, ..RecordValue::default() };
             for (name, field) in &record.fields {
-                // Whoever wrote the field made it count; a definition alone does not.
+                // An optional field that no file sets is left out.
                 if field.optional {
                     continue;
                 }
--- a/crates/language/src/format.rs
+++ b/crates/language/src/format.rs
@@ -1,14 +1,14 @@
-//! The formatter: one way to lay a file out. Only blanks change; formatting what was formatted changes nothing.
+//! The formatter. It changes only whitespace, line breaks and commas, and is idempotent.
 
 use crate::parser::parse;
 use crate::syntax::{lex, SyntaxKind};
 
-/// Blanks of a level.
+/// Spaces per indentation level.
 const INDENT: usize = 2;
-/// Longest line on which a record or list that was written on one line stays.
+/// A record or list written on one line stays there if the line is shorter than this.
 const MAX_LINE_WIDTH: usize = 100;
 
-/// Lays a file out; none where it can't be read.
+/// Formats a file; `None` if it has syntax errors.
 pub fn format(text: &str) -> Option<String> {
     if !parse(text).diagnostics.is_empty() {
         return None;
@@ -61,7 +61,7 @@
                 out.write_token(kind, text, previous);
             }
             SyntaxKind::Comma => {
-                // At the end of a line a comma says nothing that the line's end does not.
+                // A comma before a line break is redundant.
                 let at_line_end = ends_line(&tokens, at + 1);
                 let is_inline = inline.last().copied().unwrap_or(false);
                 let closes = matches!(
@@ -81,7 +81,7 @@
             }
             _ => {
                 if inline.last().copied().unwrap_or(false) {
-                    // Lines of what fits on one line are joined; commas stand between its fields.
+                    // Joined lines are separated by commas.
                     if out.pending_newlines > 0 && ends_value(previous) {
                         out.text.push(',');
                     }
@@ -106,9 +106,9 @@
 struct Output {
     text: String,
     depth: usize,
-    /// Line ends since the last word.
+    /// Newlines in the input since the previous token.
     pending_newlines: usize,
-    /// Nothing stands on the present line.
+    /// Whether the current output line is empty.
     at_line_start: bool,
 }
 
@@ -122,14 +122,14 @@
             self.text.push('\n');
             self.at_line_start = true;
         }
-        // One empty line is kept, more are not; none stands at the start of a file.
+        // Keeps at most one empty line, and none at the start of the file.
         if self.pending_newlines > 1 && !self.text.is_empty() && !self.text.ends_with("\n\n") {
             self.text.push('\n');
         }
         self.pending_newlines = 0;
     }
 
-    /// Takes back a line end that was made for nothing.
+    /// Removes a line break that turned out to be unnecessary.
     fn undo_line_break(&mut self) {
         let end = self.text.trim_end().len();
         self.text.truncate(end);
@@ -164,13 +164,13 @@
         }
         self.text.push_str(text);
         self.pending_newlines = 0;
-        // What follows a comment is on another line whatever comes.
+        // A comment always ends its line.
         self.text.push('\n');
         self.at_line_start = true;
     }
 }
 
-/// Whether a blank stands between two words on a line.
+/// Whether a space separates two tokens on one line.
 fn needs_space(previous: SyntaxKind, next: SyntaxKind) -> bool {
     use SyntaxKind::*;
     !matches!(
@@ -182,7 +182,7 @@
     )
 }
 
-/// Whether a field or element ends here, so that a comma must stand before the next.
+/// Whether a token can end a field or element, so that a comma must precede the next one.
 fn ends_value(previous: Option<SyntaxKind>) -> bool {
     use SyntaxKind::*;
     matches!(
@@ -205,7 +205,7 @@
         .is_none_or(|k| matches!(k, SyntaxKind::Newline | SyntaxKind::Comment))
 }
 
-/// Whether a record or list was written on one line and fits on one.
+/// Whether a record or list was written on one line and is short enough to stay there.
 fn fits_on_line(tokens: &[(SyntaxKind, &str)], column: usize) -> bool {
     let (mut depth, mut width) = (0_usize, column);
     for (kind, text) in tokens {
--- a/crates/language/src/lib.rs
+++ b/crates/language/src/lib.rs
@@ -1,8 +1,10 @@
-//! The configuration language: typed records with units, includes, references and definitions, in the manner of CUE.
+//! The configuration language: typed records with units, includes, references and definitions, in
+//! the manner of CUE.
 //!
-//! [`parser`] gives a lossless tree and goes on behind a fault; [`eval`] makes one value of a file and all that it
-//! includes; [`unify`] holds it against the definitions; [`format`] lays a file out. Messages name file, line,
-//! column, the text in question and the way to mend it ([`message`]). No I/O: files come through [`eval::Loader`].
+//! [`parser`] builds a lossless syntax tree and recovers from errors; [`eval`] evaluates a file and
+//! its includes to one value; [`unify`] checks it against the definitions; [`format`] is the
+//! formatter. Each [`diagnostic`] has a position, a message and a suggested fix; [`message`]
+//! renders it. No I/O: files are read through [`eval::Loader`].
 
 #![forbid(unsafe_code)]
 
@@ -20,22 +22,24 @@
 use eval::{resolve_defaults, Loader, Sources};
 use value::{Value, ValueKind};
 
-/// What reading a configuration came to.
+/// The result of reading a configuration.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The files that were read; the first is the one that was asked for.
+    /// All files that were read, the main file first.
     pub sources: Sources,
-    /// What they say, with all defaults taken; parts that are wrong are [`What::Wrong`].
+    /// The evaluated value with defaults applied; invalid parts are [`ValueKind::Invalid`].
     pub value: Value,
-    /// What is wrong, in the order of files and lines.
+    /// All errors, ordered by file and position.
     pub diagnostics: Vec<Diagnostic>,
 }
 
-/// Reads a file with all that it includes, and holds it against the definition `main` of `definitions`.
+/// Reads a file and its includes, and validates the result against the definition `main` in
+/// `definitions`.
 pub fn read(name: &str, text: &str, loader: &mut dyn Loader, definitions: &str, main: &str) -> Outcome {
     let mut diagnostics = Vec::new();
     let mut sources = Sources::read(name, text, loader, &mut diagnostics);
-    // Guards against messages about what is missing only because it could not be read.
+    // A file with syntax errors is not evaluated: its unreadable fields would be reported as
+    // missing.
     let mut resolved = Value::new(ValueKind::Invalid, Default::default());
     if diagnostics.is_empty() {
         sources.add_text("(definitions)", definitions, &mut diagnostics);
--- a/crates/language/src/message.rs
+++ b/crates/language/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages as operators read them: file, line, column, the text in question, and the way to mend it.
+//! Renders diagnostics for operators, with file, line and column.
 
 use miette::{
     Diagnostic as MietteDiagnostic, GraphicalReportHandler, GraphicalTheme, LabeledSpan, NamedSource,
@@ -8,7 +8,7 @@
 use crate::diagnostic::{Diagnostic, Span};
 use crate::eval::Sources;
 
-/// Line and column of a place, both from 1; columns count characters.
+/// Line and column of a byte offset, both starting at 1; columns count characters.
 pub fn line_and_column(text: &str, at: usize) -> (usize, usize) {
     let before = &text[..floor(text, at)];
     let line = before.matches('\n').count() + 1;
@@ -16,7 +16,7 @@
     (line, before[line_start..].chars().count() + 1)
 }
 
-/// The last boundary of a character up to a place.
+/// The largest character boundary at or before an offset.
 fn floor(text: &str, at: usize) -> usize {
     let mut at = at.min(text.len());
     while !text.is_char_boundary(at) {
@@ -25,7 +25,7 @@
     at
 }
 
-/// One line for one fault: `FILE:LINE:COLUMN: what is wrong: how to mend it`.
+/// Renders a diagnostic on one line: `FILE:LINE:COLUMN: message: fix`.
 pub fn format_line(sources: &Sources, diagnostic: &Diagnostic) -> String {
     let Some(source) = sources.files.get(diagnostic.span.file) else { return diagnostic.message.clone() };
     let (line, column) = line_and_column(&source.text, diagnostic.span.start);
@@ -56,7 +56,7 @@
     }
 }
 
-/// A fault with the lines that it is about.
+/// Renders a diagnostic with the source lines around it.
 pub fn format_report(sources: &Sources, diagnostic: &Diagnostic) -> String {
     let Some(source) = sources.files.get(diagnostic.span.file) else { return diagnostic.message.clone() };
     let label = |span: Span, text: &str| {
--- a/crates/language/src/parser.rs
+++ b/crates/language/src/parser.rs
@@ -1,5 +1,5 @@
-//! From text to tree: recursive descent over a flat list of tokens, with recovery at the next field, so that several
-//! faults are told at once. Depth and size are bounded.
+//! Recursive-descent parser with error recovery at the next field, so that several errors are
+//! reported in one run. Nesting depth and file size are bounded.
 //!
 //! The grammar is in `docs/language.md`.
 
@@ -8,18 +8,18 @@
 use crate::diagnostic::{Diagnostic, Span};
 use crate::syntax::{lex, Language, Lexeme, Node, SyntaxKind};
 
-/// Longest file (bytes), and deepest nesting of records, lists and groups.
+/// Largest accepted file.
 pub const MAX_FILE_BYTES: usize = 1 << 20;
 /// Deepest nesting of records, lists and groups.
 pub const MAX_DEPTH: usize = 64;
-/// Faults told of one file (count): what follows so many says little.
+/// Syntax errors reported per file; further ones are mostly consequences of the first.
 const MAX_DIAGNOSTICS: usize = 20;
 
-/// A file's tree with what is wrong with it.
+/// The syntax tree of a file and its syntax errors.
 #[derive(Clone, Debug)]
 pub struct Parsed {
     green: GreenNode,
-    /// What is wrong with its syntax, in order.
+    /// Syntax errors, in source order.
     pub diagnostics: Vec<Diagnostic>,
 }
 
@@ -39,7 +39,7 @@
     length: usize,
 }
 
-/// Reads a file.
+/// Parses a file.
 pub fn parse(text: &str) -> Parsed {
     let mut parser = Parser {
         tokens: Vec::new(),
@@ -51,7 +51,7 @@
     };
     if text.len() > MAX_FILE_BYTES {
         let diagnostic = Diagnostic::new(Span::new(0, 0), "the file is too long")
-            .fix(format!("keep a file under {MAX_FILE_BYTES} bytes; divide it with include"));
+            .fix(format!("keep each file under {MAX_FILE_BYTES} bytes; split it with include"));
         parser.diagnostics.push(diagnostic);
     } else {
         parser.tokens = lex(text);
@@ -63,13 +63,14 @@
 }
 
 impl Parser<'_> {
-    // ---- Tokens ------------------------------------------------------------------------------------
+    // ---- Tokens
+    // ------------------------------------------------------------------------------------
 
     fn kind_at(&self, at: usize) -> Option<SyntaxKind> {
         self.tokens.get(at).map(|t| t.kind)
     }
 
-    /// Index of the next token that says something, and whether a line ends before it.
+    /// Index of the next token that is not trivia, and whether a newline precedes it.
     fn lookahead(&self) -> (usize, bool) {
         let (mut at, mut newline) = (self.at, false);
         while let Some(kind) = self.kind_at(at) {
@@ -98,7 +99,7 @@
         self.tokens.get(self.lookahead().0).map_or("the end of the file", |t| t.text)
     }
 
-    /// Puts blanks and comments up to the next token into the tree.
+    /// Adds whitespace and comments up to the next token to the tree.
     fn bump_trivia(&mut self) {
         let (to, _) = self.lookahead();
         while self.at < to {
@@ -131,23 +132,24 @@
     }
 
     fn report(&mut self, span: Span, message: impl Into<String>, fix: impl Into<String>) {
-        // One fault a place: what follows from the first says nothing new.
+        // Further errors at one position are consequences of the first.
         let same = self.diagnostics.last().is_some_and(|f| f.span.start == span.start);
         if !same && self.diagnostics.len() < MAX_DIAGNOSTICS {
             self.diagnostics.push(Diagnostic::new(span, message).fix(fix));
         }
     }
 
-    // ---- Fields ------------------------------------------------------------------------------------
+    // ---- Fields
+    // ------------------------------------------------------------------------------------
 
-    /// Fields up to the closing brace, or to the end of the file.
+    /// Parses fields up to the closing brace or the end of the file.
     fn fields(&mut self, open: Option<Span>) {
         loop {
             self.bump_trivia();
             match self.peek() {
                 None => {
                     if let Some(open) = open {
-                        self.report(open, "this record has no end", "close it with }");
+                        self.report(open, "unclosed record", "add the closing }");
                     }
                     return;
                 }
@@ -178,7 +180,7 @@
                 ) => self.field(),
                 Some(_) => {
                     let (span, text) = (self.span(), self.text().to_owned());
-                    self.report(span, format!("{text:?} does not begin a field"), "write NAME: VALUE");
+                    self.report(span, format!("expected a field, found {text:?}"), "write NAME: VALUE");
                     self.skip_to_separator();
                 }
             }
@@ -190,7 +192,7 @@
         self.bump();
         if !self.eat(SyntaxKind::Text) {
             let span = self.span();
-            self.report(span, "include names no file", "write the file's name: include \"pools.conf\"");
+            self.report(span, "include without a file name", "write the file's name: include \"pools.conf\"");
         }
         self.builder.finish_node();
         self.separator();
@@ -207,12 +209,12 @@
             self.value();
         } else if self.peek() == Some(SyntaxKind::OpenBrace) {
             let fix = format!("write {name}: {{");
-            self.report(span, format!("no : stands behind {name}"), fix);
+            self.report(span, format!("missing : after {name}"), fix);
             self.value();
         } else {
             let fix = format!("write {name}: VALUE");
-            self.report(span, format!("no : stands behind {name}"), fix);
-            // What else is on the line was meant to be the value.
+            self.report(span, format!("missing : after {name}"), fix);
+            // Skips the rest of the line, which was probably meant as the value.
             if !self.lookahead().1 {
                 self.skip_to_separator();
             }
@@ -221,7 +223,7 @@
         self.separator();
     }
 
-    /// A comma, the end of the line, or what closes the record must follow a field.
+    /// Expects a comma, a newline or a closing bracket after a field.
     fn separator(&mut self) {
         let (at, newline) = self.lookahead();
         match self.kind_at(at) {
@@ -231,13 +233,13 @@
             Some(_) => {
                 let (span, text) = (self.span(), self.text().to_owned());
                 let fix = "end the field with a comma or a new line";
-                self.report(span, format!("{text:?} stands behind the end of a field"), fix);
+                self.report(span, format!("unexpected {text:?} after a field"), fix);
                 self.skip_to_separator();
             }
         }
     }
 
-    /// Passes over what can't be read, up to the next line or what closes the record.
+    /// Error recovery: skips to the next newline, comma or closing brace at this level.
     fn skip_to_separator(&mut self) {
         self.bump_trivia();
         self.start(SyntaxKind::Error);
@@ -257,12 +259,13 @@
         self.builder.finish_node();
     }
 
-    // ---- Values ------------------------------------------------------------------------------------
+    // ---- Values
+    // ------------------------------------------------------------------------------------
 
     fn value(&mut self) {
         if self.depth >= MAX_DEPTH {
             let span = self.span();
-            self.report(span, "values are nested too deep", format!("nest no deeper than {MAX_DEPTH}"));
+            self.report(span, "values are nested too deeply", format!("nest at most {MAX_DEPTH} levels"));
             return self.skip_to_separator();
         }
         self.depth += 1;
@@ -337,7 +340,7 @@
                 self.builder.finish_node();
             }
             Some(SyntaxKind::UnterminatedText) => {
-                self.report(span, "this text has no end", "close it with \" on the same line");
+                self.report(span, "unterminated text", "close it with \" on the same line");
                 self.start(SyntaxKind::Literal);
                 self.bump();
                 self.builder.finish_node();
@@ -348,7 +351,7 @@
                 while self.eat(SyntaxKind::Dot) {
                     if !(self.eat(SyntaxKind::Name) || self.eat(SyntaxKind::Text)) {
                         let span = self.span();
-                        self.report(span, "no name stands behind the dot", "write RECORD.FIELD");
+                        self.report(span, "missing field name after the dot", "write RECORD.FIELD");
                         break;
                     }
                 }
@@ -367,15 +370,15 @@
                 self.bump();
                 self.value();
                 if !self.eat(SyntaxKind::CloseParen) {
-                    self.report(span, "this group has no end", "close it with )");
+                    self.report(span, "unclosed group", "add the closing )");
                 }
                 self.builder.finish_node();
             }
             _ => {
                 let text = self.text().to_owned();
                 let fix = "write a number with its unit, a text, true, false, a name, { } or [ ]";
-                self.report(span, format!("{} is no value", quoted(&text)), fix);
-                // What closes a record or begins the next line is left to whoever waits for it.
+                self.report(span, format!("expected a value, found {}", quoted(&text)), fix);
+                // Closing brackets and the next line are left to the enclosing rule.
                 let (at, newline) = self.lookahead();
                 let closes = matches!(
                     self.kind_at(at),
@@ -394,7 +397,7 @@
         loop {
             match self.peek() {
                 Some(SyntaxKind::CloseBracket) => break self.bump(),
-                None => break self.report(open, "this list has no end", "close it with ]"),
+                None => break self.report(open, "unclosed list", "add the closing ]"),
                 Some(SyntaxKind::Ellipsis) => {
                     self.bump_trivia();
                     self.start(SyntaxKind::Rest);
@@ -405,7 +408,7 @@
                     self.builder.finish_node();
                 }
                 Some(SyntaxKind::CloseBrace) => {
-                    break self.report(open, "this list has no end", "close it with ]")
+                    break self.report(open, "unclosed list", "add the closing ]")
                 }
                 Some(_) => {
                     let before = self.at;
@@ -424,7 +427,7 @@
                     let (span, text) = (self.span(), self.text().to_owned());
                     self.report(
                         span,
-                        format!("{} stands behind the end of an element", quoted(&text)),
+                        format!("unexpected {} after a list element", quoted(&text)),
                         "put a comma between elements",
                     );
                 }
--- a/crates/language/src/syntax.rs
+++ b/crates/language/src/syntax.rs
@@ -1,8 +1,8 @@
-//! Tokens and the lossless tree: every byte of a file is in it, errors included.
+//! Tokens and the lossless syntax tree: the tree contains every byte of the file, including errors.
 
 use logos::Logos;
 
-/// Kinds of tokens and of nodes.
+/// Kinds of tokens and nodes.
 #[derive(Logos, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u16)]
 #[allow(missing_docs)]
@@ -59,12 +59,12 @@
     False,
     #[regex(r"#?[A-Za-z_][A-Za-z0-9_]*")]
     Name,
-    /// A number with what stands right behind it: its unit, or something that is none.
+    /// A number with its suffix, which is not checked here.
     #[regex(r"-?[0-9][0-9_]*(\.[0-9]+)?([A-Za-z%/]+[A-Za-z0-9/%]*)?")]
     Number,
     #[regex(r#""([^"\\\n]|\\[^\n])*""#)]
     Text,
-    /// A text without its end.
+    /// A text without the closing quote.
     #[regex(r#""([^"\\\n]|\\[^\n])*"#, priority = 1)]
     UnterminatedText,
 
@@ -86,7 +86,7 @@
     Group,
 }
 
-/// The language, as the tree's library wants it named.
+/// The language type that `rowan` requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Language {}
 
@@ -154,18 +154,18 @@
 /// A token of the tree.
 pub type Token = rowan::SyntaxToken<Language>;
 
-/// A token with its text.
+/// A token with its text and position.
 #[derive(Clone, Copy, Debug)]
 pub struct Lexeme<'a> {
-    /// What it is; [`Kind::Error`] for what belongs to no token.
+    /// Its kind; [`SyntaxKind::Error`] for an unrecognized character.
     pub kind: SyntaxKind,
-    /// Its text.
+    /// The source text.
     pub text: &'a str,
-    /// Where it begins (bytes).
+    /// Byte offset of its start.
     pub at: usize,
 }
 
-/// Cuts a text into tokens; all of it.
+/// Splits a text into tokens without dropping any byte.
 pub fn lex(text: &str) -> Vec<Lexeme<'_>> {
     let mut lexer = SyntaxKind::lexer(text);
     let mut all = Vec::new();
--- a/crates/language/src/unify.rs
+++ b/crates/language/src/unify.rs
@@ -1,10 +1,10 @@
-//! Unification: what two descriptions of one value say together, or why they can't both hold. Associative and
-//! commutative but for the words of its messages, as in CUE, whose lattice this follows.
+//! Unification of two values or constraints, following the lattice of CUE: associative and
+//! commutative except for the texts of diagnostics.
 
 use crate::diagnostic::{Diagnostic, Span};
 use crate::value::{Comparison, FieldValue, Quantity, RecordValue, Type, Unit, Value, ValueKind};
 
-/// What two values say together. `path` is the field's, for messages.
+/// Unifies two values. `path` names the field in messages.
 pub fn unify(a: &Value, b: &Value, path: &str, diagnostics: &mut Vec<Diagnostic>) -> Value {
     let span = reported_span(a.span, b.span);
     let what = match (&a.what, &b.what) {
@@ -53,8 +53,8 @@
     Value::new(what, span)
 }
 
-/// Of two places the one to tell: the operator's file comes before those that it is held against, and within a file
-/// what was written later is what is wrong.
+/// The position to report for a conflict: the operator's file rather than the definitions, and
+/// within a file the later one.
 fn reported_span(a: Span, b: Span) -> Span {
     if a.file == b.file {
         a.max(b)
@@ -72,7 +72,7 @@
 }
 
 fn conflict(a: &Value, b: &Value, path: &str, diagnostics: &mut Vec<Diagnostic>) -> Value {
-    // What was written counts as wrong, what it must be as right.
+    // A concrete value is reported against a constraint, not the other way round.
     let a_is_reported = match (is_concrete(a), is_concrete(b)) {
         (true, false) => true,
         (false, true) => false,
@@ -82,21 +82,26 @@
     let diagnostic = if is_concrete(expected) {
         Diagnostic::new(
             written.span,
-            format!("{path} is {} here and {} elsewhere", written.describe(), expected.describe()),
+            format!(
+                "conflicting values for {path}: {} here and {} elsewhere",
+                written.describe(),
+                expected.describe()
+            ),
         )
         .fix("keep one of the two")
     } else {
         Diagnostic::new(
             written.span,
-            format!("{path} is {}, where {} is wanted", written.describe(), expected.describe()),
+            format!("{path} is {}, expected {}", written.describe(), expected.describe()),
         )
         .fix(format!("write {}", example(expected)))
     };
-    diagnostics.push(diagnostic.with_related(expected.span, format!("{} is said here", expected.describe())));
+    diagnostics
+        .push(diagnostic.with_related(expected.span, format!("{} is given here", expected.describe())));
     invalid(written.span)
 }
 
-/// Something that would do in a value's place.
+/// Describes an acceptable value.
 fn example(value: &Value) -> String {
     match &value.what {
         ValueKind::Type(t) | ValueKind::Bounded(t, _) => match t {
@@ -132,7 +137,7 @@
     diagnostics: &mut Vec<Diagnostic>,
 ) -> Value {
     let Type::Number(unit, integer) = t else {
-        let diagnostic = Diagnostic::new(span, format!("{path} is {q}, where {} is wanted", t.name()));
+        let diagnostic = Diagnostic::new(span, format!("{path} is {q}, expected {}", t.name()));
         let expected = Value::new(ValueKind::Type(t), span);
         diagnostics.push(diagnostic.fix(format!("write {}", example(&expected))));
         return invalid(span);
@@ -142,20 +147,16 @@
             (Unit::Plain, _) => {
                 let first = unit.examples().split([',', ' ']).nth(if unit == Unit::Time { 4 } else { 0 });
                 let first = first.filter(|u| !u.is_empty()).unwrap_or("s");
-                Diagnostic::new(
-                    span,
-                    format!("{path} is {q} with no unit, where a {} is wanted", unit.name()),
-                )
-                .fix(format!("write {q}{first}; the units are {}", unit.examples()))
+                Diagnostic::new(span, format!("{path} is {q} without a unit, expected a {}", unit.name()))
+                    .fix(format!("write {q}{first}; the units are {}", unit.examples()))
+            }
+            (_, Unit::Plain) => {
+                Diagnostic::new(span, format!("{path} is {q}, a {}, expected a plain number", q.unit.name()))
+                    .fix("remove the unit")
             }
-            (_, Unit::Plain) => Diagnostic::new(
-                span,
-                format!("{path} is {q}, a {}, where a plain number is wanted", q.unit.name()),
-            )
-            .fix("leave the unit out"),
             _ => Diagnostic::new(
                 span,
-                format!("{path} is {q}, a {}, where a {} is wanted", q.unit.name(), unit.name()),
+                format!("{path} is {q}, a {}, expected a {}", q.unit.name(), unit.name()),
             )
             .fix(format!("the units of a {} are {}", unit.name(), unit.examples())),
         };
@@ -171,7 +172,7 @@
     let violated = bounds.iter().find(|(comparison, bound)| !comparison.holds(q.value, *bound));
     if let Some((comparison, bound)) = violated {
         let bound = Quantity { value: *bound, unit, is_integer: false };
-        let diagnostic = Diagnostic::new(span, format!("{path} is {q}, out of its bounds"));
+        let diagnostic = Diagnostic::new(span, format!("{path} is {q}, out of range"));
         diagnostics.push(diagnostic.fix(format!("choose a {} {} {bound}", t.name(), comparison.symbol())));
         return invalid(span);
     }
@@ -219,7 +220,7 @@
 }
 
 fn unknown_field(name: &str, span: Span, path: &str, record: &RecordValue) -> Diagnostic {
-    let diagnostic = Diagnostic::new(span, format!("there is no {path}"));
+    let diagnostic = Diagnostic::new(span, format!("unknown field {path}"));
     let closest = record.fields.keys().map(|known| (edit_distance(name, known), known)).min();
     match closest {
         Some((edits, known)) if edits <= 2.max(name.len() / 3) => {
@@ -230,12 +231,12 @@
         }
         _ => {
             let known: Vec<&str> = record.fields.keys().map(String::as_str).collect();
-            diagnostic.fix(format!("use one of {}, or leave it out", known.join(", ")))
+            diagnostic.fix(format!("use one of {}, or remove it", known.join(", ")))
         }
     }
 }
 
-/// Edits between two names (Levenshtein, 1966; with the row-by-row table of Wagner and Fischer, 1974).
+/// Levenshtein distance, by the row-wise algorithm of Wagner and Fischer.
 pub fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
@@ -264,8 +265,8 @@
             (Some(one), Some(other)) => all.push(unify(&one, &other, &path, diagnostics)),
             (Some(one), None) | (None, Some(one)) => {
                 let shorter = x.len().min(y.len());
-                let diagnostic = Diagnostic::new(one.span, format!("{path} is one element too many"));
-                diagnostics.push(diagnostic.fix(format!("keep {shorter} elements")));
+                let diagnostic = Diagnostic::new(one.span, format!("{path} exceeds the length of the list"));
+                diagnostics.push(diagnostic.fix(format!("keep at most {shorter} elements")));
                 break;
             }
             (None, None) => break,
@@ -291,7 +292,7 @@
             let mut own = Vec::new();
             let both = unify(p, q, path, &mut own);
             if own.is_empty() {
-                // A default stays one where the other side says nothing or the same.
+                // A default stays the default if the other side has none or the same one.
                 let of = |d: Option<usize>, at: usize| d.is_none_or(|d| d == at);
                 let some = default_x.is_some() || default_y.is_some();
                 if some && of(default_x, i) && of(default_y, j) {
@@ -305,7 +306,8 @@
     }
     match remaining.len() {
         0 => {
-            // One alternative that is a record, or nothing else to say: its own faults tell more than that none fits.
+            // For a single alternative, a record or a number, its own diagnostics are more specific
+            // than a conflict.
             let written = if reported_span(a.span, b.span) == a.span { a } else { b };
             let closest = conflicts.into_iter().min_by_key(Vec::len).unwrap_or_default();
             let report_closest =
--- a/crates/language/src/value.rs
+++ b/crates/language/src/value.rs
@@ -1,26 +1,26 @@
-//! Values, their types and their units.
+//! Values, types and units.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use crate::diagnostic::Span;
 
-/// What a number counts. A figure with no unit is a plain number, and only that.
+/// The dimension of a number. A number without a unit is never converted to another dimension.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Unit {
     /// A plain number.
     Plain,
-    /// A time, in nanoseconds.
+    /// A duration in nanoseconds.
     Time,
-    /// A size, in bytes.
+    /// A size in bytes.
     Size,
-    /// A rate, in events a second.
+    /// Events per second.
     Rate,
-    /// A share, where 1 is all.
+    /// A fraction of 1.
     Share,
 }
 
-/// Units by their name: what they count, and how much of it.
+/// Unit suffixes with their dimension and factor.
 const UNITS: [(&str, Unit, f64); 19] = [
     ("ns", Unit::Time, 1.0),
     ("us", Unit::Time, 1e3),
@@ -44,7 +44,7 @@
 ];
 
 impl Unit {
-    /// The type's name in the language.
+    /// The name of the type in the language.
     pub fn name(self) -> &'static str {
         match self {
             Unit::Plain => "number",
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Units in which it may be written.
+    /// The accepted unit suffixes, for messages.
     pub fn examples(self) -> &'static str {
         match self {
             Unit::Plain => "no unit",
@@ -67,27 +67,27 @@
     }
 }
 
-/// A number with what it counts.
+/// A number with its dimension.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quantity {
-    /// In the unit's own measure.
+    /// The value in the base unit of its dimension.
     pub value: f64,
-    /// What it counts.
+    /// The dimension.
     pub unit: Unit,
-    /// It was written without a decimal point.
+    /// Whether it was written without a decimal point.
     pub is_integer: bool,
 }
 
-/// Why a number can't be read.
+/// Why a number cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NumberError {
-    /// What stands behind the digits is no unit.
+    /// The suffix is not a known unit.
     UnknownUnit(String),
-    /// The digits are no number.
+    /// The digits do not form a number.
     InvalidDigits,
 }
 
-/// Reads a number with its unit.
+/// Parses a number with an optional unit.
 pub fn parse_number(text: &str) -> Result<Quantity, NumberError> {
     let end =
         text.find(|c: char| !(c.is_ascii_digit() || matches!(c, '-' | '_' | '.'))).unwrap_or(text.len());
@@ -103,7 +103,7 @@
     Ok(Quantity { value: value * factor, unit: *unit, is_integer })
 }
 
-/// The unit that somebody may have meant.
+/// The unit most likely meant by an unknown suffix.
 pub fn suggest_unit(suffix: &str) -> Option<&'static str> {
     let unit = match suffix.to_ascii_lowercase().as_str() {
         "sec" | "secs" | "second" | "seconds" => "s",
@@ -130,7 +130,7 @@
         if self.unit == Unit::Plain {
             return write!(f, "{}", self.value);
         }
-        // The largest unit in which the figure is whole, binary sizes only where decimal ones are not.
+        // Prefers the largest unit that gives a whole number.
         let is_whole = |(_, unit, factor): &&(&str, Unit, f64)| {
             let amount = self.value / factor;
             *unit == self.unit && (amount.round() - amount).abs() < 1e-9 && amount.round() != 0.0
@@ -151,23 +151,23 @@
     }
 }
 
-/// How a number is bounded.
+/// A comparison operator of a bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Comparison {
-    /// Under.
+    /// `<`
     Less,
-    /// Up to.
+    /// `<=`
     LessOrEqual,
-    /// Over.
+    /// `>`
     Greater,
-    /// From.
+    /// `>=`
     GreaterOrEqual,
-    /// Anything but.
+    /// `!=`
     NotEqual,
 }
 
 impl Comparison {
-    /// Whether a figure keeps to it.
+    /// Whether a value satisfies the bound.
     pub fn holds(self, value: f64, bound: f64) -> bool {
         match self {
             Comparison::Less => value < bound,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// As it is written.
+    /// The operator as written in a file.
     pub fn symbol(self) -> &'static str {
         match self {
             Comparison::Less => "<",
@@ -190,21 +190,21 @@
     }
 }
 
-/// The plain types.
+/// The basic types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Type {
     /// Any value.
     Any,
-    /// A number in a unit; a whole one where told.
+    /// A number of a dimension; `true` restricts it to whole numbers.
     Number(Unit, bool),
-    /// A text.
+    /// A string.
     Text,
-    /// True or false.
+    /// A boolean.
     Bool,
 }
 
 impl Type {
-    /// A type by its name.
+    /// Looks up a type by name.
     pub fn from_name(name: &str) -> Option<Type> {
         Some(match name {
             "any" => Type::Any,
@@ -220,7 +220,7 @@
         })
     }
 
-    /// Its name.
+    /// The name of the type in the language.
     pub fn name(self) -> &'static str {
         match self {
             Type::Any => "any",
@@ -235,64 +235,64 @@
 /// A field of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FieldValue {
-    /// Its value, or what its value must be.
+    /// The value, or the constraint on it.
     pub value: Value,
-    /// It may be absent.
+    /// Whether the field may be absent.
     pub optional: bool,
-    /// Where it is named.
+    /// Position of the field's name.
     pub span: Span,
 }
 
 /// A record.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecordValue {
-    /// Its fields by name.
+    /// Fields by name.
     pub fields: BTreeMap<String, FieldValue>,
-    /// What fields with other names must be; absent where there may be none.
+    /// Constraint on fields that are not listed (`...T`), if any.
     pub rest: Option<Box<Value>>,
-    /// It came from a definition, and takes only fields that it names.
+    /// Whether unlisted fields are rejected, as in a definition.
     pub closed: bool,
 }
 
-/// A value, or what is known of one.
+/// A concrete value or a constraint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Value {
-    /// What it is.
+    /// The content.
     pub what: ValueKind,
-    /// Where it was written.
+    /// Position in the source.
     pub span: Span,
 }
 
-/// What a value is.
+/// The content of a value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ValueKind {
-    /// One of a type.
+    /// Any value of a type.
     Type(Type),
-    /// A number within bounds.
+    /// Any number within bounds.
     Bounded(Type, Vec<(Comparison, f64)>),
     /// A number.
     Number(Quantity),
-    /// A text.
+    /// A string.
     Text(String),
-    /// True or false.
+    /// A boolean.
     Bool(bool),
     /// A record.
     Record(RecordValue),
-    /// Elements, and what further ones must be, where there may be some.
+    /// Elements, and the constraint on further elements if more are allowed.
     List(Vec<Value>, Option<Box<Value>>),
-    /// One of several; the default, where there is one, by its place.
+    /// Alternatives, and the index of the default if there is one.
     Disjunction(Vec<Value>, Option<usize>),
-    /// Nothing can be said, as it was wrong and has been told.
+    /// Could not be evaluated; the error has already been reported.
     Invalid,
 }
 
 impl Value {
-    /// A value that was written somewhere.
+    /// A value at a source position.
     pub fn new(what: ValueKind, span: Span) -> Self {
         Value { what, span }
     }
 
-    /// What is told of it in messages.
+    /// A short description for messages.
     pub fn describe(&self) -> String {
         match &self.what {
             ValueKind::Type(t) => t.name().to_owned(),
@@ -313,7 +313,7 @@
                 let all: Vec<String> = all.iter().map(Value::describe).collect();
                 all.join(" or ")
             }
-            ValueKind::Invalid => "something wrong".to_owned(),
+            ValueKind::Invalid => "an invalid value".to_owned(),
         }
     }
 }
--- a/crates/language/tests/language.rs
+++ b/crates/language/tests/language.rs
@@ -1,4 +1,4 @@
-//! The language on files that are right and files that are wrong.
+//! Reading, diagnostics and formatting of valid and broken files.
 
 use std::collections::BTreeMap;
 
@@ -72,10 +72,10 @@
         "include \"pools.conf\"\n\nname: \"main\"\nusual: 20s\n\
          routes: [{ name: \"r\", pool: \"fast\", deadline: usual, share: 25% }]\n",
     );
-    // `usual` is a name of the operator's own that no definition knows.
+    // A top-level field without `#` must be in the definition.
     assert_eq!(
         messages(&outcome),
-        ["main:4:1: there is no usual: use one of door, memory, name, pools, routes, or leave it out"]
+        ["main:4:1: unknown field usual: use one of door, memory, name, pools, routes, or remove it"]
     );
     let outcome = read_main(
         "include \"pools.conf\"\n\nname: \"main\"\n#usual: 20s\n\
@@ -93,7 +93,7 @@
     assert_eq!(number("memory"), (64e6, Unit::Size));
     assert_eq!(at(&outcome, "routes.0.when_full"), &ValueKind::Text("refuse".into()));
     let ValueKind::Record(main) = &outcome.value.what else { panic!("a record") };
-    assert!(!main.fields.contains_key("door"), "what nobody wrote is absent");
+    assert!(!main.fields.contains_key("door"), "an optional field that is not set stays absent");
 }
 
 #[test]
@@ -102,7 +102,7 @@
     assert_eq!(
         outcome.diagnostics.len(),
         1,
-        "what follows from the syntax is not told: {:?}",
+        "a file with a syntax error is not evaluated: {:?}",
         messages(&outcome)
     );
     let outcome = read_main("name: 5\nmemory: 6\npools: { p: { zones: [], engines: 0 } }\nroutes: []\n");
@@ -148,7 +148,7 @@
     assert_eq!(format(wanted).as_deref(), Some(wanted));
 }
 
-/// Words of the language in any order, more or less like a file.
+/// Tokens of the language in random order.
 fn arbitrary_tokens() -> impl Strategy<Value = String> {
     let word = proptest::sample::select(vec![
         "a", "b", "#P", ":", ": ", "{", "}", "[", "]", "(", ")", ",", "\n", "\n\n", " ", "1", "5ms", "\"t\"",
@@ -157,7 +157,7 @@
     proptest::collection::vec(word, 0..60).prop_map(|words| words.concat())
 }
 
-/// Files that can be read.
+/// Files without syntax errors.
 fn valid_file() -> impl Strategy<Value = String> {
     let leaf = proptest::sample::select(vec!["1", "5ms", "\"t\"", "true", "int & >0 | *64", "#P.x"]);
     let value = leaf.prop_map(str::to_owned).prop_recursive(4, 24, 4, |inner| {
@@ -177,7 +177,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
-    /// Nothing that anybody writes ends the program, and the tree holds all of it.
+    /// The tree contains the whole input, and each diagnostic has a fix and can be rendered.
     #[test]
     fn parsing_is_lossless_and_never_panics(text in arbitrary_tokens()) {
         prop_assert_eq!(parse(&text).root().to_string(), text.clone());
@@ -188,10 +188,10 @@
         }
     }
 
-    /// Formatting what was formatted changes nothing, and formatting never changes what a file says.
+    /// Formatting twice equals formatting once, and keeps the value and its diagnostics.
     #[test]
     fn formatting_is_idempotent_and_preserves_meaning(text in valid_file()) {
-        let once = format(&text).expect("a sound file");
+        let once = format(&text).expect("a valid file");
         let twice = format(&once).expect("a formatted file");
         prop_assert_eq!(&once, &twice, "from {:?}", text);
         let significant = |t: &str| t.replace([' ', '\n', ','], "");
