--- a/crates/capacity/src/measured.rs
+++ b/crates/capacity/src/measured.rs
@@ -10,7 +10,7 @@
 /// How far the fit of smaller counts may miss the largest (share) before the model counts as wrong.
 pub const MAX_PREDICTION_ERROR: f64 = 0.25;
 /// Counts that a fit is over at least.
-const MIN_RANGE: usize = 4;
+const MIN_FIT_COUNTS: usize = 4;
 
 /// Repeated measurements at one count.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -67,24 +67,24 @@
     /// # Errors
     /// Where they can't be fitted.
     pub fn fit(&self) -> Result<Fit, FitError> {
-        fit(&self.range())
+        fit(&self.fitted_points())
     }
 
     /// By how much the smaller counts of the fit miss the largest (share of its value); infinite where there are too few.
     pub fn prediction_error(&self) -> f64 {
-        error_of(&self.range())
+        largest_count_error(&self.fitted_points())
     }
 
     /// The medians that the fit is over.
-    fn range(&self) -> Vec<Point> {
+    fn fitted_points(&self) -> Vec<Point> {
         let all = self.points();
-        let ranges = (0..all.len().saturating_sub(MIN_RANGE - 1)).map(|from| &all[from..]);
+        let ranges = (0..all.len().saturating_sub(MIN_FIT_COUNTS - 1)).map(|from| &all[from..]);
         let mut best = &all[..];
-        for range in ranges {
-            if error_of(range) < error_of(best) {
-                best = range;
+        for fitted_points in ranges {
+            if largest_count_error(fitted_points) < largest_count_error(best) {
+                best = fitted_points;
             }
-            if error_of(best) <= MAX_PREDICTION_ERROR {
+            if largest_count_error(best) <= MAX_PREDICTION_ERROR {
                 break;
             }
         }
@@ -114,7 +114,7 @@
 }
 
 /// The largest count against the fit of the others (share); infinite where there are too few.
-fn error_of(points: &[Point]) -> f64 {
+fn largest_count_error(points: &[Point]) -> f64 {
     match points.split_last() {
         Some((largest, smaller)) => prediction_error(smaller, *largest),
         None => f64::INFINITY,
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -25,14 +25,14 @@
         ("{{command}}", measured.command.clone()),
         ("{{checksum}}", format!("{:016x}", measured.checksum())),
         ("{{size}}", sizes()),
-        ("{{rows}}", roles(&rows)),
-        ("{{cells}}", cells.as_ref().map_or("Not measured yet.".into(), |cells| changed(&rows, cells))),
-        ("{{ratios}}", ratios(&rows, cells.as_deref())),
-        ("{{chosen}}", chosen(&rows)),
+        ("{{rows}}", role_tables(&rows)),
+        ("{{cells}}", cells.as_ref().map_or("Not measured yet.".into(), |cells| changed_rows(&rows, cells))),
+        ("{{ratio_table}}", ratio_table(&rows, cells.as_deref())),
+        ("{{chosen}}", over_budget_summary(&rows)),
         ("{{costs}}", costs(measured)),
-        ("{{wrong}}", wrong(measured)),
-        ("{{after}}", cells.as_ref().map_or(String::new(), |cells| after(&rows, cells))),
-        ("{{worked_out}}", worked_out(&rows, cells.as_deref())),
+        ("{{inaccurate_models}}", inaccurate_models(measured)),
+        ("{{after_cells}}", cells.as_ref().map_or(String::new(), |cells| after_cells(&rows, cells))),
+        ("{{derivation}}", derivation(&rows, cells.as_deref())),
         ("{{primary}}", primary()),
         ("{{scale}}", scale_table(scale)),
         ("{{error}}", share(MAX_PREDICTION_ERROR)),
@@ -44,7 +44,7 @@
     format!("{}%", number(value * 100.0))
 }
 
-fn exact(constant: &Constant) -> String {
+fn value_with_unit(constant: &Constant) -> String {
     let unit =
         if constant.unit.starts_with('/') { constant.unit.into() } else { format!(" {}", constant.unit) };
     format!("{}{}", plain(constant.value), unit.trim_end())
@@ -53,20 +53,21 @@
 fn sizes() -> String {
     let mut text = String::from("| what | | from |\n| --- | --- | --- |\n");
     for constant in size::ALL {
-        let _ = writeln!(text, "| {} | {} | {} |", constant.name, exact(&constant), constant.source);
+        let _ =
+            writeln!(text, "| {} | {} | {} |", constant.name, value_with_unit(&constant), constant.source);
     }
     text
 }
 
 fn usage(usage: &Usage) -> String {
-    let said = |value: Option<f64>, unit: &str| value.map(|v| format!("{}{unit}", number(v)));
+    let amount = |value: Option<f64>, unit: &str| value.map(|v| format!("{}{unit}", number(v)));
     let parts = [
-        said(usage.messages_s, " messages/s"),
-        said(usage.bytes_s, " bytes/s"),
+        amount(usage.messages_s, " messages/s"),
+        amount(usage.bytes_s, " bytes/s"),
         usage.cores.map(|c| format!("{} of a core", share(c))),
-        said(usage.memory_mb, " MB"),
-        said(usage.seconds, " s"),
-        said(usage.held, " held"),
+        amount(usage.memory_mb, " MB"),
+        amount(usage.seconds, " s"),
+        amount(usage.held, " held"),
     ];
     let parts: Vec<String> = parts.into_iter().flatten().collect();
     if parts.is_empty() {
@@ -75,14 +76,14 @@
     parts.join("; ")
 }
 
-fn told(ratio: Option<Ratio>) -> String {
+fn ratio_text(ratio: Option<Ratio>) -> String {
     ratio.map_or("-".into(), |ratio| {
         let when = if ratio.ordinary { "ordinary day" } else { "worst minute" };
-        format!("**{}** ({}, {when})", number(ratio.value), ratio.of)
+        format!("**{}** ({}, {when})", number(ratio.value), ratio.resource)
     })
 }
 
-fn roles(rows: &[Row]) -> String {
+fn role_tables(rows: &[Row]) -> String {
     let mut text = String::new();
     for role in Role::ALL {
         let of_role: Vec<&Row> = rows.iter().filter(|row| row.role == role).collect();
@@ -107,7 +108,7 @@
                 row.state,
                 usage(&row.ordinary),
                 usage(&row.budget),
-                told(row.ratio()),
+                ratio_text(row.ratio()),
                 row.mechanism.unwrap_or("**none**"),
             );
         }
@@ -117,9 +118,9 @@
 }
 
 /// The rows that are others, or new, with cells and relays.
-fn changed(rows: &[Row], cells: &[Row]) -> String {
+fn changed_rows(rows: &[Row], cells: &[Row]) -> String {
     let others: Vec<Row> = cells.iter().filter(|row| !rows.contains(row)).cloned().collect();
-    roles(&others)
+    role_tables(&others)
 }
 
 /// The ratio of a row of this name, as text.
@@ -128,7 +129,7 @@
     row.and_then(Row::ratio).map_or("-".into(), |ratio| number(ratio.value))
 }
 
-fn ratios(rows: &[Row], cells: Option<&[Row]>) -> String {
+fn ratio_table(rows: &[Row], cells: Option<&[Row]>) -> String {
     let mut text = String::from(
         "| row | whole list | of | cells and relays | rows that cannot work without it |\n| --- | --- | --- | --- | --- |\n",
     );
@@ -149,17 +150,17 @@
             row.role.name(),
             row.activity,
             row.id,
-            ratio.of
+            ratio.resource
         );
     }
     text
 }
 
 /// What the chosen row comes to with cells and relays, and what is missing first then.
-fn after(rows: &[Row], cells: &[Row]) -> String {
-    let Some((chosen, ratio)) = rank(rows).missing_first().next() else { return String::new() };
+fn after_cells(rows: &[Row], cells: &[Row]) -> String {
+    let Some((chosen, ratio)) = rank(rows).needed_over_budget().next() else { return String::new() };
     let next: Vec<String> = rank(cells)
-        .missing_first()
+        .needed_over_budget()
         .take(2)
         .map(|(row, ratio)| {
             format!("`{}`, {} ({}: {})", row.id, number(ratio.value), row.role.name(), row.activity)
@@ -174,9 +175,9 @@
     )
 }
 
-fn chosen(rows: &[Row]) -> String {
+fn over_budget_summary(rows: &[Row]) -> String {
     let ranking = rank(rows);
-    let first: Vec<(&Row, Ratio)> = ranking.missing_first().take(3).collect();
+    let first: Vec<(&Row, Ratio)> = ranking.needed_over_budget().take(3).collect();
     let name = |(row, ratio): &(&Row, Ratio)| {
         format!("`{}`, {} ({}: {})", row.id, number(ratio.value), row.role.name(), row.activity)
     };
@@ -227,7 +228,7 @@
 }
 
 /// Costs whose model misses the largest count by too much.
-fn wrong(measured: &Measured) -> String {
+fn inaccurate_models(measured: &Measured) -> String {
     let misses = |series: &&Series| series.prediction_error() > MAX_PREDICTION_ERROR;
     let names: Vec<String> = measured
         .series
@@ -244,14 +245,14 @@
     }
 }
 
-fn worked_out(rows: &[Row], cells: Option<&[Row]>) -> String {
+fn derivation(rows: &[Row], cells: Option<&[Row]>) -> String {
     let others = cells.into_iter().flatten().filter(|row| !rows.contains(row));
-    let lines = rows.iter().chain(others).filter(|row| !row.worked_out.is_empty());
+    let lines = rows.iter().chain(others).filter(|row| !row.derivation.is_empty());
     let lines = lines.map(|row| {
         let costs: Vec<String> = row.costs.iter().map(|cost| format!("`{cost}`")).collect();
         let from = if costs.is_empty() { "no measurement".into() } else { costs.join(", ") };
         let state = if rows.contains(row) { "" } else { ", with cells" };
-        format!("| `{}`{state} | {from} | {} |", row.id, row.worked_out)
+        format!("| `{}`{state} | {from} | {} |", row.id, row.derivation)
     });
     let lines: Vec<String> = lines.collect();
     format!("| row | measured costs | worked out |\n| --- | --- | --- |\n{}", lines.join("\n"))
@@ -263,12 +264,12 @@
         "{} entries a day for {} changes, of {} entries a day in all",
         number(entries),
         plain(size::PRIMARY_CHANGES.value),
-        number(size::entries_a_second() * size::DAY_S)
+        number(size::entries_per_s() * size::DAY_S)
     )
 }
 
 /// Which row of the page a figure of the scale test backs.
-const BACKS: [(&str, &str); 13] = [
+const ROWS_OF_FIGURES: [(&str, &str); 13] = [
     ("control_core_share", "`list-changes`, `membership`, `limits`, `verdicts`"),
     ("control_mb", "`list-start`, `membership`"),
     ("control_bytes_per_s", "`list-changes`, `membership`, `limits`, `verdicts`"),
@@ -290,8 +291,11 @@
     }
     let mut text = String::from("| figure | value | row that it backs |\n| --- | --- | --- |\n");
     for (name, value) in figures {
-        let backs = BACKS.iter().find(|(prefix, _)| name.starts_with(prefix)).map_or("-", |(_, backs)| backs);
-        let _ = writeln!(text, "| `{name}` | {value} | {backs} |");
+        let backed = ROWS_OF_FIGURES
+            .iter()
+            .find(|(prefix, _)| name.starts_with(prefix))
+            .map_or("-", |(_, backed)| backed);
+        let _ = writeln!(text, "| `{name}` | {value} | {backed} |");
     }
     text
 }
--- a/crates/capacity/src/rows.rs
+++ b/crates/capacity/src/rows.rs
@@ -76,7 +76,7 @@
     /// Taken over allowed.
     pub value: f64,
     /// Of what.
-    pub of: &'static str,
+    pub resource: &'static str,
     /// On the ordinary day, else in the worst minute.
     pub ordinary: bool,
 }
@@ -107,7 +107,7 @@
     /// The measured costs that it comes from.
     pub costs: &'static [&'static str],
     /// How figures that no measurement shows were worked out.
-    pub worked_out: &'static str,
+    pub derivation: &'static str,
 }
 
 impl Row {
@@ -115,8 +115,8 @@
     pub fn ratio(&self) -> Option<Ratio> {
         let of = |usage: &Usage, ordinary: bool| {
             let parts = usage.parts().into_iter().zip(self.budget.parts());
-            let ratios = parts.filter_map(move |((of, taken), (_, allowed))| {
-                Some(Ratio { value: taken? / allowed?, of, ordinary })
+            let ratios = parts.filter_map(move |((resource, used), (_, allowed))| {
+                Some(Ratio { value: used? / allowed?, resource, ordinary })
             });
             ratios.collect::<Vec<Ratio>>()
         };
@@ -126,10 +126,10 @@
 }
 
 /// Budgets of an engine that are shared: for light classes and for heavy ones (count).
-const BUDGETS_OF_AN_ENGINE: f64 = 2.0;
+const BUDGETS_PER_ENGINE: f64 = 2.0;
 
 /// Seconds from milliseconds.
-fn per_second(ms: f64) -> f64 {
+fn ms_to_seconds(ms: f64) -> f64 {
     ms / 1e3
 }
 
@@ -138,13 +138,13 @@
     Ok(Usage {
         messages_s: Some(m.at("limits_keys_messages_s", keys)?),
         bytes_s: Some(m.at("limits_keys_bytes_s", keys)?),
-        cores: Some(per_second(m.at("limits_keys_ms_s", keys)?)),
+        cores: Some(ms_to_seconds(m.at("limits_keys_ms_s", keys)?)),
         ..Usage::default()
     })
 }
 
 /// What a router may take for control.
-fn control() -> Usage {
+fn control_budget() -> Usage {
     Usage {
         bytes_s: Some(size::CONTROL_BYTES.value),
         cores: Some(size::CONTROL_CORE.value),
@@ -158,9 +158,9 @@
 /// # Errors
 /// Where a cost was not measured.
 pub fn rows(measured: &Measured) -> Result<Vec<Row>, MissingCost> {
-    let mut rows = router::learning(measured)?;
-    rows.extend(router::sharing(measured)?);
-    rows.extend(router::serving(measured)?);
+    let mut rows = router::list_rows(measured)?;
+    rows.extend(router::peer_rows(measured)?);
+    rows.extend(router::client_rows(measured)?);
     rows.extend(services::rows(measured)?);
     Ok(rows)
 }
--- a/crates/capacity/src/rows/cells.rs
+++ b/crates/capacity/src/rows/cells.rs
@@ -1,27 +1,27 @@
 //! Rows that cells and relays change: a router holds and learns its cell's part only, relays read the whole list.
 
-use super::{control, limit_keys, per_second, Role, Row, Usage, BUDGETS_OF_AN_ENGINE};
+use super::{control_budget, limit_keys, ms_to_seconds, Role, Row, Usage, BUDGETS_PER_ENGINE};
 use crate::measured::{Measured, MissingCost};
 use crate::size::*;
 use crate::text::plain;
 
-const RELAYED: &str = "a cell's part by sealed datagrams from one of the relays";
+const RELAY_MECHANISM: &str = "a cell's part by sealed datagrams from one of the relays";
 /// Cost whose presence says that cells were measured.
-const MARK: &str = "cells_start_bytes";
+const CELLS_MEASURED_SERIES: &str = "cells_start_bytes";
 
 /// The rows with cells and relays in place of the whole list at each router; none where they were not measured.
 ///
 /// # Errors
 /// Where one of their costs is missing.
 pub fn with_cells(m: &Measured, rows: &[Row]) -> Result<Option<Vec<Row>>, MissingCost> {
-    if !m.series.contains_key(MARK) {
+    if !m.series.contains_key(CELLS_MEASURED_SERIES) {
         return Ok(None);
     }
     let mut all = Vec::new();
     for row in rows {
         match row.id {
             "list-start" => all.push(start(m, row)?),
-            "list-break" => all.push(after_break(m, row)?),
+            "list-break" => all.push(list_break(m, row)?),
             "list-changes" => all.push(changes(m, row)?),
             "cold" => all.push(cold(m, row)?),
             "deciding" => all.push(deciding(m, row)?),
@@ -37,23 +37,23 @@
 }
 
 /// What a router says and hears of its part at rest.
-fn rest(m: &Measured) -> Result<Usage, MissingCost> {
+fn idle_usage(m: &Measured) -> Result<Usage, MissingCost> {
     Ok(Usage {
-        messages_s: Some(m.at("cells_rest_messages_s", cell_engines())?),
-        bytes_s: Some(m.at("cells_rest_bytes_s", cell_engines())?),
-        cores: Some(per_second(m.at("cells_rest_ms_s", cell_engines())?)),
+        messages_s: Some(m.at("cells_rest_messages_s", engines_per_cell())?),
+        bytes_s: Some(m.at("cells_rest_bytes_s", engines_per_cell())?),
+        cores: Some(ms_to_seconds(m.at("cells_rest_ms_s", engines_per_cell())?)),
         ..Usage::default()
     })
 }
 
 fn start(m: &Measured, before: &Row) -> Result<Row, MissingCost> {
-    let engines = cell_engines();
+    let engines = engines_per_cell();
     let bytes = m.at("cells_start_bytes", engines)?;
-    let cpu_s = per_second(m.at("cells_start_ms", engines)?) + m.at("decision_list_us", engines)? / 1e6;
+    let cpu_s = ms_to_seconds(m.at("cells_start_ms", engines)?) + m.at("decision_list_us", engines)? / 1e6;
     let memory = m.fit_of("program_peak_kb")?;
     let memory_mb = (memory.predict(engines) - memory.constant) / 1e3;
-    let starts = starts_of_a_router();
-    let took = m.at("relay_start_s", routers_of_a_relay())?;
+    let starts = starts_per_router_s();
+    let start_s = m.at("relay_start_s", routers_per_relay())?;
     Ok(Row {
         state: format!("{} engines, {:.1} KB as told", plain(engines), bytes / 1e3),
         ordinary: Usage {
@@ -64,57 +64,57 @@
             ..Usage::default()
         },
         worst: Usage {
-            bytes_s: Some(bytes / READY_WITHIN.value),
-            cores: Some(cpu_s / READY_WITHIN.value),
+            bytes_s: Some(bytes / MAX_READY_TIME.value),
+            cores: Some(cpu_s / MAX_READY_TIME.value),
             memory_mb: Some(memory_mb),
-            seconds: Some(took),
+            seconds: Some(start_s),
             ..Usage::default()
         },
-        budget: Usage { seconds: Some(READY_WITHIN.value), ..control() },
-        mechanism: Some(RELAYED),
+        budget: Usage { seconds: Some(MAX_READY_TIME.value), ..control_budget() },
+        mechanism: Some(RELAY_MECHANISM),
         costs: &["cells_start_bytes", "cells_start_ms", "relay_start_s", "decision_list_us", "program_peak_kb"],
-        worked_out: "starts of a router's machine a day: its part of all restarts; memory: the program's slope by engines",
+        derivation: "starts of a router's machine a day: its part of all restarts; memory: the program's slope by engines",
         ..before.clone()
     })
 }
 
-fn after_break(m: &Measured, before: &Row) -> Result<Row, MissingCost> {
-    let bytes = m.at("cells_start_bytes", cell_engines())?;
-    let cpu_s = per_second(m.at("cells_start_ms", cell_engines())?);
+fn list_break(m: &Measured, before: &Row) -> Result<Row, MissingCost> {
+    let bytes = m.at("cells_start_bytes", engines_per_cell())?;
+    let cpu_s = ms_to_seconds(m.at("cells_start_ms", engines_per_cell())?);
     Ok(Row {
         state: "the part, its version and its digest".into(),
         worst: Usage {
-            bytes_s: Some(bytes / READY_WITHIN.value),
-            cores: Some(cpu_s / READY_WITHIN.value),
+            bytes_s: Some(bytes / MAX_READY_TIME.value),
+            cores: Some(cpu_s / MAX_READY_TIME.value),
             ..Usage::default()
         },
         mechanism: Some("the whole part again, where its digest is another"),
         costs: &["cells_start_bytes", "cells_start_ms"],
-        worked_out: "as much as a start, at most",
+        derivation: "as much as a start, at most",
         ..before.clone()
     })
 }
 
 /// Costs of a change of the list in a second, where a router hears those of its cell.
 fn changes(m: &Measured, before: &Row) -> Result<Row, MissingCost> {
-    let rest = rest(m)?;
+    let idle_usage = idle_usage(m)?;
     let each_bytes = m.at("cells_change_bytes", 1.0)?;
     let each_s =
-        per_second(m.at("cells_change_ms", 1.0)?) + m.at("decision_change_us", cell_engines())? / 1e6;
+        ms_to_seconds(m.at("cells_change_ms", 1.0)?) + m.at("decision_change_us", engines_per_cell())? / 1e6;
     let at = |entries: f64| Usage {
-        messages_s: rest.messages_s.map(|n| n + entries),
-        bytes_s: rest.bytes_s.map(|n| n + entries * each_bytes),
-        cores: rest.cores.map(|n| n + entries * each_s),
+        messages_s: idle_usage.messages_s.map(|n| n + entries),
+        bytes_s: idle_usage.bytes_s.map(|n| n + entries * each_bytes),
+        cores: idle_usage.cores.map(|n| n + entries * each_s),
         ..Usage::default()
     };
     let cells = ZONES.value * CELLS.value;
     Ok(Row {
         state: "the part and its version".into(),
-        ordinary: at(entries_a_second() / cells),
+        ordinary: at(entries_per_s() / cells),
         // A router of the zone that is lost and replaced hears all changes of its own cell.
-        worst: at(entries_of_a_lost_zone() / CELLS.value),
+        worst: at(lost_zone_entries_per_s() / CELLS.value),
         worst_minute: "its zone lost and replaced, one message for each engine of its cell",
-        mechanism: Some(RELAYED),
+        mechanism: Some(RELAY_MECHANISM),
         costs: &[
             "cells_rest_bytes_s",
             "cells_rest_messages_s",
@@ -129,24 +129,24 @@
 
 fn cold(m: &Measured, before: &Row) -> Result<Row, MissingCost> {
     let cells = ZONES.value * CELLS.value;
-    let renewed_s = (RESTARTS.value + FAILURES.value) * engine_part() / DAY_S;
-    let ordinary = renewed_s * COLD_FOR.value * BUDGETS_OF_AN_ENGINE / cells;
-    let worst = cell_engines() / MINUTE_S * COLD_FOR.value * BUDGETS_OF_AN_ENGINE;
+    let renewed_s = (RESTARTS.value + FAILURES.value) * engine_share() / DAY_S;
+    let ordinary = renewed_s * COLD_TIME.value * BUDGETS_PER_ENGINE / cells;
+    let worst = engines_per_cell() / MINUTE_S * COLD_TIME.value * BUDGETS_PER_ENGINE;
     Ok(Row {
         state: format!("{ordinary:.2} keys, {worst:.0} in the worst minute"),
         ordinary: limit_keys(m, ordinary)?,
         worst: limit_keys(m, worst)?,
         worst_minute: "its zone lost, its cell's engines replaced within the minute",
         mechanism: Some("a shared limit for each cold engine of the cell and kind of class"),
-        worked_out: "cold engines of a cell at once: renewed engines times how long one is cold; a key costs what it does among 50 routers",
+        derivation: "cold engines of a cell at once: renewed engines times how long one is cold; a key costs what it does among 50 routers",
         ..before.clone()
     })
 }
 
 fn deciding(m: &Measured, before: &Row) -> Result<Row, MissingCost> {
-    let cores = statements_of_a_router() * m.at("decision_us", cell_engines())? / 1e6;
+    let cores = statements_per_router() * m.at("decision_us", engines_per_cell())? / 1e6;
     Ok(Row {
-        state: format!("what is known of {} engines", plain(cell_engines())),
+        state: format!("what is known of {} engines", plain(engines_per_cell())),
         ordinary: Usage { cores: Some(cores), ..before.ordinary },
         mechanism: Some("the module looks at every engine of its cell"),
         ..before.clone()
@@ -155,33 +155,33 @@
 
 fn service_start(m: &Measured, before: &Row) -> Result<Row, MissingCost> {
     let (relays, whole) = (CONTROL_MACHINES.value, m.at("list_bytes", ENGINES.value)?);
-    let starts = starts_of_a_router() * relays;
+    let starts = starts_per_router_s() * relays;
     Ok(Row {
         ordinary: Usage { messages_s: Some(starts), bytes_s: Some(starts * whole), ..Usage::default() },
         worst: Usage {
-            messages_s: Some(relays / READY_WITHIN.value),
-            bytes_s: Some(relays * whole / READY_WITHIN.value),
+            messages_s: Some(relays / MAX_READY_TIME.value),
+            bytes_s: Some(relays * whole / MAX_READY_TIME.value),
             ..Usage::default()
         },
         worst_minute: "all relays cold, each ready in time",
         mechanism: Some("the whole list to each relay"),
         needed_by: &["relay-start"],
-        worked_out: "one reader's bytes times the relays; a relay's machine restarts as often as a router's",
+        derivation: "one reader's bytes times the relays; a relay's machine restarts as often as a router's",
         ..before.clone()
     })
 }
 
 fn service_break(m: &Measured, before: &Row) -> Result<Row, MissingCost> {
-    let missed = entries_a_second() * REGION_AWAY.value * m.at("change_bytes", 1.0)?;
+    let missed = entries_per_s() * REGION_OUTAGE_TIME.value * m.at("change_bytes", 1.0)?;
     let relays = CONTROL_MACHINES.value / REGIONS.value;
     Ok(Row {
         worst: Usage {
-            messages_s: Some(relays / READY_WITHIN.value),
-            bytes_s: Some(relays * missed / READY_WITHIN.value),
+            messages_s: Some(relays / MAX_READY_TIME.value),
+            bytes_s: Some(relays * missed / MAX_READY_TIME.value),
             ..Usage::default()
         },
         needed_by: &["relay-start"],
-        worked_out: "a region's part of the relays times what one of them missed",
+        derivation: "a region's part of the relays times what one of them missed",
         ..before.clone()
     })
 }
@@ -191,28 +191,28 @@
     let of_all = |entries: f64| Usage { bytes_s: Some(relays * entries * change), ..Usage::default() };
     Ok(Row {
         state: format!("{} connections", plain(relays)),
-        ordinary: of_all(entries_a_second()),
-        worst: of_all(entries_of_a_lost_zone()),
+        ordinary: of_all(entries_per_s()),
+        worst: of_all(lost_zone_entries_per_s()),
         mechanism: Some("each change to every relay"),
         needed_by: &["relay-changes"],
-        worked_out: "one reader's bytes times the relays",
+        derivation: "one reader's bytes times the relays",
         ..before.clone()
     })
 }
 
 /// What relays do. What a control machine may take is not told: a core and its link are assumed.
 fn relay(m: &Measured) -> Result<Vec<Row>, MissingCost> {
-    let (routers, part) = (routers_of_a_relay(), cell_engines());
+    let (routers, part) = (routers_per_relay(), engines_per_cell());
     let held_mb = m.at("relay_held_kb", ENGINES.value)? / 1e3;
     let budget = Usage {
         bytes_s: Some(SERVICE_BYTES.value),
         cores: Some(ROUTER_CORES.value),
         memory_mb: Some(ROUTER_MB.value),
-        seconds: Some(READY_WITHIN.value),
+        seconds: Some(MAX_READY_TIME.value),
         ..Usage::default()
     };
-    let read_s = per_second(m.at("list_cpu_ms", ENGINES.value)? + m.at("relay_learn_ms", ENGINES.value)?);
-    let told_s = per_second(m.at("relay_start_ms", routers)?);
+    let read_s = ms_to_seconds(m.at("list_cpu_ms", ENGINES.value)? + m.at("relay_learn_ms", ENGINES.value)?);
+    let update_s = ms_to_seconds(m.at("relay_start_ms", routers)?);
     let start = Row {
         id: "relay-start",
         role: Role::ControlMachine,
@@ -222,9 +222,9 @@
         worst: Usage {
             bytes_s: Some(
                 (routers * m.at("cells_start_bytes", part)? + m.at("list_bytes", ENGINES.value)?)
-                    / READY_WITHIN.value,
+                    / MAX_READY_TIME.value,
             ),
-            cores: Some((read_s + told_s) / READY_WITHIN.value),
+            cores: Some((read_s + update_s) / MAX_READY_TIME.value),
             memory_mb: Some(held_mb),
             seconds: Some(m.at("relay_start_s", routers)?),
             ..Usage::default()
@@ -242,15 +242,15 @@
             "list_bytes",
             "list_cpu_ms",
         ],
-        worked_out: "a relay's part of the routers; its budget is one core and one link",
+        derivation: "a relay's part of the routers; its budget is one core and one link",
     };
-    let rest_cores = per_second(m.at("relay_rest_ms_s", routers)?);
+    let rest_cores = ms_to_seconds(m.at("relay_rest_ms_s", routers)?);
     let each_router = m.at("cells_rest_bytes_s", part)?;
     let change = m.at("cells_change_bytes", 1.0)?;
     let messages = m.at("cells_rest_messages_s", part)?;
-    let told = |entries: f64| Usage {
-        messages_s: Some(routers * messages + entries * sharers()),
-        bytes_s: Some(routers * each_router + entries * sharers() * change),
+    let update_usage = |entries: f64| Usage {
+        messages_s: Some(routers * messages + entries * routers_per_cell()),
+        bytes_s: Some(routers * each_router + entries * routers_per_cell() * change),
         cores: Some(rest_cores),
         memory_mb: Some(held_mb),
         ..Usage::default()
@@ -258,27 +258,27 @@
     let changes = Row {
         id: "relay-changes",
         activity: "telling changes to the routers of their cells, and answering asks",
-        ordinary: told(entries_a_second()),
-        worst: told(entries_of_a_lost_zone()),
+        ordinary: update_usage(entries_per_s()),
+        worst: update_usage(lost_zone_entries_per_s()),
         worst_minute: "a zone lost and its engines replaced",
         needed_by: &["list-changes"],
         costs: &["relay_rest_ms_s", "cells_rest_bytes_s", "cells_rest_messages_s", "cells_change_bytes"],
-        worked_out: "a relay's part of the routers; each change to as many of them as share a cell, at most; processor time at rest",
+        derivation: "a relay's part of the routers; each change to as many of them as share a cell, at most; processor time at rest",
         ..start.clone()
     };
     Ok(vec![start, changes])
 }
 
 /// Routers of one cell.
-fn sharers() -> f64 {
+fn routers_per_cell() -> f64 {
     ROUTERS.value / ZONES.value / CELLS.value
 }
 
 fn engine_told(m: &Measured, before: &Row) -> Result<Row, MissingCost> {
     let change = m.at("cells_change_bytes", 1.0)?;
     let part = |usage: Usage| Usage {
-        messages_s: usage.messages_s.map(|n| n / ROUTERS.value * sharers()),
-        bytes_s: usage.messages_s.map(|n| n / ROUTERS.value * sharers() * change),
+        messages_s: usage.messages_s.map(|n| n / ROUTERS.value * routers_per_cell()),
+        bytes_s: usage.messages_s.map(|n| n / ROUTERS.value * routers_per_cell() * change),
         ..usage
     };
     Ok(Row {
@@ -287,7 +287,7 @@
         worst: part(before.worst),
         mechanism: Some("a message to every router of its cell"),
         costs: &["cells_change_bytes"],
-        worked_out: "entries a day of one engine times the routers of its cell; no budget is named",
+        derivation: "entries a day of one engine times the routers of its cell; no budget is named",
         ..before.clone()
     })
 }
--- a/crates/capacity/src/rule.rs
+++ b/crates/capacity/src/rule.rs
@@ -18,7 +18,7 @@
 
 impl<'a> Ranking<'a> {
     /// Rows over their budgets that others cannot work without, the furthest first: the first is chosen, then come the next.
-    pub fn missing_first(&self) -> impl Iterator<Item = (&'a Row, Ratio)> + '_ {
+    pub fn needed_over_budget(&self) -> impl Iterator<Item = (&'a Row, Ratio)> + '_ {
         let over = |(row, ratio): &&(&Row, Ratio)| ratio.value > 1.0 && !row.needed_by.is_empty();
         self.sorted.iter().filter(over).copied()
     }
--- a/crates/capacity/src/size.rs
+++ b/crates/capacity/src/size.rs
@@ -1,7 +1,7 @@
 //! The size to design for and the budgets at it, once, each with where it comes from.
 
 /// Where most of them come from.
-pub const LETTER: &str = "the operators' letter on the fleet ahead";
+pub const REQUIREMENTS: &str = "the operators' letter on the fleet ahead";
 
 /// A number of the size, with its source.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -16,8 +16,8 @@
     pub source: &'static str,
 }
 
-const fn told(name: &'static str, value: f64, unit: &'static str) -> Constant {
-    Constant { name, value, unit, source: LETTER }
+const fn required(name: &'static str, value: f64, unit: &'static str) -> Constant {
+    Constant { name, value, unit, source: REQUIREMENTS }
 }
 
 const fn assumed(name: &'static str, value: f64, unit: &'static str, source: &'static str) -> Constant {
@@ -25,44 +25,45 @@
 }
 
 /// Routers.
-pub const ROUTERS: Constant = told("routers", 3_200.0, "");
+pub const ROUTERS: Constant = required("routers", 3_200.0, "");
 /// Engines.
-pub const ENGINES: Constant = told("engines (databases)", 30_000.0, "");
+pub const ENGINES: Constant = required("engines (databases)", 30_000.0, "");
 /// Machines set aside for control.
-pub const CONTROL_MACHINES: Constant = told("machines set aside for control", 39.0, "");
+pub const CONTROL_MACHINES: Constant = required("machines set aside for control", 39.0, "");
 /// Regions.
-pub const REGIONS: Constant = told("regions", 9.0, "");
+pub const REGIONS: Constant = required("regions", 9.0, "");
 /// Zones.
-pub const ZONES: Constant = told("zones", 25.0, "");
+pub const ZONES: Constant = required("zones", 25.0, "");
 /// Client connections.
-pub const CONNECTIONS: Constant = told("client connections", 18e6, "");
+pub const CONNECTIONS: Constant = required("client connections", 18e6, "");
 /// Statements.
-pub const STATEMENTS: Constant = told("statements", 3.5e6, "/s");
+pub const STATEMENTS: Constant = required("statements", 3.5e6, "/s");
 /// Changes of primary.
-pub const PRIMARY_CHANGES: Constant = told("changes of primary", 26.0, "/day");
+pub const PRIMARY_CHANGES: Constant = required("changes of primary", 26.0, "/day");
 /// Time for a change of primary.
-pub const PRIMARY_WITHIN: Constant = told("a change of primary is over within", 16.0, "s");
+pub const MAX_PRIMARY_CHANGE_TIME: Constant = required("a change of primary is over within", 16.0, "s");
 /// Changes of configuration.
-pub const CONFIG_CHANGES: Constant = told("changes of configuration", 38_000.0, "/day");
+pub const CONFIG_CHANGES: Constant = required("changes of configuration", 38_000.0, "/day");
 /// Time for a change of configuration.
-pub const CONFIG_WITHIN: Constant = told("a change of configuration is in force everywhere within", 5.0, "s");
+pub const MAX_CONFIG_CHANGE_TIME: Constant =
+    required("a change of configuration is in force everywhere within", 5.0, "s");
 /// Machines restarted or replaced.
-pub const RESTARTS: Constant = told("machines restarted or replaced", 7_800.0, "/day");
+pub const RESTARTS: Constant = required("machines restarted or replaced", 7_800.0, "/day");
 /// Machines that fail.
-pub const FAILURES: Constant = told("machines that fail", 62.0, "/day");
+pub const FAILURES: Constant = required("machines that fail", 62.0, "/day");
 /// Time for a restart.
-pub const READY_WITHIN: Constant = told("nine in ten restarted processes are ready within", 10.0, "s");
+pub const MAX_READY_TIME: Constant = required("nine in ten restarted processes are ready within", 10.0, "s");
 /// Part of the routers that a release restarts.
-pub const RELEASE: Constant = told("part of the routers that a release restarts at once", 0.1, "");
+pub const RELEASE_SHARE: Constant = required("part of the routers that a release restarts at once", 0.1, "");
 /// Processor time of a router for control.
-pub const CONTROL_CORE: Constant = told("processor time of a router for control", 0.012, "cores");
+pub const CONTROL_CORE: Constant = required("processor time of a router for control", 0.012, "cores");
 /// Memory of a router for control.
-pub const CONTROL_MB: Constant = told("memory of a router for control", 32.0, "MB");
+pub const CONTROL_MB: Constant = required("memory of a router for control", 32.0, "MB");
 /// Traffic of a router for control.
-pub const CONTROL_BYTES: Constant = told("traffic of a router for control", 3_000.0, "bytes/s");
+pub const CONTROL_BYTES: Constant = required("traffic of a router for control", 3_000.0, "bytes/s");
 
 /// How late news may be told.
-pub const TOLD_WITHIN: Constant =
+pub const MAX_UPDATE_DELAY: Constant =
     assumed("news of the list counts as told after", 7.0, "s", "the platform's page on its protocol");
 /// What one router's process can use.
 pub const ROUTER_CORES: Constant = assumed(
@@ -79,7 +80,7 @@
     "the memory limit that the measured program had; the letter names none",
 );
 /// How long a region is away.
-pub const REGION_AWAY: Constant =
+pub const REGION_OUTAGE_TIME: Constant =
     assumed("a region is away for", 300.0, "s", "the letter says minutes; five are assumed");
 /// What a list service can send.
 pub const SERVICE_BYTES: Constant = assumed(
@@ -110,13 +111,13 @@
     "assumed; the letter names none",
 );
 /// How long an engine is cold.
-pub const COLD_FOR: Constant =
+pub const COLD_TIME: Constant =
     assumed("an engine is cold for", 15.0, "s", "the stand-ins' engines; the letter names none");
 /// Cells of a zone.
 pub const CELLS: Constant = assumed("cells of a zone, where there are cells", 10.0, "", "deploy/cells.conf");
 
 /// Largest datagram.
-pub const DATAGRAM: Constant =
+pub const MAX_DATAGRAM: Constant =
     assumed("largest datagram between routers", 1_200.0, "bytes", "`DATAGRAM_MOST` in crates/peers");
 
 /// All of them, in the order of the page.
@@ -129,27 +130,27 @@
     CONNECTIONS,
     STATEMENTS,
     PRIMARY_CHANGES,
-    PRIMARY_WITHIN,
+    MAX_PRIMARY_CHANGE_TIME,
     CONFIG_CHANGES,
-    CONFIG_WITHIN,
+    MAX_CONFIG_CHANGE_TIME,
     RESTARTS,
     FAILURES,
-    READY_WITHIN,
-    RELEASE,
+    MAX_READY_TIME,
+    RELEASE_SHARE,
     CONTROL_CORE,
     CONTROL_MB,
     CONTROL_BYTES,
-    TOLD_WITHIN,
+    MAX_UPDATE_DELAY,
     ROUTER_CORES,
     ROUTER_MB,
-    REGION_AWAY,
+    REGION_OUTAGE_TIME,
     SERVICE_BYTES,
     SERVICE_CALLS,
     CONFIG_ENTRIES,
     LIMIT_KEYS,
-    COLD_FOR,
+    COLD_TIME,
     CELLS,
-    DATAGRAM,
+    MAX_DATAGRAM,
 ];
 
 /// Seconds of a day.
@@ -165,52 +166,52 @@
 pub const PRIMARY_ENTRIES: f64 = 2.0;
 
 /// Part of all machines that are engines.
-pub fn engine_part() -> f64 {
+pub fn engine_share() -> f64 {
     ENGINES.value / (ENGINES.value + ROUTERS.value + CONTROL_MACHINES.value)
 }
 
 /// Part of all machines that are routers.
-pub fn router_part() -> f64 {
+pub fn router_share() -> f64 {
     ROUTERS.value / (ENGINES.value + ROUTERS.value + CONTROL_MACHINES.value)
 }
 
 /// Engines of one cell.
-pub fn cell_engines() -> f64 {
-    zone_engines() / CELLS.value
+pub fn engines_per_cell() -> f64 {
+    engines_per_zone() / CELLS.value
 }
 
 /// Routers that ask one relay.
-pub fn routers_of_a_relay() -> f64 {
+pub fn routers_per_relay() -> f64 {
     (ROUTERS.value / CONTROL_MACHINES.value).round()
 }
 
 /// Statements a second of one router.
-pub fn statements_of_a_router() -> f64 {
+pub fn statements_per_router() -> f64 {
     STATEMENTS.value / ROUTERS.value
 }
 
 /// Client connections of one router.
-pub fn connections_of_a_router() -> f64 {
+pub fn connections_per_router() -> f64 {
     CONNECTIONS.value / ROUTERS.value
 }
 
 /// Starts of one router's machine in a second.
-pub fn starts_of_a_router() -> f64 {
-    RESTARTS.value * router_part() / ROUTERS.value / DAY_S
+pub fn starts_per_router_s() -> f64 {
+    RESTARTS.value * router_share() / ROUTERS.value / DAY_S
 }
 
 /// Entries of the list that change in a second of an ordinary day.
-pub fn entries_a_second() -> f64 {
-    let of_engines = (RESTARTS.value * RESTART_ENTRIES + FAILURES.value * FAILURE_ENTRIES) * engine_part();
+pub fn entries_per_s() -> f64 {
+    let of_engines = (RESTARTS.value * RESTART_ENTRIES + FAILURES.value * FAILURE_ENTRIES) * engine_share();
     (of_engines + PRIMARY_CHANGES.value * PRIMARY_ENTRIES) / DAY_S
 }
 
 /// Engines of one zone.
-pub fn zone_engines() -> f64 {
+pub fn engines_per_zone() -> f64 {
     ENGINES.value / ZONES.value
 }
 
 /// Entries a second in the minute in which a zone is lost and its engines are replaced.
-pub fn entries_of_a_lost_zone() -> f64 {
-    zone_engines() * FAILURE_ENTRIES / MINUTE_S
+pub fn lost_zone_entries_per_s() -> f64 {
+    engines_per_zone() * FAILURE_ENTRIES / MINUTE_S
 }
--- a/crates/capacity/tests/fit.rs
+++ b/crates/capacity/tests/fit.rs
@@ -8,8 +8,8 @@
     COUNTS.iter().map(|count| Point { count: *count, value: of(*count) }).collect()
 }
 
-fn near(value: f64, wanted: f64, part: f64) -> bool {
-    (value - wanted).abs() <= part * wanted.abs()
+fn near(value: f64, expected: f64, part: f64) -> bool {
+    (value - expected).abs() <= part * expected.abs()
 }
 
 /// The largest point against the fit of the others.
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_line_is_found_with_its_constant_and_slope() {
+fn a_line_is_fitted_with_its_constant_and_slope() {
     let points = points(|n| 40.0 + 0.25 * n);
     let found = fit(&points).unwrap();
     assert_eq!(found.model, Model::Linear);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_root_is_no_line() {
+fn a_square_root_is_fitted_by_a_power() {
     let points = points(|n| 3.0 * n.sqrt());
     let found = fit(&points).unwrap();
     assert_eq!(found.model, Model::Power);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_square_behind_a_constant_is_no_line() {
+fn a_square_plus_a_constant_is_fitted_by_a_power() {
     let points = points(|n| 500.0 + 2e-3 * n * n);
     let found = fit(&points).unwrap();
     assert_eq!(found.model, Model::Power);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_does_not_grow_has_no_slope() {
+fn a_constant_cost_has_no_slope() {
     let points = points(|_| 7.0);
     let found = fit(&points).unwrap();
     assert_eq!(found.model, Model::Linear);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn noise_of_a_tenth_does_not_bend_a_line() {
+fn ten_percent_noise_still_fits_a_line() {
     let noise = [1.1, 0.9, 1.08, 0.93, 1.05];
     let points: Vec<Point> = points(|n| 10.0 + 0.5 * n)
         .into_iter()
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_fit_that_is_wrong_is_seen_as_wrong() {
+fn a_wrong_model_has_a_large_error() {
     // A cost that jumps behind the sizes that were measured.
     let points = points(|n| if n < 10_000.0 { 10.0 + 0.1 * n } else { 100.0 + 0.4 * n });
     assert!(error_of(&points) > 0.25, "{}", error_of(&points));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_can_not_be_fitted_is_an_error() {
+fn unusable_points_are_an_error() {
     let one = [Point { count: 5.0, value: 2.0 }, Point { count: 5.0, value: 3.0 }];
     assert_eq!(fit(&one), Err(FitError::TooFewCounts));
     for value in [0.0, -1.0, f64::NAN, f64::INFINITY] {
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -35,17 +35,17 @@
 }
 
 #[test]
-fn the_page_is_what_its_files_say() {
+fn the_page_matches_its_data_files() {
     let rendered = page(&measured(), &scale()).unwrap();
     let written = text("CAPACITY.md");
-    for (line, (said, computed)) in written.lines().zip(rendered.lines()).enumerate() {
-        assert_eq!(said, computed, "line {} of docs/CAPACITY.md", line + 1);
+    for (line, (written_line, rendered_line)) in written.lines().zip(rendered.lines()).enumerate() {
+        assert_eq!(written_line, rendered_line, "line {} of docs/CAPACITY.md", line + 1);
     }
     assert!(written == rendered, "docs/CAPACITY.md has other lines at its end");
 }
 
 #[test]
-fn a_digit_written_by_hand_is_seen() {
+fn a_changed_digit_changes_the_page() {
     let rendered = page(&measured(), &scale()).unwrap();
     let mut by_hand = measured();
     // The last digit of the last value, which no median need show.
@@ -79,15 +79,15 @@
 }
 
 #[test]
-fn lines_follow_from_the_raw_values_by_another_formula() {
-    let mut looked_at = 0;
+fn linear_fits_match_an_independent_formula() {
+    let mut lines_checked = 0;
     for (name, series) in &measured().series {
         let fit = series.fit().unwrap();
         let (constant, slope) = line_of(&points_of(series, fit.from));
         if fit.model != Model::Linear || constant < 0.0 || slope < 0.0 {
             continue;
         }
-        looked_at += 1;
+        lines_checked += 1;
         let largest = fit.to;
         let by_line = constant + slope * largest;
         assert!(
@@ -95,7 +95,7 @@
             "{name}: {fit:?}, {constant} + {slope} n"
         );
     }
-    assert!(looked_at >= 5, "only {looked_at} lines");
+    assert!(lines_checked >= 5, "only {lines_checked} lines");
 }
 
 #[test]
@@ -109,7 +109,7 @@
 
 /// What the sender counted and what sockets gave out differ by what was on its way at most.
 #[test]
-fn bytes_are_counted_on_both_sides() {
+fn sender_and_reader_byte_counts_agree() {
     let measured = measured();
     let pairs = [
         ("list_bytes", "list_bytes_read"),
@@ -127,24 +127,27 @@
 }
 
 #[test]
-fn the_size_is_the_letters() {
+fn the_size_matches_the_requirements() {
     assert_eq!((size::ROUTERS.value, size::ENGINES.value), (3_200.0, 30_000.0));
-    assert_eq!(size::connections_of_a_router(), 5_625.0);
-    assert!((size::statements_of_a_router() - 1_093.75).abs() < 1e-9);
-    let told = size::ALL.iter().filter(|constant| constant.source == size::LETTER).count();
-    assert!(told >= 15, "{told}");
+    assert_eq!(size::connections_per_router(), 5_625.0);
+    assert!((size::statements_per_router() - 1_093.75).abs() < 1e-9);
+    let from_requirements = size::ALL.iter().filter(|constant| constant.source == size::REQUIREMENTS).count();
+    assert!(from_requirements >= 15, "{from_requirements}");
 }
 
 #[test]
-fn rows_name_rows_and_costs_that_there_are() {
+fn rows_refer_to_existing_rows_and_costs() {
     let measured = measured();
     let rows = rows(&measured).unwrap();
     let cells = with_cells(&measured, &rows).unwrap();
-    [Some(&rows), cells.as_ref()].into_iter().flatten().for_each(|rows| names_hold(&measured, rows));
+    [Some(&rows), cells.as_ref()]
+        .into_iter()
+        .flatten()
+        .for_each(|rows| assert_references_exist(&measured, rows));
 }
 
 #[track_caller]
-fn names_hold(measured: &Measured, rows: &[marljunction_capacity::rows::Row]) {
+fn assert_references_exist(measured: &Measured, rows: &[marljunction_capacity::rows::Row]) {
     for row in rows {
         assert_eq!(rows.iter().filter(|other| other.id == row.id).count(), 1, "{}", row.id);
         for other in row.needed_by {
@@ -157,27 +160,27 @@
 }
 
 #[test]
-fn the_rule_takes_the_furthest_over_that_others_need() {
+fn the_needed_row_furthest_over_its_budget_ranks_first() {
     let mut rows = rows(&measured()).unwrap();
     for row in &mut rows {
         row.worst = Usage::default();
         row.ordinary = Usage { bytes_s: Some(1.0), ..Usage::default() };
         row.budget = Usage { bytes_s: Some(2.0), ..Usage::default() };
     }
-    assert_eq!(rank(&rows).missing_first().count(), 0, "nothing is over its budget");
-    let place =
+    assert_eq!(rank(&rows).needed_over_budget().count(), 0, "nothing is over its budget");
+    let position_of =
         |rows: &[marljunction_capacity::rows::Row], id: &str| rows.iter().position(|r| r.id == id).unwrap();
     for (id, bytes) in [("busy", 90.0), ("membership", 30.0), ("list-start", 40.0)] {
-        let at = place(&rows, id);
+        let at = position_of(&rows, id);
         rows[at].ordinary.bytes_s = Some(bytes);
     }
-    let chosen: Vec<&str> = rank(&rows).missing_first().map(|(row, _)| row.id).collect();
+    let chosen: Vec<&str> = rank(&rows).needed_over_budget().map(|(row, _)| row.id).collect();
     // No row needs `busy`.
     assert_eq!(chosen, ["list-start", "membership"]);
 }
 
 #[test]
-fn a_model_that_misses_the_largest_count_leaves_out_the_smallest() {
+fn inaccurate_fits_drop_the_smallest_counts() {
     let sample =
         |(count, value): (f64, f64)| marljunction_capacity::measured::Sample { count, values: vec![value] };
     // Flat first, then a line through nothing.
--- a/crates/lab/src/scale/figures.rs
+++ b/crates/lab/src/scale/figures.rs
@@ -14,13 +14,13 @@
 const MEMORY_MB: f64 = size::CONTROL_MB.value;
 const BYTES_PER_S: f64 = size::CONTROL_BYTES.value;
 /// Time in which a router is to be ready (s), and the bytes that the budget allows in it.
-const READY_S: f64 = size::READY_WITHIN.value;
+const READY_S: f64 = size::MAX_READY_TIME.value;
 const READY_BYTES: f64 = BYTES_PER_S * READY_S;
 /// Statements a second of a router, and the cores that it has for them.
 const STATEMENTS_PER_S: f64 = size::STATEMENTS.value / size::ROUTERS.value;
 const STATEMENT_CORES: f64 = size::ROUTER_CORES.value;
 /// Longest time for a change of an engine to be in force (s).
-const CHANGE_S: f64 = size::PRIMARY_WITHIN.value;
+const CHANGE_S: f64 = size::MAX_PRIMARY_CHANGE_TIME.value;
 
 /// One figure of what was measured at a size.
 type Figure = fn(&Measured) -> f64;
