--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,21 +1,21 @@
-//! Fits a cost to the count that it grows with.
+//! Fits a cost as a function of the count that it grows with.
 //!
-//! Residuals are relative to the measured value, which to first order are differences of logarithms, so that small sizes
-//! count as much as large ones. Costs are never negative: neither is a fitted constant.
+//! Residuals are relative to the measured value, so that small and large counts have the same
+//! weight. A fitted constant or slope is never negative.
 
 use thiserror::Error;
 
-/// Exponents this close to 1 count as 1: the model is a line.
+/// An exponent this close to 1 gives a linear model.
 pub const LINEAR_BAND: f64 = 0.1;
-/// A line whose relative residual is at most this is kept whatever the exponent: no measurement here is better than
-/// that.
+/// A line with at most this relative residual is used whatever the exponent: measurements are no
+/// more accurate.
 pub const LINE_RESIDUAL: f64 = 0.01;
-/// A power of the count replaces a line only where its residual is at most this part of the line's.
+/// A power replaces a line only if its residual is at most this fraction of the line's.
 pub const POWER_GAIN: f64 = 0.5;
-/// Counts that an exponent is fitted to at least, and that a power is used from: one more than it has unknowns.
+/// Fewest counts to fit an exponent, and to use a power: one more than its unknowns.
 const MIN_EXPONENT_COUNTS: usize = 3;
 const MIN_POWER_COUNTS: usize = 4;
-/// Exponents that are tried, and the step between two of them.
+/// Range and step of the search for the exponent.
 const MIN_EXPONENT: f64 = 0.1;
 const MAX_EXPONENT: f64 = 3.0;
 const EXPONENT_STEP: f64 = 0.01;
@@ -23,13 +23,13 @@
 /// One measurement: the cost at a count.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Point {
-    /// What the cost grows with, for example engines (count, over 0).
+    /// The count that the cost grows with, for example engines; positive.
     pub count: f64,
-    /// The cost, in the measurement's own unit (over 0).
+    /// The cost in the unit of the measurement; positive.
     pub value: f64,
 }
 
-/// The form of a fitted cost.
+/// The functional form of a fit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Model {
     /// `constant + slope x count`.
@@ -41,24 +41,24 @@
 /// A cost as a function of a count.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// Cost at a count of zero (the measurement's unit).
+    /// Cost at a count of zero, in the unit of the measurement.
     pub constant: f64,
-    /// Cost of each further one, or the factor of the power (the measurement's unit).
+    /// Cost per unit of count, or the factor of the power, in the unit of the measurement.
     pub slope: f64,
-    /// The exponent of the count that fits best, also where the model is a line.
+    /// The best-fitting exponent, also for a linear model.
     pub exponent: f64,
     /// Root mean square of the model's relative residuals.
     pub residual: f64,
-    /// Smallest and largest count that was measured.
+    /// Smallest measured count.
     pub from: f64,
-    /// See `from`.
+    /// Largest measured count.
     pub to: f64,
     /// The form that [`Fit::predict`] uses.
     pub model: Model,
 }
 
 impl Fit {
-    /// The cost at a count (the measurement's unit).
+    /// The cost at a count, in the unit of the measurement.
     pub fn predict(&self, count: f64) -> f64 {
         match self.model {
             Model::Linear => self.constant + self.slope * count,
@@ -67,14 +67,14 @@
     }
 }
 
-/// Why points can't be fitted.
+/// Why points cannot be fitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FitError {
     /// Fewer than two different counts.
     #[error("a fit needs at least two different counts")]
     TooFewCounts,
-    /// A count or value that is not a finite number over zero.
-    #[error("counts and values of a fit must be finite and over zero")]
+    /// A count or value is not finite and positive.
+    #[error("counts and values of a fit must be finite and positive")]
     NotPositive,
 }
 
@@ -87,12 +87,12 @@
     residual: f64,
 }
 
-/// Fits a cost to its measured points. The model is a line where the best exponent is within [`LINEAR_BAND`] of 1, where the line's
-/// residual is at most [`LINE_RESIDUAL`], where a power does not take it to [`POWER_GAIN`] of that, or where fewer than four counts were
-/// measured.
+/// Fits a cost to its measured points. The model is a line if the best exponent is within
+/// [`LINEAR_BAND`] of 1, the line's residual is at most [`LINE_RESIDUAL`], a power does not reduce
+/// it to [`POWER_GAIN`] of that, or fewer than four counts were measured.
 ///
 /// # Errors
-/// Where fewer than two counts differ, or a number is not finite and over zero.
+/// If there are fewer than two distinct counts, or a number is not finite and positive.
 pub fn fit(points: &[Point]) -> Result<Fit, FitError> {
     let usable = |x: f64| x.is_finite() && x > 0.0;
     if points.iter().any(|p| !usable(p.count) || !usable(p.value)) {
@@ -121,8 +121,8 @@
     })
 }
 
-/// By how much the fit of `smaller` misses the largest, measured point (share of the measured value); infinite where `smaller`
-/// can't be fitted.
+/// Relative error of the fit of `smaller` at the largest measured point; infinite if `smaller`
+/// cannot be fitted.
 pub fn prediction_error(smaller: &[Point], largest: Point) -> f64 {
     match fit(smaller) {
         Ok(fitted) => (fitted.predict(largest.count) - largest.value).abs() / largest.value,
@@ -137,7 +137,8 @@
     counts.len()
 }
 
-/// The exponent with the least residual; 1 where too few counts were measured, or no exponent does better than a line does.
+/// The exponent with the smallest residual; 1 if there are too few counts or no exponent improves
+/// on a line.
 fn best_exponent(points: &[Point], line: Candidate) -> Candidate {
     if different_counts(points) < MIN_EXPONENT_COUNTS {
         return line;
@@ -154,9 +155,10 @@
     candidates.map(|exponent| at_exponent(points, exponent)).fold(line, better)
 }
 
-/// Weighted least squares of `constant + slope x count ^ exponent`, neither part below zero.
+/// Weighted least squares of `constant + slope x count ^ exponent`, with neither coefficient
+/// negative.
 fn at_exponent(points: &[Point], exponent: f64) -> Candidate {
-    // Both sides are divided by the value: the unknowns then have to make each point 1.
+    // Dividing by the value makes the residuals relative: the target is 1 at each point.
     let rows: Vec<(f64, f64)> =
         points.iter().map(|p| (1.0 / p.value, p.count.powf(exponent) / p.value)).collect();
     let sum = |of: fn(&(f64, f64)) -> f64| rows.iter().map(of).sum::<f64>();
@@ -166,7 +168,7 @@
     let (constant, slope) = ((a * bb - b * ab) / determinant, (b * aa - a * ab) / determinant);
     let (constant, slope) = match (constant.is_finite(), constant >= 0.0, slope >= 0.0) {
         (true, true, true) => (constant, slope),
-        // The least squares of one unknown alone.
+        // A negative constant is set to 0 and the slope fitted alone.
         (true, false, _) => (0.0, b / bb),
         _ => (a / aa, 0.0),
     };
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,8 +1,9 @@
-//! Predicts what the program costs at the size to design for, from costs measured at smaller sizes.
+//! Predicts the resource use of the program at the target size from costs measured at smaller
+//! sizes.
 //!
-//! [`fit()`] turns measured points into `constant + slope x count`, or into a power of the count where a line is wrong; [`rows`] say what
-//! each activity takes at the [`size`], beside its budget; [`rule`] says which mechanism is missing first; [`page`] renders all of it.
-//! Pure: no files, no sockets, no clock.
+//! [`fit()`] fits `constant + slope x count`, or a power of the count if a line fits badly;
+//! [`rows`] compute the usage of each activity at the target [`size`] with its budget; [`rule`]
+//! ranks them; [`page`] renders the result. No I/O.
 
 #![forbid(unsafe_code)]
 
--- a/crates/capacity/src/measured.rs
+++ b/crates/capacity/src/measured.rs
@@ -1,4 +1,4 @@
-//! Measured costs as the file in the repository holds them: raw values by count, from which all else is computed.
+//! The measurement file: raw values of each cost by count.
 
 use std::collections::BTreeMap;
 
@@ -7,22 +7,22 @@
 
 use crate::fit::{fit, prediction_error, Fit, FitError, Point};
 
-/// How far the fit of smaller counts may miss the largest (share) before the model counts as wrong.
+/// Largest accepted relative error of a fit of the smaller counts at the largest count.
 pub const MAX_PREDICTION_ERROR: f64 = 0.25;
-/// Counts that a fit is over at least.
+/// Fewest counts of a fit after the smallest ones are dropped.
 const MIN_FIT_COUNTS: usize = 4;
 
 /// Repeated measurements at one count.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// What the cost grows with (count).
+    /// The count that the cost grows with.
     pub count: f64,
-    /// The values, in the order measured (the series' unit).
+    /// The values in measurement order, in the unit of the series.
     pub values: Vec<f64>,
 }
 
 impl Sample {
-    /// The median of the values; not a number where there are none.
+    /// The median of the values; NaN if there are none.
     pub fn median(&self) -> f64 {
         let mut sorted = self.values.clone();
         sorted.sort_by(f64::total_cmp);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// How far the values lie apart (share of the median).
+    /// The range of the values relative to the median.
     pub fn spread(&self) -> f64 {
         let least = self.values.iter().copied().fold(f64::INFINITY, f64::min);
         let most = self.values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
@@ -42,40 +42,42 @@
     }
 }
 
-/// One cost, by what it grows with.
+/// The measurements of one cost.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Series {
-    /// What was measured, and of what.
+    /// Description of the cost.
     pub what: String,
-    /// The values' unit.
+    /// The unit of the values.
     pub unit: String,
-    /// What counts are of.
+    /// What the counts are counts of.
     pub by: String,
-    /// The measurements, by growing count.
+    /// The measurements, by increasing count.
     pub samples: Vec<Sample>,
 }
 
 impl Series {
-    /// The medians.
+    /// The medians by count.
     pub fn points(&self) -> Vec<Point> {
         self.samples.iter().map(|s| Point { count: s.count, value: s.median() }).collect()
     }
 
-    /// The fit of the medians. Where the smaller counts miss the largest by more than [`MAX_PREDICTION_ERROR`], the model is wrong
-    /// over so wide a range: the smallest counts are left out one by one until it holds, or three are left before the largest.
+    /// The fit of the medians. While the fit of the smaller counts misses the largest by more than
+    /// [`MAX_PREDICTION_ERROR`], the smallest count is dropped, down to three counts before the
+    /// largest.
     ///
     /// # Errors
-    /// Where they can't be fitted.
+    /// If the points cannot be fitted.
     pub fn fit(&self) -> Result<Fit, FitError> {
         fit(&self.fitted_points())
     }
 
-    /// By how much the smaller counts of the fit miss the largest (share of its value); infinite where there are too few.
+    /// Relative error of the fit of the smaller counts at the largest; infinite if there are too
+    /// few.
     pub fn prediction_error(&self) -> f64 {
         largest_count_error(&self.fitted_points())
     }
 
-    /// The medians that the fit is over.
+    /// The medians that are used for the fit.
     fn fitted_points(&self) -> Vec<Point> {
         let all = self.points();
         let ranges = (0..all.len().saturating_sub(MIN_FIT_COUNTS - 1)).map(|from| &all[from..]);
@@ -91,29 +93,30 @@
         best.to_vec()
     }
 
-    /// The median at a count that was measured.
+    /// The median at a count, if it was measured there.
     pub fn measured_at(&self, count: f64) -> Option<f64> {
         self.samples.iter().find(|s| s.count == count).map(Sample::median)
     }
 
-    /// The largest spread of repeated measurements at one count (share).
+    /// The largest relative spread of repeated measurements at one count.
     pub fn spread(&self) -> f64 {
         self.samples.iter().map(Sample::spread).fold(0.0, f64::max)
     }
 }
 
-/// Why a cost is not to be had.
+/// Why a cost is not available.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MissingCost {
-    /// It was not measured.
-    #[error("the measured file has no {0}")]
+    /// The file does not have it.
+    #[error("the measurement file has no series {0}")]
     NotMeasured(String),
-    /// Its points can't be fitted.
+    /// Its points cannot be fitted.
     #[error("{0}: {1}")]
     Unfitted(String, FitError),
 }
 
-/// The largest count against the fit of the others (share); infinite where there are too few.
+/// Relative error of the fit of all but the largest count at the largest; infinite if there are too
+/// few.
 fn largest_count_error(points: &[Point]) -> f64 {
     match points.split_last() {
         Some((largest, smaller)) => prediction_error(smaller, *largest),
@@ -124,24 +127,25 @@
 /// All measured costs, by name.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Measured {
-    /// The command that measures them again.
+    /// The command that repeats the measurements.
     pub command: String,
     /// The costs.
     pub series: BTreeMap<String, Series>,
 }
 
 impl Measured {
-    /// A cost at a count (the series' unit): the median where it was measured at that count, else by its fit.
+    /// A cost at a count, in the unit of the series: the median if that count was measured, else
+    /// the fit.
     ///
     /// # Errors
-    /// Where it was not measured or can't be fitted.
+    /// If the cost was not measured or cannot be fitted.
     pub fn at(&self, name: &str, count: f64) -> Result<f64, MissingCost> {
         let fitted = self.fit_of(name)?;
         let here = self.series.get(name).and_then(|series| series.measured_at(count));
         Ok(here.unwrap_or_else(|| fitted.predict(count)))
     }
 
-    /// A number that follows from every value (FNV-1a over names, counts and values): one digit changed changes it.
+    /// FNV-1a hash of all names, counts and values.
     pub fn checksum(&self) -> u64 {
         let numbers = |series: &Series| {
             let samples = series.samples.iter();
@@ -159,7 +163,7 @@
     /// The fit of a cost.
     ///
     /// # Errors
-    /// Where it was not measured or can't be fitted.
+    /// If the cost was not measured or cannot be fitted.
     pub fn fit_of(&self, name: &str) -> Result<Fit, MissingCost> {
         let series = self.series.get(name).ok_or_else(|| MissingCost::NotMeasured(name.to_owned()))?;
         series.fit().map_err(|fault| MissingCost::Unfitted(name.to_owned(), fault))
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -1,4 +1,4 @@
-//! Renders `docs/CAPACITY.md` from the measured file: its words stand in a template, its tables and figures are computed.
+//! Renders `docs/CAPACITY.md` from the measurement file and the template `page.md`.
 
 use std::fmt::Write;
 
@@ -11,13 +11,14 @@
 
 const TEMPLATE: &str = include_str!("page.md");
 
-/// One figure of the scale test's file: its key and value as text.
+/// A key and value of the scale test's result file.
 pub type ScaleFigure = (String, String);
 
-/// The whole page. `scale` holds the scale test's figures, empty where it has not been run.
+/// Renders the page. `scale` has the figures of the scale test; it is empty if the test has not
+/// been run.
 ///
 /// # Errors
-/// Where a row's cost was not measured.
+/// If a cost was not measured.
 pub fn page(measured: &Measured, scale: &[ScaleFigure]) -> Result<String, MissingCost> {
     let rows = rows(measured)?;
     let cells = with_cells(measured, &rows)?;
@@ -51,7 +52,7 @@
 }
 
 fn sizes() -> String {
-    let mut text = String::from("| what | | from |\n| --- | --- | --- |\n");
+    let mut text = String::from("| constant | value | source |\n| --- | --- | --- |\n");
     for constant in size::ALL {
         let _ =
             writeln!(text, "| {} | {} | {} |", constant.name, value_with_unit(&constant), constant.source);
@@ -92,7 +93,7 @@
         }
         let _ = writeln!(text, "### {}\n", role.name());
         text.push_str(
-            "| activity | state held | ordinary day | worst minute | budget | ratio | carried by |\n",
+            "| activity | state held | ordinary day | worst minute | budget | ratio | mechanism |\n",
         );
         text.push_str("| --- | --- | --- | --- | --- | --- | --- |\n");
         for row in of_role {
@@ -117,13 +118,13 @@
     text
 }
 
-/// The rows that are others, or new, with cells and relays.
+/// The rows that are new or different with cells and relays.
 fn changed_rows(rows: &[Row], cells: &[Row]) -> String {
     let others: Vec<Row> = cells.iter().filter(|row| !rows.contains(row)).cloned().collect();
     role_tables(&others)
 }
 
-/// The ratio of a row of this name, as text.
+/// The ratio of the row with this id, as text.
 fn ratio_of(rows: &[Row], id: &str) -> String {
     let row = rows.iter().find(|row| row.id == id);
     row.and_then(Row::ratio).map_or("-".into(), |ratio| number(ratio.value))
@@ -131,7 +132,7 @@
 
 fn ratio_table(rows: &[Row], cells: Option<&[Row]>) -> String {
     let mut text = String::from(
-        "| row | whole list | of | cells and relays | rows that cannot work without it |\n| --- | --- | --- | --- | --- |\n",
+        "| row | whole list | resource | cells and relays | rows that depend on it |\n| --- | --- | --- | --- | --- |\n",
     );
     let new: Vec<Row> =
         cells.into_iter().flatten().filter(|row| !rows.iter().any(|r| r.id == row.id)).cloned().collect();
@@ -156,7 +157,7 @@
     text
 }
 
-/// What the chosen row comes to with cells and relays, and what is missing first then.
+/// The ratio of the highest-ranked row with cells and relays, and the next rows over budget.
 fn after_cells(rows: &[Row], cells: &[Row]) -> String {
     let Some((chosen, ratio)) = rank(rows).needed_over_budget().next() else { return String::new() };
     let next: Vec<String> = rank(cells)
@@ -167,7 +168,7 @@
         })
         .collect();
     format!(
-        "With cells and relays `{}` comes to {} in place of {}. What is missing first then: {}.",
+        "With cells and relays the ratio of `{}` is {} instead of {}. The rows that rank first then: {}.",
         chosen.id,
         ratio_of(cells, chosen.id),
         number(ratio.value),
@@ -182,15 +183,15 @@
         format!("`{}`, {} ({}: {})", row.id, number(ratio.value), row.role.name(), row.activity)
     };
     let Some((chosen, next)) = first.split_first() else {
-        return "No row that others need is over its budget.".into();
+        return "No row that others depend on is over its budget.".into();
     };
     let next: Vec<String> = next.iter().map(name).collect();
-    format!("Chosen: {}.\n\nThe next two: {}.", name(chosen), next.join("; "))
+    format!("First: {}.\n\nThe next two: {}.", name(chosen), next.join("; "))
 }
 
 fn costs(measured: &Measured) -> String {
     let mut text = String::from(
-        "| cost | unit, by | measured | constant | slope | exponent | model | residual | spread | largest missed by |\n\
+        "| cost | unit, by | measured | constant | slope | exponent | model | residual | spread | error at largest count |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for (name, series) in &measured.series {
@@ -227,7 +228,7 @@
     }
 }
 
-/// Costs whose model misses the largest count by too much.
+/// Costs whose model has too large an error at the largest count.
 fn inaccurate_models(measured: &Measured) -> String {
     let misses = |series: &&Series| series.prediction_error() > MAX_PREDICTION_ERROR;
     let names: Vec<String> = measured
@@ -236,7 +237,7 @@
         .filter(|(_, series)| misses(series))
         .map(|(name, series)| {
             let largest = series.points().last().map_or(0.0, |p| p.count);
-            format!("- `{name}`: missed by {} at {}", share(series.prediction_error()), plain(largest))
+            format!("- `{name}`: error {} at {}", share(series.prediction_error()), plain(largest))
         })
         .collect();
     match names.is_empty() {
@@ -250,25 +251,25 @@
     let lines = rows.iter().chain(others).filter(|row| !row.derivation.is_empty());
     let lines = lines.map(|row| {
         let costs: Vec<String> = row.costs.iter().map(|cost| format!("`{cost}`")).collect();
-        let from = if costs.is_empty() { "no measurement".into() } else { costs.join(", ") };
+        let from = if costs.is_empty() { "none".into() } else { costs.join(", ") };
         let state = if rows.contains(row) { "" } else { ", with cells" };
         format!("| `{}`{state} | {from} | {} |", row.id, row.derivation)
     });
     let lines: Vec<String> = lines.collect();
-    format!("| row | measured costs | worked out |\n| --- | --- | --- |\n{}", lines.join("\n"))
+    format!("| row | measured costs | derivation |\n| --- | --- | --- |\n{}", lines.join("\n"))
 }
 
 fn primary() -> String {
     let entries = size::PRIMARY_CHANGES.value * size::PRIMARY_ENTRIES;
     format!(
-        "{} entries a day for {} changes, of {} entries a day in all",
+        "{} entries a day for {} changes, of {} entries a day in total",
         number(entries),
         plain(size::PRIMARY_CHANGES.value),
         number(size::entries_per_s() * size::DAY_S)
     )
 }
 
-/// Which row of the page a figure of the scale test backs.
+/// The rows of the page that a figure of the scale test confirms, by key prefix.
 const ROWS_OF_FIGURES: [(&str, &str); 13] = [
     ("control_core_share", "`list-changes`, `membership`, `limits`, `verdicts`"),
     ("control_mb", "`list-start`, `membership`"),
@@ -279,17 +280,17 @@
     ("change_everywhere", "`list-changes`, `primary`"),
     ("config_everywhere", "`configuration`, `tools-configuration`"),
     ("decision_us", "`deciding`"),
-    ("largest_over_budget", "the rule"),
-    ("mechanism_", "the chosen row"),
+    ("largest_over_budget", "the ranking"),
+    ("mechanism_", "the first row of the ranking"),
     ("prediction_error", "the model"),
     ("", "-"),
 ];
 
 fn scale_table(figures: &[ScaleFigure]) -> String {
     if figures.is_empty() {
-        return "`docs/capacity/scale.json` is not there yet: `marljunction-lab scale --json docs/capacity/scale.json` writes it.".into();
+        return "`docs/capacity/scale.json` does not exist yet: `marljunction-lab scale --json docs/capacity/scale.json` writes it.".into();
     }
-    let mut text = String::from("| figure | value | row that it backs |\n| --- | --- | --- |\n");
+    let mut text = String::from("| figure | value | rows that it confirms |\n| --- | --- | --- |\n");
     for (name, value) in figures {
         let backed = ROWS_OF_FIGURES
             .iter()
--- a/crates/capacity/src/rows.rs
+++ b/crates/capacity/src/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the page: what one activity of one role takes at the size to design for, beside what it may take.
+//! Rows of the page: usage and budget of one activity of one role at the target size.
 
 use crate::measured::{Measured, MissingCost};
 use crate::size;
@@ -7,18 +7,18 @@
 mod router;
 mod services;
 
-/// Who does it.
+/// The kind of process or machine that an activity runs on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     /// A query router.
     Router,
-    /// The service that knows the list of engines.
+    /// The service that serves the engine list.
     ListService,
-    /// A machine set aside for control, or a relay on it.
+    /// A control machine, or a relay on it.
     ControlMachine,
-    /// An engine, as control sees it.
+    /// An engine, as seen by the control plane.
     Engine,
-    /// What operators call.
+    /// The operators' tools.
     OperatorTools,
 }
 
@@ -27,19 +27,19 @@
     pub const ALL: [Role; 5] =
         [Role::Router, Role::ListService, Role::ControlMachine, Role::Engine, Role::OperatorTools];
 
-    /// Its name on the page.
+    /// The heading on the page.
     pub fn name(self) -> &'static str {
         match self {
             Role::Router => "Router",
             Role::ListService => "List service",
             Role::ControlMachine => "Control machine, or relay",
-            Role::Engine => "Engine, as control sees it",
+            Role::Engine => "Engine, as seen by the control plane",
             Role::OperatorTools => "Operators' tools",
         }
     }
 }
 
-/// What is taken, or may be; none where nothing is said of it.
+/// Resource usage or a budget; `None` if a resource is not covered.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     /// Messages a second.
@@ -50,14 +50,14 @@
     pub cores: Option<f64>,
     /// Memory (MB).
     pub memory_mb: Option<f64>,
-    /// Time until it is done (s).
+    /// Time to complete (s).
     pub seconds: Option<f64>,
-    /// Things held against a fixed bound (count).
+    /// Number of items held, against a fixed bound.
     pub held: Option<f64>,
 }
 
 impl Usage {
-    /// Its parts with their names.
+    /// All resources with their names.
     pub fn parts(&self) -> [(&'static str, Option<f64>); 6] {
         [
             ("messages", self.messages_s),
@@ -70,48 +70,48 @@
     }
 }
 
-/// The largest of what is taken over what may be.
+/// Usage relative to the budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ratio {
-    /// Taken over allowed.
+    /// Usage divided by budget.
     pub value: f64,
-    /// Of what.
+    /// The resource.
     pub resource: &'static str,
-    /// On the ordinary day, else in the worst minute.
+    /// Whether it applies to the ordinary day; else to the worst minute.
     pub ordinary: bool,
 }
 
 /// One activity of one role.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// A short name, which other rows name it by.
+    /// Identifier, used in `needed_by` of other rows.
     pub id: &'static str,
-    /// Who does it.
+    /// The role that performs it.
     pub role: Role,
-    /// What is done.
+    /// Description of the activity.
     pub activity: &'static str,
-    /// What is held for it.
+    /// State held for it.
     pub state: String,
-    /// On an ordinary day.
+    /// Usage on an ordinary day.
     pub ordinary: Usage,
-    /// In the worst minute.
+    /// Usage in the worst minute.
     pub worst: Usage,
-    /// Which minute that is.
+    /// Description of the worst minute; empty if there is none.
     pub worst_minute: &'static str,
-    /// What it may take.
+    /// The budget.
     pub budget: Usage,
-    /// What carries it; none where nothing does.
+    /// The mechanism that provides it, if there is one.
     pub mechanism: Option<&'static str>,
-    /// Rows that do nothing before this one has been done once.
+    /// Rows that cannot start before this one has completed once.
     pub needed_by: &'static [&'static str],
-    /// The measured costs that it comes from.
+    /// The measured costs that the usage is computed from.
     pub costs: &'static [&'static str],
-    /// How figures that no measurement shows were worked out.
+    /// How figures that were not measured directly are derived.
     pub derivation: &'static str,
 }
 
 impl Row {
-    /// The largest ratio of what is taken to what may be; none where no budget covers anything that is taken.
+    /// The largest ratio of usage to budget; `None` if no used resource has a budget.
     pub fn ratio(&self) -> Option<Ratio> {
         let of = |usage: &Usage, ordinary: bool| {
             let parts = usage.parts().into_iter().zip(self.budget.parts());
@@ -125,15 +125,14 @@
     }
 }
 
-/// Budgets of an engine that are shared: for light classes and for heavy ones (count).
+/// Shared budgets of an engine: one for light classes and one for heavy ones.
 const BUDGETS_PER_ENGINE: f64 = 2.0;
 
-/// Seconds from milliseconds.
 fn ms_to_seconds(ms: f64) -> f64 {
     ms / 1e3
 }
 
-/// What leases of so many keys of shared limits take in a steady state.
+/// Steady-state usage for leases of `keys` shared limits.
 fn limit_keys(m: &Measured, keys: f64) -> Result<Usage, MissingCost> {
     Ok(Usage {
         messages_s: Some(m.at("limits_keys_messages_s", keys)?),
@@ -143,7 +142,7 @@
     })
 }
 
-/// What a router may take for control.
+/// Budget of a router for control traffic and state.
 fn control_budget() -> Usage {
     Usage {
         bytes_s: Some(size::CONTROL_BYTES.value),
@@ -153,10 +152,10 @@
     }
 }
 
-/// All rows with the whole list at each router.
+/// All rows for routers that each hold the whole engine list.
 ///
 /// # Errors
-/// Where a cost was not measured.
+/// If a cost was not measured.
 pub fn rows(measured: &Measured) -> Result<Vec<Row>, MissingCost> {
     let mut rows = router::list_rows(measured)?;
     rows.extend(router::peer_rows(measured)?);
--- a/crates/capacity/src/rows/cells.rs
+++ b/crates/capacity/src/rows/cells.rs
@@ -1,18 +1,20 @@
-//! Rows that cells and relays change: a router holds and learns its cell's part only, relays read the whole list.
+//! Rows that change with cells: a router loads only the engines of its cell, and relays read the
+//! whole list.
 
 use super::{control_budget, limit_keys, ms_to_seconds, Role, Row, Usage, BUDGETS_PER_ENGINE};
 use crate::measured::{Measured, MissingCost};
 use crate::size::*;
 use crate::text::plain;
 
-const RELAY_MECHANISM: &str = "a cell's part by sealed datagrams from one of the relays";
-/// Cost whose presence says that cells were measured.
+const RELAY_MECHANISM: &str = "the cell's engines in authenticated datagrams from one of the relays";
+/// This series is present if cells were measured.
 const CELLS_MEASURED_SERIES: &str = "cells_start_bytes";
 
-/// The rows with cells and relays in place of the whole list at each router; none where they were not measured.
+/// The rows with cells and relays instead of the whole list at each router; `None` if cells were
+/// not measured.
 ///
 /// # Errors
-/// Where one of their costs is missing.
+/// If one of their costs is missing.
 pub fn with_cells(m: &Measured, rows: &[Row]) -> Result<Option<Vec<Row>>, MissingCost> {
     if !m.series.contains_key(CELLS_MEASURED_SERIES) {
         return Ok(None);
@@ -36,7 +38,7 @@
     Ok(Some(all))
 }
 
-/// What a router says and hears of its part at rest.
+/// Traffic of a router with its relay while nothing changes.
 fn idle_usage(m: &Measured) -> Result<Usage, MissingCost> {
     Ok(Usage {
         messages_s: Some(m.at("cells_rest_messages_s", engines_per_cell())?),
@@ -55,7 +57,7 @@
     let starts = starts_per_router_s();
     let start_s = m.at("relay_start_s", routers_per_relay())?;
     Ok(Row {
-        state: format!("{} engines, {:.1} KB as told", plain(engines), bytes / 1e3),
+        state: format!("{} engines, {:.1} KB encoded", plain(engines), bytes / 1e3),
         ordinary: Usage {
             messages_s: Some(starts),
             bytes_s: Some(starts * bytes),
@@ -72,8 +74,14 @@
         },
         budget: Usage { seconds: Some(MAX_READY_TIME.value), ..control_budget() },
         mechanism: Some(RELAY_MECHANISM),
-        costs: &["cells_start_bytes", "cells_start_ms", "relay_start_s", "decision_list_us", "program_peak_kb"],
-        derivation: "starts of a router's machine a day: its part of all restarts; memory: the program's slope by engines",
+        costs: &[
+            "cells_start_bytes",
+            "cells_start_ms",
+            "relay_start_s",
+            "decision_list_us",
+            "program_peak_kb",
+        ],
+        derivation: "starts per router and day: its share of all restarts; memory: the slope by engines",
         ..before.clone()
     })
 }
@@ -82,20 +90,20 @@
     let bytes = m.at("cells_start_bytes", engines_per_cell())?;
     let cpu_s = ms_to_seconds(m.at("cells_start_ms", engines_per_cell())?);
     Ok(Row {
-        state: "the part, its version and its digest".into(),
+        state: "the engines of the cell, their version and digest".into(),
         worst: Usage {
             bytes_s: Some(bytes / MAX_READY_TIME.value),
             cores: Some(cpu_s / MAX_READY_TIME.value),
             ..Usage::default()
         },
-        mechanism: Some("the whole part again, where its digest is another"),
+        mechanism: Some("a full transfer if the digest differs"),
         costs: &["cells_start_bytes", "cells_start_ms"],
-        derivation: "as much as a start, at most",
+        derivation: "at most as much as a start",
         ..before.clone()
     })
 }
 
-/// Costs of a change of the list in a second, where a router hears those of its cell.
+/// Usage for changes of the list, of which a router receives those of its cell.
 fn changes(m: &Measured, before: &Row) -> Result<Row, MissingCost> {
     let idle_usage = idle_usage(m)?;
     let each_bytes = m.at("cells_change_bytes", 1.0)?;
@@ -109,11 +117,11 @@
     };
     let cells = ZONES.value * CELLS.value;
     Ok(Row {
-        state: "the part and its version".into(),
+        state: "the engines of the cell and their version".into(),
         ordinary: at(entries_per_s() / cells),
-        // A router of the zone that is lost and replaced hears all changes of its own cell.
+        // A router in the lost zone receives all changes of its cell.
         worst: at(lost_zone_entries_per_s() / CELLS.value),
-        worst_minute: "its zone lost and replaced, one message for each engine of its cell",
+        worst_minute: "its zone lost and replaced, one message per engine of its cell",
         mechanism: Some(RELAY_MECHANISM),
         costs: &[
             "cells_rest_bytes_s",
@@ -137,8 +145,8 @@
         ordinary: limit_keys(m, ordinary)?,
         worst: limit_keys(m, worst)?,
         worst_minute: "its zone lost, its cell's engines replaced within the minute",
-        mechanism: Some("a shared limit for each cold engine of the cell and kind of class"),
-        derivation: "cold engines of a cell at once: renewed engines times how long one is cold; a key costs what it does among 50 routers",
+        mechanism: Some("a shared limit per cold engine of the cell and kind of class"),
+        derivation: "concurrently cold engines of a cell: replaced engines times the warmup time; cost per key as measured among 50 routers",
         ..before.clone()
     })
 }
@@ -146,9 +154,9 @@
 fn deciding(m: &Measured, before: &Row) -> Result<Row, MissingCost> {
     let cores = statements_per_router() * m.at("decision_us", engines_per_cell())? / 1e6;
     Ok(Row {
-        state: format!("what is known of {} engines", plain(engines_per_cell())),
+        state: format!("state of {} engines", plain(engines_per_cell())),
         ordinary: Usage { cores: Some(cores), ..before.ordinary },
-        mechanism: Some("the module looks at every engine of its cell"),
+        mechanism: Some("the module scans every engine of its cell"),
         ..before.clone()
     })
 }
@@ -163,10 +171,10 @@
             bytes_s: Some(relays * whole / MAX_READY_TIME.value),
             ..Usage::default()
         },
-        worst_minute: "all relays cold, each ready in time",
+        worst_minute: "all relays start at once, each ready in time",
         mechanism: Some("the whole list to each relay"),
         needed_by: &["relay-start"],
-        derivation: "one reader's bytes times the relays; a relay's machine restarts as often as a router's",
+        derivation: "bytes per relay times the relays; relays restart as often as routers",
         ..before.clone()
     })
 }
@@ -181,7 +189,7 @@
             ..Usage::default()
         },
         needed_by: &["relay-start"],
-        derivation: "a region's part of the relays times what one of them missed",
+        derivation: "a region's share of the relays times the events that one of them missed",
         ..before.clone()
     })
 }
@@ -195,12 +203,13 @@
         worst: of_all(lost_zone_entries_per_s()),
         mechanism: Some("each change to every relay"),
         needed_by: &["relay-changes"],
-        derivation: "one reader's bytes times the relays",
+        derivation: "bytes per relay times the relays",
         ..before.clone()
     })
 }
 
-/// What relays do. What a control machine may take is not told: a core and its link are assumed.
+/// Rows of a relay. The requirements have no budget for a control machine: one core and its link
+/// are assumed.
 fn relay(m: &Measured) -> Result<Vec<Row>, MissingCost> {
     let (routers, part) = (routers_per_relay(), engines_per_cell());
     let held_mb = m.at("relay_held_kb", ENGINES.value)? / 1e3;
@@ -216,7 +225,7 @@
     let start = Row {
         id: "relay-start",
         role: Role::ControlMachine,
-        activity: "learning the list, and telling routers their parts at their start",
+        activity: "loading the list, and sending routers their engines at a start",
         state: format!("{} engines, {} routers", plain(ENGINES.value), plain(routers.round())),
         ordinary: Usage { memory_mb: Some(held_mb), ..Usage::default() },
         worst: Usage {
@@ -229,7 +238,7 @@
             seconds: Some(m.at("relay_start_s", routers)?),
             ..Usage::default()
         },
-        worst_minute: "all routers and relays cold",
+        worst_minute: "all routers and relays start at once",
         budget,
         mechanism: Some("`cells::Relay`"),
         needed_by: &["list-start"],
@@ -242,7 +251,7 @@
             "list_bytes",
             "list_cpu_ms",
         ],
-        derivation: "a relay's part of the routers; its budget is one core and one link",
+        derivation: "the routers per relay; the budget is one core and one link",
     };
     let rest_cores = ms_to_seconds(m.at("relay_rest_ms_s", routers)?);
     let each_router = m.at("cells_rest_bytes_s", part)?;
@@ -257,19 +266,19 @@
     };
     let changes = Row {
         id: "relay-changes",
-        activity: "telling changes to the routers of their cells, and answering asks",
+        activity: "sending changes to the routers of their cells, and answering requests",
         ordinary: update_usage(entries_per_s()),
         worst: update_usage(lost_zone_entries_per_s()),
         worst_minute: "a zone lost and its engines replaced",
         needed_by: &["list-changes"],
         costs: &["relay_rest_ms_s", "cells_rest_bytes_s", "cells_rest_messages_s", "cells_change_bytes"],
-        derivation: "a relay's part of the routers; each change to as many of them as share a cell, at most; processor time at rest",
+        derivation: "the routers per relay; each change goes to at most the routers of one cell; processor time without changes",
         ..start.clone()
     };
     Ok(vec![start, changes])
 }
 
-/// Routers of one cell.
+/// Routers per cell.
 fn routers_per_cell() -> f64 {
     ROUTERS.value / ZONES.value / CELLS.value
 }
@@ -282,12 +291,12 @@
         ..usage
     };
     Ok(Row {
-        state: "one entry of the list at each router of its cell".into(),
+        state: "one list entry at each router of its cell".into(),
         ordinary: part(before.ordinary),
         worst: part(before.worst),
         mechanism: Some("a message to every router of its cell"),
         costs: &["cells_change_bytes"],
-        derivation: "entries a day of one engine times the routers of its cell; no budget is named",
+        derivation: "list entries of one engine per day times the routers of its cell; no budget is required",
         ..before.clone()
     })
 }
--- a/crates/capacity/src/rows/router.rs
+++ b/crates/capacity/src/rows/router.rs
@@ -5,15 +5,14 @@
 use crate::size::*;
 use crate::text::plain;
 
-const STREAM_MECHANISM: &str =
-    "`discovery::stream`: the whole list in one event, later events behind a number";
-/// Bytes of the comment that comes each second.
+const STREAM_MECHANISM: &str = "`discovery::stream`: the whole list in one event, then events after a number";
+/// Size of the keep-alive comment sent each second.
 const COMMENT_BYTES_S: f64 = 3.0;
-/// Rows that do nothing without the list.
+/// Rows that depend on the list.
 const NEED_LIST: &[&str] =
     &["list-break", "list-changes", "primary", "deciding", "verdicts", "cold", "busy", "words"];
 
-/// Learning the list, following it, and configuration.
+/// Engine list and configuration.
 pub fn list_rows(m: &Measured) -> Result<Vec<Row>, MissingCost> {
     Ok(vec![list_start(m)?, list_break(m)?, list_changes(m)?, primary(m)?, configuration(m)?])
 }
@@ -26,17 +25,16 @@
     let starts = starts_per_router_s();
     let largest = m.fit_of("list_bytes")?.to;
     let learned = match largest < engines {
-        true => format!(
-            "the largest list that was learned has {} engines: a larger event is dropped",
-            plain(largest)
-        ),
-        false => "a list of that size was learned".to_owned(),
+        true => {
+            format!("the largest measured list has {} engines; a larger event is dropped", plain(largest))
+        }
+        false => "measured at this size".to_owned(),
     };
     Ok(Row {
         id: "list-start",
         role: Role::Router,
-        activity: "learning the list at a start",
-        state: format!("{} engines, {:.2} MB as told; {learned}", plain(engines), bytes / 1e6),
+        activity: "loading the list at a start",
+        state: format!("{} engines, {:.2} MB encoded; {learned}", plain(engines), bytes / 1e6),
         ordinary: Usage {
             messages_s: Some(starts),
             bytes_s: Some(starts * bytes),
@@ -51,12 +49,12 @@
             memory_mb: Some(memory_mb),
             ..Usage::default()
         },
-        worst_minute: "all routers cold, each ready in time",
+        worst_minute: "all routers start at once, each ready in time",
         budget: control_budget(),
         mechanism: Some(STREAM_MECHANISM),
         needed_by: NEED_LIST,
         costs: &["list_bytes", "list_cpu_ms", "decision_list_us", "program_peak_kb"],
-        derivation: "starts of a router's machine a day: its part of all restarts",
+        derivation: "starts per router and day: its share of all restarts",
     })
 }
 
@@ -67,7 +65,7 @@
     Ok(Row {
         id: "list-break",
         role: Role::Router,
-        activity: "learning the list after a break",
+        activity: "loading missed events after a break",
         state: "the number of the last event".into(),
         ordinary: Usage::default(),
         worst: Usage {
@@ -76,18 +74,18 @@
             cores: Some(cpu_s / MAX_READY_TIME.value),
             ..Usage::default()
         },
-        worst_minute: "a region back: what was missed comes at once",
+        worst_minute: "a region reconnects: all missed events arrive at once",
         budget: control_budget(),
         mechanism: Some(
-            "`Last-Event-ID`: events behind a number; the whole list where the service counts anew",
+            "`Last-Event-ID`: events after a number; the whole list if the service restarted its numbering",
         ),
         needed_by: &[],
         costs: &["change_bytes", "list_cpu_ms", "decision_change_us"],
-        derivation: "entries missed: the ordinary day's rate over the time away",
+        derivation: "missed entries: the rate of an ordinary day times the duration of the outage",
     })
 }
 
-/// Processor time of one changed engine: read, and told to the decision module (s).
+/// Processor time to parse one changed engine and pass it to the decision module (s).
 fn change_cpu_s(m: &Measured) -> Result<f64, MissingCost> {
     let read_s = ms_to_seconds(m.fit_of("list_cpu_ms")?.slope.max(0.0));
     Ok(read_s + m.at("decision_change_us", ENGINES.value)? / 1e6)
@@ -108,13 +106,13 @@
         state: "one connection to the list service".into(),
         ordinary: at(entries_per_s()),
         worst: at(lost_zone_entries_per_s()),
-        worst_minute: "a zone lost and its engines replaced, one event for each",
+        worst_minute: "a zone lost and its engines replaced, one event per engine",
         budget: control_budget(),
-        mechanism: Some("events behind a number, each engine's change to every router"),
+        mechanism: Some("events after a number, each engine's change to every router"),
         needed_by: &["primary"],
         costs: &["change_bytes", "list_cpu_ms", "decision_change_us"],
         derivation:
-            "entries a second: restarts, failures and changes of primary, by the states that the protocol has",
+            "entries per second: restarts, failures and changes of primary, with the states of the protocol",
     })
 }
 
@@ -134,12 +132,12 @@
             ..Usage::default()
         },
         worst: Usage { seconds: Some(MAX_UPDATE_DELAY.value), ..Usage::default() },
-        worst_minute: "the service's news counts as told late",
+        worst_minute: "the largest delay of an update",
         budget: Usage { seconds: Some(MAX_PRIMARY_CHANGE_TIME.value), ..control_budget() },
         mechanism: Some("two entries of the list, below"),
         needed_by: &[],
         costs: &["change_bytes", "decision_change_us"],
-        derivation: "the time: what the protocol's page lets news be late, not a measurement",
+        derivation: "time: the largest delay that the protocol allows, not a measurement",
     })
 }
 
@@ -164,12 +162,12 @@
         mechanism: None,
         needed_by: &[],
         costs: &["configuration_bytes", "configuration_ms"],
-        derivation: "the nearest there is, a whole file written to each machine for each change, and SIGHUP; a router works on with \
-                     the file that it started with, so no row waits for a change",
+        derivation: "a whole file written to each machine for each change, and SIGHUP; a router continues with the file that it \
+                     started with, so no row depends on a change",
     })
 }
 
-/// What routers say to each other.
+/// Traffic between routers.
 pub fn peer_rows(m: &Measured) -> Result<Vec<Row>, MissingCost> {
     Ok(vec![membership(m)?, limits(m)?, verdicts(m)?, cold(m)?])
 }
@@ -188,7 +186,7 @@
     };
     let messages = m.at("members_datagrams_s", routers)?;
     let (bytes, cores) = (m.at("members_bytes_s", routers)?, ms_to_seconds(m.at("members_ms_s", routers)?));
-    // Datagrams that are full hold no more: there the line of bytes ends.
+    // The fit is capped by the size of full datagrams.
     let worst_messages = m.at("members_restart_datagrams_s", routers)?;
     let worst_bytes = m.at("members_restart_bytes_s", routers)?.min(worst_messages * MAX_DATAGRAM.value);
     let worst = usage(worst_bytes, cores * worst_bytes / bytes, worst_messages);
@@ -196,10 +194,10 @@
         id: "membership",
         role: Role::Router,
         activity: "fleet membership (SWIM)",
-        state: format!("{} peers; {} are kept", plain(routers), plain(max_peers)),
+        state: format!("{} peers; at most {}", plain(routers), plain(max_peers)),
         ordinary: usage(bytes, cores, messages),
         worst: Usage { seconds: Some(m.at("members_join_s", routers)?), ..worst },
-        worst_minute: "a release restarts a tenth of the routers; time: all cold, until all know all",
+        worst_minute: "a release restarts a tenth of the routers; time: all routers start at once, until each knows all others",
         budget: Usage { seconds: Some(MAX_READY_TIME.value), held: Some(max_peers), ..control_budget() },
         mechanism: Some("`peers::Members`: each router knows every other"),
         needed_by: &["limits", "verdicts", "cold", "words"],
@@ -213,13 +211,14 @@
             "members_held_kb",
             "members_max_peers",
         ],
-        derivation: "in the worst minute: no more than full datagrams; processor time as on the ordinary day, by bytes",
+        derivation: "worst minute: at most full datagrams; processor time scaled by bytes from the ordinary day",
     })
 }
 
 fn limits(m: &Measured) -> Result<Row, MissingCost> {
     let (routers, keys) = (ROUTERS.value, LIMIT_KEYS.value);
-    // One router's start is its own asks and its peers' answers: half of both is what one router sends.
+    // A start costs the router's requests and its peers' responses; one router sends half of the
+    // total.
     let start_bytes = m.at("limits_start_bytes", routers)? / 2.0;
     let start_messages = m.at("limits_start_messages", routers)? / 2.0;
     let start_s = ms_to_seconds(m.at("limits_start_ms", routers)?);
@@ -228,7 +227,7 @@
         id: "limits",
         role: Role::Router,
         activity: "shared limits",
-        state: format!("{keys:.0} keys wanted beyond shares, loans of each"),
+        state: format!("{keys:.0} keys with demand beyond the own share, with their leases"),
         ordinary: limit_keys(m, keys)?,
         worst: Usage {
             messages_s: Some(cold(start_messages)),
@@ -236,9 +235,10 @@
             cores: Some(start_s / MAX_READY_TIME.value),
             ..Usage::default()
         },
-        worst_minute: "all routers cold: each asks all what it lent, and answers all",
+        worst_minute:
+            "all routers start at once: each asks every other for its leases, and answers every other",
         budget: control_budget(),
-        mechanism: Some("`limits::Node`: units lent between any two routers"),
+        mechanism: Some("`limits::Node`: units leased between any two routers"),
         needed_by: &["cold"],
         costs: &[
             "limits_start_messages",
@@ -248,7 +248,7 @@
             "limits_keys_bytes_s",
             "limits_keys_ms_s",
         ],
-        derivation: "the ordinary day by the assumed count of keys",
+        derivation: "ordinary day: the assumed number of keys",
     })
 }
 
@@ -259,8 +259,8 @@
     Ok(Row {
         id: "verdicts",
         role: Role::Router,
-        activity: "health verdicts",
-        state: format!("evidence of up to {} witnesses of each bad engine", plain(routers)),
+        activity: "engine health",
+        state: format!("evidence of up to {} observers per failed engine", plain(routers)),
         ordinary: Usage {
             messages_s: Some(m.at("verdicts_messages_s", changes)?),
             bytes_s: Some(m.at("verdicts_bytes_s", changes)?),
@@ -273,9 +273,9 @@
             cores: Some(ms_to_seconds(m.at("verdicts_full_ms_s", routers)?)),
             ..Usage::default()
         },
-        worst_minute: "a zone lost: all that a router may say is full of evidence",
+        worst_minute: "a zone lost: every message is full of evidence",
         budget: control_budget(),
-        mechanism: Some("`verdicts::Node`: every router's evidence to every router"),
+        mechanism: Some("`health::Node`: evidence of each router to every router"),
         needed_by: &[],
         costs: &[
             "verdicts_rest_ms_s",
@@ -285,14 +285,14 @@
             "verdicts_full_bytes_s",
             "verdicts_full_ms_s",
         ],
-        derivation: "evidence of an ordinary day: routers that send to an engine between its end and the news of it, for each failure",
+        derivation: "ordinary day: for each failure, the routers that send to the engine before the list reports its end",
     })
 }
 
-/// Routers that meet an engine's end before the list tells of it.
+/// Expected number of routers that send to a failed engine before the list reports it.
 fn observers_per_failure() -> f64 {
     let calls_s = STATEMENTS.value / ENGINES.value;
-    // Each call is of a router by chance.
+    // Calls are distributed over the routers at random.
     let unseen = (-calls_s * MAX_UPDATE_DELAY.value / ROUTERS.value).exp();
     ROUTERS.value * (1.0 - unseen)
 }
@@ -310,14 +310,14 @@
         worst: limit_keys(m, worst)?,
         worst_minute: "a zone lost, its engines replaced within the minute",
         budget: control_budget(),
-        mechanism: Some("a shared limit for each cold engine and kind of class, of all routers"),
+        mechanism: Some("a limit shared by all routers per cold engine and kind of class"),
         needed_by: &[],
         costs: &["limits_keys_messages_s", "limits_keys_bytes_s", "limits_keys_ms_s"],
-        derivation: "cold engines at once: renewed engines times how long one is cold",
+        derivation: "concurrently cold engines: replaced engines times the warmup time",
     })
 }
 
-/// What a router does for its clients.
+/// Work for clients.
 pub fn client_rows(m: &Measured) -> Result<Vec<Row>, MissingCost> {
     let statements = statements_per_router();
     let connections = connections_per_router();
@@ -353,32 +353,32 @@
         row(
             "deciding",
             "deciding one statement",
-            format!("what is known of {} engines", plain(ENGINES.value)),
+            format!("state of {} engines", plain(ENGINES.value)),
             deciding,
-            "the module looks at every engine of the list",
+            "the module scans every engine of the list",
             &["busy"],
             &["decision_us"],
-            "a router's statements: all by the count of routers",
+            "statements per router: the total divided by the routers",
         ),
         row(
             "idle",
             "holding idle client connections",
             format!("{} connections", plain(connections.round())),
             idle,
-            "one connection, one entry",
+            "one entry per connection",
             &[],
             &["idle_kb", "idle_ms_s"],
-            "a router's connections: all by the count of routers; 18 million at once were not made",
+            "connections per router: the total divided by the routers; 18 million connections at once were not tested",
         ),
         row(
             "busy",
             "holding busy client connections",
-            format!("{} statements a second", plain(statements.round())),
+            format!("{} statements per second", plain(statements.round())),
             busy,
-            "one thread, one loop; the decision among 8 engines is within",
+            "one thread with an event loop; includes the decision among 8 engines",
             &[],
             &["statement_ms_s"],
-            "by the slope of statements a second, beyond those measured",
+            "extrapolated from the measured statement rates",
         ),
     ])
 }
--- a/crates/capacity/src/rows/services.rs
+++ b/crates/capacity/src/rows/services.rs
@@ -1,4 +1,4 @@
-//! Rows of all that is no router.
+//! Rows of the list service, control machines, engines and tools.
 
 use super::{Role, Row, Usage};
 use crate::measured::{Measured, MissingCost};
@@ -9,7 +9,7 @@
     Usage { bytes_s: Some(SERVICE_BYTES.value), messages_s: Some(SERVICE_CALLS.value), ..Usage::default() }
 }
 
-/// All of them.
+/// All rows of this module.
 pub fn rows(m: &Measured) -> Result<Vec<Row>, MissingCost> {
     let mut rows = list_service(m)?;
     rows.push(control_machine());
@@ -25,44 +25,43 @@
     let start = Row {
         id: "service-start",
         role: Role::ListService,
-        activity: "telling the list at a start",
-        state: format!("the list, {:.2} MB as told", whole / 1e6),
+        activity: "sending the list at a start",
+        state: format!("the list, {:.2} MB encoded", whole / 1e6),
         ordinary: Usage { messages_s: Some(starts), bytes_s: Some(starts * whole), ..Usage::default() },
         worst: Usage {
             messages_s: Some(routers / MAX_READY_TIME.value),
             bytes_s: Some(routers * whole / MAX_READY_TIME.value),
             ..Usage::default()
         },
-        worst_minute: "all routers cold, each ready in time",
+        worst_minute: "all routers start at once, each ready in time",
         budget: service_budget(),
         mechanism: Some("the whole list to each router, from one service"),
         needed_by: &["list-start"],
         costs: &["list_bytes"],
-        derivation:
-            "one router's bytes times the routers; the service's own processor time is not the project's",
+        derivation: "bytes per router times the routers; processor time of the service is out of scope",
     };
     let missed = entries_per_s() * REGION_OUTAGE_TIME.value * change;
     let back = Row {
         id: "service-break",
-        activity: "telling what was missed after a break",
-        state: "events behind the oldest number asked for".into(),
+        activity: "sending missed events after a break",
+        state: "events after the oldest requested number".into(),
         ordinary: Usage::default(),
         worst: Usage {
             messages_s: Some(routers / REGIONS.value / MAX_READY_TIME.value),
             bytes_s: Some(routers / REGIONS.value * missed / MAX_READY_TIME.value),
             ..Usage::default()
         },
-        worst_minute: "a region back after minutes",
-        mechanism: Some("events behind a number"),
+        worst_minute: "a region reconnects after an outage",
+        mechanism: Some("events after a number"),
         needed_by: &["list-break"],
         costs: &["change_bytes"],
-        derivation: "a region's part of the routers times what one of them missed",
+        derivation: "a region's share of the routers times the events that one of them missed",
         ..start.clone()
     };
     let of_all = |entries: f64| Usage { bytes_s: Some(routers * entries * change), ..Usage::default() };
     let changes = Row {
         id: "service-changes",
-        activity: "telling changes",
+        activity: "sending changes",
         state: format!("{} connections", plain(routers)),
         ordinary: of_all(entries_per_s()),
         worst: of_all(lost_zone_entries_per_s()),
@@ -70,7 +69,7 @@
         mechanism: Some("each change to every router"),
         needed_by: &["list-changes"],
         costs: &["change_bytes"],
-        derivation: "one router's bytes times the routers",
+        derivation: "bytes per router times the routers",
         ..start.clone()
     };
     Ok(vec![start, back, changes])
@@ -80,11 +79,8 @@
     Row {
         id: "relay",
         role: Role::ControlMachine,
-        activity: "anything",
-        state: format!(
-            "{:.0} machines are set aside; nothing of the program runs there",
-            CONTROL_MACHINES.value
-        ),
+        activity: "any",
+        state: format!("{:.0} machines; no part of the program runs there", CONTROL_MACHINES.value),
         ordinary: Usage::default(),
         worst: Usage::default(),
         worst_minute: "",
@@ -124,25 +120,25 @@
     Ok(vec![
         row(
             "engine-told",
-            "its changes being told",
+            "sending its changes",
             "one entry of the list at each router",
             updates,
             Usage { messages_s: Some(routers), bytes_s: Some(routers * change), ..Usage::default() },
-            "one change, told to all within a second",
+            "one change, sent to all routers within a second",
             "an event to every router",
             &["change_bytes"],
-            "entries a day of one engine times the routers; no budget is named",
+            "list entries of one engine per day times the routers; no budget is required",
         ),
         row(
             "engine-trials",
-            "being tried while it is out by verdict",
+            "probes while it is excluded",
             "evidence at each router",
             trials,
             trials,
             "",
-            "one router at a time has its turn, whatever their count",
+            "one router probes at a time, whatever the number of routers",
             &[],
-            "by docs/design/fleet-verdicts.md: a turn each second at most",
+            "docs/design/fleet-verdicts.md: at most one probe per second",
         ),
     ])
 }
@@ -154,21 +150,21 @@
     let override_row = Row {
         id: "words",
         role: Role::OperatorTools,
-        activity: "taking an engine out at one router, for all",
-        state: "a word with its version at each router".into(),
+        activity: "excluding an engine on the fleet through one router",
+        state: "an override with its version at each router".into(),
         ordinary: Usage { seconds: Some(m.at("verdicts_heard_s", routers)?), ..Usage::default() },
         worst: Usage::default(),
         worst_minute: "",
         budget: Usage { seconds: Some(MAX_CONFIG_CHANGE_TIME.value), ..Usage::default() },
-        mechanism: Some("words of `verdicts::Node`"),
+        mechanism: Some("overrides of `health::Node`"),
         needed_by: &[],
         costs: &["verdicts_heard_s"],
-        derivation: "in stepped time on a good wire; the budget is that of a change of configuration",
+        derivation: "simulated without packet loss; the budget is that of a configuration change",
     };
     let configuration = Row {
         id: "tools-configuration",
-        activity: "carrying a change of configuration",
-        state: format!("a file of {:.2} MB for each machine", bytes / 1e6),
+        activity: "distributing a configuration change",
+        state: format!("a file of {:.2} MB per machine", bytes / 1e6),
         ordinary: Usage {
             messages_s: Some(changes * routers),
             bytes_s: Some(changes * routers * bytes),
@@ -181,7 +177,8 @@
         },
         mechanism: None,
         costs: &["configuration_bytes"],
-        derivation: "whole files by hand, as nothing else carries a change; the time is the operators' own",
+        derivation:
+            "whole files copied by the operators, as there is no other mechanism; their time is not included",
         ..override_row.clone()
     };
     Ok(vec![override_row, configuration])
--- a/crates/capacity/src/text.rs
+++ b/crates/capacity/src/text.rs
@@ -1,8 +1,8 @@
-//! Numbers as the page writes them.
+//! Number formatting for the page.
 
-/// A number with three digits that matter, thousands apart.
+/// A number with three significant digits and thousands separators.
 pub fn number(value: f64) -> String {
-    // What rounding leaves of nothing.
+    // Rounding error around zero.
     if value.abs() < 1e-9 {
         return "0".into();
     }
@@ -34,7 +34,7 @@
     }
 }
 
-/// A number as it is, thousands apart.
+/// An exact number with thousands separators, or in millions.
 pub fn plain(value: f64) -> String {
     match value.fract() == 0.0 && value < 1e6 {
         true => {
--- a/crates/capacity/tests/fit.rs
+++ b/crates/capacity/tests/fit.rs
@@ -1,4 +1,4 @@
-//! Fits of costs whose true form is known.
+//! Fits of synthetic costs with a known form.
 
 use marljunction_capacity::{fit, prediction_error, FitError, Model, Point};
 
@@ -12,7 +12,7 @@
     (value - expected).abs() <= part * expected.abs()
 }
 
-/// The largest point against the fit of the others.
+/// Relative error of the fit of all but the largest point at the largest.
 fn error_of(points: &[Point]) -> f64 {
     let (largest, smaller) = points.split_last().unwrap();
     prediction_error(smaller, *largest)
@@ -69,7 +69,7 @@
 
 #[test]
 fn small_sizes_count_as_much_as_large_ones() {
-    // By absolute differences the constant would be lost beside the largest value's noise.
+    // With absolute residuals, noise of the largest value would dominate the constant.
     let mut points = points(|n| 20.0 + 1.0 * n);
     points[4].value *= 1.05;
     let found = fit(&points).unwrap();
@@ -78,10 +78,10 @@
 
 #[test]
 fn a_wrong_model_has_a_large_error() {
-    // A cost that jumps behind the sizes that were measured.
+    // A cost that jumps above the smaller counts.
     let points = points(|n| if n < 10_000.0 { 10.0 + 0.1 * n } else { 100.0 + 0.4 * n });
     assert!(error_of(&points) > 0.25, "{}", error_of(&points));
-    // No power fits a cost that rises and falls: the residual says so.
+    // No power fits a cost that rises and falls.
     let hill = [
         Point { count: 1.0, value: 1.0 },
         Point { count: 2.0, value: 9.0 },
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -1,5 +1,4 @@
-//! The page in the repository is what its files say, and its figures follow from the raw values by another formula than the one
-//! that made them.
+//! The page in the repository matches its data files, and its fits match an independent formula.
 
 use std::path::PathBuf;
 
@@ -23,7 +22,7 @@
     serde_json::from_str(&text("capacity/measured.json")).unwrap()
 }
 
-/// The scale test's flat figures, read without the tool's own reader.
+/// The scalar figures of the scale test.
 fn scale() -> Vec<(String, String)> {
     if !path("capacity/scale.json").exists() {
         return Vec::new();
@@ -41,21 +40,21 @@
     for (line, (written_line, rendered_line)) in written.lines().zip(rendered.lines()).enumerate() {
         assert_eq!(written_line, rendered_line, "line {} of docs/CAPACITY.md", line + 1);
     }
-    assert!(written == rendered, "docs/CAPACITY.md has other lines at its end");
+    assert!(written == rendered, "docs/CAPACITY.md has a different number of lines");
 }
 
 #[test]
 fn a_changed_digit_changes_the_page() {
     let rendered = page(&measured(), &scale()).unwrap();
     let mut by_hand = measured();
-    // The last digit of the last value, which no median need show.
+    // Changes the last bit of one value, which may not change any median.
     let sample = &mut by_hand.series.get_mut("decision_us").unwrap().samples[0];
     let last = sample.values.last_mut().unwrap();
     *last = f64::from_bits(last.to_bits() + 1);
     assert_ne!(page(&by_hand, &scale()).unwrap(), rendered);
 }
 
-/// Constant and slope of a line by Cramer's rule on sums over the points, the values' inverse squares as weights.
+/// Constant and slope by Cramer's rule, weighted by the inverse squares of the values.
 fn line_of(points: &[(f64, f64)]) -> (f64, f64) {
     let sum = |of: &dyn Fn(f64, f64) -> f64| points.iter().map(|(x, y)| of(*x, *y) / (y * y)).sum::<f64>();
     let (w, wx, wxx) = (sum(&|_, _| 1.0), sum(&|x, _| x), sum(&|x, _| x * x));
@@ -64,7 +63,7 @@
     ((wy - slope * wx) / w, slope)
 }
 
-/// The middle value by counting those below and above.
+/// The median by rank.
 fn middle(values: &[f64]) -> f64 {
     let rank = |v: f64| values.iter().filter(|o| **o < v).count();
     let mut by_rank: Vec<f64> = values.to_vec();
@@ -107,7 +106,7 @@
     }
 }
 
-/// What the sender counted and what sockets gave out differ by what was on its way at most.
+/// The counts of sender and reader may differ only by bytes in transit.
 #[test]
 fn sender_and_reader_byte_counts_agree() {
     let measured = measured();
@@ -167,7 +166,7 @@
         row.ordinary = Usage { bytes_s: Some(1.0), ..Usage::default() };
         row.budget = Usage { bytes_s: Some(2.0), ..Usage::default() };
     }
-    assert_eq!(rank(&rows).needed_over_budget().count(), 0, "nothing is over its budget");
+    assert_eq!(rank(&rows).needed_over_budget().count(), 0, "no row is over its budget");
     let position_of =
         |rows: &[marljunction_capacity::rows::Row], id: &str| rows.iter().position(|r| r.id == id).unwrap();
     for (id, bytes) in [("busy", 90.0), ("membership", 30.0), ("list-start", 40.0)] {
@@ -183,7 +182,7 @@
 fn inaccurate_fits_drop_the_smallest_counts() {
     let sample =
         |(count, value): (f64, f64)| marljunction_capacity::measured::Sample { count, values: vec![value] };
-    // Flat first, then a line through nothing.
+    // Constant at first, then proportional.
     let points =
         [(1.0, 50.0), (2.0, 50.0), (100.0, 1_000.0), (200.0, 2_000.0), (400.0, 4_000.0), (800.0, 8_000.0)];
     let series = Series {
