--- a/crates/capacity/src/rows/router.rs
+++ b/crates/capacity/src/rows/router.rs
@@ -222,7 +222,7 @@
     let start_bytes = m.at("limits_start_bytes", routers)? / 2.0;
     let start_messages = m.at("limits_start_messages", routers)? / 2.0;
     let start_s = ms_to_seconds(m.at("limits_start_ms", routers)?);
-    let cold = |part: f64| 2.0 * part / MAX_READY_TIME.value;
+    let start_rate = |part: f64| 2.0 * part / MAX_READY_TIME.value;
     Ok(Row {
         id: "limits",
         role: Role::Router,
@@ -230,8 +230,8 @@
         state: format!("{keys:.0} keys with demand beyond the own share, with their leases"),
         ordinary: limit_keys(m, keys)?,
         worst: Usage {
-            messages_s: Some(cold(start_messages)),
-            bytes_s: Some(cold(start_bytes)),
+            messages_s: Some(start_rate(start_messages)),
+            bytes_s: Some(start_rate(start_bytes)),
             cores: Some(start_s / MAX_READY_TIME.value),
             ..Usage::default()
         },
--- a/crates/language/src/eval.rs
+++ b/crates/language/src/eval.rs
@@ -240,8 +240,8 @@
     fn resolve_name(&mut self, name: &str, from: Option<Span>) -> Option<(Value, bool, Span)> {
         let mut found = Vec::new();
         for (file, root) in self.sources.roots.iter().enumerate() {
-            let own = fields(root, file).into_iter().filter(|(n, ..)| n == name);
-            found.extend(own.map(|field| (file, root.clone(), field)));
+            let matching = fields(root, file).into_iter().filter(|(n, ..)| n == name);
+            found.extend(matching.map(|field| (file, root.clone(), field)));
         }
         let (_, _, (_, _, first, _)) = found.first()?;
         let (first, optional) = (*first, found.iter().all(|(_, _, (_, optional, ..))| *optional));
@@ -262,13 +262,13 @@
         let mut value: Option<Value> = None;
         for (file, root, (_, _, label, node)) in found {
             let scope = vec![(file, root)];
-            let own = match node {
+            let file_value = match node {
                 Some(node) => self.value(&node, &scope),
                 None => Value::new(ValueKind::Invalid, label),
             };
             value = Some(match value {
-                None => own,
-                Some(before) => unify(&before, &own, name, &mut self.diagnostics),
+                None => file_value,
+                Some(before) => unify(&before, &file_value, name, &mut self.diagnostics),
             });
         }
         self.path = outer;
@@ -312,11 +312,12 @@
             SyntaxKind::Conjunction => {
                 let mut all: Option<Value> = None;
                 for part in node.children() {
-                    let own = self.value(&part, scope);
+                    let operand = self.value(&part, scope);
                     all = Some(match all {
-                        None => own,
+                        None => operand,
                         Some(before) => {
-                            let mut both = unify(&before, &own, &self.path.join("."), &mut self.diagnostics);
+                            let mut both =
+                                unify(&before, &operand, &self.path.join("."), &mut self.diagnostics);
                             both.span = at;
                             both
                         }
@@ -476,8 +477,8 @@
     fn lookup(&mut self, name: &str, scope: &Scope, from: Span) -> Option<Value> {
         for depth in (1..scope.len()).rev() {
             let (file, node) = scope[depth].clone();
-            let own = fields(&node, file).into_iter().find(|(n, ..)| n == name);
-            if let Some((.., Some(value))) = own {
+            let field = fields(&node, file).into_iter().find(|(n, ..)| n == name);
+            if let Some((.., Some(value))) = field {
                 return Some(self.value(&value, &scope[..=depth].to_vec()));
             }
         }
--- a/crates/language/src/parser.rs
+++ b/crates/language/src/parser.rs
@@ -120,11 +120,11 @@
     }
 
     fn eat(&mut self, kind: SyntaxKind) -> bool {
-        let there = self.peek() == Some(kind);
-        if there {
+        let matches = self.peek() == Some(kind);
+        if matches {
             self.bump();
         }
-        there
+        matches
     }
 
     fn start(&mut self, kind: SyntaxKind) {
--- a/crates/language/src/unify.rs
+++ b/crates/language/src/unify.rs
@@ -191,23 +191,23 @@
         closed: x.closed || y.closed,
     };
     let join = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
-    for (own, other) in [(x, y), (y, x)] {
-        for (name, field) in &own.fields {
+    for (record, other) in [(x, y), (y, x)] {
+        for (name, field) in &record.fields {
             if all.fields.contains_key(name) {
                 continue;
             }
             let path = join(name);
             let joined = match (other.fields.get(name), &other.rest) {
-                (Some(there), _) => FieldValue {
-                    value: unify(&field.value, &there.value, &path, diagnostics),
-                    optional: field.optional && there.optional,
-                    span: reported_span(field.span, there.span),
+                (Some(other_field), _) => FieldValue {
+                    value: unify(&field.value, &other_field.value, &path, diagnostics),
+                    optional: field.optional && other_field.optional,
+                    span: reported_span(field.span, other_field.span),
                 },
                 (None, Some(rest)) => {
                     FieldValue { value: unify(rest, &field.value, &path, diagnostics), ..field.clone() }
                 }
                 (None, None) if field.value.what == ValueKind::Invalid => continue,
-                (None, None) if other.closed && !own.closed => {
+                (None, None) if other.closed && !record.closed => {
                     diagnostics.push(unknown_field(name, field.span, path.as_str(), other));
                     continue;
                 }
@@ -260,8 +260,9 @@
     let mut all = Vec::with_capacity(count);
     for i in 0..count {
         let path = format!("{path}[{i}]");
-        let there = |own: &Vec<Value>, rest: &Option<Box<Value>>| own.get(i).or(rest.as_deref()).cloned();
-        match (there(x, rest_x), there(y, rest_y)) {
+        let element_at =
+            |elements: &Vec<Value>, rest: &Option<Box<Value>>| elements.get(i).or(rest.as_deref()).cloned();
+        match (element_at(x, rest_x), element_at(y, rest_y)) {
             (Some(one), Some(other)) => all.push(unify(&one, &other, &path, diagnostics)),
             (Some(one), None) | (None, Some(one)) => {
                 let shorter = x.len().min(y.len());
@@ -289,9 +290,9 @@
     let mut conflicts: Vec<Vec<Diagnostic>> = Vec::new();
     for (i, p) in x.iter().enumerate() {
         for (j, q) in y.iter().enumerate() {
-            let mut own = Vec::new();
-            let both = unify(p, q, path, &mut own);
-            if own.is_empty() {
+            let mut pair_diagnostics = Vec::new();
+            let both = unify(p, q, path, &mut pair_diagnostics);
+            if pair_diagnostics.is_empty() {
                 // A default stays the default if the other side has none or the same one.
                 let of = |d: Option<usize>, at: usize| d.is_none_or(|d| d == at);
                 let some = default_x.is_some() || default_y.is_some();
@@ -300,7 +301,7 @@
                 }
                 remaining.push(both);
             } else {
-                conflicts.push(own);
+                conflicts.push(pair_diagnostics);
             }
         }
     }
