--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -1,5 +1,4 @@
-//! The page in the repository is what its files say, and its figures follow from the raw values by another formula than the one
-//! that made them.
+//! The page in the repository matches its data files, and its fits match an independent formula.
 
 use std::path::PathBuf;
 
@@ -23,7 +22,7 @@
     serde_json::from_str(&text("capacity/measured.json")).unwrap()
 }
 
-/// The scale test's flat figures, read without the tool's own reader.
+/// The scalar figures of the scale test.
 fn scale() -> Vec<(String, String)> {
     if !path("capacity/scale.json").exists() {
         return Vec::new();
@@ -35,27 +34,27 @@
 }
 
 #[test]
-fn the_page_is_what_its_files_say() {
+fn the_page_matches_its_data_files() {
     let rendered = page(&measured(), &scale()).unwrap();
     let written = text("CAPACITY.md");
-    for (line, (said, computed)) in written.lines().zip(rendered.lines()).enumerate() {
-        assert_eq!(said, computed, "line {} of docs/CAPACITY.md", line + 1);
+    for (line, (written_line, rendered_line)) in written.lines().zip(rendered.lines()).enumerate() {
+        assert_eq!(written_line, rendered_line, "line {} of docs/CAPACITY.md", line + 1);
     }
-    assert!(written == rendered, "docs/CAPACITY.md has other lines at its end");
+    assert!(written == rendered, "docs/CAPACITY.md has a different number of lines");
 }
 
 #[test]
-fn a_digit_written_by_hand_is_seen() {
+fn a_changed_digit_changes_the_page() {
     let rendered = page(&measured(), &scale()).unwrap();
     let mut by_hand = measured();
-    // The last digit of the last value, which no median need show.
+    // Changes the last bit of one value, which may not change any median.
     let sample = &mut by_hand.series.get_mut("decision_us").unwrap().samples[0];
     let last = sample.values.last_mut().unwrap();
     *last = f64::from_bits(last.to_bits() + 1);
     assert_ne!(page(&by_hand, &scale()).unwrap(), rendered);
 }
 
-/// Constant and slope of a line by Cramer's rule on sums over the points, the values' inverse squares as weights.
+/// Constant and slope by Cramer's rule, weighted by the inverse squares of the values.
 fn line_of(points: &[(f64, f64)]) -> (f64, f64) {
     let sum = |of: &dyn Fn(f64, f64) -> f64| points.iter().map(|(x, y)| of(*x, *y) / (y * y)).sum::<f64>();
     let (w, wx, wxx) = (sum(&|_, _| 1.0), sum(&|x, _| x), sum(&|x, _| x * x));
@@ -64,7 +63,7 @@
     ((wy - slope * wx) / w, slope)
 }
 
-/// The middle value by counting those below and above.
+/// The median by rank.
 fn middle(values: &[f64]) -> f64 {
     let rank = |v: f64| values.iter().filter(|o| **o < v).count();
     let mut by_rank: Vec<f64> = values.to_vec();
@@ -79,15 +78,15 @@
 }
 
 #[test]
-fn lines_follow_from_the_raw_values_by_another_formula() {
-    let mut looked_at = 0;
+fn linear_fits_match_an_independent_formula() {
+    let mut lines_checked = 0;
     for (name, series) in &measured().series {
         let fit = series.fit().unwrap();
         let (constant, slope) = line_of(&points_of(series, fit.from));
         if fit.model != Model::Linear || constant < 0.0 || slope < 0.0 {
             continue;
         }
-        looked_at += 1;
+        lines_checked += 1;
         let largest = fit.to;
         let by_line = constant + slope * largest;
         assert!(
@@ -95,7 +94,7 @@
             "{name}: {fit:?}, {constant} + {slope} n"
         );
     }
-    assert!(looked_at >= 5, "only {looked_at} lines");
+    assert!(lines_checked >= 5, "only {lines_checked} lines");
 }
 
 #[test]
@@ -107,9 +106,9 @@
     }
 }
 
-/// What the sender counted and what sockets gave out differ by what was on its way at most.
+/// The counts of sender and reader may differ only by bytes in transit.
 #[test]
-fn bytes_are_counted_on_both_sides() {
+fn sender_and_reader_byte_counts_agree() {
     let measured = measured();
     let pairs = [
         ("list_bytes", "list_bytes_read"),
@@ -127,24 +126,27 @@
 }
 
 #[test]
-fn the_size_is_the_letters() {
+fn the_size_matches_the_requirements() {
     assert_eq!((size::ROUTERS.value, size::ENGINES.value), (3_200.0, 30_000.0));
-    assert_eq!(size::connections_of_a_router(), 5_625.0);
-    assert!((size::statements_of_a_router() - 1_093.75).abs() < 1e-9);
-    let told = size::ALL.iter().filter(|constant| constant.source == size::LETTER).count();
-    assert!(told >= 15, "{told}");
+    assert_eq!(size::connections_per_router(), 5_625.0);
+    assert!((size::statements_per_router() - 1_093.75).abs() < 1e-9);
+    let from_requirements = size::ALL.iter().filter(|constant| constant.source == size::REQUIREMENTS).count();
+    assert!(from_requirements >= 15, "{from_requirements}");
 }
 
 #[test]
-fn rows_name_rows_and_costs_that_there_are() {
+fn rows_refer_to_existing_rows_and_costs() {
     let measured = measured();
     let rows = rows(&measured).unwrap();
     let cells = with_cells(&measured, &rows).unwrap();
-    [Some(&rows), cells.as_ref()].into_iter().flatten().for_each(|rows| names_hold(&measured, rows));
+    [Some(&rows), cells.as_ref()]
+        .into_iter()
+        .flatten()
+        .for_each(|rows| assert_references_exist(&measured, rows));
 }
 
 #[track_caller]
-fn names_hold(measured: &Measured, rows: &[marljunction_capacity::rows::Row]) {
+fn assert_references_exist(measured: &Measured, rows: &[marljunction_capacity::rows::Row]) {
     for row in rows {
         assert_eq!(rows.iter().filter(|other| other.id == row.id).count(), 1, "{}", row.id);
         for other in row.needed_by {
@@ -157,30 +159,30 @@
 }
 
 #[test]
-fn the_rule_takes_the_furthest_over_that_others_need() {
+fn the_needed_row_furthest_over_its_budget_ranks_first() {
     let mut rows = rows(&measured()).unwrap();
     for row in &mut rows {
         row.worst = Usage::default();
         row.ordinary = Usage { bytes_s: Some(1.0), ..Usage::default() };
         row.budget = Usage { bytes_s: Some(2.0), ..Usage::default() };
     }
-    assert_eq!(rank(&rows).missing_first().count(), 0, "nothing is over its budget");
-    let place =
+    assert_eq!(rank(&rows).needed_over_budget().count(), 0, "no row is over its budget");
+    let position_of =
         |rows: &[marljunction_capacity::rows::Row], id: &str| rows.iter().position(|r| r.id == id).unwrap();
     for (id, bytes) in [("busy", 90.0), ("membership", 30.0), ("list-start", 40.0)] {
-        let at = place(&rows, id);
+        let at = position_of(&rows, id);
         rows[at].ordinary.bytes_s = Some(bytes);
     }
-    let chosen: Vec<&str> = rank(&rows).missing_first().map(|(row, _)| row.id).collect();
+    let chosen: Vec<&str> = rank(&rows).needed_over_budget().map(|(row, _)| row.id).collect();
     // No row needs `busy`.
     assert_eq!(chosen, ["list-start", "membership"]);
 }
 
 #[test]
-fn a_model_that_misses_the_largest_count_leaves_out_the_smallest() {
+fn inaccurate_fits_drop_the_smallest_counts() {
     let sample =
         |(count, value): (f64, f64)| marljunction_capacity::measured::Sample { count, values: vec![value] };
-    // Flat first, then a line through nothing.
+    // Constant at first, then proportional.
     let points =
         [(1.0, 50.0), (2.0, 50.0), (100.0, 1_000.0), (200.0, 2_000.0), (400.0, 4_000.0), (800.0, 8_000.0)];
     let series = Series {
--- a/crates/language/src/diff.rs
+++ b/crates/language/src/diff.rs
@@ -1,21 +1,23 @@
-//! What two files say differently, once includes, references and defaults are taken: not their text.
+//! Semantic difference of two evaluated configurations, not of their text.
 
 use std::collections::BTreeMap;
 
-use crate::value::{RecordValue, Value, What};
+use crate::value::{RecordValue, Value, ValueKind};
 
-/// One thing that two files say differently.
+/// One difference.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The field, such as `door.weights.acme`; an element of a list by its name where it has one, else by its place.
+    /// Path of the field, such as `door.weights.acme`; see [`diff`] for list elements.
     pub path: String,
-    /// What the first says; absent where it says nothing.
+    /// The old value; `None` if the field was absent.
     pub from: Option<String>,
-    /// What the second says; absent where it says nothing.
+    /// The new value; `None` if the field is now absent.
     pub to: Option<String>,
 }
 
-/// What the second value says differently from the first; nothing where they are equal in meaning.
+/// The differences from the first value to the second; empty if they are equivalent.
+///
+/// List elements are matched by `name` if each has a distinct one, else by index.
 pub fn diff(from: &Value, to: &Value) -> Vec<Change> {
     let mut all = Vec::new();
     compare("", Some(from), Some(to), &mut all);
@@ -23,25 +25,25 @@
 }
 
 fn compare(path: &str, from: Option<&Value>, to: Option<&Value>, out: &mut Vec<Change>) {
-    match (parts(from), parts(to)) {
+    match (children(from), children(to)) {
         (None, None) => {
-            let said = |v: Option<&Value>| v.map(Value::told);
-            if !same(from, to) {
-                out.push(Change { path: path.to_owned(), from: said(from), to: said(to) });
+            let described = |v: Option<&Value>| v.map(Value::describe);
+            if !same_value(from, to) {
+                out.push(Change { path: path.to_owned(), from: described(from), to: described(to) });
             }
         }
         (one, other) => {
-            // A part that came or went is told by what it holds, and by itself where the other has something else there.
+            // A record or list replaced by a scalar, or the reverse, is one change.
             if (one.is_none() && from.is_some()) || (other.is_none() && to.is_some()) {
-                let said = |v: Option<&Value>| v.map(Value::told);
-                out.push(Change { path: path.to_owned(), from: said(from), to: said(to) });
+                let described = |v: Option<&Value>| v.map(Value::describe);
+                out.push(Change { path: path.to_owned(), from: described(from), to: described(to) });
                 return;
             }
             let (one, other) = (one.unwrap_or_default(), other.unwrap_or_default());
             let names: std::collections::BTreeSet<&String> = one.keys().chain(other.keys()).collect();
             if names.is_empty() && from.is_some() != to.is_some() {
-                let said = |v: Option<&Value>| v.map(|_| "empty".to_owned());
-                out.push(Change { path: path.to_owned(), from: said(from), to: said(to) });
+                let described = |v: Option<&Value>| v.map(|_| "empty".to_owned());
+                out.push(Change { path: path.to_owned(), from: described(from), to: described(to) });
             }
             for name in names {
                 let inner = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
@@ -51,20 +53,20 @@
     }
 }
 
-/// The parts of a record or list.
-fn parts(value: Option<&Value>) -> Option<BTreeMap<String, &Value>> {
+/// The fields of a record or elements of a list.
+fn children(value: Option<&Value>) -> Option<BTreeMap<String, &Value>> {
     match &value?.what {
-        What::Record(record) => Some(fields(record)),
-        What::List(all, _) => Some(elements(all)),
+        ValueKind::Record(record) => Some(fields(record)),
+        ValueKind::List(all, _) => Some(elements(all)),
         _ => None,
     }
 }
 
-fn same(from: Option<&Value>, to: Option<&Value>) -> bool {
+fn same_value(from: Option<&Value>, to: Option<&Value>) -> bool {
     match (from.map(|v| &v.what), to.map(|v| &v.what)) {
-        (Some(What::Number(a)), Some(What::Number(b))) => a.value == b.value && a.unit == b.unit,
-        // Where something was written is no part of what it means.
-        (Some(What::OneOf(a, x)), Some(What::OneOf(b, y))) => {
+        (Some(ValueKind::Number(a)), Some(ValueKind::Number(b))) => a.value == b.value && a.unit == b.unit,
+        // Spans are ignored.
+        (Some(ValueKind::Disjunction(a, x)), Some(ValueKind::Disjunction(b, y))) => {
             x == y && a.len() == b.len() && a.iter().zip(b).all(|(a, b)| diff(a, b).is_empty())
         }
         (a, b) => a == b,
@@ -75,11 +77,12 @@
     record.fields.iter().map(|(name, field)| (name.clone(), &field.value)).collect()
 }
 
-/// Elements by their `name` where all have one of their own, so that a moved element is not a changed one.
+/// Elements by their `name` if each has a distinct one, so that reordering is not a change; else by
+/// index.
 fn elements(all: &[Value]) -> BTreeMap<String, &Value> {
     let name = |v: &Value| match &v.what {
-        What::Record(record) => match &record.fields.get("name")?.value.what {
-            What::Text(name) => Some(name.clone()),
+        ValueKind::Record(record) => match &record.fields.get("name")?.value.what {
+            ValueKind::Text(name) => Some(name.clone()),
             _ => None,
         },
         _ => None,
--- a/crates/language/src/lib.rs
+++ b/crates/language/src/lib.rs
@@ -1,14 +1,16 @@
-//! The configuration language: typed records with units, includes, references and definitions, in the manner of CUE.
+//! The configuration language: typed records with units, includes, references and definitions, in
+//! the manner of CUE.
 //!
-//! [`parser`] gives a lossless tree and goes on behind a fault; [`eval`] makes one value of a file and all that it
-//! includes; [`unify`] holds it against the definitions; [`format`] lays a file out. Messages name file, line,
-//! column, the text in question and the way to mend it ([`message`]). No I/O: files come through [`eval::Loader`].
+//! [`parser`] builds a lossless syntax tree and recovers from errors; [`eval`] evaluates a file and
+//! its includes to one value; [`unify`] checks it against the definitions; [`format`] is the
+//! formatter. Each [`diagnostic`] has a position, a message and a suggested fix; [`message`]
+//! renders it. No I/O: files are read through [`eval::Loader`].
 
 #![forbid(unsafe_code)]
 
+pub mod diagnostic;
 pub mod diff;
 pub mod eval;
-pub mod fault;
 pub mod format;
 pub mod message;
 pub mod parser;
@@ -16,35 +18,37 @@
 pub mod unify;
 pub mod value;
 
-use eval::{settle, Loader, Sources};
-use fault::Fault;
-use value::{Value, What};
+use diagnostic::Diagnostic;
+use eval::{resolve_defaults, Loader, Sources};
+use value::{Value, ValueKind};
 
-/// What reading a configuration came to.
+/// The result of reading a configuration.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The files that were read; the first is the one that was asked for.
+    /// All files that were read, the main file first.
     pub sources: Sources,
-    /// What they say, with all defaults taken; parts that are wrong are [`What::Wrong`].
+    /// The evaluated value with defaults applied; invalid parts are [`ValueKind::Invalid`].
     pub value: Value,
-    /// What is wrong, in the order of files and lines.
-    pub faults: Vec<Fault>,
+    /// All errors, ordered by file and position.
+    pub diagnostics: Vec<Diagnostic>,
 }
 
-/// Reads a file with all that it includes, and holds it against the definition `main` of `definitions`.
+/// Reads a file and its includes, and validates the result against the definition `main` in
+/// `definitions`.
 pub fn read(name: &str, text: &str, loader: &mut dyn Loader, definitions: &str, main: &str) -> Outcome {
-    let mut faults = Vec::new();
-    let mut sources = Sources::read(name, text, loader, &mut faults);
-    // Guards against messages about what is missing only because it could not be read.
-    let mut settled = Value::new(What::Wrong, Default::default());
-    if faults.is_empty() {
-        sources.add_text("(definitions)", definitions, &mut faults);
-        let value = sources.value_of(main, &mut faults);
-        if faults.is_empty() {
-            settled = settle(&value, "", Default::default(), &mut faults);
+    let mut diagnostics = Vec::new();
+    let mut sources = Sources::read(name, text, loader, &mut diagnostics);
+    // A file with syntax errors is not evaluated: its unreadable fields would be reported as
+    // missing.
+    let mut resolved = Value::new(ValueKind::Invalid, Default::default());
+    if diagnostics.is_empty() {
+        sources.add_text("(definitions)", definitions, &mut diagnostics);
+        let value = sources.evaluate(main, &mut diagnostics);
+        if diagnostics.is_empty() {
+            resolved = resolve_defaults(&value, "", Default::default(), &mut diagnostics);
         }
     }
-    faults.sort_by_key(|f| f.span);
-    faults.dedup();
-    Outcome { sources, value: settled, faults }
+    diagnostics.sort_by_key(|d| d.span);
+    diagnostics.dedup();
+    Outcome { sources, value: resolved, diagnostics }
 }
--- a/crates/language/src/value.rs
+++ b/crates/language/src/value.rs
@@ -1,26 +1,26 @@
-//! Values, their types and their units.
+//! Values, types and units.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-use crate::fault::Span;
+use crate::diagnostic::Span;
 
-/// What a number counts. A figure with no unit is a plain number, and only that.
+/// The dimension of a number. A number without a unit is never converted to another dimension.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Unit {
     /// A plain number.
     Plain,
-    /// A time, in nanoseconds.
+    /// A duration in nanoseconds.
     Time,
-    /// A size, in bytes.
+    /// A size in bytes.
     Size,
-    /// A rate, in events a second.
+    /// Events per second.
     Rate,
-    /// A share, where 1 is all.
+    /// A fraction of 1.
     Share,
 }
 
-/// Units by their name: what they count, and how much of it.
+/// Unit suffixes with their dimension and factor.
 const UNITS: [(&str, Unit, f64); 19] = [
     ("ns", Unit::Time, 1.0),
     ("us", Unit::Time, 1e3),
@@ -44,7 +44,7 @@
 ];
 
 impl Unit {
-    /// The type's name in the language.
+    /// The name of the type in the language.
     pub fn name(self) -> &'static str {
         match self {
             Unit::Plain => "number",
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Units in which it may be written.
+    /// The accepted unit suffixes, for messages.
     pub fn examples(self) -> &'static str {
         match self {
             Unit::Plain => "no unit",
@@ -67,45 +67,45 @@
     }
 }
 
-/// A number with what it counts.
+/// A number with its dimension.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quantity {
-    /// In the unit's own measure.
+    /// The value in the base unit of its dimension.
     pub value: f64,
-    /// What it counts.
+    /// The dimension.
     pub unit: Unit,
-    /// It was written without a decimal point.
-    pub whole: bool,
+    /// Whether it was written without a decimal point.
+    pub is_integer: bool,
 }
 
-/// Why a number can't be read.
+/// Why a number cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NumberFault {
-    /// What stands behind the digits is no unit.
-    Unit(String),
-    /// The digits are no number.
-    Digits,
+pub enum NumberError {
+    /// The suffix is not a known unit.
+    UnknownUnit(String),
+    /// The digits do not form a number.
+    InvalidDigits,
 }
 
-/// Reads a number with its unit.
-pub fn read_number(text: &str) -> Result<Quantity, NumberFault> {
+/// Parses a number with an optional unit.
+pub fn parse_number(text: &str) -> Result<Quantity, NumberError> {
     let end =
         text.find(|c: char| !(c.is_ascii_digit() || matches!(c, '-' | '_' | '.'))).unwrap_or(text.len());
     let digits: String = text[..end].chars().filter(|c| *c != '_').collect();
-    let value: f64 = digits.parse().map_err(|_| NumberFault::Digits)?;
-    let whole = !digits.contains('.');
+    let value: f64 = digits.parse().map_err(|_| NumberError::InvalidDigits)?;
+    let is_integer = !digits.contains('.');
     let suffix = &text[end..];
     if suffix.is_empty() {
-        return Ok(Quantity { value, unit: Unit::Plain, whole });
+        return Ok(Quantity { value, unit: Unit::Plain, is_integer });
     }
     let found = UNITS.iter().find(|(name, ..)| *name == suffix);
-    let (_, unit, times) = found.ok_or_else(|| NumberFault::Unit(suffix.to_owned()))?;
-    Ok(Quantity { value: value * times, unit: *unit, whole })
+    let (_, unit, factor) = found.ok_or_else(|| NumberError::UnknownUnit(suffix.to_owned()))?;
+    Ok(Quantity { value: value * factor, unit: *unit, is_integer })
 }
 
-/// The unit that somebody may have meant.
-pub fn unit_like(suffix: &str) -> Option<&'static str> {
-    let meant = match suffix.to_ascii_lowercase().as_str() {
+/// The unit most likely meant by an unknown suffix.
+pub fn suggest_unit(suffix: &str) -> Option<&'static str> {
+    let unit = match suffix.to_ascii_lowercase().as_str() {
         "sec" | "secs" | "second" | "seconds" => "s",
         "msec" | "msecs" | "millis" | "milliseconds" => "ms",
         "m" | "mins" | "minute" | "minutes" => "min",
@@ -122,7 +122,7 @@
         "/m" | "/minute" => "/min",
         _ => return None,
     };
-    Some(meant)
+    Some(unit)
 }
 
 impl fmt::Display for Quantity {
@@ -130,82 +130,82 @@
         if self.unit == Unit::Plain {
             return write!(f, "{}", self.value);
         }
-        // The largest unit in which the figure is whole, binary sizes only where decimal ones are not.
-        let whole = |(_, unit, times): &&(&str, Unit, f64)| {
-            let figure = self.value / times;
-            *unit == self.unit && (figure.round() - figure).abs() < 1e-9 && figure.round() != 0.0
+        // Prefers the largest unit that gives a whole number.
+        let is_whole = |(_, unit, factor): &&(&str, Unit, f64)| {
+            let amount = self.value / factor;
+            *unit == self.unit && (amount.round() - amount).abs() < 1e-9 && amount.round() != 0.0
         };
-        let rank = |(name, _, times): &&(&str, Unit, f64)| {
-            (times * if name.contains("iB") { 0.999 } else { 1.0 }) as u64
+        let scale = |(name, _, factor): &&(&str, Unit, f64)| {
+            (factor * if name.contains("iB") { 0.999 } else { 1.0 }) as u64
         };
-        let best = UNITS.iter().filter(whole).max_by_key(rank);
+        let best = UNITS.iter().filter(is_whole).max_by_key(scale);
         let first = UNITS.iter().find(|(_, unit, _)| *unit == self.unit);
         match best.or(first) {
-            Some((name, _, times)) => {
-                let figure = self.value / times;
-                let round = (figure * 1e6).round() / 1e6;
-                write!(f, "{round}{name}")
+            Some((name, _, factor)) => {
+                let amount = self.value / factor;
+                let rounded = (amount * 1e6).round() / 1e6;
+                write!(f, "{rounded}{name}")
             }
             None => write!(f, "{}", self.value),
         }
     }
 }
 
-/// How a number is bounded.
+/// A comparison operator of a bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Order {
-    /// Under.
-    Below,
-    /// Up to.
-    AtMost,
-    /// Over.
-    Above,
-    /// From.
-    AtLeast,
-    /// Anything but.
-    Not,
+pub enum Comparison {
+    /// `<`
+    Less,
+    /// `<=`
+    LessOrEqual,
+    /// `>`
+    Greater,
+    /// `>=`
+    GreaterOrEqual,
+    /// `!=`
+    NotEqual,
 }
 
-impl Order {
-    /// Whether a figure keeps to it.
+impl Comparison {
+    /// Whether a value satisfies the bound.
     pub fn holds(self, value: f64, bound: f64) -> bool {
         match self {
-            Order::Below => value < bound,
-            Order::AtMost => value <= bound,
-            Order::Above => value > bound,
-            Order::AtLeast => value >= bound,
-            Order::Not => value != bound,
+            Comparison::Less => value < bound,
+            Comparison::LessOrEqual => value <= bound,
+            Comparison::Greater => value > bound,
+            Comparison::GreaterOrEqual => value >= bound,
+            Comparison::NotEqual => value != bound,
         }
     }
 
-    /// As it is written.
-    pub fn sign(self) -> &'static str {
+    /// The operator as written in a file.
+    pub fn symbol(self) -> &'static str {
         match self {
-            Order::Below => "<",
-            Order::AtMost => "<=",
-            Order::Above => ">",
-            Order::AtLeast => ">=",
-            Order::Not => "!=",
+            Comparison::Less => "<",
+            Comparison::LessOrEqual => "<=",
+            Comparison::Greater => ">",
+            Comparison::GreaterOrEqual => ">=",
+            Comparison::NotEqual => "!=",
         }
     }
 }
 
-/// The plain types.
+/// The basic types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Type {
     /// Any value.
     Any,
-    /// A number in a unit; a whole one where told.
+    /// A number of a dimension; `true` restricts it to whole numbers.
     Number(Unit, bool),
-    /// A text.
+    /// A string.
     Text,
-    /// True or false.
+    /// A boolean.
     Bool,
 }
 
 impl Type {
-    /// A type by its name.
-    pub fn named(name: &str) -> Option<Type> {
+    /// Looks up a type by name.
+    pub fn from_name(name: &str) -> Option<Type> {
         Some(match name {
             "any" => Type::Any,
             "int" => Type::Number(Unit::Plain, true),
@@ -220,7 +220,7 @@
         })
     }
 
-    /// Its name.
+    /// The name of the type in the language.
     pub fn name(self) -> &'static str {
         match self {
             Type::Any => "any",
@@ -235,85 +235,85 @@
 /// A field of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FieldValue {
-    /// Its value, or what its value must be.
+    /// The value, or the constraint on it.
     pub value: Value,
-    /// It may be absent.
+    /// Whether the field may be absent.
     pub optional: bool,
-    /// Where it is named.
+    /// Position of the field's name.
     pub span: Span,
 }
 
 /// A record.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecordValue {
-    /// Its fields by name.
+    /// Fields by name.
     pub fields: BTreeMap<String, FieldValue>,
-    /// What fields with other names must be; absent where there may be none.
-    pub others: Option<Box<Value>>,
-    /// It came from a definition, and takes only fields that it names.
+    /// Constraint on fields that are not listed (`...T`), if any.
+    pub rest: Option<Box<Value>>,
+    /// Whether unlisted fields are rejected, as in a definition.
     pub closed: bool,
 }
 
-/// A value, or what is known of one.
+/// A concrete value or a constraint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Value {
-    /// What it is.
-    pub what: What,
-    /// Where it was written.
+    /// The content.
+    pub what: ValueKind,
+    /// Position in the source.
     pub span: Span,
 }
 
-/// What a value is.
+/// The content of a value.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
-    /// One of a type.
+pub enum ValueKind {
+    /// Any value of a type.
     Type(Type),
-    /// A number within bounds.
-    Bounded(Type, Vec<(Order, f64)>),
+    /// Any number within bounds.
+    Bounded(Type, Vec<(Comparison, f64)>),
     /// A number.
     Number(Quantity),
-    /// A text.
+    /// A string.
     Text(String),
-    /// True or false.
+    /// A boolean.
     Bool(bool),
     /// A record.
     Record(RecordValue),
-    /// Elements, and what further ones must be, where there may be some.
+    /// Elements, and the constraint on further elements if more are allowed.
     List(Vec<Value>, Option<Box<Value>>),
-    /// One of several; the default, where there is one, by its place.
-    OneOf(Vec<Value>, Option<usize>),
-    /// Nothing can be said, as it was wrong and has been told.
-    Wrong,
+    /// Alternatives, and the index of the default if there is one.
+    Disjunction(Vec<Value>, Option<usize>),
+    /// Could not be evaluated; the error has already been reported.
+    Invalid,
 }
 
 impl Value {
-    /// A value that was written somewhere.
-    pub fn new(what: What, span: Span) -> Self {
+    /// A value at a source position.
+    pub fn new(what: ValueKind, span: Span) -> Self {
         Value { what, span }
     }
 
-    /// What is told of it in messages.
-    pub fn told(&self) -> String {
+    /// A short description for messages.
+    pub fn describe(&self) -> String {
         match &self.what {
-            What::Type(t) => t.name().to_owned(),
-            What::Bounded(t, bounds) => {
+            ValueKind::Type(t) => t.name().to_owned(),
+            ValueKind::Bounded(t, bounds) => {
                 let unit = if let Type::Number(unit, _) = t { *unit } else { Unit::Plain };
-                let bound = |(order, value): &(Order, f64)| {
-                    format!("{}{}", order.sign(), Quantity { value: *value, unit, whole: false })
+                let bound = |(comparison, value): &(Comparison, f64)| {
+                    format!("{}{}", comparison.symbol(), Quantity { value: *value, unit, is_integer: false })
                 };
                 let all: Vec<String> = bounds.iter().map(bound).collect();
                 format!("{} {}", t.name(), all.join(" & "))
             }
-            What::Number(q) => q.to_string(),
-            What::Text(t) => format!("{t:?}"),
-            What::Bool(b) => b.to_string(),
-            What::Record(_) => "a record".to_owned(),
-            What::List(..) => "a list".to_owned(),
-            What::OneOf(all, _) => {
-                let all: Vec<String> = all.iter().map(Value::told).collect();
+            ValueKind::Number(q) => q.to_string(),
+            ValueKind::Text(t) => format!("{t:?}"),
+            ValueKind::Bool(b) => b.to_string(),
+            ValueKind::Record(_) => "a record".to_owned(),
+            ValueKind::List(..) => "a list".to_owned(),
+            ValueKind::Disjunction(all, _) => {
+                let all: Vec<String> = all.iter().map(Value::describe).collect();
                 all.join(" or ")
             }
-            What::Wrong => "something wrong".to_owned(),
+            ValueKind::Invalid => "an invalid value".to_owned(),
         }
     }
 }
