--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -27,7 +27,7 @@
 use limits::FleetLimits;
 use marljunction_control::interface::*;
 use marljunction_control::Controller;
-use marljunction_fair_queue::{Advice, Arrival, Door, Verdict};
+use marljunction_fair_queue::{Arrival, FairQueue, QueueAction, RetryAfter};
 use marljunction_limits::node::Permit;
 use statement::Statement;
 
@@ -47,8 +47,8 @@
 const DEFAULT_NEED_SHARE: f64 = 0.25;
 
 /// Converts retry advice to whole milliseconds, at least 1.
-fn retry_after_ms(advice: Advice) -> u64 {
-    advice.after_ns.div_ceil(1_000_000).max(1)
+fn retry_after_ms(retry_after: RetryAfter) -> u64 {
+    retry_after.after_ns.div_ceil(1_000_000).max(1)
 }
 
 /// Destination of an answer: a connection id, never reused, and a call id on that connection.
@@ -272,7 +272,7 @@
 pub struct Router {
     control: Controller,
     classes: Vec<ClassSettings>,
-    door: Option<Door>,
+    fair_queue: Option<FairQueue>,
     limits: Option<FleetLimits>,
     health: Option<FleetHealth>,
     open: HashMap<RequestId, OpenRequest>,
@@ -294,7 +294,7 @@
     pub fn new(settings: Settings, seed: u64, memory_mb: f64) -> Self {
         Router {
             classes: settings.classes.clone(),
-            door: None,
+            fair_queue: None,
             limits: None,
             health: None,
             control: Controller::new(settings, seed),
@@ -311,8 +311,8 @@
     }
 
     /// Adds an admission queue before the decision module.
-    pub fn with_door(mut self, door: Option<Door>) -> Self {
-        self.door = door;
+    pub fn with_fair_queue(mut self, fair_queue: Option<FairQueue>) -> Self {
+        self.fair_queue = fair_queue;
         self
     }
 
@@ -339,8 +339,8 @@
     }
 
     /// The admission queue, if configured.
-    pub fn door(&mut self) -> Option<&mut Door> {
-        self.door.as_mut()
+    pub fn fair_queue(&mut self) -> Option<&mut FairQueue> {
+        self.fair_queue.as_mut()
     }
 
     /// Accepts a request, which will get exactly one final answer unless its client leaves.
@@ -419,10 +419,12 @@
     /// Whether another request may be accepted.
     pub fn has_capacity(&self) -> bool {
         // The admission queue bounds and evicts its own requests.
-        let (queued, bytes, bytes_most) =
-            self.door.as_ref().map_or((0, 0, 0), |d| (d.queued(), d.held_bytes(), d.bytes_most()));
+        let (queued, bytes, max_queued_bytes) = self
+            .fair_queue
+            .as_ref()
+            .map_or((0, 0, 0), |d| (d.queued(), d.queued_bytes(), d.max_queued_bytes()));
         self.open.len() - queued < MAX_OPEN_REQUESTS
-            && self.statement_bytes - bytes < self.max_statement_bytes - bytes_most
+            && self.statement_bytes - bytes < self.max_statement_bytes - max_queued_bytes
     }
 
     /// Maximum statement bytes in the admission queue: half of the total.
@@ -455,8 +457,8 @@
     /// Due time of the next timer (ns).
     pub fn next_due_ns(&self) -> Option<u64> {
         let timer = self.timers.peek().map(|Reverse((due, ..))| *due);
-        let door = self.door.as_ref().and_then(Door::next_due_ns);
-        timer.into_iter().chain(door).min()
+        let fair_queue = self.fair_queue.as_ref().and_then(FairQueue::next_due_ns);
+        timer.into_iter().chain(fair_queue).min()
     }
 
     /// Whether events wait for [`Router::process_events`].
@@ -488,22 +490,22 @@
                 Timer::Final(id) => self.answer_expired(now_ns, id, commands),
             }
         }
-        self.poll_door(now_ns, commands);
+        self.poll_fair_queue(now_ns, commands);
     }
 
     /// Submits the requests that the admission queue releases and answers those that it refuses.
     /// The queue is polled again after each, because refusals by the module change its state.
-    fn poll_door(&mut self, now: u64, commands: &mut Vec<Command>) {
-        while let Some(verdict) = self.door.as_mut().and_then(|d| d.open(now)) {
-            match verdict {
-                Verdict::Show(id) => {
+    fn poll_fair_queue(&mut self, now: u64, commands: &mut Vec<Command>) {
+        while let Some(queue_action) = self.fair_queue.as_mut().and_then(|d| d.open(now)) {
+            match queue_action {
+                QueueAction::Submit(id) => {
                     self.submit_to_controller(now, RequestId(id), commands);
-                    if let Some(door) = &mut self.door {
-                        door.accepted(now, id);
+                    if let Some(fair_queue) = &mut self.fair_queue {
+                        fair_queue.accepted(now, id);
                     }
                 }
-                Verdict::Refuse(id, advice) => {
-                    let backoff_ms = retry_after_ms(advice);
+                QueueAction::Refuse(id, retry_after) => {
+                    let backoff_ms = retry_after_ms(retry_after);
                     let answer = Answer::Refused { backoff_ms, after: None, fault: None };
                     self.conclude(now, RequestId(id), answer, commands);
                     self.remove_if_done(RequestId(id));
@@ -513,7 +515,7 @@
     }
 
     /// Describes a request to the admission queue.
-    fn door_arrival(&self, id: RequestId, open: &OpenRequest) -> Arrival {
+    fn fair_queue_arrival(&self, id: RequestId, open: &OpenRequest) -> Arrival {
         let (client_request, class) = (&open.client_request, &self.classes[open.client_request.class.0]);
         let threads = class.threads.max(1.0);
         let default_need_ns = class.target_latency_ns as f64 * threads * DEFAULT_NEED_SHARE;
@@ -527,7 +529,10 @@
             threads,
             need_ns,
             worth: class.worth,
-            wanted_ns: open.received_ns.saturating_add(class.target_latency_ns).saturating_add(stretch_ns),
+            target_end_ns: open
+                .received_ns
+                .saturating_add(class.target_latency_ns)
+                .saturating_add(stretch_ns),
             expires_ns: open.expires_ns,
             bytes: client_request.statement.text.len(),
         }
@@ -564,9 +569,9 @@
     /// Sends changed verdicts on engines to the decision module.
     fn send_verdicts(&mut self, now: u64, commands: &mut Vec<Command>) {
         let changed = self.health.as_mut().map_or_else(Vec::new, |health| health.changed_verdicts(now));
-        for (engine, verdict) in changed {
-            debug!("the fleet's verdict on {:016x} is {verdict:?}", engine.0);
-            self.decide(now, Event::VerdictChanged(engine, verdict), commands);
+        for (engine, queue_action) in changed {
+            debug!("the fleet's verdict on {:016x} is {queue_action:?}", engine.0);
+            self.decide(now, Event::VerdictChanged(engine, queue_action), commands);
         }
     }
 
@@ -596,12 +601,12 @@
                 let Some(open) = self.open.get(&id) else { return };
                 // Serial requests bypass the queue, where a later one could overtake: the module
                 // keeps their order.
-                if self.door.is_none() || self.runs_serially(&open.client_request) {
+                if self.fair_queue.is_none() || self.runs_serially(&open.client_request) {
                     return self.submit_to_controller(now, id, commands);
                 }
-                let arrival = self.door_arrival(id, open);
-                if let Some(door) = &mut self.door {
-                    door.arrive(now, arrival);
+                let arrival = self.fair_queue_arrival(id, open);
+                if let Some(fair_queue) = &mut self.fair_queue {
+                    fair_queue.enqueue(now, arrival);
                 }
             }
             InboundEvent::ClientLeft(id, end_reason) => {
@@ -650,7 +655,7 @@
     /// Removes a request whose client left from the admission queue, or notifies the decision
     /// module.
     fn handle_client_left(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) {
-        if !self.door.as_mut().is_some_and(|d| d.leave(now, id.0)) {
+        if !self.fair_queue.as_mut().is_some_and(|d| d.cancel(now, id.0)) {
             self.notify_client_left(now, id, commands);
         }
         self.remove_if_done(id);
@@ -697,8 +702,8 @@
             open.concluded = true;
             self.counters.served += 1;
             commands.push(Command::Answer(open.client, Answer::Served(rows)));
-            if let Some(door) = &mut self.door {
-                door.over(now, at.request.0, Some(true));
+            if let Some(fair_queue) = &mut self.fair_queue {
+                fair_queue.finished(now, at.request.0, Some(true));
             }
         }
         let max_request_ns =
@@ -769,7 +774,7 @@
     /// Ends a request without a decision of the module, and notifies the module if it has the
     /// request.
     fn end_request(&mut self, now: u64, id: RequestId, answer: Answer, commands: &mut Vec<Command>) {
-        let waits = self.door.as_ref().is_some_and(|d| d.waits(id.0));
+        let waits = self.fair_queue.as_ref().is_some_and(|d| d.waits(id.0));
         self.conclude(now, id, answer, commands);
         if !waits {
             self.notify_client_left(now, id, commands);
@@ -786,11 +791,11 @@
             _ => self.counters.failed += 1,
         }
         commands.push(Command::Answer(open.client, answer));
-        if let Some(door) = &mut self.door {
-            if door.waits(id.0) {
-                door.leave(now, id.0);
+        if let Some(fair_queue) = &mut self.fair_queue {
+            if fair_queue.waits(id.0) {
+                fair_queue.cancel(now, id.0);
             } else {
-                door.over(now, id.0, Some(false));
+                fair_queue.finished(now, id.0, Some(false));
             }
         }
     }
@@ -873,10 +878,10 @@
                 let Some(open) = self.open.get(&request) else { return };
                 let (after, fault) = (open.last_end, open.fault.clone());
                 let sent = open.attempts > 0;
-                let advice = self.door.as_mut().and_then(|d| d.refused(now, request.0, sent));
+                let retry_after = self.fair_queue.as_mut().and_then(|d| d.refused(now, request.0, sent));
                 let module_ms = retry_after_ns.unwrap_or(100_000_000).div_ceil(1_000_000).max(1);
                 let backoff_ms =
-                    advice.filter(|_| retry_after_ns.is_some()).map_or(module_ms, retry_after_ms);
+                    retry_after.filter(|_| retry_after_ns.is_some()).map_or(module_ms, retry_after_ms);
                 self.conclude(now, request, Answer::Refused { backoff_ms, after, fault }, commands);
                 self.remove_if_done(request);
             }
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -5,8 +5,8 @@
 use marljunction_control::interface::*;
 use marljunction_core::end_reason::EndReason;
 use marljunction_core::{Answer, Attempt, Client, ClientRequest, Command, Router, Rows};
-use marljunction_fair_queue::settings::DoorSettings;
-use marljunction_fair_queue::{Door, Site};
+use marljunction_fair_queue::settings::FairQueueConfig;
+use marljunction_fair_queue::{FairQueue, FairQueueParams};
 
 const MS: u64 = 1_000_000;
 const T0: u64 = 1_700_000_000_000 * MS;
@@ -41,15 +41,16 @@
 }
 
 impl TestRouter {
-    fn new(door: DoorSettings) -> TestRouter {
-        let site = Site {
+    fn new(fair_queue: FairQueueConfig) -> TestRouter {
+        let params = FairQueueParams {
             weights: vec![1.0, 1.0],
             classes: 2,
-            longest_ns: Some(1_000 * MS),
-            bytes_most: Router::max_queued_bytes(64.0),
+            max_retry_after_ns: Some(1_000 * MS),
+            max_queued_bytes: Router::max_queued_bytes(64.0),
             seed: 3,
         };
-        let router = Router::new(settings(), 1, 64.0).with_door(Some(Door::new(T0, door, site)));
+        let router =
+            Router::new(settings(), 1, 64.0).with_fair_queue(Some(FairQueue::new(T0, fair_queue, params)));
         let mut w = TestRouter { router, now: T0, calls: 0, out: Vec::new(), answers: HashMap::new() };
         let entry = EngineEntry {
             engine: EngineId(5),
@@ -127,7 +128,7 @@
     }
 
     fn queued(&mut self) -> usize {
-        self.router.door().map_or(0, |d| d.queued())
+        self.router.fair_queue().map_or(0, |d| d.queued())
     }
 
     /// Submits requests until a queue forms; returns all calls.
@@ -152,21 +153,26 @@
         assert_eq!((self.router.unanswered(), self.queued()), (0, 0));
         let c = &self.router.counters;
         assert_eq!(c.taken, c.served + c.refused + c.failed + c.left);
-        assert_eq!(self.router.door().unwrap().room().used(), 0.0, "all capacity is free again");
+        assert_eq!(
+            self.router.fair_queue().unwrap().concurrency_limit().used(),
+            0.0,
+            "all capacity is free again"
+        );
     }
 }
 
 #[test]
 fn queued_requests_are_served_as_capacity_becomes_available() {
-    let mut w = TestRouter::new(DoorSettings::default());
+    let mut w = TestRouter::new(FairQueueConfig::default());
     w.fill();
     let before = w.router.counters.sent;
     for _ in 0..10 {
         w.now += 20 * MS;
         w.end(EndReason::Served);
     }
-    let door = w.router.door().unwrap();
-    let state = format!("{:?} {:?}", door.room(), door.counters().collect::<Vec<_>>());
+    let fair_queue = w.router.fair_queue().unwrap();
+    let state =
+        format!("{:?} {:?}", fair_queue.concurrency_limit(), fair_queue.counters().collect::<Vec<_>>());
     let sent = w.router.counters.sent - before;
     assert!(sent >= 5, "finished requests admit queued ones: {sent} {state}");
     w.finish();
@@ -175,9 +181,10 @@
 
 #[test]
 fn queued_requests_whose_client_leaves_or_cancels_are_never_sent() {
-    let mut w = TestRouter::new(DoorSettings::default());
+    let mut w = TestRouter::new(FairQueueConfig::default());
     let all = w.fill();
-    let waits: Vec<_> = all.iter().copied().filter(|(_, id)| w.router.door().unwrap().waits(id.0)).collect();
+    let waits: Vec<_> =
+        all.iter().copied().filter(|(_, id)| w.router.fair_queue().unwrap().waits(id.0)).collect();
     let sent = w.router.counters.sent;
     for (i, (_, id)) in waits.iter().enumerate() {
         if i % 2 == 0 {
@@ -196,7 +203,7 @@
 
 #[test]
 fn queued_requests_that_cannot_be_served_in_time_are_refused() {
-    let mut w = TestRouter::new(DoorSettings { stale_ms: 60_000, ..DoorSettings::default() });
+    let mut w = TestRouter::new(FairQueueConfig { stale_ms: 60_000, ..FairQueueConfig::default() });
     let all = w.fill();
     w.wait(1_500);
     assert_eq!(w.queued(), 0, "no request waits past its useful time");
@@ -210,7 +217,7 @@
 
 #[test]
 fn shutdown_answers_all_open_requests() {
-    let mut w = TestRouter::new(DoorSettings::default());
+    let mut w = TestRouter::new(FairQueueConfig::default());
     w.fill();
     let mut commands = Vec::new();
     w.router.end_all(&mut commands, w.now);
@@ -225,7 +232,7 @@
 
 #[test]
 fn a_load_that_may_have_run_fails_and_releases_its_capacity() {
-    let mut w = TestRouter::new(DoorSettings::default());
+    let mut w = TestRouter::new(FairQueueConfig::default());
     let (call, _) = w.submit(0, 1);
     w.process_events();
     w.end(EndReason::Cut);
@@ -239,7 +246,7 @@
 
 #[test]
 fn a_full_queue_evicts_and_does_not_block_new_requests() {
-    let mut w = TestRouter::new(DoorSettings { queued: 10, ..DoorSettings::default() });
+    let mut w = TestRouter::new(FairQueueConfig { queued: 10, ..FairQueueConfig::default() });
     w.fill_beyond_bound();
     assert!(w.queued() <= 10);
     assert!(w.router.has_capacity(), "the queue has its own bound");
@@ -257,7 +264,7 @@
 
 #[test]
 fn serial_requests_bypass_the_queue() {
-    let mut w = TestRouter::new(DoorSettings::default());
+    let mut w = TestRouter::new(FairQueueConfig::default());
     w.fill();
     let queued = w.queued();
     assert!(queued > 0);
--- a/crates/fair-queue/benches/structures.rs
+++ b/crates/fair-queue/benches/structures.rs
@@ -6,10 +6,10 @@
 use std::collections::{BTreeSet, BinaryHeap, HashMap};
 
 use criterion::{black_box, criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
-use marljunction_fair_queue::settings::DoorSettings;
-use marljunction_fair_queue::sketch::Heavy;
-use marljunction_fair_queue::wheel::Wheel;
-use marljunction_fair_queue::{Arrival, Door, Site, Verdict};
+use marljunction_fair_queue::settings::FairQueueConfig;
+use marljunction_fair_queue::sketch::HeavyHitters;
+use marljunction_fair_queue::wheel::TimingWheel;
+use marljunction_fair_queue::{Arrival, FairQueue, FairQueueParams, QueueAction};
 
 /// Numbers without a pattern (SplitMix64).
 fn random(state: &mut u64) -> u64 {
@@ -25,7 +25,7 @@
     let mut group = c.benchmark_group("timer: insert, half removed, half due");
     for held in [1_000_u64, 100_000] {
         group.bench_function(BenchmarkId::new("wheel", held), |b| {
-            let (mut now, mut seed, mut wheel) = (0, 1, Wheel::new(0));
+            let (mut now, mut seed, mut wheel) = (0, 1, TimingWheel::new(0));
             let mut keys = std::collections::VecDeque::new();
             b.iter(|| {
                 now += 2_000_000_000 / held;
@@ -86,7 +86,7 @@
     let mut group = c.benchmark_group("heaviest of a stream");
     for identities in [100_u64, 100_000] {
         group.bench_function(BenchmarkId::new("space-saving of 64", identities), |b| {
-            let (mut seed, mut sketch) = (1, Heavy::new(64));
+            let (mut seed, mut sketch) = (1, HeavyHitters::new(64));
             b.iter(|| sketch.add(random(&mut seed) % identities, 1.0));
         });
         group.bench_function(BenchmarkId::new("plain map", identities), |b| {
@@ -101,16 +101,16 @@
     let mut group = c.benchmark_group("one request through the door");
     for identities in [100_u64, 100_000] {
         group.bench_function(BenchmarkId::from_parameter(identities), |b| {
-            let site = Site {
+            let params = FairQueueParams {
                 weights: vec![8.0, 1.0, 1.0],
                 classes: 3,
-                longest_ns: Some(1_000_000_000),
-                bytes_most: 8 << 20,
+                max_retry_after_ns: Some(1_000_000_000),
+                max_queued_bytes: 8 << 20,
                 seed: 1,
             };
             let (mut now, mut id, mut seed) = (1_u64 << 60, 0, 1);
-            let mut door = Door::new(now, DoorSettings::default(), site);
-            let mut shown = std::collections::VecDeque::new();
+            let mut fair_queue = FairQueue::new(now, FairQueueConfig::default(), params);
+            let mut submitted = std::collections::VecDeque::new();
             b.iter_batched(
                 || random(&mut seed),
                 |draw| {
@@ -123,24 +123,24 @@
                         threads: 1.0,
                         worth: 1.0,
                         need_ns: 1e8,
-                        wanted_ns: now + 1_000_000_000,
+                        target_end_ns: now + 1_000_000_000,
                         expires_ns: now + 6_000_000_000,
                         bytes: 100,
                     };
-                    door.arrive(now, arrival);
-                    while let Some(verdict) = door.open(now) {
-                        let Verdict::Show(id) = verdict else { continue };
+                    fair_queue.enqueue(now, arrival);
+                    while let Some(queue_action) = fair_queue.open(now) {
+                        let QueueAction::Submit(id) = queue_action else { continue };
                         // Twice what can be served comes: the module takes fifty at a time.
-                        if shown.len() >= 50 {
-                            black_box(door.refused(now, id, false));
+                        if submitted.len() >= 50 {
+                            black_box(fair_queue.refused(now, id, false));
                         } else {
-                            door.accepted(now, id);
-                            shown.push_back(id);
+                            fair_queue.accepted(now, id);
+                            submitted.push_back(id);
                         }
                     }
                     if id % 2 == 0 {
-                        if let Some(first) = shown.pop_front() {
-                            door.over(now, first, Some(true));
+                        if let Some(first) = submitted.pop_front() {
+                            fair_queue.finished(now, first, Some(true));
                         }
                     }
                 },
--- a/crates/fair-queue/src/fair.rs
+++ b/crates/fair-queue/src/fair.rs
@@ -7,17 +7,17 @@
 
 /// A virtual time, ordered as numbers are.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Tag(pub f64);
+pub struct StartTag(pub f64);
 
-impl Eq for Tag {}
+impl Eq for StartTag {}
 
-impl PartialOrd for Tag {
+impl PartialOrd for StartTag {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Tag {
+impl Ord for StartTag {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.0.total_cmp(&other.0)
     }
@@ -32,7 +32,7 @@
     /// The flow whose turn it is.
     fn pick(&mut self) -> Option<usize>;
     /// The picked flow is served at `cost`; its next is estimated at `next`.
-    fn charge(&mut self, flow: usize, cost: f64, next: f64);
+    fn charge(&mut self, flow: usize, cost: f64, next_cost: f64);
     /// What was charged to a flow turns out to be wrong by `delta`.
     fn correct(&mut self, flow: usize, delta: f64);
 }
@@ -41,7 +41,7 @@
 struct Flow {
     weight: f64,
     /// Start tag of its next: the finish tag of what it was served last, unless it had been idle.
-    start: f64,
+    start_tag: f64,
     active: bool,
 }
 
@@ -50,23 +50,28 @@
 /// moves the flow's next start tag and nothing else. Between two flows with a backlog, what they got over their
 /// weights differs by no more than the sum of their greatest costs over their weights.
 #[derive(Debug)]
-pub struct StartTime {
+pub struct StartTimeFairQueue {
     flows: Vec<Flow>,
-    active: BTreeSet<(Tag, usize)>,
-    now: f64,
+    active: BTreeSet<(StartTag, usize)>,
+    virtual_time: f64,
     /// A flow may owe so much of past service at most (cost, for a weight of 1).
-    debt_most: f64,
+    max_debt: f64,
 }
 
-impl StartTime {
+impl StartTimeFairQueue {
     /// Flows of these weights, none of them active.
-    pub fn new(weights: &[f64], debt_most: f64) -> Self {
-        let flow = |w: &f64| Flow { weight: w.max(1e-6), start: 0.0, active: false };
-        StartTime { flows: weights.iter().map(flow).collect(), active: BTreeSet::new(), now: 0.0, debt_most }
+    pub fn new(weights: &[f64], max_debt: f64) -> Self {
+        let flow = |w: &f64| Flow { weight: w.max(1e-6), start_tag: 0.0, active: false };
+        StartTimeFairQueue {
+            flows: weights.iter().map(flow).collect(),
+            active: BTreeSet::new(),
+            virtual_time: 0.0,
+            max_debt,
+        }
     }
 
     /// Changes the weights from the next charge on; nobody's tag moves.
-    pub fn reweigh(&mut self, weights: &[f64]) {
+    pub fn set_weights(&mut self, weights: &[f64]) {
         for (flow, weight) in self.flows.iter_mut().zip(weights) {
             flow.weight = weight.max(1e-6);
         }
@@ -78,18 +83,18 @@
     }
 
     /// Active flows in the order of their turn.
-    pub fn in_order(&self) -> impl Iterator<Item = usize> + '_ {
+    pub fn by_start_tag(&self) -> impl Iterator<Item = usize> + '_ {
         self.active.iter().map(|(_, flow)| *flow)
     }
 
     /// The start tag of a flow.
-    pub fn tag(&self, flow: usize) -> f64 {
-        self.flows[flow].start
+    pub fn start_tag(&self, flow: usize) -> f64 {
+        self.flows[flow].start_tag
     }
 
     /// How far a flow is ahead of virtual time (cost, for a weight of 1).
     pub fn ahead(&self, flow: usize) -> f64 {
-        (self.flows[flow].start - self.now).max(0.0)
+        (self.flows[flow].start_tag - self.virtual_time).max(0.0)
     }
 
     /// Bytes taken from the heap.
@@ -97,29 +102,29 @@
         self.flows.capacity() * std::mem::size_of::<Flow>() + self.flows.len() * 40
     }
 
-    fn move_to(&mut self, flow: usize, start: f64) {
+    fn move_to(&mut self, flow: usize, start_tag: f64) {
         let f = &mut self.flows[flow];
         if f.active {
-            self.active.remove(&(Tag(f.start), flow));
-            self.active.insert((Tag(start), flow));
+            self.active.remove(&(StartTag(f.start_tag), flow));
+            self.active.insert((StartTag(start_tag), flow));
         }
-        f.start = start;
+        f.start_tag = start_tag;
     }
 }
 
-impl Discipline for StartTime {
+impl Discipline for StartTimeFairQueue {
     fn activate(&mut self, flow: usize, _cost: f64) {
         if !self.flows[flow].active {
             // What a flow did not use while it was idle is gone: it was lent to the others.
-            self.flows[flow].start = self.flows[flow].start.max(self.now);
+            self.flows[flow].start_tag = self.flows[flow].start_tag.max(self.virtual_time);
             self.flows[flow].active = true;
-            self.active.insert((Tag(self.flows[flow].start), flow));
+            self.active.insert((StartTag(self.flows[flow].start_tag), flow));
         }
     }
 
     fn deactivate(&mut self, flow: usize) {
         if std::mem::replace(&mut self.flows[flow].active, false) {
-            self.active.remove(&(Tag(self.flows[flow].start), flow));
+            self.active.remove(&(StartTag(self.flows[flow].start_tag), flow));
         }
     }
 
@@ -129,19 +134,19 @@
 
     fn charge(&mut self, flow: usize, cost: f64, _next: f64) {
         let f = self.flows[flow];
-        let start = f.start.max(self.now);
+        let start_tag = f.start_tag.max(self.virtual_time);
         // Serving out of turn must not carry virtual time past those whose turn comes first.
-        let first = self.active.first().map_or(start, |(tag, _)| tag.0);
-        self.now = self.now.max(start.min(first));
-        let most = self.now + self.debt_most / f.weight;
-        self.move_to(flow, (start + cost / f.weight).min(most.max(start)));
+        let first = self.active.first().map_or(start_tag, |(start_tag, _)| start_tag.0);
+        self.virtual_time = self.virtual_time.max(start_tag.min(first));
+        let max_start = self.virtual_time + self.max_debt / f.weight;
+        self.move_to(flow, (start_tag + cost / f.weight).min(max_start.max(start_tag)));
     }
 
     fn correct(&mut self, flow: usize, delta: f64) {
         let f = self.flows[flow];
-        let most = self.now + self.debt_most / f.weight;
-        let start = f.start + delta / f.weight;
-        self.move_to(flow, start.clamp(self.now.min(f.start), most.max(f.start)));
+        let max_start = self.virtual_time + self.max_debt / f.weight;
+        let start_tag = f.start_tag + delta / f.weight;
+        self.move_to(flow, start_tag.clamp(self.virtual_time.min(f.start_tag), max_start.max(f.start_tag)));
     }
 }
 
@@ -199,32 +204,32 @@
 /// Worst-case fair weighted fair queueing (WF2Q+, Bennett and Zhang, 1997): among the flows whose start tag has been
 /// reached, the one with the least finish tag. It needs the cost of a flow's next before that is served.
 #[derive(Debug)]
-pub struct WorstCase {
+pub struct WorstCaseFairQueue {
     flows: Vec<Flow>,
-    finish: Vec<f64>,
-    now: f64,
-    sum: f64,
+    finish_tags: Vec<f64>,
+    virtual_time: f64,
+    total_weight: f64,
 }
 
-impl WorstCase {
+impl WorstCaseFairQueue {
     /// Flows of these weights.
     pub fn new(weights: &[f64]) -> Self {
-        let flow = |w: &f64| Flow { weight: *w, start: 0.0, active: false };
-        WorstCase {
+        let flow = |w: &f64| Flow { weight: *w, start_tag: 0.0, active: false };
+        WorstCaseFairQueue {
             flows: weights.iter().map(flow).collect(),
-            finish: vec![0.0; weights.len()],
-            now: 0.0,
-            sum: weights.iter().sum(),
+            finish_tags: vec![0.0; weights.len()],
+            virtual_time: 0.0,
+            total_weight: weights.iter().sum(),
         }
     }
 }
 
-impl Discipline for WorstCase {
+impl Discipline for WorstCaseFairQueue {
     fn activate(&mut self, flow: usize, cost: f64) {
         let f = &mut self.flows[flow];
         if !std::mem::replace(&mut f.active, true) {
-            f.start = f.start.max(self.now);
-            self.finish[flow] = f.start + cost / f.weight;
+            f.start_tag = f.start_tag.max(self.virtual_time);
+            self.finish_tags[flow] = f.start_tag + cost / f.weight;
         }
     }
 
@@ -234,24 +239,24 @@
 
     fn pick(&mut self) -> Option<usize> {
         let active = || (0..self.flows.len()).filter(|i| self.flows[*i].active);
-        let first = active().map(|i| self.flows[i].start).min_by(f64::total_cmp)?;
-        self.now = self.now.max(first);
-        let eligible = active().filter(|i| self.flows[*i].start <= self.now);
-        eligible.min_by(|a, b| self.finish[*a].total_cmp(&self.finish[*b]))
+        let first = active().map(|i| self.flows[i].start_tag).min_by(f64::total_cmp)?;
+        self.virtual_time = self.virtual_time.max(first);
+        let eligible = active().filter(|i| self.flows[*i].start_tag <= self.virtual_time);
+        eligible.min_by(|a, b| self.finish_tags[*a].total_cmp(&self.finish_tags[*b]))
     }
 
-    fn charge(&mut self, flow: usize, cost: f64, next: f64) {
-        self.now += cost / self.sum;
+    fn charge(&mut self, flow: usize, cost: f64, next_cost: f64) {
+        self.virtual_time += cost / self.total_weight;
         let f = &mut self.flows[flow];
-        f.start += cost / f.weight;
-        self.finish[flow] = f.start + next / f.weight;
+        f.start_tag += cost / f.weight;
+        self.finish_tags[flow] = f.start_tag + next_cost / f.weight;
     }
 
     fn correct(&mut self, flow: usize, delta: f64) {
-        self.now += delta / self.sum;
+        self.virtual_time += delta / self.total_weight;
         let f = &mut self.flows[flow];
-        f.start += delta / f.weight;
-        self.finish[flow] += delta / f.weight;
+        f.start_tag += delta / f.weight;
+        self.finish_tags[flow] += delta / f.weight;
     }
 }
 
@@ -259,26 +264,30 @@
 /// its weight, and the earliest is next. The clocks follow real service, not virtual time, so that a flow that used
 /// what nobody else wanted pays for it later.
 #[derive(Debug)]
-pub struct VirtualDeadline {
+pub struct VirtualClock {
     flows: Vec<Flow>,
-    served: f64,
-    sum: f64,
+    total_served: f64,
+    total_weight: f64,
 }
 
-impl VirtualDeadline {
+impl VirtualClock {
     /// Flows of these weights.
     pub fn new(weights: &[f64]) -> Self {
-        let flow = |w: &f64| Flow { weight: *w, start: 0.0, active: false };
-        VirtualDeadline { flows: weights.iter().map(flow).collect(), served: 0.0, sum: weights.iter().sum() }
+        let flow = |w: &f64| Flow { weight: *w, start_tag: 0.0, active: false };
+        VirtualClock {
+            flows: weights.iter().map(flow).collect(),
+            total_served: 0.0,
+            total_weight: weights.iter().sum(),
+        }
     }
 }
 
-impl Discipline for VirtualDeadline {
+impl Discipline for VirtualClock {
     fn activate(&mut self, flow: usize, _cost: f64) {
-        let clock = self.served / self.sum;
+        let clock = self.total_served / self.total_weight;
         let f = &mut self.flows[flow];
         if !std::mem::replace(&mut f.active, true) {
-            f.start = f.start.max(clock);
+            f.start_tag = f.start_tag.max(clock);
         }
     }
 
@@ -288,16 +297,16 @@
 
     fn pick(&mut self) -> Option<usize> {
         let active = (0..self.flows.len()).filter(|i| self.flows[*i].active);
-        active.min_by(|a, b| self.flows[*a].start.total_cmp(&self.flows[*b].start))
+        active.min_by(|a, b| self.flows[*a].start_tag.total_cmp(&self.flows[*b].start_tag))
     }
 
     fn charge(&mut self, flow: usize, cost: f64, _next: f64) {
-        self.served += cost;
-        self.flows[flow].start += cost / self.flows[flow].weight;
+        self.total_served += cost;
+        self.flows[flow].start_tag += cost / self.flows[flow].weight;
     }
 
     fn correct(&mut self, flow: usize, delta: f64) {
-        self.served += delta;
-        self.flows[flow].start += delta / self.flows[flow].weight;
+        self.total_served += delta;
+        self.flows[flow].start_tag += delta / self.flows[flow].weight;
     }
 }
--- a/crates/fair-queue/src/lib.rs
+++ b/crates/fair-queue/src/lib.rs
@@ -11,10 +11,10 @@
 #![forbid(unsafe_code)]
 
 pub mod calendar;
+pub mod concurrency_limit;
 pub mod counters;
 pub mod fair;
 pub mod queues;
-pub mod room;
 pub mod settings;
 pub mod sketch;
 pub mod wheel;
@@ -24,53 +24,53 @@
 use rustc_hash::FxHashMap;
 use slab::Slab;
 
-use calendar::{Calendar, Promise};
+use calendar::{Reservation, ReservationCalendar};
+use concurrency_limit::{AdmissionConfidence, ConcurrencyLimit, RequestKind};
 use counters::TenantCounters;
-use fair::{Discipline, StartTime};
-use queues::{Entry, Queue, Stand};
-use room::{Kind, Room, Surety};
-use settings::{hand, DoorSettings, Identity, Order};
-use sketch::Heavy;
-use wheel::Wheel;
+use fair::{Discipline, StartTimeFairQueue};
+use queues::{Entry, EntryState, Queue};
+use settings::{shuffle_shard, ClientHasher, FairQueueConfig, Order};
+use sketch::HeavyHitters;
+use wheel::TimingWheel;
 
 /// What a flow may owe of past service at most, over its weight's part of what all are served (ns): how long a
 /// liar about cost pays for it.
-const DEBT_NS: f64 = 5_000_000_000.0;
+const MAX_DEBT_NS: f64 = 5_000_000_000.0;
 /// The same in thread-nanoseconds for a weight of 1, at so many threads served.
-const DEBT_THREADS: f64 = 32.0;
+const MAX_DEBT_THREADS: f64 = 32.0;
 /// Queues of one tenant that are looked at for a request that fits (count).
-const LOOK: usize = 8;
+const MAX_QUEUES_SCANNED: usize = 8;
 /// Newest of a queue among which the one with the most worth for its cost is sought (count).
-const NEWEST: usize = 8;
+const MAX_NEWEST_SCANNED: usize = 8;
 /// While the first in turn does not fit, as the module refuses its kind earlier, others may be served so far past it
 /// (ns of what is served at a time, for a weight of 1); then all wait for it. Guards against a kind that never
 /// fits because others fill the room each time.
-const PASSING_NS: f64 = 60_000_000.0;
+const BYPASS_ALLOWANCE_NS: f64 = 60_000_000.0;
 /// Wait that says of a tenant's queues that they do not empty, where none was shorter in an interval of so long (ns).
 /// CoDel's way of telling a standing queue from a burst (Nichols and Jacobson, 2012).
-const TARGET_NS: u64 = 30_000_000;
-const INTERVAL_NS: u64 = 100_000_000;
+const CODEL_TARGET_NS: u64 = 30_000_000;
+const CODEL_INTERVAL_NS: u64 = 100_000_000;
 /// Requests of a tenant that wait in a queue that may be said to stand (count).
-const STANDING: u32 = 8;
+const MIN_STANDING_REQUESTS: u32 = 8;
 /// Weight of a new figure in what is learned of classes and queues (share).
-const LEARN: f64 = 0.05;
+const AVERAGING_WEIGHT: f64 = 0.05;
 /// A promise is void where its client turned out to hold this multiple of what was set aside (ratio).
-const OUTGROWN: f64 = 4.0;
+const MAX_COST_GROWTH: f64 = 4.0;
 /// Step by which the median of what requests of a class hold over their need is followed, and its bounds (ratio).
 const MEDIAN_STEP: f64 = 1.02;
-const HELD: [f64; 2] = [0.1, 8.0];
+const USAGE_RATIO_BOUNDS: [f64; 2] = [0.1, 8.0];
 /// Bounds of what a queue's flows hold over what is expected of them (ratio).
-const TRUTH: [f64; 2] = [0.25, 10_000.0];
+const COST_RATIO_BOUNDS: [f64; 2] = [0.25, 10_000.0];
 /// A tenant counts among those that share the room for so long after its last request (ns).
-const ACTIVE_NS: u64 = 5_000_000_000;
+const TENANT_ACTIVE_NS: u64 = 5_000_000_000;
 /// Identities that the sketch holds (count), and how often its weights are halved (ns).
-const HEAVY: usize = 64;
-const HALVE_NS: u64 = 10_000_000_000;
+const HEAVY_HITTERS_CAPACITY: usize = 64;
+const HEAVY_HITTERS_HALVING_NS: u64 = 10_000_000_000;
 /// Soonest advice (ns): sooner than this nothing has changed.
-const SOONEST_NS: u64 = 100_000_000;
+const MIN_RETRY_AFTER_NS: u64 = 100_000_000;
 /// Limit of a kind over the greatest limit below which no promise is made (ratio): the module refuses such heavy
 /// requests first, as it is meant to.
-const PROMISED_KINDS: f64 = 0.75;
+const MIN_RESERVABLE_LIMIT_RATIO: f64 = 0.75;
 
 /// A request at the door.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -90,7 +90,7 @@
     /// What an answer in time is worth, by any measure that is the same for all.
     pub worth: f64,
     /// When its answer is wanted (ns).
-    pub wanted_ns: u64,
+    pub target_end_ns: u64,
     /// When its client gives up (ns).
     pub expires_ns: u64,
     /// Memory that it takes while it waits (bytes).
@@ -99,40 +99,40 @@
 
 /// When a refused client should come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Advice {
+pub struct RetryAfter {
     /// From now (ns).
     pub after_ns: u64,
     /// Room is set aside for then.
-    pub promised: bool,
+    pub reserved: bool,
 }
 
 /// What becomes of a request at the door.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum QueueAction {
     /// The module is to see it now; [`Door::accepted`] or [`Door::refused`] must follow.
-    Show(u64),
+    Submit(u64),
     /// It is refused.
-    Refuse(u64, Advice),
+    Refuse(u64, RetryAfter),
 }
 
 /// What is known of a class.
 #[derive(Clone, Copy, Debug)]
 struct Class {
     /// Mean need of what comes.
-    need: f64,
+    mean_need_ns: f64,
     /// What a request holds over its need.
-    held: f64,
+    usage_ratio: f64,
 }
 
 struct Tenant {
     queues: Vec<Queue>,
-    turns: StartTime,
-    returned: Queue,
+    scheduler: StartTimeFairQueue,
+    reserved_queue: Queue,
     queued: u32,
     backlog: f64,
-    came_ns: u64,
+    last_arrival_ns: u64,
     /// The interval in which the shortest wait is sought, and that wait.
-    interval: (u64, u64),
+    codel_interval: (u64, u64),
     standing: bool,
     counters: TenantCounters,
 }
@@ -141,134 +141,136 @@
     fn new(queues: usize) -> Self {
         Tenant {
             queues: vec![Queue::default(); queues],
-            turns: StartTime::new(&vec![1.0; queues], DEBT_NS * DEBT_THREADS),
-            returned: Queue::default(),
+            scheduler: StartTimeFairQueue::new(&vec![1.0; queues], MAX_DEBT_NS * MAX_DEBT_THREADS),
+            reserved_queue: Queue::default(),
             queued: 0,
             backlog: 0.0,
-            came_ns: 0,
-            interval: (0, u64::MAX),
+            last_arrival_ns: 0,
+            codel_interval: (0, u64::MAX),
             standing: false,
             counters: TenantCounters::default(),
         }
     }
 
     /// Takes the wait of one that is shown, or of the oldest still there.
-    fn waited(&mut self, now: u64, wait: u64, rate: f64, stale_ns: u64) {
-        self.interval.1 = self.interval.1.min(wait);
-        if now >= self.interval.0 + INTERVAL_NS {
+    fn record_wait(&mut self, now: u64, wait: u64, rate: f64, stale_ns: u64) {
+        self.codel_interval.1 = self.codel_interval.1.min(wait);
+        if now >= self.codel_interval.0 + CODEL_INTERVAL_NS {
             // Once it stands, the newest go first and wait little: only an empty queue tells that it is over. A few that
             // wait are no standing queue, nor is what the tenant's own part of the room serves before it is stale.
-            let long = self.backlog > rate * stale_ns as f64;
-            self.standing |= self.interval.1 > TARGET_NS && self.queued >= STANDING && long;
-            self.interval = (now, u64::MAX);
+            let exceeds_stale = self.backlog > rate * stale_ns as f64;
+            self.standing |= self.codel_interval.1 > CODEL_TARGET_NS
+                && self.queued >= MIN_STANDING_REQUESTS
+                && exceeds_stale;
+            self.codel_interval = (now, u64::MAX);
         }
     }
 }
 
 /// The door of one router.
-pub struct Door {
-    settings: DoorSettings,
-    identity: Identity,
+pub struct FairQueue {
+    settings: FairQueueConfig,
+    client_hasher: ClientHasher,
     /// Longest advice (ns); none where the settings allow none.
-    longest_ns: Option<u64>,
-    bytes_most: usize,
+    max_retry_after_ns: Option<u64>,
+    max_queued_bytes: usize,
     entries: Slab<Entry>,
     /// Numbers of requests and flows are the router's own or hashed with a key: nobody chooses them.
     by_id: FxHashMap<u64, usize>,
     tenants: Vec<Tenant>,
-    turns: StartTime,
+    scheduler: StartTimeFairQueue,
     classes: Vec<Class>,
-    room: Room,
-    timers: Wheel<usize>,
-    calendar: Calendar,
-    heavy: Heavy,
+    concurrency_limit: ConcurrencyLimit,
+    timers: TimingWheel<usize>,
+    calendar: ReservationCalendar,
+    heavy_hitters: HeavyHitters,
     halved_ns: u64,
     queued: usize,
-    held_bytes: usize,
+    queued_bytes: usize,
     /// Nothing that waits fits, and no room came free since that was found.
     blocked: bool,
     /// Refusals that were decided but not told yet.
-    verdicts: VecDeque<Verdict>,
+    pending_actions: VecDeque<QueueAction>,
 }
 
 /// What a door is built for.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct FairQueueParams {
     /// Weights by tenant; one more is added for requests of none.
     pub weights: Vec<f64>,
     /// Classes (count).
     pub classes: usize,
     /// Longest advice to clients (ns), where advice is allowed.
-    pub longest_ns: Option<u64>,
+    pub max_retry_after_ns: Option<u64>,
     /// Bytes that queued requests may hold.
-    pub bytes_most: usize,
+    pub max_queued_bytes: usize,
     /// Seed of the clients' numbers.
     pub seed: u64,
 }
 
-fn blend(old: f64, new: f64, weight: f64) -> f64 {
+fn moving_average(old: f64, new: f64, weight: f64) -> f64 {
     old + weight * (new - old)
 }
 
 /// The weights over their mean, and behind them that of requests of no tenant, which is the mean.
-fn with_none(weights: &[f64]) -> Vec<f64> {
+fn normalize_weights(weights: &[f64]) -> Vec<f64> {
     let mean = weights.iter().sum::<f64>() / weights.len().max(1) as f64;
     weights.iter().map(|w| w / mean).chain([1.0]).collect()
 }
 
-impl Door {
+impl FairQueue {
     /// A door that knows nothing yet.
-    pub fn new(now: u64, settings: DoorSettings, site: Site) -> Self {
+    pub fn new(now: u64, settings: FairQueueConfig, params: FairQueueParams) -> Self {
         let fair = settings.order == Order::Fair;
-        let weights = with_none(&site.weights);
+        let weights = normalize_weights(&params.weights);
         let queues = if fair { settings.queues } else { 1 };
-        let calendar = Calendar::new(
+        let calendar = ReservationCalendar::new(
             now,
             weights.len(),
-            settings.promises,
-            settings.window_ms.saturating_mul(1_000_000),
+            settings.max_reservations,
+            settings.reservation_window_ms.saturating_mul(1_000_000),
         );
-        Door {
-            identity: Identity::new(site.seed),
-            longest_ns: site.longest_ns,
-            bytes_most: site.bytes_most,
+        FairQueue {
+            client_hasher: ClientHasher::new(params.seed),
+            max_retry_after_ns: params.max_retry_after_ns,
+            max_queued_bytes: params.max_queued_bytes,
             entries: Slab::new(),
             by_id: FxHashMap::default(),
             tenants: weights.iter().map(|_| Tenant::new(queues)).collect(),
-            turns: StartTime::new(&weights, DEBT_NS * DEBT_THREADS),
-            classes: vec![Class { need: 0.0, held: 1.0 }; site.classes],
-            room: Room::new(site.classes),
-            timers: Wheel::new(now),
+            scheduler: StartTimeFairQueue::new(&weights, MAX_DEBT_NS * MAX_DEBT_THREADS),
+            classes: vec![Class { mean_need_ns: 0.0, usage_ratio: 1.0 }; params.classes],
+            concurrency_limit: ConcurrencyLimit::new(params.classes),
+            timers: TimingWheel::new(now),
             calendar,
-            heavy: Heavy::new(HEAVY),
+            heavy_hitters: HeavyHitters::new(HEAVY_HITTERS_CAPACITY),
             halved_ns: now,
             queued: 0,
-            held_bytes: 0,
+            queued_bytes: 0,
             blocked: false,
-            verdicts: VecDeque::new(),
+            pending_actions: VecDeque::new(),
             settings,
         }
     }
 
     /// Takes new weights and the settings that can change while requests wait; none of them is lost or moved. Gives
     /// the names of settings that need a restart.
-    pub fn reload(&mut self, settings: DoorSettings, weights: &[f64]) -> Vec<&'static str> {
+    pub fn reload(&mut self, settings: FairQueueConfig, weights: &[f64]) -> Vec<&'static str> {
         let now = &self.settings;
         let changed = [
             ("order", now.order != settings.order),
             ("client", now.client != settings.client),
             ("queues", now.queues != settings.queues),
-            ("promises", now.promises != settings.promises),
-            ("window_ms", now.window_ms != settings.window_ms),
+            ("promises", now.max_reservations != settings.max_reservations),
+            ("window_ms", now.reservation_window_ms != settings.reservation_window_ms),
         ];
-        self.turns.reweigh(&with_none(weights));
-        self.settings = DoorSettings {
+        self.scheduler.set_weights(&normalize_weights(weights));
+        self.settings = FairQueueConfig {
             order: now.order,
             client: now.client.clone(),
             queues: now.queues,
-            promises: now.promises,
-            window_ms: now.window_ms,
-            hand: settings.hand.min(now.queues),
+            max_reservations: now.max_reservations,
+            reservation_window_ms: now.reservation_window_ms,
+            hand_size: settings.hand_size.min(now.queues),
             ..settings
         };
         changed.iter().filter(|(_, changed)| *changed).map(|(name, _)| *name).collect()
@@ -282,19 +284,19 @@
     }
 
     /// Bytes that those hold.
-    pub fn held_bytes(&self) -> usize {
-        self.held_bytes
+    pub fn queued_bytes(&self) -> usize {
+        self.queued_bytes
     }
 
     /// Bytes that they may hold.
-    pub fn bytes_most(&self) -> usize {
-        self.bytes_most
+    pub fn max_queued_bytes(&self) -> usize {
+        self.max_queued_bytes
     }
 
     /// Whether a request waits at the door: the module does not know it.
     pub fn waits(&self, id: u64) -> bool {
         let entry = self.by_id.get(&id).map(|key| &self.entries[*key]);
-        entry.is_some_and(|e| !matches!(e.stand, Stand::Shown { .. }))
+        entry.is_some_and(|e| !matches!(e.state, EntryState::Submitted { .. }))
     }
 
     /// Counters by tenant; the last is for requests of none.
@@ -304,36 +306,43 @@
 
     /// The heaviest clients of late as tenant's number and client's share of all that was asked for.
     pub fn heaviest(&self) -> Vec<(u64, f64)> {
-        let total = self.heavy.total().max(f64::MIN_POSITIVE);
-        self.heavy.top().into_iter().take(8).map(|held| (held.who, held.least / total)).collect()
+        let total = self.heavy_hitters.total().max(f64::MIN_POSITIVE);
+        self.heavy_hitters
+            .top()
+            .into_iter()
+            .take(8)
+            .map(|estimate| (estimate.key, estimate.lower_bound / total))
+            .collect()
     }
 
     /// What the room was learned to be.
-    pub fn room(&self) -> &Room {
-        &self.room
+    pub fn concurrency_limit(&self) -> &ConcurrencyLimit {
+        &self.concurrency_limit
     }
 
     /// Bytes taken from the heap for the door's own tables.
     pub fn bytes(&self) -> usize {
-        let queues = |t: &Tenant| t.queues.capacity() * std::mem::size_of::<Queue>() + t.turns.bytes();
+        let queues = |t: &Tenant| t.queues.capacity() * std::mem::size_of::<Queue>() + t.scheduler.bytes();
         self.entries.capacity() * (std::mem::size_of::<Entry>() + 8)
             + self.by_id.capacity() * 2 * 16
             + self.tenants.iter().map(queues).sum::<usize>()
-            + self.turns.bytes()
-            + self.room.bytes()
+            + self.scheduler.bytes()
+            + self.concurrency_limit.bytes()
             + self.timers.bytes()
             + self.calendar.bytes()
-            + self.heavy.bytes()
-            + self.verdicts.capacity() * std::mem::size_of::<Verdict>()
+            + self.heavy_hitters.bytes()
+            + self.pending_actions.capacity() * std::mem::size_of::<QueueAction>()
     }
 
     /// Bytes that the tables of a door take at most, with so many requests shown; tables that double as they grow
     /// count twice.
-    pub fn most_bytes(settings: &DoorSettings, tenants: usize, shown: usize) -> usize {
-        let entry = std::mem::size_of::<Entry>() + 8 + 32 + Wheel::<usize>::entry_bytes();
+    pub fn max_bytes(settings: &FairQueueConfig, tenants: usize, submitted: usize) -> usize {
+        let entry = std::mem::size_of::<Entry>() + 8 + 32 + TimingWheel::<usize>::entry_bytes();
         let queue = std::mem::size_of::<Queue>() + 96;
         let fixed = (tenants + 1) * settings.queues * queue + 256 * (tenants + 4) * 8 + (64 << 10);
-        2 * (settings.queued + shown) * entry + 2 * settings.promises * Calendar::promise_bytes() + fixed
+        2 * (settings.queued + submitted) * entry
+            + 2 * settings.max_reservations * ReservationCalendar::reservation_bytes()
+            + fixed
     }
 
     // ---- Coming and going -------------------------------------------------------------------------------
@@ -348,118 +357,123 @@
     }
 
     /// A request has come; [`Door::open`] tells what becomes of it, in the same round where there is room.
-    pub fn arrive(&mut self, now: u64, mut arrival: Arrival) {
+    pub fn enqueue(&mut self, now: u64, mut arrival: Arrival) {
         arrival.tenant = arrival.tenant.min(self.tenants.len() - 1);
         let class = &mut self.classes[arrival.class];
-        class.need =
-            if class.need > 0.0 { blend(class.need, arrival.need_ns, LEARN) } else { arrival.need_ns };
-        let kind = Kind::of(arrival.class, arrival.need_ns / class.need.max(1.0));
-        let expected = (arrival.need_ns * class.held).max(1.0);
-        let flow = self.identity.flow(arrival.tenant, arrival.client);
-        if now >= self.halved_ns + HALVE_NS {
+        class.mean_need_ns = if class.mean_need_ns > 0.0 {
+            moving_average(class.mean_need_ns, arrival.need_ns, AVERAGING_WEIGHT)
+        } else {
+            arrival.need_ns
+        };
+        let kind = RequestKind::of(arrival.class, arrival.need_ns / class.mean_need_ns.max(1.0));
+        let expected = (arrival.need_ns * class.usage_ratio).max(1.0);
+        let flow = self.client_hasher.flow(arrival.tenant, arrival.client);
+        if now >= self.halved_ns + HEAVY_HITTERS_HALVING_NS {
             self.halved_ns = now;
-            self.heavy.halve();
+            self.heavy_hitters.halve();
         }
-        self.heavy.add(flow, expected);
+        self.heavy_hitters.add(flow, expected);
         let lane = self.lane(arrival.tenant);
         // What a queue's earlier requests held over what they said counts for this one, so that who says the truth
         // goes to the queues of those who do. Nothing is held for longer than its client waits.
-        let longest = (arrival.expires_ns.saturating_sub(now) as f64 * arrival.threads).max(expected);
-        let cost = |queue: &Queue| (expected * queue.truth).min(longest);
+        let max_thread_ns = (arrival.expires_ns.saturating_sub(now) as f64 * arrival.threads).max(expected);
+        let cost = |queue: &Queue| (expected * queue.cost_ratio).min(max_thread_ns);
         let queues = &self.tenants[lane].queues;
-        let behind = |at: &usize| queues[*at].backlog + cost(&queues[*at]);
-        let dealt = hand(flow, queues.len(), self.settings.hand);
-        let queue = dealt.min_by(|a, b| behind(a).total_cmp(&behind(b))).unwrap_or(0);
+        let backlog_with = |at: &usize| queues[*at].backlog + cost(&queues[*at]);
+        let shard = shuffle_shard(flow, queues.len(), self.settings.hand_size);
+        let queue = shard.min_by(|a, b| backlog_with(a).total_cmp(&backlog_with(b))).unwrap_or(0);
         let mut entry = Entry::new(arrival, flow, kind, expected, now);
         (entry.cost, entry.queue) = (cost(&queues[queue]), queue);
         // Guards against room that was set aside by a client's word alone: what is known of it by now counts.
-        let claimed = self.calendar.claim(now, flow, expected).filter(|p| entry.cost <= p.cost * OUTGROWN);
-        let own = &mut self.tenants[arrival.tenant];
-        own.counters.came += 1;
-        own.counters.claimed += u64::from(claimed.is_some());
-        own.came_ns = now;
-        let latest = latest_ns(now, &arrival);
+        let reservation =
+            self.calendar.claim(now, flow, expected).filter(|p| entry.cost <= p.cost * MAX_COST_GROWTH);
+        let own_tenant = &mut self.tenants[arrival.tenant];
+        own_tenant.counters.arrivals += 1;
+        own_tenant.counters.claims += u64::from(reservation.is_some());
+        own_tenant.last_arrival_ns = now;
+        let latest_start = latest_start_ns(now, &arrival);
         let stale = now + self.settings.stale_ms * 1_000_000;
-        self.held_bytes += arrival.bytes;
+        self.queued_bytes += arrival.bytes;
         self.queued += 1;
-        entry.promised = claimed.is_some();
-        entry.stand = if entry.promised { Stand::Returned } else { Stand::Queued };
-        let due = if entry.promised { latest } else { latest.min(stale) };
+        entry.reserved = reservation.is_some();
+        entry.state = if entry.reserved { EntryState::Reserved } else { EntryState::Queued };
+        let due = if entry.reserved { latest_start } else { latest_start.min(stale) };
         let key = self.entries.insert(entry);
         self.entries[key].timer = Some(self.timers.insert(due, key));
         let tenant = &mut self.tenants[lane];
-        if self.entries[key].promised {
-            tenant.returned.push(&mut self.entries, key);
+        if self.entries[key].reserved {
+            tenant.reserved_queue.push(&mut self.entries, key);
         } else {
             tenant.queues[queue].push(&mut self.entries, key);
-            tenant.turns.activate(queue, 0.0);
+            tenant.scheduler.activate(queue, 0.0);
         }
         tenant.queued += 1;
         tenant.backlog += self.entries[key].cost;
-        self.turns.activate(lane, 0.0);
+        self.scheduler.activate(lane, 0.0);
         self.by_id.insert(arrival.id, key);
         let e = &self.entries[key];
-        self.blocked = self.blocked && !self.room.fits(now, e.kind, e.arrival.threads, Surety::Any);
-        self.push_out(now);
+        self.blocked = self.blocked
+            && !self.concurrency_limit.fits(now, e.kind, e.arrival.threads, AdmissionConfidence::AtLimit);
+        self.evict_excess(now);
     }
 
     /// Guards against a queue that grows: whoever has the most in it over its weight makes room.
-    fn push_out(&mut self, now: u64) {
-        while self.queued > self.settings.queued || self.held_bytes > self.bytes_most {
-            let over = |lane: &usize| self.tenants[*lane].backlog / self.turns.weight(*lane);
+    fn evict_excess(&mut self, now: u64) {
+        while self.queued > self.settings.queued || self.queued_bytes > self.max_queued_bytes {
+            let excess = |lane: &usize| self.tenants[*lane].backlog / self.scheduler.weight(*lane);
             let queued = (0..self.tenants.len()).filter(|lane| self.tenants[*lane].queued > 0);
-            let Some(lane) = queued.max_by(|a, b| over(a).total_cmp(&over(b))) else { return };
+            let Some(lane) = queued.max_by(|a, b| excess(a).total_cmp(&excess(b))) else { return };
             let tenant = &self.tenants[lane];
             let longest = tenant.queues.iter().max_by(|a, b| a.backlog.total_cmp(&b.backlog));
             // The one that would be shown last; those who came back as told only where nobody else waits.
             let last = |q: &Queue| if tenant.standing { q.oldest() } else { q.newest() };
-            let Some(key) = longest.and_then(last).or(tenant.returned.newest()) else { return };
-            self.tenants[self.entries[key].arrival.tenant].counters.pushed_out += 1;
+            let Some(key) = longest.and_then(last).or(tenant.reserved_queue.newest()) else { return };
+            self.tenants[self.entries[key].arrival.tenant].counters.evicted += 1;
             self.refuse(now, key);
         }
     }
 
     /// Takes an entry out of its queue.
-    fn unqueue(&mut self, key: usize) {
+    fn remove_from_queue(&mut self, key: usize) {
         let entry = &mut self.entries[key];
-        let (stand, queue, cost, bytes) = (entry.stand, entry.queue, entry.cost, entry.arrival.bytes);
+        let (state, queue, cost, bytes) = (entry.state, entry.queue, entry.cost, entry.arrival.bytes);
         let timer = entry.timer.take();
         let lane = self.lane(self.entries[key].arrival.tenant);
         if let Some(timer) = timer {
             self.timers.remove(timer);
         }
         let tenant = &mut self.tenants[lane];
-        match stand {
-            Stand::Queued => {
+        match state {
+            EntryState::Queued => {
                 tenant.queues[queue].remove(&mut self.entries, key);
                 if tenant.queues[queue].count == 0 {
-                    tenant.turns.deactivate(queue);
+                    tenant.scheduler.deactivate(queue);
                 }
             }
-            Stand::Returned => tenant.returned.remove(&mut self.entries, key),
-            Stand::Shown { .. } => return,
+            EntryState::Reserved => tenant.reserved_queue.remove(&mut self.entries, key),
+            EntryState::Submitted { .. } => return,
         }
         tenant.queued -= 1;
         tenant.backlog = if tenant.queued == 0 { 0.0 } else { (tenant.backlog - cost).max(0.0) };
         if tenant.queued == 0 {
-            (tenant.standing, tenant.interval) = (false, (0, u64::MAX));
-            self.turns.deactivate(lane);
+            (tenant.standing, tenant.codel_interval) = (false, (0, u64::MAX));
+            self.scheduler.deactivate(lane);
         }
         self.queued -= 1;
-        self.held_bytes -= bytes;
+        self.queued_bytes -= bytes;
     }
 
     fn refuse(&mut self, now: u64, key: usize) {
-        self.unqueue(key);
-        let entry = self.forget(key);
-        let advice = self.advise(now, &entry);
-        if entry.promised {
-            self.tenants[entry.arrival.tenant].counters.broken += 1;
+        self.remove_from_queue(key);
+        let entry = self.remove_entry(key);
+        let retry_after = self.schedule_retry(now, &entry);
+        if entry.reserved {
+            self.tenants[entry.arrival.tenant].counters.claims_failed += 1;
         }
-        self.verdicts.push_back(Verdict::Refuse(entry.arrival.id, advice));
+        self.pending_actions.push_back(QueueAction::Refuse(entry.arrival.id, retry_after));
     }
 
-    fn forget(&mut self, key: usize) -> Entry {
+    fn remove_entry(&mut self, key: usize) -> Entry {
         self.blocked = false;
         let entry = self.entries.remove(key);
         self.by_id.remove(&entry.arrival.id);
@@ -467,58 +481,70 @@
     }
 
     /// A tenant's part of the room, among those seen of late.
-    fn share(&self, now: u64, tenant: usize) -> f64 {
-        let active = |t: &usize| self.tenants[*t].came_ns + ACTIVE_NS >= now;
-        let weights = (0..self.tenants.len()).filter(active).map(|t| self.turns.weight(t));
-        self.turns.weight(tenant) / weights.sum::<f64>().max(1e-9)
+    fn tenant_share(&self, now: u64, tenant: usize) -> f64 {
+        let active = |t: &usize| self.tenants[*t].last_arrival_ns + TENANT_ACTIVE_NS >= now;
+        let weights = (0..self.tenants.len()).filter(active).map(|t| self.scheduler.weight(t));
+        self.scheduler.weight(tenant) / weights.sum::<f64>().max(1e-9)
     }
 
     /// Threads of the room that are a lane's while all want more than there is.
-    fn rate(&self, lane: usize) -> f64 {
+    fn lane_capacity(&self, lane: usize) -> f64 {
         let queued = (0..self.tenants.len()).filter(|t| self.tenants[*t].queued > 0 || *t == lane);
-        let weights: f64 = queued.map(|t| self.turns.weight(t)).sum();
-        self.room.served() * self.turns.weight(lane) / weights.max(1e-9)
+        let weights: f64 = queued.map(|t| self.scheduler.weight(t)).sum();
+        self.concurrency_limit.estimated_capacity() * self.scheduler.weight(lane) / weights.max(1e-9)
     }
 
     /// When a refused request's client should come back, with room set aside for it where there is some.
-    fn advise(&mut self, now: u64, entry: &Entry) -> Advice {
+    fn schedule_retry(&mut self, now: u64, entry: &Entry) -> RetryAfter {
         let tenant = entry.arrival.tenant;
-        let Some(longest_ns) = self.longest_ns.filter(|_| self.settings.order == Order::Fair) else {
-            return Advice { after_ns: self.longest_ns.unwrap_or(SOONEST_NS), promised: false };
+        let Some(max_retry_after_ns) = self.max_retry_after_ns.filter(|_| self.settings.order == Order::Fair)
+        else {
+            return RetryAfter {
+                after_ns: self.max_retry_after_ns.unwrap_or(MIN_RETRY_AFTER_NS),
+                reserved: false,
+            };
         };
-        let likely = self.room.limit(entry.kind) >= self.room.greatest() * PROMISED_KINDS;
-        let share = self.share(now, tenant);
-        let threads = self.room.served();
-        let at = likely
+        let reservable = self.concurrency_limit.limit(entry.kind)
+            >= self.concurrency_limit.max_limit() * MIN_RESERVABLE_LIMIT_RATIO;
+        let share = self.tenant_share(now, tenant);
+        let threads = self.concurrency_limit.estimated_capacity();
+        let at = reservable
             .then(|| {
                 let (flow, cost) = (entry.flow, entry.cost);
-                let promise = Promise { flow, tenant, at_ns: 0, cost, said: entry.said };
-                self.calendar.promise(now, promise, threads, share.min(1.0), [SOONEST_NS, longest_ns])
+                let reservation =
+                    Reservation { flow, tenant, at_ns: 0, cost, estimated_cost: entry.estimated_cost };
+                self.calendar.reserve(
+                    now,
+                    reservation,
+                    threads,
+                    share.min(1.0),
+                    [MIN_RETRY_AFTER_NS, max_retry_after_ns],
+                )
             })
             .flatten();
         let counters = &mut self.tenants[tenant].counters;
         match at {
             Some(at) => {
-                counters.promised += 1;
-                Advice { after_ns: at.saturating_sub(now), promised: true }
+                counters.reservations += 1;
+                RetryAfter { after_ns: at.saturating_sub(now), reserved: true }
             }
             None => {
-                counters.unpromised += 1;
-                Advice { after_ns: longest_ns, promised: false }
+                counters.unreserved += 1;
+                RetryAfter { after_ns: max_retry_after_ns, reserved: false }
             }
         }
     }
 
     /// The client of a request waits no longer. True where the request stood at the door: the module never saw it.
-    pub fn leave(&mut self, now: u64, id: u64) -> bool {
+    pub fn cancel(&mut self, now: u64, id: u64) -> bool {
         let Some(&key) = self.by_id.get(&id) else { return false };
-        if matches!(self.entries[key].stand, Stand::Shown { .. }) {
-            self.over(now, id, None);
+        if matches!(self.entries[key].state, EntryState::Submitted { .. }) {
+            self.finished(now, id, None);
             return false;
         }
-        self.unqueue(key);
-        let entry = self.forget(key);
-        self.tenants[entry.arrival.tenant].counters.left += 1;
+        self.remove_from_queue(key);
+        let entry = self.remove_entry(key);
+        self.tenants[entry.arrival.tenant].counters.client_left += 1;
         true
     }
 
@@ -531,92 +557,95 @@
     }
 
     /// What is to be done next; to be called until there is nothing more.
-    pub fn open(&mut self, now: u64) -> Option<Verdict> {
-        while let Some(Promise { tenant, .. }) = self.calendar.expire(now) {
-            self.tenants[tenant].counters.expired += 1;
+    pub fn open(&mut self, now: u64) -> Option<QueueAction> {
+        while let Some(Reservation { tenant, .. }) = self.calendar.expire(now) {
+            self.tenants[tenant].counters.expired_reservations += 1;
         }
         while let Some(key) = self.timers.expire(now) {
             self.entries[key].timer = None;
-            self.time_out(now, key);
+            self.handle_timer(now, key);
         }
-        if let Some(verdict) = self.verdicts.pop_front() {
-            return Some(verdict);
+        if let Some(queue_action) = self.pending_actions.pop_front() {
+            return Some(queue_action);
         }
         if self.blocked {
-            self.room.wait(now);
+            self.concurrency_limit.record_wait(now);
             return None;
         }
-        let next = self.next(now);
+        let next = self.select_next(now);
         self.blocked = next.is_none() && self.queued > 0;
-        next.map(|key| self.show(now, key))
+        next.map(|key| self.submit(now, key))
     }
 
     /// Takes the wait of one of a lane's.
-    fn waited(&mut self, now: u64, lane: usize, wait: u64) {
-        let (rate, stale_ns) = (self.rate(lane), self.settings.stale_ms * 1_000_000);
-        self.tenants[lane].waited(now, wait, rate, stale_ns);
+    fn record_wait(&mut self, now: u64, lane: usize, wait: u64) {
+        let (rate, stale_ns) = (self.lane_capacity(lane), self.settings.stale_ms * 1_000_000);
+        self.tenants[lane].record_wait(now, wait, rate, stale_ns);
     }
 
     /// A queued request's time is over, or it has become stale.
-    fn time_out(&mut self, now: u64, key: usize) {
+    fn handle_timer(&mut self, now: u64, key: usize) {
         let entry = &self.entries[key];
-        let latest = latest_ns(entry.came_ns, &entry.arrival);
+        let latest_start = latest_start_ns(entry.arrived_ns, &entry.arrival);
         let lane = self.lane(entry.arrival.tenant);
         // The wheel's ticks are coarser than times: what is due within its tick is due now.
-        if latest.saturating_sub(now) > 2_000_000 {
-            let wait = now.saturating_sub(entry.came_ns);
-            self.waited(now, lane, wait);
+        if latest_start.saturating_sub(now) > 2_000_000 {
+            let wait = now.saturating_sub(entry.arrived_ns);
+            self.record_wait(now, lane, wait);
             if !self.tenants[lane].standing || self.settings.order == Order::Fifo {
-                self.entries[key].timer = Some(self.timers.insert(latest, key));
+                self.entries[key].timer = Some(self.timers.insert(latest_start, key));
                 return;
             }
             self.tenants[self.entries[key].arrival.tenant].counters.stale += 1;
         } else {
-            self.tenants[self.entries[key].arrival.tenant].counters.hopeless += 1;
+            self.tenants[self.entries[key].arrival.tenant].counters.too_late += 1;
         }
         self.refuse(now, key);
     }
 
     /// The entry that is shown next: those who came back as told first, then by turns, passing over what does not
     /// fit yet.
-    fn next(&mut self, now: u64) -> Option<usize> {
-        let mut returned = false;
-        for lane in self.turns.in_order() {
-            let Some(key) = self.tenants[lane].returned.oldest() else { continue };
+    fn select_next(&mut self, now: u64) -> Option<usize> {
+        let mut reserved_waiting = false;
+        for lane in self.scheduler.by_start_tag() {
+            let Some(key) = self.tenants[lane].reserved_queue.oldest() else { continue };
             let e = &self.entries[key];
-            if self.room.fits(now, e.kind, e.arrival.threads, Surety::Promised) {
+            if self.concurrency_limit.fits(now, e.kind, e.arrival.threads, AdmissionConfidence::Reserved) {
                 return Some(key);
             }
-            returned = true;
+            reserved_waiting = true;
         }
-        if returned {
+        if reserved_waiting {
             // Whoever was promised room is next: nobody else takes it meanwhile.
             return None;
         }
-        let passing = PASSING_NS * self.room.served().max(1.0);
-        let past = |turns: &StartTime, first: &mut f64, flow: usize| {
-            *first = first.min(turns.tag(flow));
-            turns.tag(flow) > *first + passing / turns.weight(flow)
+        let allowance = BYPASS_ALLOWANCE_NS * self.concurrency_limit.estimated_capacity().max(1.0);
+        let exceeds_bypass = |scheduler: &StartTimeFairQueue, first: &mut f64, flow: usize| {
+            *first = first.min(scheduler.start_tag(flow));
+            scheduler.start_tag(flow) > *first + allowance / scheduler.weight(flow)
         };
         let mut first_lane = f64::INFINITY;
-        for lane in self.turns.in_order() {
-            if past(&self.turns, &mut first_lane, lane) {
+        for lane in self.scheduler.by_start_tag() {
+            if exceeds_bypass(&self.scheduler, &mut first_lane, lane) {
                 return None;
             }
             let tenant = &self.tenants[lane];
             // Who wants no more than its part has no share in finding out where the limit is.
-            let sure = !tenant.standing && self.settings.order == Order::Fair;
-            let surety = if sure { Surety::Clear } else { Surety::Any };
+            let below_limit = !tenant.standing && self.settings.order == Order::Fair;
+            let confidence =
+                if below_limit { AdmissionConfidence::BelowLimit } else { AdmissionConfidence::AtLimit };
             let mut first_queue = f64::INFINITY;
             let standing = tenant.standing && self.settings.order == Order::Fair;
-            for queue in tenant.turns.in_order().take(LOOK) {
-                if past(&tenant.turns, &mut first_queue, queue) {
+            for queue in tenant.scheduler.by_start_tag().take(MAX_QUEUES_SCANNED) {
+                if exceeds_bypass(&tenant.scheduler, &mut first_queue, queue) {
                     break;
                 }
                 let queue = &tenant.queues[queue];
-                let Some(key) = (if standing { self.best(queue) } else { queue.oldest() }) else { continue };
+                let Some(key) = (if standing { self.best_of_newest(queue) } else { queue.oldest() }) else {
+                    continue;
+                };
                 let e = &self.entries[key];
-                if self.room.fits(now, e.kind, e.arrival.threads, surety) {
+                if self.concurrency_limit.fits(now, e.kind, e.arrival.threads, confidence) {
                     return Some(key);
                 }
             }
@@ -626,34 +655,37 @@
 
     /// Behind a queue that does not empty: of its newest few, which can still be met in time, the one with the most
     /// worth for what it holds. Not all can be served, and the heavy are worth no more than the light of their class.
-    fn best(&self, queue: &Queue) -> Option<usize> {
+    fn best_of_newest(&self, queue: &Queue) -> Option<usize> {
         let worth = |key: &usize| self.entries[*key].arrival.worth / self.entries[*key].cost.max(1.0);
-        queue.from_newest(&self.entries).take(NEWEST).min_by(|a, b| worth(b).total_cmp(&worth(a)))
+        queue
+            .iter_from_newest(&self.entries)
+            .take(MAX_NEWEST_SCANNED)
+            .min_by(|a, b| worth(b).total_cmp(&worth(a)))
     }
 
-    fn show(&mut self, now: u64, key: usize) -> Verdict {
-        let stand = self.entries[key].stand;
+    fn submit(&mut self, now: u64, key: usize) -> QueueAction {
+        let state = self.entries[key].state;
         let e = &self.entries[key];
-        let (own, cost, threads, wait) =
-            (e.arrival.tenant, e.cost, e.arrival.threads, now.saturating_sub(e.came_ns));
-        let lane = self.lane(own);
+        let (own_tenant, cost, threads, wait) =
+            (e.arrival.tenant, e.cost, e.arrival.threads, now.saturating_sub(e.arrived_ns));
+        let lane = self.lane(own_tenant);
         let queue = e.queue;
-        self.turns.charge(lane, cost, 0.0);
-        self.tenants[lane].turns.charge(queue, cost, 0.0);
-        if stand == Stand::Queued {
-            self.waited(now, lane, wait);
+        self.scheduler.charge(lane, cost, 0.0);
+        self.tenants[lane].scheduler.charge(queue, cost, 0.0);
+        if state == EntryState::Queued {
+            self.record_wait(now, lane, wait);
         }
-        self.unqueue(key);
-        self.room.take(threads);
-        self.entries[key].stand = Stand::Shown { at_ns: now, charged: cost };
-        let counters = &mut self.tenants[own].counters;
-        counters.shown += 1;
+        self.remove_from_queue(key);
+        self.concurrency_limit.acquire(threads);
+        self.entries[key].state = EntryState::Submitted { at_ns: now, charged: cost };
+        let counters = &mut self.tenants[own_tenant].counters;
+        counters.submitted += 1;
         if wait > 0 {
             counters.waited += 1;
             counters.waited_ns += wait;
-            counters.longest_ns = counters.longest_ns.max(wait);
+            counters.max_wait_ns = counters.max_wait_ns.max(wait);
         }
-        Verdict::Show(self.entries[key].arrival.id)
+        QueueAction::Submit(self.entries[key].arrival.id)
     }
 
     // ---- What the module says -------------------------------------------------------------------------------
@@ -663,75 +695,77 @@
         let Some(e) = self.by_id.get(&id).map(|key| &self.entries[*key]) else { return };
         let waited = self.queued > 0;
         self.blocked = false;
-        self.room.taken(now, e.kind, e.arrival.threads, waited);
+        self.concurrency_limit.accepted(now, e.kind, e.arrival.threads, waited);
     }
 
     /// The module refused a shown request: gives when its client should come back. Where it was sent before, it
     /// was refused for another reason than want of room.
-    pub fn refused(&mut self, now: u64, id: u64, sent: bool) -> Option<Advice> {
+    pub fn refused(&mut self, now: u64, id: u64, sent: bool) -> Option<RetryAfter> {
         let key = *self.by_id.get(&id)?;
         if sent {
             let entry = self.entries[key].clone();
-            self.over(now, id, Some(false));
-            return Some(self.advise(now, &entry));
+            self.finished(now, id, Some(false));
+            return Some(self.schedule_retry(now, &entry));
         }
-        let entry = self.forget(key);
-        let Stand::Shown { charged, .. } = entry.stand else { return None };
-        self.room.refused(now, entry.kind, entry.arrival.threads);
-        self.recharge(&entry, -charged);
+        let entry = self.remove_entry(key);
+        let EntryState::Submitted { charged, .. } = entry.state else { return None };
+        self.concurrency_limit.refused(now, entry.kind, entry.arrival.threads);
+        self.correct_charge(&entry, -charged);
         let counters = &mut self.tenants[entry.arrival.tenant].counters;
-        counters.turned_down += 1;
-        counters.broken += u64::from(entry.promised);
-        Some(self.advise(now, &entry))
+        counters.refused_by_module += 1;
+        counters.claims_failed += u64::from(entry.reserved);
+        Some(self.schedule_retry(now, &entry))
     }
 
     /// A shown request is over: served or not, or, where nothing is given, of no interest to anybody any more. What
     /// it held corrects what its flow was charged.
-    pub fn over(&mut self, now: u64, id: u64, served: Option<bool>) {
+    pub fn finished(&mut self, now: u64, id: u64, served: Option<bool>) {
         let Some(&key) = self.by_id.get(&id) else { return };
-        let Stand::Shown { at_ns, charged } = self.entries[key].stand else { return };
-        let entry = self.forget(key);
+        let EntryState::Submitted { at_ns, charged } = self.entries[key].state else { return };
+        let entry = self.remove_entry(key);
         let threads = entry.arrival.threads;
-        self.room.over(threads);
-        let held = now.saturating_sub(at_ns) as f64 * threads;
-        self.recharge(&entry, held - charged);
+        self.concurrency_limit.release(threads);
+        let thread_ns = now.saturating_sub(at_ns) as f64 * threads;
+        self.correct_charge(&entry, thread_ns - charged);
         let class = &mut self.classes[entry.arrival.class];
         if served == Some(true) {
             // The median, found by steps: guards against a figure that is made by few who say next to nothing.
-            let longer = held > entry.arrival.need_ns * class.held;
+            let longer = thread_ns > entry.arrival.need_ns * class.usage_ratio;
             let step = if longer { MEDIAN_STEP } else { 1.0 / MEDIAN_STEP };
-            class.held = (class.held * step).clamp(HELD[0], HELD[1]);
+            class.usage_ratio =
+                (class.usage_ratio * step).clamp(USAGE_RATIO_BOUNDS[0], USAGE_RATIO_BOUNDS[1]);
         }
-        let expected = (entry.arrival.need_ns * class.held).max(1.0);
+        let expected = (entry.arrival.need_ns * class.usage_ratio).max(1.0);
         let lane = self.lane(entry.arrival.tenant);
         if let Some(queue) = self.tenants[lane].queues.get_mut(entry.queue) {
-            let truth = (held / expected).clamp(TRUTH[0], TRUTH[1]);
-            queue.truth = blend(queue.truth, truth, 4.0 * LEARN).clamp(TRUTH[0], TRUTH[1]);
+            let ratio = (thread_ns / expected).clamp(COST_RATIO_BOUNDS[0], COST_RATIO_BOUNDS[1]);
+            queue.cost_ratio = moving_average(queue.cost_ratio, ratio, 4.0 * AVERAGING_WEIGHT)
+                .clamp(COST_RATIO_BOUNDS[0], COST_RATIO_BOUNDS[1]);
         }
-        self.heavy.add(entry.flow, (held - entry.cost).max(0.0));
-        if let (true, Some(served)) = (entry.promised, served) {
+        self.heavy_hitters.add(entry.flow, (thread_ns - entry.cost).max(0.0));
+        if let (true, Some(served)) = (entry.reserved, served) {
             let counters = &mut self.tenants[entry.arrival.tenant].counters;
-            counters.kept += u64::from(served);
-            counters.broken += u64::from(!served);
+            counters.claims_served += u64::from(served);
+            counters.claims_failed += u64::from(!served);
         }
     }
 
-    fn recharge(&mut self, entry: &Entry, delta: f64) {
+    fn correct_charge(&mut self, entry: &Entry, delta: f64) {
         let lane = self.lane(entry.arrival.tenant);
-        self.turns.correct(lane, delta);
-        self.tenants[lane].turns.correct(entry.queue, delta);
+        self.scheduler.correct(lane, delta);
+        self.tenants[lane].scheduler.correct(entry.queue, delta);
     }
 }
 
 /// The last moment at which a request can still begin: alone on its threads it would just be in time, for when its
 /// answer is wanted, or where that can't be met from the start, for when its client gives up.
-fn latest_ns(came_ns: u64, arrival: &Arrival) -> u64 {
+fn latest_start_ns(arrived_ns: u64, arrival: &Arrival) -> u64 {
     let alone = (arrival.need_ns / arrival.threads.max(1.0)) as u64;
-    let wanted = arrival.wanted_ns.saturating_sub(alone);
+    let wanted = arrival.target_end_ns.saturating_sub(alone);
     let last = arrival.expires_ns.saturating_sub(alone);
-    if wanted > came_ns {
+    if wanted > arrived_ns {
         wanted.min(last)
     } else {
-        last.max(came_ns)
+        last.max(arrived_ns)
     }
 }
--- a/crates/fair-queue/src/queues.rs
+++ b/crates/fair-queue/src/queues.rs
@@ -2,21 +2,21 @@
 
 use slab::Slab;
 
-use crate::room::Kind;
-use crate::wheel::Key;
+use crate::concurrency_limit::RequestKind;
+use crate::wheel::TimerKey;
 use crate::Arrival;
 
 const NONE: u32 = u32::MAX;
 
 /// Where an entry stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Stand {
+pub enum EntryState {
     /// In its queue.
     Queued,
     /// Among those who came back as they were told.
-    Returned,
+    Reserved,
     /// The module has it: since when, and what its flow was charged.
-    Shown {
+    Submitted {
         /// Since when (ns).
         at_ns: u64,
         /// Charged (thread-nanoseconds).
@@ -34,39 +34,39 @@
     /// Its queue within its tenant's lane.
     pub queue: usize,
     /// Its kind.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// What it is expected to hold (thread-nanoseconds).
     pub cost: f64,
     /// The same by its own word.
-    pub said: f64,
+    pub estimated_cost: f64,
     /// When it came (ns).
-    pub came_ns: u64,
+    pub arrived_ns: u64,
     /// It claims a promise.
-    pub promised: bool,
+    pub reserved: bool,
     /// Where it stands.
-    pub stand: Stand,
+    pub state: EntryState,
     /// Its timer, while it waits.
-    pub timer: Option<Key>,
-    before: u32,
-    after: u32,
+    pub timer: Option<TimerKey>,
+    prev: u32,
+    next: u32,
 }
 
 impl Entry {
     /// One that stands in no list yet.
-    pub fn new(arrival: Arrival, flow: u64, kind: Kind, cost: f64, came_ns: u64) -> Self {
+    pub fn new(arrival: Arrival, flow: u64, kind: RequestKind, cost: f64, arrived_ns: u64) -> Self {
         Entry {
             arrival,
             flow,
             queue: 0,
             kind,
             cost,
-            said: cost,
-            came_ns,
-            promised: false,
-            stand: Stand::Returned,
+            estimated_cost: cost,
+            arrived_ns,
+            reserved: false,
+            state: EntryState::Reserved,
             timer: None,
-            before: NONE,
-            after: NONE,
+            prev: NONE,
+            next: NONE,
         }
     }
 }
@@ -81,12 +81,12 @@
     /// What they are expected to hold in all.
     pub backlog: f64,
     /// What its flows held over what was expected of them, of late.
-    pub truth: f64,
+    pub cost_ratio: f64,
 }
 
 impl Default for Queue {
     fn default() -> Self {
-        Queue { head: NONE, tail: NONE, count: 0, backlog: 0.0, truth: 1.0 }
+        Queue { head: NONE, tail: NONE, count: 0, backlog: 0.0, cost_ratio: 1.0 }
     }
 }
 
@@ -102,33 +102,33 @@
     }
 
     /// Its entries, the newest first.
-    pub fn from_newest<'a>(&self, entries: &'a Slab<Entry>) -> impl Iterator<Item = usize> + 'a {
-        let before = |key: &u32| Some(entries[*key as usize].before).filter(|b| *b != NONE);
-        std::iter::successors(Some(self.tail).filter(|t| *t != NONE), before).map(|key| key as usize)
+    pub fn iter_from_newest<'a>(&self, entries: &'a Slab<Entry>) -> impl Iterator<Item = usize> + 'a {
+        let prev = |key: &u32| Some(entries[*key as usize].prev).filter(|b| *b != NONE);
+        std::iter::successors(Some(self.tail).filter(|t| *t != NONE), prev).map(|key| key as usize)
     }
 
     /// Adds an entry as the newest.
     pub fn push(&mut self, entries: &mut Slab<Entry>, key: usize) {
         let entry = &mut entries[key];
-        (entry.before, entry.after) = (self.tail, NONE);
+        (entry.prev, entry.next) = (self.tail, NONE);
         self.count += 1;
         self.backlog += entry.cost;
         match std::mem::replace(&mut self.tail, key as u32) {
             NONE => self.head = key as u32,
-            before => entries[before as usize].after = key as u32,
+            prev => entries[prev as usize].next = key as u32,
         }
     }
 
     /// Takes an entry out, wherever in the list it is.
     pub fn remove(&mut self, entries: &mut Slab<Entry>, key: usize) {
-        let (before, after, cost) = (entries[key].before, entries[key].after, entries[key].cost);
-        match before {
-            NONE => self.head = after,
-            before => entries[before as usize].after = after,
+        let (prev, next, cost) = (entries[key].prev, entries[key].next, entries[key].cost);
+        match prev {
+            NONE => self.head = next,
+            prev => entries[prev as usize].next = next,
         }
-        match after {
-            NONE => self.tail = before,
-            after => entries[after as usize].before = before,
+        match next {
+            NONE => self.tail = prev,
+            next => entries[next as usize].prev = prev,
         }
         self.count -= 1;
         self.backlog = if self.count == 0 { 0.0 } else { (self.backlog - cost).max(0.0) };
--- a/crates/fair-queue/src/settings.rs
+++ b/crates/fair-queue/src/settings.rs
@@ -20,7 +20,7 @@
 /// What names a client within its tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Who {
+pub enum ClientKey {
     /// The address that it connects from.
     #[default]
     Peer,
@@ -35,44 +35,47 @@
 /// The door's own file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct DoorSettings {
+pub struct FairQueueConfig {
     /// How to divide.
     pub order: Order,
     /// What names a client.
-    pub client: Who,
+    pub client: ClientKey,
     /// Weights by tenant; one that is not named has that of its allowance.
     pub weights: BTreeMap<String, f64>,
     /// Queues of a tenant (count), over which its clients are spread.
     pub queues: usize,
     /// Queues that one client may use (count).
-    pub hand: usize,
+    #[serde(rename = "hand")]
+    pub hand_size: usize,
     /// Requests that may be queued in all (count).
     pub queued: usize,
     /// Promises that may be out in all (count).
-    pub promises: usize,
+    #[serde(rename = "promises")]
+    pub max_reservations: usize,
     /// Time for which a promise may be claimed (ms).
-    pub window_ms: u64,
+    #[serde(rename = "window_ms")]
+    pub reservation_window_ms: u64,
     /// Wait past which a request is stale while its tenant's queues do not empty (ms).
     pub stale_ms: u64,
 }
 
-impl Default for DoorSettings {
+impl Default for FairQueueConfig {
     fn default() -> Self {
-        DoorSettings {
+        FairQueueConfig {
             order: Order::Fair,
-            client: Who::Peer,
+            client: ClientKey::Peer,
             weights: BTreeMap::new(),
             queues: 64,
-            hand: 4,
+            hand_size: 4,
             queued: 2_000,
-            promises: 4_096,
-            window_ms: 500,
+            max_reservations: 4_096,
+            reservation_window_ms: 500,
             stale_ms: 400,
         }
     }
 }
 
-impl DoorSettings {
+impl FairQueueConfig {
     /// What is wrong with it, where something is; every figure has bounds, as memory is taken by them.
     pub fn fault(&self) -> Option<String> {
         let within = |name: &str, value: usize, least: usize, most: usize| {
@@ -84,10 +87,10 @@
                 .then(|| format!("door: the weight of {name} is {w}, not above 0 and up to 1000000"))
         };
         within("queues", self.queues, 1, 1_024)
-            .or_else(|| within("hand", self.hand, 1, self.queues.min(16)))
+            .or_else(|| within("hand", self.hand_size, 1, self.queues.min(16)))
             .or_else(|| within("queued", self.queued, 1, 100_000))
-            .or_else(|| within("promises", self.promises, 0, 100_000))
-            .or_else(|| within("window_ms", self.window_ms as usize, 50, 60_000))
+            .or_else(|| within("promises", self.max_reservations, 0, 100_000))
+            .or_else(|| within("window_ms", self.reservation_window_ms as usize, 50, 60_000))
             .or_else(|| within("stale_ms", self.stale_ms as usize, 1, 60_000))
             .or_else(|| self.weights.iter().find_map(weight))
     }
@@ -96,14 +99,14 @@
 /// Numbers for clients' names: keyed by the process's seed (SipHash-1-3, Aumasson and Bernstein, 2012), so that
 /// nobody can choose a name that shares another's queues.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Identity {
+pub struct ClientHasher {
     seed: u64,
 }
 
-impl Identity {
+impl ClientHasher {
     /// Keyed by this seed.
     pub fn new(seed: u64) -> Self {
-        Identity { seed }
+        ClientHasher { seed }
     }
 
     /// The number of a name.
@@ -124,7 +127,7 @@
 
 /// The queues that a flow may use: a hand dealt from all of them without replacement (shuffle sharding, as in
 /// Kubernetes' API priority and fairness), so that a flow which fills its own shares all of them with few others.
-pub fn hand(flow: u64, queues: usize, count: usize) -> impl Iterator<Item = usize> {
+pub fn shuffle_shard(flow: u64, queues: usize, count: usize) -> impl Iterator<Item = usize> {
     let mut sorted = [usize::MAX; 16];
     let mut rest = flow;
     (0..count.min(queues).min(16)).map(move |i| {
--- a/crates/fair-queue/src/sketch.rs
+++ b/crates/fair-queue/src/sketch.rs
@@ -8,48 +8,48 @@
 use rustc_hash::FxHashMap;
 
 #[derive(Clone, Copy, Debug)]
-struct Place {
-    who: u64,
+struct Counter {
+    key: u64,
     weight: f64,
     error: f64,
 }
 
 /// The heaviest identities of a stream.
 #[derive(Debug)]
-pub struct Heavy {
+pub struct HeavyHitters {
     /// A binary heap with the lightest first.
-    heap: Vec<Place>,
-    at: FxHashMap<u64, usize>,
-    most: usize,
+    heap: Vec<Counter>,
+    index_by_key: FxHashMap<u64, usize>,
+    capacity: usize,
     total: f64,
 }
 
 /// An identity that the sketch holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Held {
+pub struct Estimate {
     /// Who.
-    pub who: u64,
+    pub key: u64,
     /// Its weight is no higher than this.
-    pub most: f64,
+    pub upper_bound: f64,
     /// And no lower than this.
-    pub least: f64,
+    pub lower_bound: f64,
 }
 
-impl Heavy {
+impl HeavyHitters {
     /// A sketch of so many places.
-    pub fn new(places: usize) -> Self {
-        let most = places.max(1);
-        Heavy {
-            heap: Vec::with_capacity(most),
-            at: FxHashMap::with_capacity_and_hasher(most, Default::default()),
-            most,
+    pub fn new(capacity: usize) -> Self {
+        let capacity = capacity.max(1);
+        HeavyHitters {
+            heap: Vec::with_capacity(capacity),
+            index_by_key: FxHashMap::with_capacity_and_hasher(capacity, Default::default()),
+            capacity,
             total: 0.0,
         }
     }
 
     /// Bytes taken from the heap.
     pub fn bytes(&self) -> usize {
-        self.heap.capacity() * std::mem::size_of::<Place>() + self.at.capacity() * 2 * 16
+        self.heap.capacity() * std::mem::size_of::<Counter>() + self.index_by_key.capacity() * 2 * 16
     }
 
     /// The weight of the whole stream.
@@ -58,77 +58,81 @@
     }
 
     /// Adds to an identity's weight.
-    pub fn add(&mut self, who: u64, weight: f64) {
+    pub fn add(&mut self, key: u64, weight: f64) {
         self.total += weight;
-        if let Some(&at) = self.at.get(&who) {
-            self.heap[at].weight += weight;
-            self.down(at);
-        } else if self.heap.len() < self.most {
-            self.heap.push(Place { who, weight, error: 0.0 });
-            self.at.insert(who, self.heap.len() - 1);
-            self.up(self.heap.len() - 1);
+        if let Some(&index) = self.index_by_key.get(&key) {
+            self.heap[index].weight += weight;
+            self.sift_down(index);
+        } else if self.heap.len() < self.capacity {
+            self.heap.push(Counter { key, weight, error: 0.0 });
+            self.index_by_key.insert(key, self.heap.len() - 1);
+            self.sift_up(self.heap.len() - 1);
         } else {
             let first = self.heap[0];
-            self.at.remove(&first.who);
-            self.heap[0] = Place { who, weight: first.weight + weight, error: first.weight };
-            self.at.insert(who, 0);
-            self.down(0);
+            self.index_by_key.remove(&first.key);
+            self.heap[0] = Counter { key, weight: first.weight + weight, error: first.weight };
+            self.index_by_key.insert(key, 0);
+            self.sift_down(0);
         }
     }
 
     /// Halves all weights.
     pub fn halve(&mut self) {
         self.total /= 2.0;
-        for place in &mut self.heap {
-            place.weight /= 2.0;
-            place.error /= 2.0;
+        for counter in &mut self.heap {
+            counter.weight /= 2.0;
+            counter.error /= 2.0;
         }
     }
 
     /// The bounds of one identity's weight, where it is held.
-    pub fn get(&self, who: u64) -> Option<Held> {
-        self.at.get(&who).map(|at| Self::held(&self.heap[*at]))
+    pub fn get(&self, key: u64) -> Option<Estimate> {
+        self.index_by_key.get(&key).map(|index| Self::estimate(&self.heap[*index]))
     }
 
     /// Those held, the heaviest first.
-    pub fn top(&self) -> Vec<Held> {
-        let mut all: Vec<Held> = self.heap.iter().map(Self::held).collect();
-        all.sort_by(|a, b| b.most.total_cmp(&a.most).then(a.who.cmp(&b.who)));
+    pub fn top(&self) -> Vec<Estimate> {
+        let mut all: Vec<Estimate> = self.heap.iter().map(Self::estimate).collect();
+        all.sort_by(|a, b| b.upper_bound.total_cmp(&a.upper_bound).then(a.key.cmp(&b.key)));
         all
     }
 
-    fn held(place: &Place) -> Held {
-        Held { who: place.who, most: place.weight, least: place.weight - place.error }
+    fn estimate(counter: &Counter) -> Estimate {
+        Estimate {
+            key: counter.key,
+            upper_bound: counter.weight,
+            lower_bound: counter.weight - counter.error,
+        }
     }
 
     /// Puts a place where it belongs, from `at` up or down; what it passes moves by one.
-    fn up(&mut self, mut at: usize) {
-        let place = self.heap[at];
-        while at > 0 && place.weight < self.heap[(at - 1) / 2].weight {
-            self.put(at, self.heap[(at - 1) / 2]);
-            at = (at - 1) / 2;
+    fn sift_up(&mut self, mut index: usize) {
+        let counter = self.heap[index];
+        while index > 0 && counter.weight < self.heap[(index - 1) / 2].weight {
+            self.set(index, self.heap[(index - 1) / 2]);
+            index = (index - 1) / 2;
         }
-        self.put(at, place);
+        self.set(index, counter);
     }
 
-    fn down(&mut self, mut at: usize) {
-        let place = self.heap[at];
+    fn sift_down(&mut self, mut index: usize) {
+        let counter = self.heap[index];
         loop {
-            let (left, right) = (2 * at + 1, 2 * at + 2);
+            let (left, right) = (2 * index + 1, 2 * index + 2);
             let Some(first) = self.heap.get(left) else { break };
-            let least =
+            let lighter =
                 if self.heap.get(right).is_some_and(|r| r.weight < first.weight) { right } else { left };
-            if self.heap[least].weight >= place.weight {
+            if self.heap[lighter].weight >= counter.weight {
                 break;
             }
-            self.put(at, self.heap[least]);
-            at = least;
+            self.set(index, self.heap[lighter]);
+            index = lighter;
         }
-        self.put(at, place);
+        self.set(index, counter);
     }
 
-    fn put(&mut self, at: usize, place: Place) {
-        self.heap[at] = place;
-        self.at.insert(place.who, at);
+    fn set(&mut self, index: usize, counter: Counter) {
+        self.heap[index] = counter;
+        self.index_by_key.insert(counter.key, index);
     }
 }
--- a/crates/fair-queue/tests/common/mod.rs
+++ b/crates/fair-queue/tests/common/mod.rs
@@ -4,8 +4,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use marljunction_fair_queue::settings::DoorSettings;
-use marljunction_fair_queue::{Advice, Arrival, Door, Site, Verdict};
+use marljunction_fair_queue::settings::FairQueueConfig;
+use marljunction_fair_queue::{Arrival, FairQueue, FairQueueParams, QueueAction, RetryAfter};
 
 pub const MS: u64 = 1_000_000;
 pub const S: u64 = 1_000 * MS;
@@ -16,62 +16,62 @@
 pub enum End {
     Served,
     /// By the door, or by the module once it was shown.
-    Refused(Advice),
+    Refused(RetryAfter),
 }
 
-pub struct World {
-    pub door: Door,
+pub struct Simulation {
+    pub fair_queue: FairQueue,
     pub now: u64,
     /// Threads that the module takes at once.
     pub capacity: f64,
     pub used: f64,
     running: BTreeMap<(u64, u64), f64>,
-    holds: HashMap<u64, (u64, f64)>,
+    service_times: HashMap<u64, (u64, f64)>,
     next: u64,
     /// Each request's end and when it came.
     pub ends: HashMap<u64, (u64, End)>,
     /// The order in which requests were shown.
-    pub shown: Vec<u64>,
+    pub submitted: Vec<u64>,
 }
 
-impl World {
-    pub fn new(weights: &[f64], capacity: f64, settings: DoorSettings) -> World {
-        let site = Site {
+impl Simulation {
+    pub fn new(weights: &[f64], capacity: f64, settings: FairQueueConfig) -> Simulation {
+        let params = FairQueueParams {
             weights: weights.to_vec(),
             classes: 2,
-            longest_ns: Some(2 * S),
-            bytes_most: 64 << 20,
+            max_retry_after_ns: Some(2 * S),
+            max_queued_bytes: 64 << 20,
             seed: 7,
         };
-        World {
-            door: Door::new(T0, settings, site),
+        Simulation {
+            fair_queue: FairQueue::new(T0, settings, params),
             now: T0,
             capacity,
             used: 0.0,
             running: BTreeMap::new(),
-            holds: HashMap::new(),
+            service_times: HashMap::new(),
             next: 0,
             ends: HashMap::new(),
-            shown: Vec::new(),
+            submitted: Vec::new(),
         }
     }
 
     /// A request that says it needs `said_ms` and holds one thread for `holds_ms`; wanted within a second.
-    pub fn arrive(&mut self, tenant: usize, client: u64, said_ms: u64, holds_ms: u64) -> u64 {
-        self.arrive_for(tenant, client, said_ms, holds_ms, 1_000)
+    pub fn enqueue(&mut self, tenant: usize, client: u64, estimate_ms: u64, service_ms: u64) -> u64 {
+        self.enqueue_within(tenant, client, estimate_ms, service_ms, 1_000)
     }
 
-    pub fn arrive_for(
+    pub fn enqueue_within(
         &mut self,
         tenant: usize,
         client: u64,
-        said_ms: u64,
-        holds_ms: u64,
-        wanted: u64,
+        estimate_ms: u64,
+        service_ms: u64,
+        target_ms: u64,
     ) -> u64 {
         self.next += 1;
-        self.holds.insert(self.next, (holds_ms * MS, 1.0));
-        self.door.arrive(
+        self.service_times.insert(self.next, (service_ms * MS, 1.0));
+        self.fair_queue.enqueue(
             self.now,
             Arrival {
                 id: self.next,
@@ -80,9 +80,9 @@
                 class: 0,
                 threads: 1.0,
                 worth: 1.0,
-                need_ns: (said_ms * MS) as f64,
-                wanted_ns: self.now + wanted * MS,
-                expires_ns: self.now + 6 * wanted * MS,
+                need_ns: (estimate_ms * MS) as f64,
+                target_end_ns: self.now + target_ms * MS,
+                expires_ns: self.now + 6 * target_ms * MS,
                 bytes: 100,
             },
         );
@@ -90,20 +90,20 @@
     }
 
     /// Carries out what the door says, as the core does.
-    pub fn pump(&mut self) {
-        while let Some(verdict) = self.door.open(self.now) {
-            match verdict {
-                Verdict::Refuse(id, advice) => self.end(id, End::Refused(advice)),
-                Verdict::Show(id) => {
-                    self.shown.push(id);
-                    let (holds, threads) = self.holds[&id];
+    pub fn run_actions(&mut self) {
+        while let Some(queue_action) = self.fair_queue.open(self.now) {
+            match queue_action {
+                QueueAction::Refuse(id, retry_after) => self.end(id, End::Refused(retry_after)),
+                QueueAction::Submit(id) => {
+                    self.submitted.push(id);
+                    let (service_times, threads) = self.service_times[&id];
                     if self.used + threads > self.capacity {
-                        let advice = self.door.refused(self.now, id, false).expect("advice");
-                        self.end(id, End::Refused(advice));
+                        let retry_after = self.fair_queue.refused(self.now, id, false).expect("advice");
+                        self.end(id, End::Refused(retry_after));
                     } else {
                         self.used += threads;
-                        self.running.insert((self.now + holds, id), threads);
-                        self.door.accepted(self.now, id);
+                        self.running.insert((self.now + service_times, id), threads);
+                        self.fair_queue.accepted(self.now, id);
                     }
                 }
             }
@@ -116,12 +116,12 @@
     }
 
     /// Passes time until `to`, with a step at each thing that happens.
-    pub fn pass(&mut self, to: u64) {
-        self.pump();
+    pub fn advance_to(&mut self, to: u64) {
+        self.run_actions();
         loop {
-            let due = self.door.next_due_ns().map(|d| d.max(self.now + MS));
-            let over = self.running.keys().next().map(|(at, _)| *at);
-            let next = due.into_iter().chain(over).min().filter(|next| *next <= to);
+            let due = self.fair_queue.next_due_ns().map(|d| d.max(self.now + MS));
+            let next_end = self.running.keys().next().map(|(at, _)| *at);
+            let next = due.into_iter().chain(next_end).min().filter(|next| *next <= to);
             let Some(next) = next else { break };
             self.now = self.now.max(next);
             while let Some(((_, id), threads)) = self.running.first_key_value().map(|(k, v)| (*k, *v)) {
@@ -130,32 +130,32 @@
                 }
                 self.running.pop_first();
                 self.used -= threads;
-                self.door.over(self.now, id, Some(true));
+                self.fair_queue.finished(self.now, id, Some(true));
                 self.end(id, End::Served);
             }
-            self.pump();
+            self.run_actions();
         }
         self.now = to;
     }
 
-    pub fn wait(&mut self, ms: u64) {
-        self.pass(self.now + ms * MS);
+    pub fn advance_ms(&mut self, ms: u64) {
+        self.advance_to(self.now + ms * MS);
     }
 
     pub fn served(&self, ids: &[u64]) -> usize {
         ids.iter().filter(|id| matches!(self.ends.get(id), Some((_, End::Served)))).count()
     }
 
-    pub fn promised(&self, id: u64) -> Option<u64> {
+    pub fn reserved_at(&self, id: u64) -> Option<u64> {
         match self.ends.get(&id) {
-            Some((at, End::Refused(advice))) if advice.promised => Some(at + advice.after_ns),
+            Some((at, End::Refused(retry_after))) if retry_after.reserved => Some(at + retry_after.after_ns),
             _ => None,
         }
     }
 
     /// Everything that was taken has ended once its time is over.
-    pub fn all_ended(&mut self, within_ms: u64) {
-        self.wait(within_ms);
+    pub fn assert_all_ended(&mut self, within_ms: u64) {
+        self.advance_ms(within_ms);
         let open: Vec<u64> = (1..=self.next).filter(|id| !self.ends.contains_key(id)).collect();
         assert!(open.is_empty(), "{} have no end: {:?}", open.len(), &open[..open.len().min(5)]);
     }
--- /dev/null
+++ b/crates/fair-queue/tests/fair_queue.rs
@@ -0,0 +1,393 @@
+//! The door's hard cases, in stepped time.
+
+mod common;
+
+use common::*;
+use marljunction_fair_queue::settings::FairQueueConfig;
+use marljunction_fair_queue::{Arrival, FairQueue, QueueAction};
+
+fn fair() -> FairQueueConfig {
+    FairQueueConfig::default()
+}
+
+/// One tenant floods at ten times the capacity from `identities` clients, another asks for half of its share.
+fn flood(w: &mut Simulation, seconds: u64, identities: u64) -> (Vec<u64>, Vec<u64>) {
+    let (mut heavy, mut light) = (Vec::new(), Vec::new());
+    for step in 0..seconds * 100 {
+        for i in 0..10 {
+            heavy.push(w.enqueue(0, (step * 10 + i) % identities, 100, 100));
+        }
+        if step % 4 == 0 {
+            light.push(w.enqueue(1, step % 3, 100, 100));
+        }
+        w.advance_ms(10);
+    }
+    (heavy, light)
+}
+
+#[test]
+fn requests_do_not_wait_below_the_limit() {
+    let mut w = Simulation::new(&[1.0, 1.0], 100.0, fair());
+    let ids: Vec<u64> = (0..90).map(|i| w.enqueue(0, i, 100, 100)).collect();
+    w.run_actions();
+    w.submitted.sort_unstable();
+    assert_eq!(w.submitted, ids);
+    assert_eq!(w.fair_queue.next_due_ns(), None, "no timer is left behind");
+}
+
+#[test]
+fn many_client_identities_do_not_starve_a_tenant_or_grow_memory() {
+    let bound = FairQueueConfig { queued: 500, ..fair() };
+    let mut few = Simulation::new(&[3.0, 1.0], 10.0, bound.clone());
+    flood(&mut few, 8, 10);
+    let mut many = Simulation::new(&[3.0, 1.0], 10.0, bound.clone());
+    let (_, light) = flood(&mut many, 50, 50_000);
+    many.assert_all_ended(8_000);
+    let light_share = many.served(&light) as f64 / light.len() as f64;
+    assert!(light_share >= 0.95, "the light tenant keeps {light_share:.3}");
+    let most = FairQueue::max_bytes(&bound, 2, 10);
+    assert!(many.fair_queue.bytes() <= most, "{} bytes, bound {most}", many.fair_queue.bytes());
+    assert!(
+        many.fair_queue.bytes() < few.fair_queue.bytes() + (1 << 20),
+        "{} then {}",
+        few.fair_queue.bytes(),
+        many.fair_queue.bytes()
+    );
+}
+
+#[test]
+fn a_new_identity_per_request_affects_only_its_own_tenant() {
+    let mut w = Simulation::new(&[3.0, 1.0], 10.0, fair());
+    let (heavy, light) = flood(&mut w, 8, u64::MAX);
+    w.assert_all_ended(8_000);
+    assert!(w.served(&light) * 100 >= light.len() * 95, "{} of {}", w.served(&light), light.len());
+    // What the light tenant leaves is lent: the capacity of 100 a second is used up.
+    assert!(w.served(&heavy) + w.served(&light) >= 700, "{}", w.served(&heavy) + w.served(&light));
+}
+
+#[test]
+fn a_flooding_client_does_not_starve_its_tenants_other_clients() {
+    let mut w = Simulation::new(&[1.0], 10.0, fair());
+    let (mut one, mut others) = (Vec::new(), Vec::new());
+    for step in 0..800 {
+        (0..10).for_each(|_| one.push(w.enqueue(0, 999, 100, 100)));
+        if step % 4 == 0 {
+            others.push(w.enqueue(0, step % 5, 100, 100));
+        }
+        w.advance_ms(10);
+    }
+    w.assert_all_ended(8_000);
+    assert!(w.served(&others) * 10 >= others.len() * 9, "{} of {}", w.served(&others), others.len());
+    let heaviest = w.fair_queue.heaviest();
+    assert!(heaviest[0].1 > 0.8, "the sketch names the one that floods: {heaviest:?}");
+}
+
+#[test]
+fn underestimated_cost_is_charged_after_service() {
+    let mut w = Simulation::new(&[1.0, 1.0], 10.0, fair());
+    let (mut underestimated, mut accurate) = (0.0, 0.0);
+    for _ in 0..3_000 {
+        w.enqueue_within(0, 1, 1, 1_000, 2_000);
+        w.enqueue_within(1, 2, 100, 100, 2_000);
+        w.advance_ms(10);
+    }
+    w.assert_all_ended(20_000);
+    for counters in w.fair_queue.counters().take(2).enumerate() {
+        let (tenant, c) = counters;
+        let held = (c.submitted - c.refused_by_module) as f64 * if tenant == 0 { 1.0 } else { 0.1 };
+        *(if tenant == 0 { &mut underestimated } else { &mut accurate }) += held;
+    }
+    // Thread-seconds of 300 in all: a liar who were believed would have had nearly all of them.
+    assert!(underestimated < 1.35 * accurate, "liars held {underestimated:.0} s, the honest {accurate:.0} s");
+}
+
+/// Has the door learn its limit, and returns refused clients with their promises.
+fn clients_with_reservations(w: &mut Simulation) -> Vec<(u64, u64)> {
+    let mut out = Vec::new();
+    for step in 0..300 {
+        out.extend((0..3).map(|i| (step * 3 + i, w.enqueue(0, step * 3 + i, 100, 100))));
+        w.advance_ms(10);
+    }
+    let known: Vec<(u64, u64)> =
+        out.iter().filter_map(|(client, id)| w.reserved_at(*id).map(|at| (*client, at))).collect();
+    known.into_iter().filter(|(_, at)| *at > w.now).collect()
+}
+
+#[test]
+fn clients_returning_in_their_reservation_window_are_served() {
+    let mut w = Simulation::new(&[1.0], 10.0, fair());
+    let (mut asked, mut returns, mut client) = (Vec::new(), Vec::new(), 0);
+    for _ in 0..1_500 {
+        for _ in 0..3 {
+            client += 1;
+            asked.push((client, w.enqueue(0, client, 100, 100)));
+        }
+        w.advance_ms(10);
+        asked.retain(|(client, id)| {
+            returns.extend(w.reserved_at(*id).map(|at| (*client, at)));
+            !w.ends.contains_key(id)
+        });
+        let (now, later): (Vec<_>, Vec<_>) = returns.iter().partition(|(_, at)| *at <= w.now);
+        returns = later;
+        now.iter().for_each(|(client, _)| {
+            w.enqueue(0, *client, 100, 100);
+        });
+    }
+    w.assert_all_ended(8_000);
+    let counters = *w.fair_queue.counters().next().unwrap();
+    assert!(counters.claims >= 100, "{counters:?}");
+    assert!(counters.claims_served * 100 >= counters.claims * 99, "{counters:?}");
+}
+
+#[test]
+fn reservations_hold_when_all_clients_return_at_once() {
+    let mut w = Simulation::new(&[1.0], 10.0, fair());
+    let returns = clients_with_reservations(&mut w);
+    assert!(returns.len() >= 20, "{} promises", returns.len());
+    let last = returns.iter().map(|(_, at)| *at).max().unwrap();
+    // Half a second past the last: those whose window is over come too, and claim nothing.
+    let at = returns.iter().map(|(_, at)| *at).min().unwrap().max(last.saturating_sub(400 * MS));
+    w.advance_to(at);
+    let before = w.fair_queue.counters().next().unwrap().claims_served;
+    for (client, _) in &returns {
+        w.enqueue(0, *client, 100, 100);
+    }
+    w.assert_all_ended(8_000);
+    let c = *w.fair_queue.counters().next().unwrap();
+    assert!(c.claims > 0 && c.claims_served - before >= c.claims * 95 / 100, "{c:?}");
+}
+
+#[test]
+fn most_reservations_hold_after_losing_half_of_the_capacity() {
+    let mut w = Simulation::new(&[1.0, 1.0], 20.0, fair());
+    let mut returns: Vec<(usize, u64, u64)> = Vec::new();
+    for step in 0..300 {
+        for i in 0..6u64 {
+            let tenant = (i % 2) as usize;
+            let id = w.enqueue(tenant, step * 6 + i, 100, 100);
+            returns.push((tenant, step * 6 + i, id));
+        }
+        w.advance_ms(10);
+    }
+    w.capacity = 10.0;
+    let mut returns: Vec<(usize, u64, u64)> =
+        returns.iter().filter_map(|(t, c, id)| w.reserved_at(*id).map(|at| (*t, *c, at))).collect();
+    returns.retain(|(_, _, at)| *at > w.now);
+    returns.sort_by_key(|(_, _, at)| *at);
+    assert!(returns.len() >= 40, "{} promises", returns.len());
+    for (tenant, client, at) in &returns {
+        w.advance_to((*at).max(w.now));
+        w.enqueue(*tenant, *client, 100, 100);
+        // The flood goes on meanwhile.
+        (0..4).for_each(|i| {
+            w.enqueue(i % 2, 1 << 40 | w.now ^ i as u64, 100, 100);
+        });
+    }
+    w.assert_all_ended(8_000);
+    let c: Vec<_> = w.fair_queue.counters().copied().collect();
+    let (claims, claims_served) = (c[0].claims + c[1].claims, c[0].claims_served + c[1].claims_served);
+    assert!(claims >= 40 && claims_served * 100 >= claims * 90, "{claims_served} of {claims}: {c:?}");
+    assert!(c[0].claims_failed.abs_diff(c[1].claims_failed) <= 4, "{c:?}");
+}
+
+#[test]
+fn a_weight_change_loses_no_queued_request() {
+    let settings = FairQueueConfig { queued: 20_000, stale_ms: 60_000, ..fair() };
+    let mut w = Simulation::new(&[1.0, 1.0], 10.0, settings.clone());
+    for i in 0..5_000 {
+        w.enqueue_within(0, i, 1, 1, 20_000);
+        w.enqueue_within(1, i, 1, 1, 20_000);
+    }
+    w.advance_ms(100);
+    let queued = w.fair_queue.queued();
+    assert!(queued > 8_000, "{queued} are queued");
+    let restart = w.fair_queue.reload(FairQueueConfig { queues: 8, ..settings }, &[9.0, 1.0]);
+    assert_eq!(restart, ["queues"]);
+    assert_eq!(w.fair_queue.queued(), queued);
+    let from = w.submitted.len();
+    w.advance_ms(300);
+    let heavy = w.submitted[from..].iter().filter(|id| *id % 2 == 1).count();
+    let part = heavy as f64 / (w.submitted.len() - from) as f64;
+    assert!((part - 0.9).abs() < 0.03, "the new weights hold at once: {part:.2}");
+    w.assert_all_ended(60_000);
+}
+
+#[test]
+fn a_client_with_many_statements_gets_no_extra_share() {
+    let mut w = Simulation::new(
+        &[1.0],
+        1.0,
+        FairQueueConfig { hand_size: 1, queues: 512, stale_ms: 60_000, ..fair() },
+    );
+    // The limit is learned first.
+    (0..12).for_each(|_| {
+        w.enqueue(0, 77, 10, 10);
+    });
+    w.advance_ms(500);
+    let many: Vec<u64> = (0..100).map(|_| w.enqueue_within(0, 1, 10, 10, 10_000)).collect();
+    let singles: Vec<u64> = (0..50).map(|i| w.enqueue_within(0, 1_000 + i, 10, 10, 10_000)).collect();
+    w.advance_ms(700);
+    let (a, b) = (w.served(&many), w.served(&singles));
+    assert!(b >= 40 && a <= 20, "the one got {a} turns, the fifty {b}");
+}
+
+#[test]
+fn an_idle_tenant_earns_no_credit() {
+    let mut w = Simulation::new(&[1.0, 1.0], 10.0, fair());
+    for _ in 0..500 {
+        (0..3).for_each(|i| {
+            w.enqueue(0, i, 100, 100);
+        });
+        w.advance_ms(10);
+    }
+    let from = w.submitted.len();
+    let mut back = Vec::new();
+    for _ in 0..200 {
+        (0..3).for_each(|i| {
+            w.enqueue(0, i, 100, 100);
+        });
+        (0..3).for_each(|i| back.push(w.enqueue(1, i, 100, 100)));
+        w.advance_ms(10);
+    }
+    let late: std::collections::HashSet<u64> = back.iter().copied().collect();
+    let served = w.submitted[from..].iter().filter(|id| matches!(w.ends.get(id), Some((_, End::Served))));
+    let (own, all) = served.fold((0, 0), |(own, all), id| (own + usize::from(late.contains(id)), all + 1));
+    let part = f64::from(own as u32) / f64::from(all);
+    assert!((0.42..0.58).contains(&part), "the tenant that came back has {part:.2} of the turns");
+}
+
+#[test]
+fn requests_that_cannot_meet_their_target_are_refused_at_once() {
+    let mut w = Simulation::new(&[1.0], 1.0, FairQueueConfig { stale_ms: 60_000, ..fair() });
+    w.enqueue_within(0, 1, 100, 30_000, 100_000);
+    w.run_actions();
+    w.enqueue(0, 2, 100, 100);
+    w.advance_ms(10);
+    let start = w.now;
+    let ids: Vec<u64> = (0..100).map(|i| w.enqueue(0, i, 300, 300)).collect();
+    w.advance_ms(2_000);
+    for id in ids {
+        let (at, end) = w.ends[&id];
+        assert!(matches!(end, End::Refused(_)));
+        // Wanted within 1,000 ms, and alone it takes 300: never later, and no more than a tick or two earlier.
+        let after_ms = (at - start) as f64 / MS as f64;
+        assert!((695.0..=700.0).contains(&after_ms) || after_ms < 1.0, "refused after {after_ms} ms");
+    }
+    assert_eq!(w.fair_queue.queued(), 0);
+}
+
+#[test]
+fn a_standing_queue_serves_the_newest_first() {
+    let served_in_time = |stale_ms| {
+        let mut w = Simulation::new(&[1.0], 10.0, FairQueueConfig { stale_ms, ..fair() });
+        let mut ids = Vec::new();
+        for _ in 0..600 {
+            (0..2).for_each(|i| ids.push(w.enqueue(0, i, 100, 100)));
+            w.advance_ms(10);
+        }
+        w.assert_all_ended(10_000);
+        let waits: Vec<u64> = w.fair_queue.counters().map(|c| c.waited_ns / c.waited.max(1) / MS).collect();
+        (w.served(&ids), waits[0])
+    };
+    let (served, wait_ms) = served_in_time(400);
+    assert!(served >= 520, "{served} of 600 possible");
+    assert!(wait_ms < 150, "mean wait {wait_ms} ms of those shown");
+}
+
+#[test]
+fn cancelled_requests_release_all_state() {
+    let mut w = Simulation::new(&[1.0], 1.0, fair());
+    w.enqueue_within(0, 1, 100, 30_000, 100_000);
+    w.run_actions();
+    w.enqueue(0, 2, 100, 100);
+    w.advance_ms(1);
+    let waiting: Vec<u64> = (0..500).map(|i| w.enqueue(0, i, 100, 100)).collect();
+    w.run_actions();
+    let queued: Vec<u64> = waiting.into_iter().filter(|id| w.fair_queue.waits(*id)).collect();
+    assert!(queued.len() > 400, "{}", queued.len());
+    for id in &queued {
+        assert!(w.fair_queue.cancel(w.now, *id), "the module never saw it");
+        assert!(!w.fair_queue.cancel(w.now, *id), "it leaves once");
+    }
+    assert_eq!(
+        (w.fair_queue.queued(), w.fair_queue.queued_bytes(), w.fair_queue.next_due_ns().is_some()),
+        (0, 0, true)
+    );
+    assert_eq!(w.fair_queue.open(w.now), None);
+}
+
+#[test]
+fn a_full_queue_evicts_from_the_largest_backlog() {
+    let mut w = Simulation::new(&[1.0, 1.0], 1.0, FairQueueConfig { queued: 50, ..fair() });
+    w.enqueue_within(0, 1, 100, 30_000, 100_000);
+    w.run_actions();
+    w.enqueue(0, 2, 100, 100);
+    w.advance_ms(1);
+    (0..500).for_each(|i| {
+        w.enqueue(0, i, 100, 100);
+    });
+    let light: Vec<u64> = (0..20).map(|i| w.enqueue(1, i, 100, 100)).collect();
+    w.run_actions();
+    assert!(light.iter().all(|id| w.fair_queue.waits(*id)), "none of the light tenant's is pushed out");
+    let c: Vec<_> = w.fair_queue.counters().copied().collect();
+    assert!(c[0].evicted >= 430 && c[1].evicted == 0, "{c:?}");
+    assert!((40..=50).contains(&w.fair_queue.queued()), "{}", w.fair_queue.queued());
+}
+
+#[test]
+fn retry_after_without_a_reservation_is_the_maximum() {
+    let mut w = Simulation::new(&[1.0], 2.0, fair());
+    let ids: Vec<u64> = (0..400).map(|i| w.enqueue(0, i, 1_000, 1_000)).collect();
+    w.assert_all_ended(10_000);
+    let refused = ids.iter().filter_map(|id| match w.ends[id].1 {
+        End::Refused(retry_after) => Some(retry_after),
+        End::Served => None,
+    });
+    let retry_after: Vec<_> = refused.collect();
+    assert!(retry_after.iter().all(|a| a.after_ns <= 2 * S && a.after_ns > 0));
+    assert!(retry_after.iter().filter(|a| !a.reserved).all(|a| a.after_ns == 2 * S));
+    let reserved_count = retry_after.iter().filter(|a| a.reserved).count();
+    assert!(
+        reserved_count > 0 && reserved_count < 10,
+        "{reserved_count} promises of a second on two threads, two seconds ahead"
+    );
+}
+
+#[test]
+fn a_cancelled_submitted_request_frees_its_threads() {
+    let mut w = Simulation::new(&[1.0], 10.0, fair());
+    let arrival =
+        Arrival { id: 9_000, threads: 4.0, need_ns: 1e8, target_end_ns: T0 + S, ..Arrival::default() };
+    w.fair_queue.enqueue(w.now, Arrival { expires_ns: T0 + 6 * S, ..arrival });
+    assert_eq!(w.fair_queue.open(w.now), Some(QueueAction::Submit(9_000)));
+    w.fair_queue.accepted(w.now, 9_000);
+    assert_eq!(w.fair_queue.concurrency_limit().used(), 4.0);
+    assert!(!w.fair_queue.cancel(w.now + S, 9_000), "the module has it");
+    assert_eq!(w.fair_queue.concurrency_limit().used(), 0.0);
+}
+
+#[test]
+fn isolated_refusals_set_no_limit_and_an_idle_limit_expires() {
+    let mut w = Simulation::new(&[1.0], 10.0, fair());
+    // One in ten is refused for a reason of its own, as where no engine may run it.
+    for i in 0..200 {
+        let id = w.enqueue(0, i, 10, 10);
+        if i % 10 == 0 {
+            assert_eq!(w.fair_queue.open(w.now), Some(QueueAction::Submit(id)));
+            w.fair_queue.refused(w.now, id, false);
+        }
+        w.advance_ms(10);
+    }
+    assert!(!w.fair_queue.concurrency_limit().is_limited());
+    let c = *w.fair_queue.counters().next().unwrap();
+    assert_eq!((c.waited, c.submitted), (0, 200), "nobody waits");
+    (0..40).for_each(|i| {
+        w.enqueue(0, i, 100, 100);
+    });
+    w.advance_ms(50);
+    assert!(w.fair_queue.concurrency_limit().is_limited());
+    w.advance_ms(3_000);
+    w.enqueue(0, 1, 10, 10);
+    w.run_actions();
+    assert!(!w.fair_queue.concurrency_limit().is_limited(), "nobody has waited for a second");
+}
--- a/crates/fair-queue/tests/structures.rs
+++ b/crates/fair-queue/tests/structures.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use marljunction_fair_queue::fair::{Discipline, StartTime};
-use marljunction_fair_queue::settings::{hand, DoorSettings, Identity};
-use marljunction_fair_queue::sketch::Heavy;
-use marljunction_fair_queue::wheel::Wheel;
+use marljunction_fair_queue::fair::{Discipline, StartTimeFairQueue};
+use marljunction_fair_queue::settings::{shuffle_shard, ClientHasher, FairQueueConfig};
+use marljunction_fair_queue::sketch::HeavyHitters;
+use marljunction_fair_queue::wheel::TimingWheel;
 use proptest::prelude::*;
 
 const TICK: u64 = 1 << 20;
@@ -32,63 +32,63 @@
 
     /// Whatever is put in, taken out and waited for, the wheel gives what a sorted map gives, tick by tick.
     #[test]
-    fn the_wheel_gives_what_a_sorted_map_gives(start in 0..1_u64 << 40, steps in steps()) {
+    fn timing_wheel_matches_a_sorted_map(start in 0..1_u64 << 40, steps in steps()) {
         let mut now = start * TICK;
-        let (mut wheel, mut plain, mut keys) = (Wheel::new(now), BTreeMap::new(), HashMap::new());
+        let (mut wheel, mut reference, mut keys) = (TimingWheel::new(now), BTreeMap::new(), HashMap::new());
         for (n, step) in steps.into_iter().enumerate() {
             match step {
                 Step::Insert(ticks) => {
                     let due = now + ticks * TICK;
                     keys.insert(n, wheel.insert(due, n));
-                    plain.insert((due / TICK, n), ());
+                    reference.insert((due / TICK, n), ());
                 }
                 Step::Remove(pick) => {
-                    let Some(&(due, n)) = plain.keys().nth(pick % plain.len().max(1)) else { continue };
-                    plain.remove(&(due, n));
+                    let Some(&(due, n)) = reference.keys().nth(pick % reference.len().max(1)) else { continue };
+                    reference.remove(&(due, n));
                     prop_assert_eq!(wheel.remove(keys[&n]), Some(n));
                 }
                 Step::Pass(ticks) => {
                     now += ticks * TICK;
-                    let (mut got, mut wanted) = (Vec::new(), Vec::new());
+                    let (mut got, mut target_ms) = (Vec::new(), Vec::new());
                     while let Some(n) = wheel.expire(now) {
                         got.push(n);
                     }
-                    while let Some((&(due, n), ())) = plain.first_key_value().filter(|((d, _), ())| *d <= now / TICK) {
-                        plain.remove(&(due, n));
-                        wanted.push(n);
+                    while let Some((&(due, n), ())) = reference.first_key_value().filter(|((d, _), ())| *d <= now / TICK) {
+                        reference.remove(&(due, n));
+                        target_ms.push(n);
                     }
                     got.sort_unstable();
-                    wanted.sort_unstable();
-                    prop_assert_eq!(got, wanted);
+                    target_ms.sort_unstable();
+                    prop_assert_eq!(got, target_ms);
                 }
             }
-            prop_assert_eq!(wheel.len(), plain.len());
-            let first = plain.keys().next().map(|(due, _)| *due * TICK);
-            let told = wheel.next_due_ns();
-            prop_assert_eq!(told.is_some(), first.is_some());
-            prop_assert!(told <= first && told.is_none_or(|t| t >= now / TICK * TICK));
+            prop_assert_eq!(wheel.len(), reference.len());
+            let first = reference.keys().next().map(|(due, _)| *due * TICK);
+            let next_due = wheel.next_due_ns();
+            prop_assert_eq!(next_due.is_some(), first.is_some());
+            prop_assert!(next_due <= first && next_due.is_none_or(|t| t >= now / TICK * TICK));
         }
     }
 
     /// The bound that Goyal, Vin and Cheng prove: between two flows that always have a backlog, what they got over
     /// their weights differs by no more than the sum of their greatest costs over their weights.
     #[test]
-    fn no_flow_gets_further_ahead_than_start_time_fair_queueing_allows(
+    fn start_time_fair_queueing_bounds_the_service_difference(
         weights in proptest::collection::vec(1..20_u32, 2..8),
         costs in proptest::collection::vec(1..1_000_u32, 50..400),
     ) {
         let weights: Vec<f64> = weights.into_iter().map(f64::from).collect();
-        let mut fair = StartTime::new(&weights, f64::INFINITY);
+        let mut fair = StartTimeFairQueue::new(&weights, f64::INFINITY);
         (0..weights.len()).for_each(|flow| fair.activate(flow, 0.0));
         let mut got = vec![0.0; weights.len()];
-        let greatest = 1_000.0;
+        let max_cost = 1_000.0;
         for cost in costs {
             let flow = fair.pick().unwrap();
             fair.charge(flow, f64::from(cost), 0.0);
             got[flow] += f64::from(cost);
             for (a, b) in (0..weights.len()).flat_map(|a| (0..a).map(move |b| (a, b))) {
                 let apart = (got[a] / weights[a] - got[b] / weights[b]).abs();
-                prop_assert!(apart <= greatest / weights[a] + greatest / weights[b] + 1e-6, "{apart}");
+                prop_assert!(apart <= max_cost / weights[a] + max_cost / weights[b] + 1e-6, "{apart}");
             }
         }
     }
@@ -96,12 +96,12 @@
     /// No flow with a backlog waits longer than it takes to serve one greatest cost of every other flow for each of
     /// its turns, in proportion to the weights: counted in what is served between two turns of a flow.
     #[test]
-    fn no_flow_with_a_backlog_waits_longer_than_the_bound(
+    fn a_backlogged_flow_waits_no_longer_than_the_bound(
         weights in proptest::collection::vec(1..10_u32, 2..6),
         costs in proptest::collection::vec(1..100_u32, 100..300),
     ) {
         let weights: Vec<f64> = weights.into_iter().map(f64::from).collect();
-        let mut fair = StartTime::new(&weights, f64::INFINITY);
+        let mut fair = StartTimeFairQueue::new(&weights, f64::INFINITY);
         (0..weights.len()).for_each(|flow| fair.activate(flow, 0.0));
         let (mut since, mut last) = (vec![0.0; weights.len()], vec![0.0; weights.len()]);
         for cost in costs.into_iter().map(f64::from) {
@@ -121,8 +121,8 @@
 
     /// Corrections move a flow's turn by what was wrong, and never into the past or beyond the debt.
     #[test]
-    fn a_debt_is_bounded(deltas in proptest::collection::vec(-2_000.0..5_000.0_f64, 1..100)) {
-        let mut fair = StartTime::new(&[1.0, 1.0], 10_000.0);
+    fn debt_is_bounded(deltas in proptest::collection::vec(-2_000.0..5_000.0_f64, 1..100)) {
+        let mut fair = StartTimeFairQueue::new(&[1.0, 1.0], 10_000.0);
         fair.activate(0, 0.0);
         fair.activate(1, 0.0);
         for delta in deltas {
@@ -135,44 +135,44 @@
 
     /// Whoever has more than the sketch's part of a stream is held, and bounds hold for all that are.
     #[test]
-    fn the_sketch_keeps_its_bounds(stream in proptest::collection::vec((0..200_u64, 1..50_u32), 1..2_000)) {
-        let (mut sketch, mut plain, mut total) = (Heavy::new(16), HashMap::new(), 0.0);
+    fn heavy_hitter_estimates_stay_within_bounds(stream in proptest::collection::vec((0..200_u64, 1..50_u32), 1..2_000)) {
+        let (mut sketch, mut reference, mut total) = (HeavyHitters::new(16), HashMap::new(), 0.0);
         for (who, weight) in stream {
             sketch.add(who, f64::from(weight));
-            *plain.entry(who).or_insert(0.0) += f64::from(weight);
+            *reference.entry(who).or_insert(0.0) += f64::from(weight);
             total += f64::from(weight);
         }
-        for (who, weight) in plain {
+        for (who, weight) in reference {
             match sketch.get(who) {
-                Some(held) => prop_assert!(held.least <= weight + 1e-6 && weight <= held.most + 1e-6),
+                Some(estimate) => prop_assert!(estimate.lower_bound <= weight + 1e-6 && weight <= estimate.upper_bound + 1e-6),
                 None => prop_assert!(weight <= total / 16.0 + 1e-6, "{weight} of {total} is not held"),
             }
         }
-        prop_assert!(sketch.top().windows(2).all(|w| w[0].most >= w[1].most));
+        prop_assert!(sketch.top().windows(2).all(|w| w[0].upper_bound >= w[1].upper_bound));
     }
 
     /// A hand has as many different queues as it should, the same ones each time.
     #[test]
-    fn a_hand_is_dealt_without_replacement(flow: u64, queues in 1..1_024_usize, count in 1..16_usize) {
-        let dealt: Vec<usize> = hand(flow, queues, count).collect();
+    fn shuffle_shard_picks_distinct_queues(flow: u64, queues in 1..1_024_usize, count in 1..16_usize) {
+        let dealt: Vec<usize> = shuffle_shard(flow, queues, count).collect();
         prop_assert_eq!(dealt.len(), count.min(queues));
         prop_assert!(dealt.iter().all(|q| *q < queues));
         prop_assert_eq!(dealt.iter().collect::<BTreeSet<_>>().len(), dealt.len());
-        prop_assert_eq!(hand(flow, queues, count).collect::<Vec<_>>(), dealt);
+        prop_assert_eq!(shuffle_shard(flow, queues, count).collect::<Vec<_>>(), dealt);
     }
 }
 
 #[test]
-fn hands_are_spread_evenly_over_the_queues() {
-    let (identity, mut dealt) = (Identity::new(5), vec![0_u32; 64]);
+fn shards_spread_evenly_over_the_queues() {
+    let (client_hasher, mut dealt) = (ClientHasher::new(5), vec![0_u32; 64]);
     for client in 0..16_000 {
-        hand(identity.flow(0, client), 64, 4).for_each(|q| dealt[q] += 1);
+        shuffle_shard(client_hasher.flow(0, client), 64, 4).for_each(|q| dealt[q] += 1);
     }
     assert!(dealt.iter().all(|n| (850..1_150).contains(n)), "{dealt:?}");
 }
 
 #[test]
-fn settings_out_of_bounds_are_told_by_name() {
+fn out_of_range_settings_are_named_in_the_error() {
     for (text, part) in [
         (r#"{"queues": 0}"#, "queues is 0"),
         (r#"{"queues": 2, "hand": 4}"#, "hand is 4"),
@@ -180,12 +180,12 @@
         (r#"{"window_ms": 1}"#, "window_ms is 1"),
         (r#"{"weights": {"a": -1}}"#, "weight of a is -1"),
     ] {
-        let settings: DoorSettings = serde_json::from_str(text).unwrap();
+        let settings: FairQueueConfig = serde_json::from_str(text).unwrap();
         let fault = settings.fault().unwrap_or_default();
         assert!(fault.contains(part), "{text}: {fault}");
     }
-    assert!(serde_json::from_str::<DoorSettings>(r#"{"order": "lifo"}"#).is_err());
-    assert!(serde_json::from_str::<DoorSettings>(r#"{"wieghts": {}}"#).is_err());
-    assert_eq!(serde_json::from_str::<DoorSettings>("{}").unwrap(), DoorSettings::default());
-    assert_eq!(DoorSettings::default().fault(), None);
+    assert!(serde_json::from_str::<FairQueueConfig>(r#"{"order": "lifo"}"#).is_err());
+    assert!(serde_json::from_str::<FairQueueConfig>(r#"{"wieghts": {}}"#).is_err());
+    assert_eq!(serde_json::from_str::<FairQueueConfig>("{}").unwrap(), FairQueueConfig::default());
+    assert_eq!(FairQueueConfig::default().fault(), None);
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -10,7 +10,7 @@
 use std::net::IpAddr;
 
 use marljunction_control::interface::{ClassId, Effect, Settings, TenantId};
-use marljunction_fair_queue::settings::{Identity, Who};
+use marljunction_fair_queue::settings::{ClientHasher, ClientKey};
 use marljunction_settings::{index_of, Names};
 
 /// Time that an answer may take from here to the client (ns): what is left of a request's time is shorter by it.
@@ -24,8 +24,8 @@
     names: Names,
     deadlines_ns: Vec<u64>,
     drops_repeats: Vec<bool>,
-    who: Who,
-    identity: Identity,
+    who: ClientKey,
+    client_hasher: ClientHasher,
 }
 
 impl Directory {
@@ -42,23 +42,23 @@
     }
 
     /// What names a client, and the key of clients' numbers.
-    pub fn with_clients(self, who: Who, seed: u64) -> Self {
-        Directory { who, identity: Identity::new(seed), ..self }
+    pub fn with_clients(self, who: ClientKey, seed: u64) -> Self {
+        Directory { who, client_hasher: ClientHasher::new(seed), ..self }
     }
 
     /// The number of the address that a client connects from.
     pub fn peer(&self, address: IpAddr) -> u64 {
         match address {
-            IpAddr::V4(v4) => self.identity.of(&v4.octets()),
-            IpAddr::V6(v6) => self.identity.of(&v6.octets()),
+            IpAddr::V4(v4) => self.client_hasher.of(&v4.octets()),
+            IpAddr::V6(v6) => self.client_hasher.of(&v6.octets()),
         }
     }
 
     /// The number of a client, by `named` where that finds the name that the operator chose, else by its address.
-    pub fn client<'a>(&self, peer: u64, named: impl FnOnce(&Who) -> Option<&'a str>) -> u64 {
+    pub fn client<'a>(&self, peer: u64, named: impl FnOnce(&ClientKey) -> Option<&'a str>) -> u64 {
         match &self.who {
-            Who::Peer => peer,
-            who => named(who).map_or(peer, |name| self.identity.of(name.as_bytes())),
+            ClientKey::Peer => peer,
+            who => named(who).map_or(peer, |name| self.client_hasher.of(name.as_bytes())),
         }
     }
 
--- a/crates/front/src/msgpack.rs
+++ b/crates/front/src/msgpack.rs
@@ -12,7 +12,7 @@
 use marljunction_core::end_reason::EndReason;
 use marljunction_core::statement::Statement;
 use marljunction_core::{Answer, Client, ClientRequest, Router};
-use marljunction_fair_queue::settings::Who;
+use marljunction_fair_queue::settings::ClientKey;
 use marljunction_net::Net;
 use std::net::IpAddr;
 
@@ -460,7 +460,8 @@
             class,
             order_key,
             tenant,
-            client: self.client(peer, |who| if let Who::Field(name) = who { field(name) } else { None }),
+            client: self
+                .client(peer, |who| if let ClientKey::Field(name) = who { field(name) } else { None }),
             time_left_ns: budget_ns.saturating_sub(ANSWER_MARGIN_NS),
             work_estimate_ns: work,
             memory_estimate_mb: number("mem")?.filter(|m| *m > 0.0),
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -15,7 +15,7 @@
 use marljunction_core::end_reason::EndReason;
 use marljunction_core::statement::Statement;
 use marljunction_core::{Answer, Client, ClientRequest, Column, Router, Row};
-use marljunction_fair_queue::settings::Who;
+use marljunction_fair_queue::settings::ClientKey;
 use marljunction_net::Net;
 use std::net::IpAddr;
 
@@ -565,8 +565,8 @@
             ms => ms.saturating_mul(1_000_000).min(deadline_ns),
         };
         let client = self.directory.client(session.peer, |who| match who {
-            Who::User => session.user.as_deref(),
-            Who::ApplicationName => settings.others.get("application_name").map(String::as_str),
+            ClientKey::User => session.user.as_deref(),
+            ClientKey::ApplicationName => settings.others.get("application_name").map(String::as_str),
             _ => None,
         });
         let client_request = ClientRequest {
--- a/crates/lab/src/disciplines.rs
+++ b/crates/lab/src/disciplines.rs
@@ -2,7 +2,9 @@
 
 use std::time::Instant;
 
-use marljunction_fair_queue::fair::{DeficitRoundRobin, Discipline, StartTime, VirtualDeadline, WorstCase};
+use marljunction_fair_queue::fair::{
+    DeficitRoundRobin, Discipline, StartTimeFairQueue, VirtualClock, WorstCaseFairQueue,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -109,10 +111,10 @@
 /// The figures.
 pub fn run(seed: u64) -> Value {
     let make: [(&str, Make); 4] = [
-        ("start-time fair queueing", |w| Box::new(StartTime::new(w, f64::INFINITY))),
+        ("start-time fair queueing", |w| Box::new(StartTimeFairQueue::new(w, f64::INFINITY))),
         ("deficit round robin", |w| Box::new(DeficitRoundRobin::new(w, 1.0))),
-        ("WF2Q+", |w| Box::new(WorstCase::new(w))),
-        ("virtual deadlines", |w| Box::new(VirtualDeadline::new(w))),
+        ("WF2Q+", |w| Box::new(WorstCaseFairQueue::new(w))),
+        ("virtual deadlines", |w| Box::new(VirtualClock::new(w))),
     ];
     let disciplines: serde_json::Map<String, Value> = make
         .iter()
--- a/crates/lab/src/memory.rs
+++ b/crates/lab/src/memory.rs
@@ -2,8 +2,8 @@
 
 use std::time::Instant;
 
-use marljunction_fair_queue::settings::DoorSettings;
-use marljunction_fair_queue::{Arrival, Door, Site, Verdict};
+use marljunction_fair_queue::settings::FairQueueConfig;
+use marljunction_fair_queue::{Arrival, FairQueue, FairQueueParams, QueueAction};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
@@ -19,16 +19,16 @@
 fn pass(identities: u64, seed: u64) -> (usize, f64) {
     let before = HEAP.current_usage();
     HEAP.reset_peak_usage();
-    let site = Site {
+    let params = FairQueueParams {
         weights: vec![8.0, 1.0, 1.0],
         classes: 3,
-        longest_ns: Some(2_000_000_000),
-        bytes_most: 8 << 20,
+        max_retry_after_ns: Some(2_000_000_000),
+        max_queued_bytes: 8 << 20,
         seed,
     };
     let (mut now, mut rng) = (1 << 60, StdRng::seed_from_u64(seed));
-    let mut door = Door::new(now, DoorSettings::default(), site);
-    let (mut shown, mut id) = (std::collections::VecDeque::new(), 0);
+    let mut fair_queue = FairQueue::new(now, FairQueueConfig::default(), params);
+    let (mut submitted, mut id) = (std::collections::VecDeque::new(), 0);
     let mut times = Vec::with_capacity(BATCHES);
     for _ in 0..BATCHES {
         let begun = Instant::now();
@@ -42,22 +42,25 @@
                 threads: 1.0,
                 worth: 1.0,
                 need_ns: 1e8,
-                wanted_ns: now + 1_000_000_000,
+                target_end_ns: now + 1_000_000_000,
                 expires_ns: now + 6_000_000_000,
                 bytes: 100,
             };
-            door.arrive(now, arrival);
-            while let Some(verdict) = door.open(now) {
-                let Verdict::Show(id) = verdict else { continue };
-                if shown.len() >= 50 {
-                    door.refused(now, id, false);
+            fair_queue.enqueue(now, arrival);
+            while let Some(queue_action) = fair_queue.open(now) {
+                let QueueAction::Submit(id) = queue_action else { continue };
+                if submitted.len() >= 50 {
+                    fair_queue.refused(now, id, false);
                 } else {
-                    door.accepted(now, id);
-                    shown.push_back(id);
+                    fair_queue.accepted(now, id);
+                    submitted.push_back(id);
                 }
             }
             if id % 2 == 0 {
-                shown.pop_front().into_iter().for_each(|first| door.over(now, first, Some(true)));
+                submitted
+                    .pop_front()
+                    .into_iter()
+                    .for_each(|first| fair_queue.finished(now, first, Some(true)));
             }
         }
         times.push(begun.elapsed().as_nanos() as f64 / BATCH as f64);
@@ -73,6 +76,6 @@
     json!({
         "bytes_100": few, "bytes_100k": many, "bytes_100k_over_100": many as i64 - few as i64,
         "ns_per_request_100": few_ns, "ns_per_request": many_ns,
-        "stated_bound_bytes": Door::most_bytes(&DoorSettings::default(), 3, 1_000),
+        "stated_bound_bytes": FairQueue::max_bytes(&FairQueueConfig::default(), 3, 1_000),
     })
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -14,7 +14,7 @@
 
 use marljunction_control::interface::Settings;
 use marljunction_discovery::stream::{Update, SILENT_NS};
-use marljunction_fair_queue::settings::DoorSettings;
+use marljunction_fair_queue::settings::FairQueueConfig;
 use marljunction_pacing::opening::Openings;
 use marljunction_pacing::pace::{Pace, Unfit, TOLD_NS};
 use marljunction_settings::{read_settings, Names};
@@ -232,7 +232,7 @@
     /// The PostgreSQL side, where it is on.
     pub postgres: Option<PostgresFile>,
     /// The door, where it is on.
-    pub door: Option<DoorSettings>,
+    pub fair_queue: Option<FairQueueConfig>,
     /// How the router starts and comes back.
     pub start: StartFile,
     /// The fleet, where routers talk to each other.
@@ -284,20 +284,20 @@
     pub fn read(&self) -> Result<Read, ConfigError> {
         let text = |path: &str| std::fs::read_to_string(path).map_err(ConfigError::unreadable(path));
         let postgres = self.postgres.as_ref().map(|path| PostgresFile::read(&text(path)?)).transpose()?;
-        let Setup { door, postgres: operators_postgres, start, fleet, level, value } = self.setup()?;
+        let Setup { fair_queue, postgres: operators_postgres, start, fleet, level, value } = self.setup()?;
         if postgres.is_some() && operators_postgres.is_some() {
             return Err(ConfigError::TwoPostgres);
         }
         let postgres = postgres.or(operators_postgres);
-        if let Some(fault) = door.as_ref().and_then(DoorSettings::fault) {
+        if let Some(fault) = fair_queue.as_ref().and_then(FairQueueConfig::fault) {
             return Err(ConfigError::FairQueue(fault));
         }
         let config = Config::read(&text(&self.config)?)?;
-        let mut weighted = door.iter().flat_map(|d| d.weights.keys());
+        let mut weighted = fair_queue.iter().flat_map(|d| d.weights.keys());
         if let Some(name) = weighted.find(|name| !config.names.tenants.contains(name)) {
             return Err(ConfigError::UnknownWeight(name.clone()));
         }
-        Ok(Read { config, postgres, door, start, fleet, operator: value, level })
+        Ok(Read { config, postgres, fair_queue, start, fleet, operator: value, level })
     }
 }
 
@@ -334,10 +334,10 @@
 
 impl Config {
     /// Weights of the tenants: as the door's file says, else by their allowances.
-    pub fn weights(&self, door: &DoorSettings) -> Vec<f64> {
+    pub fn weights(&self, fair_queue: &FairQueueConfig) -> Vec<f64> {
         let allowances = self.settings.tenants.iter().map(|t| t.allowance_per_s);
         let by_name = |(name, allowance): (&String, Option<f64>)| {
-            door.weights.get(name).copied().or(allowance).filter(|w| *w > 0.0).unwrap_or(1.0)
+            fair_queue.weights.get(name).copied().or(allowance).filter(|w| *w > 0.0).unwrap_or(1.0)
         };
         self.names.tenants.iter().zip(allowances).map(by_name).collect()
     }
--- a/src/daemon/counters.rs
+++ b/src/daemon/counters.rs
@@ -26,15 +26,20 @@
     pub(super) fn log_counters(&mut self) {
         let line = self.counters_line();
         info!("{line}");
-        let Some(door) = self.router.door() else { return };
-        let room = door.room();
-        info!("door queued={} used={:.1} served={:.1}", door.queued(), room.used(), room.served());
-        for (tenant, counters) in door.counters().enumerate() {
+        let Some(fair_queue) = self.router.fair_queue() else { return };
+        let concurrency_limit = fair_queue.concurrency_limit();
+        info!(
+            "door queued={} used={:.1} served={:.1}",
+            fair_queue.queued(),
+            concurrency_limit.used(),
+            concurrency_limit.estimated_capacity()
+        );
+        for (tenant, counters) in fair_queue.counters().enumerate() {
             let fields: Vec<String> = counters.fields().iter().map(|(key, n)| format!("{key}={n}")).collect();
             let name = self.config.directory.tenant_name(TenantId(tenant));
             info!("door tenant={} {}", if name.is_empty() { "-" } else { name }, fields.join(" "));
         }
-        for (flow, share) in door.heaviest() {
+        for (flow, share) in fair_queue.heaviest() {
             info!("door client={flow:016x} asked_for={share:.3}");
         }
     }
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -7,7 +7,7 @@
 
 use log::{info, warn};
 use marljunction_discovery::Source;
-use marljunction_fair_queue::settings::DoorSettings;
+use marljunction_fair_queue::settings::FairQueueConfig;
 use marljunction_language::value::{Value, What};
 
 use super::relayed_list::apply_cell;
@@ -47,7 +47,7 @@
     }
 
     fn apply_files(&mut self, now: u64, read: Read, address: Option<SocketAddr>) {
-        let Read { mut config, door, mut start, fleet, operator, level, .. } = read;
+        let Read { mut config, fair_queue, mut start, fleet, operator, level, .. } = read;
         let identity = config.identity();
         apply_cell(&mut config, &mut start, fleet.as_ref(), &identity);
         self.log_effects(operator.as_ref());
@@ -66,8 +66,8 @@
         for change in changes {
             self.engines_changed(change);
         }
-        if let Some(door) = door {
-            self.apply_fair_queue(door, &config);
+        if let Some(fair_queue) = fair_queue {
+            self.apply_fair_queue(fair_queue, &config);
         }
         if self.engine_list.source.is_some() && address.is_none() {
             warn!("another source of membership news needs a restart");
@@ -94,10 +94,10 @@
         self.engines.set_connection_budget(openings.map(|openings| (openings, config.own_seed())));
     }
 
-    fn apply_fair_queue(&mut self, settings: DoorSettings, config: &Config) {
-        let Some(door) = self.router.door() else { return };
+    fn apply_fair_queue(&mut self, settings: FairQueueConfig, config: &Config) {
+        let Some(fair_queue) = self.router.fair_queue() else { return };
         let weights = config.weights(&settings);
-        let restart = door.reload(settings, &weights);
+        let restart = fair_queue.reload(settings, &weights);
         info!("the door has weights {weights:?}");
         if !restart.is_empty() {
             warn!("changes of the door's {} need a restart", restart.join(", "));
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -16,8 +16,8 @@
 use marljunction_engine::http::HttpBackend;
 use marljunction_engine::postgres::PostgresBackend;
 use marljunction_engine::Backend;
-use marljunction_fair_queue::settings::DoorSettings;
-use marljunction_fair_queue::{Door, Site};
+use marljunction_fair_queue::settings::FairQueueConfig;
+use marljunction_fair_queue::{FairQueue, FairQueueParams};
 use marljunction_fleet::{FleetConfig, FleetRuntime, FleetStart, RouterIdentity};
 use marljunction_front::msgpack::MsgpackFront;
 use marljunction_front::postgres::{PostgresFront, PostgresSetup};
@@ -59,14 +59,14 @@
         registry: Registry,
         listeners: Listeners,
     ) -> Result<Daemon, DaemonError> {
-        let Read { mut config, postgres, door, mut start, fleet, operator, .. } = read;
+        let Read { mut config, postgres, fair_queue, mut start, fleet, operator, .. } = read;
         let identity = config.identity();
         let cell = apply_cell(&mut config, &mut start, fleet.as_ref(), &identity);
         cell.iter().for_each(|cell| warn_of_classes(&config, cell));
         let clock = Clock::start();
         let now = clock.now_ns();
-        let directory = build_directory(&config, door.as_ref(), fleet.as_ref())?;
-        let door = door.map(|settings| build_fair_queue(now, settings, &config));
+        let directory = build_directory(&config, fair_queue.as_ref(), fleet.as_ref())?;
+        let fair_queue = fair_queue.map(|settings| build_fair_queue(now, settings, &config));
         let pacing = build_pacing(&config, &start);
         let source = match cell {
             // Relays read the list service in its place.
@@ -78,7 +78,7 @@
         let engines = build_engines(&config, &start, postgres.as_ref(), pacing);
         let fronts = build_fronts(&config, postgres, &directory)?;
         let (fleet, machines) = start_fleet(now, &registry, fleet, identity, &config, &files)?;
-        let router = build_router(&config, pacing.seed, door, machines);
+        let router = build_router(&config, pacing.seed, fair_queue, machines);
         let net = build_net(registry, &config);
         let snapshot = Snapshot::in_file(start.keep.clone(), ListBound::of(config.limits.memory_mb));
         let exclusions = Exclusions::in_directory(files.kept.as_deref());
@@ -111,10 +111,10 @@
 /// What the fronts know of classes, tenants and clients.
 fn build_directory(
     config: &Config,
-    door: Option<&DoorSettings>,
+    fair_queue: Option<&FairQueueConfig>,
     fleet: Option<&FleetConfig>,
 ) -> Result<Directory, DaemonError> {
-    let client = door.map(|door| door.client.clone()).unwrap_or_default();
+    let client = fair_queue.map(|fair_queue| fair_queue.client.clone()).unwrap_or_default();
     // A limit by client holds for the fleet only where all routers know a client by one number.
     let clients_seed = match fleet {
         Some(fleet) => fleet.clients_seed()?,
@@ -124,16 +124,16 @@
     Ok(directory.with_clients(client, clients_seed))
 }
 
-fn build_fair_queue(now: u64, settings: DoorSettings, config: &Config) -> Door {
-    let site = Site {
+fn build_fair_queue(now: u64, settings: FairQueueConfig, config: &Config) -> FairQueue {
+    let params = FairQueueParams {
         weights: config.weights(&settings),
         classes: config.settings.classes.len(),
-        longest_ns: config.settings.max_retry_after_ns,
-        bytes_most: Router::max_queued_bytes(config.limits.memory_mb),
+        max_retry_after_ns: config.settings.max_retry_after_ns,
+        max_queued_bytes: Router::max_queued_bytes(config.limits.memory_mb),
         seed: config.seed,
     };
     info!("a door stands before the module");
-    Door::new(now, settings, site)
+    FairQueue::new(now, settings, params)
 }
 
 fn build_pacing(config: &Config, start: &StartFile) -> Pacing {
@@ -235,9 +235,14 @@
     Ok((Some(runtime), (Some(limits), health)))
 }
 
-fn build_router(config: &Config, seed: u64, door: Option<Door>, (limits, health): FleetMachines) -> Router {
+fn build_router(
+    config: &Config,
+    seed: u64,
+    fair_queue: Option<FairQueue>,
+    (limits, health): FleetMachines,
+) -> Router {
     Router::new(config.settings.clone(), seed, config.limits.memory_mb)
-        .with_door(door)
+        .with_fair_queue(fair_queue)
         .with_limits(limits)
         .with_health(health)
 }
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use log::LevelFilter;
-use marljunction_fair_queue::settings::{DoorSettings, Order, Who};
+use marljunction_fair_queue::settings::{ClientKey, FairQueueConfig, Order};
 use marljunction_language::eval::Loader;
 use marljunction_language::message::long;
 use marljunction_language::value::{Quantity, RecordValue, Value, What};
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Setup {
     /// The door, where it is on.
-    pub door: Option<DoorSettings>,
+    pub fair_queue: Option<FairQueueConfig>,
     /// The PostgreSQL side, where it is on.
     pub postgres: Option<PostgresFile>,
     /// How the router starts and comes back.
@@ -91,7 +91,7 @@
     /// What a value that its definitions hold for says; none where it is not of their shape.
     fn of(value: &Value) -> Option<Setup> {
         let main = record(value)?;
-        let door = main.fields.get("door").map(|f| door(&f.value));
+        let fair_queue = main.fields.get("door").map(|f| fair_queue(&f.value));
         let consul = main.fields.get("consul").map(|f| consul(&f.value));
         let postgres = main.fields.get("postgres").map(|f| postgres(&f.value, consul.clone().flatten()));
         let level = text(record(field(main, "log")?)?, "level")?.parse().ok();
@@ -103,8 +103,8 @@
         if let Some(list) = fleet.as_mut().and_then(|fleet| fleet.list.as_mut()) {
             list.timing = start.list_timing();
         }
-        let (door, postgres) = (flat(door)?, flat(postgres)?);
-        Some(Setup { door, postgres, start, fleet, level, value: Some(value.clone()) })
+        let (fair_queue, postgres) = (flat(fair_queue)?, flat(postgres)?);
+        Some(Setup { fair_queue, postgres, start, fleet, level, value: Some(value.clone()) })
     }
 }
 
@@ -146,29 +146,29 @@
     number(record, name).map(|ns| (ns / 1e6) as u64)
 }
 
-fn door(value: &Value) -> Option<DoorSettings> {
-    let door = record(value)?;
-    let client = match &field(door, "client")?.what {
-        What::Record(of) => Who::Field(text(of, "field")?),
-        What::Text(name) if name == "user" => Who::User,
-        What::Text(name) if name == "application_name" => Who::ApplicationName,
-        _ => Who::Peer,
+fn fair_queue(value: &Value) -> Option<FairQueueConfig> {
+    let fair_queue = record(value)?;
+    let client = match &field(fair_queue, "client")?.what {
+        What::Record(of) => ClientKey::Field(text(of, "field")?),
+        What::Text(name) if name == "user" => ClientKey::User,
+        What::Text(name) if name == "application_name" => ClientKey::ApplicationName,
+        _ => ClientKey::Peer,
     };
-    let weights = field(door, "weights").and_then(record);
+    let weights = field(fair_queue, "weights").and_then(record);
     let weight = |(name, f): (&String, &marljunction_language::value::FieldValue)| match f.value.what {
         What::Number(Quantity { value, .. }) => Some((name.clone(), value)),
         _ => None,
     };
-    Some(DoorSettings {
-        order: if text(door, "order")? == "fifo" { Order::Fifo } else { Order::Fair },
+    Some(FairQueueConfig {
+        order: if text(fair_queue, "order")? == "fifo" { Order::Fifo } else { Order::Fair },
         client,
         weights: weights.iter().flat_map(|w| &w.fields).filter_map(weight).collect(),
-        queues: number(door, "queues")? as usize,
-        hand: number(door, "hand")? as usize,
-        queued: number(door, "queued")? as usize,
-        promises: number(door, "promises")? as usize,
-        window_ms: milliseconds(door, "window")?,
-        stale_ms: milliseconds(door, "stale")?,
+        queues: number(fair_queue, "queues")? as usize,
+        hand_size: number(fair_queue, "hand")? as usize,
+        queued: number(fair_queue, "queued")? as usize,
+        max_reservations: number(fair_queue, "promises")? as usize,
+        reservation_window_ms: milliseconds(fair_queue, "window")?,
+        stale_ms: milliseconds(fair_queue, "stale")?,
     })
 }
 
--- a/tests/setup.rs
+++ b/tests/setup.rs
@@ -6,7 +6,7 @@
 use marljunction::behaviour::{effects, Effect};
 use marljunction::config::EngineFile;
 use marljunction::setup::Setup;
-use marljunction_fair_queue::settings::{DoorSettings, Who};
+use marljunction_fair_queue::settings::{ClientKey, FairQueueConfig};
 use marljunction_fleet::ListRole;
 use marljunction_language::format::format;
 
@@ -49,9 +49,9 @@
 #[test]
 fn the_definitions_defaults_are_the_doors_own() {
     let setup = Setup::of_file(&shipped("deploy/door.conf")).unwrap();
-    assert_eq!(setup.door, Some(DoorSettings::default()));
+    assert_eq!(setup.fair_queue, Some(FairQueueConfig::default()));
     assert!(setup.postgres.is_none());
-    assert_eq!(DoorSettings::default().fault(), None);
+    assert_eq!(FairQueueConfig::default().fault(), None);
 }
 
 #[test]
@@ -81,9 +81,9 @@
     let main = "include \"below/weights.conf\"\n\ndoor: { weights: #weights, client: { field: \"who\" }, stale: 0.2s }\n";
     let dir =
         folder("include", &[weights, ("main.conf", main), ("out.conf", "include \"../../etc/hostname\"\n")]);
-    let door = Setup::of_file(&dir.join("main.conf")).unwrap().door.unwrap();
-    assert_eq!((door.weights["gulf-coast-comfort"], door.weights["other"]), (73.0, 1.5));
-    assert_eq!((door.client, door.stale_ms), (Who::Field("who".into()), 200));
+    let fair_queue = Setup::of_file(&dir.join("main.conf")).unwrap().fair_queue.unwrap();
+    assert_eq!((fair_queue.weights["gulf-coast-comfort"], fair_queue.weights["other"]), (73.0, 1.5));
+    assert_eq!((fair_queue.client, fair_queue.stale_ms), (ClientKey::Field("who".into()), 200));
     let fault = Setup::of_file(&dir.join("out.conf")).unwrap_err().to_string();
     assert!(fault.contains("can't be included"), "{fault}");
     std::fs::remove_dir_all(dir).unwrap();
