--- a/crates/fair-queue/benches/structures.rs
+++ b/crates/fair-queue/benches/structures.rs
@@ -1,4 +1,5 @@
-//! The door's own structures against the plain ones, and one request's way through the door.
+//! The timing wheel and the heavy-hitter sketch against simple structures, and one request through
+//! the fair queue.
 
 #![allow(missing_docs)]
 
@@ -11,7 +12,7 @@
 use marljunction_fair_queue::wheel::TimingWheel;
 use marljunction_fair_queue::{Arrival, FairQueue, FairQueueParams, QueueAction};
 
-/// Numbers without a pattern (SplitMix64).
+/// SplitMix64.
 fn random(state: &mut u64) -> u64 {
     *state = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (*state ^ (*state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -19,8 +20,8 @@
     x ^ (x >> 31)
 }
 
-/// Half of the timers are taken out before they are due, as most queued requests are shown in time. The heap
-/// can't take one out: it keeps the dead until they come up.
+/// Half of the timers are removed before they are due, as most queued requests are submitted in
+/// time. The binary heap cannot remove one, so it keeps cancelled timers until they are due.
 fn timers(c: &mut Criterion) {
     let mut group = c.benchmark_group("timer: insert, half removed, half due");
     for held in [1_000_u64, 100_000] {
@@ -98,7 +99,7 @@
 }
 
 fn requests(c: &mut Criterion) {
-    let mut group = c.benchmark_group("one request through the door");
+    let mut group = c.benchmark_group("one request through the fair queue");
     for identities in [100_u64, 100_000] {
         group.bench_function(BenchmarkId::from_parameter(identities), |b| {
             let params = FairQueueParams {
@@ -130,7 +131,8 @@
                     fair_queue.enqueue(now, arrival);
                     while let Some(queue_action) = fair_queue.open(now) {
                         let QueueAction::Submit(id) = queue_action else { continue };
-                        // Twice what can be served comes: the module takes fifty at a time.
+                        // Half of the load exceeds the capacity: the module runs fifty requests at
+                        // a time.
                         if submitted.len() >= 50 {
                             black_box(fair_queue.refused(now, id, false));
                         } else {
--- a/crates/fair-queue/src/calendar.rs
+++ b/crates/fair-queue/src/calendar.rs
@@ -1,8 +1,9 @@
-//! Promises: who was told to come back when, and the room that is set aside for them.
+//! Reservations of future capacity for refused clients that return in time.
 //!
-//! Time ahead is a ring of slots. A slot has room for a part of what the engines serve in it, divided among the
-//! flows' tenants by weight; a promise takes its cost from the first slot of its tenant that has some left, and from those
-//! behind it what that one lacks. Whoever comes back within the promise's window claims it.
+//! The near future is a ring of slots. A share of each slot's capacity can be reserved, divided
+//! among tenants by weight. A reservation takes its cost from the first slot in which its tenant
+//! has enough capacity left, and the rest from the slots after it. A client that returns within
+//! its window claims its reservation.
 
 use rustc_hash::FxHashMap;
 
@@ -10,43 +11,46 @@
 
 /// Length of a slot (ns).
 pub const SLOT_NS: u64 = 50_000_000;
-/// Slots ahead (count): 12.8 s.
+/// Number of slots: 12.8 s.
 const SLOT_COUNT: usize = 256;
-/// Part of what is served that may be promised (share): half of the engines may go, and the rest still keeps it.
+/// Share of the capacity that can be reserved, low enough for most reservations to hold after the
+/// loss of half of the engines.
 const RESERVABLE_SHARE: f64 = 0.4;
-/// Least part of a promise's cost, or of a slot, that the first slot must have left (share).
+/// Minimum free part of the first slot, as a share of the cost or of the slot's capacity.
 const MIN_FIRST_SLOT_SHARE: f64 = 0.25;
-/// A promise may be claimed so long before its time (ns): clocks and networks are not exact.
+/// Reservations can be claimed this early (ns), to allow for inexact clocks and network delays.
 const CLAIM_EARLY_NS: u64 = 30_000_000;
-/// A request that says more than this multiple of what was promised is not the promised one (ratio).
+/// A request cannot claim a reservation if its estimated cost is more than this multiple of the
+/// reserved request's.
 const MAX_CLAIM_RATIO: f64 = 2.0;
 
 #[derive(Clone, Debug, Default)]
 struct Slot {
-    /// Which slot since the beginning of time this is.
+    /// Number of the slot since the epoch; the ring's entry is reused for later slots.
     number: u64,
     reserved: Vec<f64>,
 }
 
-/// A promise that was made.
+/// Reserved capacity for one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
-    /// Whose flow.
+    /// Flow of the client.
     pub flow: u64,
-    /// The flow's tenant.
+    /// Tenant of the flow.
     pub tenant: usize,
-    /// When to come back.
+    /// When the client should return (ns).
     pub at_ns: u64,
-    /// What is set aside (thread-nanoseconds).
+    /// Reserved thread time (thread-nanoseconds).
     pub cost: f64,
-    /// What the request was expected to hold by its own word (thread-nanoseconds).
+    /// Cost before the queue's correction (thread-nanoseconds); compared when the reservation is
+    /// claimed.
     pub estimated_cost: f64,
 }
 
-/// Promises and the room set aside for them.
+/// Outstanding reservations and the capacity reserved for them.
 pub struct ReservationCalendar {
     slots: Vec<Slot>,
-    /// Promises by the end of their window.
+    /// Reservations by the end of their window.
     reservations: TimingWheel<Reservation>,
     keys_by_flow: FxHashMap<u64, Vec<TimerKey>>,
     max_reservations: usize,
@@ -54,7 +58,8 @@
 }
 
 impl ReservationCalendar {
-    /// Nothing promised; `most` promises at a time, each of which may be claimed for `window_ns`.
+    /// Creates a calendar for up to `max_reservations` reservations, each of which can be claimed
+    /// for `window_ns` after its time.
     pub fn new(now: u64, tenants: usize, max_reservations: usize, window_ns: u64) -> Self {
         let slot = Slot { number: 0, reserved: vec![0.0; tenants] };
         ReservationCalendar {
@@ -66,17 +71,17 @@
         }
     }
 
-    /// Promises that are out.
+    /// Number of outstanding reservations.
     pub fn len(&self) -> usize {
         self.reservations.len()
     }
 
-    /// Whether none is out.
+    /// Whether there are no outstanding reservations.
     pub fn is_empty(&self) -> bool {
         self.reservations.is_empty()
     }
 
-    /// Bytes taken from the heap.
+    /// Heap memory in use (bytes).
     pub fn bytes(&self) -> usize {
         let slots = self.slots.len() * std::mem::size_of::<Slot>();
         let reserved: usize = self.slots.iter().map(|s| s.reserved.capacity() * 8).sum();
@@ -84,7 +89,7 @@
         slots + reserved + key_lists + self.reservations.bytes() + self.keys_by_flow.capacity() * 2 * 32
     }
 
-    /// Bytes that one promise takes at most.
+    /// Memory of one reservation (bytes), as an upper bound.
     pub const fn reservation_bytes() -> usize {
         TimingWheel::<Reservation>::entry_bytes() + 64 + 4 * 8
     }
@@ -98,9 +103,9 @@
         slot
     }
 
-    /// Sets room aside for what `asked` costs, no sooner and no later than the `bounds` from now; gives when to come
-    /// back. `threads` is what the engines serve at a time, `share` the tenant's part of it. None where all is given
-    /// away.
+    /// Reserves capacity for a request and returns when its client should return, within the
+    /// `bounds` (minimum and maximum delay, ns). `threads` is the estimated capacity and
+    /// `tenant_share` the tenant's share of it. Returns none if too little capacity is free.
     pub fn reserve(
         &mut self,
         now: u64,
@@ -116,7 +121,8 @@
         }
         let slot_capacity = threads * RESERVABLE_SHARE * tenant_share * SLOT_NS as f64;
         let earliest = (now + min_after_ns).div_ceil(SLOT_NS);
-        // The last slot must end within the longest advice; the ring must hold what follows it.
+        // The last slot must end within the maximum delay, and the ring must hold the slots after
+        // it.
         let latest = ((now + max_after_ns) / SLOT_NS).min(earliest + SLOT_COUNT as u64 / 2);
         let min_free = cost.min(slot_capacity) * MIN_FIRST_SLOT_SHARE;
         let first_slot = (earliest..latest)
@@ -128,14 +134,14 @@
             slot.reserved[tenant] += amount;
             (remaining, number) = (remaining - amount, number + 1);
         }
-        // Spread within the slot, so that those of one slot do not come back in one instant.
+        // Spreads the clients of a slot over its length.
         let at_ns = first_slot * SLOT_NS + flow.rotate_left(17) % SLOT_NS;
         let key = self.reservations.insert(at_ns + self.window_ns, Reservation { at_ns, ..request });
         self.keys_by_flow.entry(flow).or_default().push(key);
         Some(at_ns)
     }
 
-    /// A request of a flow has come: the promise that it claims, the oldest whose window is open.
+    /// Returns the claimed reservation of a flow: the oldest whose window is open.
     pub fn claim(&mut self, now: u64, flow: u64, estimated_cost: f64) -> Option<Reservation> {
         let keys = self.keys_by_flow.get(&flow)?;
         let claimable = |key: &&TimerKey| {
@@ -150,19 +156,19 @@
         reservation
     }
 
-    /// Takes out one promise whose window is over.
+    /// Removes one reservation whose window has ended.
     pub fn expire(&mut self, now: u64) -> Option<Reservation> {
         let reservation = self.reservations.expire(now)?;
         self.prune_keys(reservation.flow);
         Some(reservation)
     }
 
-    /// When the next window ends.
+    /// When the next window ends (ns).
     pub fn next_due_ns(&self) -> Option<u64> {
         self.reservations.next_due_ns()
     }
 
-    /// Takes the keys out of a flow's list that hold no promise of the flow any more.
+    /// Drops the keys of a flow that no longer refer to one of its reservations.
     fn prune_keys(&mut self, flow: u64) {
         if let Some(keys) = self.keys_by_flow.get_mut(&flow) {
             keys.retain(|key| self.reservations.get(*key).is_some_and(|p| p.flow == flow));
--- a/crates/fair-queue/src/counters.rs
+++ b/crates/fair-queue/src/counters.rs
@@ -1,44 +1,44 @@
-//! What the door did, by tenant.
+//! Counters of the fair queue by tenant.
 
-/// Counters of one tenant; they only grow.
+/// Counters of one tenant. They never decrease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TenantCounters {
-    /// Requests that came.
+    /// Requests received.
     pub arrivals: u64,
-    /// Requests that had to wait, and how long in all and at most (ns).
+    /// Submitted requests that had to wait.
     pub waited: u64,
-    /// Time waited in all (ns).
+    /// Their total wait (ns).
     pub waited_ns: u64,
-    /// Longest wait (ns).
+    /// Their longest wait (ns).
     pub max_wait_ns: u64,
-    /// Requests that the module was shown.
+    /// Requests submitted to the decision module.
     pub submitted: u64,
-    /// Shown ones that the module refused for want of room.
+    /// Submitted requests that the module refused for lack of capacity.
     pub refused_by_module: u64,
-    /// Queued ones refused: their time could not be met any more.
+    /// Queued requests refused because they could no longer meet their target or expiry time.
     pub too_late: u64,
-    /// Queued ones refused: they had become stale behind a queue that does not empty.
+    /// Queued requests refused because they were stale in a standing queue.
     pub stale: u64,
-    /// Queued ones refused: the queue was full and their flow had the most in it.
+    /// Queued requests evicted because the queue was full.
     pub evicted: u64,
-    /// Queued ones whose client left.
+    /// Queued requests whose client left.
     pub client_left: u64,
-    /// Promises made.
+    /// Reservations made.
     pub reservations: u64,
-    /// Refusals that could carry no promise.
+    /// Refusals without a reservation.
     pub unreserved: u64,
-    /// Promises claimed by a client that came back.
+    /// Reservations claimed by a returning client.
     pub claims: u64,
-    /// Claimed promises whose request was served.
+    /// Claimed reservations whose request was served.
     pub claims_served: u64,
-    /// Claimed promises whose request was refused or failed.
+    /// Claimed reservations whose request was refused or failed.
     pub claims_failed: u64,
-    /// Promises that nobody claimed in time.
+    /// Reservations that expired unclaimed.
     pub expired_reservations: u64,
 }
 
 impl TenantCounters {
-    /// All of them with their names; times in whole milliseconds.
+    /// Returns all counters with their names in the log; times in whole milliseconds.
     pub fn fields(&self) -> [(&'static str, u64); 16] {
         [
             ("came", self.arrivals),
--- a/crates/fair-queue/src/fair.rs
+++ b/crates/fair-queue/src/fair.rs
@@ -1,11 +1,11 @@
-//! Disciplines that share a resource among flows by weight, when the cost of what is served is known only roughly
-//! before and better after.
+//! Queueing disciplines that share a resource among flows by weight, when the cost of a request is
+//! only estimated beforehand and measured afterwards.
 //!
-//! The door uses [`StartTime`]; the others stand beside it to be measured against it.
+//! The fair queue uses [`StartTimeFairQueue`]; the others are baselines for comparison.
 
 use std::collections::{BTreeSet, VecDeque};
 
-/// A virtual time, ordered as numbers are.
+/// A virtual time with a total order.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StartTag(pub f64);
 
@@ -23,43 +23,44 @@
     }
 }
 
-/// Whose turn it is among flows numbered from 0. Only flows with something to serve are picked.
+/// Selects the next flow to serve, among flows numbered from 0. Only active flows are selected.
 pub trait Discipline {
-    /// A flow has something to serve from now on; `cost` is what its first is estimated at.
+    /// A flow becomes active; `cost` estimates its first request.
     fn activate(&mut self, flow: usize, cost: f64);
-    /// A flow has nothing to serve any more.
+    /// A flow becomes inactive.
     fn deactivate(&mut self, flow: usize);
-    /// The flow whose turn it is.
+    /// Returns the flow to serve next.
     fn pick(&mut self) -> Option<usize>;
-    /// The picked flow is served at `cost`; its next is estimated at `next`.
+    /// Charges a served flow with `cost`; `next_cost` estimates its next request.
     fn charge(&mut self, flow: usize, cost: f64, next_cost: f64);
-    /// What was charged to a flow turns out to be wrong by `delta`.
+    /// Corrects an earlier charge of a flow by `delta`.
     fn correct(&mut self, flow: usize, delta: f64);
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Flow {
     weight: f64,
-    /// Start tag of its next: the finish tag of what it was served last, unless it had been idle.
+    /// Start tag of the next request: the finish tag of the last one, unless the flow was idle.
     start_tag: f64,
     active: bool,
 }
 
-/// Start-time fair queueing (Goyal, Vin and Cheng, 1996): the flow with the least start tag is next, and virtual time
-/// is the start tag of what is in service. It needs a cost only once something is served, so that a wrong estimate
-/// moves the flow's next start tag and nothing else. Between two flows with a backlog, what they got over their
-/// weights differs by no more than the sum of their greatest costs over their weights.
+/// Start-time fair queueing (Goyal, Vin and Cheng, 1996): the flow with the smallest start tag is
+/// next, and virtual time is the start tag of the request in service. The cost is needed only
+/// after service, so a wrong estimate shifts only the flow's next start tag. For two backlogged
+/// flows, the weighted service differs by at most the sum of their maximum costs over their
+/// weights.
 #[derive(Debug)]
 pub struct StartTimeFairQueue {
     flows: Vec<Flow>,
     active: BTreeSet<(StartTag, usize)>,
     virtual_time: f64,
-    /// A flow may owe so much of past service at most (cost, for a weight of 1).
+    /// Maximum charge that a flow can carry beyond virtual time, for a weight of 1.
     max_debt: f64,
 }
 
 impl StartTimeFairQueue {
-    /// Flows of these weights, none of them active.
+    /// Creates inactive flows of these weights.
     pub fn new(weights: &[f64], max_debt: f64) -> Self {
         let flow = |w: &f64| Flow { weight: w.max(1e-6), start_tag: 0.0, active: false };
         StartTimeFairQueue {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Changes the weights from the next charge on; nobody's tag moves.
+    /// Changes the weights for later charges; start tags stay.
     pub fn set_weights(&mut self, weights: &[f64]) {
         for (flow, weight) in self.flows.iter_mut().zip(weights) {
             flow.weight = weight.max(1e-6);
@@ -82,7 +83,7 @@
         self.flows[flow].weight
     }
 
-    /// Active flows in the order of their turn.
+    /// Iterates over the active flows, smallest start tag first.
     pub fn by_start_tag(&self) -> impl Iterator<Item = usize> + '_ {
         self.active.iter().map(|(_, flow)| *flow)
     }
@@ -92,12 +93,12 @@
         self.flows[flow].start_tag
     }
 
-    /// How far a flow is ahead of virtual time (cost, for a weight of 1).
+    /// How far the start tag of a flow is ahead of virtual time (cost, for a weight of 1).
     pub fn ahead(&self, flow: usize) -> f64 {
         (self.flows[flow].start_tag - self.virtual_time).max(0.0)
     }
 
-    /// Bytes taken from the heap.
+    /// Heap memory in use (bytes).
     pub fn bytes(&self) -> usize {
         self.flows.capacity() * std::mem::size_of::<Flow>() + self.flows.len() * 40
     }
@@ -115,7 +116,7 @@
 impl Discipline for StartTimeFairQueue {
     fn activate(&mut self, flow: usize, _cost: f64) {
         if !self.flows[flow].active {
-            // What a flow did not use while it was idle is gone: it was lent to the others.
+            // An idle flow earns no credit: its unused share went to the others.
             self.flows[flow].start_tag = self.flows[flow].start_tag.max(self.virtual_time);
             self.flows[flow].active = true;
             self.active.insert((StartTag(self.flows[flow].start_tag), flow));
@@ -135,8 +136,9 @@
     fn charge(&mut self, flow: usize, cost: f64, _next: f64) {
         let f = self.flows[flow];
         let start_tag = f.start_tag.max(self.virtual_time);
-        // Serving out of turn must not carry virtual time past those whose turn comes first.
-        let first = self.active.first().map_or(start_tag, |(start_tag, _)| start_tag.0);
+        // Serving a flow out of order must not advance virtual time past flows with smaller start
+        // tags.
+        let first = self.active.first().map_or(start_tag, |(tag, _)| tag.0);
         self.virtual_time = self.virtual_time.max(start_tag.min(first));
         let max_start = self.virtual_time + self.max_debt / f.weight;
         self.move_to(flow, (start_tag + cost / f.weight).min(max_start.max(start_tag)));
@@ -150,8 +152,8 @@
     }
 }
 
-/// Deficit round robin (Shreedhar and Varghese, 1995): each flow in its turn gets a quantum in proportion to its
-/// weight, and what it does not use of it stays with it while it is active.
+/// Deficit round robin (Shreedhar and Varghese, 1995): each round adds a quantum proportional to a
+/// flow's weight, and an active flow carries over the unused part.
 #[derive(Debug)]
 pub struct DeficitRoundRobin {
     weights: Vec<f64>,
@@ -161,7 +163,7 @@
 }
 
 impl DeficitRoundRobin {
-    /// Flows of these weights; a quantum for a weight of 1.
+    /// Creates flows of these weights; `quantum` is for a weight of 1.
     pub fn new(weights: &[f64], quantum: f64) -> Self {
         let deficits = vec![0.0; weights.len()];
         DeficitRoundRobin { weights: weights.to_vec(), deficits, ring: VecDeque::new(), quantum }
@@ -181,7 +183,7 @@
     }
 
     fn pick(&mut self) -> Option<usize> {
-        // Costs are known only once served: a flow is served while it is in credit, and may overdraw.
+        // The cost is known only after service: a flow with credit is served and may overdraw it.
         loop {
             let flow = *self.ring.front()?;
             if self.deficits[flow] > 0.0 {
@@ -201,8 +203,9 @@
     }
 }
 
-/// Worst-case fair weighted fair queueing (WF2Q+, Bennett and Zhang, 1997): among the flows whose start tag has been
-/// reached, the one with the least finish tag. It needs the cost of a flow's next before that is served.
+/// Worst-case fair weighted fair queueing (WF2Q+, Bennett and Zhang, 1997): the smallest finish
+/// tag among the flows whose start tag has been reached. Needs the cost of the next request before
+/// it is served.
 #[derive(Debug)]
 pub struct WorstCaseFairQueue {
     flows: Vec<Flow>,
@@ -212,7 +215,7 @@
 }
 
 impl WorstCaseFairQueue {
-    /// Flows of these weights.
+    /// Creates flows of these weights.
     pub fn new(weights: &[f64]) -> Self {
         let flow = |w: &f64| Flow { weight: *w, start_tag: 0.0, active: false };
         WorstCaseFairQueue {
@@ -260,9 +263,9 @@
     }
 }
 
-/// Virtual deadlines (virtual clock, Zhang, 1990): each flow's next is due at the flow's own clock plus its cost over
-/// its weight, and the earliest is next. The clocks follow real service, not virtual time, so that a flow that used
-/// what nobody else wanted pays for it later.
+/// Virtual clock (Zhang, 1990): each flow's clock advances by its cost over its weight, and the
+/// earliest clock is next. Clocks follow real service instead of virtual time, so a flow that used
+/// idle capacity is penalised afterwards.
 #[derive(Debug)]
 pub struct VirtualClock {
     flows: Vec<Flow>,
@@ -271,7 +274,7 @@
 }
 
 impl VirtualClock {
-    /// Flows of these weights.
+    /// Creates flows of these weights.
     pub fn new(weights: &[f64]) -> Self {
         let flow = |w: &f64| Flow { weight: *w, start_tag: 0.0, active: false };
         VirtualClock {
--- a/crates/fair-queue/src/lib.rs
+++ b/crates/fair-queue/src/lib.rs
@@ -1,12 +1,13 @@
-//! The door: whose turn it is to be shown to the decision module, and when those who are refused should come back.
+//! Fair queues ahead of the decision module, and retry-after advice for refused clients.
 //!
-//! The module alone admits, sends and refuses. The door stands before it: it learns from the module's refusals how much
-//! there is room for ([`room`]), adds no wait while there is room, and else divides the turns by weight among
-//! tenants and evenly among a tenant's clients ([`fair`]), in memory that is bounded whatever the number of clients
-//! ([`queues`], [`sketch`]). What can't be served in time any more is refused at that moment ([`wheel`]), with advice for
-//! which room was set aside ([`calendar`]).
+//! The decision module admits, sends and refuses requests. The fair queue precedes it: it
+//! estimates the module's concurrency limit from its refusals ([`concurrency_limit`]), adds no
+//! wait below that limit, and otherwise shares the capacity by weight among tenants and equally
+//! among the clients of a tenant ([`fair`]). Memory is bounded for any number of clients
+//! ([`queues`], [`sketch`]). Requests that can no longer finish in time are refused at that moment
+//! ([`wheel`]), and refused clients may get a reservation for a later time ([`calendar`]).
 //!
-//! Pure: time is passed in, nothing is read or written.
+//! Time is passed in; nothing here does I/O.
 
 #![forbid(unsafe_code)]
 
@@ -33,94 +34,96 @@
 use sketch::HeavyHitters;
 use wheel::TimingWheel;
 
-/// What a flow may owe of past service at most, over its weight's part of what all are served (ns): how long a
-/// liar about cost pays for it.
+/// Maximum charge that a flow carries for past service, at its share of the capacity (ns). Bounds
+/// the penalty for underestimated costs.
 const MAX_DEBT_NS: f64 = 5_000_000_000.0;
-/// The same in thread-nanoseconds for a weight of 1, at so many threads served.
+/// Capacity for which that is converted to thread time, for a weight of 1 (threads).
 const MAX_DEBT_THREADS: f64 = 32.0;
-/// Queues of one tenant that are looked at for a request that fits (count).
+/// Maximum number of a tenant's queues that are searched for a request that fits.
 const MAX_QUEUES_SCANNED: usize = 8;
-/// Newest of a queue among which the one with the most worth for its cost is sought (count).
+/// Maximum number of a queue's newest entries that are compared by value.
 const MAX_NEWEST_SCANNED: usize = 8;
-/// While the first in turn does not fit, as the module refuses its kind earlier, others may be served so far past it
-/// (ns of what is served at a time, for a weight of 1); then all wait for it. Guards against a kind that never
-/// fits because others fill the room each time.
+/// How far virtual time may pass a flow whose first request does not fit (ns of the capacity, for
+/// a weight of 1). After that all flows wait for it. Otherwise a kind with a low limit could
+/// starve behind others that fill the capacity.
 const BYPASS_ALLOWANCE_NS: f64 = 60_000_000.0;
-/// Wait that says of a tenant's queues that they do not empty, where none was shorter in an interval of so long (ns).
-/// CoDel's way of telling a standing queue from a burst (Nichols and Jacobson, 2012).
+/// A queue is standing if its shortest wait in an interval exceeds the target (ns), as in CoDel
+/// (Nichols and Jacobson, 2012).
 const CODEL_TARGET_NS: u64 = 30_000_000;
 const CODEL_INTERVAL_NS: u64 = 100_000_000;
-/// Requests of a tenant that wait in a queue that may be said to stand (count).
+/// Minimum number of a tenant's queued requests in a standing queue.
 const MIN_STANDING_REQUESTS: u32 = 8;
-/// Weight of a new figure in what is learned of classes and queues (share).
+/// Weight of a sample in the moving averages of classes and queues.
 const AVERAGING_WEIGHT: f64 = 0.05;
-/// A promise is void where its client turned out to hold this multiple of what was set aside (ratio).
+/// A reservation is not honoured for a request that costs more than this multiple of it.
 const MAX_COST_GROWTH: f64 = 4.0;
-/// Step by which the median of what requests of a class hold over their need is followed, and its bounds (ratio).
+/// Relative step by which the median thread time of a class follows its samples, and bounds of
+/// that median over the estimated need.
 const MEDIAN_STEP: f64 = 1.02;
 const USAGE_RATIO_BOUNDS: [f64; 2] = [0.1, 8.0];
-/// Bounds of what a queue's flows hold over what is expected of them (ratio).
+/// Bounds of a queue's measured thread time over the expected one.
 const COST_RATIO_BOUNDS: [f64; 2] = [0.25, 10_000.0];
-/// A tenant counts among those that share the room for so long after its last request (ns).
+/// A tenant counts as active for this time after its last request (ns).
 const TENANT_ACTIVE_NS: u64 = 5_000_000_000;
-/// Identities that the sketch holds (count), and how often its weights are halved (ns).
+/// Capacity of the heavy-hitter sketch, and the interval at which its weights are halved (ns).
 const HEAVY_HITTERS_CAPACITY: usize = 64;
 const HEAVY_HITTERS_HALVING_NS: u64 = 10_000_000_000;
-/// Soonest advice (ns): sooner than this nothing has changed.
+/// Shortest retry-after delay (ns).
 const MIN_RETRY_AFTER_NS: u64 = 100_000_000;
-/// Limit of a kind over the greatest limit below which no promise is made (ratio): the module refuses such heavy
-/// requests first, as it is meant to.
+/// No reservation is made for a kind whose limit is below this share of the highest one: the
+/// module refuses such heavy requests first.
 const MIN_RESERVABLE_LIMIT_RATIO: f64 = 0.75;
 
-/// A request at the door.
+/// A request that enters the fair queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Arrival {
-    /// Its number, never used twice.
+    /// Unique number.
     pub id: u64,
-    /// Its tenant; one past the last for none.
+    /// Index of the tenant; out of range for none.
     pub tenant: usize,
-    /// Its client, by [`Identity`].
+    /// Hash of the client, by [`ClientHasher`].
     pub client: u64,
-    /// Its class.
+    /// Index of the class.
     pub class: usize,
-    /// Threads that it runs on.
+    /// Threads in use while it runs.
     pub threads: f64,
     /// Estimated work (core-nanoseconds).
     pub need_ns: f64,
-    /// What an answer in time is worth, by any measure that is the same for all.
+    /// Value of an answer in time, on one scale for all requests.
     pub worth: f64,
-    /// When its answer is wanted (ns).
+    /// When the answer should be complete (ns).
     pub target_end_ns: u64,
-    /// When its client gives up (ns).
+    /// When the client gives up (ns).
     pub expires_ns: u64,
-    /// Memory that it takes while it waits (bytes).
+    /// Memory held while it waits (bytes).
     pub bytes: usize,
 }
 
-/// When a refused client should come back.
+/// Retry-after advice for a refused client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAfter {
-    /// From now (ns).
+    /// Delay from now (ns).
     pub after_ns: u64,
-    /// Room is set aside for then.
+    /// Whether capacity is reserved for then.
     pub reserved: bool,
 }
 
-/// What becomes of a request at the door.
+/// Action for a request, by its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueAction {
-    /// The module is to see it now; [`Door::accepted`] or [`Door::refused`] must follow.
+    /// Submit it to the decision module; [`FairQueue::accepted`] or [`FairQueue::refused`] must
+    /// follow.
     Submit(u64),
-    /// It is refused.
+    /// Refuse it.
     Refuse(u64, RetryAfter),
 }
 
-/// What is known of a class.
+/// Statistics of a class.
 #[derive(Clone, Copy, Debug)]
 struct Class {
-    /// Mean need of what comes.
+    /// Moving average of the estimated need (core-nanoseconds).
     mean_need_ns: f64,
-    /// What a request holds over its need.
+    /// Median of the thread time over the estimated need.
     usage_ratio: f64,
 }
 
@@ -131,7 +134,7 @@
     queued: u32,
     backlog: f64,
     last_arrival_ns: u64,
-    /// The interval in which the shortest wait is sought, and that wait.
+    /// Start of the current CoDel interval, and the shortest wait in it (ns).
     codel_interval: (u64, u64),
     standing: bool,
     counters: TenantCounters,
@@ -152,12 +155,13 @@
         }
     }
 
-    /// Takes the wait of one that is shown, or of the oldest still there.
+    /// Records the wait of a submitted request, or of the oldest one.
     fn record_wait(&mut self, now: u64, wait: u64, rate: f64, stale_ns: u64) {
         self.codel_interval.1 = self.codel_interval.1.min(wait);
         if now >= self.codel_interval.0 + CODEL_INTERVAL_NS {
-            // Once it stands, the newest go first and wait little: only an empty queue tells that it is over. A few that
-            // wait are no standing queue, nor is what the tenant's own part of the room serves before it is stale.
+            // In a standing queue the newest are served first and wait little, so only an empty
+            // queue ends the state. A few requests, or a backlog that the tenant's share serves
+            // before it is stale, do not count as a standing queue.
             let exceeds_stale = self.backlog > rate * stale_ns as f64;
             self.standing |= self.codel_interval.1 > CODEL_TARGET_NS
                 && self.queued >= MIN_STANDING_REQUESTS
@@ -167,15 +171,16 @@
     }
 }
 
-/// The door of one router.
+/// The fair queue of one router.
 pub struct FairQueue {
     settings: FairQueueConfig,
     client_hasher: ClientHasher,
-    /// Longest advice (ns); none where the settings allow none.
+    /// Longest retry-after delay (ns); none if the module gives no delays.
     max_retry_after_ns: Option<u64>,
     max_queued_bytes: usize,
     entries: Slab<Entry>,
-    /// Numbers of requests and flows are the router's own or hashed with a key: nobody chooses them.
+    /// Keys are assigned by the router or hashed with a secret, so clients cannot force
+    /// collisions.
     by_id: FxHashMap<u64, usize>,
     tenants: Vec<Tenant>,
     scheduler: StartTimeFairQueue,
@@ -187,24 +192,24 @@
     halved_ns: u64,
     queued: usize,
     queued_bytes: usize,
-    /// Nothing that waits fits, and no room came free since that was found.
+    /// Nothing queued fits, and no capacity was freed since that was determined.
     blocked: bool,
-    /// Refusals that were decided but not told yet.
+    /// Refusals that [`FairQueue::open`] has not returned yet.
     pending_actions: VecDeque<QueueAction>,
 }
 
-/// What a door is built for.
+/// Parameters of a fair queue that come from the router.
 #[derive(Clone, Debug)]
 pub struct FairQueueParams {
-    /// Weights by tenant; one more is added for requests of none.
+    /// Weights by tenant; requests without a tenant get the mean weight.
     pub weights: Vec<f64>,
-    /// Classes (count).
+    /// Number of classes.
     pub classes: usize,
-    /// Longest advice to clients (ns), where advice is allowed.
+    /// Longest retry-after delay (ns); none if the module gives no delays.
     pub max_retry_after_ns: Option<u64>,
-    /// Bytes that queued requests may hold.
+    /// Maximum memory of queued requests (bytes).
     pub max_queued_bytes: usize,
-    /// Seed of the clients' numbers.
+    /// Secret seed of the client hashes.
     pub seed: u64,
 }
 
@@ -212,14 +217,14 @@
     old + weight * (new - old)
 }
 
-/// The weights over their mean, and behind them that of requests of no tenant, which is the mean.
+/// Returns the weights over their mean, followed by 1 for requests without a tenant.
 fn normalize_weights(weights: &[f64]) -> Vec<f64> {
     let mean = weights.iter().sum::<f64>() / weights.len().max(1) as f64;
     weights.iter().map(|w| w / mean).chain([1.0]).collect()
 }
 
 impl FairQueue {
-    /// A door that knows nothing yet.
+    /// Creates an empty fair queue.
     pub fn new(now: u64, settings: FairQueueConfig, params: FairQueueParams) -> Self {
         let fair = settings.order == Order::Fair;
         let weights = normalize_weights(&params.weights);
@@ -252,8 +257,8 @@
         }
     }
 
-    /// Takes new weights and the settings that can change while requests wait; none of them is lost or moved. Gives
-    /// the names of settings that need a restart.
+    /// Applies new weights and those settings that can change at run time; queued requests stay.
+    /// Returns the names of changed settings that need a restart.
     pub fn reload(&mut self, settings: FairQueueConfig, weights: &[f64]) -> Vec<&'static str> {
         let now = &self.settings;
         let changed = [
@@ -276,35 +281,34 @@
         changed.iter().filter(|(_, changed)| *changed).map(|(name, _)| *name).collect()
     }
 
-    // ---- What there is -------------------------------------------------------------------------------
-
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn queued(&self) -> usize {
         self.queued
     }
 
-    /// Bytes that those hold.
+    /// Memory of queued requests (bytes).
     pub fn queued_bytes(&self) -> usize {
         self.queued_bytes
     }
 
-    /// Bytes that they may hold.
+    /// Maximum memory of queued requests (bytes).
     pub fn max_queued_bytes(&self) -> usize {
         self.max_queued_bytes
     }
 
-    /// Whether a request waits at the door: the module does not know it.
+    /// Whether a request is queued, and so unknown to the decision module.
     pub fn waits(&self, id: u64) -> bool {
         let entry = self.by_id.get(&id).map(|key| &self.entries[*key]);
         entry.is_some_and(|e| !matches!(e.state, EntryState::Submitted { .. }))
     }
 
-    /// Counters by tenant; the last is for requests of none.
+    /// Counters by tenant; the last are for requests without a tenant.
     pub fn counters(&self) -> impl Iterator<Item = &TenantCounters> {
         self.tenants.iter().map(|t| &t.counters)
     }
 
-    /// The heaviest clients of late as tenant's number and client's share of all that was asked for.
+    /// The heaviest recent clients: hash of tenant and client, and its share of the requested
+    /// thread time.
     pub fn heaviest(&self) -> Vec<(u64, f64)> {
         let total = self.heavy_hitters.total().max(f64::MIN_POSITIVE);
         self.heavy_hitters
@@ -315,12 +319,12 @@
             .collect()
     }
 
-    /// What the room was learned to be.
+    /// Usage and the learned limits.
     pub fn concurrency_limit(&self) -> &ConcurrencyLimit {
         &self.concurrency_limit
     }
 
-    /// Bytes taken from the heap for the door's own tables.
+    /// Heap memory of the fair queue's tables (bytes).
     pub fn bytes(&self) -> usize {
         let queues = |t: &Tenant| t.queues.capacity() * std::mem::size_of::<Queue>() + t.scheduler.bytes();
         self.entries.capacity() * (std::mem::size_of::<Entry>() + 8)
@@ -334,8 +338,8 @@
             + self.pending_actions.capacity() * std::mem::size_of::<QueueAction>()
     }
 
-    /// Bytes that the tables of a door take at most, with so many requests shown; tables that double as they grow
-    /// count twice.
+    /// Upper bound of the tables' memory (bytes) with this many submitted requests. Tables that
+    /// double as they grow count twice.
     pub fn max_bytes(settings: &FairQueueConfig, tenants: usize, submitted: usize) -> usize {
         let entry = std::mem::size_of::<Entry>() + 8 + 32 + TimingWheel::<usize>::entry_bytes();
         let queue = std::mem::size_of::<Queue>() + 96;
@@ -345,9 +349,7 @@
             + fixed
     }
 
-    // ---- Coming and going -------------------------------------------------------------------------------
-
-    /// The lane of a tenant: all share one where the order is that of arrival.
+    /// Lane of a tenant. With FIFO order all tenants share one.
     fn lane(&self, tenant: usize) -> usize {
         if self.settings.order == Order::Fair {
             tenant.min(self.tenants.len() - 1)
@@ -356,7 +358,7 @@
         }
     }
 
-    /// A request has come; [`Door::open`] tells what becomes of it, in the same round where there is room.
+    /// Queues a request. [`FairQueue::open`] submits it at once if it fits.
     pub fn enqueue(&mut self, now: u64, mut arrival: Arrival) {
         arrival.tenant = arrival.tenant.min(self.tenants.len() - 1);
         let class = &mut self.classes[arrival.class];
@@ -374,8 +376,8 @@
         }
         self.heavy_hitters.add(flow, expected);
         let lane = self.lane(arrival.tenant);
-        // What a queue's earlier requests held over what they said counts for this one, so that who says the truth
-        // goes to the queues of those who do. Nothing is held for longer than its client waits.
+        // Corrects the expected cost by the queue's history, which steers clients with accurate
+        // estimates to queues of their like. No request runs longer than its client waits.
         let max_thread_ns = (arrival.expires_ns.saturating_sub(now) as f64 * arrival.threads).max(expected);
         let cost = |queue: &Queue| (expected * queue.cost_ratio).min(max_thread_ns);
         let queues = &self.tenants[lane].queues;
@@ -384,7 +386,7 @@
         let queue = shard.min_by(|a, b| backlog_with(a).total_cmp(&backlog_with(b))).unwrap_or(0);
         let mut entry = Entry::new(arrival, flow, kind, expected, now);
         (entry.cost, entry.queue) = (cost(&queues[queue]), queue);
-        // Guards against room that was set aside by a client's word alone: what is known of it by now counts.
+        // A reservation whose cost was underestimated by far is not honoured.
         let reservation =
             self.calendar.claim(now, flow, expected).filter(|p| entry.cost <= p.cost * MAX_COST_GROWTH);
         let own_tenant = &mut self.tenants[arrival.tenant];
@@ -417,7 +419,8 @@
         self.evict_excess(now);
     }
 
-    /// Guards against a queue that grows: whoever has the most in it over its weight makes room.
+    /// Evicts requests while the queue exceeds its bounds, from the lane with the largest backlog
+    /// over its weight.
     fn evict_excess(&mut self, now: u64) {
         while self.queued > self.settings.queued || self.queued_bytes > self.max_queued_bytes {
             let excess = |lane: &usize| self.tenants[*lane].backlog / self.scheduler.weight(*lane);
@@ -425,7 +428,8 @@
             let Some(lane) = queued.max_by(|a, b| excess(a).total_cmp(&excess(b))) else { return };
             let tenant = &self.tenants[lane];
             let longest = tenant.queues.iter().max_by(|a, b| a.backlog.total_cmp(&b.backlog));
-            // The one that would be shown last; those who came back as told only where nobody else waits.
+            // Evicts the request that would be submitted last. Requests with a reservation are
+            // evicted only if nothing else is left.
             let last = |q: &Queue| if tenant.standing { q.oldest() } else { q.newest() };
             let Some(key) = longest.and_then(last).or(tenant.reserved_queue.newest()) else { return };
             self.tenants[self.entries[key].arrival.tenant].counters.evicted += 1;
@@ -433,7 +437,7 @@
         }
     }
 
-    /// Takes an entry out of its queue.
+    /// Removes an entry from its queue.
     fn remove_from_queue(&mut self, key: usize) {
         let entry = &mut self.entries[key];
         let (state, queue, cost, bytes) = (entry.state, entry.queue, entry.cost, entry.arrival.bytes);
@@ -480,21 +484,21 @@
         entry
     }
 
-    /// A tenant's part of the room, among those seen of late.
+    /// Share of a tenant in the capacity, by weight among the recently active tenants.
     fn tenant_share(&self, now: u64, tenant: usize) -> f64 {
         let active = |t: &usize| self.tenants[*t].last_arrival_ns + TENANT_ACTIVE_NS >= now;
         let weights = (0..self.tenants.len()).filter(active).map(|t| self.scheduler.weight(t));
         self.scheduler.weight(tenant) / weights.sum::<f64>().max(1e-9)
     }
 
-    /// Threads of the room that are a lane's while all want more than there is.
+    /// Capacity that a lane gets while all queued lanes compete (threads).
     fn lane_capacity(&self, lane: usize) -> f64 {
         let queued = (0..self.tenants.len()).filter(|t| self.tenants[*t].queued > 0 || *t == lane);
         let weights: f64 = queued.map(|t| self.scheduler.weight(t)).sum();
         self.concurrency_limit.estimated_capacity() * self.scheduler.weight(lane) / weights.max(1e-9)
     }
 
-    /// When a refused request's client should come back, with room set aside for it where there is some.
+    /// Returns retry-after advice, with a reservation if there is capacity for one.
     fn schedule_retry(&mut self, now: u64, entry: &Entry) -> RetryAfter {
         let tenant = entry.arrival.tenant;
         let Some(max_retry_after_ns) = self.max_retry_after_ns.filter(|_| self.settings.order == Order::Fair)
@@ -535,7 +539,8 @@
         }
     }
 
-    /// The client of a request waits no longer. True where the request stood at the door: the module never saw it.
+    /// Removes a request whose client left. Returns true if it was queued, so that the decision
+    /// module does not know it.
     pub fn cancel(&mut self, now: u64, id: u64) -> bool {
         let Some(&key) = self.by_id.get(&id) else { return false };
         if matches!(self.entries[key].state, EntryState::Submitted { .. }) {
@@ -548,15 +553,13 @@
         true
     }
 
-    // ---- Whose turn it is -------------------------------------------------------------------------------
-
-    /// When [`Door::open`] has something to do at the latest, if nothing else happens.
+    /// When [`FairQueue::open`] must be called next, if nothing else happens (ns).
     pub fn next_due_ns(&self) -> Option<u64> {
         let due = [self.timers.next_due_ns(), self.calendar.next_due_ns()];
         due.into_iter().flatten().min()
     }
 
-    /// What is to be done next; to be called until there is nothing more.
+    /// Returns the next action; to be called until it returns none.
     pub fn open(&mut self, now: u64) -> Option<QueueAction> {
         while let Some(Reservation { tenant, .. }) = self.calendar.expire(now) {
             self.tenants[tenant].counters.expired_reservations += 1;
@@ -577,18 +580,19 @@
         next.map(|key| self.submit(now, key))
     }
 
-    /// Takes the wait of one of a lane's.
+    /// Records the wait of a lane's request.
     fn record_wait(&mut self, now: u64, lane: usize, wait: u64) {
         let (rate, stale_ns) = (self.lane_capacity(lane), self.settings.stale_ms * 1_000_000);
         self.tenants[lane].record_wait(now, wait, rate, stale_ns);
     }
 
-    /// A queued request's time is over, or it has become stale.
+    /// Handles a request that can no longer finish in time or that has become stale.
     fn handle_timer(&mut self, now: u64, key: usize) {
         let entry = &self.entries[key];
         let latest_start = latest_start_ns(entry.arrived_ns, &entry.arrival);
         let lane = self.lane(entry.arrival.tenant);
-        // The wheel's ticks are coarser than times: what is due within its tick is due now.
+        // Ticks of the wheel are coarser than times: entries due within two milliseconds are due
+        // now.
         if latest_start.saturating_sub(now) > 2_000_000 {
             let wait = now.saturating_sub(entry.arrived_ns);
             self.record_wait(now, lane, wait);
@@ -603,8 +607,8 @@
         self.refuse(now, key);
     }
 
-    /// The entry that is shown next: those who came back as told first, then by turns, passing over what does not
-    /// fit yet.
+    /// Selects the next entry to submit: reservations first, then by start tag, skipping requests
+    /// that do not fit yet.
     fn select_next(&mut self, now: u64) -> Option<usize> {
         let mut reserved_waiting = false;
         for lane in self.scheduler.by_start_tag() {
@@ -616,7 +620,7 @@
             reserved_waiting = true;
         }
         if reserved_waiting {
-            // Whoever was promised room is next: nobody else takes it meanwhile.
+            // A waiting reservation blocks all other requests.
             return None;
         }
         let allowance = BYPASS_ALLOWANCE_NS * self.concurrency_limit.estimated_capacity().max(1.0);
@@ -630,7 +634,7 @@
                 return None;
             }
             let tenant = &self.tenants[lane];
-            // Who wants no more than its part has no share in finding out where the limit is.
+            // A tenant within its share must not be refused to probe the limit.
             let below_limit = !tenant.standing && self.settings.order == Order::Fair;
             let confidence =
                 if below_limit { AdmissionConfidence::BelowLimit } else { AdmissionConfidence::AtLimit };
@@ -653,8 +657,8 @@
         None
     }
 
-    /// Behind a queue that does not empty: of its newest few, which can still be met in time, the one with the most
-    /// worth for what it holds. Not all can be served, and the heavy are worth no more than the light of their class.
+    /// Selects the entry of the highest value per cost among the newest of a standing queue, which
+    /// can still finish in time. Not all can be served.
     fn best_of_newest(&self, queue: &Queue) -> Option<usize> {
         let worth = |key: &usize| self.entries[*key].arrival.worth / self.entries[*key].cost.max(1.0);
         queue
@@ -688,9 +692,7 @@
         QueueAction::Submit(self.entries[key].arrival.id)
     }
 
-    // ---- What the module says -------------------------------------------------------------------------------
-
-    /// The module took a shown request.
+    /// Records that the decision module accepted a submitted request.
     pub fn accepted(&mut self, now: u64, id: u64) {
         let Some(e) = self.by_id.get(&id).map(|key| &self.entries[*key]) else { return };
         let waited = self.queued > 0;
@@ -698,8 +700,9 @@
         self.concurrency_limit.accepted(now, e.kind, e.arrival.threads, waited);
     }
 
-    /// The module refused a shown request: gives when its client should come back. Where it was sent before, it
-    /// was refused for another reason than want of room.
+    /// Records that the decision module refused a submitted request, and returns retry-after
+    /// advice. A request that was `sent` before was refused for another cause than lack of
+    /// capacity.
     pub fn refused(&mut self, now: u64, id: u64, sent: bool) -> Option<RetryAfter> {
         let key = *self.by_id.get(&id)?;
         if sent {
@@ -717,8 +720,8 @@
         Some(self.schedule_retry(now, &entry))
     }
 
-    /// A shown request is over: served or not, or, where nothing is given, of no interest to anybody any more. What
-    /// it held corrects what its flow was charged.
+    /// Records that a submitted request finished: served or not, or cancelled if none. The
+    /// measured thread time corrects the charge of its flow.
     pub fn finished(&mut self, now: u64, id: u64, served: Option<bool>) {
         let Some(&key) = self.by_id.get(&id) else { return };
         let EntryState::Submitted { at_ns, charged } = self.entries[key].state else { return };
@@ -729,7 +732,7 @@
         self.correct_charge(&entry, thread_ns - charged);
         let class = &mut self.classes[entry.arrival.class];
         if served == Some(true) {
-            // The median, found by steps: guards against a figure that is made by few who say next to nothing.
+            // Follows the median by steps, which a few large underestimates do not shift much.
             let longer = thread_ns > entry.arrival.need_ns * class.usage_ratio;
             let step = if longer { MEDIAN_STEP } else { 1.0 / MEDIAN_STEP };
             class.usage_ratio =
@@ -757,8 +760,8 @@
     }
 }
 
-/// The last moment at which a request can still begin: alone on its threads it would just be in time, for when its
-/// answer is wanted, or where that can't be met from the start, for when its client gives up.
+/// Latest time at which a request can start and still finish by its target, running alone. If the
+/// target was out of reach at arrival, the expiry time counts instead.
 fn latest_start_ns(arrived_ns: u64, arrival: &Arrival) -> u64 {
     let alone = (arrival.need_ns / arrival.threads.max(1.0)) as u64;
     let wanted = arrival.target_end_ns.saturating_sub(alone);
--- a/crates/fair-queue/src/queues.rs
+++ b/crates/fair-queue/src/queues.rs
@@ -1,4 +1,4 @@
-//! The queues themselves: lists in one table of entries, from which any entry leaves in constant time.
+//! FIFO queues as linked lists in one table of entries; any entry is removed in constant time.
 
 use slab::Slab;
 
@@ -8,51 +8,51 @@
 
 const NONE: u32 = u32::MAX;
 
-/// Where an entry stands.
+/// State of an entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EntryState {
-    /// In its queue.
+    /// Waits in the queue of its flow.
     Queued,
-    /// Among those who came back as they were told.
+    /// Waits with a claimed reservation, ahead of the queues.
     Reserved,
-    /// The module has it: since when, and what its flow was charged.
+    /// Submitted to the decision module.
     Submitted {
-        /// Since when (ns).
+        /// Time of submission (ns).
         at_ns: u64,
-        /// Charged (thread-nanoseconds).
+        /// Cost charged to the flow (thread-nanoseconds).
         charged: f64,
     },
 }
 
-/// A request at the door or behind it.
+/// A request that waits or was submitted.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// What is known of it.
+    /// The request.
     pub arrival: Arrival,
-    /// Its flow.
+    /// Flow of the client.
     pub flow: u64,
-    /// Its queue within its tenant's lane.
+    /// Index of its queue within the lane.
     pub queue: usize,
-    /// Its kind.
+    /// Class and size.
     pub kind: RequestKind,
-    /// What it is expected to hold (thread-nanoseconds).
+    /// Expected thread time (thread-nanoseconds), corrected by the queue's cost ratio.
     pub cost: f64,
-    /// The same by its own word.
+    /// Expected thread time before that correction (thread-nanoseconds).
     pub estimated_cost: f64,
-    /// When it came (ns).
+    /// Time of arrival (ns).
     pub arrived_ns: u64,
-    /// It claims a promise.
+    /// Whether it claimed a reservation.
     pub reserved: bool,
-    /// Where it stands.
+    /// Current state.
     pub state: EntryState,
-    /// Its timer, while it waits.
+    /// Timer while it waits.
     pub timer: Option<TimerKey>,
     prev: u32,
     next: u32,
 }
 
 impl Entry {
-    /// One that stands in no list yet.
+    /// Creates an entry that is in no list.
     pub fn new(arrival: Arrival, flow: u64, kind: RequestKind, cost: f64, arrived_ns: u64) -> Self {
         Entry {
             arrival,
@@ -76,11 +76,11 @@
 pub struct Queue {
     head: u32,
     tail: u32,
-    /// Entries in it.
+    /// Number of entries.
     pub count: u32,
-    /// What they are expected to hold in all.
+    /// Sum of the entries' costs (thread-nanoseconds).
     pub backlog: f64,
-    /// What its flows held over what was expected of them, of late.
+    /// Moving average of the measured thread time over the expected one.
     pub cost_ratio: f64,
 }
 
@@ -91,23 +91,23 @@
 }
 
 impl Queue {
-    /// The oldest entry.
+    /// Key of the oldest entry.
     pub fn oldest(&self) -> Option<usize> {
         (self.head != NONE).then_some(self.head as usize)
     }
 
-    /// The newest entry.
+    /// Key of the newest entry.
     pub fn newest(&self) -> Option<usize> {
         (self.tail != NONE).then_some(self.tail as usize)
     }
 
-    /// Its entries, the newest first.
+    /// Iterates over the keys, newest first.
     pub fn iter_from_newest<'a>(&self, entries: &'a Slab<Entry>) -> impl Iterator<Item = usize> + 'a {
         let prev = |key: &u32| Some(entries[*key as usize].prev).filter(|b| *b != NONE);
         std::iter::successors(Some(self.tail).filter(|t| *t != NONE), prev).map(|key| key as usize)
     }
 
-    /// Adds an entry as the newest.
+    /// Appends an entry.
     pub fn push(&mut self, entries: &mut Slab<Entry>, key: usize) {
         let entry = &mut entries[key];
         (entry.prev, entry.next) = (self.tail, NONE);
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Takes an entry out, wherever in the list it is.
+    /// Removes an entry at any position.
     pub fn remove(&mut self, entries: &mut Slab<Entry>, key: usize) {
         let (prev, next, cost) = (entries[key].prev, entries[key].next, entries[key].cost);
         match prev {
--- a/crates/fair-queue/src/settings.rs
+++ b/crates/fair-queue/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the operator chooses.
+//! Configuration of the fair queue, and the assignment of clients to queues.
 
 use std::collections::BTreeMap;
 
@@ -6,56 +6,56 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// How the door divides what the module takes.
+/// Queueing order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Order {
-    /// By weight among tenants, evenly among a tenant's clients.
+    /// Weighted among tenants, equal among the clients of a tenant.
     #[default]
     Fair,
-    /// All in the order in which they came: to compare with.
+    /// First come, first served over all requests: a baseline for comparison.
     Fifo,
 }
 
-/// What names a client within its tenant.
+/// What identifies a client within its tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClientKey {
-    /// The address that it connects from.
+    /// Its network address.
     #[default]
     Peer,
-    /// The user of its PostgreSQL session; else its address.
+    /// The user of its PostgreSQL session, else its address.
     User,
-    /// The `application_name` of its PostgreSQL session; else its address.
+    /// The `application_name` of its PostgreSQL session, else its address.
     ApplicationName,
-    /// A field of its MessagePack call; else its address.
+    /// A field of its MessagePack call, else its address.
     Field(String),
 }
 
-/// The door's own file.
+/// Configuration of the fair queue.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FairQueueConfig {
-    /// How to divide.
+    /// Queueing order.
     pub order: Order,
-    /// What names a client.
+    /// What identifies a client.
     pub client: ClientKey,
-    /// Weights by tenant; one that is not named has that of its allowance.
+    /// Weights by tenant. A tenant that is not listed is weighted by its allowance.
     pub weights: BTreeMap<String, f64>,
-    /// Queues of a tenant (count), over which its clients are spread.
+    /// Queues per tenant.
     pub queues: usize,
-    /// Queues that one client may use (count).
+    /// Queues that one client may use.
     #[serde(rename = "hand")]
     pub hand_size: usize,
-    /// Requests that may be queued in all (count).
+    /// Maximum number of queued requests.
     pub queued: usize,
-    /// Promises that may be out in all (count).
+    /// Maximum number of outstanding reservations.
     #[serde(rename = "promises")]
     pub max_reservations: usize,
-    /// Time for which a promise may be claimed (ms).
+    /// Time for which a reservation can be claimed (ms).
     #[serde(rename = "window_ms")]
     pub reservation_window_ms: u64,
-    /// Wait past which a request is stale while its tenant's queues do not empty (ms).
+    /// Wait after which a request in a standing queue is refused as stale (ms).
     pub stale_ms: u64,
 }
 
@@ -76,15 +76,15 @@
 }
 
 impl FairQueueConfig {
-    /// What is wrong with it, where something is; every figure has bounds, as memory is taken by them.
+    /// Returns the first value that is out of range, as an error message. The bounds limit memory.
     pub fn fault(&self) -> Option<String> {
         let within = |name: &str, value: usize, least: usize, most: usize| {
             (value < least || value > most)
-                .then(|| format!("door: {name} is {value}, not {least} to {most}: choose one within"))
+                .then(|| format!("door: {name} is {value}: must be between {least} and {most}"))
         };
         let weight = |(name, w): (&String, &f64)| {
             (!w.is_finite() || *w <= 0.0 || *w > 1e6)
-                .then(|| format!("door: the weight of {name} is {w}, not above 0 and up to 1000000"))
+                .then(|| format!("door: the weight of {name} is {w}: must be above 0 and at most 1000000"))
         };
         within("queues", self.queues, 1, 1_024)
             .or_else(|| within("hand", self.hand_size, 1, self.queues.min(16)))
@@ -96,27 +96,27 @@
     }
 }
 
-/// Numbers for clients' names: keyed by the process's seed (SipHash-1-3, Aumasson and Bernstein, 2012), so that
-/// nobody can choose a name that shares another's queues.
+/// Keyed hash of client names and flows (SipHash-1-3, Aumasson and Bernstein, 2012). The secret
+/// seed keeps clients from choosing names that collide with another's queues.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientHasher {
     seed: u64,
 }
 
 impl ClientHasher {
-    /// Keyed by this seed.
+    /// Creates a hasher with this key.
     pub fn new(seed: u64) -> Self {
         ClientHasher { seed }
     }
 
-    /// The number of a name.
+    /// Hashes a client name.
     pub fn of(&self, name: &[u8]) -> u64 {
         let mut hasher = SipHasher13::new_with_keys(self.seed, 0x6d61_726c);
         hasher.write(name);
         hasher.finish()
     }
 
-    /// The number of a client of a tenant.
+    /// Hashes a client of a tenant to its flow.
     pub fn flow(&self, tenant: usize, client: u64) -> u64 {
         let mut hasher = SipHasher13::new_with_keys(self.seed, 0x666c_6f77);
         hasher.write_usize(tenant);
@@ -125,8 +125,8 @@
     }
 }
 
-/// The queues that a flow may use: a hand dealt from all of them without replacement (shuffle sharding, as in
-/// Kubernetes' API priority and fairness), so that a flow which fills its own shares all of them with few others.
+/// Selects the queues that a flow may use, without replacement (shuffle sharding, as in
+/// Kubernetes' API Priority and Fairness). Two flows rarely have all their queues in common.
 pub fn shuffle_shard(flow: u64, queues: usize, count: usize) -> impl Iterator<Item = usize> {
     let mut sorted = [usize::MAX; 16];
     let mut rest = flow;
@@ -134,8 +134,8 @@
         let left = (queues - i) as u64;
         let mut card = (rest % left) as usize;
         rest = (rest / left) ^ flow.rotate_left(7 * (i as u32 + 1));
-        // The card's place among those that are left becomes its number among all.
-        // Those dealt before are kept in order beside their deal.
+        // Converts the index among the remaining queues to one among all; `sorted` holds the
+        // queues selected so far in ascending order.
         for taken in &sorted[..i] {
             card += usize::from(card >= *taken);
         }
--- a/crates/fair-queue/src/sketch.rs
+++ b/crates/fair-queue/src/sketch.rs
@@ -1,9 +1,10 @@
-//! A sketch that names the heaviest of a stream of identities in fixed memory.
+//! Finds the heavy hitters of a stream of keys in fixed memory.
 //!
-//! Space-Saving (Metwally, Agrawal and El Abbadi, "Efficient Computation of Frequent and Top-k Elements in Data
-//! Streams", 2005), with weights: an identity that is not held takes the place of the lightest, and its weight as
-//! its error. With `k` places and a total of `w`, whoever has more than `w / k` is held, and no weight is
-//! told too high by more than that. All weights are halved from time to time, so that it tells of late.
+//! Weighted Space-Saving (Metwally, Agrawal and El Abbadi, "Efficient Computation of Frequent and
+//! Top-k Elements in Data Streams", 2005): a key without a counter replaces the key with the
+//! smallest counter and inherits its weight as error. With `k` counters and a total weight of `w`,
+//! every key above `w / k` has a counter, and no weight is overestimated by more than that.
+//! Halving all weights periodically favours recent keys.
 
 use rustc_hash::FxHashMap;
 
@@ -14,29 +15,29 @@
     error: f64,
 }
 
-/// The heaviest identities of a stream.
+/// Counters of the heaviest keys of a stream.
 #[derive(Debug)]
 pub struct HeavyHitters {
-    /// A binary heap with the lightest first.
+    /// Binary heap, smallest weight first.
     heap: Vec<Counter>,
     index_by_key: FxHashMap<u64, usize>,
     capacity: usize,
     total: f64,
 }
 
-/// An identity that the sketch holds.
+/// The estimated weight of a key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// Who.
+    /// The key.
     pub key: u64,
-    /// Its weight is no higher than this.
+    /// The weight is at most this.
     pub upper_bound: f64,
-    /// And no lower than this.
+    /// The weight is at least this.
     pub lower_bound: f64,
 }
 
 impl HeavyHitters {
-    /// A sketch of so many places.
+    /// Creates a sketch with `capacity` counters, at least one.
     pub fn new(capacity: usize) -> Self {
         let capacity = capacity.max(1);
         HeavyHitters {
@@ -47,17 +48,17 @@
         }
     }
 
-    /// Bytes taken from the heap.
+    /// Heap memory in use (bytes).
     pub fn bytes(&self) -> usize {
         self.heap.capacity() * std::mem::size_of::<Counter>() + self.index_by_key.capacity() * 2 * 16
     }
 
-    /// The weight of the whole stream.
+    /// Total weight of the stream.
     pub fn total(&self) -> f64 {
         self.total
     }
 
-    /// Adds to an identity's weight.
+    /// Adds to the weight of a key.
     pub fn add(&mut self, key: u64, weight: f64) {
         self.total += weight;
         if let Some(&index) = self.index_by_key.get(&key) {
@@ -85,12 +86,12 @@
         }
     }
 
-    /// The bounds of one identity's weight, where it is held.
+    /// Returns the estimate of a key that has a counter.
     pub fn get(&self, key: u64) -> Option<Estimate> {
         self.index_by_key.get(&key).map(|index| Self::estimate(&self.heap[*index]))
     }
 
-    /// Those held, the heaviest first.
+    /// Returns all estimates, heaviest first.
     pub fn top(&self) -> Vec<Estimate> {
         let mut all: Vec<Estimate> = self.heap.iter().map(Self::estimate).collect();
         all.sort_by(|a, b| b.upper_bound.total_cmp(&a.upper_bound).then(a.key.cmp(&b.key)));
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Puts a place where it belongs, from `at` up or down; what it passes moves by one.
+    /// Moves the counter at `index` towards the root until its parent is no heavier.
     fn sift_up(&mut self, mut index: usize) {
         let counter = self.heap[index];
         while index > 0 && counter.weight < self.heap[(index - 1) / 2].weight {
--- a/crates/fair-queue/src/wheel.rs
+++ b/crates/fair-queue/src/wheel.rs
@@ -1,20 +1,21 @@
-//! A hierarchical timing wheel: what is due when, with insertion and removal in constant time.
+//! A hierarchical timing wheel: timers with insertion and removal in constant time.
 //!
-//! After Varghese and Lauck, "Hashed and Hierarchical Timing Wheels" (1987), scheme 7: four levels of 64 slots, each
-//! slot a doubly linked list, and an entry moves down a level when its slot's time begins. A word of bits for each level
-//! tells which slots hold something, so that empty time is passed over at once.
+//! Scheme 7 of Varghese and Lauck, "Hashed and Hierarchical Timing Wheels" (1987): four levels of
+//! 64 slots. Each slot is a doubly linked list, and entries move down a level when the time of
+//! their slot begins. A bitmap per level marks the occupied slots, so that empty ones are skipped.
 
 use slab::Slab;
 
 /// Length of a tick as a power of two (ns): about a millisecond.
 const TICK_BITS: u32 = 20;
-/// Slots of a level as a power of two, and levels: times up to 4.8 hours ahead; later ones go round again.
+/// Slots per level as a power of two, and levels. They cover 4.8 hours; later entries are placed
+/// in the last slot and are moved again when it is reached.
 const SLOT_BITS: u32 = 6;
 const LEVELS: usize = 4;
 const SLOTS: usize = 1 << SLOT_BITS;
 const NONE: u32 = u32::MAX;
 
-/// An entry of a [`Wheel`].
+/// Identifies an entry of a [`TimingWheel`].
 pub type TimerKey = usize;
 
 struct Entry<T> {
@@ -25,17 +26,17 @@
     next: u32,
 }
 
-/// Values by the time at which they are due.
+/// Timers with a value each.
 pub struct TimingWheel<T> {
     entries: Slab<Entry<T>>,
     heads: Vec<u32>,
     occupied: [u64; LEVELS],
-    /// The tick that has been reached.
+    /// Number of the current tick.
     current_tick: u64,
 }
 
 impl<T> TimingWheel<T> {
-    /// An empty wheel that starts at `now_ns`.
+    /// Creates an empty wheel whose time is `now_ns`.
     pub fn new(now_ns: u64) -> Self {
         TimingWheel {
             entries: Slab::new(),
@@ -45,27 +46,28 @@
         }
     }
 
-    /// Entries held.
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether the wheel is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Bytes taken from the heap.
+    /// Heap memory in use (bytes).
     pub fn bytes(&self) -> usize {
         self.entries.capacity() * Self::entry_bytes() + self.heads.capacity() * 4
     }
 
-    /// Bytes that one entry takes.
+    /// Memory of one entry (bytes).
     pub const fn entry_bytes() -> usize {
         std::mem::size_of::<Entry<T>>() + 8
     }
 
-    /// Adds a value that is due at `due_ns`; what is due already comes out at the next [`Wheel::expire`].
+    /// Adds a value that is due at `due_ns`. One that is already due is returned by the next
+    /// [`TimingWheel::expire`].
     pub fn insert(&mut self, due_ns: u64, value: T) -> TimerKey {
         let due = (due_ns >> TICK_BITS).max(self.current_tick);
         let key = self.entries.insert(Entry { due, value, slot_index: 0, prev: NONE, next: NONE });
@@ -73,7 +75,7 @@
         key
     }
 
-    /// Takes an entry out before it is due.
+    /// Removes an entry before it is due.
     pub fn remove(&mut self, key: TimerKey) -> Option<T> {
         self.entries.contains(key).then(|| {
             self.unlink(key);
@@ -81,18 +83,18 @@
         })
     }
 
-    /// The entry's value.
+    /// Returns the value of an entry.
     pub fn get(&self, key: TimerKey) -> Option<&T> {
         self.entries.get(key).map(|e| &e.value)
     }
 
-    /// A time no later than the earliest due time, and no earlier than the present tick (ns).
+    /// Returns a lower bound of the earliest due time (ns), not before the current tick.
     pub fn next_due_ns(&self) -> Option<u64> {
         (0..LEVELS).filter_map(|level| self.next_tick_of(level)).min().map(|tick| tick << TICK_BITS)
     }
 
-    /// Takes out one value that is due at `now_ns`, tick by tick in the order of time; a tick counts as due from
-    /// its start, so that nothing comes out late.
+    /// Removes and returns one value that is due at `now_ns`, in order of ticks. An entry is due
+    /// from the start of its tick, so that it never fires late.
     pub fn expire(&mut self, now_ns: u64) -> Option<T> {
         let target = now_ns >> TICK_BITS;
         loop {
@@ -115,7 +117,8 @@
         }
     }
 
-    /// The first tick at which a slot of this level that holds something begins, or now within it.
+    /// Returns the first tick at which an occupied slot of this level begins, or the current tick
+    /// if that slot has already begun.
     fn next_tick_of(&self, level: usize) -> Option<u64> {
         let occupied = self.occupied[level];
         if occupied == 0 {
@@ -127,7 +130,8 @@
         Some(((at + ahead) << shift).max(self.current_tick))
     }
 
-    /// Moves what the slots of the present tick hold on higher levels to where it belongs now.
+    /// Moves the entries of the current slots of the higher levels to the levels where they now
+    /// belong.
     fn cascade(&mut self) {
         for level in (1..LEVELS).rev() {
             let slot = (self.current_tick >> (SLOT_BITS * level as u32)) as usize & (SLOTS - 1);
@@ -145,7 +149,7 @@
     fn link(&mut self, key: TimerKey) {
         let due = self.entries[key].due;
         let ahead = due.saturating_sub(self.current_tick);
-        // An entry whose slot on a level would be the present one again goes a level up.
+        // An entry whose slot would wrap around to the current one is placed a level higher.
         let level = (0..LEVELS - 1)
             .find(|level| {
                 let shift = SLOT_BITS * *level as u32;
--- a/crates/fair-queue/tests/common/mod.rs
+++ b/crates/fair-queue/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small world in stepped time: a module that takes so many threads at once, and requests that hold them.
+//! A simulated decision module with a fixed number of threads, in simulated time.
 
 #![allow(dead_code)]
 
@@ -15,22 +15,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum End {
     Served,
-    /// By the door, or by the module once it was shown.
+    /// Refused by the fair queue, or by the module once it was submitted.
     Refused(RetryAfter),
 }
 
 pub struct Simulation {
     pub fair_queue: FairQueue,
     pub now: u64,
-    /// Threads that the module takes at once.
+    /// Threads of the module.
     pub capacity: f64,
     pub used: f64,
     running: BTreeMap<(u64, u64), f64>,
     service_times: HashMap<u64, (u64, f64)>,
     next: u64,
-    /// Each request's end and when it came.
+    /// When and how each request ended.
     pub ends: HashMap<u64, (u64, End)>,
-    /// The order in which requests were shown.
+    /// Requests in order of submission.
     pub submitted: Vec<u64>,
 }
 
@@ -56,7 +56,8 @@
         }
     }
 
-    /// A request that says it needs `said_ms` and holds one thread for `holds_ms`; wanted within a second.
+    /// Queues a request with an estimate of `estimate_ms` that runs on one thread for
+    /// `service_ms`, and is due within a second.
     pub fn enqueue(&mut self, tenant: usize, client: u64, estimate_ms: u64, service_ms: u64) -> u64 {
         self.enqueue_within(tenant, client, estimate_ms, service_ms, 1_000)
     }
@@ -89,7 +90,7 @@
         self.next
     }
 
-    /// Carries out what the door says, as the core does.
+    /// Carries out the actions of the fair queue, as the core does.
     pub fn run_actions(&mut self) {
         while let Some(queue_action) = self.fair_queue.open(self.now) {
             match queue_action {
@@ -98,7 +99,8 @@
                     self.submitted.push(id);
                     let (service_times, threads) = self.service_times[&id];
                     if self.used + threads > self.capacity {
-                        let retry_after = self.fair_queue.refused(self.now, id, false).expect("advice");
+                        let retry_after =
+                            self.fair_queue.refused(self.now, id, false).expect("retry-after advice");
                         self.end(id, End::Refused(retry_after));
                     } else {
                         self.used += threads;
@@ -112,10 +114,10 @@
 
     fn end(&mut self, id: u64, end: End) {
         let twice = self.ends.insert(id, (self.now, end));
-        assert_eq!(twice, None, "request {id} has one end");
+        assert_eq!(twice, None, "request {id} ended twice");
     }
 
-    /// Passes time until `to`, with a step at each thing that happens.
+    /// Advances the time to `to`, with a step at each event.
     pub fn advance_to(&mut self, to: u64) {
         self.run_actions();
         loop {
@@ -153,10 +155,10 @@
         }
     }
 
-    /// Everything that was taken has ended once its time is over.
+    /// Advances the time and asserts that every request has ended.
     pub fn assert_all_ended(&mut self, within_ms: u64) {
         self.advance_ms(within_ms);
         let open: Vec<u64> = (1..=self.next).filter(|id| !self.ends.contains_key(id)).collect();
-        assert!(open.is_empty(), "{} have no end: {:?}", open.len(), &open[..open.len().min(5)]);
+        assert!(open.is_empty(), "{} requests have not ended: {:?}", open.len(), &open[..open.len().min(5)]);
     }
 }
--- a/crates/fair-queue/tests/fair_queue.rs
+++ b/crates/fair-queue/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! The door's hard cases, in stepped time.
+//! Overload, fairness and reservations of the fair queue, in simulated time.
 
 mod common;
 
@@ -10,7 +10,8 @@
     FairQueueConfig::default()
 }
 
-/// One tenant floods at ten times the capacity from `identities` clients, another asks for half of its share.
+/// Tenant 0 offers ten times the capacity from `identities` clients, tenant 1 half of its share.
+/// Returns the requests of both.
 fn flood(w: &mut Simulation, seconds: u64, identities: u64) -> (Vec<u64>, Vec<u64>) {
     let (mut heavy, mut light) = (Vec::new(), Vec::new());
     for step in 0..seconds * 100 {
@@ -32,7 +33,7 @@
     w.run_actions();
     w.submitted.sort_unstable();
     assert_eq!(w.submitted, ids);
-    assert_eq!(w.fair_queue.next_due_ns(), None, "no timer is left behind");
+    assert_eq!(w.fair_queue.next_due_ns(), None, "no timer remains");
 }
 
 #[test]
@@ -44,12 +45,12 @@
     let (_, light) = flood(&mut many, 50, 50_000);
     many.assert_all_ended(8_000);
     let light_share = many.served(&light) as f64 / light.len() as f64;
-    assert!(light_share >= 0.95, "the light tenant keeps {light_share:.3}");
+    assert!(light_share >= 0.95, "the light tenant is served {light_share:.3}");
     let most = FairQueue::max_bytes(&bound, 2, 10);
     assert!(many.fair_queue.bytes() <= most, "{} bytes, bound {most}", many.fair_queue.bytes());
     assert!(
         many.fair_queue.bytes() < few.fair_queue.bytes() + (1 << 20),
-        "{} then {}",
+        "{} bytes with few clients, {} with many",
         few.fair_queue.bytes(),
         many.fair_queue.bytes()
     );
@@ -61,7 +62,7 @@
     let (heavy, light) = flood(&mut w, 8, u64::MAX);
     w.assert_all_ended(8_000);
     assert!(w.served(&light) * 100 >= light.len() * 95, "{} of {}", w.served(&light), light.len());
-    // What the light tenant leaves is lent: the capacity of 100 a second is used up.
+    // The share that the light tenant leaves goes to the heavy one.
     assert!(w.served(&heavy) + w.served(&light) >= 700, "{}", w.served(&heavy) + w.served(&light));
 }
 
@@ -79,7 +80,7 @@
     w.assert_all_ended(8_000);
     assert!(w.served(&others) * 10 >= others.len() * 9, "{} of {}", w.served(&others), others.len());
     let heaviest = w.fair_queue.heaviest();
-    assert!(heaviest[0].1 > 0.8, "the sketch names the one that floods: {heaviest:?}");
+    assert!(heaviest[0].1 > 0.8, "the flooding client is the heaviest: {heaviest:?}");
 }
 
 #[test]
@@ -97,11 +98,15 @@
         let held = (c.submitted - c.refused_by_module) as f64 * if tenant == 0 { 1.0 } else { 0.1 };
         *(if tenant == 0 { &mut underestimated } else { &mut accurate }) += held;
     }
-    // Thread-seconds of 300 in all: a liar who were believed would have had nearly all of them.
-    assert!(underestimated < 1.35 * accurate, "liars held {underestimated:.0} s, the honest {accurate:.0} s");
+    // 300 thread-seconds in all: without the correction nearly all of them would go to the
+    // underestimated requests.
+    assert!(
+        underestimated < 1.35 * accurate,
+        "underestimated requests used {underestimated:.0} s, accurate ones {accurate:.0} s"
+    );
 }
 
-/// Has the door learn its limit, and returns refused clients with their promises.
+/// Overloads the queue until it has a limit, and returns the refused clients with reservations.
 fn clients_with_reservations(w: &mut Simulation) -> Vec<(u64, u64)> {
     let mut out = Vec::new();
     for step in 0..300 {
@@ -143,9 +148,9 @@
 fn reservations_hold_when_all_clients_return_at_once() {
     let mut w = Simulation::new(&[1.0], 10.0, fair());
     let returns = clients_with_reservations(&mut w);
-    assert!(returns.len() >= 20, "{} promises", returns.len());
+    assert!(returns.len() >= 20, "{} reservations", returns.len());
     let last = returns.iter().map(|(_, at)| *at).max().unwrap();
-    // Half a second past the last: those whose window is over come too, and claim nothing.
+    // The reservations whose windows have ended are not claimed.
     let at = returns.iter().map(|(_, at)| *at).min().unwrap().max(last.saturating_sub(400 * MS));
     w.advance_to(at);
     let before = w.fair_queue.counters().next().unwrap().claims_served;
@@ -174,11 +179,11 @@
         returns.iter().filter_map(|(t, c, id)| w.reserved_at(*id).map(|at| (*t, *c, at))).collect();
     returns.retain(|(_, _, at)| *at > w.now);
     returns.sort_by_key(|(_, _, at)| *at);
-    assert!(returns.len() >= 40, "{} promises", returns.len());
+    assert!(returns.len() >= 40, "{} reservations", returns.len());
     for (tenant, client, at) in &returns {
         w.advance_to((*at).max(w.now));
         w.enqueue(*tenant, *client, 100, 100);
-        // The flood goes on meanwhile.
+        // The overload continues.
         (0..4).for_each(|i| {
             w.enqueue(i % 2, 1 << 40 | w.now ^ i as u64, 100, 100);
         });
@@ -208,7 +213,7 @@
     w.advance_ms(300);
     let heavy = w.submitted[from..].iter().filter(|id| *id % 2 == 1).count();
     let part = heavy as f64 / (w.submitted.len() - from) as f64;
-    assert!((part - 0.9).abs() < 0.03, "the new weights hold at once: {part:.2}");
+    assert!((part - 0.9).abs() < 0.03, "the new weights apply at once: {part:.2}");
     w.assert_all_ended(60_000);
 }
 
@@ -228,7 +233,7 @@
     let singles: Vec<u64> = (0..50).map(|i| w.enqueue_within(0, 1_000 + i, 10, 10, 10_000)).collect();
     w.advance_ms(700);
     let (a, b) = (w.served(&many), w.served(&singles));
-    assert!(b >= 40 && a <= 20, "the one got {a} turns, the fifty {b}");
+    assert!(b >= 40 && a <= 20, "{a} of the single client were served, {b} of the fifty");
 }
 
 #[test]
@@ -253,7 +258,7 @@
     let served = w.submitted[from..].iter().filter(|id| matches!(w.ends.get(id), Some((_, End::Served))));
     let (own, all) = served.fold((0, 0), |(own, all), id| (own + usize::from(late.contains(id)), all + 1));
     let part = f64::from(own as u32) / f64::from(all);
-    assert!((0.42..0.58).contains(&part), "the tenant that came back has {part:.2} of the turns");
+    assert!((0.42..0.58).contains(&part), "the returning tenant got {part:.2} of the service");
 }
 
 #[test]
@@ -269,7 +274,8 @@
     for id in ids {
         let (at, end) = w.ends[&id];
         assert!(matches!(end, End::Refused(_)));
-        // Wanted within 1,000 ms, and alone it takes 300: never later, and no more than a tick or two earlier.
+        // Due within 1,000 ms with a need of 300 ms, so refused at 700 ms, at most a few ticks
+        // early.
         let after_ms = (at - start) as f64 / MS as f64;
         assert!((695.0..=700.0).contains(&after_ms) || after_ms < 1.0, "refused after {after_ms} ms");
     }
@@ -291,7 +297,7 @@
     };
     let (served, wait_ms) = served_in_time(400);
     assert!(served >= 520, "{served} of 600 possible");
-    assert!(wait_ms < 150, "mean wait {wait_ms} ms of those shown");
+    assert!(wait_ms < 150, "mean wait of submitted requests: {wait_ms} ms");
 }
 
 #[test]
@@ -306,8 +312,8 @@
     let queued: Vec<u64> = waiting.into_iter().filter(|id| w.fair_queue.waits(*id)).collect();
     assert!(queued.len() > 400, "{}", queued.len());
     for id in &queued {
-        assert!(w.fair_queue.cancel(w.now, *id), "the module never saw it");
-        assert!(!w.fair_queue.cancel(w.now, *id), "it leaves once");
+        assert!(w.fair_queue.cancel(w.now, *id), "it was queued");
+        assert!(!w.fair_queue.cancel(w.now, *id), "it is removed once");
     }
     assert_eq!(
         (w.fair_queue.queued(), w.fair_queue.queued_bytes(), w.fair_queue.next_due_ns().is_some()),
@@ -328,7 +334,7 @@
     });
     let light: Vec<u64> = (0..20).map(|i| w.enqueue(1, i, 100, 100)).collect();
     w.run_actions();
-    assert!(light.iter().all(|id| w.fair_queue.waits(*id)), "none of the light tenant's is pushed out");
+    assert!(light.iter().all(|id| w.fair_queue.waits(*id)), "no request of the light tenant is evicted");
     let c: Vec<_> = w.fair_queue.counters().copied().collect();
     assert!(c[0].evicted >= 430 && c[1].evicted == 0, "{c:?}");
     assert!((40..=50).contains(&w.fair_queue.queued()), "{}", w.fair_queue.queued());
@@ -349,7 +355,7 @@
     let reserved_count = retry_after.iter().filter(|a| a.reserved).count();
     assert!(
         reserved_count > 0 && reserved_count < 10,
-        "{reserved_count} promises of a second on two threads, two seconds ahead"
+        "{reserved_count} reservations of one second on two threads within two seconds"
     );
 }
 
@@ -362,14 +368,14 @@
     assert_eq!(w.fair_queue.open(w.now), Some(QueueAction::Submit(9_000)));
     w.fair_queue.accepted(w.now, 9_000);
     assert_eq!(w.fair_queue.concurrency_limit().used(), 4.0);
-    assert!(!w.fair_queue.cancel(w.now + S, 9_000), "the module has it");
+    assert!(!w.fair_queue.cancel(w.now + S, 9_000), "it was submitted");
     assert_eq!(w.fair_queue.concurrency_limit().used(), 0.0);
 }
 
 #[test]
 fn isolated_refusals_set_no_limit_and_an_idle_limit_expires() {
     let mut w = Simulation::new(&[1.0], 10.0, fair());
-    // One in ten is refused for a reason of its own, as where no engine may run it.
+    // One in ten is refused for a cause other than capacity.
     for i in 0..200 {
         let id = w.enqueue(0, i, 10, 10);
         if i % 10 == 0 {
@@ -380,7 +386,7 @@
     }
     assert!(!w.fair_queue.concurrency_limit().is_limited());
     let c = *w.fair_queue.counters().next().unwrap();
-    assert_eq!((c.waited, c.submitted), (0, 200), "nobody waits");
+    assert_eq!((c.waited, c.submitted), (0, 200), "no request waits");
     (0..40).for_each(|i| {
         w.enqueue(0, i, 100, 100);
     });
@@ -389,5 +395,5 @@
     w.advance_ms(3_000);
     w.enqueue(0, 1, 10, 10);
     w.run_actions();
-    assert!(!w.fair_queue.concurrency_limit().is_limited(), "nobody has waited for a second");
+    assert!(!w.fair_queue.concurrency_limit().is_limited(), "no request has waited for a second");
 }
--- a/crates/fair-queue/tests/structures.rs
+++ b/crates/fair-queue/tests/structures.rs
@@ -1,4 +1,4 @@
-//! The door's structures against plain ones.
+//! Property tests of the data structures against simple reference models.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -30,7 +30,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(200) })]
 
-    /// Whatever is put in, taken out and waited for, the wheel gives what a sorted map gives, tick by tick.
+    /// For any sequence of insertions, removals and steps, the wheel returns the same values as a
+    /// sorted map, tick by tick.
     #[test]
     fn timing_wheel_matches_a_sorted_map(start in 0..1_u64 << 40, steps in steps()) {
         let mut now = start * TICK;
@@ -70,8 +71,8 @@
         }
     }
 
-    /// The bound that Goyal, Vin and Cheng prove: between two flows that always have a backlog, what they got over
-    /// their weights differs by no more than the sum of their greatest costs over their weights.
+    /// The bound of Goyal, Vin and Cheng: for two backlogged flows the weighted service differs by
+    /// at most the sum of their maximum costs over their weights.
     #[test]
     fn start_time_fair_queueing_bounds_the_service_difference(
         weights in proptest::collection::vec(1..20_u32, 2..8),
@@ -93,8 +94,8 @@
         }
     }
 
-    /// No flow with a backlog waits longer than it takes to serve one greatest cost of every other flow for each of
-    /// its turns, in proportion to the weights: counted in what is served between two turns of a flow.
+    /// The service to other flows between two turns of a backlogged flow is bounded by their
+    /// weights and maximum costs.
     #[test]
     fn a_backlogged_flow_waits_no_longer_than_the_bound(
         weights in proptest::collection::vec(1..10_u32, 2..6),
@@ -109,7 +110,8 @@
             fair.charge(flow, cost, 0.0);
             for other in 0..weights.len() {
                 since[other] += cost;
-                // The others may each serve what the flow's own last turn allows them, and one cost beyond it.
+                // Each of the others may get its weighted equivalent of the flow's last turn, plus
+                // two maximum costs.
                 let others = (0..weights.len()).filter(|o| *o != other);
                 let bound: f64 =
                     others.map(|o| (last[other] / weights[other]) * weights[o] + 2.0 * 100.0).sum::<f64>();
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Corrections move a flow's turn by what was wrong, and never into the past or beyond the debt.
+    /// Corrections shift a flow's start tag, never before virtual time or beyond the maximum debt.
     #[test]
     fn debt_is_bounded(deltas in proptest::collection::vec(-2_000.0..5_000.0_f64, 1..100)) {
         let mut fair = StartTimeFairQueue::new(&[1.0, 1.0], 10_000.0);
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Whoever has more than the sketch's part of a stream is held, and bounds hold for all that are.
+    /// Every key above its share of the stream has a counter, and the bounds of all counters hold.
     #[test]
     fn heavy_hitter_estimates_stay_within_bounds(stream in proptest::collection::vec((0..200_u64, 1..50_u32), 1..2_000)) {
         let (mut sketch, mut reference, mut total) = (HeavyHitters::new(16), HashMap::new(), 0.0);
@@ -145,13 +147,13 @@
         for (who, weight) in reference {
             match sketch.get(who) {
                 Some(estimate) => prop_assert!(estimate.lower_bound <= weight + 1e-6 && weight <= estimate.upper_bound + 1e-6),
-                None => prop_assert!(weight <= total / 16.0 + 1e-6, "{weight} of {total} is not held"),
+                None => prop_assert!(weight <= total / 16.0 + 1e-6, "weight {weight} of {total} has no counter"),
             }
         }
         prop_assert!(sketch.top().windows(2).all(|w| w[0].upper_bound >= w[1].upper_bound));
     }
 
-    /// A hand has as many different queues as it should, the same ones each time.
+    /// Selects the requested number of distinct queues, and the same ones each time.
     #[test]
     fn shuffle_shard_picks_distinct_queues(flow: u64, queues in 1..1_024_usize, count in 1..16_usize) {
         let dealt: Vec<usize> = shuffle_shard(flow, queues, count).collect();
