--- a/crates/fair-queue/src/calendar.rs
+++ b/crates/fair-queue/src/calendar.rs
@@ -145,12 +145,12 @@
     pub fn claim(&mut self, now: u64, flow: u64, estimated_cost: f64) -> Option<Reservation> {
         let keys = self.keys_by_flow.get(&flow)?;
         let claimable = |key: &&TimerKey| {
-            self.reservations.get(**key).is_some_and(|p| {
-                now + CLAIM_EARLY_NS >= p.at_ns && estimated_cost <= p.estimated_cost * MAX_CLAIM_RATIO
+            self.reservations.get(**key).is_some_and(|r| {
+                now + CLAIM_EARLY_NS >= r.at_ns && estimated_cost <= r.estimated_cost * MAX_CLAIM_RATIO
             })
         };
         let key =
-            *keys.iter().filter(claimable).min_by_key(|key| self.reservations.get(**key).map(|p| p.at_ns))?;
+            *keys.iter().filter(claimable).min_by_key(|key| self.reservations.get(**key).map(|r| r.at_ns))?;
         let reservation = self.reservations.remove(key);
         self.prune_keys(flow);
         reservation
@@ -171,7 +171,7 @@
     /// Drops the keys of a flow that no longer refer to one of its reservations.
     fn prune_keys(&mut self, flow: u64) {
         if let Some(keys) = self.keys_by_flow.get_mut(&flow) {
-            keys.retain(|key| self.reservations.get(*key).is_some_and(|p| p.flow == flow));
+            keys.retain(|key| self.reservations.get(*key).is_some_and(|r| r.flow == flow));
             if keys.is_empty() {
                 self.keys_by_flow.remove(&flow);
             }
--- a/crates/fair-queue/src/lib.rs
+++ b/crates/fair-queue/src/lib.rs
@@ -156,13 +156,13 @@
     }
 
     /// Records the wait of a submitted request, or of the oldest one.
-    fn record_wait(&mut self, now: u64, wait: u64, rate: f64, stale_ns: u64) {
+    fn record_wait(&mut self, now: u64, wait: u64, capacity_threads: f64, stale_ns: u64) {
         self.codel_interval.1 = self.codel_interval.1.min(wait);
         if now >= self.codel_interval.0 + CODEL_INTERVAL_NS {
             // In a standing queue the newest are served first and wait little, so only an empty
             // queue ends the state. A few requests, or a backlog that the tenant's share serves
             // before it is stale, do not count as a standing queue.
-            let exceeds_stale = self.backlog > rate * stale_ns as f64;
+            let exceeds_stale = self.backlog > capacity_threads * stale_ns as f64;
             self.standing |= self.codel_interval.1 > CODEL_TARGET_NS
                 && self.queued >= MIN_STANDING_REQUESTS
                 && exceeds_stale;
@@ -260,22 +260,22 @@
     /// Applies new weights and those settings that can change at run time; queued requests stay.
     /// Returns the names of changed settings that need a restart.
     pub fn reload(&mut self, settings: FairQueueConfig, weights: &[f64]) -> Vec<&'static str> {
-        let now = &self.settings;
+        let current = &self.settings;
         let changed = [
-            ("order", now.order != settings.order),
-            ("client", now.client != settings.client),
-            ("queues", now.queues != settings.queues),
-            ("promises", now.max_reservations != settings.max_reservations),
-            ("window_ms", now.reservation_window_ms != settings.reservation_window_ms),
+            ("order", current.order != settings.order),
+            ("client", current.client != settings.client),
+            ("queues", current.queues != settings.queues),
+            ("promises", current.max_reservations != settings.max_reservations),
+            ("window_ms", current.reservation_window_ms != settings.reservation_window_ms),
         ];
         self.scheduler.set_weights(&normalize_weights(weights));
         self.settings = FairQueueConfig {
-            order: now.order,
-            client: now.client.clone(),
-            queues: now.queues,
-            max_reservations: now.max_reservations,
-            reservation_window_ms: now.reservation_window_ms,
-            hand_size: settings.hand_size.min(now.queues),
+            order: current.order,
+            client: current.client.clone(),
+            queues: current.queues,
+            max_reservations: current.max_reservations,
+            reservation_window_ms: current.reservation_window_ms,
+            hand_size: settings.hand_size.min(current.queues),
             ..settings
         };
         changed.iter().filter(|(_, changed)| *changed).map(|(name, _)| *name).collect()
@@ -388,7 +388,7 @@
         (entry.cost, entry.queue) = (cost(&queues[queue]), queue);
         // A reservation whose cost was underestimated by far is not honoured.
         let reservation =
-            self.calendar.claim(now, flow, expected).filter(|p| entry.cost <= p.cost * MAX_COST_GROWTH);
+            self.calendar.claim(now, flow, expected).filter(|r| entry.cost <= r.cost * MAX_COST_GROWTH);
         let own_tenant = &mut self.tenants[arrival.tenant];
         own_tenant.counters.arrivals += 1;
         own_tenant.counters.claims += u64::from(reservation.is_some());
@@ -427,11 +427,11 @@
             let queued = (0..self.tenants.len()).filter(|lane| self.tenants[*lane].queued > 0);
             let Some(lane) = queued.max_by(|a, b| excess(a).total_cmp(&excess(b))) else { return };
             let tenant = &self.tenants[lane];
-            let longest = tenant.queues.iter().max_by(|a, b| a.backlog.total_cmp(&b.backlog));
+            let longest_queue = tenant.queues.iter().max_by(|a, b| a.backlog.total_cmp(&b.backlog));
             // Evicts the request that would be submitted last. Requests with a reservation are
             // evicted only if nothing else is left.
             let last = |q: &Queue| if tenant.standing { q.oldest() } else { q.newest() };
-            let Some(key) = longest.and_then(last).or(tenant.reserved_queue.newest()) else { return };
+            let Some(key) = longest_queue.and_then(last).or(tenant.reserved_queue.newest()) else { return };
             self.tenants[self.entries[key].arrival.tenant].counters.evicted += 1;
             self.refuse(now, key);
         }
@@ -582,8 +582,8 @@
 
     /// Records the wait of a lane's request.
     fn record_wait(&mut self, now: u64, lane: usize, wait: u64) {
-        let (rate, stale_ns) = (self.lane_capacity(lane), self.settings.stale_ms * 1_000_000);
-        self.tenants[lane].record_wait(now, wait, rate, stale_ns);
+        let (capacity_threads, stale_ns) = (self.lane_capacity(lane), self.settings.stale_ms * 1_000_000);
+        self.tenants[lane].record_wait(now, wait, capacity_threads, stale_ns);
     }
 
     /// Handles a request that can no longer finish in time or that has become stale.
@@ -763,12 +763,12 @@
 /// Latest time at which a request can start and still finish by its target, running alone. If the
 /// target was out of reach at arrival, the expiry time counts instead.
 fn latest_start_ns(arrived_ns: u64, arrival: &Arrival) -> u64 {
-    let alone = (arrival.need_ns / arrival.threads.max(1.0)) as u64;
-    let wanted = arrival.target_end_ns.saturating_sub(alone);
-    let last = arrival.expires_ns.saturating_sub(alone);
-    if wanted > arrived_ns {
-        wanted.min(last)
+    let alone_ns = (arrival.need_ns / arrival.threads.max(1.0)) as u64;
+    let latest_for_target = arrival.target_end_ns.saturating_sub(alone_ns);
+    let latest_before_expiry = arrival.expires_ns.saturating_sub(alone_ns);
+    if latest_for_target > arrived_ns {
+        latest_for_target.min(latest_before_expiry)
     } else {
-        last.max(arrived_ns)
+        latest_before_expiry.max(arrived_ns)
     }
 }
--- a/crates/fair-queue/src/settings.rs
+++ b/crates/fair-queue/src/settings.rs
@@ -78,9 +78,9 @@
 impl FairQueueConfig {
     /// Returns the first value that is out of range, as an error message. The bounds limit memory.
     pub fn fault(&self) -> Option<String> {
-        let within = |name: &str, value: usize, least: usize, most: usize| {
-            (value < least || value > most)
-                .then(|| format!("door: {name} is {value}: must be between {least} and {most}"))
+        let within = |name: &str, value: usize, min_value: usize, max_value: usize| {
+            (value < min_value || value > max_value)
+                .then(|| format!("door: {name} is {value}: must be between {min_value} and {max_value}"))
         };
         let weight = |(name, w): (&String, &f64)| {
             (!w.is_finite() || *w <= 0.0 || *w > 1e6)
@@ -131,17 +131,17 @@
     let mut sorted = [usize::MAX; 16];
     let mut rest = flow;
     (0..count.min(queues).min(16)).map(move |i| {
-        let left = (queues - i) as u64;
-        let mut card = (rest % left) as usize;
-        rest = (rest / left) ^ flow.rotate_left(7 * (i as u32 + 1));
+        let remaining = (queues - i) as u64;
+        let mut index = (rest % remaining) as usize;
+        rest = (rest / remaining) ^ flow.rotate_left(7 * (i as u32 + 1));
         // Converts the index among the remaining queues to one among all; `sorted` holds the
         // queues selected so far in ascending order.
-        for taken in &sorted[..i] {
-            card += usize::from(card >= *taken);
+        for selected in &sorted[..i] {
+            index += usize::from(index >= *selected);
         }
-        let place = sorted[..i].partition_point(|taken| *taken < card);
-        sorted.copy_within(place..i, place + 1);
-        sorted[place] = card;
-        card
+        let position = sorted[..i].partition_point(|selected| *selected < index);
+        sorted.copy_within(position..i, position + 1);
+        sorted[position] = index;
+        index
     })
 }
--- a/crates/fair-queue/src/wheel.rs
+++ b/crates/fair-queue/src/wheel.rs
@@ -22,8 +22,8 @@
     due: u64,
     value: T,
     slot_index: u16,
-    prev: u32,
-    next: u32,
+    prev_key: u32,
+    next_key: u32,
 }
 
 /// Timers with a value each.
@@ -70,7 +70,7 @@
     /// [`TimingWheel::expire`].
     pub fn insert(&mut self, due_ns: u64, value: T) -> TimerKey {
         let due = (due_ns >> TICK_BITS).max(self.current_tick);
-        let key = self.entries.insert(Entry { due, value, slot_index: 0, prev: NONE, next: NONE });
+        let key = self.entries.insert(Entry { due, value, slot_index: 0, prev_key: NONE, next_key: NONE });
         self.link(key);
         key
     }
@@ -140,7 +140,7 @@
             self.occupied[level] &= !(1 << slot);
             while head != NONE {
                 let key = head as usize;
-                head = self.entries[key].next;
+                head = self.entries[key].next_key;
                 self.link(key);
             }
         }
@@ -162,24 +162,24 @@
         let slot_index = level * SLOTS + slot;
         let head = std::mem::replace(&mut self.heads[slot_index], key as u32);
         if head != NONE {
-            self.entries[head as usize].prev = key as u32;
+            self.entries[head as usize].prev_key = key as u32;
         }
         let entry = &mut self.entries[key];
-        (entry.slot_index, entry.prev, entry.next) = (slot_index as u16, NONE, head);
+        (entry.slot_index, entry.prev_key, entry.next_key) = (slot_index as u16, NONE, head);
         self.occupied[level] |= 1 << slot;
     }
 
     fn unlink(&mut self, key: TimerKey) {
-        let (slot_index, prev, next) = {
+        let (slot_index, prev_key, next_key) = {
             let e = &self.entries[key];
-            (e.slot_index as usize, e.prev, e.next)
+            (e.slot_index as usize, e.prev_key, e.next_key)
         };
-        match prev {
-            NONE => self.heads[slot_index] = next,
-            prev => self.entries[prev as usize].next = next,
+        match prev_key {
+            NONE => self.heads[slot_index] = next_key,
+            prev_key => self.entries[prev_key as usize].next_key = next_key,
         }
-        if next != NONE {
-            self.entries[next as usize].prev = prev;
+        if next_key != NONE {
+            self.entries[next_key as usize].prev_key = prev_key;
         }
         if self.heads[slot_index] == NONE {
             self.occupied[slot_index / SLOTS] &= !(1 << (slot_index % SLOTS));
--- a/crates/fair-queue/tests/common/mod.rs
+++ b/crates/fair-queue/tests/common/mod.rs
@@ -27,7 +27,7 @@
     pub used: f64,
     running: BTreeMap<(u64, u64), f64>,
     service_times: HashMap<u64, (u64, f64)>,
-    next: u64,
+    next_id: u64,
     /// When and how each request ended.
     pub ends: HashMap<u64, (u64, End)>,
     /// Requests in order of submission.
@@ -50,7 +50,7 @@
             used: 0.0,
             running: BTreeMap::new(),
             service_times: HashMap::new(),
-            next: 0,
+            next_id: 0,
             ends: HashMap::new(),
             submitted: Vec::new(),
         }
@@ -70,12 +70,12 @@
         service_ms: u64,
         target_ms: u64,
     ) -> u64 {
-        self.next += 1;
-        self.service_times.insert(self.next, (service_ms * MS, 1.0));
+        self.next_id += 1;
+        self.service_times.insert(self.next_id, (service_ms * MS, 1.0));
         self.fair_queue.enqueue(
             self.now,
             Arrival {
-                id: self.next,
+                id: self.next_id,
                 tenant,
                 client,
                 class: 0,
@@ -87,7 +87,7 @@
                 bytes: 100,
             },
         );
-        self.next
+        self.next_id
     }
 
     /// Carries out the actions of the fair queue, as the core does.
@@ -97,14 +97,14 @@
                 QueueAction::Refuse(id, retry_after) => self.end(id, End::Refused(retry_after)),
                 QueueAction::Submit(id) => {
                     self.submitted.push(id);
-                    let (service_times, threads) = self.service_times[&id];
+                    let (service_ns, threads) = self.service_times[&id];
                     if self.used + threads > self.capacity {
                         let retry_after =
                             self.fair_queue.refused(self.now, id, false).expect("retry-after advice");
                         self.end(id, End::Refused(retry_after));
                     } else {
                         self.used += threads;
-                        self.running.insert((self.now + service_times, id), threads);
+                        self.running.insert((self.now + service_ns, id), threads);
                         self.fair_queue.accepted(self.now, id);
                     }
                 }
@@ -158,7 +158,7 @@
     /// Advances the time and asserts that every request has ended.
     pub fn assert_all_ended(&mut self, within_ms: u64) {
         self.advance_ms(within_ms);
-        let open: Vec<u64> = (1..=self.next).filter(|id| !self.ends.contains_key(id)).collect();
+        let open: Vec<u64> = (1..=self.next_id).filter(|id| !self.ends.contains_key(id)).collect();
         assert!(open.is_empty(), "{} requests have not ended: {:?}", open.len(), &open[..open.len().min(5)]);
     }
 }
