--- a/crates/fair-queue/src/concurrency_limit.rs
+++ b/crates/fair-queue/src/concurrency_limit.rs
@@ -2,9 +2,11 @@
 //!
 //! Usage is counted in threads of submitted requests that have not finished. The module also
 //! refuses single requests for other reasons, so a limit applies only once a share of requests is
-//! refused, and until no request has had to wait for a while. The limit then follows additive
-//! increase and multiplicative decrease (Chiu and Jain, 1989), with an increase that doubles for
-//! each second without a refusal, so that new capacity is found quickly.
+//! refused, and until no request has had to wait for a while. Like a congestion window (after Chiu
+//! and Jain, 1989), the limit then grows slowly with accepted requests and shrinks with each
+//! refusal. The growth doubles for each second without a refusal, so that new capacity is found
+//! quickly.
+//!
 //! Each kind of request (a class and a size) has its own limit, because the module refuses the
 //! heavy requests of a class before the light ones.
 
@@ -27,8 +29,8 @@
 /// Minimum of a limit (threads), and the time without a refusal after which it is dropped (ns).
 const MIN_LIMIT_THREADS: f64 = 1.0;
 const LIMIT_LIFETIME_NS: u64 = 20_000_000_000;
-/// Share of a limit that requests may use which should be accepted for sure, and the share for
-/// requests with a reservation. Only the others probe the limit.
+/// Share of a limit that is usable for [`AdmissionConfidence::BelowLimit`] and for
+/// [`AdmissionConfidence::Reserved`].
 const BELOW_LIMIT_SHARE: f64 = 0.84;
 const RESERVED_SHARE: f64 = 0.75;
 /// Weight of a sample in the estimated capacity while requests wait.
--- a/crates/fair-queue/src/lib.rs
+++ b/crates/fair-queue/src/lib.rs
@@ -634,7 +634,7 @@
                 return None;
             }
             let tenant = &self.tenants[lane];
-            // A tenant within its share must not be refused to probe the limit.
+            // Only tenants with a standing queue probe the limit, where requests may be refused.
             let below_limit = !tenant.standing && self.settings.order == Order::Fair;
             let confidence =
                 if below_limit { AdmissionConfidence::BelowLimit } else { AdmissionConfidence::AtLimit };
@@ -732,7 +732,7 @@
         self.correct_charge(&entry, thread_ns - charged);
         let class = &mut self.classes[entry.arrival.class];
         if served == Some(true) {
-            // Follows the median by steps, which a few large underestimates do not shift much.
+            // Steps towards the median, so that a few large underestimates have little effect.
             let longer = thread_ns > entry.arrival.need_ns * class.usage_ratio;
             let step = if longer { MEDIAN_STEP } else { 1.0 / MEDIAN_STEP };
             class.usage_ratio =
