--- a/crates/fair-queue/src/queues.rs
+++ b/crates/fair-queue/src/queues.rs
@@ -1,72 +1,72 @@
-//! The queues themselves: lists in one table of entries, from which any entry leaves in constant time.
+//! FIFO queues as linked lists in one table of entries; any entry is removed in constant time.
 
 use slab::Slab;
 
-use crate::room::Kind;
-use crate::wheel::Key;
+use crate::concurrency_limit::RequestKind;
+use crate::wheel::TimerKey;
 use crate::Arrival;
 
 const NONE: u32 = u32::MAX;
 
-/// Where an entry stands.
+/// State of an entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Stand {
-    /// In its queue.
+pub enum EntryState {
+    /// Waits in the queue of its flow.
     Queued,
-    /// Among those who came back as they were told.
-    Returned,
-    /// The module has it: since when, and what its flow was charged.
-    Shown {
-        /// Since when (ns).
+    /// Waits with a claimed reservation, ahead of the queues.
+    Reserved,
+    /// Submitted to the decision module.
+    Submitted {
+        /// Time of submission (ns).
         at_ns: u64,
-        /// Charged (thread-nanoseconds).
+        /// Cost charged to the flow (thread-nanoseconds).
         charged: f64,
     },
 }
 
-/// A request at the door or behind it.
+/// A request that waits or was submitted.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// What is known of it.
+    /// The request.
     pub arrival: Arrival,
-    /// Its flow.
+    /// Flow of the client.
     pub flow: u64,
-    /// Its queue within its tenant's lane.
+    /// Index of its queue within the lane.
     pub queue: usize,
-    /// Its kind.
-    pub kind: Kind,
-    /// What it is expected to hold (thread-nanoseconds).
+    /// Class and size.
+    pub kind: RequestKind,
+    /// Expected thread time (thread-nanoseconds), corrected by the queue's cost ratio.
     pub cost: f64,
-    /// The same by its own word.
-    pub said: f64,
-    /// When it came (ns).
-    pub came_ns: u64,
-    /// It claims a promise.
-    pub promised: bool,
-    /// Where it stands.
-    pub stand: Stand,
-    /// Its timer, while it waits.
-    pub timer: Option<Key>,
-    before: u32,
-    after: u32,
+    /// Expected thread time before that correction (thread-nanoseconds).
+    pub estimated_cost: f64,
+    /// Time of arrival (ns).
+    pub arrived_ns: u64,
+    /// Whether it claimed a reservation.
+    pub reserved: bool,
+    /// Current state.
+    pub state: EntryState,
+    /// Timer while it waits.
+    pub timer: Option<TimerKey>,
+    prev: u32,
+    next: u32,
 }
 
 impl Entry {
-    /// One that stands in no list yet.
-    pub fn new(arrival: Arrival, flow: u64, kind: Kind, cost: f64, came_ns: u64) -> Self {
+    /// Creates an entry that is in no list.
+    pub fn new(arrival: Arrival, flow: u64, kind: RequestKind, cost: f64, arrived_ns: u64) -> Self {
         Entry {
             arrival,
             flow,
             queue: 0,
             kind,
             cost,
-            said: cost,
-            came_ns,
-            promised: false,
-            stand: Stand::Returned,
+            estimated_cost: cost,
+            arrived_ns,
+            reserved: false,
+            state: EntryState::Reserved,
             timer: None,
-            before: NONE,
-            after: NONE,
+            prev: NONE,
+            next: NONE,
         }
     }
 }
@@ -76,59 +76,59 @@
 pub struct Queue {
     head: u32,
     tail: u32,
-    /// Entries in it.
+    /// Number of entries.
     pub count: u32,
-    /// What they are expected to hold in all.
+    /// Sum of the entries' costs (thread-nanoseconds).
     pub backlog: f64,
-    /// What its flows held over what was expected of them, of late.
-    pub truth: f64,
+    /// Moving average of the measured thread time over the expected one.
+    pub cost_ratio: f64,
 }
 
 impl Default for Queue {
     fn default() -> Self {
-        Queue { head: NONE, tail: NONE, count: 0, backlog: 0.0, truth: 1.0 }
+        Queue { head: NONE, tail: NONE, count: 0, backlog: 0.0, cost_ratio: 1.0 }
     }
 }
 
 impl Queue {
-    /// The oldest entry.
+    /// Key of the oldest entry.
     pub fn oldest(&self) -> Option<usize> {
         (self.head != NONE).then_some(self.head as usize)
     }
 
-    /// The newest entry.
+    /// Key of the newest entry.
     pub fn newest(&self) -> Option<usize> {
         (self.tail != NONE).then_some(self.tail as usize)
     }
 
-    /// Its entries, the newest first.
-    pub fn from_newest<'a>(&self, entries: &'a Slab<Entry>) -> impl Iterator<Item = usize> + 'a {
-        let before = |key: &u32| Some(entries[*key as usize].before).filter(|b| *b != NONE);
-        std::iter::successors(Some(self.tail).filter(|t| *t != NONE), before).map(|key| key as usize)
+    /// Iterates over the keys, newest first.
+    pub fn iter_from_newest<'a>(&self, entries: &'a Slab<Entry>) -> impl Iterator<Item = usize> + 'a {
+        let prev = |key: &u32| Some(entries[*key as usize].prev).filter(|b| *b != NONE);
+        std::iter::successors(Some(self.tail).filter(|t| *t != NONE), prev).map(|key| key as usize)
     }
 
-    /// Adds an entry as the newest.
+    /// Appends an entry.
     pub fn push(&mut self, entries: &mut Slab<Entry>, key: usize) {
         let entry = &mut entries[key];
-        (entry.before, entry.after) = (self.tail, NONE);
+        (entry.prev, entry.next) = (self.tail, NONE);
         self.count += 1;
         self.backlog += entry.cost;
         match std::mem::replace(&mut self.tail, key as u32) {
             NONE => self.head = key as u32,
-            before => entries[before as usize].after = key as u32,
+            prev => entries[prev as usize].next = key as u32,
         }
     }
 
-    /// Takes an entry out, wherever in the list it is.
+    /// Removes an entry at any position.
     pub fn remove(&mut self, entries: &mut Slab<Entry>, key: usize) {
-        let (before, after, cost) = (entries[key].before, entries[key].after, entries[key].cost);
-        match before {
-            NONE => self.head = after,
-            before => entries[before as usize].after = after,
+        let (prev, next, cost) = (entries[key].prev, entries[key].next, entries[key].cost);
+        match prev {
+            NONE => self.head = next,
+            prev => entries[prev as usize].next = next,
         }
-        match after {
-            NONE => self.tail = before,
-            after => entries[after as usize].before = before,
+        match next {
+            NONE => self.tail = prev,
+            next => entries[next as usize].prev = prev,
         }
         self.count -= 1;
         self.backlog = if self.count == 0 { 0.0 } else { (self.backlog - cost).max(0.0) };
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -10,7 +10,7 @@
 use std::net::IpAddr;
 
 use marljunction_control::interface::{ClassId, Effect, Settings, TenantId};
-use marljunction_fair_queue::settings::{Identity, Who};
+use marljunction_fair_queue::settings::{ClientHasher, ClientKey};
 use marljunction_settings::{index_of, Names};
 
 /// Time reserved for the way of an answer to the client, subtracted from a request's timeout.
@@ -24,8 +24,8 @@
     names: Names,
     deadlines_ns: Vec<u64>,
     deduplicates: Vec<bool>,
-    client_key: Who,
-    identity: Identity,
+    client_key: ClientKey,
+    client_hasher: ClientHasher,
 }
 
 impl Directory {
@@ -42,24 +42,24 @@
     }
 
     /// Sets what identifies a client, and the seed of the hash that forms client ids.
-    pub fn with_client_identity(self, client_key: Who, seed: u64) -> Self {
-        Directory { client_key, identity: Identity::new(seed), ..self }
+    pub fn with_client_identity(self, client_key: ClientKey, seed: u64) -> Self {
+        Directory { client_key, client_hasher: ClientHasher::new(seed), ..self }
     }
 
     /// Returns the id of a client's address.
     pub fn peer(&self, address: IpAddr) -> u64 {
         match address {
-            IpAddr::V4(v4) => self.identity.of(&v4.octets()),
-            IpAddr::V6(v6) => self.identity.of(&v6.octets()),
+            IpAddr::V4(v4) => self.client_hasher.of(&v4.octets()),
+            IpAddr::V6(v6) => self.client_hasher.of(&v6.octets()),
         }
     }
 
     /// Returns the id of a client: by the name that `read_name` returns, else the id of its
     /// address.
-    pub fn client<'a>(&self, peer: u64, read_name: impl FnOnce(&Who) -> Option<&'a str>) -> u64 {
+    pub fn client<'a>(&self, peer: u64, read_name: impl FnOnce(&ClientKey) -> Option<&'a str>) -> u64 {
         match &self.client_key {
-            Who::Peer => peer,
-            client_key => read_name(client_key).map_or(peer, |name| self.identity.of(name.as_bytes())),
+            ClientKey::Peer => peer,
+            client_key => read_name(client_key).map_or(peer, |name| self.client_hasher.of(name.as_bytes())),
         }
     }
 
