--- a/crates/discovery/src/cached_snapshot.rs
+++ b/crates/discovery/src/cached_snapshot.rs
@@ -13,7 +13,7 @@
 
 use super::{Change, Target};
 use crate::bound::ListBound;
-use crate::roster::Roster;
+use crate::listed_engines::ListedEngines;
 use crate::split::{SplitError, Splitter};
 use crate::update::{ListError, Text};
 
@@ -31,28 +31,28 @@
 
 /// Why a file is not used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Refusal {
+pub enum DecodeError {
     /// It is empty, or not a file of this kind.
     #[error("it is no kept list")]
-    NotAList,
+    NotASnapshot,
     /// It was written by another version of the format.
     #[error("it is of version {0} of the format, and this program reads version {VERSION}")]
     Version(u32),
     /// Its checksum is not that of what it holds: it is torn, or was changed.
     #[error("it is torn or was changed: its checksum is wrong")]
-    Spoilt,
+    ChecksumMismatch,
     /// It holds what can't be read though its checksum is right.
     #[error("it can't be read: {0}")]
     Unreadable(ListError),
     /// It is larger than a list may be under the memory limit (bytes).
     #[error("its {0} bytes are more than the {1} that the memory limit allows")]
-    Huge(u64, u64),
+    TooLarge(u64, u64),
     /// It names more engines than a list may under the memory limit (count).
     #[error("it names over {0} engines, which is all that the memory limit allows")]
-    Many(usize),
+    TooManyEngines(usize),
     /// It is older than it may be (ns).
     #[error("it is {} s old, which is more than it may be", .0 / 1_000_000_000)]
-    Old(u64),
+    TooOld(u64),
 }
 
 #[derive(Deserialize)]
@@ -186,13 +186,18 @@
 ///
 /// # Errors
 /// What `out` says: the file is of no use then.
-pub fn write<W: Write + Seek>(out: W, roster: &Roster, names: &Names, heard_ns: u64) -> io::Result<()> {
+pub fn write<W: Write + Seek>(
+    out: W,
+    listed_engines: &ListedEngines,
+    names: &Names,
+    heard_ns: u64,
+) -> io::Result<()> {
     let head = format!("{WORD} {VERSION} ");
     let mut text = Summed { out: BufWriter::new(out), hasher: blake3::Hasher::new() };
     writeln!(text.out, "{head}{:0>SUM_DIGITS$}", "")?;
     write!(text, "{{\"heard_ms\":{},\"engines\":[", heard_ns / 1_000_000)?;
     let mut entry = Vec::new();
-    for (at, target) in roster.iter().enumerate() {
+    for (at, target) in listed_engines.iter().enumerate() {
         entry.clear();
         entry.extend_from_slice(if at > 0 { b"," } else { b"" });
         serde_json::to_writer(&mut entry, &EntryText::of(&target, names))?;
@@ -235,39 +240,39 @@
     now: u64,
     most_ns: u64,
     bound: &ListBound,
-) -> Result<(Change, u64), Refusal> {
+) -> Result<(Change, u64), DecodeError> {
     if bytes.len() > bound.file_bytes {
-        return Err(Refusal::Huge(bytes.len() as u64, bound.file_bytes as u64));
+        return Err(DecodeError::TooLarge(bytes.len() as u64, bound.file_bytes as u64));
     }
-    let text = std::str::from_utf8(bytes).map_err(|_| Refusal::NotAList)?;
-    let (head, body) = text.split_once('\n').ok_or(Refusal::NotAList)?;
+    let text = std::str::from_utf8(bytes).map_err(|_| DecodeError::NotASnapshot)?;
+    let (head, body) = text.split_once('\n').ok_or(DecodeError::NotASnapshot)?;
     let words: Vec<&str> = head.split(' ').collect();
-    let [WORD, version, sum] = words[..] else { return Err(Refusal::NotAList) };
+    let [WORD, version, sum] = words[..] else { return Err(DecodeError::NotASnapshot) };
     // The version comes first: what another one means by its other fields is not known here.
-    let version: u32 = version.parse().map_err(|_| Refusal::NotAList)?;
+    let version: u32 = version.parse().map_err(|_| DecodeError::NotASnapshot)?;
     if version != VERSION {
-        return Err(Refusal::Version(version));
+        return Err(DecodeError::Version(version));
     }
-    let body = body.strip_suffix('\n').ok_or(Refusal::Spoilt)?;
+    let body = body.strip_suffix('\n').ok_or(DecodeError::ChecksumMismatch)?;
     if blake3::hash(body.as_bytes()).to_hex().as_str() != sum {
-        return Err(Refusal::Spoilt);
+        return Err(DecodeError::ChecksumMismatch);
     }
     let (heard_ms, targets) = read_body(body, names, bound)?;
     let age = now.saturating_sub(heard_ms.saturating_mul(1_000_000));
     if age > most_ns {
-        return Err(Refusal::Old(age));
+        return Err(DecodeError::TooOld(age));
     }
     Ok((Change { kind: MembershipKind::Full, targets }, age))
 }
 
 /// When the list was last known to be right (Unix ms), and its engines.
-fn read_body(body: &str, names: &Names, bound: &ListBound) -> Result<(u64, Vec<Target>), Refusal> {
-    let unreadable = |error: serde_json::Error| Refusal::Unreadable(ListError::from(error));
+fn read_body(body: &str, names: &Names, bound: &ListBound) -> Result<(u64, Vec<Target>), DecodeError> {
+    let unreadable = |error: serde_json::Error| DecodeError::Unreadable(ListError::from(error));
     let mut targets = Vec::new();
     let mut splitter = Splitter::new(ENGINES, bound.entry_bytes);
     splitter.push(body.as_bytes(), |entry| {
         if targets.len() >= bound.engines {
-            return Err(Refusal::Many(bound.engines));
+            return Err(DecodeError::TooManyEngines(bound.engines));
         }
         let entry: Entry = serde_json::from_slice(entry).map_err(unreadable)?;
         targets.push(entry.target(names));
@@ -279,8 +284,8 @@
     Ok((body.heard_ms, targets))
 }
 
-impl From<SplitError> for Refusal {
-    fn from(error: SplitError) -> Refusal {
-        Refusal::Unreadable(ListError::from(error))
+impl From<SplitError> for DecodeError {
+    fn from(error: SplitError) -> DecodeError {
+        DecodeError::Unreadable(ListError::from(error))
     }
 }
--- a/crates/discovery/src/consul.rs
+++ b/crates/discovery/src/consul.rs
@@ -6,15 +6,15 @@
 use log::{info, warn};
 
 use super::staleness::Staleness;
-use super::{taken, Change, Fault, Pacing, Target, BYTE_NS};
-use crate::answer::{Answer, AnswerReader, Asked};
+use super::{taken, Change, SourceError, SourceParams, Target, BYTE_NS};
 use crate::bound::ListBound;
-use crate::refused::{Reason, Refused};
+use crate::consul_response::{ConsulQuery, ConsulResponse, ResponseReader};
+use crate::rejected_updates::{RejectReason, RejectedUpdates};
 use marljunction_control::interface::*;
 use marljunction_http1::chunks::ChunkedDecoder;
 use marljunction_http1::head::{parse_response_head, Head};
 use marljunction_net::{Net, Owner};
-use marljunction_pacing::{Failure, Pace, Pacer};
+use marljunction_pacing::{Failure, Pacer, PacingParams};
 use marljunction_settings::Names;
 
 /// How long a blocking query may wait for a change.
@@ -24,20 +24,20 @@
 
 /// One blocking query that is asked over and over.
 struct Watch {
-    asked: Asked,
+    asked: ConsulQuery,
     index: u64,
     conn: Option<u64>,
     head: Option<Head>,
     chunks: ChunkedDecoder,
     /// What one call takes out of chunks.
     text: Vec<u8>,
-    body: AnswerReader,
+    body: ResponseReader,
     /// When the present query was asked.
     asked_ns: u64,
     /// A query is out; else the connection, where there is one, waits for the next.
     asking: bool,
     pacer: Pacer,
-    refused: Refused,
+    rejected_updates: RejectedUpdates,
 }
 
 /// The two watches on one service.
@@ -54,13 +54,17 @@
 }
 
 /// Each router is two callers.
-fn for_watches(pace: Pace) -> [Pace; 2] {
+fn for_watches(pace: PacingParams) -> [PacingParams; 2] {
     let callers = pace.callers.map(|n| n.saturating_mul(2));
-    [0, 1].map(|watch| Pace { callers, me: pace.me.saturating_mul(2).saturating_add(watch), ..pace })
+    [0, 1].map(|watch| PacingParams {
+        callers,
+        caller_index: pace.caller_index.saturating_mul(2).saturating_add(watch),
+        ..pace
+    })
 }
 
 impl Watch {
-    fn new(asked: Asked, bound: ListBound, pacer: Pacer) -> Self {
+    fn new(asked: ConsulQuery, bound: ListBound, pacer: Pacer) -> Self {
         Watch {
             asked,
             index: 0,
@@ -68,11 +72,11 @@
             head: None,
             chunks: ChunkedDecoder::default(),
             text: Vec::new(),
-            body: AnswerReader::new(asked, bound),
+            body: ResponseReader::new(asked, bound),
             asked_ns: 0,
             asking: false,
             pacer,
-            refused: Refused::default(),
+            rejected_updates: RejectedUpdates::default(),
         }
     }
 
@@ -82,33 +86,37 @@
     }
 
     /// The query came to nothing, and its connection is over.
-    fn fail(&mut self, now: u64, net: &mut Net, fault: Fault) {
+    fn fail(&mut self, now: u64, net: &mut Net, fault: SourceError) {
         let failure = self.refuse(fault);
         self.drop_conn(net);
         self.pacer.failed(now, failure);
     }
 
     /// Counts and logs why a query came to nothing.
-    fn refuse(&mut self, fault: Fault) -> Failure {
+    fn refuse(&mut self, fault: SourceError) -> Failure {
         let name = self.asked.name();
         match fault {
-            Fault::TurnedAway(after_ns) => return Failure::TurnedAway { after_ns },
-            Fault::List(error) if error.is_size() => {
-                self.refused.add(Reason::TooLarge, || {
+            SourceError::Rejected(after_ns) => return Failure::Rejected { after_ns },
+            SourceError::List(error) if error.is_over_limit() => {
+                self.rejected_updates.add(RejectReason::TooLarge, || {
                     format!("consul's {name} is too large: {error}; what was known stays in force")
                 });
-                return Failure::Useless;
+                return Failure::Unusable;
             }
-            Fault::List(error) => {
-                self.refused.add(Reason::Spoilt, || format!("consul's {name} can't be read: {error}"));
+            SourceError::List(error) => {
+                self.rejected_updates
+                    .add(RejectReason::Invalid, || format!("consul's {name} can't be read: {error}"));
             }
-            Fault::Ended if self.head.is_some() => {
+            SourceError::Ended if self.head.is_some() => {
                 let bytes = self.body.bytes();
-                self.refused.add(Reason::Cut, || format!("consul's {name} ended after {bytes} bytes"));
+                self.rejected_updates
+                    .add(RejectReason::Truncated, || format!("consul's {name} ended after {bytes} bytes"));
+            }
+            other => {
+                self.rejected_updates.add(RejectReason::CallFailed, || format!("consul's {name}: {other}"))
             }
-            other => self.refused.add(Reason::Call, || format!("consul's {name}: {other}")),
         }
-        Failure::Away
+        Failure::Unavailable
     }
 
     fn drop_conn(&mut self, net: &mut Net) {
@@ -125,7 +133,7 @@
         service: &str,
     ) {
         (self.asked_ns, self.asking, self.head, self.chunks) = (now, true, None, ChunkedDecoder::default());
-        self.body = AnswerReader::new(self.asked, bound);
+        self.body = ResponseReader::new(self.asked, bound);
         let call = format!(
             "GET {}{service}?index={}&wait={WAIT_S}s HTTP/1.1\r\nHost: {to}\r\nAccept: application/json\r\n\r\n",
             self.asked.path(),
@@ -135,9 +143,15 @@
     }
 
     /// What the answer says, once it has come whole.
-    fn read(&mut self, now: u64, net: &mut Net, conn: u64, names: &Names) -> Result<Option<Answer>, Fault> {
+    fn read(
+        &mut self,
+        now: u64,
+        net: &mut Net,
+        conn: u64,
+        names: &Names,
+    ) -> Result<Option<ConsulResponse>, SourceError> {
         if self.head.is_none() {
-            let Some((head, size)) = parse_response_head(net.input(conn)).map_err(Fault::Head)? else {
+            let Some((head, size)) = parse_response_head(net.input(conn)).map_err(SourceError::Head)? else {
                 return Ok(None);
             };
             net.consume(conn, size);
@@ -162,7 +176,7 @@
                 self.body.push(&input[..part], names)?;
                 (part, self.body.bytes() >= length)
             }
-            (false, None) => return Err(Fault::NoLength),
+            (false, None) => return Err(SourceError::MissingLength),
         };
         net.consume(conn, taken);
         if !whole {
@@ -178,12 +192,12 @@
 
 impl Consul {
     /// Watches on a service's engines.
-    pub fn new(now: u64, address: SocketAddr, service: String, names: Names, pacing: Pacing) -> Self {
+    pub fn new(now: u64, address: SocketAddr, service: String, names: Names, pacing: SourceParams) -> Self {
         let [catalog, health] = for_watches(pacing.pace);
         let bound = ListBound::default();
         let watches = [
-            Watch::new(Asked::Catalog, bound, Pacer::new(catalog, pacing.seed, now)),
-            Watch::new(Asked::Health, bound, Pacer::new(health, !pacing.seed, now)),
+            Watch::new(ConsulQuery::Catalog, bound, Pacer::new(catalog, pacing.seed, now)),
+            Watch::new(ConsulQuery::Health, bound, Pacer::new(health, !pacing.seed, now)),
         ];
         let staleness = Staleness::new(now, pacing.stale_ns + SILENT_NS);
         Consul { address, service, names, bound, watches, catalog: None, health: None, staleness }
@@ -196,16 +210,16 @@
     }
 
     /// What of the news was refused, by watch.
-    pub fn refused(&self) -> [Refused; 2] {
-        [self.watches[0].refused, self.watches[1].refused]
+    pub fn rejected_updates(&self) -> [RejectedUpdates; 2] {
+        [self.watches[0].rejected_updates, self.watches[1].rejected_updates]
     }
 
     /// Paces calls so from the next one on.
-    pub fn set_pace(&mut self, pace: Pace, stale_ns: u64) {
+    pub fn set_pace(&mut self, pace: PacingParams, stale_ns: u64) {
         for (watch, pace) in self.watches.iter_mut().zip(for_watches(pace)) {
             watch.pacer.set_pace(pace);
         }
-        self.staleness.set_stale(stale_ns + SILENT_NS);
+        self.staleness.set_stale_ns(stale_ns + SILENT_NS);
     }
 
     /// How old the news is, to be told.
@@ -214,7 +228,7 @@
     }
 
     /// Calls made and turned away, and how old the news is.
-    pub fn view(&self) -> ((u64, u64), &Staleness) {
+    pub fn stats(&self) -> ((u64, u64), &Staleness) {
         let [a, b] = [0, 1].map(|i| self.watches[i].pacer.calls());
         ((a.0 + b.0, a.1 + b.1), &self.staleness)
     }
@@ -223,7 +237,7 @@
     pub fn tick(&mut self, now: u64, net: &mut Net) {
         for watch in &mut self.watches {
             if watch.asking && now > watch.lost_ns() {
-                watch.fail(now, net, Fault::Ended);
+                watch.fail(now, net, SourceError::Ended);
             }
             if watch.asking || !watch.pacer.call(now) {
                 continue;
@@ -233,7 +247,7 @@
                     watch.conn = Some(conn);
                     watch.ask((now, self.bound), net, conn, self.address, &self.service);
                 }
-                Err(_) => watch.pacer.failed(now, Failure::Away),
+                Err(_) => watch.pacer.failed(now, Failure::Unavailable),
             }
         }
         self.staleness.tick(now);
@@ -266,7 +280,7 @@
         }
         match self.watches[at].read(now, net, conn, &self.names) {
             Ok(Some(answer)) => return self.take(now, net, at, answer, ended),
-            Ok(None) if ended => self.watches[at].fail(now, net, Fault::Ended),
+            Ok(None) if ended => self.watches[at].fail(now, net, SourceError::Ended),
             Ok(None) => {}
             Err(fault) => self.watches[at].fail(now, net, fault),
         }
@@ -274,25 +288,32 @@
     }
 
     /// Takes an answer that came whole.
-    fn take(&mut self, now: u64, net: &mut Net, at: usize, answer: Answer, ended: bool) -> Option<Change> {
+    fn take(
+        &mut self,
+        now: u64,
+        net: &mut Net,
+        at: usize,
+        answer: ConsulResponse,
+        ended: bool,
+    ) -> Option<Change> {
         let watch = &mut self.watches[at];
         (watch.asking, watch.head) = (false, None);
         watch.pacer.answered(now);
-        watch.refused.taken();
+        watch.rejected_updates.taken();
         if ended {
             watch.drop_conn(net);
         }
         match answer {
-            Answer::Catalog(targets, unknown) => {
+            ConsulResponse::Catalog(targets, unknown) => {
                 if unknown > 0 {
                     warn!("consul's catalogue has {unknown} engines at addresses that can't be read");
                 }
                 self.catalog = Some(targets);
             }
-            Answer::Health(states) => self.health = Some(states),
+            ConsulResponse::Health(states) => self.health = Some(states),
         }
         // One answer that is not taken leaves what is known as old as it is.
-        if !self.watches.iter().any(|watch| watch.refused.is_too_large()) {
+        if !self.watches.iter().any(|watch| watch.rejected_updates.is_too_large()) {
             self.staleness.heard(now);
         }
         self.tick(now, net);
--- a/crates/discovery/src/answer.rs
+++ b/crates/discovery/src/consul_response.rs
@@ -17,34 +17,34 @@
 
 /// What is asked of Consul.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum ConsulQuery {
     /// Which engines there are.
     Catalog,
     /// Which of them are well.
     Health,
 }
 
-impl Asked {
+impl ConsulQuery {
     /// The path of the query, up to the service's name.
     pub fn path(self) -> &'static str {
         match self {
-            Asked::Catalog => "/v1/catalog/service/",
-            Asked::Health => "/v1/health/service/",
+            ConsulQuery::Catalog => "/v1/catalog/service/",
+            ConsulQuery::Health => "/v1/health/service/",
         }
     }
 
     /// Its name in messages.
     pub fn name(self) -> &'static str {
         match self {
-            Asked::Catalog => "catalogue",
-            Asked::Health => "health answer",
+            ConsulQuery::Catalog => "catalogue",
+            ConsulQuery::Health => "health answer",
         }
     }
 }
 
 /// What an answer says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum ConsulResponse {
     /// The engines, and how many more are at addresses that can't be read (count).
     Catalog(Vec<Target>, usize),
     /// Their states, by engine and in that order.
@@ -135,21 +135,21 @@
 
 /// An answer that is being read.
 #[derive(Debug)]
-pub struct AnswerReader {
+pub struct ResponseReader {
     splitter: Splitter,
     bound: ListBound,
     bytes: usize,
-    answer: Answer,
+    answer: ConsulResponse,
 }
 
-impl AnswerReader {
+impl ResponseReader {
     /// An answer of which nothing has come.
-    pub fn new(asked: Asked, bound: ListBound) -> AnswerReader {
+    pub fn new(asked: ConsulQuery, bound: ListBound) -> ResponseReader {
         let answer = match asked {
-            Asked::Catalog => Answer::Catalog(Vec::new(), 0),
-            Asked::Health => Answer::Health(Vec::new()),
+            ConsulQuery::Catalog => ConsulResponse::Catalog(Vec::new(), 0),
+            ConsulQuery::Health => ConsulResponse::Health(Vec::new()),
         };
-        AnswerReader { splitter: Splitter::new(&[], bound.entry_bytes), bound, bytes: 0, answer }
+        ResponseReader { splitter: Splitter::new(&[], bound.entry_bytes), bound, bytes: 0, answer }
     }
 
     /// What has come of it (bytes).
@@ -176,7 +176,7 @@
     pub fn push(&mut self, piece: &[u8], names: &Names) -> Result<(), ListError> {
         self.bytes += piece.len();
         self.expect(self.bytes)?;
-        let AnswerReader { splitter, bound, bytes, answer } = self;
+        let ResponseReader { splitter, bound, bytes, answer } = self;
         splitter.push(piece, |entry| {
             if answer.engines() >= bound.engines {
                 return Err(ListError::TooMany { bytes: *bytes, most: bound.engines });
@@ -189,11 +189,11 @@
     ///
     /// # Errors
     /// Where it can't be read.
-    pub fn finish(&mut self) -> Result<Answer, ListError> {
+    pub fn finish(&mut self) -> Result<ConsulResponse, ListError> {
         let splitter = std::mem::replace(&mut self.splitter, Splitter::new(&[], self.bound.entry_bytes));
         let _: Vec<IgnoredAny> = serde_json::from_slice(&splitter.finish()?)?;
-        let mut answer = std::mem::replace(&mut self.answer, Answer::Health(Vec::new()));
-        if let Answer::Health(states) = &mut answer {
+        let mut answer = std::mem::replace(&mut self.answer, ConsulResponse::Health(Vec::new()));
+        if let ConsulResponse::Health(states) = &mut answer {
             // Of an engine that is named twice, the last counts.
             states.reverse();
             states.sort_by_key(|(engine, _)| *engine);
@@ -203,23 +203,23 @@
     }
 }
 
-impl Answer {
+impl ConsulResponse {
     fn engines(&self) -> usize {
         match self {
-            Answer::Catalog(targets, unknown) => targets.len() + unknown,
-            Answer::Health(states) => states.len(),
+            ConsulResponse::Catalog(targets, unknown) => targets.len() + unknown,
+            ConsulResponse::Health(states) => states.len(),
         }
     }
 
     fn add(&mut self, entry: &[u8], names: &Names) -> Result<(), ListError> {
         match self {
-            Answer::Catalog(targets, unknown) => {
+            ConsulResponse::Catalog(targets, unknown) => {
                 match serde_json::from_slice::<CatalogEntry>(entry)?.target(names) {
                     Some(target) => targets.push(target),
                     None => *unknown += 1,
                 }
             }
-            Answer::Health(states) => {
+            ConsulResponse::Health(states) => {
                 let entry: HealthEntry = serde_json::from_slice(entry)?;
                 states.push((engine_id(&entry.service.id), state_of(&entry.checks)));
             }
--- a/crates/discovery/src/event.rs
+++ b/crates/discovery/src/event.rs
@@ -4,7 +4,7 @@
 
 use crate::bound::ListBound;
 use crate::update::{ListError, Update, UpdateReader};
-use crate::Fault;
+use crate::SourceError;
 use marljunction_http1::chunks::ChunkedDecoder;
 use marljunction_settings::Names;
 
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// Where the stream can't be read or has ended, or a line or an event is over its bound.
-    pub fn take(&mut self, input: &[u8], names: &Names, out: &mut Vec<Event>) -> Result<usize, Fault> {
+    pub fn take(&mut self, input: &[u8], names: &Names, out: &mut Vec<Event>) -> Result<usize, SourceError> {
         let Some(chunks) = &mut self.chunks else {
             self.read(input, names, out)?;
             return Ok(input.len());
@@ -86,7 +86,7 @@
         self.text = text;
         read?;
         match ended {
-            true => Err(Fault::Ended),
+            true => Err(SourceError::Ended),
             false => Ok(taken),
         }
     }
--- a/crates/discovery/src/bans.rs
+++ b/crates/discovery/src/excluded_engines.rs
@@ -9,16 +9,16 @@
 use marljunction_control::interface::{EngineId, EngineState, MembershipKind};
 use marljunction_health::overrides::is_valid_engine_name;
 
-use crate::roster::Roster;
+use crate::listed_engines::ListedEngines;
 use crate::{engine_id, Change, Target};
 
 /// Engines that may be banned at once (count). Guards against a file or callers that name engines without end;
 /// no fleet of the protocol holds so many.
-pub const BANNED_MOST: usize = 4096;
+pub const MAX_EXCLUDED: usize = 4096;
 
 /// Why a call about an engine is a no.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum ExclusionError {
     /// No list has named an engine by that id.
     Unknown,
     /// The id is empty, too long, or holds what no id holds.
@@ -29,35 +29,35 @@
 
 /// Engines taken out, and what the lists said last of every engine that they name.
 #[derive(Debug, Default)]
-pub struct Bans {
+pub struct ExcludedEngines {
     /// Banned engines, with the name that they were banned by.
     banned: BTreeMap<EngineId, String>,
     /// Engines that the whole fleet was told to leave out, by an operator at any router.
     fleet: BTreeMap<EngineId, String>,
     /// The latest entry of each engine that the lists name, to tell again where a ban ends.
-    listed: Roster,
+    listed: ListedEngines,
     /// The latest entry of engines that the lists name no more, while they are banned: up to the next whole list.
     unlisted: BTreeMap<EngineId, Target>,
 }
 
-impl Bans {
+impl ExcludedEngines {
     /// No engine banned.
     pub fn new() -> Self {
-        Bans::default()
+        ExcludedEngines::default()
     }
 
     /// Whether an engine is banned.
-    pub fn holds(&self, engine: EngineId) -> bool {
+    pub fn is_excluded(&self, engine: EngineId) -> bool {
         self.banned.contains_key(&engine) || self.fleet.contains_key(&engine)
     }
 
     /// The engines that the lists name.
-    pub fn listed(&self) -> &Roster {
+    pub fn listed(&self) -> &ListedEngines {
         &self.listed
     }
 
     /// Whether a list names an engine now.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn is_listed(&self, name: &str) -> bool {
         is_valid_engine_name(name) && self.latest(engine_id(name)).is_some()
     }
 
@@ -68,13 +68,17 @@
 
     /// The whole fleet leaves these engines out: what the module is to be told. An engine that a router's own ban holds too
     /// stays out.
-    pub fn set_fleet<'a>(&mut self, names: impl Iterator<Item = &'a str>, now_ns: u64) -> Vec<Change> {
+    pub fn set_fleet_excluded<'a>(
+        &mut self,
+        names: impl Iterator<Item = &'a str>,
+        now_ns: u64,
+    ) -> Vec<Change> {
         let names = names.filter(|n| is_valid_engine_name(n)).map(|n| (engine_id(n), n.to_owned())).collect();
         let before = std::mem::replace(&mut self.fleet, names);
         let held = |of: &BTreeMap<EngineId, String>, id: &EngineId| of.contains_key(id);
         let new: Vec<EngineId> =
             self.fleet.keys().filter(|id| !held(&before, id) && !held(&self.banned, id)).copied().collect();
-        let ended: Vec<EngineId> = before.keys().filter(|id| !self.holds(**id)).copied().collect();
+        let ended: Vec<EngineId> = before.keys().filter(|id| !self.is_excluded(**id)).copied().collect();
         let begins = new.iter().filter_map(|id| self.leaves(*id));
         let ends = ended.iter().filter_map(|id| self.returns(*id, now_ns));
         begins.chain(ends).collect()
@@ -102,10 +106,10 @@
     }
 
     /// What a source said, as the module is to hear it: banned engines drain.
-    pub fn pass(&mut self, mut change: Change) -> Change {
+    pub fn filter_change(&mut self, mut change: Change) -> Change {
         self.keep_held(&change);
         self.listed.change(&change);
-        let Bans { banned, fleet, listed, unlisted } = self;
+        let ExcludedEngines { banned, fleet, listed, unlisted } = self;
         unlisted.retain(|id, _| listed.get(*id).is_none());
         for target in &mut change.targets {
             let id = target.entry.engine;
@@ -121,7 +125,7 @@
     fn keep_held(&mut self, change: &Change) {
         let ids: Vec<EngineId> = self.banned.keys().chain(self.fleet.keys()).copied().collect();
         if change.kind != MembershipKind::Delta {
-            let Bans { banned, fleet, unlisted, .. } = self;
+            let ExcludedEngines { banned, fleet, unlisted, .. } = self;
             unlisted.retain(|id, _| banned.contains_key(id) || fleet.contains_key(id));
             let known = ids.iter().filter_map(|id| self.listed.get(*id));
             self.unlisted.extend(known.map(|target| (target.entry.engine, target)));
@@ -129,7 +133,7 @@
         let gone = change.targets.iter().filter(|target| target.entry.state == EngineState::Gone);
         for target in gone {
             let id = target.entry.engine;
-            match self.holds(id) {
+            match self.is_excluded(id) {
                 true => drop(self.unlisted.insert(id, *target)),
                 false => drop(self.unlisted.remove(&id)),
             }
@@ -142,18 +146,18 @@
     /// # Errors
     /// [`Refusal::Unknown`] where no list names the engine and `known_or_not` is false: a no is owed for an id
     /// that nobody has. [`Refusal::Malformed`], [`Refusal::Full`] as they say.
-    pub fn disable(&mut self, name: &str, known_or_not: bool) -> Result<Option<Change>, Refusal> {
+    pub fn disable(&mut self, name: &str, known_or_not: bool) -> Result<Option<Change>, ExclusionError> {
         let id = self.id(name)?;
-        if !known_or_not && self.latest(id).is_none() && !self.holds(id) {
-            return Err(Refusal::Unknown);
+        if !known_or_not && self.latest(id).is_none() && !self.is_excluded(id) {
+            return Err(ExclusionError::Unknown);
         }
         if self.banned.contains_key(&id) {
             return Ok(None);
         }
-        if self.banned.len() >= BANNED_MOST {
-            return Err(Refusal::Full);
+        if self.banned.len() >= MAX_EXCLUDED {
+            return Err(ExclusionError::Full);
         }
-        let was_out = self.holds(id);
+        let was_out = self.is_excluded(id);
         self.banned.insert(id, name.to_owned());
         Ok(if was_out { None } else { self.leaves(id) })
     }
@@ -163,16 +167,16 @@
     ///
     /// # Errors
     /// [`Refusal::Unknown`] where neither a list nor a ban names the engine; [`Refusal::Malformed`].
-    pub fn enable(&mut self, name: &str, now_ns: u64) -> Result<Option<Change>, Refusal> {
+    pub fn enable(&mut self, name: &str, now_ns: u64) -> Result<Option<Change>, ExclusionError> {
         let id = self.id(name)?;
         if self.banned.remove(&id).is_none() {
-            return if self.latest(id).is_some() { Ok(None) } else { Err(Refusal::Unknown) };
+            return if self.latest(id).is_some() { Ok(None) } else { Err(ExclusionError::Unknown) };
         }
-        Ok(if self.holds(id) { None } else { self.returns(id, now_ns) })
+        Ok(if self.is_excluded(id) { None } else { self.returns(id, now_ns) })
     }
 
     /// Makes the bans those of `names`, as another process wrote them: what the module is to be told.
-    pub fn adopt<'a>(&mut self, names: impl IntoIterator<Item = &'a str>, now_ns: u64) -> Vec<Change> {
+    pub fn replace_all<'a>(&mut self, names: impl IntoIterator<Item = &'a str>, now_ns: u64) -> Vec<Change> {
         let wanted: BTreeMap<EngineId, &str> =
             names.into_iter().filter(|n| is_valid_engine_name(n)).map(|n| (engine_id(n), n)).collect();
         let ended: Vec<String> =
@@ -185,11 +189,11 @@
         changes
     }
 
-    fn id(&self, name: &str) -> Result<EngineId, Refusal> {
+    fn id(&self, name: &str) -> Result<EngineId, ExclusionError> {
         if is_valid_engine_name(name) {
             Ok(engine_id(name))
         } else {
-            Err(Refusal::Malformed)
+            Err(ExclusionError::Malformed)
         }
     }
 
@@ -201,6 +205,6 @@
 
 /// The names in a text that [`Bans::to_text`] wrote; lines that can't be names are passed over, and no more than
 /// [`BANNED_MOST`] are read.
-pub fn read_text(text: &str) -> Vec<&str> {
-    text.lines().map(str::trim).filter(|n| is_valid_engine_name(n)).take(BANNED_MOST).collect()
+pub fn parse_names(text: &str) -> Vec<&str> {
+    text.lines().map(str::trim).filter(|n| is_valid_engine_name(n)).take(MAX_EXCLUDED).collect()
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -2,14 +2,14 @@
 
 #![forbid(unsafe_code)]
 
-pub mod answer;
-pub mod bans;
 pub mod bound;
 pub mod cached_snapshot;
 pub mod consul;
+pub mod consul_response;
 pub mod event;
-pub mod refused;
-pub mod roster;
+pub mod excluded_engines;
+pub mod listed_engines;
+pub mod rejected_updates;
 pub mod split;
 pub mod staleness;
 pub mod stream;
@@ -19,19 +19,19 @@
 
 use thiserror::Error;
 
-use crate::refused::Refused;
+use crate::rejected_updates::RejectedUpdates;
 use crate::update::ListError;
 use marljunction_control::interface::{EngineEntry, EngineId, MembershipKind};
 use marljunction_http1::chunks::ChunkError;
 use marljunction_http1::head::Head;
 use marljunction_net::Net;
-use marljunction_pacing::Pace;
+use marljunction_pacing::PacingParams;
 
 /// How calls for news are paced.
 #[derive(Clone, Copy, Debug)]
-pub struct Pacing {
+pub struct SourceParams {
     /// What the fleet may ask of the service.
-    pub pace: Pace,
+    pub pace: PacingParams,
     /// Seed of this router's draws: no other router's.
     pub seed: u64,
     /// Staleness from which news counts as too old (ns).
@@ -56,7 +56,7 @@
     }
 
     /// Paces calls so from the next one on.
-    pub fn set_pace(&mut self, pace: Pace, stale_ns: u64) {
+    pub fn set_pace(&mut self, pace: PacingParams, stale_ns: u64) {
         match self {
             Source::Stream(stream) => stream.set_pace(pace, stale_ns),
             Source::Consul(consul) => consul.set_pace(pace, stale_ns),
@@ -64,18 +64,18 @@
     }
 
     /// What is known was last right then (ns), as of a list that was kept.
-    pub fn set_heard(&mut self, heard_ns: u64) {
+    pub fn set_confirmed(&mut self, heard_ns: u64) {
         match self {
-            Source::Stream(stream) => stream.staleness_mut().set_heard(heard_ns),
-            Source::Consul(consul) => consul.staleness_mut().set_heard(heard_ns),
+            Source::Stream(stream) => stream.staleness_mut().set_confirmed(heard_ns),
+            Source::Consul(consul) => consul.staleness_mut().set_confirmed(heard_ns),
         }
     }
 
     /// How old the news is (ns).
     pub fn age_ns(&self, now: u64) -> u64 {
         match self {
-            Source::Stream(stream) => stream.view().1.age_ns(now),
-            Source::Consul(consul) => consul.view().1.age_ns(now),
+            Source::Stream(stream) => stream.stats().1.age_ns(now),
+            Source::Consul(consul) => consul.stats().1.age_ns(now),
         }
     }
 
@@ -94,17 +94,17 @@
 
     /// What calls for news came to, and how old the news is, as counters.
     pub fn line(&self, now: u64) -> String {
-        let ((calls, turned_away), staleness) = match self {
-            Source::Stream(stream) => stream.view(),
-            Source::Consul(consul) => consul.view(),
+        let ((calls, rejected), staleness) = match self {
+            Source::Stream(stream) => stream.stats(),
+            Source::Consul(consul) => consul.stats(),
         };
-        let refused = match self {
-            Source::Stream(stream) => Refused::line(&[stream.refused()]),
-            Source::Consul(consul) => Refused::line(&consul.refused()),
+        let rejected_updates = match self {
+            Source::Stream(stream) => RejectedUpdates::line(&[stream.rejected_updates()]),
+            Source::Consul(consul) => RejectedUpdates::line(&consul.rejected_updates()),
         };
         let ms = |ns: u64| ns / 1_000_000;
         format!(
-            "list_calls={calls} list_turned_away={turned_away} list_age_ms={} list_age_most_ms={} list_stale={} {refused}",
+            "list_calls={calls} list_turned_away={rejected} list_age_ms={} list_age_most_ms={} list_stale={} {rejected_updates}",
             ms(staleness.age_ns(now)),
             ms(staleness.longest_ns),
             staleness.times
@@ -140,10 +140,10 @@
 
 /// Why a call for news came to nothing, or to an end.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum SourceError {
     /// The service is there and takes no more calls for now; for how long it wants none (ns).
     #[error("it takes no more calls for now")]
-    TurnedAway(Option<u64>),
+    Rejected(Option<u64>),
     /// It answers otherwise than with news.
     #[error("status {0}")]
     Status(u16),
@@ -152,7 +152,7 @@
     Head(String),
     /// The length of its answer is not told.
     #[error("the body's length is not told")]
-    NoLength,
+    MissingLength,
     /// The chunks of its answer can't be read.
     #[error("{0}")]
     Chunk(#[from] ChunkError),
@@ -165,11 +165,11 @@
 }
 
 /// Whether a service took a call, by the head of its answer.
-fn taken(now: u64, head: &Head) -> Result<(), Fault> {
+fn taken(now: u64, head: &Head) -> Result<(), SourceError> {
     match head.status {
         200 => Ok(()),
-        429 | 503 => Err(Fault::TurnedAway(head.retry_after.map(|after| after.delay_ns(now)))),
-        status => Err(Fault::Status(status)),
+        429 | 503 => Err(SourceError::Rejected(head.retry_after.map(|after| after.delay_ns(now)))),
+        status => Err(SourceError::Status(status)),
     }
 }
 
--- a/crates/discovery/src/roster.rs
+++ b/crates/discovery/src/listed_engines.rs
@@ -60,12 +60,12 @@
 
 /// The engines that the lists name.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct ListedEngines {
     /// By engine, each once, none of them gone.
     listed: Vec<Listed>,
 }
 
-impl Roster {
+impl ListedEngines {
     /// Engines that are named (count).
     pub fn len(&self) -> usize {
         self.listed.len()
--- a/crates/discovery/src/refused.rs
+++ b/crates/discovery/src/rejected_updates.rs
@@ -4,19 +4,19 @@
 
 /// Why news is not taken, or not as it came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum RejectReason {
     /// A list is over the bound that follows from the memory limit.
     TooLarge,
     /// It can't be read.
-    Spoilt,
+    Invalid,
     /// It ended in the middle.
-    Cut,
+    Truncated,
     /// It is of a number that is known already.
-    Repeated,
+    Duplicate,
     /// Its sender counts anew: it is taken.
-    Anew,
+    NumberingReset,
     /// A call came to nothing before any news.
-    Call,
+    CallFailed,
 }
 
 /// Reasons, in the order of their counters; the last is counted elsewhere.
@@ -24,23 +24,23 @@
 
 /// What one source's news was refused for.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Refused {
+pub struct RejectedUpdates {
     counts: [u64; NAMES.len() + 1],
     told: [bool; NAMES.len() + 1],
     too_large: bool,
 }
 
-impl Refused {
+impl RejectedUpdates {
     /// Counts it, and logs it with what is `told` of it where that is news.
-    pub fn add(&mut self, reason: Reason, told: impl FnOnce() -> String) {
+    pub fn add(&mut self, reason: RejectReason, told: impl FnOnce() -> String) {
         let at = reason as usize;
         self.counts[at] += 1;
-        self.too_large |= reason == Reason::TooLarge;
+        self.too_large |= reason == RejectReason::TooLarge;
         if std::mem::replace(&mut self.told[at], true) {
             return;
         }
         match reason {
-            Reason::TooLarge | Reason::Spoilt => warn!("{}", told()),
+            RejectReason::TooLarge | RejectReason::Invalid => warn!("{}", told()),
             _ => info!("{}", told()),
         }
     }
@@ -59,13 +59,13 @@
     }
 
     /// Times that news was refused for a reason.
-    pub fn count(&self, reason: Reason) -> u64 {
+    pub fn count(&self, reason: RejectReason) -> u64 {
         self.counts[reason as usize]
     }
 
     /// The counters of several sources together.
-    pub fn line(all: &[Refused]) -> String {
-        let sum = |at: usize| all.iter().map(|refused| refused.counts[at]).sum::<u64>();
+    pub fn line(all: &[RejectedUpdates]) -> String {
+        let sum = |at: usize| all.iter().map(|rejected_updates| rejected_updates.counts[at]).sum::<u64>();
         let fields = NAMES.iter().enumerate().map(|(at, name)| format!("list_{name}={}", sum(at)));
         fields.collect::<Vec<_>>().join(" ")
     }
--- a/crates/discovery/src/split.rs
+++ b/crates/discovery/src/split.rs
@@ -16,7 +16,7 @@
     TooLong(usize),
     /// The text ends where it can't.
     #[error("it ends within an entry")]
-    Cut,
+    Truncated,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -141,7 +141,7 @@
     pub fn finish(self) -> Result<Vec<u8>, SplitError> {
         match self.place {
             Place::Rest => Ok(self.rest),
-            _ => Err(SplitError::Cut),
+            _ => Err(SplitError::Truncated),
         }
     }
 
--- a/crates/discovery/src/staleness.rs
+++ b/crates/discovery/src/staleness.rs
@@ -21,12 +21,12 @@
     }
 
     /// What is known was last right then (ns), as of a list that was kept.
-    pub fn set_heard(&mut self, heard_ns: u64) {
+    pub fn set_confirmed(&mut self, heard_ns: u64) {
         self.heard_ns = heard_ns;
     }
 
     /// News counts as too old from another age on.
-    pub fn set_stale(&mut self, stale_ns: u64) {
+    pub fn set_stale_ns(&mut self, stale_ns: u64) {
         self.stale_ns = stale_ns;
     }
 
--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -5,15 +5,15 @@
 use log::{debug, info, warn};
 
 use super::staleness::Staleness;
-use super::{taken, Change, Fault, Pacing, BYTE_NS};
+use super::{taken, Change, SourceError, SourceParams, BYTE_NS};
 use crate::bound::ListBound;
 use crate::event::{Event, EventReader};
-use crate::refused::{Reason, Refused};
+use crate::rejected_updates::{RejectReason, RejectedUpdates};
 pub use crate::update::Update;
 use marljunction_control::interface::*;
 use marljunction_http1::head::parse_response_head;
 use marljunction_net::{Net, Owner};
-use marljunction_pacing::{Failure, Pace, Pacer};
+use marljunction_pacing::{Failure, Pacer, PacingParams};
 use marljunction_settings::Names;
 
 /// Silence after which the stream is taken for dead (ns): a comment comes each second.
@@ -37,12 +37,12 @@
     fresh: bool,
     pacer: Pacer,
     staleness: Staleness,
-    refused: Refused,
+    rejected_updates: RejectedUpdates,
 }
 
 impl Stream {
     /// A subscription that starts behind event `last`.
-    pub fn new(now: u64, address: SocketAddr, names: Names, last: u64, pacing: Pacing) -> Self {
+    pub fn new(now: u64, address: SocketAddr, names: Names, last: u64, pacing: SourceParams) -> Self {
         Stream {
             address,
             names,
@@ -56,7 +56,7 @@
             fresh: true,
             pacer: Pacer::new(pacing.pace, pacing.seed, now),
             staleness: Staleness::new(now, pacing.stale_ns),
-            refused: Refused::default(),
+            rejected_updates: RejectedUpdates::default(),
         }
     }
 
@@ -67,13 +67,13 @@
     }
 
     /// Calls made and turned away, and how old the news is.
-    pub fn view(&self) -> ((u64, u64), &Staleness) {
+    pub fn stats(&self) -> ((u64, u64), &Staleness) {
         (self.pacer.calls(), &self.staleness)
     }
 
     /// What of the news was refused.
-    pub fn refused(&self) -> Refused {
-        self.refused
+    pub fn rejected_updates(&self) -> RejectedUpdates {
+        self.rejected_updates
     }
 
     /// Number of the last event that was taken, and whether the stream is open now.
@@ -82,9 +82,9 @@
     }
 
     /// Paces calls so from the next one on.
-    pub fn set_pace(&mut self, pace: Pace, stale_ns: u64) {
+    pub fn set_pace(&mut self, pace: PacingParams, stale_ns: u64) {
         self.pacer.set_pace(pace);
-        self.staleness.set_stale(stale_ns);
+        self.staleness.set_stale_ns(stale_ns);
     }
 
     /// How old the news is, to be told.
@@ -97,11 +97,11 @@
         match self.conn {
             Some(_) if now > self.lost_ns() => {
                 warn!("the coordinator's stream is silent");
-                self.end(now, net, Fault::Ended);
+                self.end(now, net, SourceError::Ended);
             }
             None if self.pacer.call(now) => match net.connect(self.address, Owner::Discovery) {
                 Ok(conn) => self.ask(now, net, conn),
-                Err(_) => self.pacer.failed(now, Failure::Away),
+                Err(_) => self.pacer.failed(now, Failure::Unavailable),
             },
             _ => {}
         }
@@ -152,45 +152,47 @@
 
     /// Ends the connection, and says when the next call is made; a stream that was up has ended, a call that never was has
     /// failed.
-    fn end(&mut self, now: u64, net: &mut Net, fault: Fault) {
+    fn end(&mut self, now: u64, net: &mut Net, fault: SourceError) {
         let cut = self.reader.as_ref().and_then(EventReader::pending);
         let failure = self.refuse(fault, cut);
         if let Some(conn) = self.conn.take() {
             net.close(conn);
         }
         match self.reader.take() {
-            Some(_) if failure != Failure::Useless => self.pacer.ended(now),
+            Some(_) if failure != Failure::Unusable => self.pacer.ended(now),
             _ => self.pacer.failed(now, failure),
         }
     }
 
     /// Counts and logs why a connection ended, `cut` bytes into an event or between two.
-    fn refuse(&mut self, fault: Fault, cut: Option<usize>) -> Failure {
+    fn refuse(&mut self, fault: SourceError, cut: Option<usize>) -> Failure {
         match fault {
-            Fault::TurnedAway(after_ns) => {
+            SourceError::Rejected(after_ns) => {
                 debug!("the coordinator takes no more calls for now; it asks for {after_ns:?} ns");
-                return Failure::TurnedAway { after_ns };
+                return Failure::Rejected { after_ns };
             }
-            Fault::List(error) if error.is_size() => {
-                self.refused.add(Reason::TooLarge, || {
+            SourceError::List(error) if error.is_over_limit() => {
+                self.rejected_updates.add(RejectReason::TooLarge, || {
                     format!("the list of engines is too large: {error}; what was known stays in force")
                 });
-                return Failure::Useless;
+                return Failure::Unusable;
             }
-            Fault::List(error) => self.refused.add(Reason::Spoilt, || {
+            SourceError::List(error) => self.rejected_updates.add(RejectReason::Invalid, || {
                 format!("a membership event can't be read, and is asked for once more: {error}")
             }),
-            Fault::Ended => match cut {
-                Some(bytes) => self.refused.add(Reason::Cut, || {
+            SourceError::Ended => match cut {
+                Some(bytes) => self.rejected_updates.add(RejectReason::Truncated, || {
                     format!(
                         "the coordinator's stream ended {bytes} bytes into an event: it is asked for again"
                     )
                 }),
                 None => debug!("the coordinator's stream has ended"),
             },
-            other => self.refused.add(Reason::Call, || format!("the coordinator's stream: {other}")),
+            other => self
+                .rejected_updates
+                .add(RejectReason::CallFailed, || format!("the coordinator's stream: {other}")),
         }
-        Failure::Away
+        Failure::Unavailable
     }
 
     /// Takes what has come in; gives the changes in order.
@@ -201,20 +203,26 @@
         }
         let look = net.service(conn);
         match self.read(now, net, conn, &mut changes) {
-            Ok(()) if look.ended.is_some() => self.end(now, net, Fault::Ended),
+            Ok(()) if look.ended.is_some() => self.end(now, net, SourceError::Ended),
             Ok(()) => {}
             Err(fault) => self.end(now, net, fault),
         }
         changes
     }
 
-    fn read(&mut self, now: u64, net: &mut Net, conn: u64, changes: &mut Vec<Change>) -> Result<(), Fault> {
+    fn read(
+        &mut self,
+        now: u64,
+        net: &mut Net,
+        conn: u64,
+        changes: &mut Vec<Change>,
+    ) -> Result<(), SourceError> {
         let silent = net.input(conn).is_empty();
         if !silent {
             self.heard_ns = now;
         }
         if self.reader.is_none() {
-            let Some((head, size)) = parse_response_head(net.input(conn)).map_err(Fault::Head)? else {
+            let Some((head, size)) = parse_response_head(net.input(conn)).map_err(SourceError::Head)? else {
                 return Ok(());
             };
             net.consume(conn, size);
@@ -223,7 +231,7 @@
             self.pacer.taken(now);
         }
         // A list that is not taken leaves what is known as old as it is.
-        if !silent && !self.refused.is_too_large() {
+        if !silent && !self.rejected_updates.is_too_large() {
             self.staleness.heard(now);
         }
         let (mut events, Some(reader)) = (Vec::new(), &mut self.reader) else { return Ok(()) };
@@ -239,7 +247,7 @@
     }
 
     /// What an event changes; nothing where it says nothing new.
-    fn take(&mut self, now: u64, event: Event) -> Result<Option<Change>, Fault> {
+    fn take(&mut self, now: u64, event: Event) -> Result<Option<Change>, SourceError> {
         let Event { number, update } = event;
         let update = match update {
             Ok(update) => update,
@@ -250,7 +258,8 @@
                 return Err(error.into());
             }
             Err(error) => {
-                self.refused.add(Reason::Spoilt, || format!("a membership event can't be read: {error}"));
+                self.rejected_updates
+                    .add(RejectReason::Invalid, || format!("a membership event can't be read: {error}"));
                 return Ok(None);
             }
         };
@@ -260,17 +269,17 @@
         let fresh = std::mem::take(&mut self.fresh);
         let anew = fresh && index < self.last && update.change.kind == MembershipKind::Full;
         if anew {
-            self.refused.add(Reason::Anew, || {
+            self.rejected_updates.add(RejectReason::NumberingReset, || {
                 format!("the coordinator counts anew: event {index} behind {}", self.last)
             });
         } else if index <= self.last {
-            self.refused.add(Reason::Repeated, || {
+            self.rejected_updates.add(RejectReason::Duplicate, || {
                 format!("event {index} is known already: the last was {}", self.last)
             });
             return Ok(None);
         }
         self.last = index;
-        self.refused.taken();
+        self.rejected_updates.taken();
         self.staleness.heard(now);
         Ok(Some(update.change))
     }
--- a/crates/discovery/src/update.rs
+++ b/crates/discovery/src/update.rs
@@ -45,13 +45,13 @@
     },
     /// It can't be read.
     #[error("{0}")]
-    Spoilt(String),
+    Invalid(String),
 }
 
 impl ListError {
     /// Whether it is over a bound, and not spoilt.
-    pub fn is_size(&self) -> bool {
-        !matches!(self, ListError::Spoilt(_))
+    pub fn is_over_limit(&self) -> bool {
+        !matches!(self, ListError::Invalid(_))
     }
 
     /// A reason of no more than [`MAX_REASON`] bytes, whatever it quotes.
@@ -62,7 +62,7 @@
             why.truncate(end);
             why.push_str("...");
         }
-        ListError::Spoilt(why)
+        ListError::Invalid(why)
     }
 }
 
@@ -224,7 +224,7 @@
             Ok(())
         });
         match took {
-            Err(error) if error.is_size() => Err(error),
+            Err(error) if error.is_over_limit() => Err(error),
             Err(error) => {
                 (*spoilt, *targets) = (Some(error), Vec::new());
                 Ok(())
--- a/crates/discovery/tests/cached_snapshot.rs
+++ b/crates/discovery/tests/cached_snapshot.rs
@@ -2,8 +2,8 @@
 
 use marljunction_control::interface::*;
 use marljunction_discovery::bound::ListBound;
-use marljunction_discovery::cached_snapshot::{self, CachedSnapshot, Refusal};
-use marljunction_discovery::roster::Roster;
+use marljunction_discovery::cached_snapshot::{self, CachedSnapshot, DecodeError};
+use marljunction_discovery::listed_engines::ListedEngines;
 use marljunction_discovery::{Change, Target};
 use marljunction_settings::Names;
 
@@ -31,13 +31,13 @@
     Change { kind, targets }
 }
 
-fn decode(bytes: &[u8], names: &Names, now: u64, most_ns: u64) -> Result<(Change, u64), Refusal> {
+fn decode(bytes: &[u8], names: &Names, now: u64, most_ns: u64) -> Result<(Change, u64), DecodeError> {
     cached_snapshot::decode(bytes, names, now, most_ns, &ListBound::default())
 }
 
-fn encode(roster: &Roster) -> String {
+fn encode(listed_engines: &ListedEngines) -> String {
     let mut out = std::io::Cursor::new(Vec::new());
-    cached_snapshot::write(&mut out, roster, &names(), NOW).unwrap();
+    cached_snapshot::write(&mut out, listed_engines, &names(), NOW).unwrap();
     String::from_utf8(out.into_inner()).unwrap()
 }
 
@@ -46,16 +46,16 @@
 }
 
 fn file() -> String {
-    let mut roster = Roster::default();
-    roster.change(&change(
+    let mut listed_engines = ListedEngines::default();
+    listed_engines.change(&change(
         MembershipKind::Full,
         vec![target(1, EngineState::Ready), target(2, EngineState::Ready), target(3, EngineState::Ready)],
     ));
-    roster.change(&change(
+    listed_engines.change(&change(
         MembershipKind::Delta,
         vec![target(2, EngineState::Draining), target(3, EngineState::Gone)],
     ));
-    encode(&roster)
+    encode(&listed_engines)
 }
 
 #[test]
@@ -77,8 +77,11 @@
 fn a_file_cut_anywhere_or_with_any_bit_flipped_is_refused() {
     let whole = file().into_bytes();
     for size in 0..whole.len() {
-        let refused = decode(&whole[..size], &names(), NOW, 3_600 * S).unwrap_err();
-        assert!(matches!(refused, Refusal::NotAList | Refusal::Spoilt), "{size} bytes: {refused:?}");
+        let rejected_updates = decode(&whole[..size], &names(), NOW, 3_600 * S).unwrap_err();
+        assert!(
+            matches!(rejected_updates, DecodeError::NotASnapshot | DecodeError::ChecksumMismatch),
+            "{size} bytes: {rejected_updates:?}"
+        );
     }
     for at in 0..whole.len() {
         for bit in 0..8 {
@@ -92,26 +95,29 @@
 #[test]
 fn other_versions_old_lists_and_huge_files_are_told_apart() {
     let read = |text: &str| decode(text.as_bytes(), &names(), NOW, 60 * S).unwrap_err();
-    assert_eq!(read(""), Refusal::NotAList);
-    assert_eq!(read("{}\n"), Refusal::NotAList);
-    assert_eq!(read(&file().replacen(" 1 ", " 2 ", 1)), Refusal::Version(2));
-    assert_eq!(read(&file().replacen(" 1 ", " 0 ", 1)), Refusal::Version(0));
-    assert_eq!(decode(file().as_bytes(), &names(), NOW + 61 * S, 60 * S), Err(Refusal::Old(61 * S)));
+    assert_eq!(read(""), DecodeError::NotASnapshot);
+    assert_eq!(read("{}\n"), DecodeError::NotASnapshot);
+    assert_eq!(read(&file().replacen(" 1 ", " 2 ", 1)), DecodeError::Version(2));
+    assert_eq!(read(&file().replacen(" 1 ", " 0 ", 1)), DecodeError::Version(0));
+    assert_eq!(decode(file().as_bytes(), &names(), NOW + 61 * S, 60 * S), Err(DecodeError::TooOld(61 * S)));
     let bound = ListBound::default();
     let huge = vec![b'x'; bound.file_bytes + 1];
     let most = bound.file_bytes as u64;
-    assert_eq!(decode(&huge, &names(), NOW, S), Err(Refusal::Huge(most + 1, most)));
-    let mut many = Roster::default();
+    assert_eq!(decode(&huge, &names(), NOW, S), Err(DecodeError::TooLarge(most + 1, most)));
+    let mut many = ListedEngines::default();
     many.change(&ready(bound.engines + 1));
-    assert_eq!(decode(encode(&many).as_bytes(), &names(), NOW, S), Err(Refusal::Many(bound.engines)));
+    assert_eq!(
+        decode(encode(&many).as_bytes(), &names(), NOW, S),
+        Err(DecodeError::TooManyEngines(bound.engines))
+    );
 }
 
 #[test]
 fn a_list_of_30000_engines_is_read_again_as_it_was() {
-    let mut roster = Roster::default();
-    roster.change(&ready(30_000));
-    let (read, _) = decode(encode(&roster).as_bytes(), &names(), NOW, S).unwrap();
-    assert_eq!(read.targets, roster.iter().collect::<Vec<_>>());
+    let mut listed_engines = ListedEngines::default();
+    listed_engines.change(&ready(30_000));
+    let (read, _) = decode(encode(&listed_engines).as_bytes(), &names(), NOW, S).unwrap();
+    assert_eq!(read.targets, listed_engines.iter().collect::<Vec<_>>());
     assert_eq!(read.targets.len(), 30_000);
 }
 
--- a/crates/discovery/tests/common/mod.rs
+++ b/crates/discovery/tests/common/mod.rs
@@ -8,8 +8,8 @@
 use marljunction_control::interface::MembershipKind;
 use marljunction_discovery::{engine_id, Change};
 use marljunction_net::{Net, Room};
-use marljunction_pacing::pace::TOLD_NS;
-use marljunction_pacing::Pace;
+use marljunction_pacing::pace::MAX_UPDATE_DELAY_NS;
+use marljunction_pacing::PacingParams;
 use marljunction_settings::Names;
 use mio::{Events, Poll};
 
@@ -22,8 +22,12 @@
     Names { zones: vec!["a".into(), "b".into()], kinds: vec!["std".into()], ..Names::default() }
 }
 
-pub fn pacing(seed: u64) -> marljunction_discovery::Pacing {
-    marljunction_discovery::Pacing { pace: Pace::default(), seed, stale_ns: TOLD_NS }
+pub fn pacing(seed: u64) -> marljunction_discovery::SourceParams {
+    marljunction_discovery::SourceParams {
+        pace: PacingParams::default(),
+        seed,
+        stale_ns: MAX_UPDATE_DELAY_NS,
+    }
 }
 
 /// One engine of a list, as the coordinator tells it.
--- a/crates/discovery/tests/events.rs
+++ b/crates/discovery/tests/events.rs
@@ -9,10 +9,10 @@
 use marljunction_discovery::bound::ListBound;
 use marljunction_discovery::event::{Event, EventReader};
 use marljunction_discovery::update::{ListError, Update};
-use marljunction_discovery::Fault;
+use marljunction_discovery::SourceError;
 
 /// What comes of a body that is read in pieces of so many bytes.
-fn read(body: &[u8], is_chunked: bool, piece: usize) -> (Vec<Event>, Result<(), Fault>) {
+fn read(body: &[u8], is_chunked: bool, piece: usize) -> (Vec<Event>, Result<(), SourceError>) {
     let (names, mut out) = (names(), Vec::new());
     let mut reader = EventReader::new(is_chunked, ListBound::default());
     let mut input = Vec::new();
@@ -76,7 +76,7 @@
     let lines: Vec<String> = text.split(" , ").map(|part| format!("data:{part}\n")).collect();
     let body = format!("{}data: ,\nid:9\n\n", lines[0]) + &format!("data:{text}\nid:9\n\n");
     let (events, _) = read(body.as_bytes(), false, 11);
-    assert!(matches!(events[0].update, Err(ListError::Spoilt(_))), "cut between two entries");
+    assert!(matches!(events[0].update, Err(ListError::Invalid(_))), "cut between two entries");
     assert_eq!((events[1].number, events[1].update.as_ref()), (Some(9), Ok(&whole)));
 }
 
@@ -103,7 +103,7 @@
         let body = event(3, text) + &event(4, &list(4, 2));
         let (events, ended) = read(body.as_bytes(), false, 100);
         assert_eq!((ended, events.len()), (Ok(()), 2), "{text}");
-        assert!(matches!(&events[0].update, Err(ListError::Spoilt(_))), "{text}");
+        assert!(matches!(&events[0].update, Err(ListError::Invalid(_))), "{text}");
         assert_names(&events[1].update.as_ref().unwrap().change, 2);
     }
 }
@@ -112,7 +112,7 @@
 fn what_a_spoilt_event_quotes_is_cut_short() {
     let text = list(3, 1).replace("in_service", &"é".repeat(20_000));
     let (events, _) = read(event(3, &text).as_bytes(), false, 1_000);
-    let Err(ListError::Spoilt(why)) = &events[0].update else { panic!("spoilt") };
+    let Err(ListError::Invalid(why)) = &events[0].update else { panic!("spoilt") };
     assert!(why.len() < 200, "{} bytes", why.len());
 }
 
@@ -138,7 +138,7 @@
         let mut body = line.as_bytes().to_vec();
         body.resize(most + 2_000, if line.ends_with('[') { b' ' } else { b'1' });
         let (events, ended) = read(&body, false, 50_000);
-        let Err(Fault::List(ListError::TooLong { bytes, most: told, .. })) = ended else {
+        let Err(SourceError::List(ListError::TooLong { bytes, most: told, .. })) = ended else {
             panic!("{line}: {ended:?}")
         };
         assert!(
@@ -153,7 +153,7 @@
     let most = ListBound::default().engines;
     let (events, ended) = read(event(3, &list(3, most + 1)).as_bytes(), false, 65_536);
     assert!(events.is_empty());
-    let Err(Fault::List(ListError::TooMany { bytes, most: told })) = ended else { panic!("{ended:?}") };
+    let Err(SourceError::List(ListError::TooMany { bytes, most: told })) = ended else { panic!("{ended:?}") };
     assert!(told == most && bytes > most * 150);
     let (events, ended) = read(event(3, &list(3, most)).as_bytes(), false, 65_536);
     assert_eq!((events.len(), ended), (1, Ok(())));
--- /dev/null
+++ b/crates/discovery/tests/excluded_engines.rs
@@ -0,0 +1,142 @@
+//! Bans of engines between the sources of membership and the module.
+
+use marljunction_control::interface::{EngineEntry, EngineState, MembershipKind};
+use marljunction_discovery::excluded_engines::{parse_names, ExcludedEngines, ExclusionError, MAX_EXCLUDED};
+use marljunction_discovery::{engine_id, Change, Target};
+
+fn target(name: &str, state: EngineState) -> Target {
+    let entry = EngineEntry { engine: engine_id(name), state, started_ns: Some(5), ..EngineEntry::default() };
+    Target { entry, address: "127.0.0.1:4100".parse().unwrap() }
+}
+
+fn list(kind: MembershipKind, all: &[(&str, EngineState)]) -> Change {
+    Change { kind, targets: all.iter().map(|(name, state)| target(name, *state)).collect() }
+}
+
+fn states(change: &Change) -> Vec<EngineState> {
+    change.targets.iter().map(|t| t.entry.state).collect()
+}
+
+#[test]
+fn a_banned_engine_drains_whatever_the_lists_say_until_it_is_put_back() {
+    let mut excluded_engines = ExcludedEngines::new();
+    excluded_engines.filter_change(list(
+        MembershipKind::Full,
+        &[("s-1", EngineState::Ready), ("s-2", EngineState::Ready)],
+    ));
+    let told = excluded_engines.disable("s-1", false).unwrap().expect("the module is told");
+    assert_eq!((told.kind, states(&told)), (MembershipKind::Delta, vec![EngineState::Draining]));
+    let again = list(MembershipKind::Full, &[("s-1", EngineState::Ready), ("s-2", EngineState::Ready)]);
+    assert_eq!(states(&excluded_engines.filter_change(again)), [EngineState::Draining, EngineState::Ready]);
+    let delta = excluded_engines.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Ready)]));
+    assert_eq!(states(&delta), [EngineState::Draining]);
+    // Two calls out, one back.
+    assert_eq!(excluded_engines.disable("s-1", false), Ok(None));
+    let back = excluded_engines.enable("s-1", 1_000).unwrap().expect("the module is told");
+    assert_eq!(states(&back), [EngineState::Ready]);
+    assert_eq!(back.targets[0].entry.started_ns, Some(1_000), "it comes back as just started: cold");
+    assert!(!excluded_engines.is_excluded(engine_id("s-1")));
+    let delta = excluded_engines.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Ready)]));
+    assert_eq!(states(&delta), [EngineState::Ready]);
+}
+
+#[test]
+fn an_id_that_nobody_has_is_a_no() {
+    let mut excluded_engines = ExcludedEngines::new();
+    excluded_engines.filter_change(list(MembershipKind::Full, &[("s-1", EngineState::Ready)]));
+    assert_eq!(excluded_engines.disable("s-9", false), Err(ExclusionError::Unknown));
+    assert_eq!(excluded_engines.enable("s-9", 1), Err(ExclusionError::Unknown));
+    assert_eq!(excluded_engines.disable("s 1", false), Err(ExclusionError::Malformed));
+    assert_eq!(excluded_engines.disable(&"s".repeat(200), false), Err(ExclusionError::Malformed));
+    // Known and not out: putting it back is a yes with nothing to tell.
+    assert_eq!(excluded_engines.enable("s-1", 1), Ok(None));
+    // Gone from the lists: nobody has it any more.
+    excluded_engines.filter_change(list(MembershipKind::Full, &[]));
+    assert_eq!(excluded_engines.disable("s-1", false), Err(ExclusionError::Unknown));
+}
+
+#[test]
+fn a_ban_outlasts_the_engine_leaving_the_lists_and_holds_when_it_returns() {
+    let mut excluded_engines = ExcludedEngines::new();
+    excluded_engines.filter_change(list(MembershipKind::Full, &[("s-1", EngineState::Ready)]));
+    excluded_engines.disable("s-1", false).unwrap();
+    excluded_engines.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Gone)]));
+    excluded_engines.filter_change(list(MembershipKind::Full, &[]));
+    let returns = excluded_engines.filter_change(list(MembershipKind::Full, &[("s-1", EngineState::Ready)]));
+    assert_eq!(states(&returns), [EngineState::Draining]);
+    let gone = excluded_engines.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Gone)]));
+    assert_eq!(states(&gone), [EngineState::Gone], "what has gone is told as gone");
+}
+
+#[test]
+fn bans_pass_to_a_successor_by_their_text() {
+    let mut excluded_engines = ExcludedEngines::new();
+    excluded_engines.filter_change(list(
+        MembershipKind::Full,
+        &[("s-1", EngineState::Ready), ("s-2", EngineState::Ready)],
+    ));
+    excluded_engines.disable("s-2", false).unwrap();
+    excluded_engines.disable("s-1", false).unwrap();
+    let text = excluded_engines.to_text();
+    // The successor reads them before it hears any list.
+    let mut successor = ExcludedEngines::new();
+    assert!(
+        successor.replace_all(parse_names(&text), 7).is_empty(),
+        "no list named them yet: nothing to tell"
+    );
+    let listed = successor.filter_change(list(
+        MembershipKind::Full,
+        &[("s-1", EngineState::Ready), ("s-3", EngineState::Ready)],
+    ));
+    assert_eq!(states(&listed), [EngineState::Draining, EngineState::Ready]);
+    // The other process put s-1 back: the change is taken over.
+    let changes = successor.replace_all(parse_names("s-2\n"), 9);
+    assert_eq!(changes.len(), 1);
+    assert_eq!(
+        (states(&changes[0]), changes[0].targets[0].entry.started_ns),
+        (vec![EngineState::Ready], Some(9))
+    );
+    assert!(successor.is_excluded(engine_id("s-2")) && !successor.is_excluded(engine_id("s-1")));
+    assert_eq!(parse_names("s-1\n\nnot an id\n s-2 \n"), ["s-1", "s-2"]);
+}
+
+#[test]
+fn bans_are_bounded() {
+    let mut excluded_engines = ExcludedEngines::new();
+    let names: Vec<String> = (0..MAX_EXCLUDED + 10).map(|n| format!("s-{n}")).collect();
+    excluded_engines.replace_all(names.iter().map(String::as_str), 1);
+    assert_eq!(excluded_engines.names().count(), MAX_EXCLUDED);
+    assert_eq!(excluded_engines.disable("s-extra", true), Err(ExclusionError::Full));
+}
+
+#[test]
+fn the_fleets_words_and_a_routers_own_bans_hold_beside_each_other() {
+    let mut excluded_engines = ExcludedEngines::new();
+    excluded_engines
+        .filter_change(list(MembershipKind::Full, &[("e1", EngineState::Ready), ("e2", EngineState::Ready)]));
+    let states = |changes: Vec<Change>| -> Vec<EngineState> { changes.iter().flat_map(states).collect() };
+    assert_eq!(
+        states(excluded_engines.set_fleet_excluded(["e1", "nobody"].into_iter(), 5)),
+        [EngineState::Draining]
+    );
+    assert!(
+        excluded_engines.is_excluded(engine_id("e1")) && excluded_engines.is_excluded(engine_id("nobody"))
+    );
+    // Its own ban adds nothing, and outlasts the fleet's word; its end changes nothing while that holds.
+    assert_eq!(excluded_engines.disable("e1", false), Ok(None));
+    assert_eq!(excluded_engines.enable("e1", 6), Ok(None));
+    assert_eq!(excluded_engines.disable("e1", false), Ok(None));
+    assert_eq!(excluded_engines.set_fleet_excluded(std::iter::empty(), 7), Vec::new());
+    assert!(excluded_engines.is_excluded(engine_id("e1")));
+    assert_eq!(states(excluded_engines.enable("e1", 8).unwrap().into_iter().collect()), [EngineState::Ready]);
+    // Only its own are kept for a successor: the fleet's words have a file of their own.
+    excluded_engines.disable("e2", false).unwrap();
+    excluded_engines.set_fleet_excluded(["e1"].into_iter(), 9);
+    assert_eq!(excluded_engines.to_text(), "e2\n");
+    // A list that has the engine as ready changes nothing while it is out, and it is back cold.
+    let passed = excluded_engines
+        .filter_change(list(MembershipKind::Full, &[("e1", EngineState::Ready), ("e2", EngineState::Ready)]));
+    assert!(passed.targets.iter().all(|t| t.entry.state == EngineState::Draining));
+    let back = excluded_engines.set_fleet_excluded(std::iter::empty(), 10);
+    assert_eq!(back[0].targets[0].entry.started_ns, Some(10));
+}
--- a/crates/discovery/tests/large_consul.rs
+++ b/crates/discovery/tests/large_consul.rs
@@ -8,10 +8,10 @@
 
 use common::{answer, chunked, listen, names, pacing, said, Wire, MS, T0};
 use marljunction_control::interface::EngineState;
-use marljunction_discovery::answer::{Answer, AnswerReader, Asked};
 use marljunction_discovery::bound::ListBound;
 use marljunction_discovery::consul::Consul;
-use marljunction_discovery::refused::Reason;
+use marljunction_discovery::consul_response::{ConsulQuery, ConsulResponse, ResponseReader};
+use marljunction_discovery::rejected_updates::RejectReason;
 use marljunction_discovery::{engine_id, Change};
 
 const S: u64 = 1_000 * MS;
@@ -58,8 +58,8 @@
         Bed { wire, consul, changes: Vec::new(), asked: Default::default() }
     }
 
-    fn count(&self, reason: Reason) -> u64 {
-        self.consul.refused().iter().map(|refused| refused.count(reason)).sum()
+    fn count(&self, reason: RejectReason) -> u64 {
+        self.consul.rejected_updates().iter().map(|rejected_updates| rejected_updates.count(reason)).sum()
     }
 
     /// Passes time until a query comes; which one it is.
@@ -67,7 +67,7 @@
         loop {
             // Each call that was made comes: time waits for it.
             let seen = self.asked.iter().map(Vec::len).sum::<usize>() as u64;
-            if self.consul.view().0 .0 == seen {
+            if self.consul.stats().0 .0 == seen {
                 self.wire.now += 20 * MS;
                 self.consul.tick(self.wire.now, &mut self.wire.net);
                 assert!(self.wire.now < T0 + 3_600 * S, "no call");
@@ -124,7 +124,8 @@
         let mut seen = [false; 2];
         while !seen.iter().all(|seen| *seen) {
             let news = self.changes.len();
-            let taken = |bed: &Bed| bed.changes.len() > news || bed.consul.view().1.age_ns(bed.wire.now) == 0;
+            let taken =
+                |bed: &Bed| bed.changes.len() > news || bed.consul.stats().1.age_ns(bed.wire.now) == 0;
             seen[self.exchange([&catalogue, &health], is_chunked, taken)] = true;
         }
         assert_eq!(self.changes.last().unwrap().targets.len(), engines);
@@ -155,8 +156,8 @@
     let (catalogue, health) = (catalogue(most + 1), health(most + 1));
     let (from, before) = (bed.wire.now, bed.asked.clone());
     while bed.wire.now < from + 600 * S {
-        let times = bed.count(Reason::TooLarge) + 1;
-        bed.exchange([&catalogue, &health], true, |bed| bed.count(Reason::TooLarge) == times);
+        let times = bed.count(RejectReason::TooLarge) + 1;
+        bed.exchange([&catalogue, &health], true, |bed| bed.count(RejectReason::TooLarge) == times);
     }
     assert_eq!(bed.changes.len(), news, "the old list stays");
     for watch in [0, 1] {
@@ -167,9 +168,9 @@
     }
     let told = said("too large");
     assert!(told.len() == 2 && told.iter().all(|line| line.starts_with("WARN consul's")), "{told:?}");
-    assert!(bed.consul.view().1.age_ns(bed.wire.now) > 500 * S, "what is known grows old");
+    assert!(bed.consul.stats().1.age_ns(bed.wire.now) > 500 * S, "what is known grows old");
     bed.learn(most, true);
-    assert_eq!(bed.consul.view().1.age_ns(bed.wire.now), 0);
+    assert_eq!(bed.consul.stats().1.age_ns(bed.wire.now), 0);
 }
 
 #[test]
@@ -179,7 +180,7 @@
     let (call, _) = bed.call();
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n[", most + 1);
     let answered = answer(call, &head, Vec::new(), true);
-    while bed.count(Reason::TooLarge) == 0 {
+    while bed.count(RejectReason::TooLarge) == 0 {
         bed.read();
     }
     assert!(said("too large")[0].contains(&format!("{} bytes so far", most + 1)), "{:?}", said(""));
@@ -191,7 +192,7 @@
 fn an_endless_answer_is_cut_off_at_the_bound() {
     let mut bed = Bed::new(1.0);
     let endless = format!("[{}", " ".repeat(ListBound::of(1.0).answer_bytes + 1));
-    bed.exchange([&endless, &endless], true, |bed| bed.count(Reason::TooLarge) == 1);
+    bed.exchange([&endless, &endless], true, |bed| bed.count(RejectReason::TooLarge) == 1);
     assert!(bed.changes.is_empty());
 }
 
@@ -205,17 +206,17 @@
         let (call, watch) = bed.call();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", whole[watch].len());
         let half = whole[watch].as_bytes()[..whole[watch].len() / 2].to_vec();
-        let times = bed.count(Reason::Cut) + 1;
+        let times = bed.count(RejectReason::Truncated) + 1;
         let answered = answer(call, &head, half, false);
-        while bed.count(Reason::Cut) < times {
+        while bed.count(RejectReason::Truncated) < times {
             bed.read();
         }
         answered.join().unwrap();
     }
     let spoilt = whole.each_ref().map(|text| format!("{}, 7]", &text[..text.len() - 1]));
     for _ in 0..4 {
-        let times = bed.count(Reason::Spoilt) + 1;
-        bed.exchange([&spoilt[0], &spoilt[1]], true, |bed| bed.count(Reason::Spoilt) == times);
+        let times = bed.count(RejectReason::Invalid) + 1;
+        bed.exchange([&spoilt[0], &spoilt[1]], true, |bed| bed.count(RejectReason::Invalid) == times);
     }
     assert_eq!(bed.changes.len(), news, "the old list stays");
     assert!(
@@ -229,7 +230,7 @@
 #[test]
 fn an_answer_that_is_no_list_or_not_whole_is_refused_wherever_it_is_cut() {
     let read = |text: &str, piece: usize| {
-        let mut reader = AnswerReader::new(Asked::Health, ListBound::default());
+        let mut reader = ResponseReader::new(ConsulQuery::Health, ListBound::default());
         text.as_bytes()
             .chunks(piece)
             .try_for_each(|part| reader.push(part, &names()))
@@ -240,7 +241,7 @@
         assert!((1..9).all(|piece| read(text, piece).is_err()), "{text}");
     }
     let states = |piece| match read(&whole, piece) {
-        Ok(Answer::Health(states)) => states.len(),
+        Ok(ConsulResponse::Health(states)) => states.len(),
         other => panic!("{other:?}"),
     };
     assert!((1..whole.len()).all(|piece| states(piece) == 2));
--- a/crates/discovery/tests/large_list.rs
+++ b/crates/discovery/tests/large_list.rs
@@ -8,7 +8,7 @@
 use common::{answer, assert_names, chunked, event, list, listen, names, pacing, said, target, Wire, MS, T0};
 use marljunction_control::interface::MembershipKind;
 use marljunction_discovery::bound::ListBound;
-use marljunction_discovery::refused::Reason;
+use marljunction_discovery::rejected_updates::RejectReason;
 use marljunction_discovery::stream::{Stream, SILENT_NS};
 use marljunction_discovery::Change;
 
@@ -35,14 +35,14 @@
         Bed { wire, stream, changes: Vec::new(), calls: Vec::new() }
     }
 
-    fn count(&self, reason: Reason) -> u64 {
-        self.stream.refused().count(reason)
+    fn count(&self, reason: RejectReason) -> u64 {
+        self.stream.rejected_updates().count(reason)
     }
 
     /// Passes time until the next call, and takes what it asks behind.
     fn call(&mut self) -> (std::net::TcpStream, String) {
-        let made = self.stream.view().0 .0;
-        while self.stream.view().0 .0 == made {
+        let made = self.stream.stats().0 .0;
+        while self.stream.stats().0 .0 == made {
             self.wire.now += 20 * MS;
             self.stream.tick(self.wire.now, &mut self.wire.net);
             assert!(self.wire.now < T0 + 3_600 * S, "no call");
@@ -111,7 +111,7 @@
     let body = event(2, &list(2, 30_000)).into_bytes();
     for cuts in 1..=3 {
         let half = body[..body.len() / 4 * cuts].to_vec();
-        let behind = bed.exchange(HEAD, half, false, |bed| bed.count(Reason::Cut) == cuts as u64);
+        let behind = bed.exchange(HEAD, half, false, |bed| bed.count(RejectReason::Truncated) == cuts as u64);
         assert_eq!((behind.as_str(), bed.changes.len()), ("1", 0));
     }
     assert_eq!(said("bytes into an event").len(), 1, "told once: {:?}", said(""));
@@ -132,8 +132,9 @@
     let most = ListBound::of(1.0).engines;
     let large = event(3, &list(3, most + 1)).into_bytes();
     while bed.wire.now < from + 600 * S {
-        let times = bed.count(Reason::TooLarge) + 1;
-        let behind = bed.exchange(HEAD, large.clone(), true, |bed| bed.count(Reason::TooLarge) == times);
+        let times = bed.count(RejectReason::TooLarge) + 1;
+        let behind =
+            bed.exchange(HEAD, large.clone(), true, |bed| bed.count(RejectReason::TooLarge) == times);
         assert_eq!((behind.as_str(), bed.changes.len()), ("2", 1), "the old list stays");
     }
     let calls = &bed.calls[1..];
@@ -143,15 +144,15 @@
     let told = said("too large");
     assert!(told.len() == 1 && told[0].starts_with("WARN"), "{told:?}");
     assert!(told[0].contains(&format!("over {most} engines in ")) && told[0].contains("bytes"), "{told:?}");
-    assert!(bed.stream.view().1.age_ns(bed.wire.now) > 500 * S, "what is known grows old");
+    assert!(bed.stream.stats().1.age_ns(bed.wire.now) > 500 * S, "what is known grows old");
     // Within the bound again: learned, and a further one is told of again.
     let body = event(4, &list(4, most)).into_bytes();
     bed.exchange(HEAD, body, true, |bed| bed.changes.len() == 2);
     assert_names(&bed.changes[1], most);
-    assert_eq!(bed.stream.view().1.age_ns(bed.wire.now), 0);
+    assert_eq!(bed.stream.stats().1.age_ns(bed.wire.now), 0);
     bed.drop_stream();
-    let times = bed.count(Reason::TooLarge) + 1;
-    bed.exchange(HEAD, large, true, |bed| bed.count(Reason::TooLarge) == times);
+    let times = bed.count(RejectReason::TooLarge) + 1;
+    bed.exchange(HEAD, large, true, |bed| bed.count(RejectReason::TooLarge) == times);
     assert_eq!(said("too large").len(), 2);
 }
 
@@ -161,7 +162,7 @@
     let mut endless = b"id: 2\ndata: {\"index\":2,\"endpoints\":{\"targets\":[".to_vec();
     endless.resize(2_000_000, b' ');
     for times in 1..=12 {
-        bed.exchange(HEAD, endless.clone(), true, |bed| bed.count(Reason::TooLarge) == times);
+        bed.exchange(HEAD, endless.clone(), true, |bed| bed.count(RejectReason::TooLarge) == times);
     }
     let waits: Vec<u64> = bed.calls.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(waits[8..].iter().all(|wait| *wait > 29 * S), "{waits:?}");
@@ -179,11 +180,11 @@
     let from = bed.wire.now;
     call.write_all(format!("{HEAD}:hi\nid: 2\ndata: {{\"index\":2,").as_bytes()).unwrap();
     bed.read();
-    while bed.count(Reason::Cut) == 0 {
+    while bed.count(RejectReason::Truncated) == 0 {
         bed.wire.now += 500 * MS;
         bed.stream.tick(bed.wire.now, &mut bed.wire.net);
         assert!(bed.wire.now < from + 2 * SILENT_NS, "it is waited for");
-        if bed.count(Reason::Cut) == 0 {
+        if bed.count(RejectReason::Truncated) == 0 {
             call.write_all(b" ").unwrap();
             bed.read();
         }
@@ -195,10 +196,10 @@
     let mut bed = Bed::new(32.0);
     let spoilt = event(2, &list(2, 5_000).replacen("in_service", "dozing", 1));
     let body = (spoilt + &event(3, &list(3, 4))).into_bytes();
-    bed.exchange(HEAD, body.clone(), true, |bed| bed.count(Reason::Spoilt) == 1);
+    bed.exchange(HEAD, body.clone(), true, |bed| bed.count(RejectReason::Invalid) == 1);
     assert!(bed.changes.is_empty());
     let behind = bed.exchange(HEAD, body, true, |bed| !bed.changes.is_empty());
-    assert_eq!((behind.as_str(), bed.count(Reason::Spoilt)), ("1", 2));
+    assert_eq!((behind.as_str(), bed.count(RejectReason::Invalid)), ("1", 2));
     assert_names(&bed.changes[0], 4);
     assert_eq!(said("can't be read").len(), 1, "{:?}", said(""));
 }
@@ -208,7 +209,7 @@
     let mut bed = Bed::new(32.0);
     let old = r#"{"index":2,"endpoints":{"all":false,"targets":[]}}"#;
     let body = event(5, &list(5, 9)) + &event(5, &list(5, 1)) + &event(2, old) + &event(4, &list(4, 2));
-    bed.exchange(HEAD, body.into_bytes(), true, |bed| bed.count(Reason::Repeated) == 3);
+    bed.exchange(HEAD, body.into_bytes(), true, |bed| bed.count(RejectReason::Duplicate) == 3);
     assert_eq!(bed.changes.len(), 1);
     assert_names(&bed.changes[0], 9);
     assert_eq!(said("is known already").len(), 1);
@@ -222,13 +223,13 @@
     // A part of another life's news is no list: nothing of it is taken, nor a whole one behind it.
     let part = format!(r#"{{"index":3,"endpoints":{{"targets":[{}]}}}}"#, target(1, "terminated"));
     let body = event(3, &part) + &event(4, &list(4, 1));
-    bed.exchange(HEAD, body.into_bytes(), true, |bed| bed.count(Reason::Repeated) == 2);
-    assert_eq!((bed.changes.len(), bed.count(Reason::Anew)), (1, 0));
+    bed.exchange(HEAD, body.into_bytes(), true, |bed| bed.count(RejectReason::Duplicate) == 2);
+    assert_eq!((bed.changes.len(), bed.count(RejectReason::NumberingReset)), (1, 0));
     bed.drop_stream();
     let body = event(3, &list(3, 7)) + &event(4, &part.replace("\"index\":3", "\"index\":4"));
     bed.exchange(HEAD, body.into_bytes(), true, |bed| bed.changes.len() == 3);
     assert_names(&bed.changes[1], 7);
-    assert_eq!((bed.changes[2].kind, bed.count(Reason::Anew)), (MembershipKind::Delta, 1));
+    assert_eq!((bed.changes[2].kind, bed.count(RejectReason::NumberingReset)), (MembershipKind::Delta, 1));
     assert_eq!(said("counts anew").len(), 1);
     bed.drop_stream();
     assert_eq!(bed.call().1, "4", "behind the numbers of its new life");
--- a/crates/discovery/tests/roster.rs
+++ b/crates/discovery/tests/listed_engines.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use marljunction_control::interface::{EngineEntry, EngineId, EngineState, KindId, MembershipKind, ZoneId};
-use marljunction_discovery::roster::Roster;
+use marljunction_discovery::listed_engines::ListedEngines;
 use marljunction_discovery::{Change, Target};
 
 /// Numbers that follow from a seed.
@@ -35,7 +35,8 @@
 #[test]
 fn it_holds_what_a_plain_map_of_the_same_news_holds() {
     for seed in 0..200 {
-        let (mut draws, mut roster, mut plain) = (Draws(seed), Roster::default(), BTreeMap::new());
+        let (mut draws, mut listed_engines, mut plain) =
+            (Draws(seed), ListedEngines::default(), BTreeMap::new());
         for _ in 0..30 {
             let kind = if draws.next(5) == 0 { MembershipKind::Full } else { MembershipKind::Delta };
             let targets: Vec<Target> = (0..draws.next(30)).map(|_| draws.target()).collect();
@@ -46,16 +47,16 @@
                 plain.insert(target.entry.engine, *target);
             }
             plain.retain(|_, target| target.entry.state != EngineState::Gone);
-            roster.change(&Change { kind, targets });
+            listed_engines.change(&Change { kind, targets });
             assert_eq!(
-                roster.iter().collect::<Vec<_>>(),
+                listed_engines.iter().collect::<Vec<_>>(),
                 plain.values().copied().collect::<Vec<_>>(),
                 "seed {seed}"
             );
-            assert_eq!((roster.len(), roster.is_empty()), (plain.len(), plain.is_empty()));
+            assert_eq!((listed_engines.len(), listed_engines.is_empty()), (plain.len(), plain.is_empty()));
             for id in 0..40 {
                 assert_eq!(
-                    roster.get(EngineId(id)),
+                    listed_engines.get(EngineId(id)),
                     plain.get(&EngineId(id)).copied(),
                     "seed {seed}, engine {id}"
                 );
--- a/crates/discovery/tests/silent.rs
+++ b/crates/discovery/tests/silent.rs
@@ -5,10 +5,10 @@
 use std::net::TcpListener;
 
 use marljunction_discovery::stream::Stream;
-use marljunction_discovery::Pacing;
+use marljunction_discovery::SourceParams;
 use marljunction_net::{Net, Room};
-use marljunction_pacing::pace::TOLD_NS;
-use marljunction_pacing::Pace;
+use marljunction_pacing::pace::MAX_UPDATE_DELAY_NS;
+use marljunction_pacing::PacingParams;
 use marljunction_settings::Names;
 use mio::{Events, Poll};
 
@@ -20,18 +20,22 @@
     let mut poll = Poll::new().unwrap();
     let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, Room::of(64, 64.0));
     let coordinator = TcpListener::bind("127.0.0.1:0").unwrap();
-    let pace = Pace { callers: Some(callers), me: seed as u32 % callers, ..Pace::default() };
-    let pacing = Pacing { pace, seed, stale_ns: TOLD_NS };
+    let pace = PacingParams {
+        callers: Some(callers),
+        caller_index: seed as u32 % callers,
+        ..PacingParams::default()
+    };
+    let pacing = SourceParams { pace, seed, stale_ns: MAX_UPDATE_DELAY_NS };
     let mut stream = Stream::new(T0, coordinator.local_addr().unwrap(), Names::default(), 1, pacing);
     let (mut now, mut first, mut answered) = (T0, None, None);
-    while stream.view().0 .0 < 3 {
+    while stream.stats().0 .0 < 3 {
         now += 20 * MS;
         stream.tick(now, &mut net);
-        if head && stream.view().0 .0 == 1 && answered.is_none() {
+        if head && stream.stats().0 .0 == 1 && answered.is_none() {
             let (mut up, _) = coordinator.accept().unwrap();
             up.write_all(b"HTTP/1.1 200 OK\r\n\r\n:hi\n").unwrap();
             let mut events = Events::with_capacity(4);
-            while stream.view().1.age_ns(now) > 0 {
+            while stream.stats().1.age_ns(now) > 0 {
                 poll.poll(&mut events, Some(std::time::Duration::from_secs(8))).unwrap();
                 assert!(!events.is_empty(), "the head does not come");
                 for conn in events.iter().map(|e| e.token().0 as u64).collect::<Vec<_>>() {
@@ -41,7 +45,7 @@
             answered = Some(up);
         }
         // The silence begins with the first call, or with what was heard on it.
-        if stream.view().0 .0 >= 1 {
+        if stream.stats().0 .0 >= 1 {
             first.get_or_insert(now);
         }
         assert!(now < T0 + 60_000 * MS, "no third call");
@@ -56,7 +60,11 @@
             for head in [false, true] {
                 let at = third_call(seed, callers, head);
                 let news = at + 500 * MS;
-                assert!(news < TOLD_NS, "{callers} callers, seed {seed}, head {head}: {} ms", at / MS);
+                assert!(
+                    news < MAX_UPDATE_DELAY_NS,
+                    "{callers} callers, seed {seed}, head {head}: {} ms",
+                    at / MS
+                );
             }
         }
     }
--- a/crates/engine/src/http.rs
+++ b/crates/engine/src/http.rs
@@ -15,7 +15,7 @@
 use marljunction_core::{Attempt, ClientRequest, Rows};
 use marljunction_discovery::Change;
 use marljunction_http1::head::{has_complete_rows, parse_response, Head};
-use marljunction_pacing::opening::Openings;
+use marljunction_pacing::connection_budget::ConnectionBudget;
 
 /// Longest idle time after which a connection is reused: a peer that has failed silently sends no
 /// reset.
@@ -641,7 +641,7 @@
 }
 
 impl Backend for HttpBackend {
-    fn set_connection_budget(&mut self, connection_budget: Option<(Openings, u64)>) {
+    fn set_connection_budget(&mut self, connection_budget: Option<(ConnectionBudget, u64)>) {
         self.engines.set_connection_budget(connection_budget);
     }
 
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -13,7 +13,7 @@
 use marljunction_core::{Attempt, ClientRequest, Router};
 use marljunction_discovery::Change;
 use marljunction_net::{Net, Owner};
-use marljunction_pacing::opening::{Opening, Openings};
+use marljunction_pacing::connection_budget::{ConnectionBudget, ConnectionPacer};
 
 /// An attempt for a backend to start.
 pub struct NewAttempt {
@@ -51,7 +51,7 @@
 pub trait Backend {
     /// Replaces the budget for connections opened for new queries, and the seed of its random
     /// delays.
-    fn set_connection_budget(&mut self, connection_budget: Option<(Openings, u64)>);
+    fn set_connection_budget(&mut self, connection_budget: Option<(ConnectionBudget, u64)>);
     /// Applies a change of the engine list. Attempts for engines that no longer accept new queries
     /// end as unsent if none of their bytes were sent.
     fn apply_change(&mut self, cx: &mut Context, change: &Change);
@@ -79,7 +79,7 @@
     engines: std::collections::BTreeMap<EngineId, EngineRecord<T>>,
     /// Connections that all routers together may open to one engine, and the seed of this router's
     /// retry delays; unlimited if absent.
-    connection_budget: Option<(Openings, u64)>,
+    connection_budget: Option<(ConnectionBudget, u64)>,
 }
 
 /// A known engine and the backend's state for it.
@@ -93,7 +93,7 @@
     /// Idle connections to the engine.
     pub pool: T,
     /// Paces connections for new queries; created with the first one.
-    pacer: Option<Box<Opening>>,
+    pacer: Option<Box<ConnectionPacer>>,
 }
 
 impl<T: Default> Default for EngineTable<T> {
@@ -136,7 +136,7 @@
     }
 
     /// Replaces the connection budget and resets the pacers, unless the budget is unchanged.
-    pub fn set_connection_budget(&mut self, connection_budget: Option<(Openings, u64)>) {
+    pub fn set_connection_budget(&mut self, connection_budget: Option<(ConnectionBudget, u64)>) {
         // A reload without a change must not reset the pacers, which would allow a burst.
         if connection_budget.map(|(budget, _)| budget) == self.connection_budget.map(|(budget, _)| budget) {
             return;
@@ -153,8 +153,8 @@
     pub fn connect_paced(&mut self, cx: &mut Context, engine: EngineId) -> Result<u64, EndReason> {
         if let Some((connection_budget, seed)) = self.connection_budget {
             let record = self.engines.get_mut(&engine).ok_or(EndReason::NoDescriptor)?;
-            let new = || Box::new(Opening::new(connection_budget, seed ^ engine.0, cx.now));
-            if !record.pacer.get_or_insert_with(new).may_open(cx.now) {
+            let new = || Box::new(ConnectionPacer::new(connection_budget, seed ^ engine.0, cx.now));
+            if !record.pacer.get_or_insert_with(new).try_acquire(cx.now) {
                 return Err(EndReason::Paced);
             }
         }
@@ -168,7 +168,7 @@
             .get_mut(&engine)
             .and_then(|record| record.pacer.as_mut())
             .into_iter()
-            .for_each(|pacer| pacer.came_up());
+            .for_each(|pacer| pacer.record_success());
     }
 
     /// Records that a connection ended. It counts against the engine if it was refused or never
@@ -178,7 +178,7 @@
             return;
         }
         let pacer = self.engines.get_mut(&engine).and_then(|record| record.pacer.as_mut());
-        pacer.into_iter().for_each(|pacer| pacer.refused(now));
+        pacer.into_iter().for_each(|pacer| pacer.record_failure(now));
     }
 
     /// Opens a connection to an engine.
--- a/crates/engine/src/postgres.rs
+++ b/crates/engine/src/postgres.rs
@@ -21,7 +21,7 @@
 use marljunction_core::end_reason::EndReason;
 use marljunction_core::{Attempt, ClientRequest, Column, Fault, Row, Rows};
 use marljunction_discovery::Change;
-use marljunction_pacing::opening::Openings;
+use marljunction_pacing::connection_budget::ConnectionBudget;
 
 /// Longest idle time after which a session is reused.
 const MAX_REUSE_IDLE_NS: u64 = 5_000_000_000;
@@ -409,7 +409,7 @@
 }
 
 impl Backend for PostgresBackend {
-    fn set_connection_budget(&mut self, connection_budget: Option<(Openings, u64)>) {
+    fn set_connection_budget(&mut self, connection_budget: Option<(ConnectionBudget, u64)>) {
         self.engines.set_connection_budget(connection_budget);
     }
 
--- a/crates/lab/src/capacity/list.rs
+++ b/crates/lab/src/capacity/list.rs
@@ -9,10 +9,10 @@
 
 use marljunction_discovery::bound::ListBound;
 use marljunction_discovery::stream::Stream;
-use marljunction_discovery::{Change, Pacing};
+use marljunction_discovery::{Change, SourceParams};
 use marljunction_net::clock::Clock;
 use marljunction_net::{Net, Room};
-use marljunction_pacing::Pace;
+use marljunction_pacing::PacingParams;
 use marljunction_settings::Names;
 use mio::{Events, Poll};
 use serde_json::json;
@@ -169,7 +169,11 @@
         zones: (0..25).map(|zone| format!("zone-{zone:02}")).collect(),
         kinds: vec!["std".into()],
     };
-    let pacing = Pacing { pace: Pace { spread_ns: 1, ..Pace::default() }, seed: 1, stale_ns: STALE_NS };
+    let pacing = SourceParams {
+        pace: PacingParams { spread_ns: 1, ..PacingParams::default() },
+        seed: 1,
+        stale_ns: STALE_NS,
+    };
     let mut stream =
         Stream::new(clock.now_ns(), service.address, names, 0, pacing).with_bound(ListBound::of(MEMORY_MB));
     let mut events = Events::with_capacity(16);
--- a/crates/lab/src/ways.rs
+++ b/crates/lab/src/ways.rs
@@ -1,7 +1,7 @@
 //! Ways to pace calls to a service that a whole fleet calls, against each other in stepped time: a start, an outage of ten
 //! seconds, and the return.
 
-use marljunction_pacing::{Failure, Pace, Pacer};
+use marljunction_pacing::{Failure, Pacer, PacingParams};
 use marljunction_testkit::herd::{Herd, Service, Way};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -45,10 +45,10 @@
 }
 
 impl Simple {
-    fn new(rule: Rule, me: u32, told: Option<u32>, seed: u64) -> Simple {
+    fn new(rule: Rule, caller_index: u32, told: Option<u32>, seed: u64) -> Simple {
         let callers = f64::from(told.unwrap_or(1));
         let period_ns = (callers / CAPACITY * 1e9) as u64;
-        let place = f64::from(me) / callers;
+        let place = f64::from(caller_index) / callers;
         let draws = StdRng::seed_from_u64(seed);
         let mut way = Simple { rule, draws, due: Some(0), last_ns: BASE_NS, tries: 0, place, period_ns };
         if rule == Rule::Slot {
@@ -96,7 +96,7 @@
     fn failed(&mut self, now: u64, failure: Failure) {
         let wait = self.next();
         let asked = match failure {
-            Failure::TurnedAway { after_ns: Some(after) } if self.rule != Rule::Fixed => after,
+            Failure::Rejected { after_ns: Some(after) } if self.rule != Rule::Fixed => after,
             _ => 0,
         };
         self.due = Some(now + wait + asked);
@@ -193,9 +193,9 @@
                 ((*name).to_owned(), told(&figures))
             })
             .collect();
-        let spread_ns = Pace::default().longest_ns;
-        let pace = Pace { callers, budget_per_s: CAPACITY, spread_ns, ..Pace::default() };
-        let figures = play(|i, seed| Pacer::new(Pace { me: number(i), ..pace }, seed, 0));
+        let spread_ns = PacingParams::default().longest_ns;
+        let pace = PacingParams { callers, budget_per_s: CAPACITY, spread_ns, ..PacingParams::default() };
+        let figures = play(|i, seed| Pacer::new(PacingParams { caller_index: number(i), ..pace }, seed, 0));
         ways.insert("pacer".into(), told(&figures));
         all.insert(count.into(), Value::Object(ways));
     }
--- a/crates/pacing/src/opening.rs
+++ b/crates/pacing/src/connection_budget.rs
@@ -1,6 +1,6 @@
 //! How fast new connections for new work are opened to one engine, so that all routers together keep to what it bears.
 
-use crate::pace::Pace;
+use crate::pace::PacingParams;
 use crate::pacer::{Failure, Pacer};
 
 /// Connections that one router may open at once after a rest, at most (count): what it opens in so much of its rate.
@@ -8,19 +8,19 @@
 
 /// What all routers together may open to one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Openings {
+pub struct ConnectionBudget {
     /// Connections a second.
     pub per_s: f64,
     /// Routers that share them.
-    pub sharers: u32,
+    pub caller_count: u32,
     /// How one that refuses connections is tried again.
-    pub pace: Pace,
+    pub pace: PacingParams,
 }
 
-impl Openings {
+impl ConnectionBudget {
     /// This router's part (connections a second).
     fn share(&self) -> f64 {
-        self.per_s / f64::from(self.sharers.max(1))
+        self.per_s / f64::from(self.caller_count.max(1))
     }
 
     /// Connections that this router may open at once after a rest (count): at least one, or it could open none.
@@ -29,15 +29,15 @@
     }
 
     /// The most connections that all routers together open to one engine within `span_ns` (count).
-    pub fn at_most(&self, span_ns: u64) -> f64 {
-        f64::from(self.sharers.max(1)) * self.rest() + self.per_s * span_ns as f64 / 1e9
+    pub fn max_connections(&self, span_ns: u64) -> f64 {
+        f64::from(self.caller_count.max(1)) * self.rest() + self.per_s * span_ns as f64 / 1e9
     }
 }
 
 /// The pace of one router's connections to one engine.
 #[derive(Clone, Debug)]
-pub struct Opening {
-    limit: Openings,
+pub struct ConnectionPacer {
+    limit: ConnectionBudget,
     left: f64,
     filled_ns: u64,
     /// It refuses connections: one at a time tries it, ever more rarely.
@@ -45,15 +45,15 @@
     pacer: Pacer,
 }
 
-impl Opening {
+impl ConnectionPacer {
     /// A rested one.
-    pub fn new(limit: Openings, seed: u64, now: u64) -> Opening {
-        let pacer = Pacer::new(Pace { spread_ns: 0, ..limit.pace }, seed, now);
-        Opening { limit, left: limit.rest(), filled_ns: now, refusing: false, pacer }
+    pub fn new(limit: ConnectionBudget, seed: u64, now: u64) -> ConnectionPacer {
+        let pacer = Pacer::new(PacingParams { spread_ns: 0, ..limit.pace }, seed, now);
+        ConnectionPacer { limit, left: limit.rest(), filled_ns: now, refusing: false, pacer }
     }
 
     /// Takes the leave to open one connection, where there is one.
-    pub fn may_open(&mut self, now: u64) -> bool {
+    pub fn try_acquire(&mut self, now: u64) -> bool {
         let passed = now.saturating_sub(self.filled_ns) as f64 / 1e9;
         self.left = (self.left + passed * self.limit.share()).min(self.limit.rest());
         self.filled_ns = self.filled_ns.max(now);
@@ -63,16 +63,16 @@
     }
 
     /// A connection came up.
-    pub fn came_up(&mut self) {
+    pub fn record_success(&mut self) {
         self.refusing = false;
     }
 
     /// A connection was refused, or did not come up.
-    pub fn refused(&mut self, now: u64) {
+    pub fn record_failure(&mut self, now: u64) {
         if !self.refusing {
             self.pacer.restart(now);
         }
         self.refusing = true;
-        self.pacer.failed(now, Failure::Away);
+        self.pacer.failed(now, Failure::Unavailable);
     }
 }
--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -7,9 +7,9 @@
 
 #![forbid(unsafe_code)]
 
-pub mod opening;
+pub mod connection_budget;
 pub mod pace;
 pub mod pacer;
 
-pub use pace::{Pace, Unfit};
+pub use pace::{PacingParams, ParamsError};
 pub use pacer::{Failure, Pacer};
--- a/crates/pacing/src/pace.rs
+++ b/crates/pacing/src/pace.rs
@@ -19,13 +19,13 @@
 /// Callers that a fleet of unknown size is taken to have at most where a part too large does harm (count).
 const SHARERS: u32 = 500;
 /// News is told at most so late, connected or not, in the platform's count (ns); see [`Pace::longest_for`].
-pub const TOLD_NS: u64 = 7_000_000_000;
+pub const MAX_UPDATE_DELAY_NS: u64 = 7_000_000_000;
 /// Left of that for a connection to come up and its first answer to come (ns).
 const ANSWER_NS: u64 = 500_000_000;
 
 /// Settings of a pacer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct PacingParams {
     /// Shortest wait between a failure and the next call (ns).
     pub shortest_ns: u64,
     /// Longest wait before a call to a service that nothing speaks against (ns): at the start, after a stream that was well
@@ -39,80 +39,80 @@
     /// Callers that share the budget; none where their count is not known.
     pub callers: Option<u32>,
     /// This caller's number among them, from 0.
-    pub me: u32,
+    pub caller_index: u32,
 }
 
 /// What is wrong with settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum ParamsError {
     /// The longest wait is below the shortest.
     LongestBelowShortest,
     /// The budget is no positive number.
     Budget,
     /// All callers can't be served within the waits that are allowed: the fleet goes over the budget rather than be told late.
     /// Holds the time that the budget asks for (ns).
-    ShareOverLongest(u64),
+    IntervalOverLongest(u64),
 }
 
-impl Default for Pace {
+impl Default for PacingParams {
     fn default() -> Self {
-        Pace {
+        PacingParams {
             shortest_ns: 100_000_000,
             spread_ns: 100_000_000,
-            longest_ns: Pace::longest_for(2_200_000_000),
+            longest_ns: PacingParams::longest_wait_for(2_200_000_000),
             budget_per_s: 200.0,
             callers: None,
-            me: 0,
+            caller_index: 0,
         }
     }
 }
 
-impl Pace {
+impl PacingParams {
     /// The longest wait under which news comes within [`TOLD_NS`] of the service's having it, though the connection went
     /// silent just before: silence is noticed after `silent_ns`, then comes the wait, then the answer.
-    pub const fn longest_for(silent_ns: u64) -> u64 {
-        TOLD_NS - silent_ns - ANSWER_NS
+    pub const fn longest_wait_for(silent_ns: u64) -> u64 {
+        MAX_UPDATE_DELAY_NS - silent_ns - ANSWER_NS
     }
 
     /// The longest time for which a router hears nothing of a service that takes and answers its calls (ns), where silence
     /// is noticed after `silent_ns`: a connection that has just gone silent, the longest wait, and the answer.
-    pub const fn blind_at_most_ns(&self, silent_ns: u64) -> u64 {
+    pub const fn max_reconnect_ns(&self, silent_ns: u64) -> u64 {
         silent_ns + self.longest_ns + ANSWER_NS
     }
 
     /// Time between one caller's calls at which all callers together keep to the budget (ns); none where their count is
     /// not known.
-    pub fn share_ns(&self) -> Option<u64> {
+    pub fn call_interval_ns(&self) -> Option<u64> {
         self.callers.map(|n| (f64::from(n.max(1)) / (self.budget_per_s * USED) * 1e9) as u64)
     }
 
     /// Window over which callers spread what they would all do at one moment (ns): the time in which the service takes them
     /// all, no longer than the settings let them wait.
     pub fn window_ns(&self) -> u64 {
-        self.share_ns().unwrap_or(UNKNOWN_NS).min(self.spread_ns).min(self.longest_ns)
+        self.call_interval_ns().unwrap_or(UNKNOWN_NS).min(self.spread_ns).min(self.longest_ns)
     }
 
     /// Callers that a part of what all share is reckoned by: the count where it is known, else the most that a fleet is taken
     /// to have, so that the parts of all stay within the whole.
-    pub fn sharers(&self) -> u32 {
+    pub fn caller_count(&self) -> u32 {
         self.callers.unwrap_or(SHARERS)
     }
 
     /// Where in the window this caller's part is (share of the window); none where the count of callers is not known.
     pub fn slot(&self) -> Option<f64> {
-        self.callers.map(|n| f64::from(self.me % n.max(1)) / f64::from(n.max(1)))
+        self.callers.map(|n| f64::from(self.caller_index % n.max(1)) / f64::from(n.max(1)))
     }
 
     /// What waits grow to while a service is away (ns): no longer than its budget asks for, as each further second is one
     /// more that the fleet takes to come back.
     pub fn grown_ns(&self) -> u64 {
-        let share = self.share_ns().unwrap_or(0) as f64 * GROWN;
+        let share = self.call_interval_ns().unwrap_or(0) as f64 * GROWN;
         (share as u64).max(AWAY_NS).min(self.longest_ns)
     }
 
     /// The most calls that one caller makes within `span_ns` while the service is away: each wait is at least half of what
     /// growth has come to, and at least the caller's part of the window less chance's part.
-    pub fn calls_at_most(&self, span_ns: u64) -> u64 {
+    pub fn max_calls(&self, span_ns: u64) -> u64 {
         let floor = (self.window_ns() as f64 * SHARE_LEAST) as u64;
         let (mut at, mut calls, mut grown) = (0u64, 1, self.shortest_ns as f64);
         loop {
@@ -127,20 +127,20 @@
     }
 
     /// The least time in which the service can take all callers once (ns); none where their count is not known.
-    pub fn ideal_ns(&self) -> Option<u64> {
+    pub fn min_all_calls_ns(&self) -> Option<u64> {
         self.callers.map(|n| (f64::from(n) / self.budget_per_s * 1e9) as u64)
     }
 
     /// What is wrong with the settings, worst first; none where nothing is. Only [`Unfit::ShareOverLongest`] can be
     /// worked with.
-    pub fn unfit(&self) -> Option<Unfit> {
+    pub fn find_error(&self) -> Option<ParamsError> {
         if !(self.budget_per_s.is_finite() && self.budget_per_s > 0.0) {
-            return Some(Unfit::Budget);
+            return Some(ParamsError::Budget);
         }
         if self.longest_ns < self.shortest_ns {
-            return Some(Unfit::LongestBelowShortest);
+            return Some(ParamsError::LongestBelowShortest);
         }
         let longest = self.longest_ns.min(self.spread_ns);
-        self.share_ns().filter(|share| *share > longest).map(Unfit::ShareOverLongest)
+        self.call_interval_ns().filter(|share| *share > longest).map(ParamsError::IntervalOverLongest)
     }
 }
--- a/crates/pacing/src/pacer.rs
+++ b/crates/pacing/src/pacer.rs
@@ -4,7 +4,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::pace::{Pace, GROWTH, LEAST, SHARE_LEAST};
+use crate::pace::{PacingParams, GROWTH, LEAST, SHARE_LEAST};
 
 /// Time up after which half of what was learned from failures is forgotten (ns).
 const EASE_NS: f64 = 10_000_000_000.0;
@@ -14,7 +14,7 @@
 /// The window is widened to this multiple at most by calls that were turned away (ratio).
 const STRETCH_MOST: f64 = 16.0;
 /// Longest wait behind an answer that is of no use (ns).
-pub const MAX_USELESS_WAIT_NS: u64 = 60_000_000_000;
+pub const MAX_UNUSABLE_WAIT_NS: u64 = 60_000_000_000;
 /// Time up after which half of that is forgotten (ns): a count that was wrong stays so for long.
 const STRETCH_EASE_NS: f64 = 60_000_000_000.0;
 
@@ -22,15 +22,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The service can't be reached, said nothing, or what it said can't be read.
-    Away,
+    Unavailable,
     /// The service is there and turned the call away for its load; `after_ns` is the time that it asks to stay away for.
-    TurnedAway {
+    Rejected {
         /// The time asked for, where one was told that can be read (ns).
         after_ns: Option<u64>,
     },
     /// What it said is of no use to this caller and would be so again, as a list over its bound. Each call costs the service
     /// all that it carries, so waits grow past the longest of the settings, up to [`MAX_USELESS_WAIT_NS`].
-    Useless,
+    Unusable,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -46,7 +46,7 @@
 /// When one caller's next call to one service may be made.
 #[derive(Clone, Debug)]
 pub struct Pacer {
-    pace: Pace,
+    pace: PacingParams,
     draws: StdRng,
     state: State,
     /// What the wait grows from (ns); nothing where all was well for long.
@@ -54,15 +54,15 @@
     /// What calls that were turned away say that the window is too narrow by (ratio).
     stretch: f64,
     calls: u64,
-    turned_away: u64,
+    rejected: u64,
 }
 
 impl Pacer {
     /// A pacer whose first call is due within the window from `now` on: all that start at one moment differ by `seed`.
-    pub fn new(pace: Pace, seed: u64, now: u64) -> Pacer {
+    pub fn new(pace: PacingParams, seed: u64, now: u64) -> Pacer {
         let draws = StdRng::seed_from_u64(seed);
         let state = State::Waiting(now);
-        let mut pacer = Pacer { pace, draws, state, grown_ns: 0.0, stretch: 1.0, calls: 0, turned_away: 0 };
+        let mut pacer = Pacer { pace, draws, state, grown_ns: 0.0, stretch: 1.0, calls: 0, rejected: 0 };
         pacer.restart(now);
         pacer
     }
@@ -74,7 +74,7 @@
     }
 
     /// Settings that hold from the next wait on.
-    pub fn set_pace(&mut self, pace: Pace) {
+    pub fn set_pace(&mut self, pace: PacingParams) {
         self.pace = pace;
     }
 
@@ -88,7 +88,7 @@
 
     /// Calls made, and how many of them the service turned away for its load.
     pub fn calls(&self) -> (u64, u64) {
-        (self.calls, self.turned_away)
+        (self.calls, self.rejected)
     }
 
     /// Takes the leave to make a call, where one is due.
@@ -110,14 +110,14 @@
     /// The call came to nothing.
     pub fn failed(&mut self, now: u64, failure: Failure) {
         let wait = match failure {
-            Failure::Away => self.grow(true),
-            Failure::Useless => {
-                let wait = self.grow_to(MAX_USELESS_WAIT_NS, true);
+            Failure::Unavailable => self.grow(true),
+            Failure::Unusable => {
+                let wait = self.grow_to(MAX_UNUSABLE_WAIT_NS, true);
                 self.state = State::Waiting(now.saturating_add(wait));
                 return;
             }
-            Failure::TurnedAway { after_ns } => {
-                self.turned_away += 1;
+            Failure::Rejected { after_ns } => {
+                self.rejected += 1;
                 let spread = self.draw(0.0, self.window_ns());
                 self.stretch = (self.stretch * 2.0).min(STRETCH_MOST);
                 match after_ns {
@@ -132,7 +132,7 @@
 
     /// What was up has ended, for no fault of the call: a stream that its service closed, a query that was answered.
     pub fn ended(&mut self, now: u64) {
-        let State::Up(since) = self.state else { return self.failed(now, Failure::Away) };
+        let State::Up(since) = self.state else { return self.failed(now, Failure::Unavailable) };
         let up = now.saturating_sub(since) as f64;
         self.grown_ns *= (-up / EASE_NS * std::f64::consts::LN_2).exp();
         self.stretch = 1.0 + (self.stretch - 1.0) * (-up / STRETCH_EASE_NS * std::f64::consts::LN_2).exp();
--- a/crates/pacing/tests/pacer.rs
+++ b/crates/pacing/tests/pacer.rs
@@ -1,36 +1,36 @@
 //! The pacer held against its bounds: whatever happens, over many seeds, alone and in a herd.
 
-use marljunction_pacing::pacer::MAX_USELESS_WAIT_NS;
-use marljunction_pacing::{Failure, Pace, Pacer, Unfit};
+use marljunction_pacing::pacer::MAX_UNUSABLE_WAIT_NS;
+use marljunction_pacing::{Failure, Pacer, PacingParams, ParamsError};
 use marljunction_testkit::herd::{Herd, Service};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
 const S: u64 = 1_000 * MS;
 
-fn fleet(callers: u32, budget_per_s: f64) -> Pace {
-    let spread_ns = Pace::default().longest_ns;
-    Pace { callers: Some(callers), budget_per_s, spread_ns, ..Pace::default() }
+fn fleet(callers: u32, budget_per_s: f64) -> PacingParams {
+    let spread_ns = PacingParams::default().longest_ns;
+    PacingParams { callers: Some(callers), budget_per_s, spread_ns, ..PacingParams::default() }
 }
 
-fn herd(count: u32, pace: Pace, capacity: f64, seed: u64) -> Herd<Pacer> {
-    let one = |i: u32| Pacer::new(Pace { me: i, ..pace }, seed * 1_000 + u64::from(i), 0);
+fn herd(count: u32, pace: PacingParams, capacity: f64, seed: u64) -> Herd<Pacer> {
+    let one = |i: u32| Pacer::new(PacingParams { caller_index: i, ..pace }, seed * 1_000 + u64::from(i), 0);
     Herd::new((0..count).map(one).collect(), Service::new(capacity))
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Away,
-    TurnedAway(Option<u64>),
+    Unavailable,
+    Rejected(Option<u64>),
     Up(u64),
     Answered(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        Just(Step::Away),
+        Just(Step::Unavailable),
         proptest::option::of(prop_oneof![Just(0), Just(S), Just(86_400 * S), Just(u64::MAX), 0..10 * S])
-            .prop_map(Step::TurnedAway),
+            .prop_map(Step::Rejected),
         (0..100 * S).prop_map(Step::Up),
         (0..20 * S).prop_map(Step::Answered),
     ]
@@ -43,13 +43,13 @@
     fn no_wait_is_longer_than_the_longest_and_what_is_asked_for_is_kept_within_it(
         steps in proptest::collection::vec(step(), 1..40),
         callers in proptest::option::of(1u32..2_000),
-        me in 0u32..4_000,
+        caller_index in 0u32..4_000,
         budget in 0.5f64..5_000.0,
         longest in 100 * MS..60 * S,
         seed: u64,
     ) {
         let pace =
-            Pace { callers, me, budget_per_s: budget, spread_ns: longest, longest_ns: longest, ..Pace::default() };
+            PacingParams { callers, caller_index, budget_per_s: budget, spread_ns: longest, longest_ns: longest, ..PacingParams::default() };
         let mut now = 5 * S;
         let mut pacer = Pacer::new(pace, seed, now);
         for step in steps {
@@ -60,12 +60,12 @@
             prop_assert!(pacer.call(now));
             prop_assert!(!pacer.call(now + 3_600 * S), "one call at a time");
             let asked = match step {
-                Step::Away => {
-                    pacer.failed(now, Failure::Away);
+                Step::Unavailable => {
+                    pacer.failed(now, Failure::Unavailable);
                     pace.shortest_ns
                 }
-                Step::TurnedAway(after_ns) => {
-                    pacer.failed(now, Failure::TurnedAway { after_ns });
+                Step::Rejected(after_ns) => {
+                    pacer.failed(now, Failure::Rejected { after_ns });
                     after_ns.unwrap_or(pace.shortest_ns).max(pace.shortest_ns)
                 }
                 Step::Up(time) => {
@@ -94,7 +94,7 @@
     let mut pacer = Pacer::new(fleet(1, 10.0), 7, 0);
     let woken = 3_600 * S;
     assert!(pacer.call(woken));
-    pacer.failed(woken, Failure::Away);
+    pacer.failed(woken, Failure::Unavailable);
     assert!(!pacer.call(woken), "the next one waits");
     assert!(pacer.due_ns().unwrap() >= woken + 100 * MS);
 }
@@ -106,7 +106,7 @@
     for _ in 0..12 {
         let now = pacer.due_ns().unwrap();
         assert!(pacer.call(now));
-        pacer.failed(now, Failure::Away);
+        pacer.failed(now, Failure::Unavailable);
         waits.push(pacer.due_ns().unwrap() - now);
     }
     assert!(waits[0] <= 300 * MS && waits[11] >= 1_250 * MS, "{waits:?}");
@@ -171,7 +171,7 @@
 fn a_herd_whose_count_is_wrong_or_unknown_settles_with_few_calls() {
     for seed in 0..100 {
         for callers in [None, Some(50), Some(100), Some(200), Some(400), Some(1)] {
-            let pace = Pace { callers, ..fleet(0, 50.0) };
+            let pace = PacingParams { callers, ..fleet(0, 50.0) };
             let mut herd = herd(200, pace, 50.0, seed);
             for what in ["start", "back"] {
                 let passed = herd.pass(120 * S);
@@ -187,7 +187,7 @@
 
 #[test]
 fn callers_with_one_seed_and_one_number_by_mistake_still_settle() {
-    let pace = Pace { me: 0, ..fleet(200, 50.0) };
+    let pace = PacingParams { caller_index: 0, ..fleet(200, 50.0) };
     // Their seeds differ by name and address only, which is what the program sees to.
     let callers = (0..200).map(|i| Pacer::new(pace, i, 0)).collect();
     let mut herd = Herd::new(callers, Service::new(50.0));
@@ -197,42 +197,42 @@
 
 #[test]
 fn the_longest_wait_follows_from_how_late_news_may_be() {
-    let pace = Pace::default();
+    let pace = PacingParams::default();
     let silent = 2_200 * MS;
     assert_eq!(pace.longest_ns, 4_300 * MS);
-    assert!(pace.blind_at_most_ns(silent) <= marljunction_pacing::pace::TOLD_NS);
-    assert_eq!(pace.unfit(), None);
+    assert!(pace.max_reconnect_ns(silent) <= marljunction_pacing::pace::MAX_UPDATE_DELAY_NS);
+    assert_eq!(pace.find_error(), None);
     assert_eq!(
-        Pace { callers: Some(300), me: 299, ..pace }.window_ns(),
+        PacingParams { callers: Some(300), caller_index: 299, ..pace }.window_ns(),
         100 * MS,
         "nobody has to wait by default"
     );
-    assert_eq!(Pace { budget_per_s: 0.0, ..pace }.unfit(), Some(Unfit::Budget));
-    assert_eq!(Pace { longest_ns: 1, ..pace }.unfit(), Some(Unfit::LongestBelowShortest));
+    assert_eq!(PacingParams { budget_per_s: 0.0, ..pace }.find_error(), Some(ParamsError::Budget));
+    assert_eq!(PacingParams { longest_ns: 1, ..pace }.find_error(), Some(ParamsError::LongestBelowShortest));
     let thin = fleet(1_000, 50.0);
-    assert!(matches!(thin.unfit(), Some(Unfit::ShareOverLongest(share)) if share > 20 * S));
+    assert!(matches!(thin.find_error(), Some(ParamsError::IntervalOverLongest(share)) if share > 20 * S));
     assert_eq!(thin.window_ns(), thin.longest_ns, "a fleet goes over the budget rather than be told late");
 }
 
 #[test]
 fn an_answer_that_is_of_no_use_is_asked_for_ever_more_rarely_and_the_next_good_one_at_once() {
     for seed in 0..50 {
-        let pace = Pace::default();
+        let pace = PacingParams::default();
         let (mut pacer, mut waits) = (Pacer::new(pace, seed, 0), Vec::new());
         for _ in 0..20 {
             let now = pacer.due_ns().unwrap();
             assert!(pacer.call(now));
             pacer.taken(now);
-            pacer.failed(now, Failure::Useless);
+            pacer.failed(now, Failure::Unusable);
             waits.push(pacer.due_ns().unwrap() - now);
         }
         assert!(waits[..4].windows(2).all(|pair| pair[1] > pair[0]), "{waits:?}");
-        let longest = MAX_USELESS_WAIT_NS;
+        let longest = MAX_UNUSABLE_WAIT_NS;
         assert!(waits[8..].iter().all(|wait| (longest / 2..=longest).contains(wait)), "{waits:?}");
         // What fails otherwise waits no longer than the settings say.
         let now = pacer.due_ns().unwrap();
         assert!(pacer.call(now));
-        pacer.failed(now, Failure::Away);
+        pacer.failed(now, Failure::Unavailable);
         assert!(pacer.due_ns().unwrap() - now <= pace.longest_ns);
     }
 }
--- a/crates/testkit/src/audit.rs
+++ b/crates/testkit/src/audit.rs
@@ -8,7 +8,7 @@
 /// No new work goes to an engine so long after its router was told that it leaves (ns).
 const DRAIN_NS: u64 = 500_000_000;
 /// News counts as told so late at the latest, connected or not (ns).
-const TOLD_NS: u64 = 7_000_000_000;
+const MAX_UPDATE_DELAY_NS: u64 = 7_000_000_000;
 /// Sockets' part (ns).
 const SLACK_NS: u64 = 50_000_000;
 
@@ -41,7 +41,7 @@
                 }
                 let Some(left) = left.get(*engine) else { continue };
                 let heard = sent.router.and_then(|router| told.get(&(router, (*engine).to_owned())));
-                let told = heard.copied().unwrap_or(u64::MAX).min(left + TOLD_NS);
+                let told = heard.copied().unwrap_or(u64::MAX).min(left + MAX_UPDATE_DELAY_NS);
                 audit.late_sends += u64::from(sent.at_ns > told + DRAIN_NS + SLACK_NS);
             }
         }
--- a/crates/testkit/src/herd.rs
+++ b/crates/testkit/src/herd.rs
@@ -65,10 +65,10 @@
         let passed = now.saturating_sub(self.refilled_ns) as f64 / 1e9;
         (self.tokens, self.refilled_ns) = ((self.tokens + passed * self.capacity).min(self.capacity), now);
         if self.away {
-            return Err(Failure::Away);
+            return Err(Failure::Unavailable);
         }
         if self.tokens < 1.0 {
-            return Err(Failure::TurnedAway { after_ns: self.after_ns });
+            return Err(Failure::Rejected { after_ns: self.after_ns });
         }
         self.tokens -= 1.0;
         Ok(())
--- a/crates/testkit/src/hollow/fleet_side.rs
+++ b/crates/testkit/src/hollow/fleet_side.rs
@@ -13,8 +13,8 @@
     RouterIdentity,
 };
 use marljunction_limits::{Kind as LimitKind, Limit, Mode};
-use marljunction_pacing::pace::TOLD_NS;
-use marljunction_pacing::Pace;
+use marljunction_pacing::pace::MAX_UPDATE_DELAY_NS;
+use marljunction_pacing::PacingParams;
 use marljunction_settings::Names;
 use mio::{Registry, Token};
 
@@ -71,11 +71,11 @@
 
 /// As the program makes them of how the list service is called.
 fn timing() -> ListTiming {
-    let pace = Pace::default();
+    let pace = PacingParams::default();
     ListTiming {
         silence_ns: SILENT_NS + COMMENT_NS,
-        reconnect_ns: pace.blind_at_most_ns(SILENT_NS),
-        stale_ns: TOLD_NS,
+        reconnect_ns: pace.max_reconnect_ns(SILENT_NS),
+        stale_ns: MAX_UPDATE_DELAY_NS,
     }
 }
 
--- a/crates/testkit/src/hollow/relay_feed.rs
+++ b/crates/testkit/src/hollow/relay_feed.rs
@@ -47,7 +47,7 @@
         }
         let since_ns = *self.open_since_ns.get_or_insert(now);
         if self.whole || now >= since_ns + CATCH_UP_NS {
-            fleet.record_list_service_contact(now, stream.view().1.age_ns(now));
+            fleet.record_list_service_contact(now, stream.stats().1.age_ns(now));
         }
     }
 }
--- a/crates/testkit/src/hollow/router.rs
+++ b/crates/testkit/src/hollow/router.rs
@@ -7,9 +7,9 @@
 use marljunction_core::{Command, Router};
 use marljunction_discovery::bound::ListBound;
 use marljunction_discovery::stream::Stream;
-use marljunction_discovery::{Change, Pacing};
+use marljunction_discovery::{Change, SourceParams};
 use marljunction_net::{Net, Room};
-use marljunction_pacing::Pace;
+use marljunction_pacing::PacingParams;
 use marljunction_settings::{read_settings, Names};
 use mio::{Registry, Token};
 
@@ -47,15 +47,15 @@
         Ok(Shared { setup, settings: Rc::new(settings) })
     }
 
-    fn pace(&self, number: u32) -> Pace {
+    fn pace(&self, number: u32) -> PacingParams {
         let pace = self.setup.pace;
-        Pace {
+        PacingParams {
             spread_ns: pace.spread_ns,
             longest_ns: pace.longest_ns,
             budget_per_s: pace.budget_per_s,
             callers: Some(pace.routers),
-            me: number,
-            ..Pace::default()
+            caller_index: number,
+            ..PacingParams::default()
         }
     }
 }
@@ -128,7 +128,7 @@
         let first = (slot as u64 + 1) << TOKEN_BITS | incarnation << INCARNATION_BITS;
         let net = Net::new(own, first, Room { engines: 0, output: 1 << 20 });
         let seed = shared.setup.seed ^ u64::from(start.number) << 20 ^ incarnation;
-        let pacing = Pacing { pace: shared.pace(start.number), seed, stale_ns: STALE_NS };
+        let pacing = SourceParams { pace: shared.pace(start.number), seed, stale_ns: STALE_NS };
         let (settings, names) = &*shared.settings;
         let mut settings = settings.clone();
         settings.router_index = start.number;
@@ -280,7 +280,7 @@
 
     /// What it knows.
     pub fn report(&self) -> RouterReport {
-        let ((calls, turned_away), _) = self.stream.view();
+        let ((calls, turned_away), _) = self.stream.stats();
         let (fleet_datagrams, fleet_bytes) = self.fleet.as_ref().map_or((0, 0), FleetSide::sent);
         let fleet_received_bytes = self.fleet.as_ref().map_or(0, FleetSide::received_bytes);
         RouterReport {
--- a/src/config.rs
+++ b/src/config.rs
@@ -15,8 +15,8 @@
 use marljunction_control::interface::Settings;
 use marljunction_discovery::stream::{Update, SILENT_NS};
 use marljunction_fair_queue::settings::DoorSettings;
-use marljunction_pacing::opening::Openings;
-use marljunction_pacing::pace::{Pace, Unfit, TOLD_NS};
+use marljunction_pacing::connection_budget::ConnectionBudget;
+use marljunction_pacing::pace::{PacingParams, ParamsError, MAX_UPDATE_DELAY_NS};
 use marljunction_settings::{read_settings, Names};
 
 /// How often the list service says something at least (ns).
@@ -133,13 +133,13 @@
 
 impl Default for StartFile {
     fn default() -> Self {
-        let pace = Pace::default();
+        let pace = PacingParams::default();
         StartFile {
             budget_per_s: pace.budget_per_s,
             routers: Count::AsInSettings,
             spread_ns: pace.spread_ns,
             longest_ns: pace.longest_ns,
-            stale_ns: TOLD_NS,
+            stale_ns: MAX_UPDATE_DELAY_NS,
             connections_per_s: None,
             keep: None,
             keep_for_ns: 3_600_000_000_000,
@@ -149,25 +149,29 @@
 
 impl StartFile {
     /// The pace of router `me` of a fleet that the settings say has `gateways` routers.
-    pub fn pace(&self, router_count: u32, me: u32) -> Pace {
+    pub fn pace(&self, router_count: u32, caller_index: u32) -> PacingParams {
         let callers = match self.routers {
             Count::AsInSettings => Some(router_count),
             Count::Unknown => None,
             Count::Of(count) => Some(count),
         };
         let StartFile { budget_per_s, spread_ns, longest_ns, .. } = *self;
-        Pace { budget_per_s, callers, me, spread_ns, longest_ns, ..Pace::default() }
+        PacingParams { budget_per_s, callers, caller_index, spread_ns, longest_ns, ..PacingParams::default() }
     }
 
     /// The times that a fleet with relays goes by, which call the list service so.
     pub fn list_timing(&self) -> ListTiming {
-        let reconnect_ns = self.pace(0, 0).blind_at_most_ns(SILENT_NS);
+        let reconnect_ns = self.pace(0, 0).max_reconnect_ns(SILENT_NS);
         ListTiming { silence_ns: SILENT_NS + COMMENT_NS, reconnect_ns, stale_ns: self.stale_ns }
     }
 
     /// What routers together may open to one engine, for a fleet of this pace; none for any number.
-    pub fn openings(&self, pace: Pace) -> Option<Openings> {
-        self.connections_per_s.map(|per_s| Openings { per_s, sharers: pace.sharers(), pace })
+    pub fn openings(&self, pace: PacingParams) -> Option<ConnectionBudget> {
+        self.connections_per_s.map(|per_s| ConnectionBudget {
+            per_s,
+            caller_count: pace.caller_count(),
+            pace,
+        })
     }
 
     /// What follows from it for news of the engines, as operators read it; nothing is said of the budget's share where the
@@ -178,16 +182,16 @@
         let seconds = |ns: u64| ns as f64 / 1e9;
         let mut told = format!(
             "news of the engines is at most {:.1} s late while the list service answers",
-            seconds(pace.blind_at_most_ns(SILENT_NS))
+            seconds(pace.max_reconnect_ns(SILENT_NS))
         );
-        if let (Some(count), Some(ideal)) = (callers, pace.ideal_ns()) {
+        if let (Some(count), Some(ideal)) = (callers, pace.min_all_calls_ns()) {
             told.push_str(&format!(
                 "; {count} routers at {} calls/s start within {:.1} s, at best {:.1} s",
                 pace.budget_per_s,
                 seconds(pace.window_ns()),
                 seconds(ideal)
             ));
-            if let Some(Unfit::ShareOverLongest(share)) = pace.unfit() {
+            if let Some(ParamsError::IntervalOverLongest(share)) = pace.find_error() {
                 told.push_str(&format!(
                     "; the longest wait of {:.1} s goes before the budget, which asks for {:.1} s",
                     seconds(pace.longest_ns.min(pace.spread_ns)),
@@ -196,7 +200,7 @@
             }
         }
         if let Some(openings) = self.openings(pace).filter(|_| callers.is_some()) {
-            let most = openings.at_most(1_000_000_000);
+            let most = openings.max_connections(1_000_000_000);
             told.push_str(&format!(
                 "; an engine gets at most {most:.0} connections for new work within a second"
             ));
--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -1,7 +1,7 @@
 //! The admin API: executes operators' calls and answers them.
 
-use marljunction_discovery::bans::Refusal;
 use marljunction_discovery::engine_id;
+use marljunction_discovery::excluded_engines::ExclusionError;
 use marljunction_front::operator::{Call, OperatorFront, Reply};
 use marljunction_health::version::Version;
 
@@ -67,7 +67,7 @@
     }
 
     fn exclude_engine(&mut self, id: &str) -> Reply {
-        let change = match self.engine_list.bans().disable(id, false) {
+        let change = match self.engine_list.excluded_engines().disable(id, false) {
             Ok(change) => change,
             Err(refusal) => return refusal_reply(refusal, id),
         };
@@ -79,8 +79,8 @@
     }
 
     fn restore_engine(&mut self, now: u64, id: &str) -> Reply {
-        let was_out = self.engine_list.bans().holds(engine_id(id));
-        let change = match self.engine_list.bans().enable(id, now) {
+        let was_out = self.engine_list.excluded_engines().is_excluded(engine_id(id));
+        let change = match self.engine_list.excluded_engines().enable(id, now) {
             Ok(change) => change,
             Err(refusal) => return refusal_reply(refusal, id),
         };
@@ -91,7 +91,7 @@
             self.notify(change);
         }
         self.engine_list.exclusions.write();
-        match self.engine_list.bans().holds(engine_id(id)) {
+        match self.engine_list.excluded_engines().is_excluded(engine_id(id)) {
             true => Reply::new(409, format!("the whole fleet leaves {id} out")),
             false => Reply::new(200, format!("{id} is back")),
         }
@@ -135,10 +135,10 @@
     }
 }
 
-fn refusal_reply(refusal: Refusal, id: &str) -> Reply {
+fn refusal_reply(refusal: ExclusionError, id: &str) -> Reply {
     match refusal {
-        Refusal::Unknown => Reply::new(404, format!("no engine {id}")),
-        Refusal::Malformed => Reply::new(400, "the body is not an engine's id"),
-        Refusal::Full => Reply::new(409, "as many engines are out as may be"),
+        ExclusionError::Unknown => Reply::new(404, format!("no engine {id}")),
+        ExclusionError::Malformed => Reply::new(400, "the body is not an engine's id"),
+        ExclusionError::Full => Reply::new(409, "as many engines are out as may be"),
     }
 }
--- a/src/daemon/counters.rs
+++ b/src/daemon/counters.rs
@@ -12,7 +12,7 @@
         let mut parts = vec![
             self.router.counters.line(),
             self.admin.server.counters.line(),
-            format!("list_engines={}", self.engine_list.exclusions.bans.listed().len()),
+            format!("list_engines={}", self.engine_list.exclusions.excluded_engines.listed().len()),
         ];
         parts.extend(self.engine_list.source.as_ref().map(|source| source.line(now)));
         if let (Some(fleet), Some(limits)) = (&self.fleet, self.router.limits()) {
--- a/src/daemon/engine_list.rs
+++ b/src/daemon/engine_list.rs
@@ -1,6 +1,6 @@
 //! News of the engines: from its source, through operators' exclusions, to the backend and the decision module.
 
-use marljunction_discovery::bans::Bans;
+use marljunction_discovery::excluded_engines::ExcludedEngines;
 use marljunction_discovery::stream::Update;
 use marljunction_discovery::{Change, Source};
 use marljunction_engine::Context;
@@ -24,8 +24,8 @@
 
 impl EngineList {
     /// The engines that operators took out, by this router or the whole fleet.
-    pub(super) fn bans(&mut self) -> &mut Bans {
-        &mut self.exclusions.bans
+    pub(super) fn excluded_engines(&mut self) -> &mut ExcludedEngines {
+        &mut self.exclusions.excluded_engines
     }
 }
 
@@ -66,7 +66,7 @@
         if let Some(health) = self.router.health() {
             health.change(change.kind, change.targets.iter().map(|target| target.entry));
         }
-        let change = self.engine_list.bans().pass(change);
+        let change = self.engine_list.excluded_engines().filter_change(change);
         self.notify(change);
     }
 
--- a/src/daemon/exclusions.rs
+++ b/src/daemon/exclusions.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use log::{info, warn};
-use marljunction_discovery::bans::{self, Bans};
+use marljunction_discovery::excluded_engines::{self, ExcludedEngines};
 use marljunction_settings::atomic_file::write_atomically;
 
 use super::Daemon;
@@ -17,7 +17,7 @@
 
 /// The excluded engines, and where they are kept.
 pub(super) struct Exclusions {
-    pub(super) bans: Bans,
+    pub(super) excluded_engines: ExcludedEngines,
     /// The file, and its text as last read or written; none where nothing is kept.
     file: Option<(PathBuf, String)>,
     read_ns: u64,
@@ -31,7 +31,7 @@
     /// None yet, kept in this directory.
     pub(super) fn in_directory(directory: Option<&Path>) -> Exclusions {
         Exclusions {
-            bans: Bans::new(),
+            excluded_engines: ExcludedEngines::new(),
             file: directory.map(|directory| (directory.join(FILE_NAME), String::new())),
             read_ns: 0,
             fleet_excluded: Vec::new(),
@@ -42,7 +42,7 @@
     /// Writes the exclusions for a successor.
     pub(super) fn write(&mut self) {
         let Some((path, written)) = &mut self.file else { return };
-        let text = self.bans.to_text();
+        let text = self.excluded_engines.to_text();
         match write_atomically(path, &text) {
             Ok(()) => *written = text,
             Err(fault) => warn!("the bans could not be kept in {}: {fault}", path.display()),
@@ -67,8 +67,8 @@
         if text == *seen {
             return;
         }
-        let changes = exclusions.bans.adopt(bans::read_text(&text), now);
-        let names: Vec<&str> = exclusions.bans.names().collect();
+        let changes = exclusions.excluded_engines.replace_all(excluded_engines::parse_names(&text), now);
+        let names: Vec<&str> = exclusions.excluded_engines.names().collect();
         info!("bans read from {}: {}", path.display(), names.join(" "));
         *seen = text;
         for change in changes {
--- a/src/daemon/overrides.rs
+++ b/src/daemon/overrides.rs
@@ -26,7 +26,7 @@
 
     /// Publishes an override to the fleet, and gives its version.
     pub(super) fn publish_override(&mut self, now: u64, id: &str, excluded: bool) -> Result<Version, Reply> {
-        let listed = self.engine_list.bans().knows(id);
+        let listed = self.engine_list.excluded_engines().is_listed(id);
         let Some(health) = self.router.health() else {
             return Err(Reply::new(404, "this router shares no verdicts"));
         };
@@ -52,7 +52,8 @@
             return;
         }
         info!("the whole fleet leaves out: {}", excluded.join(" "));
-        let changes = exclusions.bans.set_fleet(excluded.iter().map(String::as_str), now);
+        let changes =
+            exclusions.excluded_engines.set_fleet_excluded(excluded.iter().map(String::as_str), now);
         exclusions.fleet_excluded = excluded;
         for change in changes {
             self.notify(change);
--- a/src/daemon/snapshot.rs
+++ b/src/daemon/snapshot.rs
@@ -41,7 +41,7 @@
                 self.retain_cell(&mut change);
                 let heard_ns = self.clock.now_ns().saturating_sub(age_ns);
                 if let Some(source) = &mut self.engine_list.source {
-                    source.set_heard(heard_ns);
+                    source.set_confirmed(heard_ns);
                 }
                 let (count, age_s) = (change.targets.len(), age_ns as f64 / 1e9);
                 info!("starts with the {count} engines kept in {}, a list {age_s:.1} s old", path.display());
@@ -62,7 +62,7 @@
         let bound = &self.engine_list.snapshot.bound;
         let most = bound.file_bytes as u64;
         if size > most {
-            return Err(SnapshotError::Rejected(cached_snapshot::Refusal::Huge(size, most)));
+            return Err(SnapshotError::Rejected(cached_snapshot::DecodeError::TooLarge(size, most)));
         }
         let bytes = std::fs::read(path)?;
         let names = self.config.directory.names();
@@ -76,7 +76,7 @@
         let subscriber = self.fleet.as_ref().and_then(|fleet| fleet.subscriber());
         let age_ns = source_age_ns.or(subscriber.map(|subscriber| subscriber.age_ns(now)));
         let heard_ns = age_ns.map_or(0, |age_ns| now.saturating_sub(age_ns));
-        let roster = self.engine_list.exclusions.bans.listed();
+        let roster = self.engine_list.exclusions.excluded_engines.listed();
         let Snapshot { list, path, .. } = &mut self.engine_list.snapshot;
         let Some(path) = path.as_ref().filter(|_| list.due(now, roster.len())) else { return };
         let names = self.config.directory.names();
@@ -94,5 +94,5 @@
     Unreadable(#[from] std::io::Error),
     /// What it holds can't be believed.
     #[error("{0}")]
-    Rejected(cached_snapshot::Refusal),
+    Rejected(cached_snapshot::DecodeError),
 }
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -12,7 +12,7 @@
 use marljunction_discovery::bound::ListBound;
 use marljunction_discovery::consul::Consul;
 use marljunction_discovery::stream::Stream;
-use marljunction_discovery::{Pacing, Source};
+use marljunction_discovery::{Source, SourceParams};
 use marljunction_engine::http::HttpBackend;
 use marljunction_engine::postgres::PostgresBackend;
 use marljunction_engine::Backend;
@@ -74,7 +74,7 @@
             None => build_source(now, &config, &start, postgres.as_ref(), pacing)?,
         };
         // Cold engines' budgets are divided by the same count as the list service's.
-        config.settings.router_count = pacing.pace.sharers();
+        config.settings.router_count = pacing.pace.caller_count();
         let engines = build_engines(&config, &start, postgres.as_ref(), pacing);
         let fronts = build_fronts(&config, postgres, &directory)?;
         let (fleet, machines) = start_fleet(now, &registry, fleet, identity, &config, &files)?;
@@ -136,8 +136,8 @@
     Door::new(now, settings, site)
 }
 
-fn build_pacing(config: &Config, start: &StartFile) -> Pacing {
-    Pacing {
+fn build_pacing(config: &Config, start: &StartFile) -> SourceParams {
+    SourceParams {
         pace: start.pace(config.settings.router_count, config.settings.router_index),
         seed: config.own_seed(),
         stale_ns: start.stale_ns,
@@ -150,7 +150,7 @@
     config: &Config,
     start: &StartFile,
     postgres: Option<&PostgresFile>,
-    pacing: Pacing,
+    pacing: SourceParams,
 ) -> Result<Option<Source>, DaemonError> {
     let names = config.names.clone();
     let bound = ListBound::of(config.limits.memory_mb);
@@ -176,7 +176,7 @@
     config: &Config,
     start: &StartFile,
     postgres: Option<&PostgresFile>,
-    pacing: Pacing,
+    pacing: SourceParams,
 ) -> Box<dyn Backend> {
     let connect_timeout_ns = config.connect_timeout_ns;
     let mut engines: Box<dyn Backend> = match postgres.map(|postgres| postgres.engines.clone()) {
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -6,7 +6,7 @@
 
 use marljunction::config::StartFile;
 use marljunction_discovery::bound::ListBound;
-use marljunction_pacing::Pace;
+use marljunction_pacing::PacingParams;
 use marljunction_testkit::audit::calls_within;
 use marljunction_testkit::fleet::{Fleet, Setup, MEMORY_MB};
 use marljunction_testkit::list::Manner;
@@ -31,7 +31,7 @@
 }
 
 /// The pace that follows from the operator's file above.
-fn pace() -> Pace {
+fn pace() -> PacingParams {
     StartFile { budget_per_s: 40.0, spread_ns: S, longest_ns: S, ..StartFile::default() }
         .pace(ROUTERS as u32, 0)
 }
@@ -61,7 +61,7 @@
 /// Nobody may be blind for longer than the settings say while the service takes calls.
 #[track_caller]
 fn blind_within_bound(fleet: &Fleet) {
-    let bound = pace().blind_at_most_ns(SILENT_NS) + MACHINE_NS;
+    let bound = pace().max_reconnect_ns(SILENT_NS) + MACHINE_NS;
     let worst = fleet.routers.iter().map(|r| r.blind_ns).max().unwrap();
     assert!(worst <= bound, "{worst} ns without a stream, {bound} at most");
 }
@@ -70,7 +70,7 @@
 #[track_caller]
 fn calls_within_bound(fleet: &Fleet, from: u64) {
     let span = fleet.now() - from;
-    let bound = pace().calls_at_most(span) as usize;
+    let bound = pace().max_calls(span) as usize;
     for router in 0..ROUTERS {
         let of_router: Vec<_> = fleet.list.calls.iter().filter(|c| c.router == router).copied().collect();
         let (calls, _) = calls_within(&of_router, from, fleet.now(), S);
@@ -345,7 +345,7 @@
     let file = StartFile { connections_per_s: Some(2.0), ..StartFile::default() };
     let bound = file.openings(pace()).unwrap();
     let since = fleet.routers.iter().map(|r| r.started_ns).min().unwrap();
-    let most = bound.at_most(fleet.now() - since);
+    let most = bound.max_connections(fleet.now() - since);
     for engine in &fleet.engines {
         let opened = engine.opened_for_work;
         assert!(opened > 0 && opened as f64 <= most, "{opened} connections for work, {most} at most");
