--- a/crates/discovery/src/bound.rs
+++ b/crates/discovery/src/bound.rs
@@ -10,12 +10,12 @@
 /// Longest text of one event (share of the memory limit): 250 bytes an engine at least.
 const EVENT_SHARE: f64 = 0.3;
 /// Longest text of one of Consul's answers (share of the memory limit): a kilobyte and more is said of each engine.
-const ANSWER_SHARE: f64 = 2.0;
+const RESPONSE_SHARE: f64 = 2.0;
 /// Part of the longest event that one entry of a list may take.
-const ENTRY_PART: usize = 64;
+const ENTRY_BYTES_DIVISOR: usize = 64;
 /// Longest text of one engine in a kept list, and of what stands around all of them (bytes).
-const KEPT_ENGINE_BYTES: usize = 400;
-const KEPT_FRAME_BYTES: usize = 1_000;
+const SNAPSHOT_ENTRY_BYTES: usize = 400;
+const SNAPSHOT_FRAME_BYTES: usize = 1_000;
 
 /// How large a list of engines may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// Text of one event (bytes).
     pub event_bytes: usize,
     /// Text of one of Consul's answers (bytes).
-    pub answer_bytes: usize,
+    pub response_bytes: usize,
     /// Text of one entry of either (bytes).
     pub entry_bytes: usize,
     /// A kept list's file (bytes).
@@ -41,9 +41,9 @@
         ListBound {
             engines,
             event_bytes,
-            answer_bytes: (memory * ANSWER_SHARE) as usize,
-            entry_bytes: event_bytes / ENTRY_PART,
-            file_bytes: engines.saturating_mul(KEPT_ENGINE_BYTES).saturating_add(KEPT_FRAME_BYTES),
+            response_bytes: (memory * RESPONSE_SHARE) as usize,
+            entry_bytes: event_bytes / ENTRY_BYTES_DIVISOR,
+            file_bytes: engines.saturating_mul(SNAPSHOT_ENTRY_BYTES).saturating_add(SNAPSHOT_FRAME_BYTES),
         }
     }
 }
--- a/crates/discovery/src/cached_snapshot.rs
+++ b/crates/discovery/src/cached_snapshot.rs
@@ -18,16 +18,16 @@
 use crate::update::{ListError, Text};
 
 /// The first word of a file, and the version of what follows.
-const WORD: &str = "marljunction-list";
+const MAGIC: &str = "marljunction-list";
 const VERSION: u32 = 1;
 /// Where a file's engines are in its text.
 const ENGINES: &[&str] = &["engines"];
 /// Digits of a checksum.
-const SUM_DIGITS: usize = 64;
+const CHECKSUM_DIGITS: usize = 64;
 /// Least time between writes (ns), and time after which a list that has not changed is written again, so that its age is
 /// told right.
-const WRITE_NS: u64 = 1_000_000_000;
-const REWRITE_NS: u64 = 10_000_000_000;
+const MIN_WRITE_INTERVAL_NS: u64 = 1_000_000_000;
+const MAX_WRITE_INTERVAL_NS: u64 = 10_000_000_000;
 
 /// Why a file is not used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -58,7 +58,8 @@
 #[derive(Deserialize)]
 struct Body<'a> {
     /// When the list was last known to be right (Unix ms).
-    heard_ms: u64,
+    #[serde(rename = "heard_ms")]
+    confirmed_ms: u64,
     #[serde(borrow)]
     engines: Vec<Entry<'a>>,
 }
@@ -81,7 +82,7 @@
 }
 
 #[derive(Serialize)]
-struct EntryText<'a> {
+struct EncodedEntry<'a> {
     id: u64,
     address: SocketAddr,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -110,10 +111,10 @@
     }
 }
 
-impl<'a> EntryText<'a> {
-    fn of(target: &Target, names: &'a Names) -> EntryText<'a> {
+impl<'a> EncodedEntry<'a> {
+    fn of(target: &Target, names: &'a Names) -> EncodedEntry<'a> {
         let name = |list: &'a [String], at: Option<usize>| at.and_then(|at| list.get(at)).map(String::as_str);
-        EntryText {
+        EncodedEntry {
             id: target.entry.engine.0,
             address: target.address,
             zone: name(&names.zones, target.entry.zone.map(|z| z.0)),
@@ -133,7 +134,7 @@
     changed: bool,
     written_ns: u64,
     /// It was said that the list is too large to be kept, and that it could not be written.
-    told: [bool; 2],
+    logged: [bool; 2],
 }
 
 impl CachedSnapshot {
@@ -150,19 +151,19 @@
     /// Whether the list of so many engines is to be written now; what was asked counts as written. Nothing is written of a list that names no
     /// engine: a start with none would be no better for it. Nor of one over the bound, which no start would read.
     pub fn due(&mut self, now: u64, engines: usize) -> bool {
-        let wait = if self.changed { WRITE_NS } else { REWRITE_NS };
-        let due = engines > 0 && now >= self.written_ns + wait;
+        let interval_ns = if self.changed { MIN_WRITE_INTERVAL_NS } else { MAX_WRITE_INTERVAL_NS };
+        let due = engines > 0 && now >= self.written_ns + interval_ns;
         if due {
             (self.changed, self.written_ns) = (false, now);
         }
-        due && self.fits(engines)
+        due && self.is_within_bound(engines)
     }
 
     /// What became of a write; a file that can't be written is told of once.
     pub fn written(&mut self, path: &Path, written: io::Result<()>) {
         match written {
-            Ok(()) => self.told[1] = false,
-            Err(e) if !std::mem::replace(&mut self.told[1], true) => {
+            Ok(()) => self.logged[1] = false,
+            Err(e) if !std::mem::replace(&mut self.logged[1], true) => {
                 warn!("the list of engines could not be kept in {}: {e}", path.display());
             }
             Err(_) => {}
@@ -170,18 +171,18 @@
     }
 
     /// Whether the list is within its bound; one that is not is told of once.
-    fn fits(&mut self, engines: usize) -> bool {
-        let most = self.bound.engines;
-        if engines <= most {
-            self.told[0] = false;
-        } else if !std::mem::replace(&mut self.told[0], true) {
-            warn!("the list of {engines} engines is not kept: the memory limit allows {most}");
+    fn is_within_bound(&mut self, engines: usize) -> bool {
+        let limit = self.bound.engines;
+        if engines <= limit {
+            self.logged[0] = false;
+        } else if !std::mem::replace(&mut self.logged[0], true) {
+            warn!("the list of {engines} engines is not kept: the memory limit allows {limit}");
         }
-        engines <= most
+        engines <= limit
     }
 }
 
-/// Writes a file's text, of a list that was last known to be right at `heard_ns` (Unix ns). It is written entry by entry, its
+/// Writes a file's text, of a list that was last known to be right at `confirmed_ns` (Unix ns). It is written entry by entry, its
 /// checksum last, and never held.
 ///
 /// # Errors
@@ -190,21 +191,21 @@
     out: W,
     listed_engines: &ListedEngines,
     names: &Names,
-    heard_ns: u64,
+    confirmed_ns: u64,
 ) -> io::Result<()> {
-    let head = format!("{WORD} {VERSION} ");
-    let mut text = Summed { out: BufWriter::new(out), hasher: blake3::Hasher::new() };
-    writeln!(text.out, "{head}{:0>SUM_DIGITS$}", "")?;
-    write!(text, "{{\"heard_ms\":{},\"engines\":[", heard_ns / 1_000_000)?;
+    let head = format!("{MAGIC} {VERSION} ");
+    let mut text = HashingWriter { out: BufWriter::new(out), hasher: blake3::Hasher::new() };
+    writeln!(text.out, "{head}{:0>CHECKSUM_DIGITS$}", "")?;
+    write!(text, "{{\"heard_ms\":{},\"engines\":[", confirmed_ns / 1_000_000)?;
     let mut entry = Vec::new();
     for (at, target) in listed_engines.iter().enumerate() {
         entry.clear();
         entry.extend_from_slice(if at > 0 { b"," } else { b"" });
-        serde_json::to_writer(&mut entry, &EntryText::of(&target, names))?;
+        serde_json::to_writer(&mut entry, &EncodedEntry::of(&target, names))?;
         text.write_all(&entry)?;
     }
     text.write_all(b"]}")?;
-    let Summed { mut out, hasher } = text;
+    let HashingWriter { mut out, hasher } = text;
     out.write_all(b"\n")?;
     out.seek(SeekFrom::Start(head.len() as u64))?;
     out.write_all(hasher.finalize().to_hex().as_bytes())?;
@@ -212,12 +213,12 @@
 }
 
 /// What is written is summed up.
-struct Summed<W: Write> {
+struct HashingWriter<W: Write> {
     out: BufWriter<W>,
     hasher: blake3::Hasher,
 }
 
-impl<W: Write> Write for Summed<W> {
+impl<W: Write> Write for HashingWriter<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.hasher.update(bytes);
         self.out.write_all(bytes)?;
@@ -238,7 +239,7 @@
     bytes: &[u8],
     names: &Names,
     now: u64,
-    most_ns: u64,
+    max_age_ns: u64,
     bound: &ListBound,
 ) -> Result<(Change, u64), DecodeError> {
     if bytes.len() > bound.file_bytes {
@@ -246,20 +247,20 @@
     }
     let text = std::str::from_utf8(bytes).map_err(|_| DecodeError::NotASnapshot)?;
     let (head, body) = text.split_once('\n').ok_or(DecodeError::NotASnapshot)?;
-    let words: Vec<&str> = head.split(' ').collect();
-    let [WORD, version, sum] = words[..] else { return Err(DecodeError::NotASnapshot) };
+    let fields: Vec<&str> = head.split(' ').collect();
+    let [MAGIC, version, checksum] = fields[..] else { return Err(DecodeError::NotASnapshot) };
     // The version comes first: what another one means by its other fields is not known here.
     let version: u32 = version.parse().map_err(|_| DecodeError::NotASnapshot)?;
     if version != VERSION {
         return Err(DecodeError::Version(version));
     }
     let body = body.strip_suffix('\n').ok_or(DecodeError::ChecksumMismatch)?;
-    if blake3::hash(body.as_bytes()).to_hex().as_str() != sum {
+    if blake3::hash(body.as_bytes()).to_hex().as_str() != checksum {
         return Err(DecodeError::ChecksumMismatch);
     }
-    let (heard_ms, targets) = read_body(body, names, bound)?;
-    let age = now.saturating_sub(heard_ms.saturating_mul(1_000_000));
-    if age > most_ns {
+    let (confirmed_ms, targets) = read_body(body, names, bound)?;
+    let age = now.saturating_sub(confirmed_ms.saturating_mul(1_000_000));
+    if age > max_age_ns {
         return Err(DecodeError::TooOld(age));
     }
     Ok((Change { kind: MembershipKind::Full, targets }, age))
@@ -281,7 +282,7 @@
     let rest = splitter.finish()?;
     let body: Body = serde_json::from_slice(&rest).map_err(unreadable)?;
     targets.extend(body.engines.iter().map(|entry| entry.target(names)));
-    Ok((body.heard_ms, targets))
+    Ok((body.confirmed_ms, targets))
 }
 
 impl From<SplitError> for DecodeError {
--- a/crates/discovery/src/consul.rs
+++ b/crates/discovery/src/consul.rs
@@ -6,7 +6,7 @@
 use log::{info, warn};
 
 use super::staleness::Staleness;
-use super::{taken, Change, SourceError, SourceParams, Target, BYTE_NS};
+use super::{check_status, Change, SourceError, SourceParams, Target, MAX_NS_PER_BYTE};
 use crate::bound::ListBound;
 use crate::consul_response::{ConsulQuery, ConsulResponse, ResponseReader};
 use crate::rejected_updates::{RejectReason, RejectedUpdates};
@@ -24,7 +24,7 @@
 
 /// One blocking query that is asked over and over.
 struct Watch {
-    asked: ConsulQuery,
+    query: ConsulQuery,
     index: u64,
     conn: Option<u64>,
     head: Option<Head>,
@@ -33,9 +33,9 @@
     text: Vec<u8>,
     body: ResponseReader,
     /// When the present query was asked.
-    asked_ns: u64,
+    sent_ns: u64,
     /// A query is out; else the connection, where there is one, waits for the next.
-    asking: bool,
+    in_flight: bool,
     pacer: Pacer,
     rejected_updates: RejectedUpdates,
 }
@@ -54,7 +54,7 @@
 }
 
 /// Each router is two callers.
-fn for_watches(pace: PacingParams) -> [PacingParams; 2] {
+fn per_watch(pace: PacingParams) -> [PacingParams; 2] {
     let callers = pace.callers.map(|n| n.saturating_mul(2));
     [0, 1].map(|watch| PacingParams {
         callers,
@@ -64,56 +64,56 @@
 }
 
 impl Watch {
-    fn new(asked: ConsulQuery, bound: ListBound, pacer: Pacer) -> Self {
+    fn new(query: ConsulQuery, bound: ListBound, pacer: Pacer) -> Self {
         Watch {
-            asked,
+            query,
             index: 0,
             conn: None,
             head: None,
             chunks: ChunkedDecoder::default(),
             text: Vec::new(),
-            body: ResponseReader::new(asked, bound),
-            asked_ns: 0,
-            asking: false,
+            body: ResponseReader::new(query, bound),
+            sent_ns: 0,
+            in_flight: false,
             pacer,
             rejected_updates: RejectedUpdates::default(),
         }
     }
 
     /// When the query is taken for lost. Guards against an answer that never comes to its end, a byte at a time.
-    fn lost_ns(&self) -> u64 {
-        self.asked_ns + SILENT_NS + (self.body.bytes() as u64).saturating_mul(BYTE_NS)
+    fn deadline_ns(&self) -> u64 {
+        self.sent_ns + SILENT_NS + (self.body.bytes() as u64).saturating_mul(MAX_NS_PER_BYTE)
     }
 
     /// The query came to nothing, and its connection is over.
     fn fail(&mut self, now: u64, net: &mut Net, fault: SourceError) {
-        let failure = self.refuse(fault);
+        let failure = self.record_failure(fault);
         self.drop_conn(net);
         self.pacer.failed(now, failure);
     }
 
     /// Counts and logs why a query came to nothing.
-    fn refuse(&mut self, fault: SourceError) -> Failure {
-        let name = self.asked.name();
+    fn record_failure(&mut self, fault: SourceError) -> Failure {
+        let name = self.query.name();
         match fault {
             SourceError::Rejected(after_ns) => return Failure::Rejected { after_ns },
             SourceError::List(error) if error.is_over_limit() => {
-                self.rejected_updates.add(RejectReason::TooLarge, || {
+                self.rejected_updates.record(RejectReason::TooLarge, || {
                     format!("consul's {name} is too large: {error}; what was known stays in force")
                 });
                 return Failure::Unusable;
             }
             SourceError::List(error) => {
                 self.rejected_updates
-                    .add(RejectReason::Invalid, || format!("consul's {name} can't be read: {error}"));
+                    .record(RejectReason::Invalid, || format!("consul's {name} can't be read: {error}"));
             }
             SourceError::Ended if self.head.is_some() => {
                 let bytes = self.body.bytes();
                 self.rejected_updates
-                    .add(RejectReason::Truncated, || format!("consul's {name} ended after {bytes} bytes"));
+                    .record(RejectReason::Truncated, || format!("consul's {name} ended after {bytes} bytes"));
             }
             other => {
-                self.rejected_updates.add(RejectReason::CallFailed, || format!("consul's {name}: {other}"))
+                self.rejected_updates.record(RejectReason::CallFailed, || format!("consul's {name}: {other}"))
             }
         }
         Failure::Unavailable
@@ -121,10 +121,10 @@
 
     fn drop_conn(&mut self, net: &mut Net) {
         self.conn.take().into_iter().for_each(|conn| net.close(conn));
-        self.asking = false;
+        self.in_flight = false;
     }
 
-    fn ask(
+    fn send_query(
         &mut self,
         (now, bound): (u64, ListBound),
         net: &mut Net,
@@ -132,14 +132,14 @@
         to: SocketAddr,
         service: &str,
     ) {
-        (self.asked_ns, self.asking, self.head, self.chunks) = (now, true, None, ChunkedDecoder::default());
-        self.body = ResponseReader::new(self.asked, bound);
-        let call = format!(
+        (self.sent_ns, self.in_flight, self.head, self.chunks) = (now, true, None, ChunkedDecoder::default());
+        self.body = ResponseReader::new(self.query, bound);
+        let request = format!(
             "GET {}{service}?index={}&wait={WAIT_S}s HTTP/1.1\r\nHost: {to}\r\nAccept: application/json\r\n\r\n",
-            self.asked.path(),
+            self.query.path(),
             self.index
         );
-        net.send(conn, call.as_bytes());
+        net.send(conn, request.as_bytes());
     }
 
     /// What the answer says, once it has come whole.
@@ -155,21 +155,21 @@
                 return Ok(None);
             };
             net.consume(conn, size);
-            taken(now, &head)?;
-            self.pacer.taken(now);
+            check_status(now, &head)?;
+            self.pacer.accepted(now);
             if let Some(length) = head.length.filter(|_| !head.chunked) {
-                self.body.expect(length)?;
+                self.body.check_length(length)?;
             }
             self.head = Some(head);
         }
         let Some(head) = &self.head else { return Ok(None) };
         let input = net.input(conn);
-        let (taken, whole) = match (head.chunked, head.length) {
+        let (consumed, complete) = match (head.chunked, head.length) {
             (true, _) => {
                 self.text.clear();
-                let took = self.chunks.decode(input, &mut self.text)?;
+                let decoded = self.chunks.decode(input, &mut self.text)?;
                 self.body.push(&self.text, names)?;
-                took
+                decoded
             }
             (false, Some(length)) => {
                 let part = (length - self.body.bytes().min(length)).min(input.len());
@@ -178,22 +178,22 @@
             }
             (false, None) => return Err(SourceError::MissingLength),
         };
-        net.consume(conn, taken);
-        if !whole {
+        net.consume(conn, consumed);
+        if !complete {
             return Ok(None);
         }
         // An index that goes back, or none, means that Consul started anew: the next query must not wait.
         let index = head.consul_index.unwrap_or(0);
-        let answer = self.body.finish()?;
+        let response = self.body.finish()?;
         self.index = if index < self.index { 0 } else { index };
-        Ok(Some(answer))
+        Ok(Some(response))
     }
 }
 
 impl Consul {
     /// Watches on a service's engines.
     pub fn new(now: u64, address: SocketAddr, service: String, names: Names, pacing: SourceParams) -> Self {
-        let [catalog, health] = for_watches(pacing.pace);
+        let [catalog, health] = per_watch(pacing.pace);
         let bound = ListBound::default();
         let watches = [
             Watch::new(ConsulQuery::Catalog, bound, Pacer::new(catalog, pacing.seed, now)),
@@ -216,7 +216,7 @@
 
     /// Paces calls so from the next one on.
     pub fn set_pace(&mut self, pace: PacingParams, stale_ns: u64) {
-        for (watch, pace) in self.watches.iter_mut().zip(for_watches(pace)) {
+        for (watch, pace) in self.watches.iter_mut().zip(per_watch(pace)) {
             watch.pacer.set_pace(pace);
         }
         self.staleness.set_stale_ns(stale_ns + SILENT_NS);
@@ -236,16 +236,16 @@
     /// Asks where nothing is being asked and a query is due; gives up a query that is silent for too long.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
         for watch in &mut self.watches {
-            if watch.asking && now > watch.lost_ns() {
+            if watch.in_flight && now > watch.deadline_ns() {
                 watch.fail(now, net, SourceError::Ended);
             }
-            if watch.asking || !watch.pacer.call(now) {
+            if watch.in_flight || !watch.pacer.call(now) {
                 continue;
             }
             match watch.conn.map_or_else(|| net.connect(self.address, Owner::Discovery), Ok) {
                 Ok(conn) => {
                     watch.conn = Some(conn);
-                    watch.ask((now, self.bound), net, conn, self.address, &self.service);
+                    watch.send_query((now, self.bound), net, conn, self.address, &self.service);
                 }
                 Err(_) => watch.pacer.failed(now, Failure::Unavailable),
             }
@@ -273,13 +273,13 @@
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) -> Option<Change> {
         let at = self.watches.iter().position(|w| w.conn == Some(conn))?;
         let ended = net.service(conn).ended.is_some();
-        if !self.watches[at].asking {
+        if !self.watches[at].in_flight {
             // Nothing is asked: it has closed, or says what nobody asked for.
             self.watches[at].drop_conn(net);
             return None;
         }
         match self.watches[at].read(now, net, conn, &self.names) {
-            Ok(Some(answer)) => return self.take(now, net, at, answer, ended),
+            Ok(Some(response)) => return self.apply_response(now, net, at, response, ended),
             Ok(None) if ended => self.watches[at].fail(now, net, SourceError::Ended),
             Ok(None) => {}
             Err(fault) => self.watches[at].fail(now, net, fault),
@@ -288,25 +288,25 @@
     }
 
     /// Takes an answer that came whole.
-    fn take(
+    fn apply_response(
         &mut self,
         now: u64,
         net: &mut Net,
         at: usize,
-        answer: ConsulResponse,
+        response: ConsulResponse,
         ended: bool,
     ) -> Option<Change> {
         let watch = &mut self.watches[at];
-        (watch.asking, watch.head) = (false, None);
+        (watch.in_flight, watch.head) = (false, None);
         watch.pacer.answered(now);
-        watch.rejected_updates.taken();
+        watch.rejected_updates.accepted();
         if ended {
             watch.drop_conn(net);
         }
-        match answer {
-            ConsulResponse::Catalog(targets, unknown) => {
-                if unknown > 0 {
-                    warn!("consul's catalogue has {unknown} engines at addresses that can't be read");
+        match response {
+            ConsulResponse::Catalog(targets, unresolved) => {
+                if unresolved > 0 {
+                    warn!("consul's catalogue has {unresolved} engines at addresses that can't be read");
                 }
                 self.catalog = Some(targets);
             }
@@ -314,17 +314,17 @@
         }
         // One answer that is not taken leaves what is known as old as it is.
         if !self.watches.iter().any(|watch| watch.rejected_updates.is_too_large()) {
-            self.staleness.heard(now);
+            self.staleness.confirm(now);
         }
         self.tick(now, net);
-        self.list()
+        self.merged_list()
     }
 
     /// The whole list, once both have answered: who is in the catalogue, as well as the checks say.
-    fn list(&self) -> Option<Change> {
+    fn merged_list(&self) -> Option<Change> {
         let (catalog, health) = (self.catalog.as_ref()?, self.health.as_ref()?);
         let state = |engine: EngineId| {
-            let at = health.binary_search_by_key(&engine, |(known, _)| *known).ok()?;
+            let at = health.binary_search_by_key(&engine, |(id, _)| *id).ok()?;
             Some(health[at].1)
         };
         let mut targets = catalog.clone();
--- a/crates/discovery/src/consul_response.rs
+++ b/crates/discovery/src/consul_response.rs
@@ -122,7 +122,7 @@
 }
 
 /// The state that an engine's checks show: maintenance drains it, any other critical check takes it out.
-fn state_of(checks: &[HealthCheck]) -> EngineState {
+fn health_state(checks: &[HealthCheck]) -> EngineState {
     let maintenance =
         |c: &HealthCheck| c.id.starts_with("_node_maintenance") || c.id.starts_with("_service_maintenance");
     let critical: Vec<&HealthCheck> = checks.iter().filter(|c| c.status == "critical").collect();
@@ -139,17 +139,17 @@
     splitter: Splitter,
     bound: ListBound,
     bytes: usize,
-    answer: ConsulResponse,
+    response: ConsulResponse,
 }
 
 impl ResponseReader {
     /// An answer of which nothing has come.
-    pub fn new(asked: ConsulQuery, bound: ListBound) -> ResponseReader {
-        let answer = match asked {
+    pub fn new(query: ConsulQuery, bound: ListBound) -> ResponseReader {
+        let response = match query {
             ConsulQuery::Catalog => ConsulResponse::Catalog(Vec::new(), 0),
             ConsulQuery::Health => ConsulResponse::Health(Vec::new()),
         };
-        ResponseReader { splitter: Splitter::new(&[], bound.entry_bytes), bound, bytes: 0, answer }
+        ResponseReader { splitter: Splitter::new(&[], bound.entry_bytes), bound, bytes: 0, response }
     }
 
     /// What has come of it (bytes).
@@ -161,10 +161,10 @@
     ///
     /// # Errors
     /// Where that is over its bound.
-    pub fn expect(&self, bytes: usize) -> Result<(), ListError> {
-        let most = self.bound.answer_bytes;
-        match bytes > most {
-            true => Err(ListError::TooLong { bytes, engines: self.answer.engines(), most }),
+    pub fn check_length(&self, bytes: usize) -> Result<(), ListError> {
+        let limit = self.bound.response_bytes;
+        match bytes > limit {
+            true => Err(ListError::TooLong { bytes, engines: self.response.engines(), limit }),
             false => Ok(()),
         }
     }
@@ -175,13 +175,13 @@
     /// Where it is over its bound, or can't be read.
     pub fn push(&mut self, piece: &[u8], names: &Names) -> Result<(), ListError> {
         self.bytes += piece.len();
-        self.expect(self.bytes)?;
-        let ResponseReader { splitter, bound, bytes, answer } = self;
+        self.check_length(self.bytes)?;
+        let ResponseReader { splitter, bound, bytes, response } = self;
         splitter.push(piece, |entry| {
-            if answer.engines() >= bound.engines {
-                return Err(ListError::TooMany { bytes: *bytes, most: bound.engines });
+            if response.engines() >= bound.engines {
+                return Err(ListError::TooMany { bytes: *bytes, limit: bound.engines });
             }
-            answer.add(entry, names)
+            response.push_entry(entry, names)
         })
     }
 
@@ -192,36 +192,36 @@
     pub fn finish(&mut self) -> Result<ConsulResponse, ListError> {
         let splitter = std::mem::replace(&mut self.splitter, Splitter::new(&[], self.bound.entry_bytes));
         let _: Vec<IgnoredAny> = serde_json::from_slice(&splitter.finish()?)?;
-        let mut answer = std::mem::replace(&mut self.answer, ConsulResponse::Health(Vec::new()));
-        if let ConsulResponse::Health(states) = &mut answer {
+        let mut response = std::mem::replace(&mut self.response, ConsulResponse::Health(Vec::new()));
+        if let ConsulResponse::Health(states) = &mut response {
             // Of an engine that is named twice, the last counts.
             states.reverse();
             states.sort_by_key(|(engine, _)| *engine);
             states.dedup_by_key(|(engine, _)| *engine);
         }
-        Ok(answer)
+        Ok(response)
     }
 }
 
 impl ConsulResponse {
     fn engines(&self) -> usize {
         match self {
-            ConsulResponse::Catalog(targets, unknown) => targets.len() + unknown,
+            ConsulResponse::Catalog(targets, unresolved) => targets.len() + unresolved,
             ConsulResponse::Health(states) => states.len(),
         }
     }
 
-    fn add(&mut self, entry: &[u8], names: &Names) -> Result<(), ListError> {
+    fn push_entry(&mut self, entry: &[u8], names: &Names) -> Result<(), ListError> {
         match self {
-            ConsulResponse::Catalog(targets, unknown) => {
+            ConsulResponse::Catalog(targets, unresolved) => {
                 match serde_json::from_slice::<CatalogEntry>(entry)?.target(names) {
                     Some(target) => targets.push(target),
-                    None => *unknown += 1,
+                    None => *unresolved += 1,
                 }
             }
             ConsulResponse::Health(states) => {
                 let entry: HealthEntry = serde_json::from_slice(entry)?;
-                states.push((engine_id(&entry.service.id), state_of(&entry.checks)));
+                states.push((engine_id(&entry.service.id), health_state(&entry.checks)));
             }
         }
         Ok(())
--- a/crates/discovery/src/event.rs
+++ b/crates/discovery/src/event.rs
@@ -22,7 +22,7 @@
 
 /// What is being read of a line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Part {
+enum LinePart {
     /// Its field's name.
     #[default]
     Name,
@@ -41,9 +41,9 @@
     /// What one call takes out of chunks.
     text: Vec<u8>,
     bound: ListBound,
-    part: Part,
+    part: LinePart,
     /// The field's name or the event's number, as far as it has come.
-    small: Vec<u8>,
+    field_bytes: Vec<u8>,
     /// What has come of the present line (bytes).
     line_bytes: usize,
     id: Option<u64>,
@@ -57,8 +57,8 @@
             chunks: chunked.then(ChunkedDecoder::default),
             text: Vec::new(),
             bound,
-            part: Part::Name,
-            small: Vec::new(),
+            part: LinePart::Name,
+            field_bytes: Vec::new(),
             line_bytes: 0,
             id: None,
             update: None,
@@ -74,20 +74,25 @@
     ///
     /// # Errors
     /// Where the stream can't be read or has ended, or a line or an event is over its bound.
-    pub fn take(&mut self, input: &[u8], names: &Names, out: &mut Vec<Event>) -> Result<usize, SourceError> {
+    pub fn decode(
+        &mut self,
+        input: &[u8],
+        names: &Names,
+        out: &mut Vec<Event>,
+    ) -> Result<usize, SourceError> {
         let Some(chunks) = &mut self.chunks else {
             self.read(input, names, out)?;
             return Ok(input.len());
         };
         let mut text = std::mem::take(&mut self.text);
         text.clear();
-        let (taken, ended) = chunks.decode(input, &mut text)?;
+        let (consumed, ended) = chunks.decode(input, &mut text)?;
         let read = self.read(&text, names, out);
         self.text = text;
         read?;
         match ended {
             true => Err(SourceError::Ended),
-            false => Ok(taken),
+            false => Ok(consumed),
         }
     }
 
@@ -107,43 +112,43 @@
     /// Takes a piece of one line.
     fn read_piece(&mut self, mut piece: &[u8], names: &Names) -> Result<(), ListError> {
         self.line_bytes += piece.len();
-        let (bytes, most) = (self.line_bytes, self.bound.event_bytes);
+        let (bytes, limit) = (self.line_bytes, self.bound.event_bytes);
         // An event's text is counted by who reads it, over all of its lines.
-        if bytes > most && self.part != Part::Data {
-            return Err(ListError::TooLong { bytes, engines: 0, most });
+        if bytes > limit && self.part != LinePart::Data {
+            return Err(ListError::TooLong { bytes, engines: 0, limit });
         }
-        if self.part == Part::Name {
+        if self.part == LinePart::Name {
             let Some(colon) = memchr(b':', piece) else {
-                self.keep_small(piece);
+                self.buffer_field(piece);
                 return Ok(());
             };
-            self.keep_small(&piece[..colon]);
+            self.buffer_field(&piece[..colon]);
             piece = &piece[colon + 1..];
             self.begin_value(names)?;
         }
         match self.part {
-            Part::Id => self.keep_small(piece),
-            Part::Data if !piece.is_empty() => self.push(piece, names)?,
+            LinePart::Id => self.buffer_field(piece),
+            LinePart::Data if !piece.is_empty() => self.push(piece, names)?,
             _ => {}
         }
         Ok(())
     }
 
     /// Keeps the first bytes of a name or a number; one that is longer is none.
-    fn keep_small(&mut self, piece: &[u8]) {
-        let part = piece.len().min(MAX_FIELD + 1 - self.small.len());
-        self.small.extend_from_slice(&piece[..part]);
+    fn buffer_field(&mut self, piece: &[u8]) {
+        let part = piece.len().min(MAX_FIELD + 1 - self.field_bytes.len());
+        self.field_bytes.extend_from_slice(&piece[..part]);
     }
 
     fn begin_value(&mut self, names: &Names) -> Result<(), ListError> {
-        self.part = match self.small.as_slice() {
-            b"id" => Part::Id,
-            b"data" => Part::Data,
-            _ => Part::Other,
+        self.part = match self.field_bytes.as_slice() {
+            b"id" => LinePart::Id,
+            b"data" => LinePart::Data,
+            _ => LinePart::Other,
         };
-        self.small.clear();
+        self.field_bytes.clear();
         // An event's text may come in several lines.
-        match self.part == Part::Data && self.update.is_some() {
+        match self.part == LinePart::Data && self.update.is_some() {
             true => self.push(b"\n", names),
             false => Ok(()),
         }
@@ -154,17 +159,17 @@
     }
 
     fn end_line(&mut self, names: &Names, out: &mut Vec<Event>) {
-        let small = std::str::from_utf8(&self.small).unwrap_or("?").trim_end_matches('\r');
+        let field_bytes = std::str::from_utf8(&self.field_bytes).unwrap_or("?").trim_end_matches('\r');
         match self.part {
-            Part::Id => self.id = small.strip_prefix(' ').unwrap_or(small).parse().ok(),
-            Part::Name if small.is_empty() => {
+            LinePart::Id => self.id = field_bytes.strip_prefix(' ').unwrap_or(field_bytes).parse().ok(),
+            LinePart::Name if field_bytes.is_empty() => {
                 if let Some(update) = self.update.take() {
                     out.push(Event { number: self.id.take(), update: update.finish(names) });
                 }
             }
             _ => {}
         }
-        self.small.clear();
-        (self.part, self.line_bytes) = (Part::Name, 0);
+        self.field_bytes.clear();
+        (self.part, self.line_bytes) = (LinePart::Name, 0);
     }
 }
--- a/crates/discovery/src/excluded_engines.rs
+++ b/crates/discovery/src/excluded_engines.rs
@@ -31,24 +31,24 @@
 #[derive(Debug, Default)]
 pub struct ExcludedEngines {
     /// Banned engines, with the name that they were banned by.
-    banned: BTreeMap<EngineId, String>,
+    local: BTreeMap<EngineId, String>,
     /// Engines that the whole fleet was told to leave out, by an operator at any router.
     fleet: BTreeMap<EngineId, String>,
     /// The latest entry of each engine that the lists name, to tell again where a ban ends.
     listed: ListedEngines,
-    /// The latest entry of engines that the lists name no more, while they are banned: up to the next whole list.
+    /// The latest entry of engines that the lists name no more, while they are local: up to the next whole list.
     unlisted: BTreeMap<EngineId, Target>,
 }
 
 impl ExcludedEngines {
-    /// No engine banned.
+    /// No engine local.
     pub fn new() -> Self {
         ExcludedEngines::default()
     }
 
-    /// Whether an engine is banned.
+    /// Whether an engine is local.
     pub fn is_excluded(&self, engine: EngineId) -> bool {
-        self.banned.contains_key(&engine) || self.fleet.contains_key(&engine)
+        self.local.contains_key(&engine) || self.fleet.contains_key(&engine)
     }
 
     /// The engines that the lists name.
@@ -58,11 +58,11 @@
 
     /// Whether a list names an engine now.
     pub fn is_listed(&self, name: &str) -> bool {
-        is_valid_engine_name(name) && self.latest(engine_id(name)).is_some()
+        is_valid_engine_name(name) && self.latest_target(engine_id(name)).is_some()
     }
 
     /// What the lists said last of an engine.
-    fn latest(&self, id: EngineId) -> Option<Target> {
+    fn latest_target(&self, id: EngineId) -> Option<Target> {
         self.listed.get(id).or_else(|| self.unlisted.get(&id).copied())
     }
 
@@ -75,18 +75,22 @@
     ) -> Vec<Change> {
         let names = names.filter(|n| is_valid_engine_name(n)).map(|n| (engine_id(n), n.to_owned())).collect();
         let before = std::mem::replace(&mut self.fleet, names);
-        let held = |of: &BTreeMap<EngineId, String>, id: &EngineId| of.contains_key(id);
-        let new: Vec<EngineId> =
-            self.fleet.keys().filter(|id| !held(&before, id) && !held(&self.banned, id)).copied().collect();
+        let contains = |of: &BTreeMap<EngineId, String>, id: &EngineId| of.contains_key(id);
+        let new: Vec<EngineId> = self
+            .fleet
+            .keys()
+            .filter(|id| !contains(&before, id) && !contains(&self.local, id))
+            .copied()
+            .collect();
         let ended: Vec<EngineId> = before.keys().filter(|id| !self.is_excluded(**id)).copied().collect();
-        let begins = new.iter().filter_map(|id| self.leaves(*id));
-        let ends = ended.iter().filter_map(|id| self.returns(*id, now_ns));
+        let begins = new.iter().filter_map(|id| self.draining_change(*id));
+        let ends = ended.iter().filter_map(|id| self.returning_change(*id, now_ns));
         begins.chain(ends).collect()
     }
 
     /// News that an engine drains.
-    fn leaves(&self, id: EngineId) -> Option<Change> {
-        let mut target = self.latest(id)?;
+    fn draining_change(&self, id: EngineId) -> Option<Change> {
+        let mut target = self.latest_target(id)?;
         if target.entry.state == EngineState::Ready {
             target.entry.state = EngineState::Draining;
         }
@@ -94,27 +98,27 @@
     }
 
     /// News that an engine is back. Operators restart an engine while it is out: it comes back cold, whatever the list last said.
-    fn returns(&self, id: EngineId, now_ns: u64) -> Option<Change> {
-        let mut target = self.latest(id)?;
+    fn returning_change(&self, id: EngineId, now_ns: u64) -> Option<Change> {
+        let mut target = self.latest_target(id)?;
         target.entry.started_ns = Some(now_ns.max(target.entry.started_ns.unwrap_or(0)));
         Some(Change { kind: MembershipKind::Delta, targets: vec![target] })
     }
 
     /// Names of the banned engines, in the order of their ids.
     pub fn names(&self) -> impl Iterator<Item = &str> {
-        self.banned.values().map(String::as_str)
+        self.local.values().map(String::as_str)
     }
 
     /// What a source said, as the module is to hear it: banned engines drain.
     pub fn filter_change(&mut self, mut change: Change) -> Change {
-        self.keep_held(&change);
-        self.listed.change(&change);
-        let ExcludedEngines { banned, fleet, listed, unlisted } = self;
+        self.retain_excluded(&change);
+        self.listed.apply(&change);
+        let ExcludedEngines { local, fleet, listed, unlisted } = self;
         unlisted.retain(|id, _| listed.get(*id).is_none());
         for target in &mut change.targets {
             let id = target.entry.engine;
-            let held = banned.contains_key(&id) || fleet.contains_key(&id);
-            if held && target.entry.state == EngineState::Ready {
+            let is_excluded = local.contains_key(&id) || fleet.contains_key(&id);
+            if is_excluded && target.entry.state == EngineState::Ready {
                 target.entry.state = EngineState::Draining;
             }
         }
@@ -122,13 +126,13 @@
     }
 
     /// Keeps what was known last of banned engines that a list is about to name no more.
-    fn keep_held(&mut self, change: &Change) {
-        let ids: Vec<EngineId> = self.banned.keys().chain(self.fleet.keys()).copied().collect();
+    fn retain_excluded(&mut self, change: &Change) {
+        let ids: Vec<EngineId> = self.local.keys().chain(self.fleet.keys()).copied().collect();
         if change.kind != MembershipKind::Delta {
-            let ExcludedEngines { banned, fleet, unlisted, .. } = self;
-            unlisted.retain(|id, _| banned.contains_key(id) || fleet.contains_key(id));
-            let known = ids.iter().filter_map(|id| self.listed.get(*id));
-            self.unlisted.extend(known.map(|target| (target.entry.engine, target)));
+            let ExcludedEngines { local, fleet, unlisted, .. } = self;
+            unlisted.retain(|id, _| local.contains_key(id) || fleet.contains_key(id));
+            let targets = ids.iter().filter_map(|id| self.listed.get(*id));
+            self.unlisted.extend(targets.map(|target| (target.entry.engine, target)));
         }
         let gone = change.targets.iter().filter(|target| target.entry.state == EngineState::Gone);
         for target in gone {
@@ -146,20 +150,20 @@
     /// # Errors
     /// [`Refusal::Unknown`] where no list names the engine and `known_or_not` is false: a no is owed for an id
     /// that nobody has. [`Refusal::Malformed`], [`Refusal::Full`] as they say.
-    pub fn disable(&mut self, name: &str, known_or_not: bool) -> Result<Option<Change>, ExclusionError> {
-        let id = self.id(name)?;
-        if !known_or_not && self.latest(id).is_none() && !self.is_excluded(id) {
+    pub fn disable(&mut self, name: &str, allow_unlisted: bool) -> Result<Option<Change>, ExclusionError> {
+        let id = self.validated_id(name)?;
+        if !allow_unlisted && self.latest_target(id).is_none() && !self.is_excluded(id) {
             return Err(ExclusionError::Unknown);
         }
-        if self.banned.contains_key(&id) {
+        if self.local.contains_key(&id) {
             return Ok(None);
         }
-        if self.banned.len() >= MAX_EXCLUDED {
+        if self.local.len() >= MAX_EXCLUDED {
             return Err(ExclusionError::Full);
         }
-        let was_out = self.is_excluded(id);
-        self.banned.insert(id, name.to_owned());
-        Ok(if was_out { None } else { self.leaves(id) })
+        let was_excluded = self.is_excluded(id);
+        self.local.insert(id, name.to_owned());
+        Ok(if was_excluded { None } else { self.draining_change(id) })
     }
 
     /// Puts an engine back: the module is told what the lists say of it, as of an engine that started at `now_ns`.
@@ -168,28 +172,32 @@
     /// # Errors
     /// [`Refusal::Unknown`] where neither a list nor a ban names the engine; [`Refusal::Malformed`].
     pub fn enable(&mut self, name: &str, now_ns: u64) -> Result<Option<Change>, ExclusionError> {
-        let id = self.id(name)?;
-        if self.banned.remove(&id).is_none() {
-            return if self.latest(id).is_some() { Ok(None) } else { Err(ExclusionError::Unknown) };
+        let id = self.validated_id(name)?;
+        if self.local.remove(&id).is_none() {
+            return if self.latest_target(id).is_some() { Ok(None) } else { Err(ExclusionError::Unknown) };
         }
-        Ok(if self.is_excluded(id) { None } else { self.returns(id, now_ns) })
+        Ok(if self.is_excluded(id) { None } else { self.returning_change(id, now_ns) })
     }
 
     /// Makes the bans those of `names`, as another process wrote them: what the module is to be told.
     pub fn replace_all<'a>(&mut self, names: impl IntoIterator<Item = &'a str>, now_ns: u64) -> Vec<Change> {
-        let wanted: BTreeMap<EngineId, &str> =
+        let names_by_id: BTreeMap<EngineId, &str> =
             names.into_iter().filter(|n| is_valid_engine_name(n)).map(|n| (engine_id(n), n)).collect();
-        let ended: Vec<String> =
-            self.banned.iter().filter(|(id, _)| !wanted.contains_key(id)).map(|(_, n)| n.clone()).collect();
+        let ended: Vec<String> = self
+            .local
+            .iter()
+            .filter(|(id, _)| !names_by_id.contains_key(id))
+            .map(|(_, n)| n.clone())
+            .collect();
         let ends = ended.iter().filter_map(|name| self.enable(name, now_ns).ok().flatten());
         let mut changes: Vec<Change> = ends.collect();
-        for name in wanted.values() {
+        for name in names_by_id.values() {
             changes.extend(self.disable(name, true).ok().flatten());
         }
         changes
     }
 
-    fn id(&self, name: &str) -> Result<EngineId, ExclusionError> {
+    fn validated_id(&self, name: &str) -> Result<EngineId, ExclusionError> {
         if is_valid_engine_name(name) {
             Ok(engine_id(name))
         } else {
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -64,10 +64,10 @@
     }
 
     /// What is known was last right then (ns), as of a list that was kept.
-    pub fn set_confirmed(&mut self, heard_ns: u64) {
+    pub fn set_confirmed(&mut self, confirmed_ns: u64) {
         match self {
-            Source::Stream(stream) => stream.staleness_mut().set_confirmed(heard_ns),
-            Source::Consul(consul) => consul.staleness_mut().set_confirmed(heard_ns),
+            Source::Stream(stream) => stream.staleness_mut().set_confirmed(confirmed_ns),
+            Source::Consul(consul) => consul.staleness_mut().set_confirmed(confirmed_ns),
         }
     }
 
@@ -99,15 +99,15 @@
             Source::Consul(consul) => consul.stats(),
         };
         let rejected_updates = match self {
-            Source::Stream(stream) => RejectedUpdates::line(&[stream.rejected_updates()]),
-            Source::Consul(consul) => RejectedUpdates::line(&consul.rejected_updates()),
+            Source::Stream(stream) => RejectedUpdates::counters(&[stream.rejected_updates()]),
+            Source::Consul(consul) => RejectedUpdates::counters(&consul.rejected_updates()),
         };
         let ms = |ns: u64| ns / 1_000_000;
         format!(
             "list_calls={calls} list_turned_away={rejected} list_age_ms={} list_age_most_ms={} list_stale={} {rejected_updates}",
             ms(staleness.age_ns(now)),
-            ms(staleness.longest_ns),
-            staleness.times
+            ms(staleness.max_age_ns),
+            staleness.stale_count
         )
     }
 
@@ -165,7 +165,7 @@
 }
 
 /// Whether a service took a call, by the head of its answer.
-fn taken(now: u64, head: &Head) -> Result<(), SourceError> {
+fn check_status(now: u64, head: &Head) -> Result<(), SourceError> {
     match head.status {
         200 => Ok(()),
         429 | 503 => Err(SourceError::Rejected(head.retry_after.map(|after| after.delay_ns(now)))),
@@ -174,7 +174,7 @@
 }
 
 /// Time that a list may take for each of its bytes, behind what it may take in any case (ns): 10 KB/s.
-const BYTE_NS: u64 = 100_000;
+const MAX_NS_PER_BYTE: u64 = 100_000;
 
 /// An engine and where it listens.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/discovery/src/listed_engines.rs
+++ b/crates/discovery/src/listed_engines.rs
@@ -8,11 +8,11 @@
 use marljunction_control::interface::{EngineEntry, EngineId, EngineState, KindId, MembershipKind, ZoneId};
 
 /// Stands for no zone or kind: their numbers are places in lists of names.
-const NONE: u32 = u32::MAX;
+const NO_INDEX: u32 = u32::MAX;
 
 /// A target in two thirds of its space.
 #[derive(Clone, Copy, Debug)]
-struct Listed {
+struct CompactTarget {
     engine: EngineId,
     address: SocketAddr,
     zone: u32,
@@ -25,11 +25,11 @@
     has_start: bool,
 }
 
-impl Listed {
-    fn of(target: &Target) -> Listed {
+impl CompactTarget {
+    fn of(target: &Target) -> CompactTarget {
         let EngineEntry { engine, zone, kind, cell, state, weight, started_ns } = target.entry;
-        let number = |at: Option<usize>| at.and_then(|at| u32::try_from(at).ok()).unwrap_or(NONE);
-        Listed {
+        let number = |at: Option<usize>| at.and_then(|at| u32::try_from(at).ok()).unwrap_or(NO_INDEX);
+        CompactTarget {
             engine,
             address: target.address,
             zone: number(zone.map(|zone| zone.0)),
@@ -44,7 +44,7 @@
     }
 
     fn target(&self) -> Target {
-        let number = |at: u32| (at != NONE).then_some(at as usize);
+        let number = |at: u32| (at != NO_INDEX).then_some(at as usize);
         let entry = EngineEntry {
             engine: self.engine,
             zone: number(self.zone).map(ZoneId),
@@ -62,67 +62,67 @@
 #[derive(Clone, Debug, Default)]
 pub struct ListedEngines {
     /// By engine, each once, none of them gone.
-    listed: Vec<Listed>,
+    entries: Vec<CompactTarget>,
 }
 
 impl ListedEngines {
     /// Engines that are named (count).
     pub fn len(&self) -> usize {
-        self.listed.len()
+        self.entries.len()
     }
 
     /// Whether none is named.
     pub fn is_empty(&self) -> bool {
-        self.listed.is_empty()
+        self.entries.is_empty()
     }
 
     /// What is known of an engine; none where no list names it.
     pub fn get(&self, engine: EngineId) -> Option<Target> {
-        let at = self.listed.binary_search_by_key(&engine, |known| known.engine).ok()?;
-        self.listed.get(at).map(Listed::target)
+        let at = self.entries.binary_search_by_key(&engine, |entry| entry.engine).ok()?;
+        self.entries.get(at).map(CompactTarget::target)
     }
 
     /// All of them, in order.
     pub fn iter(&self) -> impl Iterator<Item = Target> + '_ {
-        self.listed.iter().map(Listed::target)
+        self.entries.iter().map(CompactTarget::target)
     }
 
-    /// Takes news; of an engine that it names twice, the last counts.
-    pub fn change(&mut self, change: &Change) {
+    /// Takes updates; of an engine that it names twice, the last counts.
+    pub fn apply(&mut self, change: &Change) {
         if change.kind == MembershipKind::Delta {
-            return self.add(in_order(&change.targets));
+            return self.add(latest_by_engine(&change.targets));
         }
         // Before the new one is made: guards against memory for both at once.
-        self.listed = Vec::new();
-        self.listed = in_order(&change.targets);
-        self.listed.retain(|known| known.state != EngineState::Gone);
+        self.entries = Vec::new();
+        self.entries = latest_by_engine(&change.targets);
+        self.entries.retain(|entry| entry.state != EngineState::Gone);
     }
 
-    fn add(&mut self, news: Vec<Listed>) {
+    fn add(&mut self, updates: Vec<CompactTarget>) {
         let (mut new, mut gone) = (Vec::new(), false);
-        for engine in news {
+        for engine in updates {
             gone |= engine.state == EngineState::Gone;
-            match self.listed.binary_search_by_key(&engine.engine, |known| known.engine) {
-                Ok(at) => self.listed[at] = engine,
+            match self.entries.binary_search_by_key(&engine.engine, |entry| entry.engine) {
+                Ok(at) => self.entries[at] = engine,
                 Err(_) => new.push(engine),
             }
         }
         if !new.is_empty() {
-            self.listed.extend(new);
+            self.entries.extend(new);
             // Two runs in order: one pass.
-            self.listed.sort_by_key(|known| known.engine);
+            self.entries.sort_by_key(|entry| entry.engine);
         }
         if gone {
-            self.listed.retain(|known| known.state != EngineState::Gone);
+            self.entries.retain(|entry| entry.state != EngineState::Gone);
         }
     }
 }
 
 /// Engines in the order of their numbers, each as it is named last.
-fn in_order(targets: &[Target]) -> Vec<Listed> {
+fn latest_by_engine(targets: &[Target]) -> Vec<CompactTarget> {
     let number = |(at, target): (usize, &Target)| (target.entry.engine, at);
     let mut order: Vec<(EngineId, usize)> = targets.iter().enumerate().map(number).collect();
     order.sort_unstable_by(|(a, first), (b, second)| a.cmp(b).then(second.cmp(first)));
     order.dedup_by_key(|(engine, _)| *engine);
-    order.iter().map(|(_, at)| Listed::of(&targets[*at])).collect()
+    order.iter().map(|(_, at)| CompactTarget::of(&targets[*at])).collect()
 }
--- a/crates/discovery/src/rejected_updates.rs
+++ b/crates/discovery/src/rejected_updates.rs
@@ -26,31 +26,31 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RejectedUpdates {
     counts: [u64; NAMES.len() + 1],
-    told: [bool; NAMES.len() + 1],
+    logged: [bool; NAMES.len() + 1],
     too_large: bool,
 }
 
 impl RejectedUpdates {
     /// Counts it, and logs it with what is `told` of it where that is news.
-    pub fn add(&mut self, reason: RejectReason, told: impl FnOnce() -> String) {
+    pub fn record(&mut self, reason: RejectReason, message: impl FnOnce() -> String) {
         let at = reason as usize;
         self.counts[at] += 1;
         self.too_large |= reason == RejectReason::TooLarge;
-        if std::mem::replace(&mut self.told[at], true) {
+        if std::mem::replace(&mut self.logged[at], true) {
             return;
         }
         match reason {
-            RejectReason::TooLarge | RejectReason::Invalid => warn!("{}", told()),
-            _ => info!("{}", told()),
+            RejectReason::TooLarge | RejectReason::Invalid => warn!("{}", message()),
+            _ => info!("{}", message()),
         }
     }
 
     /// News was taken: what is refused from here on is told again.
-    pub fn taken(&mut self) {
+    pub fn accepted(&mut self) {
         if std::mem::take(&mut self.too_large) {
             info!("the list of engines is within its bound again");
         }
-        self.told = Default::default();
+        self.logged = Default::default();
     }
 
     /// A list was over the bound, and none was taken since: what is known grows old.
@@ -64,7 +64,7 @@
     }
 
     /// The counters of several sources together.
-    pub fn line(all: &[RejectedUpdates]) -> String {
+    pub fn counters(all: &[RejectedUpdates]) -> String {
         let sum = |at: usize| all.iter().map(|rejected_updates| rejected_updates.counts[at]).sum::<u64>();
         let fields = NAMES.iter().enumerate().map(|(at, name)| format!("list_{name}={}", sum(at)));
         fields.collect::<Vec<_>>().join(" ")
--- a/crates/discovery/src/split.rs
+++ b/crates/discovery/src/split.rs
@@ -10,7 +10,7 @@
 pub enum SplitError {
     /// Something other than an object, a comma or the array's end stands between entries.
     #[error("byte {0:#04x} between entries")]
-    Between(u8),
+    UnexpectedByte(u8),
     /// An entry, or what stands around the entries, is longer than may be (bytes).
     #[error("an entry of over {0} bytes")]
     TooLong(usize),
@@ -20,17 +20,17 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum Position {
     /// Outside the array.
-    Rest,
+    Outside,
     /// Before the first entry.
-    First,
+    ArrayStart,
     /// Within one.
-    Entry,
+    InEntry,
     /// Behind one.
-    After,
+    AfterEntry,
     /// Behind a comma.
-    Next,
+    AfterComma,
 }
 
 /// Strings and containers as they open and close.
@@ -81,7 +81,7 @@
 pub struct Splitter {
     /// Names of the objects down to the array; none where the text is the array.
     path: &'static [&'static str],
-    place: Place,
+    position: Position,
     max_bytes: usize,
     /// The text without the entries.
     rest: Vec<u8>,
@@ -89,9 +89,9 @@
     /// Names of the path that are open.
     matched: usize,
     /// The next value is the one of the path's next name.
-    named: bool,
+    at_path_value: bool,
     /// Where the last string of the rest starts and ends.
-    last: (usize, usize),
+    last_string: (usize, usize),
     /// What has come of the present entry.
     entry: Vec<u8>,
     inner: Scan,
@@ -102,31 +102,31 @@
     pub fn new(path: &'static [&'static str], max_bytes: usize) -> Splitter {
         Splitter {
             path,
-            place: Place::Rest,
+            position: Position::Outside,
             max_bytes,
             rest: Vec::new(),
             outer: Scan::default(),
             matched: 0,
-            named: false,
-            last: (0, 0),
+            at_path_value: false,
+            last_string: (0, 0),
             entry: Vec::new(),
             inner: Scan::default(),
         }
     }
 
-    /// Takes the next piece; gives each entry that is whole to `take`.
+    /// Takes the next piece; gives each entry that is whole to `on_entry`.
     ///
     /// # Errors
-    /// What `take` says, and [`SplitError`]: the text is of no use then.
+    /// What `on_entry` says, and [`SplitError`]: the text is of no use then.
     pub fn push<E: From<SplitError>>(
         &mut self,
         mut piece: &[u8],
-        mut take: impl FnMut(&[u8]) -> Result<(), E>,
+        mut on_entry: impl FnMut(&[u8]) -> Result<(), E>,
     ) -> Result<(), E> {
         while !piece.is_empty() {
-            let used = match self.place {
-                Place::Rest => self.push_rest(piece)?,
-                Place::Entry => self.push_entry(piece, &mut take)?,
+            let used = match self.position {
+                Position::Outside => self.push_rest(piece)?,
+                Position::InEntry => self.push_entry(piece, &mut on_entry)?,
                 _ => self.push_between(piece)?,
             };
             piece = &piece[used..];
@@ -139,8 +139,8 @@
     /// # Errors
     /// Where it ends within the array.
     pub fn finish(self) -> Result<Vec<u8>, SplitError> {
-        match self.place {
-            Place::Rest => Ok(self.rest),
+        match self.position {
+            Position::Outside => Ok(self.rest),
             _ => Err(SplitError::Truncated),
         }
     }
@@ -152,7 +152,7 @@
             }
             self.rest.push(*byte);
             if self.rest_byte(*byte) {
-                self.place = Place::First;
+                self.position = Position::ArrayStart;
                 return Ok(at + 1);
             }
         }
@@ -163,18 +163,18 @@
     fn rest_byte(&mut self, byte: u8) -> bool {
         if self.outer.in_string {
             if self.outer.string_byte(byte) {
-                self.last.1 = self.rest.len() - 1;
+                self.last_string.1 = self.rest.len() - 1;
             }
             return false;
         }
         match byte {
-            b'"' => (self.outer.in_string, self.last.0) = (true, self.rest.len()),
-            b':' => self.named = self.is_next_name(),
-            b',' => self.named = false,
-            b'[' if self.is_list() => return true,
+            b'"' => (self.outer.in_string, self.last_string.0) = (true, self.rest.len()),
+            b':' => self.at_path_value = self.is_next_name(),
+            b',' => self.at_path_value = false,
+            b'[' if self.opens_array() => return true,
             b'{' | b'[' => {
-                self.matched += usize::from(self.named && byte == b'{');
-                (self.named, self.outer.depth) = (false, self.outer.depth + 1);
+                self.matched += usize::from(self.at_path_value && byte == b'{');
+                (self.at_path_value, self.outer.depth) = (false, self.outer.depth + 1);
             }
             b'}' | b']' => {
                 self.matched -= usize::from(self.matched > 0 && self.outer.depth == self.matched + 1);
@@ -188,14 +188,14 @@
     /// Whether the last string is the path's next name, in the object that the path has come to.
     fn is_next_name(&self) -> bool {
         let name = self.path.get(self.matched).filter(|_| self.outer.depth == self.matched + 1);
-        name.is_some_and(|name| name.as_bytes() == &self.rest[self.last.0..self.last.1])
+        name.is_some_and(|name| name.as_bytes() == &self.rest[self.last_string.0..self.last_string.1])
     }
 
     /// Whether an array that opens here is the one of the path.
-    fn is_list(&self) -> bool {
+    fn opens_array(&self) -> bool {
         match self.path.len() {
             0 => self.outer.depth == 0,
-            names => self.named && self.matched + 1 == names,
+            names => self.at_path_value && self.matched + 1 == names,
         }
     }
 
@@ -203,17 +203,17 @@
         let space = |byte: &&u8| matches!(byte, b' ' | b'\t' | b'\n' | b'\r');
         let spaces = piece.iter().take_while(space).count();
         let Some(byte) = piece.get(spaces) else { return Ok(piece.len()) };
-        match (self.place, byte) {
-            (Place::First | Place::Next, b'{') => {
-                (self.place, self.inner) = (Place::Entry, Scan::default());
+        match (self.position, byte) {
+            (Position::ArrayStart | Position::AfterComma, b'{') => {
+                (self.position, self.inner) = (Position::InEntry, Scan::default());
                 return Ok(spaces);
             }
-            (Place::First | Place::After, b']') => {
+            (Position::ArrayStart | Position::AfterEntry, b']') => {
                 self.rest.push(b']');
-                (self.place, self.named) = (Place::Rest, false);
+                (self.position, self.at_path_value) = (Position::Outside, false);
             }
-            (Place::After, b',') => self.place = Place::Next,
-            _ => return Err(SplitError::Between(*byte)),
+            (Position::AfterEntry, b',') => self.position = Position::AfterComma,
+            _ => return Err(SplitError::UnexpectedByte(*byte)),
         }
         Ok(spaces + 1)
     }
@@ -221,7 +221,7 @@
     fn push_entry<E: From<SplitError>>(
         &mut self,
         piece: &[u8],
-        take: &mut impl FnMut(&[u8]) -> Result<(), E>,
+        on_entry: &mut impl FnMut(&[u8]) -> Result<(), E>,
     ) -> Result<usize, E> {
         let end = self.inner.end_of_entry(piece);
         let part = &piece[..end.unwrap_or(piece.len())];
@@ -230,15 +230,15 @@
         }
         match end {
             // The usual case: nothing is copied.
-            Some(_) if self.entry.is_empty() => take(part)?,
+            Some(_) if self.entry.is_empty() => on_entry(part)?,
             _ => self.entry.extend_from_slice(part),
         }
         if end.is_some() {
             if !self.entry.is_empty() {
-                take(&self.entry)?;
+                on_entry(&self.entry)?;
                 self.entry.clear();
             }
-            self.place = Place::After;
+            self.position = Position::AfterEntry;
         }
         Ok(part.len())
     }
--- a/crates/discovery/src/staleness.rs
+++ b/crates/discovery/src/staleness.rs
@@ -6,23 +6,23 @@
 #[derive(Clone, Debug)]
 pub struct Staleness {
     stale_ns: u64,
-    heard_ns: u64,
-    told: bool,
+    confirmed_ns: u64,
+    reported: bool,
     /// Times that news got older than stated.
-    pub times: u64,
+    pub stale_count: u64,
     /// The longest time without news so far (ns).
-    pub longest_ns: u64,
+    pub max_age_ns: u64,
 }
 
 impl Staleness {
     /// News that is fresh now, and counts as too old `stale_ns` after it was last heard.
     pub fn new(now: u64, stale_ns: u64) -> Staleness {
-        Staleness { stale_ns, heard_ns: now, told: false, times: 0, longest_ns: 0 }
+        Staleness { stale_ns, confirmed_ns: now, reported: false, stale_count: 0, max_age_ns: 0 }
     }
 
     /// What is known was last right then (ns), as of a list that was kept.
-    pub fn set_confirmed(&mut self, heard_ns: u64) {
-        self.heard_ns = heard_ns;
+    pub fn set_confirmed(&mut self, confirmed_ns: u64) {
+        self.confirmed_ns = confirmed_ns;
     }
 
     /// News counts as too old from another age on.
@@ -31,20 +31,20 @@
     }
 
     /// The source was heard.
-    pub fn heard(&mut self, now: u64) {
-        self.longest_ns = self.longest_ns.max(now.saturating_sub(self.heard_ns));
-        self.heard_ns = self.heard_ns.max(now);
-        if std::mem::take(&mut self.told) {
+    pub fn confirm(&mut self, now: u64) {
+        self.max_age_ns = self.max_age_ns.max(now.saturating_sub(self.confirmed_ns));
+        self.confirmed_ns = self.confirmed_ns.max(now);
+        if std::mem::take(&mut self.reported) {
             info!("membership news is fresh again");
         }
     }
 
     /// Passes time.
     pub fn tick(&mut self, now: u64) {
-        let age = now.saturating_sub(self.heard_ns);
-        self.longest_ns = self.longest_ns.max(age);
-        if age > self.stale_ns && !self.told {
-            (self.told, self.times) = (true, self.times + 1);
+        let age = now.saturating_sub(self.confirmed_ns);
+        self.max_age_ns = self.max_age_ns.max(age);
+        if age > self.stale_ns && !self.reported {
+            (self.reported, self.stale_count) = (true, self.stale_count + 1);
             warn!(
                 "membership news is {:.1} s old: the list may name engines that have gone",
                 age as f64 / 1e9
@@ -54,6 +54,6 @@
 
     /// How old the news is (ns).
     pub fn age_ns(&self, now: u64) -> u64 {
-        now.saturating_sub(self.heard_ns)
+        now.saturating_sub(self.confirmed_ns)
     }
 }
--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -5,7 +5,7 @@
 use log::{debug, info, warn};
 
 use super::staleness::Staleness;
-use super::{taken, Change, SourceError, SourceParams, BYTE_NS};
+use super::{check_status, Change, SourceError, SourceParams, MAX_NS_PER_BYTE};
 use crate::bound::ListBound;
 use crate::event::{Event, EventReader};
 use crate::rejected_updates::{RejectReason, RejectedUpdates};
@@ -28,13 +28,13 @@
     conn: Option<u64>,
     reader: Option<EventReader>,
     /// When the present connection was last heard, or opened.
-    heard_ns: u64,
+    last_received_ns: u64,
     /// Since when an event is being read; none between events.
-    reads_since: Option<u64>,
+    event_started_ns: Option<u64>,
     /// The last event that could not be read.
-    spoilt: Option<u64>,
+    invalid_event: Option<u64>,
     /// No event has come on this connection yet.
-    fresh: bool,
+    awaiting_first_event: bool,
     pacer: Pacer,
     staleness: Staleness,
     rejected_updates: RejectedUpdates,
@@ -50,10 +50,10 @@
             last,
             conn: None,
             reader: None,
-            heard_ns: 0,
-            reads_since: None,
-            spoilt: None,
-            fresh: true,
+            last_received_ns: 0,
+            event_started_ns: None,
+            invalid_event: None,
+            awaiting_first_event: true,
             pacer: Pacer::new(pacing.pace, pacing.seed, now),
             staleness: Staleness::new(now, pacing.stale_ns),
             rejected_updates: RejectedUpdates::default(),
@@ -95,12 +95,12 @@
     /// Opens the stream where it is closed and a call is due, and closes it where it is silent.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
         match self.conn {
-            Some(_) if now > self.lost_ns() => {
+            Some(_) if now > self.deadline_ns() => {
                 warn!("the coordinator's stream is silent");
                 self.end(now, net, SourceError::Ended);
             }
             None if self.pacer.call(now) => match net.connect(self.address, Owner::Discovery) {
-                Ok(conn) => self.ask(now, net, conn),
+                Ok(conn) => self.subscribe(now, net, conn),
                 Err(_) => self.pacer.failed(now, Failure::Unavailable),
             },
             _ => {}
@@ -110,21 +110,23 @@
 
     /// When the stream is taken for dead. Guards against an event that never comes to its end, a byte at a time, and keeps those
     /// behind it away.
-    fn lost_ns(&self) -> u64 {
+    fn deadline_ns(&self) -> u64 {
         let bytes = self.reader.as_ref().and_then(EventReader::pending).unwrap_or(0) as u64;
-        let late =
-            self.reads_since.map_or(u64::MAX, |since| since.saturating_add(bytes.saturating_mul(BYTE_NS)));
-        self.heard_ns.min(late) + SILENT_NS
+        let event_deadline_ns = self
+            .event_started_ns
+            .map_or(u64::MAX, |since| since.saturating_add(bytes.saturating_mul(MAX_NS_PER_BYTE)));
+        self.last_received_ns.min(event_deadline_ns) + SILENT_NS
     }
 
-    fn ask(&mut self, now: u64, net: &mut Net, conn: u64) {
-        (self.conn, self.reader, self.heard_ns, self.fresh) = (Some(conn), None, now, true);
-        self.reads_since = None;
-        let call = format!(
+    fn subscribe(&mut self, now: u64, net: &mut Net, conn: u64) {
+        (self.conn, self.reader, self.last_received_ns, self.awaiting_first_event) =
+            (Some(conn), None, now, true);
+        self.event_started_ns = None;
+        let request = format!(
             "GET /v2/stream HTTP/1.1\r\nHost: {}\r\nAccept: text/event-stream\r\nLast-Event-ID: {}\r\n\r\n",
             self.address, self.last
         );
-        net.send(conn, call.as_bytes());
+        net.send(conn, request.as_bytes());
     }
 
     /// Goes on at another address behind the last event, and takes what of `known` is new.
@@ -135,8 +137,8 @@
         address: SocketAddr,
         known: Vec<Update>,
     ) -> Vec<Change> {
-        let news = known.into_iter().filter(|u| u.index > self.last).collect::<Vec<_>>();
-        self.last = news.iter().map(|u| u.index).max().unwrap_or(self.last);
+        let new_updates = known.into_iter().filter(|u| u.index > self.last).collect::<Vec<_>>();
+        self.last = new_updates.iter().map(|u| u.index).max().unwrap_or(self.last);
         if address != self.address {
             info!("membership news come from {address} now, behind event {}", self.last);
             self.address = address;
@@ -147,14 +149,14 @@
             self.pacer.restart(now);
             self.tick(now, net);
         }
-        news.into_iter().map(|u| u.change).collect()
+        new_updates.into_iter().map(|u| u.change).collect()
     }
 
     /// Ends the connection, and says when the next call is made; a stream that was up has ended, a call that never was has
     /// failed.
     fn end(&mut self, now: u64, net: &mut Net, fault: SourceError) {
-        let cut = self.reader.as_ref().and_then(EventReader::pending);
-        let failure = self.refuse(fault, cut);
+        let partial_bytes = self.reader.as_ref().and_then(EventReader::pending);
+        let failure = self.record_failure(fault, partial_bytes);
         if let Some(conn) = self.conn.take() {
             net.close(conn);
         }
@@ -165,23 +167,23 @@
     }
 
     /// Counts and logs why a connection ended, `cut` bytes into an event or between two.
-    fn refuse(&mut self, fault: SourceError, cut: Option<usize>) -> Failure {
+    fn record_failure(&mut self, fault: SourceError, partial_bytes: Option<usize>) -> Failure {
         match fault {
             SourceError::Rejected(after_ns) => {
                 debug!("the coordinator takes no more calls for now; it asks for {after_ns:?} ns");
                 return Failure::Rejected { after_ns };
             }
             SourceError::List(error) if error.is_over_limit() => {
-                self.rejected_updates.add(RejectReason::TooLarge, || {
+                self.rejected_updates.record(RejectReason::TooLarge, || {
                     format!("the list of engines is too large: {error}; what was known stays in force")
                 });
                 return Failure::Unusable;
             }
-            SourceError::List(error) => self.rejected_updates.add(RejectReason::Invalid, || {
+            SourceError::List(error) => self.rejected_updates.record(RejectReason::Invalid, || {
                 format!("a membership event can't be read, and is asked for once more: {error}")
             }),
-            SourceError::Ended => match cut {
-                Some(bytes) => self.rejected_updates.add(RejectReason::Truncated, || {
+            SourceError::Ended => match partial_bytes {
+                Some(bytes) => self.rejected_updates.record(RejectReason::Truncated, || {
                     format!(
                         "the coordinator's stream ended {bytes} bytes into an event: it is asked for again"
                     )
@@ -190,7 +192,7 @@
             },
             other => self
                 .rejected_updates
-                .add(RejectReason::CallFailed, || format!("the coordinator's stream: {other}")),
+                .record(RejectReason::CallFailed, || format!("the coordinator's stream: {other}")),
         }
         Failure::Unavailable
     }
@@ -201,9 +203,9 @@
         if self.conn != Some(conn) {
             return changes;
         }
-        let look = net.service(conn);
+        let serviced = net.service(conn);
         match self.read(now, net, conn, &mut changes) {
-            Ok(()) if look.ended.is_some() => self.end(now, net, SourceError::Ended),
+            Ok(()) if serviced.ended.is_some() => self.end(now, net, SourceError::Ended),
             Ok(()) => {}
             Err(fault) => self.end(now, net, fault),
         }
@@ -219,68 +221,68 @@
     ) -> Result<(), SourceError> {
         let silent = net.input(conn).is_empty();
         if !silent {
-            self.heard_ns = now;
+            self.last_received_ns = now;
         }
         if self.reader.is_none() {
             let Some((head, size)) = parse_response_head(net.input(conn)).map_err(SourceError::Head)? else {
                 return Ok(());
             };
             net.consume(conn, size);
-            taken(now, &head)?;
+            check_status(now, &head)?;
             self.reader = Some(EventReader::new(head.chunked, self.bound));
-            self.pacer.taken(now);
+            self.pacer.accepted(now);
         }
         // A list that is not taken leaves what is known as old as it is.
         if !silent && !self.rejected_updates.is_too_large() {
-            self.staleness.heard(now);
+            self.staleness.confirm(now);
         }
         let (mut events, Some(reader)) = (Vec::new(), &mut self.reader) else { return Ok(()) };
-        let taken = reader.take(net.input(conn), &self.names, &mut events);
-        net.consume(conn, *taken.as_ref().unwrap_or(&0));
+        let consumed = reader.decode(net.input(conn), &self.names, &mut events);
+        net.consume(conn, *consumed.as_ref().unwrap_or(&0));
         // An event whose end has come is no part of the one behind it.
-        let since = self.reads_since.filter(|_| events.is_empty()).unwrap_or(now);
-        self.reads_since = reader.pending().map(|_| since);
+        let since = self.event_started_ns.filter(|_| events.is_empty()).unwrap_or(now);
+        self.event_started_ns = reader.pending().map(|_| since);
         for event in events {
-            changes.extend(self.take(now, event)?);
+            changes.extend(self.apply_event(now, event)?);
         }
-        taken.map(drop)
+        consumed.map(drop)
     }
 
     /// What an event changes; nothing where it says nothing new.
-    fn take(&mut self, now: u64, event: Event) -> Result<Option<Change>, SourceError> {
+    fn apply_event(&mut self, now: u64, event: Event) -> Result<Option<Change>, SourceError> {
         let Event { number, update } = event;
         let update = match update {
             Ok(update) => update,
             // Guards against an event that is lost for good because half of it came: it is asked for once
             // more. One that can't be read then costs itself only, never the stream.
-            Err(error) if number > Some(self.last) && number != self.spoilt => {
-                self.spoilt = number;
+            Err(error) if number > Some(self.last) && number != self.invalid_event => {
+                self.invalid_event = number;
                 return Err(error.into());
             }
             Err(error) => {
                 self.rejected_updates
-                    .add(RejectReason::Invalid, || format!("a membership event can't be read: {error}"));
+                    .record(RejectReason::Invalid, || format!("a membership event can't be read: {error}"));
                 return Ok(None);
             }
         };
         let index = number.unwrap_or(update.index);
         // Guards against a coordinator that started anew, whose news would be passed over until its numbers have
         // grown past the last: a whole list that opens a connection, below the number asked behind, is no repeat.
-        let fresh = std::mem::take(&mut self.fresh);
-        let anew = fresh && index < self.last && update.change.kind == MembershipKind::Full;
-        if anew {
-            self.rejected_updates.add(RejectReason::NumberingReset, || {
+        let is_first = std::mem::take(&mut self.awaiting_first_event);
+        let restarted = is_first && index < self.last && update.change.kind == MembershipKind::Full;
+        if restarted {
+            self.rejected_updates.record(RejectReason::NumberingReset, || {
                 format!("the coordinator counts anew: event {index} behind {}", self.last)
             });
         } else if index <= self.last {
-            self.rejected_updates.add(RejectReason::Duplicate, || {
+            self.rejected_updates.record(RejectReason::Duplicate, || {
                 format!("event {index} is known already: the last was {}", self.last)
             });
             return Ok(None);
         }
         self.last = index;
-        self.rejected_updates.taken();
-        self.staleness.heard(now);
+        self.rejected_updates.accepted();
+        self.staleness.confirm(now);
         Ok(Some(update.change))
     }
 }
--- a/crates/discovery/src/update.rs
+++ b/crates/discovery/src/update.rs
@@ -18,30 +18,30 @@
 /// Where an event's engines are in its text.
 const TARGETS: &[&str] = &["endpoints", "targets"];
 /// Longest reason that is told (bytes): it may quote what was read.
-const MAX_REASON: usize = 160;
+const MAX_REASON_BYTES: usize = 160;
 
 /// Why a list of engines is not taken.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ListError {
     /// Its text is longer than the memory limit allows.
-    #[error("{bytes} bytes so far with {engines} engines, and {most} bytes at most under the memory limit")]
+    #[error("{bytes} bytes so far with {engines} engines, and {limit} bytes at most under the memory limit")]
     TooLong {
         /// What has come of it (bytes).
         bytes: usize,
         /// Engines that it has named so far (count).
         engines: usize,
         /// Its bound (bytes).
-        most: usize,
+        limit: usize,
     },
     /// It names more engines than the memory limit allows.
     #[error(
-        "over {most} engines in {bytes} bytes so far, and {most} engines at most under the memory limit"
+        "over {limit} engines in {bytes} bytes so far, and {limit} engines at most under the memory limit"
     )]
     TooMany {
         /// What has come of it (bytes).
         bytes: usize,
         /// Its bound (count).
-        most: usize,
+        limit: usize,
     },
     /// It can't be read.
     #[error("{0}")]
@@ -55,26 +55,26 @@
     }
 
     /// A reason of no more than [`MAX_REASON`] bytes, whatever it quotes.
-    pub(crate) fn spoilt(why: impl std::fmt::Display) -> ListError {
-        let mut why = why.to_string();
-        if why.len() > MAX_REASON {
-            let end = (0..=MAX_REASON).rev().find(|at| why.is_char_boundary(*at)).unwrap_or(0);
-            why.truncate(end);
-            why.push_str("...");
+    pub(crate) fn invalid(reason: impl std::fmt::Display) -> ListError {
+        let mut reason = reason.to_string();
+        if reason.len() > MAX_REASON_BYTES {
+            let end = (0..=MAX_REASON_BYTES).rev().find(|at| reason.is_char_boundary(*at)).unwrap_or(0);
+            reason.truncate(end);
+            reason.push_str("...");
         }
-        ListError::Invalid(why)
+        ListError::Invalid(reason)
     }
 }
 
 impl From<SplitError> for ListError {
     fn from(error: SplitError) -> ListError {
-        ListError::spoilt(error)
+        ListError::invalid(error)
     }
 }
 
 impl From<serde_json::Error> for ListError {
     fn from(error: serde_json::Error) -> ListError {
-        ListError::spoilt(error)
+        ListError::invalid(error)
     }
 }
 
@@ -167,11 +167,11 @@
     /// # Errors
     /// Where it is no event.
     pub fn read(text: &str, names: &Names) -> Result<Update, ListError> {
-        Update::of(text.as_bytes(), Vec::new(), names)
+        Update::from_parts(text.as_bytes(), Vec::new(), names)
     }
 
     /// An event whose first engines were read before, from the text without them.
-    fn of(text: &[u8], mut targets: Vec<Target>, names: &Names) -> Result<Update, ListError> {
+    fn from_parts(text: &[u8], mut targets: Vec<Target>, names: &Names) -> Result<Update, ListError> {
         let raw: RawUpdate = serde_json::from_slice(text)?;
         targets.extend(raw.endpoints.targets.iter().map(|target| target.target(names)));
         let kind = if raw.endpoints.all { MembershipKind::Full } else { MembershipKind::Delta };
@@ -187,14 +187,14 @@
     targets: Vec<Target>,
     bytes: usize,
     /// Why it can't be read: the rest of it is passed over, up to its end.
-    spoilt: Option<ListError>,
+    invalid: Option<ListError>,
 }
 
 impl UpdateReader {
     /// An event of which nothing has come.
     pub fn new(bound: ListBound) -> UpdateReader {
         let splitter = Splitter::new(TARGETS, bound.entry_bytes);
-        UpdateReader { splitter, bound, targets: Vec::new(), bytes: 0, spoilt: None }
+        UpdateReader { splitter, bound, targets: Vec::new(), bytes: 0, invalid: None }
     }
 
     /// What has come of it (bytes).
@@ -207,26 +207,26 @@
     /// # Errors
     /// Where it is over its bound; what can't be read is told by [`UpdateReader::finish`].
     pub fn push(&mut self, piece: &[u8], names: &Names) -> Result<(), ListError> {
-        let UpdateReader { splitter, bound, targets, bytes, spoilt } = self;
+        let UpdateReader { splitter, bound, targets, bytes, invalid } = self;
         *bytes += piece.len();
         if *bytes > bound.event_bytes {
             let (bytes, engines) = (*bytes, targets.len());
-            return Err(ListError::TooLong { bytes, engines, most: bound.event_bytes });
+            return Err(ListError::TooLong { bytes, engines, limit: bound.event_bytes });
         }
-        if spoilt.is_some() {
+        if invalid.is_some() {
             return Ok(());
         }
-        let took = splitter.push(piece, |entry| {
+        let result = splitter.push(piece, |entry| {
             if targets.len() >= bound.engines {
-                return Err(ListError::TooMany { bytes: *bytes, most: bound.engines });
+                return Err(ListError::TooMany { bytes: *bytes, limit: bound.engines });
             }
             targets.push(serde_json::from_slice::<RawTarget>(entry)?.target(names));
             Ok(())
         });
-        match took {
+        match result {
             Err(error) if error.is_over_limit() => Err(error),
             Err(error) => {
-                (*spoilt, *targets) = (Some(error), Vec::new());
+                (*invalid, *targets) = (Some(error), Vec::new());
                 Ok(())
             }
             Ok(()) => Ok(()),
@@ -238,9 +238,9 @@
     /// # Errors
     /// Where it can't be read.
     pub fn finish(self, names: &Names) -> Result<Update, ListError> {
-        match self.spoilt {
+        match self.invalid {
             Some(error) => Err(error),
-            None => Update::of(&self.splitter.finish()?, self.targets, names),
+            None => Update::from_parts(&self.splitter.finish()?, self.targets, names),
         }
     }
 }
--- a/crates/discovery/tests/cached_snapshot.rs
+++ b/crates/discovery/tests/cached_snapshot.rs
@@ -1,4 +1,4 @@
-//! The kept list: what is written is read again, and what can't be believed is refused whole.
+//! The snapshot list: what is written is read again, and what can't be believed is refused whole.
 
 use marljunction_control::interface::*;
 use marljunction_discovery::bound::ListBound;
@@ -31,8 +31,8 @@
     Change { kind, targets }
 }
 
-fn decode(bytes: &[u8], names: &Names, now: u64, most_ns: u64) -> Result<(Change, u64), DecodeError> {
-    cached_snapshot::decode(bytes, names, now, most_ns, &ListBound::default())
+fn decode(bytes: &[u8], names: &Names, now: u64, max_age_ns: u64) -> Result<(Change, u64), DecodeError> {
+    cached_snapshot::decode(bytes, names, now, max_age_ns, &ListBound::default())
 }
 
 fn encode(listed_engines: &ListedEngines) -> String {
@@ -47,11 +47,11 @@
 
 fn file() -> String {
     let mut listed_engines = ListedEngines::default();
-    listed_engines.change(&change(
+    listed_engines.apply(&change(
         MembershipKind::Full,
         vec![target(1, EngineState::Ready), target(2, EngineState::Ready), target(3, EngineState::Ready)],
     ));
-    listed_engines.change(&change(
+    listed_engines.apply(&change(
         MembershipKind::Delta,
         vec![target(2, EngineState::Draining), target(3, EngineState::Gone)],
     ));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_again_with_its_age() {
+fn a_written_snapshot_is_decoded_with_its_age() {
     let (read, age) = decode(file().as_bytes(), &names(), NOW + 90 * S, 3_600 * S).unwrap();
     assert_eq!(age, 90 * S);
     assert_eq!(
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_file_cut_anywhere_or_with_any_bit_flipped_is_refused() {
+fn a_truncated_file_or_one_with_a_flipped_bit_is_rejected() {
     let whole = file().into_bytes();
     for size in 0..whole.len() {
         let rejected_updates = decode(&whole[..size], &names(), NOW, 3_600 * S).unwrap_err();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn other_versions_old_lists_and_huge_files_are_told_apart() {
+fn unsupported_versions_and_files_over_a_limit_have_their_own_errors() {
     let read = |text: &str| decode(text.as_bytes(), &names(), NOW, 60 * S).unwrap_err();
     assert_eq!(read(""), DecodeError::NotASnapshot);
     assert_eq!(read("{}\n"), DecodeError::NotASnapshot);
@@ -102,10 +102,10 @@
     assert_eq!(decode(file().as_bytes(), &names(), NOW + 61 * S, 60 * S), Err(DecodeError::TooOld(61 * S)));
     let bound = ListBound::default();
     let huge = vec![b'x'; bound.file_bytes + 1];
-    let most = bound.file_bytes as u64;
-    assert_eq!(decode(&huge, &names(), NOW, S), Err(DecodeError::TooLarge(most + 1, most)));
+    let limit = bound.file_bytes as u64;
+    assert_eq!(decode(&huge, &names(), NOW, S), Err(DecodeError::TooLarge(limit + 1, limit)));
     let mut many = ListedEngines::default();
-    many.change(&ready(bound.engines + 1));
+    many.apply(&ready(bound.engines + 1));
     assert_eq!(
         decode(encode(&many).as_bytes(), &names(), NOW, S),
         Err(DecodeError::TooManyEngines(bound.engines))
@@ -113,29 +113,29 @@
 }
 
 #[test]
-fn a_list_of_30000_engines_is_read_again_as_it_was() {
+fn a_snapshot_of_30000_engines_survives_a_round_trip() {
     let mut listed_engines = ListedEngines::default();
-    listed_engines.change(&ready(30_000));
+    listed_engines.apply(&ready(30_000));
     let (read, _) = decode(encode(&listed_engines).as_bytes(), &names(), NOW, S).unwrap();
     assert_eq!(read.targets, listed_engines.iter().collect::<Vec<_>>());
     assert_eq!(read.targets.len(), 30_000);
 }
 
 #[test]
-fn a_list_over_the_bound_is_not_written_and_one_within_it_again() {
+fn a_snapshot_over_the_bound_is_not_written() {
     let bound = ListBound::of(1.0);
-    let mut kept = CachedSnapshot::new(bound);
-    assert!(!kept.due(NOW, bound.engines + 1) && kept.due(NOW + 10 * S, bound.engines));
+    let mut snapshot = CachedSnapshot::new(bound);
+    assert!(!snapshot.due(NOW, bound.engines + 1) && snapshot.due(NOW + 10 * S, bound.engines));
 }
 
 #[test]
-fn a_list_is_written_a_second_after_it_changed_at_most_and_again_as_it_ages() {
-    let mut kept = CachedSnapshot::new(ListBound::default());
-    assert!(!kept.due(NOW, 0), "nothing to write yet");
-    kept.changed();
-    assert!(kept.due(NOW, 1) && !kept.due(NOW + 9 * S, 1) && kept.due(NOW + 10 * S, 1));
-    kept.changed();
-    assert!(!kept.due(NOW + 10 * S + 1, 2) && kept.due(NOW + 11 * S, 2));
-    kept.changed();
-    assert!(!kept.due(NOW + 60 * S, 0), "a list that names no engine does not push out one that does");
+fn a_snapshot_is_written_within_a_second_of_a_change_and_refreshed_every_ten() {
+    let mut snapshot = CachedSnapshot::new(ListBound::default());
+    assert!(!snapshot.due(NOW, 0), "nothing to write yet");
+    snapshot.changed();
+    assert!(snapshot.due(NOW, 1) && !snapshot.due(NOW + 9 * S, 1) && snapshot.due(NOW + 10 * S, 1));
+    snapshot.changed();
+    assert!(!snapshot.due(NOW + 10 * S + 1, 2) && snapshot.due(NOW + 11 * S, 2));
+    snapshot.changed();
+    assert!(!snapshot.due(NOW + 60 * S, 0), "a list that names no engine does not push out one that does");
 }
--- a/crates/discovery/tests/common/mod.rs
+++ b/crates/discovery/tests/common/mod.rs
@@ -65,46 +65,46 @@
     }
 }
 
-/// The sockets of whoever asks, and the service that is asked.
-pub struct Wire {
+/// The sockets of whoever asks, and the service that is request.
+pub struct TestService {
     poll: Poll,
     pub net: Net,
-    service: TcpListener,
+    listener: TcpListener,
     /// The service's connections, and what came on them since the last whole call.
     calls: Vec<(TcpStream, Vec<u8>)>,
     pub now: u64,
 }
 
-impl Wire {
-    pub fn new() -> Wire {
+impl TestService {
+    pub fn new() -> TestService {
         let poll = Poll::new().unwrap();
         let net = Net::new(poll.registry().try_clone().unwrap(), 1, Room::of(64, 64.0));
-        let service = TcpListener::bind("127.0.0.1:0").unwrap();
-        service.set_nonblocking(true).unwrap();
-        Wire { poll, net, service, calls: Vec::new(), now: T0 }
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        listener.set_nonblocking(true).unwrap();
+        TestService { poll, net, listener, calls: Vec::new(), now: T0 }
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.service.local_addr().unwrap()
+        self.listener.local_addr().unwrap()
     }
 
     /// A call that has come whole, and what it asks for.
-    pub fn call(&mut self) -> Option<(TcpStream, String)> {
-        while let Ok((call, _)) = self.service.accept() {
+    pub fn next_request(&mut self) -> Option<(TcpStream, String)> {
+        while let Ok((call, _)) = self.listener.accept() {
             call.set_nonblocking(false).unwrap();
             call.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
             self.calls.push((call, Vec::new()));
         }
         let mut bytes = [0; 4096];
-        self.calls.retain_mut(|(call, asked)| match call.read(&mut bytes) {
+        self.calls.retain_mut(|(call, request)| match call.read(&mut bytes) {
             Ok(size) => {
-                asked.extend_from_slice(&bytes[..size]);
+                request.extend_from_slice(&bytes[..size]);
                 size > 0
             }
             Err(e) => matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
         });
-        let (call, asked) = self.calls.iter_mut().find(|(_, asked)| asked.ends_with(b"\r\n\r\n"))?;
-        Some((call.try_clone().unwrap(), String::from_utf8(std::mem::take(asked)).unwrap()))
+        let (call, request) = self.calls.iter_mut().find(|(_, request)| request.ends_with(b"\r\n\r\n"))?;
+        Some((call.try_clone().unwrap(), String::from_utf8(std::mem::take(request)).unwrap()))
     }
 
     /// Connections with something to look at within a time.
@@ -123,45 +123,50 @@
 }
 
 /// Answers on a thread of its own, as what it says may be larger than the machine holds on its way; ends the connection behind it
-/// unless that `stays`.
-pub fn answer(mut call: TcpStream, head: &str, body: Vec<u8>, stays: bool) -> std::thread::JoinHandle<()> {
+/// unless that `keep_open`.
+pub fn answer(
+    mut call: TcpStream,
+    head: &str,
+    body: Vec<u8>,
+    keep_open: bool,
+) -> std::thread::JoinHandle<()> {
     let head = head.to_owned();
     std::thread::spawn(move || {
         // Whoever asked may have had enough.
         let _ = call.write_all(head.as_bytes()).and_then(|()| call.write_all(&body));
-        if !stays {
+        if !keep_open {
             let _ = call.shutdown(Shutdown::Both);
         }
     })
 }
 
 thread_local! {
-    static SAID: std::cell::RefCell<Vec<String>> = const { std::cell::RefCell::new(Vec::new()) };
+    static LOG_LINES: std::cell::RefCell<Vec<String>> = const { std::cell::RefCell::new(Vec::new()) };
 }
 
-struct Said;
+struct CapturedLog;
 
-impl log::Log for Said {
+impl log::Log for CapturedLog {
     fn enabled(&self, _: &log::Metadata) -> bool {
         true
     }
 
     fn log(&self, record: &log::Record) {
-        SAID.with(|said| said.borrow_mut().push(format!("{} {}", record.level(), record.args())));
+        LOG_LINES.with(|lines| lines.borrow_mut().push(format!("{} {}", record.level(), record.args())));
     }
 
     fn flush(&self) {}
 }
 
 /// What this test logs from here on.
-pub fn listen() {
+pub fn capture_log() {
     // Another test of this program may have set it up.
-    let _ = log::set_logger(&Said);
+    let _ = log::set_logger(&CapturedLog);
     log::set_max_level(log::LevelFilter::Info);
-    SAID.with(|said| said.borrow_mut().clear());
+    LOG_LINES.with(|lines| lines.borrow_mut().clear());
 }
 
 /// Lines of this test's log that hold some words.
-pub fn said(words: &str) -> Vec<String> {
-    SAID.with(|said| said.borrow().iter().filter(|line| line.contains(words)).cloned().collect())
+pub fn logged_lines(words: &str) -> Vec<String> {
+    LOG_LINES.with(|lines| lines.borrow().iter().filter(|line| line.contains(words)).cloned().collect())
 }
--- a/crates/discovery/tests/events.rs
+++ b/crates/discovery/tests/events.rs
@@ -18,8 +18,8 @@
     let mut input = Vec::new();
     for part in body.chunks(piece) {
         input.extend_from_slice(part);
-        match reader.take(&input, &names, &mut out) {
-            Ok(taken) => drop(input.drain(..taken)),
+        match reader.decode(&input, &names, &mut out) {
+            Ok(consumed) => drop(input.drain(..consumed)),
             Err(fault) => return (out, Err(fault)),
         }
     }
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn lists_of_1000_5000_and_30000_engines_are_read_whole_in_any_pieces() {
+fn large_lists_are_read_in_pieces_of_any_size() {
     for (engines, pieces) in [(1_000, vec![1, 7, 4096]), (5_000, vec![1_448]), (30_000, vec![1_448, 65_536])]
     {
         let body = event(7, &list(7, engines)).into_bytes();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn one_chunk_may_hold_a_whole_list() {
+fn a_whole_list_may_come_in_one_chunk() {
     let body = event(7, &list(7, 5_000)).into_bytes();
     let (events, ended) = read(&chunked(&body, body.len()), true, 10_000);
     assert_eq!(ended, Ok(()));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_event_is_read_the_same_wherever_it_is_cut_and_as_a_whole_text() {
+fn an_event_is_read_the_same_in_pieces_of_any_size() {
     let text = format!(
         r#" {{ "more": {{"targets":[{{"x":1}}],"a\"b]":"}}"}}, "index" : 9, "endpoints" : {{ "targets" : [ {} , {} ] , "all" : false }} }} "#,
         target(1, "terminating"),
@@ -81,10 +81,10 @@
 }
 
 #[test]
-fn an_event_that_is_none_costs_only_itself() {
+fn an_invalid_event_does_not_affect_the_next_one() {
     let (one, two) = (target(1, "in_service"), target(2, "in_service"));
     let with = |targets: &str| format!(r#"{{"index":3,"endpoints":{{"all":true,"targets":{targets}}}}}"#);
-    let spoilt = [
+    let invalid = [
         with(&format!("[{one} {two}]")),
         with(&format!("[{one},,{two}]")),
         with(&format!("[,{one}]")),
@@ -99,7 +99,7 @@
         format!("{} x", with(&format!("[{one}]"))),
         list(3, 40)[..2_000].to_owned(),
     ];
-    for text in &spoilt {
+    for text in &invalid {
         let body = event(3, text) + &event(4, &list(4, 2));
         let (events, ended) = read(body.as_bytes(), false, 100);
         assert_eq!((ended, events.len()), (Ok(()), 2), "{text}");
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn what_a_spoilt_event_quotes_is_cut_short() {
+fn the_error_of_an_invalid_event_is_truncated() {
     let text = list(3, 1).replace("in_service", &"é".repeat(20_000));
     let (events, _) = read(event(3, &text).as_bytes(), false, 1_000);
     let Err(ListError::Invalid(why)) = &events[0].update else { panic!("spoilt") };
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_bounds_follow_from_the_memory_limit() {
+fn the_bounds_scale_with_the_memory_limit() {
     let (small, large) = (ListBound::of(32.0), ListBound::of(320.0));
     assert!(small.engines >= 30_000, "{small:?}");
     // Engines as long as those of the tests.
@@ -125,36 +125,38 @@
     let ten = |a: usize, b: usize| assert!(b.abs_diff(a * 10) <= a, "{a} and {b}");
     ten(small.engines, large.engines);
     ten(small.event_bytes, large.event_bytes);
-    ten(small.answer_bytes, large.answer_bytes);
+    ten(small.response_bytes, large.response_bytes);
     ten(small.entry_bytes, large.entry_bytes);
     ten(small.file_bytes, large.file_bytes);
     assert_eq!(ListBound::of(f64::NAN).engines, 0);
 }
 
 #[test]
-fn an_endless_line_ends_at_the_bound_whatever_it_is() {
-    let most = ListBound::default().event_bytes;
+fn an_endless_line_of_any_field_is_rejected_at_the_bound() {
+    let limit = ListBound::default().event_bytes;
     for line in ["data: ", "data: {\"index\":3,\"endpoints\":{\"targets\":[", ":", "id: ", "x", "event:"] {
         let mut body = line.as_bytes().to_vec();
-        body.resize(most + 2_000, if line.ends_with('[') { b' ' } else { b'1' });
+        body.resize(limit + 2_000, if line.ends_with('[') { b' ' } else { b'1' });
         let (events, ended) = read(&body, false, 50_000);
-        let Err(SourceError::List(ListError::TooLong { bytes, most: told, .. })) = ended else {
+        let Err(SourceError::List(ListError::TooLong { bytes, limit: reported, .. })) = ended else {
             panic!("{line}: {ended:?}")
         };
         assert!(
-            events.is_empty() && told == most && bytes > most && bytes <= most + 50_000,
+            events.is_empty() && reported == limit && bytes > limit && bytes <= limit + 50_000,
             "{line}: {bytes}"
         );
     }
 }
 
 #[test]
-fn a_list_of_more_engines_than_the_bound_ends_where_it_is_reached() {
-    let most = ListBound::default().engines;
-    let (events, ended) = read(event(3, &list(3, most + 1)).as_bytes(), false, 65_536);
+fn a_list_with_more_engines_than_the_bound_is_rejected() {
+    let limit = ListBound::default().engines;
+    let (events, ended) = read(event(3, &list(3, limit + 1)).as_bytes(), false, 65_536);
     assert!(events.is_empty());
-    let Err(SourceError::List(ListError::TooMany { bytes, most: told })) = ended else { panic!("{ended:?}") };
-    assert!(told == most && bytes > most * 150);
-    let (events, ended) = read(event(3, &list(3, most)).as_bytes(), false, 65_536);
+    let Err(SourceError::List(ListError::TooMany { bytes, limit: reported })) = ended else {
+        panic!("{ended:?}")
+    };
+    assert!(reported == limit && bytes > limit * 150);
+    let (events, ended) = read(event(3, &list(3, limit)).as_bytes(), false, 65_536);
     assert_eq!((events.len(), ended), (1, Ok(())));
 }
--- a/crates/discovery/tests/excluded_engines.rs
+++ b/crates/discovery/tests/excluded_engines.rs
@@ -18,66 +18,66 @@
 }
 
 #[test]
-fn a_banned_engine_drains_whatever_the_lists_say_until_it_is_put_back() {
-    let mut excluded_engines = ExcludedEngines::new();
-    excluded_engines.filter_change(list(
+fn an_excluded_engine_drains_until_it_is_enabled_again() {
+    let mut exclusions = ExcludedEngines::new();
+    exclusions.filter_change(list(
         MembershipKind::Full,
         &[("s-1", EngineState::Ready), ("s-2", EngineState::Ready)],
     ));
-    let told = excluded_engines.disable("s-1", false).unwrap().expect("the module is told");
-    assert_eq!((told.kind, states(&told)), (MembershipKind::Delta, vec![EngineState::Draining]));
-    let again = list(MembershipKind::Full, &[("s-1", EngineState::Ready), ("s-2", EngineState::Ready)]);
-    assert_eq!(states(&excluded_engines.filter_change(again)), [EngineState::Draining, EngineState::Ready]);
-    let delta = excluded_engines.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Ready)]));
+    let change = exclusions.disable("s-1", false).unwrap().expect("the module is told");
+    assert_eq!((change.kind, states(&change)), (MembershipKind::Delta, vec![EngineState::Draining]));
+    let relisted = list(MembershipKind::Full, &[("s-1", EngineState::Ready), ("s-2", EngineState::Ready)]);
+    assert_eq!(states(&exclusions.filter_change(relisted)), [EngineState::Draining, EngineState::Ready]);
+    let delta = exclusions.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Ready)]));
     assert_eq!(states(&delta), [EngineState::Draining]);
-    // Two calls out, one back.
-    assert_eq!(excluded_engines.disable("s-1", false), Ok(None));
-    let back = excluded_engines.enable("s-1", 1_000).unwrap().expect("the module is told");
-    assert_eq!(states(&back), [EngineState::Ready]);
-    assert_eq!(back.targets[0].entry.started_ns, Some(1_000), "it comes back as just started: cold");
-    assert!(!excluded_engines.is_excluded(engine_id("s-1")));
-    let delta = excluded_engines.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Ready)]));
+    // Two calls out, one enabled.
+    assert_eq!(exclusions.disable("s-1", false), Ok(None));
+    let enabled = exclusions.enable("s-1", 1_000).unwrap().expect("the module is told");
+    assert_eq!(states(&enabled), [EngineState::Ready]);
+    assert_eq!(enabled.targets[0].entry.started_ns, Some(1_000), "it comes back as just started: cold");
+    assert!(!exclusions.is_excluded(engine_id("s-1")));
+    let delta = exclusions.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Ready)]));
     assert_eq!(states(&delta), [EngineState::Ready]);
 }
 
 #[test]
-fn an_id_that_nobody_has_is_a_no() {
-    let mut excluded_engines = ExcludedEngines::new();
-    excluded_engines.filter_change(list(MembershipKind::Full, &[("s-1", EngineState::Ready)]));
-    assert_eq!(excluded_engines.disable("s-9", false), Err(ExclusionError::Unknown));
-    assert_eq!(excluded_engines.enable("s-9", 1), Err(ExclusionError::Unknown));
-    assert_eq!(excluded_engines.disable("s 1", false), Err(ExclusionError::Malformed));
-    assert_eq!(excluded_engines.disable(&"s".repeat(200), false), Err(ExclusionError::Malformed));
+fn an_unknown_or_malformed_id_is_an_error() {
+    let mut exclusions = ExcludedEngines::new();
+    exclusions.filter_change(list(MembershipKind::Full, &[("s-1", EngineState::Ready)]));
+    assert_eq!(exclusions.disable("s-9", false), Err(ExclusionError::Unknown));
+    assert_eq!(exclusions.enable("s-9", 1), Err(ExclusionError::Unknown));
+    assert_eq!(exclusions.disable("s 1", false), Err(ExclusionError::Malformed));
+    assert_eq!(exclusions.disable(&"s".repeat(200), false), Err(ExclusionError::Malformed));
     // Known and not out: putting it back is a yes with nothing to tell.
-    assert_eq!(excluded_engines.enable("s-1", 1), Ok(None));
+    assert_eq!(exclusions.enable("s-1", 1), Ok(None));
     // Gone from the lists: nobody has it any more.
-    excluded_engines.filter_change(list(MembershipKind::Full, &[]));
-    assert_eq!(excluded_engines.disable("s-1", false), Err(ExclusionError::Unknown));
+    exclusions.filter_change(list(MembershipKind::Full, &[]));
+    assert_eq!(exclusions.disable("s-1", false), Err(ExclusionError::Unknown));
 }
 
 #[test]
-fn a_ban_outlasts_the_engine_leaving_the_lists_and_holds_when_it_returns() {
-    let mut excluded_engines = ExcludedEngines::new();
-    excluded_engines.filter_change(list(MembershipKind::Full, &[("s-1", EngineState::Ready)]));
-    excluded_engines.disable("s-1", false).unwrap();
-    excluded_engines.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Gone)]));
-    excluded_engines.filter_change(list(MembershipKind::Full, &[]));
-    let returns = excluded_engines.filter_change(list(MembershipKind::Full, &[("s-1", EngineState::Ready)]));
-    assert_eq!(states(&returns), [EngineState::Draining]);
-    let gone = excluded_engines.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Gone)]));
+fn an_exclusion_outlasts_the_removal_of_its_engine_from_the_list() {
+    let mut exclusions = ExcludedEngines::new();
+    exclusions.filter_change(list(MembershipKind::Full, &[("s-1", EngineState::Ready)]));
+    exclusions.disable("s-1", false).unwrap();
+    exclusions.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Gone)]));
+    exclusions.filter_change(list(MembershipKind::Full, &[]));
+    let relisted = exclusions.filter_change(list(MembershipKind::Full, &[("s-1", EngineState::Ready)]));
+    assert_eq!(states(&relisted), [EngineState::Draining]);
+    let gone = exclusions.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Gone)]));
     assert_eq!(states(&gone), [EngineState::Gone], "what has gone is told as gone");
 }
 
 #[test]
-fn bans_pass_to_a_successor_by_their_text() {
-    let mut excluded_engines = ExcludedEngines::new();
-    excluded_engines.filter_change(list(
+fn exclusions_pass_to_a_successor_process_as_text() {
+    let mut exclusions = ExcludedEngines::new();
+    exclusions.filter_change(list(
         MembershipKind::Full,
         &[("s-1", EngineState::Ready), ("s-2", EngineState::Ready)],
     ));
-    excluded_engines.disable("s-2", false).unwrap();
-    excluded_engines.disable("s-1", false).unwrap();
-    let text = excluded_engines.to_text();
+    exclusions.disable("s-2", false).unwrap();
+    exclusions.disable("s-1", false).unwrap();
+    let text = exclusions.to_text();
     // The successor reads them before it hears any list.
     let mut successor = ExcludedEngines::new();
     assert!(
@@ -101,42 +101,40 @@
 }
 
 #[test]
-fn bans_are_bounded() {
-    let mut excluded_engines = ExcludedEngines::new();
+fn the_number_of_exclusions_is_bounded() {
+    let mut exclusions = ExcludedEngines::new();
     let names: Vec<String> = (0..MAX_EXCLUDED + 10).map(|n| format!("s-{n}")).collect();
-    excluded_engines.replace_all(names.iter().map(String::as_str), 1);
-    assert_eq!(excluded_engines.names().count(), MAX_EXCLUDED);
-    assert_eq!(excluded_engines.disable("s-extra", true), Err(ExclusionError::Full));
+    exclusions.replace_all(names.iter().map(String::as_str), 1);
+    assert_eq!(exclusions.names().count(), MAX_EXCLUDED);
+    assert_eq!(exclusions.disable("s-extra", true), Err(ExclusionError::Full));
 }
 
 #[test]
-fn the_fleets_words_and_a_routers_own_bans_hold_beside_each_other() {
-    let mut excluded_engines = ExcludedEngines::new();
-    excluded_engines
+fn fleet_and_local_exclusions_are_independent() {
+    let mut exclusions = ExcludedEngines::new();
+    exclusions
         .filter_change(list(MembershipKind::Full, &[("e1", EngineState::Ready), ("e2", EngineState::Ready)]));
     let states = |changes: Vec<Change>| -> Vec<EngineState> { changes.iter().flat_map(states).collect() };
     assert_eq!(
-        states(excluded_engines.set_fleet_excluded(["e1", "nobody"].into_iter(), 5)),
+        states(exclusions.set_fleet_excluded(["e1", "nobody"].into_iter(), 5)),
         [EngineState::Draining]
     );
-    assert!(
-        excluded_engines.is_excluded(engine_id("e1")) && excluded_engines.is_excluded(engine_id("nobody"))
-    );
+    assert!(exclusions.is_excluded(engine_id("e1")) && exclusions.is_excluded(engine_id("nobody")));
     // Its own ban adds nothing, and outlasts the fleet's word; its end changes nothing while that holds.
-    assert_eq!(excluded_engines.disable("e1", false), Ok(None));
-    assert_eq!(excluded_engines.enable("e1", 6), Ok(None));
-    assert_eq!(excluded_engines.disable("e1", false), Ok(None));
-    assert_eq!(excluded_engines.set_fleet_excluded(std::iter::empty(), 7), Vec::new());
-    assert!(excluded_engines.is_excluded(engine_id("e1")));
-    assert_eq!(states(excluded_engines.enable("e1", 8).unwrap().into_iter().collect()), [EngineState::Ready]);
+    assert_eq!(exclusions.disable("e1", false), Ok(None));
+    assert_eq!(exclusions.enable("e1", 6), Ok(None));
+    assert_eq!(exclusions.disable("e1", false), Ok(None));
+    assert_eq!(exclusions.set_fleet_excluded(std::iter::empty(), 7), Vec::new());
+    assert!(exclusions.is_excluded(engine_id("e1")));
+    assert_eq!(states(exclusions.enable("e1", 8).unwrap().into_iter().collect()), [EngineState::Ready]);
     // Only its own are kept for a successor: the fleet's words have a file of their own.
-    excluded_engines.disable("e2", false).unwrap();
-    excluded_engines.set_fleet_excluded(["e1"].into_iter(), 9);
-    assert_eq!(excluded_engines.to_text(), "e2\n");
+    exclusions.disable("e2", false).unwrap();
+    exclusions.set_fleet_excluded(["e1"].into_iter(), 9);
+    assert_eq!(exclusions.to_text(), "e2\n");
     // A list that has the engine as ready changes nothing while it is out, and it is back cold.
-    let passed = excluded_engines
+    let passed = exclusions
         .filter_change(list(MembershipKind::Full, &[("e1", EngineState::Ready), ("e2", EngineState::Ready)]));
     assert!(passed.targets.iter().all(|t| t.entry.state == EngineState::Draining));
-    let back = excluded_engines.set_fleet_excluded(std::iter::empty(), 10);
-    assert_eq!(back[0].targets[0].entry.started_ns, Some(10));
+    let enabled = exclusions.set_fleet_excluded(std::iter::empty(), 10);
+    assert_eq!(enabled[0].targets[0].entry.started_ns, Some(10));
 }
--- a/crates/discovery/tests/large_consul.rs
+++ b/crates/discovery/tests/large_consul.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use common::{answer, chunked, listen, names, pacing, said, Wire, MS, T0};
+use common::{answer, capture_log, chunked, logged_lines, names, pacing, TestService, MS, T0};
 use marljunction_control::interface::EngineState;
 use marljunction_discovery::bound::ListBound;
 use marljunction_discovery::consul::Consul;
@@ -41,66 +41,71 @@
     format!("[{}]", (1..=engines).map(entry).collect::<Vec<_>>().join(","))
 }
 
-struct Bed {
-    wire: Wire,
+struct Harness {
+    service: TestService,
     consul: Consul,
     changes: Vec<Change>,
     /// When the catalogue and the health were asked for (ns).
-    asked: [Vec<u64>; 2],
+    queries_ns: [Vec<u64>; 2],
 }
 
-impl Bed {
-    fn new(memory_mb: f64) -> Bed {
-        listen();
-        let wire = Wire::new();
-        let consul = Consul::new(T0, wire.address(), "engine".into(), names(), pacing(3));
+impl Harness {
+    fn new(memory_mb: f64) -> Harness {
+        capture_log();
+        let service = TestService::new();
+        let consul = Consul::new(T0, service.address(), "engine".into(), names(), pacing(3));
         let consul = consul.with_bound(ListBound::of(memory_mb));
-        Bed { wire, consul, changes: Vec::new(), asked: Default::default() }
+        Harness { service, consul, changes: Vec::new(), queries_ns: Default::default() }
     }
 
     fn count(&self, reason: RejectReason) -> u64 {
-        self.consul.rejected_updates().iter().map(|rejected_updates| rejected_updates.count(reason)).sum()
+        self.consul.rejected_updates().iter().map(|rejected| rejected.count(reason)).sum()
     }
 
     /// Passes time until a query comes; which one it is.
-    fn call(&mut self) -> (TcpStream, usize) {
+    fn next_request(&mut self) -> (TcpStream, usize) {
         loop {
             // Each call that was made comes: time waits for it.
-            let seen = self.asked.iter().map(Vec::len).sum::<usize>() as u64;
-            if self.consul.stats().0 .0 == seen {
-                self.wire.now += 20 * MS;
-                self.consul.tick(self.wire.now, &mut self.wire.net);
-                assert!(self.wire.now < T0 + 3_600 * S, "no call");
+            let received_count = self.queries_ns.iter().map(Vec::len).sum::<usize>() as u64;
+            if self.consul.stats().0 .0 == received_count {
+                self.service.now += 20 * MS;
+                self.consul.tick(self.service.now, &mut self.service.net);
+                assert!(self.service.now < T0 + 3_600 * S, "no call");
                 continue;
             }
-            let ready = self.wire.ready_within(Duration::from_millis(20));
-            self.take(ready);
-            if let Some((call, asked)) = self.wire.call() {
-                let watch = usize::from(asked.starts_with("GET /v1/health/"));
-                self.asked[watch].push(self.wire.now);
-                self.wire.now += MS;
+            let ready = self.service.ready_within(Duration::from_millis(20));
+            self.process(ready);
+            if let Some((call, request)) = self.service.next_request() {
+                let watch = usize::from(request.starts_with("GET /v1/health/"));
+                self.queries_ns[watch].push(self.service.now);
+                self.service.now += MS;
                 return (call, watch);
             }
         }
     }
 
     fn read(&mut self) {
-        let ready = self.wire.ready();
-        self.take(ready);
+        let ready = self.service.ready();
+        self.process(ready);
     }
 
-    fn take(&mut self, mut ready: Vec<u64>) {
+    fn process(&mut self, mut ready: Vec<u64>) {
         while let Some(conn) = ready.pop() {
-            self.changes.extend(self.consul.ready(self.wire.now, &mut self.wire.net, conn));
-            if self.wire.net.has_more(conn) {
+            self.changes.extend(self.consul.ready(self.service.now, &mut self.service.net, conn));
+            if self.service.net.has_more(conn) {
                 ready.push(conn);
             }
         }
     }
 
     /// Answers the next query with what is said for it, up to what it comes to.
-    fn exchange(&mut self, bodies: [&str; 2], is_chunked: bool, until: impl Fn(&Bed) -> bool) -> usize {
-        let (call, watch) = self.call();
+    fn answer_next(
+        &mut self,
+        bodies: [&str; 2],
+        is_chunked: bool,
+        until: impl Fn(&Harness) -> bool,
+    ) -> usize {
+        let (call, watch) = self.next_request();
         let body = bodies[watch].as_bytes();
         let (head, body) = match is_chunked {
             true => (
@@ -110,35 +115,37 @@
             false => (format!("Content-Length: {}", body.len()), body.to_vec()),
         };
         let head = format!("HTTP/1.1 200 OK\r\nX-Consul-Index: 7\r\n{head}\r\n\r\n");
-        let answered = answer(call, &head, body, true);
+        let responder = answer(call, &head, body, true);
         while !until(self) {
             self.read();
         }
-        answered.join().unwrap();
+        responder.join().unwrap();
         watch
     }
 
     /// Answers both queries well.
-    fn learn(&mut self, engines: usize, is_chunked: bool) {
+    fn receive_list(&mut self, engines: usize, is_chunked: bool) {
         let (catalogue, health) = (catalogue(engines), health(engines));
         let mut seen = [false; 2];
         while !seen.iter().all(|seen| *seen) {
-            let news = self.changes.len();
-            let taken =
-                |bed: &Bed| bed.changes.len() > news || bed.consul.stats().1.age_ns(bed.wire.now) == 0;
-            seen[self.exchange([&catalogue, &health], is_chunked, taken)] = true;
+            let change_count = self.changes.len();
+            let received = |harness: &Harness| {
+                harness.changes.len() > change_count
+                    || harness.consul.stats().1.age_ns(harness.service.now) == 0
+            };
+            seen[self.answer_next([&catalogue, &health], is_chunked, received)] = true;
         }
         assert_eq!(self.changes.last().unwrap().targets.len(), engines);
     }
 }
 
 #[test]
-fn answers_of_1000_5000_and_30000_engines_are_learned() {
+fn large_responses_are_received_over_a_socket() {
     for engines in [1_000, 5_000, 30_000] {
         for is_chunked in [false, true] {
-            let mut bed = Bed::new(32.0);
-            bed.learn(engines, is_chunked);
-            let list = bed.changes.last().unwrap();
+            let mut harness = Harness::new(32.0);
+            harness.receive_list(engines, is_chunked);
+            let list = harness.changes.last().unwrap();
             for (at, target) in list.targets.iter().enumerate() {
                 let i = at + 1;
                 let state = if i % 3 == 0 { EngineState::Draining } else { EngineState::Ready };
@@ -149,86 +156,94 @@
 }
 
 #[test]
-fn answers_over_the_bound_are_told_once_counted_asked_for_ever_more_rarely_and_leave_the_old_list() {
-    let mut bed = Bed::new(1.0);
-    bed.learn(3, false);
-    let (most, news) = (ListBound::of(1.0).engines, bed.changes.len());
-    let (catalogue, health) = (catalogue(most + 1), health(most + 1));
-    let (from, before) = (bed.wire.now, bed.asked.clone());
-    while bed.wire.now < from + 600 * S {
-        let times = bed.count(RejectReason::TooLarge) + 1;
-        bed.exchange([&catalogue, &health], true, |bed| bed.count(RejectReason::TooLarge) == times);
+fn responses_over_the_bound_are_logged_once_retried_with_backoff_and_leave_the_old_list() {
+    let mut harness = Harness::new(1.0);
+    harness.receive_list(3, false);
+    let (limit, change_count) = (ListBound::of(1.0).engines, harness.changes.len());
+    let (catalogue, health) = (catalogue(limit + 1), health(limit + 1));
+    let (from, before) = (harness.service.now, harness.queries_ns.clone());
+    while harness.service.now < from + 600 * S {
+        let expected_count = harness.count(RejectReason::TooLarge) + 1;
+        harness.answer_next([&catalogue, &health], true, |harness| {
+            harness.count(RejectReason::TooLarge) == expected_count
+        });
     }
-    assert_eq!(bed.changes.len(), news, "the old list stays");
+    assert_eq!(harness.changes.len(), change_count, "the old list stays");
     for watch in [0, 1] {
-        let asked = &bed.asked[watch][before[watch].len()..];
-        assert!(asked.len() <= 30, "{} calls in ten minutes", asked.len());
-        let waits: Vec<u64> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
+        let queries_ns = &harness.queries_ns[watch][before[watch].len()..];
+        assert!(queries_ns.len() <= 30, "{} calls in ten minutes", queries_ns.len());
+        let waits: Vec<u64> = queries_ns.windows(2).map(|pair| pair[1] - pair[0]).collect();
         assert!(waits[8..].iter().all(|wait| (29 * S..61 * S).contains(wait)), "{waits:?}");
     }
-    let told = said("too large");
-    assert!(told.len() == 2 && told.iter().all(|line| line.starts_with("WARN consul's")), "{told:?}");
-    assert!(bed.consul.stats().1.age_ns(bed.wire.now) > 500 * S, "what is known grows old");
-    bed.learn(most, true);
-    assert_eq!(bed.consul.stats().1.age_ns(bed.wire.now), 0);
+    let logged = logged_lines("too large");
+    assert!(logged.len() == 2 && logged.iter().all(|line| line.starts_with("WARN consul's")), "{logged:?}");
+    assert!(harness.consul.stats().1.age_ns(harness.service.now) > 500 * S, "what is known grows old");
+    harness.receive_list(limit, true);
+    assert_eq!(harness.consul.stats().1.age_ns(harness.service.now), 0);
 }
 
 #[test]
-fn an_answer_whose_length_is_over_the_bound_is_not_read_at_all() {
-    let mut bed = Bed::new(1.0);
-    let most = ListBound::of(1.0).answer_bytes;
-    let (call, _) = bed.call();
-    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n[", most + 1);
-    let answered = answer(call, &head, Vec::new(), true);
-    while bed.count(RejectReason::TooLarge) == 0 {
-        bed.read();
+fn a_response_with_a_content_length_over_the_bound_is_not_read() {
+    let mut harness = Harness::new(1.0);
+    let limit = ListBound::of(1.0).response_bytes;
+    let (call, _) = harness.next_request();
+    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n[", limit + 1);
+    let responder = answer(call, &head, Vec::new(), true);
+    while harness.count(RejectReason::TooLarge) == 0 {
+        harness.read();
     }
-    assert!(said("too large")[0].contains(&format!("{} bytes so far", most + 1)), "{:?}", said(""));
+    assert!(
+        logged_lines("too large")[0].contains(&format!("{} bytes so far", limit + 1)),
+        "{:?}",
+        logged_lines("")
+    );
     // It was not kept open for the rest.
-    answered.join().unwrap();
+    responder.join().unwrap();
 }
 
 #[test]
-fn an_endless_answer_is_cut_off_at_the_bound() {
-    let mut bed = Bed::new(1.0);
-    let endless = format!("[{}", " ".repeat(ListBound::of(1.0).answer_bytes + 1));
-    bed.exchange([&endless, &endless], true, |bed| bed.count(RejectReason::TooLarge) == 1);
-    assert!(bed.changes.is_empty());
+fn an_endless_response_is_rejected_at_the_bound() {
+    let mut harness = Harness::new(1.0);
+    let endless = format!("[{}", " ".repeat(ListBound::of(1.0).response_bytes + 1));
+    harness.answer_next([&endless, &endless], true, |harness| harness.count(RejectReason::TooLarge) == 1);
+    assert!(harness.changes.is_empty());
 }
 
 #[test]
-fn an_answer_that_is_cut_or_spoilt_leaves_the_old_list_and_is_told_once() {
-    let mut bed = Bed::new(32.0);
-    bed.learn(3, false);
-    let news = bed.changes.len();
+fn a_truncated_or_invalid_response_leaves_the_old_list_and_is_logged_once() {
+    let mut harness = Harness::new(32.0);
+    harness.receive_list(3, false);
+    let change_count = harness.changes.len();
     let whole = [catalogue(30_000), health(30_000)];
     for _ in 0..4 {
-        let (call, watch) = bed.call();
+        let (call, watch) = harness.next_request();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", whole[watch].len());
         let half = whole[watch].as_bytes()[..whole[watch].len() / 2].to_vec();
-        let times = bed.count(RejectReason::Truncated) + 1;
-        let answered = answer(call, &head, half, false);
-        while bed.count(RejectReason::Truncated) < times {
-            bed.read();
+        let expected_count = harness.count(RejectReason::Truncated) + 1;
+        let responder = answer(call, &head, half, false);
+        while harness.count(RejectReason::Truncated) < expected_count {
+            harness.read();
         }
-        answered.join().unwrap();
+        responder.join().unwrap();
     }
-    let spoilt = whole.each_ref().map(|text| format!("{}, 7]", &text[..text.len() - 1]));
+    let invalid = whole.each_ref().map(|text| format!("{}, 7]", &text[..text.len() - 1]));
     for _ in 0..4 {
-        let times = bed.count(RejectReason::Invalid) + 1;
-        bed.exchange([&spoilt[0], &spoilt[1]], true, |bed| bed.count(RejectReason::Invalid) == times);
+        let expected_count = harness.count(RejectReason::Invalid) + 1;
+        harness.answer_next([&invalid[0], &invalid[1]], true, |harness| {
+            harness.count(RejectReason::Invalid) == expected_count
+        });
     }
-    assert_eq!(bed.changes.len(), news, "the old list stays");
+    assert_eq!(harness.changes.len(), change_count, "the old list stays");
     assert!(
-        said("ended after").len() <= 2 && said("can't be read").len() <= 2,
+        logged_lines("ended after").len() <= 2 && logged_lines("can't be read").len() <= 2,
         "once a query: {:?}",
-        said("")
+        logged_lines("")
     );
-    bed.learn(30_000, false);
+    harness.receive_list(30_000, false);
 }
 
 #[test]
-fn an_answer_that_is_no_list_or_not_whole_is_refused_wherever_it_is_cut() {
+fn an_invalid_or_truncated_response_is_rejected_in_pieces_of_any_size() {
     let read = |text: &str, piece: usize| {
         let mut reader = ResponseReader::new(ConsulQuery::Health, ListBound::default());
         text.as_bytes()
--- a/crates/discovery/tests/listed_engines.rs
+++ b/crates/discovery/tests/listed_engines.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn it_holds_what_a_plain_map_of_the_same_news_holds() {
+fn it_matches_a_plain_map_after_random_changes() {
     for seed in 0..200 {
         let (mut draws, mut listed_engines, mut plain) =
             (Draws(seed), ListedEngines::default(), BTreeMap::new());
@@ -47,7 +47,7 @@
                 plain.insert(target.entry.engine, *target);
             }
             plain.retain(|_, target| target.entry.state != EngineState::Gone);
-            listed_engines.change(&Change { kind, targets });
+            listed_engines.apply(&Change { kind, targets });
             assert_eq!(
                 listed_engines.iter().collect::<Vec<_>>(),
                 plain.values().copied().collect::<Vec<_>>(),
--- a/crates/discovery/tests/silent.rs
+++ b/crates/discovery/tests/silent.rs
@@ -16,7 +16,7 @@
 const T0: u64 = 1_700_000_000_000 * MS;
 
 /// When the third call is made, where the first two are silent from their start (ns); the first gives a head before where `head`.
-fn third_call(seed: u64, callers: u32, head: bool) -> u64 {
+fn third_call_ns(seed: u64, callers: u32, head: bool) -> u64 {
     let mut poll = Poll::new().unwrap();
     let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, Room::of(64, 64.0));
     let coordinator = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -54,16 +54,16 @@
 }
 
 #[test]
-fn two_silent_calls_in_a_row_leave_time_for_a_third() {
+fn a_third_call_fits_in_the_update_delay_after_two_silent_ones() {
     for callers in [1, 6, 300] {
         for seed in 0..40 {
             for head in [false, true] {
-                let at = third_call(seed, callers, head);
-                let news = at + 500 * MS;
+                let call_ns = third_call_ns(seed, callers, head);
+                let update_ns = call_ns + 500 * MS;
                 assert!(
-                    news < MAX_UPDATE_DELAY_NS,
+                    update_ns < MAX_UPDATE_DELAY_NS,
                     "{callers} callers, seed {seed}, head {head}: {} ms",
-                    at / MS
+                    call_ns / MS
                 );
             }
         }
--- a/crates/lab/src/ways.rs
+++ b/crates/lab/src/ways.rs
@@ -89,7 +89,7 @@
         due
     }
 
-    fn taken(&mut self, _: u64) {
+    fn accepted(&mut self, _: u64) {
         (self.tries, self.last_ns) = (0, BASE_NS);
     }
 
--- a/crates/pacing/src/connection_budget.rs
+++ b/crates/pacing/src/connection_budget.rs
@@ -4,7 +4,7 @@
 use crate::pacer::{Failure, Pacer};
 
 /// Connections that one router may open at once after a rest, at most (count): what it opens in so much of its rate.
-const REST_S: f64 = 1.0;
+const BURST_S: f64 = 1.0;
 
 /// What all routers together may open to one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -24,55 +24,55 @@
     }
 
     /// Connections that this router may open at once after a rest (count): at least one, or it could open none.
-    fn rest(&self) -> f64 {
-        (self.share() * REST_S).max(1.0)
+    fn burst(&self) -> f64 {
+        (self.share() * BURST_S).max(1.0)
     }
 
     /// The most connections that all routers together open to one engine within `span_ns` (count).
     pub fn max_connections(&self, span_ns: u64) -> f64 {
-        f64::from(self.caller_count.max(1)) * self.rest() + self.per_s * span_ns as f64 / 1e9
+        f64::from(self.caller_count.max(1)) * self.burst() + self.per_s * span_ns as f64 / 1e9
     }
 }
 
 /// The pace of one router's connections to one engine.
 #[derive(Clone, Debug)]
 pub struct ConnectionPacer {
-    limit: ConnectionBudget,
-    left: f64,
-    filled_ns: u64,
+    budget: ConnectionBudget,
+    tokens: f64,
+    refilled_ns: u64,
     /// It refuses connections: one at a time tries it, ever more rarely.
-    refusing: bool,
+    failing: bool,
     pacer: Pacer,
 }
 
 impl ConnectionPacer {
     /// A rested one.
-    pub fn new(limit: ConnectionBudget, seed: u64, now: u64) -> ConnectionPacer {
-        let pacer = Pacer::new(PacingParams { spread_ns: 0, ..limit.pace }, seed, now);
-        ConnectionPacer { limit, left: limit.rest(), filled_ns: now, refusing: false, pacer }
+    pub fn new(budget: ConnectionBudget, seed: u64, now: u64) -> ConnectionPacer {
+        let pacer = Pacer::new(PacingParams { spread_ns: 0, ..budget.pace }, seed, now);
+        ConnectionPacer { budget, tokens: budget.burst(), refilled_ns: now, failing: false, pacer }
     }
 
     /// Takes the leave to open one connection, where there is one.
     pub fn try_acquire(&mut self, now: u64) -> bool {
-        let passed = now.saturating_sub(self.filled_ns) as f64 / 1e9;
-        self.left = (self.left + passed * self.limit.share()).min(self.limit.rest());
-        self.filled_ns = self.filled_ns.max(now);
-        let may = self.left >= 1.0 && (!self.refusing || self.pacer.call(now));
-        self.left -= if may { 1.0 } else { 0.0 };
-        may
+        let elapsed_s = now.saturating_sub(self.refilled_ns) as f64 / 1e9;
+        self.tokens = (self.tokens + elapsed_s * self.budget.share()).min(self.budget.burst());
+        self.refilled_ns = self.refilled_ns.max(now);
+        let may_open = self.tokens >= 1.0 && (!self.failing || self.pacer.call(now));
+        self.tokens -= if may_open { 1.0 } else { 0.0 };
+        may_open
     }
 
     /// A connection came up.
     pub fn record_success(&mut self) {
-        self.refusing = false;
+        self.failing = false;
     }
 
     /// A connection was refused, or did not come up.
     pub fn record_failure(&mut self, now: u64) {
-        if !self.refusing {
+        if !self.failing {
             self.pacer.restart(now);
         }
-        self.refusing = true;
+        self.failing = true;
         self.pacer.failed(now, Failure::Unavailable);
     }
 }
--- a/crates/pacing/src/pacer.rs
+++ b/crates/pacing/src/pacer.rs
@@ -4,19 +4,19 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::pace::{PacingParams, GROWTH, LEAST, SHARE_LEAST};
+use crate::pace::{PacingParams, MAX_BACKOFF_GROWTH, MIN_WAIT_SHARE, MIN_WINDOW_SHARE};
 
 /// Time up after which half of what was learned from failures is forgotten (ns).
-const EASE_NS: f64 = 10_000_000_000.0;
+const BACKOFF_HALF_LIFE_NS: f64 = 10_000_000_000.0;
 /// Part of the window that chance moves a caller from its place by (share): callers that were given one number by mistake
 /// do not all call at the same moment, and those that were given their own keep to the budget in each part of it.
-const LOOSE: f64 = 0.125;
+const SLOT_JITTER: f64 = 0.125;
 /// The window is widened to this multiple at most by calls that were turned away (ratio).
-const STRETCH_MOST: f64 = 16.0;
+const MAX_STRETCH: f64 = 16.0;
 /// Longest wait behind an answer that is of no use (ns).
 pub const MAX_UNUSABLE_WAIT_NS: u64 = 60_000_000_000;
 /// Time up after which half of that is forgotten (ns): a count that was wrong stays so for long.
-const STRETCH_EASE_NS: f64 = 60_000_000_000.0;
+const STRETCH_HALF_LIFE_NS: f64 = 60_000_000_000.0;
 
 /// Why a call came to nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,10 +47,10 @@
 #[derive(Clone, Debug)]
 pub struct Pacer {
     pace: PacingParams,
-    draws: StdRng,
+    rng: StdRng,
     state: State,
     /// What the wait grows from (ns); nothing where all was well for long.
-    grown_ns: f64,
+    backoff_ns: f64,
     /// What calls that were turned away say that the window is too narrow by (ratio).
     stretch: f64,
     calls: u64,
@@ -60,17 +60,17 @@
 impl Pacer {
     /// A pacer whose first call is due within the window from `now` on: all that start at one moment differ by `seed`.
     pub fn new(pace: PacingParams, seed: u64, now: u64) -> Pacer {
-        let draws = StdRng::seed_from_u64(seed);
+        let rng = StdRng::seed_from_u64(seed);
         let state = State::Waiting(now);
-        let mut pacer = Pacer { pace, draws, state, grown_ns: 0.0, stretch: 1.0, calls: 0, rejected: 0 };
+        let mut pacer = Pacer { pace, rng, state, backoff_ns: 0.0, stretch: 1.0, calls: 0, rejected: 0 };
         pacer.restart(now);
         pacer
     }
 
     /// Starts anew, as with another service: the next call is due within the window.
     pub fn restart(&mut self, now: u64) {
-        let wait = self.spread();
-        (self.state, self.grown_ns) = (State::Waiting(now.saturating_add(wait)), 0.0);
+        let wait = self.spread_wait();
+        (self.state, self.backoff_ns) = (State::Waiting(now.saturating_add(wait)), 0.0);
     }
 
     /// Settings that hold from the next wait on.
@@ -101,7 +101,7 @@
     }
 
     /// The service has taken the call.
-    pub fn taken(&mut self, now: u64) {
+    pub fn accepted(&mut self, now: u64) {
         if self.state == State::Calling {
             self.state = State::Up(now);
         }
@@ -110,62 +110,63 @@
     /// The call came to nothing.
     pub fn failed(&mut self, now: u64, failure: Failure) {
         let wait = match failure {
-            Failure::Unavailable => self.grow(true),
+            Failure::Unavailable => self.next_backoff(true),
             Failure::Unusable => {
-                let wait = self.grow_to(MAX_UNUSABLE_WAIT_NS, true);
+                let wait = self.next_backoff_within(MAX_UNUSABLE_WAIT_NS, true);
                 self.state = State::Waiting(now.saturating_add(wait));
                 return;
             }
             Failure::Rejected { after_ns } => {
                 self.rejected += 1;
                 let spread = self.draw(0.0, self.window_ns());
-                self.stretch = (self.stretch * 2.0).min(STRETCH_MOST);
+                self.stretch = (self.stretch * 2.0).min(MAX_STRETCH);
                 match after_ns {
                     // Never sooner than asked, and out of step with all who were told the same at the same moment.
                     Some(after) => after.saturating_add(spread).max(self.pace.shortest_ns),
-                    None => self.grow(true).max(spread),
+                    None => self.next_backoff(true).max(spread),
                 }
             }
         };
-        self.wait(now, wait);
+        self.schedule(now, wait);
     }
 
     /// What was up has ended, for no fault of the call: a stream that its service closed, a query that was answered.
     pub fn ended(&mut self, now: u64) {
         let State::Up(since) = self.state else { return self.failed(now, Failure::Unavailable) };
-        let up = now.saturating_sub(since) as f64;
-        self.grown_ns *= (-up / EASE_NS * std::f64::consts::LN_2).exp();
-        self.stretch = 1.0 + (self.stretch - 1.0) * (-up / STRETCH_EASE_NS * std::f64::consts::LN_2).exp();
+        let up_ns = now.saturating_sub(since) as f64;
+        self.backoff_ns *= (-up_ns / BACKOFF_HALF_LIFE_NS * std::f64::consts::LN_2).exp();
+        self.stretch =
+            1.0 + (self.stretch - 1.0) * (-up_ns / STRETCH_HALF_LIFE_NS * std::f64::consts::LN_2).exp();
         // Guards against hammering a service that takes each call and drops it at once: what is soon over counts as a
         // failure, what was up for long does not. The first time it may be that all streams were dropped at one moment:
         // then a wait of nearly the whole window would keep them in step.
-        let again = self.grown_ns > self.pace.shortest_ns as f64;
-        let flapped = if up < EASE_NS { self.grow(again) } else { 0 };
-        let spread = self.spread();
-        self.wait(now, spread.max(flapped));
+        let is_backing_off = self.backoff_ns > self.pace.shortest_ns as f64;
+        let flap_wait = if up_ns < BACKOFF_HALF_LIFE_NS { self.next_backoff(is_backing_off) } else { 0 };
+        let spread = self.spread_wait();
+        self.schedule(now, spread.max(flap_wait));
     }
 
     /// An answer was whole and well; the next query follows it, out of step with all others that were answered at the same
     /// moment.
     pub fn answered(&mut self, now: u64) {
-        (self.grown_ns, self.stretch) = (0.0, 1.0 + (self.stretch - 1.0) / 2.0);
-        let spread = self.spread();
-        self.wait(now, spread);
+        (self.backoff_ns, self.stretch) = (0.0, 1.0 + (self.stretch - 1.0) / 2.0);
+        let spread = self.spread_wait();
+        self.schedule(now, spread);
     }
 
-    fn wait(&mut self, now: u64, wait: u64) {
+    fn schedule(&mut self, now: u64, wait: u64) {
         let longest = self.pace.longest_ns;
         // Guards against all waits that were cut being the same one.
-        let wait = if wait > longest { self.draw(longest as f64 * SHARE_LEAST, longest) } else { wait };
+        let wait = if wait > longest { self.draw(longest as f64 * MIN_WINDOW_SHARE, longest) } else { wait };
         self.state = State::Waiting(now.saturating_add(wait));
     }
 
     /// A wait that no other caller has that begins to wait at the same moment: by its number where all keep to that, by
     /// chance alone where the count is not known, or where calls that were turned away say that it is wrong.
-    fn spread(&mut self) -> u64 {
+    fn spread_wait(&mut self) -> u64 {
         let window = self.window_ns();
         match self.pace.slot().filter(|_| self.stretch <= 1.0 + f64::EPSILON) {
-            Some(slot) => ((slot + self.draws.gen_range(0.0..LOOSE)).fract() * window as f64) as u64,
+            Some(slot) => ((slot + self.rng.gen_range(0.0..SLOT_JITTER)).fract() * window as f64) as u64,
             None => self.draw(0.0, window),
         }
     }
@@ -177,17 +178,18 @@
 
     /// The wait after one more failure in a row: decorrelated jitter, and at least the caller's share of the budget where
     /// callers are `spread` over it already.
-    fn grow(&mut self, spread: bool) -> u64 {
-        self.grow_to(self.pace.grown_ns(), spread)
+    fn next_backoff(&mut self, spread: bool) -> u64 {
+        self.next_backoff_within(self.pace.max_backoff_ns(), spread)
     }
 
-    fn grow_to(&mut self, most: u64, spread: bool) -> u64 {
+    fn next_backoff_within(&mut self, max_ns: u64, spread: bool) -> u64 {
         let shortest = self.pace.shortest_ns;
-        let high = (self.grown_ns.max(shortest as f64) * GROWTH).min(most.max(shortest) as f64) as u64;
-        let drawn = self.draw((high as f64 * LEAST).max(shortest as f64), high);
-        self.grown_ns = drawn as f64;
-        let share = if spread { self.pace.window_ns() } else { 0 };
-        drawn.max(self.draw(share as f64 * SHARE_LEAST, share))
+        let high = (self.backoff_ns.max(shortest as f64) * MAX_BACKOFF_GROWTH)
+            .min(max_ns.max(shortest) as f64) as u64;
+        let backoff = self.draw((high as f64 * MIN_WAIT_SHARE).max(shortest as f64), high);
+        self.backoff_ns = backoff as f64;
+        let window = if spread { self.pace.window_ns() } else { 0 };
+        backoff.max(self.draw(window as f64 * MIN_WINDOW_SHARE, window))
     }
 
     fn draw(&mut self, low: f64, high: u64) -> u64 {
@@ -195,6 +197,6 @@
         if high <= low {
             return high as u64;
         }
-        self.draws.gen_range(low..=high) as u64
+        self.rng.gen_range(low..=high) as u64
     }
 }
--- a/crates/pacing/tests/connection_budget.rs
+++ b/crates/pacing/tests/connection_budget.rs
@@ -8,7 +8,7 @@
 const S: u64 = 1_000_000_000;
 
 #[test]
-fn all_routers_together_stay_under_the_bound_whatever_they_want() {
+fn all_routers_together_keep_to_the_connection_budget() {
     for seed in 0..200 {
         let mut draws = StdRng::seed_from_u64(seed);
         let caller_count = draws.gen_range(1..400);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_engine_that_refuses_is_tried_by_one_connection_at_a_time_and_ever_more_rarely() {
+fn a_failing_engine_is_probed_by_one_connection_at_a_time_with_backoff() {
     let limit = ConnectionBudget { per_s: 1_000.0, caller_count: 1, pace: PacingParams::default() };
     let mut pacer = ConnectionPacer::new(limit, 1, 0);
     assert!((0..20).all(|_| pacer.try_acquire(0)));
--- a/crates/pacing/tests/pacer.rs
+++ b/crates/pacing/tests/pacer.rs
@@ -40,7 +40,7 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn no_wait_is_longer_than_the_longest_and_what_is_asked_for_is_kept_within_it(
+    fn waits_stay_within_the_longest_and_honor_retry_after_up_to_it(
         steps in proptest::collection::vec(step(), 1..40),
         callers in proptest::option::of(1u32..2_000),
         caller_index in 0u32..4_000,
@@ -69,14 +69,14 @@
                     after_ns.unwrap_or(pace.shortest_ns).max(pace.shortest_ns)
                 }
                 Step::Up(time) => {
-                    pacer.taken(now);
+                    pacer.accepted(now);
                     prop_assert!(pacer.due_ns().is_none());
                     now += time;
                     pacer.ended(now);
                     0
                 }
                 Step::Answered(time) => {
-                    pacer.taken(now);
+                    pacer.accepted(now);
                     now += time;
                     pacer.answered(now);
                     0
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_caller_that_stood_still_makes_one_call_not_all_that_it_missed() {
+fn a_suspended_caller_makes_one_call_when_it_resumes() {
     let mut pacer = Pacer::new(fleet(1, 10.0), 7, 0);
     let woken = 3_600 * S;
     assert!(pacer.call(woken));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn waits_grow_while_a_service_is_away_and_what_was_up_for_long_starts_from_nothing() {
+fn backoff_grows_during_an_outage_and_resets_after_a_long_connection() {
     let mut pacer = Pacer::new(fleet(1, 100.0), 3, 0);
     let mut waits = Vec::new();
     for _ in 0..12 {
@@ -112,13 +112,13 @@
     assert!(waits[0] <= 300 * MS && waits[11] >= 1_250 * MS, "{waits:?}");
     let now = pacer.due_ns().unwrap();
     assert!(pacer.call(now));
-    pacer.taken(now);
+    pacer.accepted(now);
     pacer.ended(now + 3_600 * S);
     assert!(pacer.due_ns().unwrap() - now - 3_600 * S <= 20 * MS, "it was well for an hour");
 }
 
 #[test]
-fn a_service_that_drops_each_call_after_a_second_is_not_hammered() {
+fn connections_dropped_after_a_second_are_reopened_with_backoff() {
     for seed in 0..200 {
         let mut pacer = Pacer::new(fleet(3, 200.0), seed, 0);
         let (mut now, mut calls) = (0, 0);
@@ -126,7 +126,7 @@
             now = pacer.due_ns().unwrap();
             assert!(pacer.call(now));
             calls += 1;
-            pacer.taken(now);
+            pacer.accepted(now);
             now += S;
             pacer.ended(now);
         }
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_herd_keeps_to_the_budget_at_the_start_while_the_service_is_away_and_as_it_is_back() {
+fn many_callers_keep_to_the_budget_at_start_in_an_outage_and_after_it() {
     for seed in 0..300 {
         for (count, capacity) in [(20, 50.0), (100, 25.0), (300, 75.0), (300, 100.0)] {
             let mut herd = herd(count, fleet(count, capacity), capacity, seed);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_herd_whose_count_is_wrong_or_unknown_settles_with_few_calls() {
+fn callers_with_a_wrong_or_unknown_count_settle_with_few_calls() {
     for seed in 0..100 {
         for callers in [None, Some(50), Some(100), Some(200), Some(400), Some(1)] {
             let pace = PacingParams { callers, ..fleet(0, 50.0) };
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn callers_with_one_seed_and_one_number_by_mistake_still_settle() {
+fn callers_with_the_same_index_still_settle() {
     let pace = PacingParams { caller_index: 0, ..fleet(200, 50.0) };
     // Their seeds differ by name and address only, which is what the program sees to.
     let callers = (0..200).map(|i| Pacer::new(pace, i, 0)).collect();
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn the_longest_wait_follows_from_how_late_news_may_be() {
+fn the_longest_wait_follows_from_the_maximum_update_delay() {
     let pace = PacingParams::default();
     let silent = 2_200 * MS;
     assert_eq!(pace.longest_ns, 4_300 * MS);
@@ -215,14 +215,14 @@
 }
 
 #[test]
-fn an_answer_that_is_of_no_use_is_asked_for_ever_more_rarely_and_the_next_good_one_at_once() {
+fn unusable_responses_are_retried_with_growing_waits() {
     for seed in 0..50 {
         let pace = PacingParams::default();
         let (mut pacer, mut waits) = (Pacer::new(pace, seed, 0), Vec::new());
         for _ in 0..20 {
             let now = pacer.due_ns().unwrap();
             assert!(pacer.call(now));
-            pacer.taken(now);
+            pacer.accepted(now);
             pacer.failed(now, Failure::Unusable);
             waits.push(pacer.due_ns().unwrap() - now);
         }
--- a/crates/testkit/src/herd.rs
+++ b/crates/testkit/src/herd.rs
@@ -12,7 +12,7 @@
     /// Makes the call that is due; whether it may be made.
     fn call(&mut self, now: u64) -> bool;
     /// The service took it.
-    fn taken(&mut self, now: u64);
+    fn accepted(&mut self, now: u64);
     /// It came to nothing.
     fn failed(&mut self, now: u64, failure: Failure);
     /// What was up has ended.
@@ -28,8 +28,8 @@
         Pacer::call(self, now)
     }
 
-    fn taken(&mut self, now: u64) {
-        Pacer::taken(self, now);
+    fn accepted(&mut self, now: u64) {
+        Pacer::accepted(self, now);
     }
 
     fn failed(&mut self, now: u64, failure: Failure) {
@@ -144,7 +144,7 @@
             tenth.add(self.now, 100_000_000);
             match self.service.answer(self.now) {
                 Ok(()) => {
-                    way.taken(self.now + 1_000_000);
+                    way.accepted(self.now + 1_000_000);
                     self.up[at] = true;
                 }
                 Err(failure) => way.failed(self.now + 1_000_000, failure),
