--- a/crates/pacing/src/connection_budget.rs
+++ b/crates/pacing/src/connection_budget.rs
@@ -1,58 +1,61 @@
-//! How fast new connections for new work are opened to one engine, so that all routers together keep to what it bears.
+//! Limits the rate of new connections to one engine, shared by all routers: a token bucket for each
+//! router, and backoff for an engine that fails.
 
 use crate::pace::PacingParams;
 use crate::pacer::{Failure, Pacer};
 
-/// Connections that one router may open at once after a rest, at most (count): what it opens in so much of its rate.
+/// Burst size of the token bucket, as seconds of the router's rate.
 const BURST_S: f64 = 1.0;
 
-/// What all routers together may open to one engine.
+/// Rate at which all routers together may open connections to one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionBudget {
-    /// Connections a second.
+    /// Connections per second.
     pub per_s: f64,
-    /// Routers that share them.
+    /// Routers that share the rate.
     pub caller_count: u32,
-    /// How one that refuses connections is tried again.
+    /// Backoff for an engine that refuses connections.
     pub pace: PacingParams,
 }
 
 impl ConnectionBudget {
-    /// This router's part (connections a second).
+    /// This router's share of the rate (connections per second).
     fn share(&self) -> f64 {
         self.per_s / f64::from(self.caller_count.max(1))
     }
 
-    /// Connections that this router may open at once after a rest (count): at least one, or it could open none.
+    /// Size of this router's token bucket. At least one, or a router with a small share could never
+    /// connect.
     fn burst(&self) -> f64 {
         (self.share() * BURST_S).max(1.0)
     }
 
-    /// The most connections that all routers together open to one engine within `span_ns` (count).
+    /// Most connections that all routers together open to one engine within `span_ns`.
     pub fn max_connections(&self, span_ns: u64) -> f64 {
         f64::from(self.caller_count.max(1)) * self.burst() + self.per_s * span_ns as f64 / 1e9
     }
 }
 
-/// The pace of one router's connections to one engine.
+/// One router's token bucket and backoff for connections to one engine.
 #[derive(Clone, Debug)]
 pub struct ConnectionPacer {
     budget: ConnectionBudget,
     tokens: f64,
     refilled_ns: u64,
-    /// It refuses connections: one at a time tries it, ever more rarely.
+    /// The last connection failed: connections are tried one at a time, with backoff.
     failing: bool,
     pacer: Pacer,
 }
 
 impl ConnectionPacer {
-    /// A rested one.
+    /// Starts with a full bucket.
     pub fn new(budget: ConnectionBudget, seed: u64, now: u64) -> ConnectionPacer {
         let pacer = Pacer::new(PacingParams { spread_ns: 0, ..budget.pace }, seed, now);
         ConnectionPacer { budget, tokens: budget.burst(), refilled_ns: now, failing: false, pacer }
     }
 
-    /// Takes the leave to open one connection, where there is one.
+    /// Takes a token if one is available and no backoff is pending. Returns whether a connection
+    /// may be opened.
     pub fn try_acquire(&mut self, now: u64) -> bool {
         let elapsed_s = now.saturating_sub(self.refilled_ns) as f64 / 1e9;
         self.tokens = (self.tokens + elapsed_s * self.budget.share()).min(self.budget.burst());
@@ -62,12 +65,12 @@
         may_open
     }
 
-    /// A connection came up.
+    /// Records that a connection was established, which ends the backoff.
     pub fn record_success(&mut self) {
         self.failing = false;
     }
 
-    /// A connection was refused, or did not come up.
+    /// Records that a connection was refused or could not be established.
     pub fn record_failure(&mut self, now: u64) {
         if !self.failing {
             self.pacer.restart(now);
--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -1,9 +1,9 @@
-//! When the next call to a service may be made, so that a whole fleet that starts, or loses the service, at one moment
-//! does not come back to it at one moment.
+//! Paces calls to a shared service, so that the routers of a fleet do not all call it at once after
+//! a common start or outage.
 //!
-//! Pure: no sockets and no clock; times are passed in (ns on any clock that does not go back), draws come from a seed.
-//! [`pace`] holds the settings and the arithmetic of the bounds that follow from them, [`pacer`] the machine, [`opening`] what it is for connections to
-//! engines.
+//! No I/O and no clock: times are passed in (ns, on any monotonic clock), and random numbers come
+//! from a seed. [`pace`] holds the parameters and the bounds that follow from them, [`pacer`] the
+//! state machine of one caller, and [`connection_budget`] its use for connections to engines.
 
 #![forbid(unsafe_code)]
 
--- a/crates/pacing/src/pace.rs
+++ b/crates/pacing/src/pace.rs
@@ -1,56 +1,60 @@
-//! What a fleet may ask of a service, and what follows from it by arithmetic.
+//! Pacing parameters, and the bounds on waits and calls that follow from them.
 
-/// Growth of the wait from one failure to the next at most (ratio): decorrelated jitter's usual one.
+/// Largest growth of the backoff from one failure to the next, as is usual for decorrelated jitter.
 pub(crate) const MAX_BACKOFF_GROWTH: f64 = 3.0;
-/// Least part of a wait that chance leaves (share): waits near nothing are calls that come to nothing.
+/// Smallest part of the current backoff that a wait may be. Calls after near-zero waits mostly
+/// fail.
 pub(crate) const MIN_WAIT_SHARE: f64 = 0.5;
-/// Least part of a caller's window that a wait is (share): callers that lost the service at one moment were spread over the
-/// window by their first wait, and need only stay so.
+/// Smallest part of the window that a wait may be. Callers that lost the service together are
+/// already spread over the window by their first wait, and need only stay so.
 pub(crate) const MIN_WINDOW_SHARE: f64 = 0.95;
-/// Part of the budget that a fleet plans to use (share): draws are uneven, and a service that is asked for just all it
-/// takes turns some away.
+/// Part of the budget that the fleet plans to use. Waits are random, so a fleet that used all of it
+/// would have some calls rejected.
 const PLANNED_BUDGET_SHARE: f64 = 0.95;
-/// Waits grow to this multiple of a router's share of the budget, or to [`AWAY_NS`] where that is more (ratio).
+/// The backoff grows up to this multiple of the call interval, or to [`MAX_BACKOFF_FLOOR_NS`] if
+/// that is longer.
 const MAX_BACKOFF_INTERVALS: f64 = 1.4;
-/// Wait to which a small fleet's waits grow while a service is away (ns): half a call a second for each router.
+/// Smallest limit of the backoff. It applies to small fleets.
 const MAX_BACKOFF_FLOOR_NS: u64 = 2_500_000_000;
-/// Window over which a fleet of unknown size spreads what it does in step (ns).
+/// Window for a fleet of unknown size.
 const UNKNOWN_COUNT_WINDOW_NS: u64 = 2_000_000_000;
-/// Callers that a fleet of unknown size is taken to have at most where a part too large does harm (count).
+/// Number of callers assumed for a fleet of unknown size when a budget is divided. Too high a
+/// number only makes the parts smaller.
 const ASSUMED_CALLERS: u32 = 500;
-/// News is told at most so late, connected or not, in the platform's count (ns); see [`Pace::longest_for`].
+/// The platform expects an update to reach every router within this time, connected or not. See
+/// [`PacingParams::longest_wait_for`].
 pub const MAX_UPDATE_DELAY_NS: u64 = 7_000_000_000;
-/// Left of that for a connection to come up and its first answer to come (ns).
+/// Part of [`MAX_UPDATE_DELAY_NS`] that is reserved for connecting and for the first response.
 const CONNECT_AND_ANSWER_NS: u64 = 500_000_000;
 
-/// Settings of a pacer.
+/// Parameters of a [`Pacer`](crate::Pacer).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PacingParams {
     /// Shortest wait between a failure and the next call (ns).
     pub shortest_ns: u64,
-    /// Longest wait before a call to a service that nothing speaks against (ns): at the start, after a stream that was well
-    /// for long, with another service. Who counts a router as told once the service could have told it needs this to be
-    /// short; who counts it as told some seconds later lets the fleet spread over them.
+    /// Longest wait before a call that does not follow a failure (ns): at the start, after a
+    /// long-lived stream, after a change of service. A longer value spreads the calls of the fleet
+    /// further but delays updates.
     pub spread_ns: u64,
-    /// Longest wait between calls, whatever the service says (ns): news that a router waits for is no later for it.
+    /// Longest wait between calls (ns), even if the service asks for a longer one.
     pub longest_ns: u64,
-    /// Calls a second that the service takes from all callers together.
+    /// Calls per second that the service accepts from all callers together.
     pub budget_per_s: f64,
-    /// Callers that share the budget; none where their count is not known.
+    /// Callers that share the budget, if their number is known.
     pub callers: Option<u32>,
-    /// This caller's number among them, from 0.
+    /// Index of this caller among them, from 0.
     pub caller_index: u32,
 }
 
-/// What is wrong with settings.
+/// Why [`PacingParams`] are inconsistent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ParamsError {
     /// The longest wait is below the shortest.
     LongestBelowShortest,
-    /// The budget is no positive number.
+    /// The budget is not a positive number.
     Budget,
-    /// All callers can't be served within the waits that are allowed: the fleet goes over the budget rather than be told late.
-    /// Holds the time that the budget asks for (ns).
+    /// The budget does not allow every caller a call within the allowed waits, so the fleet exceeds
+    /// the budget. Holds the call interval that the budget requires (ns).
     IntervalOverLongest(u64),
 }
 
@@ -68,50 +72,52 @@
 }
 
 impl PacingParams {
-    /// The longest wait under which news comes within [`TOLD_NS`] of the service's having it, though the connection went
-    /// silent just before: silence is noticed after `silent_ns`, then comes the wait, then the answer.
+    /// The longest wait that keeps [`MAX_UPDATE_DELAY_NS`] if a connection goes silent just before
+    /// an update. The silence is detected after `silent_ns`; then come the wait and the response.
     pub const fn longest_wait_for(silent_ns: u64) -> u64 {
         MAX_UPDATE_DELAY_NS - silent_ns - CONNECT_AND_ANSWER_NS
     }
 
-    /// The longest time for which a router hears nothing of a service that takes and answers its calls (ns), where silence
-    /// is noticed after `silent_ns`: a connection that has just gone silent, the longest wait, and the answer.
+    /// Longest time without data from a service that accepts calls (ns), if a silent connection is
+    /// detected after `silent_ns`: the detection, the longest wait and the response.
     pub const fn max_reconnect_ns(&self, silent_ns: u64) -> u64 {
         silent_ns + self.longest_ns + CONNECT_AND_ANSWER_NS
     }
 
-    /// Time between one caller's calls at which all callers together keep to the budget (ns); none where their count is
-    /// not known.
+    /// Interval between one caller's calls at which all callers together keep to the budget (ns).
+    /// `None` if their number is unknown.
     pub fn call_interval_ns(&self) -> Option<u64> {
         self.callers.map(|n| (f64::from(n.max(1)) / (self.budget_per_s * PLANNED_BUDGET_SHARE) * 1e9) as u64)
     }
 
-    /// Window over which callers spread what they would all do at one moment (ns): the time in which the service takes them
-    /// all, no longer than the settings let them wait.
+    /// Window over which callers spread calls that they would otherwise make at the same moment
+    /// (ns): the call interval, limited by [`spread_ns`](Self::spread_ns) and
+    /// [`longest_ns`](Self::longest_ns).
     pub fn window_ns(&self) -> u64 {
         self.call_interval_ns().unwrap_or(UNKNOWN_COUNT_WINDOW_NS).min(self.spread_ns).min(self.longest_ns)
     }
 
-    /// Callers that a part of what all share is reckoned by: the count where it is known, else the most that a fleet is taken
-    /// to have, so that the parts of all stay within the whole.
+    /// Number of callers by which a shared budget is divided. If it is unknown, an upper estimate,
+    /// so that the parts never add up to more than the budget.
     pub fn caller_count(&self) -> u32 {
         self.callers.unwrap_or(ASSUMED_CALLERS)
     }
 
-    /// Where in the window this caller's part is (share of the window); none where the count of callers is not known.
+    /// Start of this caller's slot, as a fraction of the window. `None` if the number of callers is
+    /// unknown.
     pub fn slot(&self) -> Option<f64> {
         self.callers.map(|n| f64::from(self.caller_index % n.max(1)) / f64::from(n.max(1)))
     }
 
-    /// What waits grow to while a service is away (ns): no longer than its budget asks for, as each further second is one
-    /// more that the fleet takes to come back.
+    /// Limit of the backoff while the service is unavailable (ns). It is no longer than the budget
+    /// requires, as a longer one delays the recovery of the fleet.
     pub fn max_backoff_ns(&self) -> u64 {
         let backoff = self.call_interval_ns().unwrap_or(0) as f64 * MAX_BACKOFF_INTERVALS;
         (backoff as u64).max(MAX_BACKOFF_FLOOR_NS).min(self.longest_ns)
     }
 
-    /// The most calls that one caller makes within `span_ns` while the service is away: each wait is at least half of what
-    /// growth has come to, and at least the caller's part of the window less chance's part.
+    /// Most calls that one caller makes within `span_ns` while the service is unavailable. Assumes
+    /// the shortest possible wait each time.
     pub fn max_calls(&self, span_ns: u64) -> u64 {
         let floor = (self.window_ns() as f64 * MIN_WINDOW_SHARE) as u64;
         let (mut at, mut calls, mut backoff) = (0u64, 1, self.shortest_ns as f64);
@@ -126,13 +132,14 @@
         }
     }
 
-    /// The least time in which the service can take all callers once (ns); none where their count is not known.
+    /// Shortest time in which the service can accept one call from every caller (ns). `None` if
+    /// their number is unknown.
     pub fn min_all_calls_ns(&self) -> Option<u64> {
         self.callers.map(|n| (f64::from(n) / self.budget_per_s * 1e9) as u64)
     }
 
-    /// What is wrong with the settings, worst first; none where nothing is. Only [`Unfit::ShareOverLongest`] can be
-    /// worked with.
+    /// Checks the parameters, most severe error first. A [`Pacer`](crate::Pacer) works in spite of
+    /// [`ParamsError::IntervalOverLongest`], but not of the others.
     pub fn find_error(&self) -> Option<ParamsError> {
         if !(self.budget_per_s.is_finite() && self.budget_per_s > 0.0) {
             return Some(ParamsError::Budget);
--- a/crates/pacing/src/pacer.rs
+++ b/crates/pacing/src/pacer.rs
@@ -1,64 +1,69 @@
-//! The machine that says when the next call may be made. At most one call is out at a time, so a process that stood
-//! still and finds its time long past makes one call, not all that it missed.
+//! State machine that decides when a caller may make its next call.
+//!
+//! At most one call is in progress, so a process that resumes after a suspension makes one call,
+//! not all those that it missed.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 use crate::pace::{PacingParams, MAX_BACKOFF_GROWTH, MIN_WAIT_SHARE, MIN_WINDOW_SHARE};
 
-/// Time up after which half of what was learned from failures is forgotten (ns).
+/// Time with an open connection after which the backoff has halved (ns).
 const BACKOFF_HALF_LIFE_NS: f64 = 10_000_000_000.0;
-/// Part of the window that chance moves a caller from its place by (share): callers that were given one number by mistake
-/// do not all call at the same moment, and those that were given their own keep to the budget in each part of it.
+/// Random offset of a call within the window, as a fraction of it. It separates callers that share
+/// an index by mistake, and is small enough that others keep to the budget.
 const SLOT_JITTER: f64 = 0.125;
-/// The window is widened to this multiple at most by calls that were turned away (ratio).
+/// Largest factor by which rejected calls widen the window.
 const MAX_STRETCH: f64 = 16.0;
-/// Longest wait behind an answer that is of no use (ns).
+/// Longest wait after an unusable response (ns).
 pub const MAX_UNUSABLE_WAIT_NS: u64 = 60_000_000_000;
-/// Time up after which half of that is forgotten (ns): a count that was wrong stays so for long.
+/// Time with an open connection after which the widening of the window has halved (ns). It is long
+/// because a wrong number of callers stays wrong.
 const STRETCH_HALF_LIFE_NS: f64 = 60_000_000_000.0;
 
-/// Why a call came to nothing.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The service can't be reached, said nothing, or what it said can't be read.
+    /// The service is unreachable, did not respond, or sent an invalid response.
     Unavailable,
-    /// The service is there and turned the call away for its load; `after_ns` is the time that it asks to stay away for.
+    /// The service rejected the call because of its load.
     Rejected {
-        /// The time asked for, where one was told that can be read (ns).
+        /// Time for which the service asks the caller to wait (ns), if it sent a valid one.
         after_ns: Option<u64>,
     },
-    /// What it said is of no use to this caller and would be so again, as a list over its bound. Each call costs the service
-    /// all that it carries, so waits grow past the longest of the settings, up to [`MAX_USELESS_WAIT_NS`].
+    /// The response is valid but unusable, and would be so again, such as a list over its size
+    /// limit. As each such call costs the service a full response, waits grow beyond the longest
+    /// wait of the parameters, up to [`MAX_UNUSABLE_WAIT_NS`].
     Unusable,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// The next call may be made then (ns).
+    /// The next call is due at this time (ns).
     Waiting(u64),
-    /// A call is out.
+    /// A call is in progress.
     Calling,
-    /// The service has taken it and answers, since then (ns).
+    /// The service accepted the call at this time (ns), and its response is in progress.
     Up(u64),
 }
 
-/// When one caller's next call to one service may be made.
+/// Decides when one caller may make its next call to one service.
 #[derive(Clone, Debug)]
 pub struct Pacer {
     pace: PacingParams,
     rng: StdRng,
     state: State,
-    /// What the wait grows from (ns); nothing where all was well for long.
+    /// Last backoff (ns), from which the next one grows. 0 if there was none.
     backoff_ns: f64,
-    /// What calls that were turned away say that the window is too narrow by (ratio).
+    /// Factor by which rejected calls have widened the window, from 1.
     stretch: f64,
     calls: u64,
     rejected: u64,
 }
 
 impl Pacer {
-    /// A pacer whose first call is due within the window from `now` on: all that start at one moment differ by `seed`.
+    /// Schedules the first call within the window from `now`. The seed has to differ between
+    /// callers.
     pub fn new(pace: PacingParams, seed: u64, now: u64) -> Pacer {
         let rng = StdRng::seed_from_u64(seed);
         let state = State::Waiting(now);
@@ -67,18 +72,18 @@
         pacer
     }
 
-    /// Starts anew, as with another service: the next call is due within the window.
+    /// Resets the backoff and schedules a call within the window, as for a new service.
     pub fn restart(&mut self, now: u64) {
         let wait = self.spread_wait();
         (self.state, self.backoff_ns) = (State::Waiting(now.saturating_add(wait)), 0.0);
     }
 
-    /// Settings that hold from the next wait on.
+    /// Replaces the parameters from the next wait on.
     pub fn set_pace(&mut self, pace: PacingParams) {
         self.pace = pace;
     }
 
-    /// When the next call may be made (ns); none while one is out or up.
+    /// When the next call is due (ns). `None` while a call or its response is in progress.
     pub fn due_ns(&self) -> Option<u64> {
         match self.state {
             State::Waiting(due) => Some(due),
@@ -86,12 +91,12 @@
         }
     }
 
-    /// Calls made, and how many of them the service turned away for its load.
+    /// Number of calls made, and how many of them were rejected because of load.
     pub fn calls(&self) -> (u64, u64) {
         (self.calls, self.rejected)
     }
 
-    /// Takes the leave to make a call, where one is due.
+    /// Starts a call if one is due. Returns whether it was.
     pub fn call(&mut self, now: u64) -> bool {
         let due = self.due_ns().is_some_and(|due| now >= due);
         if due {
@@ -100,14 +105,14 @@
         due
     }
 
-    /// The service has taken the call.
+    /// Records that the service accepted the call.
     pub fn accepted(&mut self, now: u64) {
         if self.state == State::Calling {
             self.state = State::Up(now);
         }
     }
 
-    /// The call came to nothing.
+    /// Records that the call failed, and schedules the next one.
     pub fn failed(&mut self, now: u64, failure: Failure) {
         let wait = match failure {
             Failure::Unavailable => self.next_backoff(true),
@@ -121,7 +126,8 @@
                 let spread = self.draw(0.0, self.window_ns());
                 self.stretch = (self.stretch * 2.0).min(MAX_STRETCH);
                 match after_ns {
-                    // Never sooner than asked, and out of step with all who were told the same at the same moment.
+                    // Never earlier than requested, and spread among callers that were rejected
+                    // together.
                     Some(after) => after.saturating_add(spread).max(self.pace.shortest_ns),
                     None => self.next_backoff(true).max(spread),
                 }
@@ -130,24 +136,26 @@
         self.schedule(now, wait);
     }
 
-    /// What was up has ended, for no fault of the call: a stream that its service closed, a query that was answered.
+    /// Records that an accepted call ended without a fault of its own, such as a stream that the
+    /// service closed, and schedules the next one. It counts as unavailable if the call was never
+    /// accepted.
     pub fn ended(&mut self, now: u64) {
         let State::Up(since) = self.state else { return self.failed(now, Failure::Unavailable) };
         let up_ns = now.saturating_sub(since) as f64;
         self.backoff_ns *= (-up_ns / BACKOFF_HALF_LIFE_NS * std::f64::consts::LN_2).exp();
         self.stretch =
             1.0 + (self.stretch - 1.0) * (-up_ns / STRETCH_HALF_LIFE_NS * std::f64::consts::LN_2).exp();
-        // Guards against hammering a service that takes each call and drops it at once: what is soon over counts as a
-        // failure, what was up for long does not. The first time it may be that all streams were dropped at one moment:
-        // then a wait of nearly the whole window would keep them in step.
+        // Guards against rapid reconnects to a service that accepts each call and drops it soon
+        // after: a short connection counts as a failure. The first drop may have hit all callers at
+        // once; a minimum wait of nearly the whole window would then keep them in step.
         let is_backing_off = self.backoff_ns > self.pace.shortest_ns as f64;
         let flap_wait = if up_ns < BACKOFF_HALF_LIFE_NS { self.next_backoff(is_backing_off) } else { 0 };
         let spread = self.spread_wait();
         self.schedule(now, spread.max(flap_wait));
     }
 
-    /// An answer was whole and well; the next query follows it, out of step with all others that were answered at the same
-    /// moment.
+    /// Records a complete and valid response, and schedules the next call within the window, apart
+    /// from callers that were answered at the same moment.
     pub fn answered(&mut self, now: u64) {
         (self.backoff_ns, self.stretch) = (0.0, 1.0 + (self.stretch - 1.0) / 2.0);
         let spread = self.spread_wait();
@@ -156,13 +164,14 @@
 
     fn schedule(&mut self, now: u64, wait: u64) {
         let longest = self.pace.longest_ns;
-        // Guards against all waits that were cut being the same one.
+        // Limited waits are drawn again, so that they do not all have the same length.
         let wait = if wait > longest { self.draw(longest as f64 * MIN_WINDOW_SHARE, longest) } else { wait };
         self.state = State::Waiting(now.saturating_add(wait));
     }
 
-    /// A wait that no other caller has that begins to wait at the same moment: by its number where all keep to that, by
-    /// chance alone where the count is not known, or where calls that were turned away say that it is wrong.
+    /// Wait that spreads callers that begin to wait at the same moment. It uses the caller's slot,
+    /// or a random part of the window if the number of callers is unknown or rejected calls suggest
+    /// that it is wrong.
     fn spread_wait(&mut self) -> u64 {
         let window = self.window_ns();
         match self.pace.slot().filter(|_| self.stretch <= 1.0 + f64::EPSILON) {
@@ -171,13 +180,13 @@
         }
     }
 
-    /// Window over which this caller spreads what others do at the same moment (ns).
+    /// Window over which this caller spreads its calls, with the widening by rejected calls (ns).
     fn window_ns(&self) -> u64 {
         ((self.pace.window_ns() as f64 * self.stretch) as u64).min(self.pace.longest_ns)
     }
 
-    /// The wait after one more failure in a row: decorrelated jitter, and at least the caller's share of the budget where
-    /// callers are `spread` over it already.
+    /// Next wait after a failure: decorrelated jitter. If `spread`, the wait is also at least
+    /// nearly the whole window.
     fn next_backoff(&mut self, spread: bool) -> u64 {
         self.next_backoff_within(self.pace.max_backoff_ns(), spread)
     }
--- a/crates/pacing/tests/connection_budget.rs
+++ b/crates/pacing/tests/connection_budget.rs
@@ -1,4 +1,5 @@
-//! Connections to one engine: all routers together keep to the bound, and one that refuses is tried one at a time.
+//! Checks that all routers together keep to the connection budget, and that a failing engine is
+//! retried by one connection at a time.
 
 use marljunction_pacing::connection_budget::{ConnectionBudget, ConnectionPacer};
 use marljunction_pacing::PacingParams;
@@ -20,7 +21,7 @@
         let mut routers: Vec<ConnectionPacer> =
             (0..caller_count).map(|i| ConnectionPacer::new(limit, u64::from(i), 0)).collect();
         let (mut opened, mut now) = (0u64, 0);
-        // Each wants far more than its part.
+        // Each router tries to open far more than its share.
         while now < 5 * S {
             let at = draws.gen_range(0..routers.len());
             opened += u64::from(routers[at].try_acquire(now));
@@ -54,5 +55,5 @@
     }
     assert!((5..=20).contains(&tries.len()), "{} tries in 20 s", tries.len());
     pacer.record_success();
-    assert!((0..20).all(|_| pacer.try_acquire(20 * S)), "it is there again");
+    assert!((0..20).all(|_| pacer.try_acquire(20 * S)), "backoff ended");
 }
--- a/crates/pacing/tests/pacer.rs
+++ b/crates/pacing/tests/pacer.rs
@@ -1,4 +1,4 @@
-//! The pacer held against its bounds: whatever happens, over many seeds, alone and in a herd.
+//! Checks the pacer against its bounds, for one caller and for many at once, over many seeds.
 
 use marljunction_pacing::pacer::MAX_UNUSABLE_WAIT_NS;
 use marljunction_pacing::{Failure, Pacer, PacingParams, ParamsError};
@@ -53,9 +53,9 @@
         let mut now = 5 * S;
         let mut pacer = Pacer::new(pace, seed, now);
         for step in steps {
-            let due = pacer.due_ns().expect("no call is out, so one is due");
+            let due = pacer.due_ns().expect("no call is in progress, so one is due");
             prop_assert!(due <= now + longest, "{} after {now}", due - now);
-            prop_assert!(due <= now || !pacer.call(due - 1), "a call before its time");
+            prop_assert!(due <= now || !pacer.call(due - 1), "a call before it was due");
             now = due;
             prop_assert!(pacer.call(now));
             prop_assert!(!pacer.call(now + 3_600 * S), "one call at a time");
@@ -84,7 +84,7 @@
             };
             let due = pacer.due_ns().unwrap();
             let least = asked.min(longest / 10 * 9);
-            prop_assert!(due >= now.saturating_add(least), "{} where {asked} was asked for", due - now);
+            prop_assert!(due >= now.saturating_add(least), "{} instead of {asked}", due - now);
         }
     }
 }
@@ -114,7 +114,7 @@
     assert!(pacer.call(now));
     pacer.accepted(now);
     pacer.ended(now + 3_600 * S);
-    assert!(pacer.due_ns().unwrap() - now - 3_600 * S <= 20 * MS, "it was well for an hour");
+    assert!(pacer.due_ns().unwrap() - now - 3_600 * S <= 20 * MS, "it was up for an hour");
 }
 
 #[test]
@@ -141,7 +141,7 @@
             let mut herd = herd(count, fleet(count, capacity), capacity, seed);
             let (ideal, n) = (f64::from(count) / capacity * 1e9, u64::from(count));
             let told = |what: &str, p| format!("{what} of {count} at {capacity}, seed {seed}: {p:?}");
-            // Few callers that all fit into a second's calls are no matter for pacing.
+            // Up to a second is allowed where the service accepts all callers at once.
             let settled = 1.5 * ideal.max(1e9);
             let start = herd.pass(60 * S);
             assert!(start.calls * 2 <= n * 3, "{}", told("start", start));
@@ -188,7 +188,7 @@
 #[test]
 fn callers_with_the_same_index_still_settle() {
     let pace = PacingParams { caller_index: 0, ..fleet(200, 50.0) };
-    // Their seeds differ by name and address only, which is what the program sees to.
+    // The seeds of routers differ by name and address even if their indices are equal.
     let callers = (0..200).map(|i| Pacer::new(pace, i, 0)).collect();
     let mut herd = Herd::new(callers, Service::new(50.0));
     let start = herd.pass(60 * S);
@@ -205,13 +205,13 @@
     assert_eq!(
         PacingParams { callers: Some(300), caller_index: 299, ..pace }.window_ns(),
         100 * MS,
-        "nobody has to wait by default"
+        "by default calls wait only briefly"
     );
     assert_eq!(PacingParams { budget_per_s: 0.0, ..pace }.find_error(), Some(ParamsError::Budget));
     assert_eq!(PacingParams { longest_ns: 1, ..pace }.find_error(), Some(ParamsError::LongestBelowShortest));
     let thin = fleet(1_000, 50.0);
     assert!(matches!(thin.find_error(), Some(ParamsError::IntervalOverLongest(share)) if share > 20 * S));
-    assert_eq!(thin.window_ns(), thin.longest_ns, "a fleet goes over the budget rather than be told late");
+    assert_eq!(thin.window_ns(), thin.longest_ns, "the budget is exceeded rather than the update delay");
 }
 
 #[test]
@@ -229,7 +229,7 @@
         assert!(waits[..4].windows(2).all(|pair| pair[1] > pair[0]), "{waits:?}");
         let longest = MAX_UNUSABLE_WAIT_NS;
         assert!(waits[8..].iter().all(|wait| (longest / 2..=longest).contains(wait)), "{waits:?}");
-        // What fails otherwise waits no longer than the settings say.
+        // Other failures wait no longer than the parameters allow.
         let now = pacer.due_ns().unwrap();
         assert!(pacer.call(now));
         pacer.failed(now, Failure::Unavailable);
