--- a/crates/discovery/src/bound.rs
+++ b/crates/discovery/src/bound.rs
@@ -1,39 +1,40 @@
-//! How large a list of engines may be: computed from the memory limit of the configuration, no constant of its own.
+//! Size limits for engine lists, computed from the configured memory limit.
 //!
-//! The text of a list is never held, only the engines that it names; so the count of engines bounds memory, and the length of
-//! the text bounds how long one that never ends is read.
+//! The text of a list is never buffered, only the engines parsed from it. So the number of engines
+//! bounds the memory, and the length of the text bounds how much of an endless one is read.
 
-/// Part of the memory limit that engines may take in all tables of the program together (share).
+/// Share of the memory limit for engines, in all tables of the program together.
 const ENGINES_SHARE: f64 = 0.9;
-/// What one engine takes in all tables together while the next list is read (bytes), as measured.
+/// Memory of one engine in all tables together while the next list is read.
 const ENGINE_BYTES: f64 = 940.0;
-/// Longest text of one event (share of the memory limit): 250 bytes an engine at least.
+/// Longest text of one event, as a share of the memory limit: at least 250 bytes per engine.
 const EVENT_SHARE: f64 = 0.3;
-/// Longest text of one of Consul's answers (share of the memory limit): a kilobyte and more is said of each engine.
+/// Longest text of one Consul response, as a share of the memory limit: more than a kilobyte per
+/// engine.
 const RESPONSE_SHARE: f64 = 2.0;
-/// Part of the longest event that one entry of a list may take.
+/// One list entry may take this fraction of the longest event.
 const ENTRY_BYTES_DIVISOR: usize = 64;
-/// Longest text of one engine in a kept list, and of what stands around all of them (bytes).
+/// Longest text of one engine in a cached snapshot, and of the text around the engines.
 const SNAPSHOT_ENTRY_BYTES: usize = 400;
 const SNAPSHOT_FRAME_BYTES: usize = 1_000;
 
-/// How large a list of engines may be.
+/// Size limits for engine lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListBound {
-    /// Engines on one list (count).
+    /// Engines per list.
     pub engines: usize,
     /// Text of one event (bytes).
     pub event_bytes: usize,
-    /// Text of one of Consul's answers (bytes).
+    /// Text of one Consul response (bytes).
     pub response_bytes: usize,
-    /// Text of one entry of either (bytes).
+    /// Text of one list entry (bytes).
     pub entry_bytes: usize,
-    /// A kept list's file (bytes).
+    /// File of a cached snapshot (bytes).
     pub file_bytes: usize,
 }
 
 impl ListBound {
-    /// Of a process that may use so much memory (MB).
+    /// Computes the limits for a process with this memory limit (MB).
     pub fn of(memory_mb: f64) -> ListBound {
         let memory = memory_mb * 1e6;
         let engines = (memory * ENGINES_SHARE / ENGINE_BYTES) as usize;
@@ -49,7 +50,7 @@
 }
 
 impl Default for ListBound {
-    /// Of a process with 32 MB, the least that a router is given.
+    /// The limits for 32 MB, the smallest memory limit of a router.
     fn default() -> ListBound {
         ListBound::of(32.0)
     }
--- a/crates/discovery/src/cached_snapshot.rs
+++ b/crates/discovery/src/cached_snapshot.rs
@@ -1,5 +1,5 @@
-//! The last list of engines, kept for a start without the list service: what is in it, when it is to be written, and what of
-//! a file can be believed. Pure; files and clocks are the caller's.
+//! The cached snapshot of the engine list, for a start without the list service: its file format,
+//! and when it is written. No file access and no clock.
 
 use std::io::{self, BufWriter, Seek, SeekFrom, Write};
 use std::net::SocketAddr;
@@ -17,47 +17,47 @@
 use crate::split::{SplitError, Splitter};
 use crate::update::{ListError, Text};
 
-/// The first word of a file, and the version of what follows.
+/// First field of a file, and version of the format.
 const MAGIC: &str = "marljunction-list";
 const VERSION: u32 = 1;
-/// Where a file's engines are in its text.
+/// JSON path of the engines.
 const ENGINES: &[&str] = &["engines"];
-/// Digits of a checksum.
+/// Hex digits of the checksum.
 const CHECKSUM_DIGITS: usize = 64;
-/// Least time between writes (ns), and time after which a list that has not changed is written again, so that its age is
-/// told right.
+/// Shortest interval between writes, and the interval at which an unchanged list is written again
+/// so that its recorded age stays correct.
 const MIN_WRITE_INTERVAL_NS: u64 = 1_000_000_000;
 const MAX_WRITE_INTERVAL_NS: u64 = 10_000_000_000;
 
-/// Why a file is not used.
+/// Why a snapshot is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// It is empty, or not a file of this kind.
-    #[error("it is no kept list")]
+    /// Empty, or not a snapshot file.
+    #[error("not a cached snapshot")]
     NotASnapshot,
-    /// It was written by another version of the format.
-    #[error("it is of version {0} of the format, and this program reads version {VERSION}")]
+    /// Written in an unsupported version of the format.
+    #[error("format version {0} is not supported, only version {VERSION}")]
     Version(u32),
-    /// Its checksum is not that of what it holds: it is torn, or was changed.
-    #[error("it is torn or was changed: its checksum is wrong")]
+    /// The checksum is wrong: the file is truncated or was modified.
+    #[error("wrong checksum: the file is truncated or was modified")]
     ChecksumMismatch,
-    /// It holds what can't be read though its checksum is right.
-    #[error("it can't be read: {0}")]
+    /// The checksum is correct but the contents are invalid.
+    #[error("invalid contents: {0}")]
     Unreadable(ListError),
-    /// It is larger than a list may be under the memory limit (bytes).
-    #[error("its {0} bytes are more than the {1} that the memory limit allows")]
+    /// Size of the file, and the limit (bytes).
+    #[error("its {0} bytes exceed the {1} that the memory limit allows")]
     TooLarge(u64, u64),
-    /// It names more engines than a list may under the memory limit (count).
-    #[error("it names over {0} engines, which is all that the memory limit allows")]
+    /// More engines than the limit, which it holds.
+    #[error("more than {0} engines, the most that the memory limit allows")]
     TooManyEngines(usize),
-    /// It is older than it may be (ns).
-    #[error("it is {} s old, which is more than it may be", .0 / 1_000_000_000)]
+    /// The list is older than allowed. Holds its age (ns).
+    #[error("its age of {} s exceeds the maximum", .0 / 1_000_000_000)]
     TooOld(u64),
 }
 
 #[derive(Deserialize)]
 struct Body<'a> {
-    /// When the list was last known to be right (Unix ms).
+    /// When the list was last confirmed by its source (Unix ms).
     #[serde(rename = "heard_ms")]
     confirmed_ms: u64,
     #[serde(borrow)]
@@ -127,29 +127,30 @@
     }
 }
 
-/// When the list is to be written.
+/// Decides when the list is written, and logs lists and writes that fail once each.
 #[derive(Clone, Debug, Default)]
 pub struct CachedSnapshot {
     bound: ListBound,
     changed: bool,
     written_ns: u64,
-    /// It was said that the list is too large to be kept, and that it could not be written.
+    /// Whether these warnings were logged: the list is over the bound; a write failed.
     logged: [bool; 2],
 }
 
 impl CachedSnapshot {
-    /// A list that is kept up to a bound.
+    /// Creates the schedule for lists up to a bound.
     pub fn new(bound: ListBound) -> CachedSnapshot {
         CachedSnapshot { bound, ..CachedSnapshot::default() }
     }
 
-    /// The list has changed.
+    /// Records that the list has changed.
     pub fn changed(&mut self) {
         self.changed = true;
     }
 
-    /// Whether the list of so many engines is to be written now; what was asked counts as written. Nothing is written of a list that names no
-    /// engine: a start with none would be no better for it. Nor of one over the bound, which no start would read.
+    /// Whether a list of this many engines should be written now; if so, the caller is expected to
+    /// do it. An empty list is never written, as it is of no use at a start, nor one over the
+    /// bound, as no start would accept it.
     pub fn due(&mut self, now: u64, engines: usize) -> bool {
         let interval_ns = if self.changed { MIN_WRITE_INTERVAL_NS } else { MAX_WRITE_INTERVAL_NS };
         let due = engines > 0 && now >= self.written_ns + interval_ns;
@@ -159,34 +160,34 @@
         due && self.is_within_bound(engines)
     }
 
-    /// What became of a write; a file that can't be written is told of once.
+    /// Records the result of a write. Only the first of several failures is logged.
     pub fn written(&mut self, path: &Path, written: io::Result<()>) {
         match written {
             Ok(()) => self.logged[1] = false,
             Err(e) if !std::mem::replace(&mut self.logged[1], true) => {
-                warn!("the list of engines could not be kept in {}: {e}", path.display());
+                warn!("cannot write the engine list to {}: {e}", path.display());
             }
             Err(_) => {}
         }
     }
 
-    /// Whether the list is within its bound; one that is not is told of once.
+    /// Whether the list is within the bound. Only the first of several that are not is logged.
     fn is_within_bound(&mut self, engines: usize) -> bool {
         let limit = self.bound.engines;
         if engines <= limit {
             self.logged[0] = false;
         } else if !std::mem::replace(&mut self.logged[0], true) {
-            warn!("the list of {engines} engines is not kept: the memory limit allows {limit}");
+            warn!("not caching the list of {engines} engines: the memory limit allows {limit}");
         }
         engines <= limit
     }
 }
 
-/// Writes a file's text, of a list that was last known to be right at `confirmed_ns` (Unix ns). It is written entry by entry, its
-/// checksum last, and never held.
+/// Writes a list that was last confirmed at `confirmed_ns` (Unix ns). It is written entry by entry,
+/// never buffered as a whole, with the checksum last.
 ///
 /// # Errors
-/// What `out` says: the file is of no use then.
+/// If `out` fails. The output is then invalid.
 pub fn write<W: Write + Seek>(
     out: W,
     listed_engines: &ListedEngines,
@@ -212,7 +213,7 @@
     out.flush()
 }
 
-/// What is written is summed up.
+/// Writer that computes the checksum of what it writes.
 struct HashingWriter<W: Write> {
     out: BufWriter<W>,
     hasher: blake3::Hasher,
@@ -230,11 +231,10 @@
     }
 }
 
-/// Reads a file's text: the list, and how old it is at `now` (Unix ns; a file from the future is as new as can be). One
-/// older than `most_ns` is refused, and one over `bound`.
+/// Decodes a snapshot. Returns the list and its age at `now` (Unix ns), 0 if it lies in the future.
 ///
 /// # Errors
-/// Where it can't be believed: nothing of it is used then.
+/// If the file is invalid, older than `max_age_ns` or over `bound`. Nothing of it is used then.
 pub fn decode(
     bytes: &[u8],
     names: &Names,
@@ -249,7 +249,7 @@
     let (head, body) = text.split_once('\n').ok_or(DecodeError::NotASnapshot)?;
     let fields: Vec<&str> = head.split(' ').collect();
     let [MAGIC, version, checksum] = fields[..] else { return Err(DecodeError::NotASnapshot) };
-    // The version comes first: what another one means by its other fields is not known here.
+    // The version comes first, as other versions may define the other fields differently.
     let version: u32 = version.parse().map_err(|_| DecodeError::NotASnapshot)?;
     if version != VERSION {
         return Err(DecodeError::Version(version));
@@ -266,7 +266,7 @@
     Ok((Change { kind: MembershipKind::Full, targets }, age))
 }
 
-/// When the list was last known to be right (Unix ms), and its engines.
+/// Returns when the list was last confirmed (Unix ms), and its engines.
 fn read_body(body: &str, names: &Names, bound: &ListBound) -> Result<(u64, Vec<Target>), DecodeError> {
     let unreadable = |error: serde_json::Error| DecodeError::Unreadable(ListError::from(error));
     let mut targets = Vec::new();
--- a/crates/discovery/src/consul.rs
+++ b/crates/discovery/src/consul.rs
@@ -1,5 +1,5 @@
-//! Consul: the catalogue says which engines there are, the health API which of them are well. Both are asked
-//! by blocking queries, which are answered once something has changed.
+//! Engine list from Consul: the catalog names the engines, the health API their states. Both are
+//! read by blocking queries, which Consul answers when something changes.
 
 use std::net::SocketAddr;
 
@@ -17,30 +17,30 @@
 use marljunction_pacing::{Failure, Pacer, PacingParams};
 use marljunction_settings::Names;
 
-/// How long a blocking query may wait for a change.
+/// Longest time for which Consul holds a blocking query (s).
 const WAIT_S: u64 = 10;
-/// Silence after which a query is taken for lost (ns): Consul adds up to a sixteenth to the wait.
+/// Silence after which a query has failed (ns). Consul adds up to a sixteenth to the wait.
 const SILENT_NS: u64 = (WAIT_S + 2) * 1_000_000_000;
 
-/// One blocking query that is asked over and over.
+/// A blocking query that is repeated.
 struct Watch {
     query: ConsulQuery,
     index: u64,
     conn: Option<u64>,
     head: Option<Head>,
     chunks: ChunkedDecoder,
-    /// What one call takes out of chunks.
+    /// Buffer for the decoded chunks of one read.
     text: Vec<u8>,
     body: ResponseReader,
-    /// When the present query was asked.
+    /// When the current query was sent.
     sent_ns: u64,
-    /// A query is out; else the connection, where there is one, waits for the next.
+    /// A query is in flight. Otherwise the connection, if any, is idle.
     in_flight: bool,
     pacer: Pacer,
     rejected_updates: RejectedUpdates,
 }
 
-/// The two watches on one service.
+/// The catalog and health queries for one service.
 pub struct Consul {
     address: SocketAddr,
     service: String,
@@ -48,12 +48,12 @@
     bound: ListBound,
     watches: [Watch; 2],
     catalog: Option<Vec<Target>>,
-    /// By engine, in order.
+    /// Sorted by engine.
     health: Option<Vec<(EngineId, EngineState)>>,
     staleness: Staleness,
 }
 
-/// Each router is two callers.
+/// Divides the pacing parameters between the two queries: each router counts as two callers.
 fn per_watch(pace: PacingParams) -> [PacingParams; 2] {
     let callers = pace.callers.map(|n| n.saturating_mul(2));
     [0, 1].map(|watch| PacingParams {
@@ -80,41 +80,43 @@
         }
     }
 
-    /// When the query is taken for lost. Guards against an answer that never comes to its end, a byte at a time.
+    /// When the current query fails. Guards against a response that arrives a byte at a time
+    /// without end.
     fn deadline_ns(&self) -> u64 {
         self.sent_ns + SILENT_NS + (self.body.bytes() as u64).saturating_mul(MAX_NS_PER_BYTE)
     }
 
-    /// The query came to nothing, and its connection is over.
+    /// Ends a failed query and its connection, and schedules the next one.
     fn fail(&mut self, now: u64, net: &mut Net, fault: SourceError) {
         let failure = self.record_failure(fault);
         self.drop_conn(net);
         self.pacer.failed(now, failure);
     }
 
-    /// Counts and logs why a query came to nothing.
+    /// Counts and logs a failed query.
     fn record_failure(&mut self, fault: SourceError) -> Failure {
         let name = self.query.name();
         match fault {
             SourceError::Rejected(after_ns) => return Failure::Rejected { after_ns },
             SourceError::List(error) if error.is_over_limit() => {
                 self.rejected_updates.record(RejectReason::TooLarge, || {
-                    format!("consul's {name} is too large: {error}; what was known stays in force")
+                    format!("consul {name} response is too large: {error}; the previous list stays in force")
                 });
                 return Failure::Unusable;
             }
             SourceError::List(error) => {
                 self.rejected_updates
-                    .record(RejectReason::Invalid, || format!("consul's {name} can't be read: {error}"));
+                    .record(RejectReason::Invalid, || format!("invalid consul {name} response: {error}"));
             }
             SourceError::Ended if self.head.is_some() => {
                 let bytes = self.body.bytes();
-                self.rejected_updates
-                    .record(RejectReason::Truncated, || format!("consul's {name} ended after {bytes} bytes"));
-            }
-            other => {
-                self.rejected_updates.record(RejectReason::CallFailed, || format!("consul's {name}: {other}"))
+                self.rejected_updates.record(RejectReason::Truncated, || {
+                    format!("consul {name} response ended after {bytes} bytes")
+                });
             }
+            other => self
+                .rejected_updates
+                .record(RejectReason::CallFailed, || format!("consul {name} query failed: {other}")),
         }
         Failure::Unavailable
     }
@@ -142,7 +144,7 @@
         net.send(conn, request.as_bytes());
     }
 
-    /// What the answer says, once it has come whole.
+    /// Reads the response. Returns it once it is complete.
     fn read(
         &mut self,
         now: u64,
@@ -182,7 +184,7 @@
         if !complete {
             return Ok(None);
         }
-        // An index that goes back, or none, means that Consul started anew: the next query must not wait.
+        // A lower index, or none, means that Consul has restarted: the next query must not wait.
         let index = head.consul_index.unwrap_or(0);
         let response = self.body.finish()?;
         self.index = if index < self.index { 0 } else { index };
@@ -191,7 +193,7 @@
 }
 
 impl Consul {
-    /// Watches on a service's engines.
+    /// Creates the queries for a service, within the default bound.
     pub fn new(now: u64, address: SocketAddr, service: String, names: Names, pacing: SourceParams) -> Self {
         let [catalog, health] = per_watch(pacing.pace);
         let bound = ListBound::default();
@@ -203,18 +205,18 @@
         Consul { address, service, names, bound, watches, catalog: None, health: None, staleness }
     }
 
-    /// Watches that take answers up to a bound.
+    /// Sets the size limits of responses.
     pub fn with_bound(mut self, bound: ListBound) -> Self {
         self.bound = bound;
         self
     }
 
-    /// What of the news was refused, by watch.
+    /// Rejected updates of the catalog and health queries.
     pub fn rejected_updates(&self) -> [RejectedUpdates; 2] {
         [self.watches[0].rejected_updates, self.watches[1].rejected_updates]
     }
 
-    /// Paces calls so from the next one on.
+    /// Replaces the pacing parameters and the staleness limit.
     pub fn set_pace(&mut self, pace: PacingParams, stale_ns: u64) {
         for (watch, pace) in self.watches.iter_mut().zip(per_watch(pace)) {
             watch.pacer.set_pace(pace);
@@ -222,18 +224,18 @@
         self.staleness.set_stale_ns(stale_ns + SILENT_NS);
     }
 
-    /// How old the news is, to be told.
+    /// The staleness of the list, to update.
     pub fn staleness_mut(&mut self) -> &mut Staleness {
         &mut self.staleness
     }
 
-    /// Calls made and turned away, and how old the news is.
+    /// Calls made and calls rejected because of load, and the staleness of the list.
     pub fn stats(&self) -> ((u64, u64), &Staleness) {
         let [a, b] = [0, 1].map(|i| self.watches[i].pacer.calls());
         ((a.0 + b.0, a.1 + b.1), &self.staleness)
     }
 
-    /// Asks where nothing is being asked and a query is due; gives up a query that is silent for too long.
+    /// Sends queries that are due, and ends those that have timed out.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
         for watch in &mut self.watches {
             if watch.in_flight && now > watch.deadline_ns() {
@@ -253,12 +255,12 @@
         self.staleness.tick(now);
     }
 
-    /// Asks at another address. Its indexes are its own: both watches start anew there.
+    /// Switches to another address. Both queries start again there, as indexes belong to a server.
     pub fn reload(&mut self, now: u64, net: &mut Net, address: SocketAddr) {
         if address == self.address {
             return;
         }
-        info!("consul is asked at {address} now");
+        info!("consul address changed to {address}");
         self.address = address;
         (self.catalog, self.health) = (None, None);
         for watch in &mut self.watches {
@@ -269,12 +271,12 @@
         self.tick(now, net);
     }
 
-    /// Takes what has come in; gives the whole list where it has changed.
+    /// Processes input on a connection. Returns the full list if it has changed.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) -> Option<Change> {
         let at = self.watches.iter().position(|w| w.conn == Some(conn))?;
         let ended = net.service(conn).ended.is_some();
         if !self.watches[at].in_flight {
-            // Nothing is asked: it has closed, or says what nobody asked for.
+            // No query is in flight: the connection was closed, or sent unrequested data.
             self.watches[at].drop_conn(net);
             return None;
         }
@@ -287,7 +289,7 @@
         None
     }
 
-    /// Takes an answer that came whole.
+    /// Applies a complete response.
     fn apply_response(
         &mut self,
         now: u64,
@@ -306,13 +308,13 @@
         match response {
             ConsulResponse::Catalog(targets, unresolved) => {
                 if unresolved > 0 {
-                    warn!("consul's catalogue has {unresolved} engines at addresses that can't be read");
+                    warn!("consul catalog has {unresolved} engines with invalid addresses");
                 }
                 self.catalog = Some(targets);
             }
             ConsulResponse::Health(states) => self.health = Some(states),
         }
-        // One answer that is not taken leaves what is known as old as it is.
+        // The list is not confirmed while either query's responses are too large.
         if !self.watches.iter().any(|watch| watch.rejected_updates.is_too_large()) {
             self.staleness.confirm(now);
         }
@@ -320,7 +322,8 @@
         self.merged_list()
     }
 
-    /// The whole list, once both have answered: who is in the catalogue, as well as the checks say.
+    /// The full list, once both queries have been answered: the engines of the catalog, with the
+    /// states of their health checks.
     fn merged_list(&self) -> Option<Change> {
         let (catalog, health) = (self.catalog.as_ref()?, self.health.as_ref()?);
         let state = |engine: EngineId| {
--- a/crates/discovery/src/consul_response.rs
+++ b/crates/discovery/src/consul_response.rs
@@ -1,6 +1,7 @@
-//! Consul's answers, entry by entry as they come: the catalogue and the health of a service's engines.
+//! Incremental parser of Consul's catalog and health responses.
 //!
-//! An answer counts once all of it has come and can be read. Its text is not held, only what it says of the engines so far.
+//! A response takes effect only once it is complete and valid. Its text is not buffered, only the
+//! engines parsed so far.
 
 use std::borrow::Cow;
 use std::net::{IpAddr, SocketAddr};
@@ -15,17 +16,17 @@
 use marljunction_control::interface::*;
 use marljunction_settings::{index_of, Names};
 
-/// What is asked of Consul.
+/// A query to Consul.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConsulQuery {
-    /// Which engines there are.
+    /// The registered engines.
     Catalog,
-    /// Which of them are well.
+    /// The health checks of the engines.
     Health,
 }
 
 impl ConsulQuery {
-    /// The path of the query, up to the service's name.
+    /// Path of the query, up to the service name.
     pub fn path(self) -> &'static str {
         match self {
             ConsulQuery::Catalog => "/v1/catalog/service/",
@@ -33,21 +34,21 @@
         }
     }
 
-    /// Its name in messages.
+    /// Name in log messages.
     pub fn name(self) -> &'static str {
         match self {
-            ConsulQuery::Catalog => "catalogue",
-            ConsulQuery::Health => "health answer",
+            ConsulQuery::Catalog => "catalog",
+            ConsulQuery::Health => "health",
         }
     }
 }
 
-/// What an answer says.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConsulResponse {
-    /// The engines, and how many more are at addresses that can't be read (count).
+    /// The engines, and the number of further ones with invalid addresses.
     Catalog(Vec<Target>, usize),
-    /// Their states, by engine and in that order.
+    /// Engine states, sorted by engine.
     Health(Vec<(EngineId, EngineState)>),
 }
 
@@ -64,7 +65,7 @@
     service_meta: Option<Meta<'a>>,
 }
 
-/// What the operators say of an engine.
+/// Metadata that operators register for an engine.
 #[derive(Default, Deserialize)]
 struct Meta<'a> {
     #[serde(borrow)]
@@ -76,7 +77,7 @@
 }
 
 impl CatalogEntry<'_> {
-    /// The engine, its state apart; none where its address can't be read.
+    /// The engine, with a placeholder state. `None` if its address is invalid.
     fn target(&self, names: &Names) -> Option<Target> {
         let ip = match self.service_address.as_ref() {
             "" => self.address,
@@ -121,7 +122,7 @@
     status: Cow<'a, str>,
 }
 
-/// The state that an engine's checks show: maintenance drains it, any other critical check takes it out.
+/// State from an engine's checks: maintenance drains it, any other critical check excludes it.
 fn health_state(checks: &[HealthCheck]) -> EngineState {
     let maintenance =
         |c: &HealthCheck| c.id.starts_with("_node_maintenance") || c.id.starts_with("_service_maintenance");
@@ -133,7 +134,7 @@
     }
 }
 
-/// An answer that is being read.
+/// Incremental reader of one response.
 #[derive(Debug)]
 pub struct ResponseReader {
     splitter: Splitter,
@@ -143,7 +144,7 @@
 }
 
 impl ResponseReader {
-    /// An answer of which nothing has come.
+    /// Starts a response.
     pub fn new(query: ConsulQuery, bound: ListBound) -> ResponseReader {
         let response = match query {
             ConsulQuery::Catalog => ConsulResponse::Catalog(Vec::new(), 0),
@@ -152,15 +153,15 @@
         ResponseReader { splitter: Splitter::new(&[], bound.entry_bytes), bound, bytes: 0, response }
     }
 
-    /// What has come of it (bytes).
+    /// Bytes read so far.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// It will have so many bytes.
+    /// Checks the length of the response against the bound.
     ///
     /// # Errors
-    /// Where that is over its bound.
+    /// If it is over the bound.
     pub fn check_length(&self, bytes: usize) -> Result<(), ListError> {
         let limit = self.bound.response_bytes;
         match bytes > limit {
@@ -169,10 +170,10 @@
         }
     }
 
-    /// Takes the next piece of its text.
+    /// Parses the next part of the text.
     ///
     /// # Errors
-    /// Where it is over its bound, or can't be read.
+    /// If the response is over the bound or invalid.
     pub fn push(&mut self, piece: &[u8], names: &Names) -> Result<(), ListError> {
         self.bytes += piece.len();
         self.check_length(self.bytes)?;
@@ -185,16 +186,16 @@
         })
     }
 
-    /// What it says, once all of it has come.
+    /// Returns the response once all of its text has been pushed.
     ///
     /// # Errors
-    /// Where it can't be read.
+    /// If it is incomplete or invalid.
     pub fn finish(&mut self) -> Result<ConsulResponse, ListError> {
         let splitter = std::mem::replace(&mut self.splitter, Splitter::new(&[], self.bound.entry_bytes));
         let _: Vec<IgnoredAny> = serde_json::from_slice(&splitter.finish()?)?;
         let mut response = std::mem::replace(&mut self.response, ConsulResponse::Health(Vec::new()));
         if let ConsulResponse::Health(states) = &mut response {
-            // Of an engine that is named twice, the last counts.
+            // If an engine is listed twice, the last entry counts.
             states.reverse();
             states.sort_by_key(|(engine, _)| *engine);
             states.dedup_by_key(|(engine, _)| *engine);
--- a/crates/discovery/src/event.rs
+++ b/crates/discovery/src/event.rs
@@ -1,4 +1,4 @@
-//! Server-sent events, over a body in chunks or as it is, read as they come: each byte is looked at once, and no line is held.
+//! Incremental parser of server-sent events, over a chunked or plain body. Lines are not buffered.
 
 use memchr::memchr;
 
@@ -8,50 +8,50 @@
 use marljunction_http1::chunks::ChunkedDecoder;
 use marljunction_settings::Names;
 
-/// Longest name of a field, and longest number of an event, that are read (bytes).
+/// Longest field name and longest event id that are read (bytes).
 const MAX_FIELD: usize = 32;
 
 /// An event of the stream.
 #[derive(Debug)]
 pub struct Event {
-    /// Its number, where the stream tells one.
+    /// Its id, if the stream sends a valid one.
     pub number: Option<u64>,
-    /// What it says, or why it can't be read.
+    /// The update, or why it is invalid.
     pub update: Result<Update, ListError>,
 }
 
-/// What is being read of a line.
+/// The part of a line that is being read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum LinePart {
-    /// Its field's name.
+    /// Field name.
     #[default]
     Name,
-    /// An event's number.
+    /// Event id.
     Id,
-    /// An event's text.
+    /// Event data.
     Data,
-    /// What nobody asks for.
+    /// Ignored.
     Other,
 }
 
-/// A reader of server-sent events.
+/// Incremental reader of server-sent events.
 #[derive(Debug)]
 pub struct EventReader {
     chunks: Option<ChunkedDecoder>,
-    /// What one call takes out of chunks.
+    /// Buffer for the decoded chunks of one read.
     text: Vec<u8>,
     bound: ListBound,
     part: LinePart,
-    /// The field's name or the event's number, as far as it has come.
+    /// Field name or event id read so far.
     field_bytes: Vec<u8>,
-    /// What has come of the present line (bytes).
+    /// Length of the current line so far.
     line_bytes: usize,
     id: Option<u64>,
     update: Option<UpdateReader>,
 }
 
 impl EventReader {
-    /// A reader for a body in chunks, or not.
+    /// Starts a body, chunked or plain.
     pub fn new(chunked: bool, bound: ListBound) -> Self {
         EventReader {
             chunks: chunked.then(ChunkedDecoder::default),
@@ -65,15 +65,16 @@
         }
     }
 
-    /// What has come of an event that is not whole (bytes); none between events.
+    /// Bytes read of an incomplete event. `None` between events.
     pub fn pending(&self) -> Option<usize> {
         self.update.as_ref().map(UpdateReader::bytes)
     }
 
-    /// Takes what it can of `input`, adds whole events to `out`, and returns how much it took (bytes).
+    /// Reads from `input`, appends complete events to `out`, and returns the number of bytes
+    /// consumed.
     ///
     /// # Errors
-    /// Where the stream can't be read or has ended, or a line or an event is over its bound.
+    /// If the body is invalid or has ended, or a line or an event is over the bound.
     pub fn decode(
         &mut self,
         input: &[u8],
@@ -109,11 +110,11 @@
         Ok(())
     }
 
-    /// Takes a piece of one line.
+    /// Reads a part of one line.
     fn read_piece(&mut self, mut piece: &[u8], names: &Names) -> Result<(), ListError> {
         self.line_bytes += piece.len();
         let (bytes, limit) = (self.line_bytes, self.bound.event_bytes);
-        // An event's text is counted by who reads it, over all of its lines.
+        // The event's reader counts its data itself, over all of its lines.
         if bytes > limit && self.part != LinePart::Data {
             return Err(ListError::TooLong { bytes, engines: 0, limit });
         }
@@ -134,7 +135,7 @@
         Ok(())
     }
 
-    /// Keeps the first bytes of a name or a number; one that is longer is none.
+    /// Buffers the start of a name or id; one that is too long matches nothing.
     fn buffer_field(&mut self, piece: &[u8]) {
         let part = piece.len().min(MAX_FIELD + 1 - self.field_bytes.len());
         self.field_bytes.extend_from_slice(&piece[..part]);
@@ -147,7 +148,7 @@
             _ => LinePart::Other,
         };
         self.field_bytes.clear();
-        // An event's text may come in several lines.
+        // The data of an event may span several lines.
         match self.part == LinePart::Data && self.update.is_some() {
             true => self.push(b"\n", names),
             false => Ok(()),
--- a/crates/discovery/src/excluded_engines.rs
+++ b/crates/discovery/src/excluded_engines.rs
@@ -1,8 +1,9 @@
-//! Engines that operators took out, between the sources of membership and the module.
+//! Engines that operators have excluded. Applied to membership changes on their way from the source
+//! to the decision module.
 //!
-//! A ban is membership news: while it holds, the module is told that the engine drains, whatever the lists say;
-//! at its end, that the engine has just started, since operators restart an engine that they took out. So the
-//! module's drain grace and its care of cold engines apply unchanged. Nothing here reads a clock or a file.
+//! An excluded engine is reported as draining, whatever its source says. When the exclusion ends,
+//! it is reported as just started, since operators restart engines while they are excluded. So the
+//! module's rules for draining and cold engines apply to it unchanged. No file access and no clock.
 
 use std::collections::BTreeMap;
 
@@ -12,62 +13,62 @@
 use crate::listed_engines::ListedEngines;
 use crate::{engine_id, Change, Target};
 
-/// Engines that may be banned at once (count). Guards against a file or callers that name engines without end;
-/// no fleet of the protocol holds so many.
+/// Most engines that one router may exclude. Guards against unbounded requests or files.
 pub const MAX_EXCLUDED: usize = 4096;
 
-/// Why a call about an engine is a no.
+/// Why an exclusion request fails.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExclusionError {
-    /// No list has named an engine by that id.
+    /// The engine is neither listed nor excluded.
     Unknown,
-    /// The id is empty, too long, or holds what no id holds.
+    /// Not a valid engine id.
     Malformed,
-    /// As many engines are banned as may be.
+    /// The maximum number of engines is excluded.
     Full,
 }
 
-/// Engines taken out, and what the lists said last of every engine that they name.
+/// Excluded engines, and the latest entry of every listed engine.
 #[derive(Debug, Default)]
 pub struct ExcludedEngines {
-    /// Banned engines, with the name that they were banned by.
+    /// Engines excluded by this router, with their names.
     local: BTreeMap<EngineId, String>,
-    /// Engines that the whole fleet was told to leave out, by an operator at any router.
+    /// Engines excluded in the whole fleet, by an operator at any router.
     fleet: BTreeMap<EngineId, String>,
-    /// The latest entry of each engine that the lists name, to tell again where a ban ends.
+    /// Latest entries of the listed engines, reported again when an exclusion ends.
     listed: ListedEngines,
-    /// The latest entry of engines that the lists name no more, while they are local: up to the next whole list.
+    /// Latest entries of engines that were excluded when they left the list. Once the exclusion has
+    /// ended, the next full list drops them.
     unlisted: BTreeMap<EngineId, Target>,
 }
 
 impl ExcludedEngines {
-    /// No engine local.
+    /// Starts with no engine excluded.
     pub fn new() -> Self {
         ExcludedEngines::default()
     }
 
-    /// Whether an engine is local.
+    /// Whether an engine is excluded, by this router or in the fleet.
     pub fn is_excluded(&self, engine: EngineId) -> bool {
         self.local.contains_key(&engine) || self.fleet.contains_key(&engine)
     }
 
-    /// The engines that the lists name.
+    /// The listed engines.
     pub fn listed(&self) -> &ListedEngines {
         &self.listed
     }
 
-    /// Whether a list names an engine now.
+    /// Whether an engine is listed, or left the list while excluded.
     pub fn is_listed(&self, name: &str) -> bool {
         is_valid_engine_name(name) && self.latest_target(engine_id(name)).is_some()
     }
 
-    /// What the lists said last of an engine.
+    /// Latest entry of an engine.
     fn latest_target(&self, id: EngineId) -> Option<Target> {
         self.listed.get(id).or_else(|| self.unlisted.get(&id).copied())
     }
 
-    /// The whole fleet leaves these engines out: what the module is to be told. An engine that a router's own ban holds too
-    /// stays out.
+    /// Replaces the engines that are excluded in the whole fleet. Returns the changes for the
+    /// module. Engines that this router excludes itself stay excluded.
     pub fn set_fleet_excluded<'a>(
         &mut self,
         names: impl Iterator<Item = &'a str>,
@@ -88,7 +89,7 @@
         begins.chain(ends).collect()
     }
 
-    /// News that an engine drains.
+    /// Change that reports an engine as draining.
     fn draining_change(&self, id: EngineId) -> Option<Change> {
         let mut target = self.latest_target(id)?;
         if target.entry.state == EngineState::Ready {
@@ -97,19 +98,21 @@
         Some(Change { kind: MembershipKind::Delta, targets: vec![target] })
     }
 
-    /// News that an engine is back. Operators restart an engine while it is out: it comes back cold, whatever the list last said.
+    /// Change that reports an engine as just started, whatever the list says of its start:
+    /// operators restart engines while they are excluded.
     fn returning_change(&self, id: EngineId, now_ns: u64) -> Option<Change> {
         let mut target = self.latest_target(id)?;
         target.entry.started_ns = Some(now_ns.max(target.entry.started_ns.unwrap_or(0)));
         Some(Change { kind: MembershipKind::Delta, targets: vec![target] })
     }
 
-    /// Names of the banned engines, in the order of their ids.
+    /// Names of the engines that this router excludes, sorted by id.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.local.values().map(String::as_str)
     }
 
-    /// What a source said, as the module is to hear it: banned engines drain.
+    /// Records a change from the source. Returns it as the module should see it, with excluded
+    /// engines draining.
     pub fn filter_change(&mut self, mut change: Change) -> Change {
         self.retain_excluded(&change);
         self.listed.apply(&change);
@@ -125,7 +128,7 @@
         change
     }
 
-    /// Keeps what was known last of banned engines that a list is about to name no more.
+    /// Retains the latest entries of excluded engines that a change is about to remove.
     fn retain_excluded(&mut self, change: &Change) {
         let ids: Vec<EngineId> = self.local.keys().chain(self.fleet.keys()).copied().collect();
         if change.kind != MembershipKind::Delta {
@@ -144,12 +147,12 @@
         }
     }
 
-    /// Takes an engine out: the module is told that it drains. Nothing to tell where it is out already, or no list
-    /// has named it yet.
+    /// Excludes an engine. Returns the change for the module, if the engine is listed and was not
+    /// excluded already.
     ///
     /// # Errors
-    /// [`Refusal::Unknown`] where no list names the engine and `known_or_not` is false: a no is owed for an id
-    /// that nobody has. [`Refusal::Malformed`], [`Refusal::Full`] as they say.
+    /// [`ExclusionError::Unknown`] if the engine is neither listed nor excluded and
+    /// `allow_unlisted` is false; [`ExclusionError::Malformed`]; [`ExclusionError::Full`].
     pub fn disable(&mut self, name: &str, allow_unlisted: bool) -> Result<Option<Change>, ExclusionError> {
         let id = self.validated_id(name)?;
         if !allow_unlisted && self.latest_target(id).is_none() && !self.is_excluded(id) {
@@ -166,11 +169,12 @@
         Ok(if was_excluded { None } else { self.draining_change(id) })
     }
 
-    /// Puts an engine back: the module is told what the lists say of it, as of an engine that started at `now_ns`.
-    /// Nothing to tell where it was not out, or no list names it.
+    /// Ends this router's exclusion of an engine. Returns the change for the module, if the engine
+    /// is listed and no longer excluded; it is reported as started at `now_ns` at the earliest.
     ///
     /// # Errors
-    /// [`Refusal::Unknown`] where neither a list nor a ban names the engine; [`Refusal::Malformed`].
+    /// [`ExclusionError::Unknown`] if the engine is neither listed nor excluded by this router;
+    /// [`ExclusionError::Malformed`].
     pub fn enable(&mut self, name: &str, now_ns: u64) -> Result<Option<Change>, ExclusionError> {
         let id = self.validated_id(name)?;
         if self.local.remove(&id).is_none() {
@@ -179,7 +183,8 @@
         Ok(if self.is_excluded(id) { None } else { self.returning_change(id, now_ns) })
     }
 
-    /// Makes the bans those of `names`, as another process wrote them: what the module is to be told.
+    /// Replaces this router's exclusions by those that another process has written. Returns the
+    /// changes for the module.
     pub fn replace_all<'a>(&mut self, names: impl IntoIterator<Item = &'a str>, now_ns: u64) -> Vec<Change> {
         let names_by_id: BTreeMap<EngineId, &str> =
             names.into_iter().filter(|n| is_valid_engine_name(n)).map(|n| (engine_id(n), n)).collect();
@@ -205,14 +210,14 @@
         }
     }
 
-    /// The bans as a text: one name a line, in the order of their ids.
+    /// This router's exclusions as text: one name per line, sorted by id.
     pub fn to_text(&self) -> String {
         self.names().flat_map(|name| [name, "\n"]).collect()
     }
 }
 
-/// The names in a text that [`Bans::to_text`] wrote; lines that can't be names are passed over, and no more than
-/// [`BANNED_MOST`] are read.
+/// Parses text written by [`ExcludedEngines::to_text`]. Invalid names are skipped, and at most
+/// [`MAX_EXCLUDED`] are read.
 pub fn parse_names(text: &str) -> Vec<&str> {
     text.lines().map(str::trim).filter(|n| is_valid_engine_name(n)).take(MAX_EXCLUDED).collect()
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,4 +1,4 @@
-//! Where news of the engines comes from.
+//! Sources of the engine list: the coordinator's event stream and Consul.
 
 #![forbid(unsafe_code)]
 
@@ -27,18 +27,18 @@
 use marljunction_net::Net;
 use marljunction_pacing::PacingParams;
 
-/// How calls for news are paced.
+/// Parameters of a source.
 #[derive(Clone, Copy, Debug)]
 pub struct SourceParams {
-    /// What the fleet may ask of the service.
+    /// Pacing of calls to the service.
     pub pace: PacingParams,
-    /// Seed of this router's draws: no other router's.
+    /// Seed for random waits. It has to differ between routers.
     pub seed: u64,
-    /// Staleness from which news counts as too old (ns).
+    /// Age from which the list counts as stale (ns).
     pub stale_ns: u64,
 }
 
-/// Where membership news comes from.
+/// A source of membership changes.
 pub enum Source {
     /// The platform's coordinator.
     Stream(Box<stream::Stream>),
@@ -47,7 +47,7 @@
 }
 
 impl Source {
-    /// Looks after its connections.
+    /// Opens and closes connections as they are due.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
         match self {
             Source::Stream(stream) => stream.tick(now, net),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Paces calls so from the next one on.
+    /// Replaces the pacing parameters and the staleness limit, from the next call on.
     pub fn set_pace(&mut self, pace: PacingParams, stale_ns: u64) {
         match self {
             Source::Stream(stream) => stream.set_pace(pace, stale_ns),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// What is known was last right then (ns), as of a list that was kept.
+    /// Sets when the list was last confirmed (ns), as for a cached snapshot.
     pub fn set_confirmed(&mut self, confirmed_ns: u64) {
         match self {
             Source::Stream(stream) => stream.staleness_mut().set_confirmed(confirmed_ns),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// How old the news is (ns).
+    /// Age of the list (ns).
     pub fn age_ns(&self, now: u64) -> u64 {
         match self {
             Source::Stream(stream) => stream.stats().1.age_ns(now),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Number of the last event that was taken; 0 where the service numbers none.
+    /// Number of the last applied event; 0 if the service does not number them.
     pub fn last_event(&self) -> u64 {
         match self {
             Source::Stream(stream) => stream.position().0,
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Whether a stream of numbered events is open now.
+    /// Whether a stream of numbered events is open.
     pub fn is_open(&self) -> bool {
         matches!(self, Source::Stream(stream) if stream.position().1)
     }
 
-    /// What calls for news came to, and how old the news is, as counters.
+    /// Counters of calls, staleness and rejected updates.
     pub fn line(&self, now: u64) -> String {
         let ((calls, rejected), staleness) = match self {
             Source::Stream(stream) => stream.stats(),
@@ -111,8 +111,8 @@
         )
     }
 
-    /// Asks at another address from here on; gives what of `known` is news. The old connection is dropped at
-    /// once: guards against an old source that still talks behind a new one.
+    /// Switches to another address, and returns those of the `known` updates that are new. The old
+    /// connection is closed at once, so that the old service cannot send further changes.
     pub fn reload(
         &mut self,
         now: u64,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes what has come in on one of them; gives the changes in order.
+    /// Processes input on a connection. Returns the changes in order.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) -> Vec<Change> {
         match self {
             Source::Stream(stream) => stream.ready(now, net, conn),
@@ -138,33 +138,33 @@
     }
 }
 
-/// Why a call for news came to nothing, or to an end.
+/// Why a call failed or ended.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SourceError {
-    /// The service is there and takes no more calls for now; for how long it wants none (ns).
-    #[error("it takes no more calls for now")]
+    /// The service rejected the call because of its load, and asks for this wait (ns).
+    #[error("call rejected because of load")]
     Rejected(Option<u64>),
-    /// It answers otherwise than with news.
+    /// Any other status than success.
     #[error("status {0}")]
     Status(u16),
-    /// The head of its answer can't be read.
+    /// Invalid response head.
     #[error("{0}")]
     Head(String),
-    /// The length of its answer is not told.
-    #[error("the body's length is not told")]
+    /// The response has no length.
+    #[error("response has no length")]
     MissingLength,
-    /// The chunks of its answer can't be read.
+    /// Invalid chunked encoding.
     #[error("{0}")]
     Chunk(#[from] ChunkError),
-    /// It has ended, or is silent.
-    #[error("it has ended")]
+    /// The connection was closed or is silent.
+    #[error("connection ended")]
     Ended,
-    /// A list is over its bound, or can't be read.
+    /// A list is over its bound or invalid.
     #[error("{0}")]
     List(#[from] ListError),
 }
 
-/// Whether a service took a call, by the head of its answer.
+/// Checks the status of a response.
 fn check_status(now: u64, head: &Head) -> Result<(), SourceError> {
     match head.status {
         200 => Ok(()),
@@ -173,29 +173,29 @@
     }
 }
 
-/// Time that a list may take for each of its bytes, behind what it may take in any case (ns): 10 KB/s.
+/// Additional time allowed for each byte of a list, beyond the silence limit: 10 KB/s.
 const MAX_NS_PER_BYTE: u64 = 100_000;
 
-/// An engine and where it listens.
+/// An engine and its address.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Target {
-    /// What the module is told of it.
+    /// Its entry for the decision module.
     pub entry: EngineEntry,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
 }
 
-/// One membership event, from whatever source.
+/// A membership change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// How to read the list.
+    /// Whether `targets` is a full list or a delta.
     pub kind: MembershipKind,
-    /// The list.
+    /// The engines.
     pub targets: Vec<Target>,
 }
 
-/// The module's number of an engine, from its name: the same in every router. An address may pass to a new
-/// engine, so it says nothing.
+/// Engine id from its name, the same in every router. The address is not part of it, as it may be
+/// reassigned to another engine.
 pub fn engine_id(name: &str) -> EngineId {
     let hash =
         name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
--- a/crates/discovery/src/listed_engines.rs
+++ b/crates/discovery/src/listed_engines.rs
@@ -1,16 +1,14 @@
-//! What the lists said last of every engine that they name: one table for all who need it, in the order of the engines' numbers.
-//!
-//! Sorted and without gaps, as a large list is nearly all that a router holds of its engines here.
+//! Compact table of the latest entry of every listed engine, sorted by engine id.
 
 use std::net::SocketAddr;
 
 use crate::{Change, Target};
 use marljunction_control::interface::{EngineEntry, EngineId, EngineState, KindId, MembershipKind, ZoneId};
 
-/// Stands for no zone or kind: their numbers are places in lists of names.
+/// Stands for no zone or kind.
 const NO_INDEX: u32 = u32::MAX;
 
-/// A target in two thirds of its space.
+/// Compact form of a [`Target`], two thirds of its size.
 #[derive(Clone, Copy, Debug)]
 struct CompactTarget {
     engine: EngineId,
@@ -58,41 +56,41 @@
     }
 }
 
-/// The engines that the lists name.
+/// The listed engines.
 #[derive(Clone, Debug, Default)]
 pub struct ListedEngines {
-    /// By engine, each once, none of them gone.
+    /// Sorted by engine, without duplicates and removed engines.
     entries: Vec<CompactTarget>,
 }
 
 impl ListedEngines {
-    /// Engines that are named (count).
+    /// Number of listed engines.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is named.
+    /// Whether no engine is listed.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// What is known of an engine; none where no list names it.
+    /// Latest entry of an engine, if it is listed.
     pub fn get(&self, engine: EngineId) -> Option<Target> {
         let at = self.entries.binary_search_by_key(&engine, |entry| entry.engine).ok()?;
         self.entries.get(at).map(CompactTarget::target)
     }
 
-    /// All of them, in order.
+    /// All entries, sorted by engine.
     pub fn iter(&self) -> impl Iterator<Item = Target> + '_ {
         self.entries.iter().map(CompactTarget::target)
     }
 
-    /// Takes updates; of an engine that it names twice, the last counts.
+    /// Applies a change. If it lists an engine twice, the last entry counts.
     pub fn apply(&mut self, change: &Change) {
         if change.kind == MembershipKind::Delta {
             return self.add(latest_by_engine(&change.targets));
         }
-        // Before the new one is made: guards against memory for both at once.
+        // Freed first, so that the old and the new table are never in memory together.
         self.entries = Vec::new();
         self.entries = latest_by_engine(&change.targets);
         self.entries.retain(|entry| entry.state != EngineState::Gone);
@@ -109,7 +107,7 @@
         }
         if !new.is_empty() {
             self.entries.extend(new);
-            // Two runs in order: one pass.
+            // Two sorted runs: the sort merges them in one pass.
             self.entries.sort_by_key(|entry| entry.engine);
         }
         if gone {
@@ -118,7 +116,7 @@
     }
 }
 
-/// Engines in the order of their numbers, each as it is named last.
+/// The last entry of each engine, sorted by engine.
 fn latest_by_engine(targets: &[Target]) -> Vec<CompactTarget> {
     let number = |(at, target): (usize, &Target)| (target.entry.engine, at);
     let mut order: Vec<(EngineId, usize)> = targets.iter().enumerate().map(number).collect();
--- a/crates/discovery/src/rejected_updates.rs
+++ b/crates/discovery/src/rejected_updates.rs
@@ -1,28 +1,28 @@
-//! What of the news could not be taken: counted each time, logged once for each reason until news is taken again.
+//! Counters of rejected updates. Each reason is logged once until an update is accepted.
 
 use log::{info, warn};
 
-/// Why news is not taken, or not as it came.
+/// Why an update was rejected, or accepted under a condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// A list is over the bound that follows from the memory limit.
+    /// A list is over the bound set by the memory limit.
     TooLarge,
-    /// It can't be read.
+    /// Invalid.
     Invalid,
-    /// It ended in the middle.
+    /// Ended before it was complete.
     Truncated,
-    /// It is of a number that is known already.
+    /// Its number is not above the last one.
     Duplicate,
-    /// Its sender counts anew: it is taken.
+    /// The numbering of the service has started again. The update is accepted.
     NumberingReset,
-    /// A call came to nothing before any news.
+    /// The call failed before any update.
     CallFailed,
 }
 
-/// Reasons, in the order of their counters; the last is counted elsewhere.
+/// Names of the counters, by reason. `CallFailed` is counted elsewhere.
 const NAMES: [&str; 5] = ["too_large", "spoilt", "cut", "repeated", "anew"];
 
-/// What one source's news was refused for.
+/// Rejected updates of one source.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RejectedUpdates {
     counts: [u64; NAMES.len() + 1],
@@ -31,7 +31,8 @@
 }
 
 impl RejectedUpdates {
-    /// Counts it, and logs it with what is `told` of it where that is news.
+    /// Counts a rejection, and logs the message if this reason was not logged since the last
+    /// accepted update.
     pub fn record(&mut self, reason: RejectReason, message: impl FnOnce() -> String) {
         let at = reason as usize;
         self.counts[at] += 1;
@@ -45,25 +46,26 @@
         }
     }
 
-    /// News was taken: what is refused from here on is told again.
+    /// Records that an update was accepted: further rejections are logged again.
     pub fn accepted(&mut self) {
         if std::mem::take(&mut self.too_large) {
-            info!("the list of engines is within its bound again");
+            info!("engine list is within its size limit again");
         }
         self.logged = Default::default();
     }
 
-    /// A list was over the bound, and none was taken since: what is known grows old.
+    /// Whether a list was over the bound and none has been accepted since, so that the list in use
+    /// grows stale.
     pub fn is_too_large(&self) -> bool {
         self.too_large
     }
 
-    /// Times that news was refused for a reason.
+    /// Number of rejections for a reason.
     pub fn count(&self, reason: RejectReason) -> u64 {
         self.counts[reason as usize]
     }
 
-    /// The counters of several sources together.
+    /// Formats the sums of the counters of several sources.
     pub fn counters(all: &[RejectedUpdates]) -> String {
         let sum = |at: usize| all.iter().map(|rejected_updates| rejected_updates.counts[at]).sum::<u64>();
         let fields = NAMES.iter().enumerate().map(|(at, name)| format!("list_{name}={}", sum(at)));
--- a/crates/discovery/src/split.rs
+++ b/crates/discovery/src/split.rs
@@ -1,21 +1,21 @@
-//! Splits a JSON text that comes in pieces into the entries of one of its arrays and the rest of the text.
+//! Incremental JSON splitter: separates the entries of one array from the rest of the text.
 //!
-//! Each byte is looked at once. No more is held than one entry and the rest; both have a bound. What stands between the
-//! entries is checked here, the entries and the rest are the caller's to parse.
+//! Each byte is examined once. Only one entry and the rest are buffered, both up to a limit. The
+//! text between entries is checked here; the caller parses the entries and the rest.
 
 use thiserror::Error;
 
 /// Why a text can't be split.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SplitError {
-    /// Something other than an object, a comma or the array's end stands between entries.
-    #[error("byte {0:#04x} between entries")]
+    /// Neither an object, a comma nor the end of the array.
+    #[error("unexpected byte {0:#04x} between entries")]
     UnexpectedByte(u8),
-    /// An entry, or what stands around the entries, is longer than may be (bytes).
-    #[error("an entry of over {0} bytes")]
+    /// An entry, or the text around the array, is over the limit, which it holds (bytes).
+    #[error("entry or surrounding text exceeds {0} bytes")]
     TooLong(usize),
-    /// The text ends where it can't.
-    #[error("it ends within an entry")]
+    /// The text ends inside the array.
+    #[error("text ends inside the list")]
     Truncated,
 }
 
@@ -25,15 +25,15 @@
     Outside,
     /// Before the first entry.
     ArrayStart,
-    /// Within one.
+    /// Inside an entry.
     InEntry,
-    /// Behind one.
+    /// After an entry.
     AfterEntry,
-    /// Behind a comma.
+    /// After a comma.
     AfterComma,
 }
 
-/// Strings and containers as they open and close.
+/// State of strings and nesting.
 #[derive(Clone, Copy, Debug, Default)]
 struct Scan {
     depth: usize,
@@ -42,7 +42,7 @@
 }
 
 impl Scan {
-    /// Takes a byte of a string; whether the string ends with it.
+    /// Processes a byte inside a string. Returns whether the string ends.
     fn string_byte(&mut self, byte: u8) -> bool {
         match byte {
             _ if self.escaped => self.escaped = false,
@@ -53,7 +53,7 @@
         !self.in_string
     }
 
-    /// Where the container that is open ends in `text` (bytes); none where it goes on behind it.
+    /// Length of the text up to the end of the entry. `None` if it goes on.
     fn end_of_entry(&mut self, text: &[u8]) -> Option<usize> {
         for (at, byte) in text.iter().enumerate() {
             if self.in_string {
@@ -76,29 +76,29 @@
     }
 }
 
-/// A text that is being split.
+/// Incremental splitter of one text.
 #[derive(Debug)]
 pub struct Splitter {
-    /// Names of the objects down to the array; none where the text is the array.
+    /// Names of the nested fields that lead to the array; empty if the text is the array.
     path: &'static [&'static str],
     position: Position,
     max_bytes: usize,
     /// The text without the entries.
     rest: Vec<u8>,
     outer: Scan,
-    /// Names of the path that are open.
+    /// Number of path names whose objects are open.
     matched: usize,
-    /// The next value is the one of the path's next name.
+    /// The next value belongs to the next name of the path.
     at_path_value: bool,
-    /// Where the last string of the rest starts and ends.
+    /// Start and end of the last string in `rest`.
     last_string: (usize, usize),
-    /// What has come of the present entry.
+    /// The current entry so far, if it spans several pieces.
     entry: Vec<u8>,
     inner: Scan,
 }
 
 impl Splitter {
-    /// A text whose entries are those of the array behind the names of `path`, none longer than `max_bytes`.
+    /// Splits the array at `path`. Entries and the rest may each have up to `max_bytes`.
     pub fn new(path: &'static [&'static str], max_bytes: usize) -> Splitter {
         Splitter {
             path,
@@ -114,10 +114,10 @@
         }
     }
 
-    /// Takes the next piece; gives each entry that is whole to `on_entry`.
+    /// Processes the next piece of text, and passes each complete entry to `on_entry`.
     ///
     /// # Errors
-    /// What `on_entry` says, and [`SplitError`]: the text is of no use then.
+    /// Errors of `on_entry`, and [`SplitError`]. The splitter must not be used after either.
     pub fn push<E: From<SplitError>>(
         &mut self,
         mut piece: &[u8],
@@ -134,10 +134,10 @@
         Ok(())
     }
 
-    /// The text without its entries, once it has come whole.
+    /// Returns the text without its entries.
     ///
     /// # Errors
-    /// Where it ends within the array.
+    /// If the text ends inside the array.
     pub fn finish(self) -> Result<Vec<u8>, SplitError> {
         match self.position {
             Position::Outside => Ok(self.rest),
@@ -159,7 +159,7 @@
         Ok(piece.len())
     }
 
-    /// Whether the array opens with a byte of the rest.
+    /// Processes a byte of the rest. Returns whether the array starts with it.
     fn rest_byte(&mut self, byte: u8) -> bool {
         if self.outer.in_string {
             if self.outer.string_byte(byte) {
@@ -185,13 +185,13 @@
         false
     }
 
-    /// Whether the last string is the path's next name, in the object that the path has come to.
+    /// Whether the last string is the next name of the path, at the right depth.
     fn is_next_name(&self) -> bool {
         let name = self.path.get(self.matched).filter(|_| self.outer.depth == self.matched + 1);
         name.is_some_and(|name| name.as_bytes() == &self.rest[self.last_string.0..self.last_string.1])
     }
 
-    /// Whether an array that opens here is the one of the path.
+    /// Whether an array that starts here is the one at the path.
     fn opens_array(&self) -> bool {
         match self.path.len() {
             0 => self.outer.depth == 0,
@@ -229,7 +229,7 @@
             return Err(SplitError::TooLong(self.max_bytes).into());
         }
         match end {
-            // The usual case: nothing is copied.
+            // An entry within one piece is not copied.
             Some(_) if self.entry.is_empty() => on_entry(part)?,
             _ => self.entry.extend_from_slice(part),
         }
--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -1,4 +1,4 @@
-//! The subscription to the coordinator's stream of numbered events.
+//! Subscription to the coordinator's stream of numbered membership events.
 
 use std::net::SocketAddr;
 
@@ -16,10 +16,11 @@
 use marljunction_pacing::{Failure, Pacer, PacingParams};
 use marljunction_settings::Names;
 
-/// Silence after which the stream is taken for dead (ns): a comment comes each second.
+/// Silence after which the connection counts as lost (ns). The coordinator sends a comment each
+/// second.
 pub const SILENT_NS: u64 = 2_200_000_000;
 
-/// The subscription to the coordinator.
+/// Subscription to the coordinator.
 pub struct Stream {
     address: SocketAddr,
     names: Names,
@@ -27,13 +28,13 @@
     last: u64,
     conn: Option<u64>,
     reader: Option<EventReader>,
-    /// When the present connection was last heard, or opened.
+    /// When the connection last received data, or was opened.
     last_received_ns: u64,
-    /// Since when an event is being read; none between events.
+    /// When the current event began. `None` between events.
     event_started_ns: Option<u64>,
-    /// The last event that could not be read.
+    /// Number of the last invalid event.
     invalid_event: Option<u64>,
-    /// No event has come on this connection yet.
+    /// No event has arrived on this connection yet.
     awaiting_first_event: bool,
     pacer: Pacer,
     staleness: Staleness,
@@ -41,7 +42,7 @@
 }
 
 impl Stream {
-    /// A subscription that starts behind event `last`.
+    /// Subscribes to the events after `last`, within the default bound.
     pub fn new(now: u64, address: SocketAddr, names: Names, last: u64, pacing: SourceParams) -> Self {
         Stream {
             address,
@@ -60,43 +61,43 @@
         }
     }
 
-    /// A subscription that takes lists up to a bound.
+    /// Sets the size limits of lists.
     pub fn with_bound(mut self, bound: ListBound) -> Self {
         self.bound = bound;
         self
     }
 
-    /// Calls made and turned away, and how old the news is.
+    /// Calls made and calls rejected because of load, and the staleness of the list.
     pub fn stats(&self) -> ((u64, u64), &Staleness) {
         (self.pacer.calls(), &self.staleness)
     }
 
-    /// What of the news was refused.
+    /// Rejected updates.
     pub fn rejected_updates(&self) -> RejectedUpdates {
         self.rejected_updates
     }
 
-    /// Number of the last event that was taken, and whether the stream is open now.
+    /// Number of the last applied event, and whether the stream is open.
     pub fn position(&self) -> (u64, bool) {
         (self.last, self.reader.is_some())
     }
 
-    /// Paces calls so from the next one on.
+    /// Replaces the pacing parameters and the staleness limit.
     pub fn set_pace(&mut self, pace: PacingParams, stale_ns: u64) {
         self.pacer.set_pace(pace);
         self.staleness.set_stale_ns(stale_ns);
     }
 
-    /// How old the news is, to be told.
+    /// The staleness of the list, to update.
     pub fn staleness_mut(&mut self) -> &mut Staleness {
         &mut self.staleness
     }
 
-    /// Opens the stream where it is closed and a call is due, and closes it where it is silent.
+    /// Opens the stream if a call is due, and closes it if it is silent.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
         match self.conn {
             Some(_) if now > self.deadline_ns() => {
-                warn!("the coordinator's stream is silent");
+                warn!("coordinator stream is silent, closing it");
                 self.end(now, net, SourceError::Ended);
             }
             None if self.pacer.call(now) => match net.connect(self.address, Owner::Discovery) {
@@ -108,8 +109,8 @@
         self.staleness.tick(now);
     }
 
-    /// When the stream is taken for dead. Guards against an event that never comes to its end, a byte at a time, and keeps those
-    /// behind it away.
+    /// When the stream counts as lost. Guards against an event that arrives a byte at a time and
+    /// blocks those after it.
     fn deadline_ns(&self) -> u64 {
         let bytes = self.reader.as_ref().and_then(EventReader::pending).unwrap_or(0) as u64;
         let event_deadline_ns = self
@@ -129,7 +130,8 @@
         net.send(conn, request.as_bytes());
     }
 
-    /// Goes on at another address behind the last event, and takes what of `known` is new.
+    /// Switches to another address, after the last event. Returns the changes of those `known`
+    /// updates that are new.
     pub fn reload(
         &mut self,
         now: u64,
@@ -140,20 +142,20 @@
         let new_updates = known.into_iter().filter(|u| u.index > self.last).collect::<Vec<_>>();
         self.last = new_updates.iter().map(|u| u.index).max().unwrap_or(self.last);
         if address != self.address {
-            info!("membership news come from {address} now, behind event {}", self.last);
+            info!("coordinator address changed to {address}, continuing after event {}", self.last);
             self.address = address;
             if let Some(conn) = self.conn.take() {
                 net.close(conn);
             }
-            // All routers may be told of another address at one moment.
+            // All routers may switch at the same moment.
             self.pacer.restart(now);
             self.tick(now, net);
         }
         new_updates.into_iter().map(|u| u.change).collect()
     }
 
-    /// Ends the connection, and says when the next call is made; a stream that was up has ended, a call that never was has
-    /// failed.
+    /// Closes the connection and schedules the next call. A stream that was open has ended; a call
+    /// that never opened one has failed.
     fn end(&mut self, now: u64, net: &mut Net, fault: SourceError) {
         let partial_bytes = self.reader.as_ref().and_then(EventReader::pending);
         let failure = self.record_failure(fault, partial_bytes);
@@ -166,38 +168,36 @@
         }
     }
 
-    /// Counts and logs why a connection ended, `cut` bytes into an event or between two.
+    /// Counts and logs why a connection ended. `partial_bytes` is the size of an incomplete event.
     fn record_failure(&mut self, fault: SourceError, partial_bytes: Option<usize>) -> Failure {
         match fault {
             SourceError::Rejected(after_ns) => {
-                debug!("the coordinator takes no more calls for now; it asks for {after_ns:?} ns");
+                debug!("coordinator rejected the call because of load; requested wait: {after_ns:?} ns");
                 return Failure::Rejected { after_ns };
             }
             SourceError::List(error) if error.is_over_limit() => {
                 self.rejected_updates.record(RejectReason::TooLarge, || {
-                    format!("the list of engines is too large: {error}; what was known stays in force")
+                    format!("engine list is too large: {error}; the previous list stays in force")
                 });
                 return Failure::Unusable;
             }
             SourceError::List(error) => self.rejected_updates.record(RejectReason::Invalid, || {
-                format!("a membership event can't be read, and is asked for once more: {error}")
+                format!("invalid membership event, requesting it once more: {error}")
             }),
             SourceError::Ended => match partial_bytes {
                 Some(bytes) => self.rejected_updates.record(RejectReason::Truncated, || {
-                    format!(
-                        "the coordinator's stream ended {bytes} bytes into an event: it is asked for again"
-                    )
+                    format!("coordinator stream ended {bytes} bytes into an event, requesting it again")
                 }),
-                None => debug!("the coordinator's stream has ended"),
+                None => debug!("coordinator stream ended"),
             },
             other => self
                 .rejected_updates
-                .record(RejectReason::CallFailed, || format!("the coordinator's stream: {other}")),
+                .record(RejectReason::CallFailed, || format!("coordinator stream failed: {other}")),
         }
         Failure::Unavailable
     }
 
-    /// Takes what has come in; gives the changes in order.
+    /// Processes input on the connection. Returns the changes in order.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) -> Vec<Change> {
         let mut changes = Vec::new();
         if self.conn != Some(conn) {
@@ -232,14 +232,14 @@
             self.reader = Some(EventReader::new(head.chunked, self.bound));
             self.pacer.accepted(now);
         }
-        // A list that is not taken leaves what is known as old as it is.
+        // The list is not confirmed while lists are too large.
         if !silent && !self.rejected_updates.is_too_large() {
             self.staleness.confirm(now);
         }
         let (mut events, Some(reader)) = (Vec::new(), &mut self.reader) else { return Ok(()) };
         let consumed = reader.decode(net.input(conn), &self.names, &mut events);
         net.consume(conn, *consumed.as_ref().unwrap_or(&0));
-        // An event whose end has come is no part of the one behind it.
+        // An event that follows a complete one begins now.
         let since = self.event_started_ns.filter(|_| events.is_empty()).unwrap_or(now);
         self.event_started_ns = reader.pending().map(|_| since);
         for event in events {
@@ -248,35 +248,37 @@
         consumed.map(drop)
     }
 
-    /// What an event changes; nothing where it says nothing new.
+    /// Applies an event. Returns its change if it is new.
     fn apply_event(&mut self, now: u64, event: Event) -> Result<Option<Change>, SourceError> {
         let Event { number, update } = event;
         let update = match update {
             Ok(update) => update,
-            // Guards against an event that is lost for good because half of it came: it is asked for once
-            // more. One that can't be read then costs itself only, never the stream.
+            // An invalid event is requested once more, in case it was damaged in transit. If it is
+            // invalid again, it is skipped and the stream goes on.
             Err(error) if number > Some(self.last) && number != self.invalid_event => {
                 self.invalid_event = number;
                 return Err(error.into());
             }
             Err(error) => {
-                self.rejected_updates
-                    .record(RejectReason::Invalid, || format!("a membership event can't be read: {error}"));
+                self.rejected_updates.record(RejectReason::Invalid, || {
+                    format!("invalid membership event, skipping it: {error}")
+                });
                 return Ok(None);
             }
         };
         let index = number.unwrap_or(update.index);
-        // Guards against a coordinator that started anew, whose news would be passed over until its numbers have
-        // grown past the last: a whole list that opens a connection, below the number asked behind, is no repeat.
+        // Guards against a coordinator that restarted its numbering: its events would be ignored
+        // until their numbers pass the last one. A full list as the first event of a connection,
+        // with a lower number, is therefore accepted.
         let is_first = std::mem::take(&mut self.awaiting_first_event);
         let restarted = is_first && index < self.last && update.change.kind == MembershipKind::Full;
         if restarted {
             self.rejected_updates.record(RejectReason::NumberingReset, || {
-                format!("the coordinator counts anew: event {index} behind {}", self.last)
+                format!("coordinator restarted its event numbering: event {index} after {}", self.last)
             });
         } else if index <= self.last {
             self.rejected_updates.record(RejectReason::Duplicate, || {
-                format!("event {index} is known already: the last was {}", self.last)
+                format!("duplicate event {index}: the last one was {}", self.last)
             });
             return Ok(None);
         }
--- a/crates/discovery/src/update.rs
+++ b/crates/discovery/src/update.rs
@@ -1,7 +1,8 @@
-//! Numbered events of the coordinator: their JSON text, whole or as it comes.
+//! Numbered membership updates of the coordinator: their JSON text, parsed at once or
+//! incrementally.
 //!
-//! An event is applied once all of it has come and can be read; until then nothing of it is known outside of here. Its text is
-//! not held, only the engines that it has named so far.
+//! An update takes effect only once it is complete and valid. Its text is not buffered, only the
+//! engines parsed so far.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -15,46 +16,45 @@
 use marljunction_control::interface::*;
 use marljunction_settings::{index_of, Names};
 
-/// Where an event's engines are in its text.
+/// JSON path of the engines.
 const TARGETS: &[&str] = &["endpoints", "targets"];
-/// Longest reason that is told (bytes): it may quote what was read.
+/// Longest error text (bytes), as it may quote the input.
 const MAX_REASON_BYTES: usize = 160;
 
-/// Why a list of engines is not taken.
+/// Why a list of engines is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ListError {
-    /// Its text is longer than the memory limit allows.
-    #[error("{bytes} bytes so far with {engines} engines, and {limit} bytes at most under the memory limit")]
+    /// Longer than the memory limit allows.
+    #[error("{bytes} bytes so far with {engines} engines; the memory limit allows {limit} bytes at most")]
     TooLong {
-        /// What has come of it (bytes).
+        /// Bytes read so far.
         bytes: usize,
-        /// Engines that it has named so far (count).
+        /// Engines parsed so far.
         engines: usize,
-        /// Its bound (bytes).
+        /// Limit (bytes).
         limit: usize,
     },
-    /// It names more engines than the memory limit allows.
-    #[error(
-        "over {limit} engines in {bytes} bytes so far, and {limit} engines at most under the memory limit"
-    )]
+    /// More engines than the memory limit allows.
+    #[error("over {limit} engines in {bytes} bytes so far; the memory limit allows {limit} engines at most")]
     TooMany {
-        /// What has come of it (bytes).
+        /// Bytes read so far.
         bytes: usize,
-        /// Its bound (count).
+        /// Limit (engines).
         limit: usize,
     },
-    /// It can't be read.
+    /// Invalid.
     #[error("{0}")]
     Invalid(String),
 }
 
 impl ListError {
-    /// Whether it is over a bound, and not spoilt.
+    /// Whether the list is over a limit, rather than invalid.
     pub fn is_over_limit(&self) -> bool {
         !matches!(self, ListError::Invalid(_))
     }
 
-    /// A reason of no more than [`MAX_REASON`] bytes, whatever it quotes.
+    /// Creates an [`Invalid`](ListError::Invalid) error, with its text shortened to
+    /// [`MAX_REASON_BYTES`].
     pub(crate) fn invalid(reason: impl std::fmt::Display) -> ListError {
         let mut reason = reason.to_string();
         if reason.len() > MAX_REASON_BYTES {
@@ -93,7 +93,7 @@
     targets: Vec<RawTarget<'a>>,
 }
 
-/// A string that is copied only where it holds escapes.
+/// String that is copied only if it contains escapes.
 #[derive(Deserialize)]
 #[serde(transparent)]
 pub(crate) struct Text<'a>(#[serde(borrow)] Cow<'a, str>);
@@ -145,32 +145,32 @@
             cell: self.pod_group,
             state,
             weight: self.capacity_hint,
-            // The module's clock runs in Unix time: milliseconds need no more than this.
+            // Unix milliseconds fit into `u64` as nanoseconds; saturates for invalid values.
             started_ns: Some(self.boot_ms).filter(|ms| *ms > 0).map(|ms| ms.saturating_mul(1_000_000)),
         };
         Target { entry, address: self.endpoint }
     }
 }
 
-/// A numbered event of the coordinator.
+/// A numbered membership update.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update {
     /// Its number.
     pub index: u64,
-    /// What it says.
+    /// The membership change.
     pub change: Change,
 }
 
 impl Update {
-    /// Reads an event's JSON text.
+    /// Parses the JSON text of an update.
     ///
     /// # Errors
-    /// Where it is no event.
+    /// If it is invalid.
     pub fn read(text: &str, names: &Names) -> Result<Update, ListError> {
         Update::from_parts(text.as_bytes(), Vec::new(), names)
     }
 
-    /// An event whose first engines were read before, from the text without them.
+    /// Creates an update from engines that were parsed before and the text without them.
     fn from_parts(text: &[u8], mut targets: Vec<Target>, names: &Names) -> Result<Update, ListError> {
         let raw: RawUpdate = serde_json::from_slice(text)?;
         targets.extend(raw.endpoints.targets.iter().map(|target| target.target(names)));
@@ -179,33 +179,33 @@
     }
 }
 
-/// An event that is being read.
+/// Incremental reader of one update.
 #[derive(Debug)]
 pub struct UpdateReader {
     splitter: Splitter,
     bound: ListBound,
     targets: Vec<Target>,
     bytes: usize,
-    /// Why it can't be read: the rest of it is passed over, up to its end.
+    /// Why the update is invalid. The rest of its text is skipped.
     invalid: Option<ListError>,
 }
 
 impl UpdateReader {
-    /// An event of which nothing has come.
+    /// Starts an update.
     pub fn new(bound: ListBound) -> UpdateReader {
         let splitter = Splitter::new(TARGETS, bound.entry_bytes);
         UpdateReader { splitter, bound, targets: Vec::new(), bytes: 0, invalid: None }
     }
 
-    /// What has come of it (bytes).
+    /// Bytes read so far.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Takes the next piece of its text.
+    /// Parses the next part of the text.
     ///
     /// # Errors
-    /// Where it is over its bound; what can't be read is told by [`UpdateReader::finish`].
+    /// If the update is over the bound. Invalid text is reported by [`UpdateReader::finish`].
     pub fn push(&mut self, piece: &[u8], names: &Names) -> Result<(), ListError> {
         let UpdateReader { splitter, bound, targets, bytes, invalid } = self;
         *bytes += piece.len();
@@ -233,10 +233,10 @@
         }
     }
 
-    /// The event, once all of it has come.
+    /// Returns the update once all of its text has been pushed.
     ///
     /// # Errors
-    /// Where it can't be read.
+    /// If it is incomplete or invalid.
     pub fn finish(self, names: &Names) -> Result<Update, ListError> {
         match self.invalid {
             Some(error) => Err(error),
--- a/crates/discovery/tests/cached_snapshot.rs
+++ b/crates/discovery/tests/cached_snapshot.rs
@@ -1,4 +1,5 @@
-//! The snapshot list: what is written is read again, and what can't be believed is refused whole.
+//! Checks that a written snapshot is decoded unchanged, and that an invalid one is rejected as a
+//! whole.
 
 use marljunction_control::interface::*;
 use marljunction_discovery::bound::ListBound;
@@ -66,11 +67,11 @@
         read,
         change(MembershipKind::Full, vec![target(1, EngineState::Ready), target(2, EngineState::Draining)])
     );
-    // Names hold, numbers do not: the settings of the next start may list zones in another order.
+    // Zones are stored by name, as the settings of the next start may list them in another order.
     let turned = Names { zones: vec!["b".into(), "a".into()], ..names() };
     let (read, _) = decode(file().as_bytes(), &turned, NOW, 3_600 * S).unwrap();
     assert_eq!(read.targets[0].entry.zone, Some(ZoneId(0)));
-    assert_eq!(decode(file().as_bytes(), &names(), NOW - 50 * S, S).unwrap().1, 0, "a clock that went back");
+    assert_eq!(decode(file().as_bytes(), &names(), NOW - 50 * S, S).unwrap().1, 0, "the clock was set back");
 }
 
 #[test]
@@ -137,5 +138,5 @@
     snapshot.changed();
     assert!(!snapshot.due(NOW + 10 * S + 1, 2) && snapshot.due(NOW + 11 * S, 2));
     snapshot.changed();
-    assert!(!snapshot.due(NOW + 60 * S, 0), "a list that names no engine does not push out one that does");
+    assert!(!snapshot.due(NOW + 60 * S, 0), "an empty list does not replace another one");
 }
--- a/crates/discovery/tests/common/mod.rs
+++ b/crates/discovery/tests/common/mod.rs
@@ -15,7 +15,7 @@
 
 pub const MS: u64 = 1_000_000;
 pub const T0: u64 = 1_700_000_000_000 * MS;
-/// Longer than anything that must happen takes.
+/// Longest wait for an expected event.
 const LIMIT: Duration = Duration::from_secs(8);
 
 pub fn names() -> Names {
@@ -30,7 +30,7 @@
     }
 }
 
-/// One engine of a list, as the coordinator tells it.
+/// JSON of one engine, as the coordinator sends it.
 pub fn target(i: usize, state: &str) -> String {
     let (a, b, c) = (i >> 16 & 255, i >> 8 & 255, i & 255);
     format!(
@@ -40,7 +40,7 @@
     )
 }
 
-/// A whole list of so many engines, from number 1 on.
+/// JSON of a full list of this many engines, numbered from 1.
 pub fn list(index: u64, engines: usize) -> String {
     let targets: Vec<String> = (1..=engines).map(|i| target(i, "in_service")).collect();
     format!(r#"{{"index":{index},"endpoints":{{"all":true,"targets":[{}]}}}}"#, targets.join(","))
@@ -50,13 +50,13 @@
     format!("id: {index}\ndata: {text}\n\n")
 }
 
-/// As a body in chunks of so many bytes.
+/// Encodes a body in chunks of `size` bytes.
 pub fn chunked(body: &[u8], size: usize) -> Vec<u8> {
     let chunk = |part: &[u8]| [format!("{:x}\r\n", part.len()).as_bytes(), part, b"\r\n"].concat();
     body.chunks(size).flat_map(chunk).collect()
 }
 
-/// A whole list of just these engines, in order.
+/// Asserts that the change is a full list of exactly these engines, in order.
 #[track_caller]
 pub fn assert_names(change: &Change, engines: usize) {
     assert_eq!((change.kind, change.targets.len()), (MembershipKind::Full, engines));
@@ -65,12 +65,12 @@
     }
 }
 
-/// The sockets of whoever asks, and the service that is request.
+/// A service that listens on a local socket, and the network of the client under test.
 pub struct TestService {
     poll: Poll,
     pub net: Net,
     listener: TcpListener,
-    /// The service's connections, and what came on them since the last whole call.
+    /// Connections to the service, with the bytes of an incomplete request.
     calls: Vec<(TcpStream, Vec<u8>)>,
     pub now: u64,
 }
@@ -88,7 +88,7 @@
         self.listener.local_addr().unwrap()
     }
 
-    /// A call that has come whole, and what it asks for.
+    /// Next complete request, with its connection.
     pub fn next_request(&mut self) -> Option<(TcpStream, String)> {
         while let Ok((call, _)) = self.listener.accept() {
             call.set_nonblocking(false).unwrap();
@@ -107,23 +107,23 @@
         Some((call.try_clone().unwrap(), String::from_utf8(std::mem::take(request)).unwrap()))
     }
 
-    /// Connections with something to look at within a time.
+    /// Connections that become ready within a time.
     pub fn ready_within(&mut self, limit: Duration) -> Vec<u64> {
         let mut events = Events::with_capacity(8);
         self.poll.poll(&mut events, Some(limit)).unwrap();
         events.iter().map(|event| event.token().0 as u64).collect()
     }
 
-    /// Connections with something to look at, which must come.
+    /// Connections that become ready. Panics if there are none.
     pub fn ready(&mut self) -> Vec<u64> {
         let ready = self.ready_within(LIMIT);
-        assert!(!ready.is_empty(), "nothing comes");
+        assert!(!ready.is_empty(), "no connection became ready");
         ready
     }
 }
 
-/// Answers on a thread of its own, as what it says may be larger than the machine holds on its way; ends the connection behind it
-/// unless that `keep_open`.
+/// Responds from a thread, as the body may be larger than the socket buffers. Then closes the
+/// connection unless `keep_open`.
 pub fn answer(
     mut call: TcpStream,
     head: &str,
@@ -132,7 +132,7 @@
 ) -> std::thread::JoinHandle<()> {
     let head = head.to_owned();
     std::thread::spawn(move || {
-        // Whoever asked may have had enough.
+        // The client may have closed the connection.
         let _ = call.write_all(head.as_bytes()).and_then(|()| call.write_all(&body));
         if !keep_open {
             let _ = call.shutdown(Shutdown::Both);
@@ -158,15 +158,15 @@
     fn flush(&self) {}
 }
 
-/// What this test logs from here on.
+/// Starts capturing the log of this test.
 pub fn capture_log() {
-    // Another test of this program may have set it up.
+    // Another test in this binary may have set the logger.
     let _ = log::set_logger(&CapturedLog);
     log::set_max_level(log::LevelFilter::Info);
     LOG_LINES.with(|lines| lines.borrow_mut().clear());
 }
 
-/// Lines of this test's log that hold some words.
+/// Captured lines that contain `words`.
 pub fn logged_lines(words: &str) -> Vec<String> {
     LOG_LINES.with(|lines| lines.borrow().iter().filter(|line| line.contains(words)).cloned().collect())
 }
--- a/crates/discovery/tests/events.rs
+++ b/crates/discovery/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events as they come, in pieces of any size: large ones are read whole, and those that are none cost only themselves.
+//! Checks the event reader on input in pieces of any size, on large lists and on invalid events.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use marljunction_discovery::update::{ListError, Update};
 use marljunction_discovery::SourceError;
 
-/// What comes of a body that is read in pieces of so many bytes.
+/// Reads a body in pieces of `piece` bytes.
 fn read(body: &[u8], is_chunked: bool, piece: usize) -> (Vec<Event>, Result<(), SourceError>) {
     let (names, mut out) = (names(), Vec::new());
     let mut reader = EventReader::new(is_chunked, ListBound::default());
@@ -72,7 +72,7 @@
         assert_eq!((ended, events.len()), (Ok(()), 1), "pieces of {piece}");
         assert_eq!((events[0].number, events[0].update.as_ref()), (Some(9), Ok(&whole)), "pieces of {piece}");
     }
-    // The text in several lines of the event, and its number behind it.
+    // Data in several lines, with the id after it.
     let lines: Vec<String> = text.split(" , ").map(|part| format!("data:{part}\n")).collect();
     let body = format!("{}data: ,\nid:9\n\n", lines[0]) + &format!("data:{text}\nid:9\n\n");
     let (events, _) = read(body.as_bytes(), false, 11);
@@ -120,7 +120,7 @@
 fn the_bounds_scale_with_the_memory_limit() {
     let (small, large) = (ListBound::of(32.0), ListBound::of(320.0));
     assert!(small.engines >= 30_000, "{small:?}");
-    // Engines as long as those of the tests.
+    // Engines of these tests have about 200 bytes.
     assert!(small.event_bytes > 30_000 * 200, "{small:?}");
     let ten = |a: usize, b: usize| assert!(b.abs_diff(a * 10) <= a, "{a} and {b}");
     ten(small.engines, large.engines);
--- a/crates/discovery/tests/excluded_engines.rs
+++ b/crates/discovery/tests/excluded_engines.rs
@@ -1,4 +1,4 @@
-//! Bans of engines between the sources of membership and the module.
+//! Checks how excluded engines change what the decision module sees.
 
 use marljunction_control::interface::{EngineEntry, EngineState, MembershipKind};
 use marljunction_discovery::excluded_engines::{parse_names, ExcludedEngines, ExclusionError, MAX_EXCLUDED};
@@ -24,17 +24,17 @@
         MembershipKind::Full,
         &[("s-1", EngineState::Ready), ("s-2", EngineState::Ready)],
     ));
-    let change = exclusions.disable("s-1", false).unwrap().expect("the module is told");
+    let change = exclusions.disable("s-1", false).unwrap().expect("a change for the module");
     assert_eq!((change.kind, states(&change)), (MembershipKind::Delta, vec![EngineState::Draining]));
     let relisted = list(MembershipKind::Full, &[("s-1", EngineState::Ready), ("s-2", EngineState::Ready)]);
     assert_eq!(states(&exclusions.filter_change(relisted)), [EngineState::Draining, EngineState::Ready]);
     let delta = exclusions.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Ready)]));
     assert_eq!(states(&delta), [EngineState::Draining]);
-    // Two calls out, one enabled.
+    // Excluded twice, enabled once.
     assert_eq!(exclusions.disable("s-1", false), Ok(None));
-    let enabled = exclusions.enable("s-1", 1_000).unwrap().expect("the module is told");
+    let enabled = exclusions.enable("s-1", 1_000).unwrap().expect("a change for the module");
     assert_eq!(states(&enabled), [EngineState::Ready]);
-    assert_eq!(enabled.targets[0].entry.started_ns, Some(1_000), "it comes back as just started: cold");
+    assert_eq!(enabled.targets[0].entry.started_ns, Some(1_000), "it returns cold");
     assert!(!exclusions.is_excluded(engine_id("s-1")));
     let delta = exclusions.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Ready)]));
     assert_eq!(states(&delta), [EngineState::Ready]);
@@ -48,9 +48,9 @@
     assert_eq!(exclusions.enable("s-9", 1), Err(ExclusionError::Unknown));
     assert_eq!(exclusions.disable("s 1", false), Err(ExclusionError::Malformed));
     assert_eq!(exclusions.disable(&"s".repeat(200), false), Err(ExclusionError::Malformed));
-    // Known and not out: putting it back is a yes with nothing to tell.
+    // Enabling an engine that is not excluded succeeds without a change.
     assert_eq!(exclusions.enable("s-1", 1), Ok(None));
-    // Gone from the lists: nobody has it any more.
+    // No longer listed.
     exclusions.filter_change(list(MembershipKind::Full, &[]));
     assert_eq!(exclusions.disable("s-1", false), Err(ExclusionError::Unknown));
 }
@@ -65,7 +65,7 @@
     let relisted = exclusions.filter_change(list(MembershipKind::Full, &[("s-1", EngineState::Ready)]));
     assert_eq!(states(&relisted), [EngineState::Draining]);
     let gone = exclusions.filter_change(list(MembershipKind::Delta, &[("s-1", EngineState::Gone)]));
-    assert_eq!(states(&gone), [EngineState::Gone], "what has gone is told as gone");
+    assert_eq!(states(&gone), [EngineState::Gone], "a removed engine is reported as gone");
 }
 
 #[test]
@@ -78,18 +78,15 @@
     exclusions.disable("s-2", false).unwrap();
     exclusions.disable("s-1", false).unwrap();
     let text = exclusions.to_text();
-    // The successor reads them before it hears any list.
+    // The successor reads the exclusions before any list.
     let mut successor = ExcludedEngines::new();
-    assert!(
-        successor.replace_all(parse_names(&text), 7).is_empty(),
-        "no list named them yet: nothing to tell"
-    );
+    assert!(successor.replace_all(parse_names(&text), 7).is_empty(), "not listed yet: no changes");
     let listed = successor.filter_change(list(
         MembershipKind::Full,
         &[("s-1", EngineState::Ready), ("s-3", EngineState::Ready)],
     ));
     assert_eq!(states(&listed), [EngineState::Draining, EngineState::Ready]);
-    // The other process put s-1 back: the change is taken over.
+    // The other process has enabled s-1.
     let changes = successor.replace_all(parse_names("s-2\n"), 9);
     assert_eq!(changes.len(), 1);
     assert_eq!(
@@ -120,18 +117,19 @@
         [EngineState::Draining]
     );
     assert!(exclusions.is_excluded(engine_id("e1")) && exclusions.is_excluded(engine_id("nobody")));
-    // Its own ban adds nothing, and outlasts the fleet's word; its end changes nothing while that holds.
+    // A local exclusion adds nothing while the fleet excludes the engine, and outlasts that
+    // exclusion.
     assert_eq!(exclusions.disable("e1", false), Ok(None));
     assert_eq!(exclusions.enable("e1", 6), Ok(None));
     assert_eq!(exclusions.disable("e1", false), Ok(None));
     assert_eq!(exclusions.set_fleet_excluded(std::iter::empty(), 7), Vec::new());
     assert!(exclusions.is_excluded(engine_id("e1")));
     assert_eq!(states(exclusions.enable("e1", 8).unwrap().into_iter().collect()), [EngineState::Ready]);
-    // Only its own are kept for a successor: the fleet's words have a file of their own.
+    // Only local exclusions are written.
     exclusions.disable("e2", false).unwrap();
     exclusions.set_fleet_excluded(["e1"].into_iter(), 9);
     assert_eq!(exclusions.to_text(), "e2\n");
-    // A list that has the engine as ready changes nothing while it is out, and it is back cold.
+    // A list that reports the engines as ready does not end their exclusion, and they return cold.
     let passed = exclusions
         .filter_change(list(MembershipKind::Full, &[("e1", EngineState::Ready), ("e2", EngineState::Ready)]));
     assert!(passed.targets.iter().all(|t| t.entry.state == EngineState::Draining));
--- a/crates/discovery/tests/large_consul.rs
+++ b/crates/discovery/tests/large_consul.rs
@@ -1,5 +1,5 @@
-//! Consul on a real socket: large answers are learned entry by entry; what is over the bound, cut or spoilt replaces nothing, is
-//! counted, is told once, and is asked for within the pace.
+//! Checks Consul over a real socket: large responses are received, and those that are too large,
+//! truncated or invalid leave the old list in force, are logged once, and are retried with backoff.
 
 mod common;
 
@@ -45,7 +45,7 @@
     service: TestService,
     consul: Consul,
     changes: Vec<Change>,
-    /// When the catalogue and the health were asked for (ns).
+    /// When the catalog and the health query were received (ns).
     queries_ns: [Vec<u64>; 2],
 }
 
@@ -62,10 +62,10 @@
         self.consul.rejected_updates().iter().map(|rejected| rejected.count(reason)).sum()
     }
 
-    /// Passes time until a query comes; which one it is.
+    /// Advances time until a query arrives. Returns which one it is.
     fn next_request(&mut self) -> (TcpStream, usize) {
         loop {
-            // Each call that was made comes: time waits for it.
+            // Time stands still until each call that was made has arrived.
             let received_count = self.queries_ns.iter().map(Vec::len).sum::<usize>() as u64;
             if self.consul.stats().0 .0 == received_count {
                 self.service.now += 20 * MS;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Answers the next query with what is said for it, up to what it comes to.
+    /// Answers the next query with its body, and waits for a condition.
     fn answer_next(
         &mut self,
         bodies: [&str; 2],
@@ -123,7 +123,7 @@
         watch
     }
 
-    /// Answers both queries well.
+    /// Answers both queries with a valid list.
     fn receive_list(&mut self, engines: usize, is_chunked: bool) {
         let (catalogue, health) = (catalogue(engines), health(engines));
         let mut seen = [false; 2];
@@ -168,7 +168,7 @@
             harness.count(RejectReason::TooLarge) == expected_count
         });
     }
-    assert_eq!(harness.changes.len(), change_count, "the old list stays");
+    assert_eq!(harness.changes.len(), change_count, "the old list stays in force");
     for watch in [0, 1] {
         let queries_ns = &harness.queries_ns[watch][before[watch].len()..];
         assert!(queries_ns.len() <= 30, "{} calls in ten minutes", queries_ns.len());
@@ -176,8 +176,8 @@
         assert!(waits[8..].iter().all(|wait| (29 * S..61 * S).contains(wait)), "{waits:?}");
     }
     let logged = logged_lines("too large");
-    assert!(logged.len() == 2 && logged.iter().all(|line| line.starts_with("WARN consul's")), "{logged:?}");
-    assert!(harness.consul.stats().1.age_ns(harness.service.now) > 500 * S, "what is known grows old");
+    assert!(logged.len() == 2 && logged.iter().all(|line| line.starts_with("WARN consul ")), "{logged:?}");
+    assert!(harness.consul.stats().1.age_ns(harness.service.now) > 500 * S, "the list grows stale");
     harness.receive_list(limit, true);
     assert_eq!(harness.consul.stats().1.age_ns(harness.service.now), 0);
 }
@@ -197,7 +197,7 @@
         "{:?}",
         logged_lines("")
     );
-    // It was not kept open for the rest.
+    // The connection was closed.
     responder.join().unwrap();
 }
 
@@ -233,10 +233,10 @@
             harness.count(RejectReason::Invalid) == expected_count
         });
     }
-    assert_eq!(harness.changes.len(), change_count, "the old list stays");
+    assert_eq!(harness.changes.len(), change_count, "the old list stays in force");
     assert!(
-        logged_lines("ended after").len() <= 2 && logged_lines("can't be read").len() <= 2,
-        "once a query: {:?}",
+        logged_lines("ended after").len() <= 2 && logged_lines("invalid consul").len() <= 2,
+        "once for each query: {:?}",
         logged_lines("")
     );
     harness.receive_list(30_000, false);
--- a/crates/discovery/tests/large_list.rs
+++ b/crates/discovery/tests/large_list.rs
@@ -1,5 +1,6 @@
-//! The coordinator's stream on a real socket: large lists are learned, and what is over the bound, cut, spoilt or old replaces
-//! nothing, is counted, is told once, and is asked for within the pace. Times are passed in.
+//! Checks the coordinator's stream over a real socket: large lists are received, and events that
+//! are too large, truncated, invalid or duplicate leave the old list in force, are counted, are
+//! logged once, and are requested again within the pace.
 
 mod common;
 
@@ -23,7 +24,7 @@
 struct Harness {
     service: TestService,
     stream: Stream,
-    /// What it has told, in order.
+    /// Reported changes, in order.
     changes: Vec<Change>,
     /// When each call was made (ns).
     calls: Vec<u64>,
@@ -42,7 +43,7 @@
         self.stream.rejected_updates().count(reason)
     }
 
-    /// Passes time until the next call, and takes what it asks last_event_id.
+    /// Advances time until the next call. Returns its connection and its `Last-Event-ID`.
     fn next_request(&mut self) -> (std::net::TcpStream, String) {
         let calls_before = self.stream.stats().0 .0;
         while self.stream.stats().0 .0 == calls_before {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Takes what comes.
+    /// Processes input that is expected.
     fn read(&mut self) {
         let ready = self.service.ready();
         self.process(ready);
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Answers the next call, up to what it comes to.
+    /// Answers the next call, and waits for a condition.
     fn answer_next(
         &mut self,
         head: &str,
@@ -94,7 +95,7 @@
         behind
     }
 
-    /// The stream ends by its other side.
+    /// Lets the stream time out.
     fn drop_stream(&mut self) {
         self.service.now += SILENT_NS + 1;
         self.stream.tick(self.service.now, &mut self.service.net);
@@ -126,7 +127,7 @@
         });
         assert_eq!((last_event_id.as_str(), harness.changes.len()), ("1", 0));
     }
-    assert_eq!(logged_lines("bytes into an event").len(), 1, "told once: {:?}", logged_lines(""));
+    assert_eq!(logged_lines("bytes into an event").len(), 1, "logged once: {:?}", logged_lines(""));
     let last_event_id = harness.answer_next(HEAD, body, true, |harness| !harness.changes.is_empty());
     assert_eq!(last_event_id, "1");
     assert_names(&harness.changes[0], 30_000);
@@ -148,7 +149,7 @@
         let last_event_id = harness.answer_next(HEAD, large.clone(), true, |harness| {
             harness.count(RejectReason::TooLarge) == expected_count
         });
-        assert_eq!((last_event_id.as_str(), harness.changes.len()), ("2", 1), "the old list stays");
+        assert_eq!((last_event_id.as_str(), harness.changes.len()), ("2", 1), "the old list stays in force");
     }
     let calls = &harness.calls[1..];
     assert!(calls.len() <= 30, "{} calls in ten minutes", calls.len());
@@ -160,8 +161,8 @@
         logged[0].contains(&format!("over {limit} engines in ")) && logged[0].contains("bytes"),
         "{logged:?}"
     );
-    assert!(harness.stream.stats().1.age_ns(harness.service.now) > 500 * S, "what is known grows old");
-    // Within the bound again: learned, and a further one is told of again.
+    assert!(harness.stream.stats().1.age_ns(harness.service.now) > 500 * S, "the list grows stale");
+    // A list within the bound is accepted, and the next rejection is logged again.
     let body = event(4, &list(4, limit)).into_bytes();
     harness.answer_next(HEAD, body, true, |harness| harness.changes.len() == 2);
     assert_names(&harness.changes[1], limit);
@@ -201,7 +202,7 @@
     while harness.count(RejectReason::Truncated) == 0 {
         harness.service.now += 500 * MS;
         harness.stream.tick(harness.service.now, &mut harness.service.net);
-        assert!(harness.service.now < started_ns + 2 * SILENT_NS, "it is waited for");
+        assert!(harness.service.now < started_ns + 2 * SILENT_NS, "the stream is still open");
         if harness.count(RejectReason::Truncated) == 0 {
             call.write_all(b" ").unwrap();
             harness.read();
@@ -219,7 +220,7 @@
     let last_event_id = harness.answer_next(HEAD, body, true, |harness| !harness.changes.is_empty());
     assert_eq!((last_event_id.as_str(), harness.count(RejectReason::Invalid)), ("1", 2));
     assert_names(&harness.changes[0], 4);
-    assert_eq!(logged_lines("can't be read").len(), 1, "{:?}", logged_lines(""));
+    assert_eq!(logged_lines("invalid membership event").len(), 1, "{:?}", logged_lines(""));
 }
 
 #[test]
@@ -230,7 +231,7 @@
     harness.answer_next(HEAD, body.into_bytes(), true, |harness| harness.count(RejectReason::Duplicate) == 3);
     assert_eq!(harness.changes.len(), 1);
     assert_names(&harness.changes[0], 9);
-    assert_eq!(logged_lines("is known already").len(), 1);
+    assert_eq!(logged_lines("duplicate event").len(), 1);
 }
 
 #[test]
@@ -239,7 +240,7 @@
     harness
         .answer_next(HEAD, event(50, &list(50, 9)).into_bytes(), true, |harness| !harness.changes.is_empty());
     harness.drop_stream();
-    // A part of another life's news is no list: nothing of it is taken, nor a whole one last_event_id it.
+    // A delta with a lower number is not accepted, nor a full list after it.
     let part = format!(r#"{{"index":3,"endpoints":{{"targets":[{}]}}}}"#, target(1, "terminated"));
     let body = event(3, &part) + &event(4, &list(4, 1));
     harness.answer_next(HEAD, body.into_bytes(), true, |harness| harness.count(RejectReason::Duplicate) == 2);
@@ -252,7 +253,7 @@
         (harness.changes[2].kind, harness.count(RejectReason::NumberingReset)),
         (MembershipKind::Delta, 1)
     );
-    assert_eq!(logged_lines("counts anew").len(), 1);
+    assert_eq!(logged_lines("restarted its event numbering").len(), 1);
     harness.drop_stream();
-    assert_eq!(harness.next_request().1, "4", "behind the numbers of its new life");
+    assert_eq!(harness.next_request().1, "4", "the new numbering is used");
 }
--- a/crates/discovery/tests/listed_engines.rs
+++ b/crates/discovery/tests/listed_engines.rs
@@ -1,4 +1,4 @@
-//! The table of engines against a plain map, over many lists and changes.
+//! Compares the table of engines with a plain map, over random changes.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use marljunction_discovery::listed_engines::ListedEngines;
 use marljunction_discovery::{Change, Target};
 
-/// Numbers that follow from a seed.
+/// Generator of reproducible random numbers.
 struct Draws(u64);
 
 impl Draws {
--- a/crates/discovery/tests/silent.rs
+++ b/crates/discovery/tests/silent.rs
@@ -1,5 +1,6 @@
-//! A coordinator whose streams fall silent: what it has to tell counts as told 7 s later at the latest, so a call that may be answered
-//! comes before. Times are passed in, only the sockets are real.
+//! Guards against updates that miss their maximum delay when streams of the coordinator fall
+//! silent: a third call has to fit after two silent ones. Times are passed in; only the sockets are
+//! real.
 
 use std::io::Write;
 use std::net::TcpListener;
@@ -15,7 +16,8 @@
 const MS: u64 = 1_000_000;
 const T0: u64 = 1_700_000_000_000 * MS;
 
-/// When the third call is made, where the first two are silent from their start (ns); the first gives a head before where `head`.
+/// Time of the third call after the first (ns), if the first two are silent. With `head`, the first
+/// receives a response head before.
 fn third_call_ns(seed: u64, callers: u32, head: bool) -> u64 {
     let mut poll = Poll::new().unwrap();
     let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, Room::of(64, 64.0));
@@ -37,14 +39,14 @@
             let mut events = Events::with_capacity(4);
             while stream.stats().1.age_ns(now) > 0 {
                 poll.poll(&mut events, Some(std::time::Duration::from_secs(8))).unwrap();
-                assert!(!events.is_empty(), "the head does not come");
+                assert!(!events.is_empty(), "no response head");
                 for conn in events.iter().map(|e| e.token().0 as u64).collect::<Vec<_>>() {
                     stream.ready(now, &mut net, conn);
                 }
             }
             answered = Some(up);
         }
-        // The silence begins with the first call, or with what was heard on it.
+        // The silence begins with the first call, or with its response head.
         if stream.stats().0 .0 >= 1 {
             first.get_or_insert(now);
         }
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -202,7 +202,10 @@
     fleet.drain(0);
     run(&mut fleet, 1_500);
     for router in 0..ROUTERS {
-        assert!(fleet.said(router).contains("counts anew"), "router {router} follows the new numbers");
+        assert!(
+            fleet.said(router).contains("restarted its event numbering"),
+            "router {router} follows the new numbers"
+        );
     }
     let sent_late = |f: &Fleet| f.audit().late_sends;
     assert_eq!(sent_late(&fleet), 0, "a drain told under the new numbers binds");
@@ -305,10 +308,10 @@
     let too_large = ListBound::of(MEMORY_MB.into()).file_bytes + 1;
     let newer = String::from_utf8_lossy(&whole).replacen(" 1 ", " 2 ", 1);
     let spoilt: [(&[u8], &str); 4] = [
-        (&whole[..whole.len() / 2], "torn"),
+        (&whole[..whole.len() / 2], "wrong checksum"),
         (newer.as_bytes(), "version 2"),
-        (b"", "no kept list"),
-        (&vec![b'x'; too_large], "bytes are more than the"),
+        (b"", "not a cached snapshot"),
+        (&vec![b'x'; too_large], "bytes exceed the"),
     ];
     for (router, (bytes, _)) in spoilt.iter().enumerate() {
         std::fs::write(fleet.own(router), bytes).unwrap();
