--- a/crates/discovery/src/excluded_engines.rs
+++ b/crates/discovery/src/excluded_engines.rs
@@ -137,8 +137,8 @@
             let targets = ids.iter().filter_map(|id| self.listed.get(*id));
             self.unlisted.extend(targets.map(|target| (target.entry.engine, target)));
         }
-        let gone = change.targets.iter().filter(|target| target.entry.state == EngineState::Gone);
-        for target in gone {
+        let removed = change.targets.iter().filter(|target| target.entry.state == EngineState::Gone);
+        for target in removed {
             let id = target.entry.engine;
             match self.is_excluded(id) {
                 true => drop(self.unlisted.insert(id, *target)),
--- a/crates/discovery/src/listed_engines.rs
+++ b/crates/discovery/src/listed_engines.rs
@@ -97,9 +97,9 @@
     }
 
     fn add(&mut self, updates: Vec<CompactTarget>) {
-        let (mut new, mut gone) = (Vec::new(), false);
+        let (mut new, mut removed) = (Vec::new(), false);
         for engine in updates {
-            gone |= engine.state == EngineState::Gone;
+            removed |= engine.state == EngineState::Gone;
             match self.entries.binary_search_by_key(&engine.engine, |entry| entry.engine) {
                 Ok(at) => self.entries[at] = engine,
                 Err(_) => new.push(engine),
@@ -110,7 +110,7 @@
             // Two sorted runs: the sort merges them in one pass.
             self.entries.sort_by_key(|entry| entry.engine);
         }
-        if gone {
+        if removed {
             self.entries.retain(|entry| entry.state != EngineState::Gone);
         }
     }
--- a/crates/discovery/tests/cached_snapshot.rs
+++ b/crates/discovery/tests/cached_snapshot.rs
@@ -68,8 +68,8 @@
         change(MembershipKind::Full, vec![target(1, EngineState::Ready), target(2, EngineState::Draining)])
     );
     // Zones are stored by name, as the settings of the next start may list them in another order.
-    let turned = Names { zones: vec!["b".into(), "a".into()], ..names() };
-    let (read, _) = decode(file().as_bytes(), &turned, NOW, 3_600 * S).unwrap();
+    let reordered = Names { zones: vec!["b".into(), "a".into()], ..names() };
+    let (read, _) = decode(file().as_bytes(), &reordered, NOW, 3_600 * S).unwrap();
     assert_eq!(read.targets[0].entry.zone, Some(ZoneId(0)));
     assert_eq!(decode(file().as_bytes(), &names(), NOW - 50 * S, S).unwrap().1, 0, "the clock was set back");
 }
@@ -78,10 +78,10 @@
 fn a_truncated_file_or_one_with_a_flipped_bit_is_rejected() {
     let whole = file().into_bytes();
     for size in 0..whole.len() {
-        let rejected_updates = decode(&whole[..size], &names(), NOW, 3_600 * S).unwrap_err();
+        let error = decode(&whole[..size], &names(), NOW, 3_600 * S).unwrap_err();
         assert!(
-            matches!(rejected_updates, DecodeError::NotASnapshot | DecodeError::ChecksumMismatch),
-            "{size} bytes: {rejected_updates:?}"
+            matches!(error, DecodeError::NotASnapshot | DecodeError::ChecksumMismatch),
+            "{size} bytes: {error:?}"
         );
     }
     for at in 0..whole.len() {
--- a/crates/discovery/tests/large_consul.rs
+++ b/crates/discovery/tests/large_consul.rs
@@ -16,7 +16,7 @@
 
 const S: u64 = 1_000 * MS;
 
-fn catalogue(engines: usize) -> String {
+fn catalog(engines: usize) -> String {
     let entry = |i: usize| {
         format!(
             r#"{{"ID":"n{i}","Node":"node-{i}","Address":"127.0.0.1","ServiceID":"e{i}","ServiceAddress":"127.{}.{}.{}","ServicePort":4000,"ServiceMeta":{{"az":"b","model":"std","boot_ms":"5","own\"{{":"}}]"}},"ServiceTags":["a"]}}"#,
@@ -125,7 +125,7 @@
 
     /// Answers both queries with a valid list.
     fn receive_list(&mut self, engines: usize, is_chunked: bool) {
-        let (catalogue, health) = (catalogue(engines), health(engines));
+        let (catalog, health) = (catalog(engines), health(engines));
         let mut seen = [false; 2];
         while !seen.iter().all(|seen| *seen) {
             let change_count = self.changes.len();
@@ -133,7 +133,7 @@
                 harness.changes.len() > change_count
                     || harness.consul.stats().1.age_ns(harness.service.now) == 0
             };
-            seen[self.answer_next([&catalogue, &health], is_chunked, received)] = true;
+            seen[self.answer_next([&catalog, &health], is_chunked, received)] = true;
         }
         assert_eq!(self.changes.last().unwrap().targets.len(), engines);
     }
@@ -160,11 +160,11 @@
     let mut harness = Harness::new(1.0);
     harness.receive_list(3, false);
     let (limit, change_count) = (ListBound::of(1.0).engines, harness.changes.len());
-    let (catalogue, health) = (catalogue(limit + 1), health(limit + 1));
+    let (catalog, health) = (catalog(limit + 1), health(limit + 1));
     let (from, before) = (harness.service.now, harness.queries_ns.clone());
     while harness.service.now < from + 600 * S {
         let expected_count = harness.count(RejectReason::TooLarge) + 1;
-        harness.answer_next([&catalogue, &health], true, |harness| {
+        harness.answer_next([&catalog, &health], true, |harness| {
             harness.count(RejectReason::TooLarge) == expected_count
         });
     }
@@ -214,7 +214,7 @@
     let mut harness = Harness::new(32.0);
     harness.receive_list(3, false);
     let change_count = harness.changes.len();
-    let whole = [catalogue(30_000), health(30_000)];
+    let whole = [catalog(30_000), health(30_000)];
     for _ in 0..4 {
         let (call, watch) = harness.next_request();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", whole[watch].len());
--- a/crates/discovery/tests/large_list.rs
+++ b/crates/discovery/tests/large_list.rs
@@ -86,13 +86,13 @@
         keep_open: bool,
         until: impl Fn(&Harness) -> bool,
     ) -> String {
-        let (call, behind) = self.next_request();
+        let (call, last_event_id) = self.next_request();
         let responder = answer(call, head, body, keep_open);
         while !until(self) {
             self.read();
         }
         responder.join().unwrap();
-        behind
+        last_event_id
     }
 
     /// Lets the stream time out.
--- a/crates/pacing/tests/pacer.rs
+++ b/crates/pacing/tests/pacer.rs
@@ -48,8 +48,14 @@
         longest in 100 * MS..60 * S,
         seed: u64,
     ) {
-        let pace =
-            PacingParams { callers, caller_index, budget_per_s: budget, spread_ns: longest, longest_ns: longest, ..PacingParams::default() };
+        let pace = PacingParams {
+            callers,
+            caller_index,
+            budget_per_s: budget,
+            spread_ns: longest,
+            longest_ns: longest,
+            ..PacingParams::default()
+        };
         let mut now = 5 * S;
         let mut pacer = Pacer::new(pace, seed, now);
         for step in steps {
@@ -59,7 +65,7 @@
             now = due;
             prop_assert!(pacer.call(now));
             prop_assert!(!pacer.call(now + 3_600 * S), "one call at a time");
-            let asked = match step {
+            let requested_ns = match step {
                 Step::Unavailable => {
                     pacer.failed(now, Failure::Unavailable);
                     pace.shortest_ns
@@ -83,8 +89,8 @@
                 }
             };
             let due = pacer.due_ns().unwrap();
-            let least = asked.min(longest / 10 * 9);
-            prop_assert!(due >= now.saturating_add(least), "{} instead of {asked}", due - now);
+            let min_wait_ns = requested_ns.min(longest / 10 * 9);
+            prop_assert!(due >= now.saturating_add(min_wait_ns), "{} instead of {requested_ns}", due - now);
         }
     }
 }
@@ -92,11 +98,11 @@
 #[test]
 fn a_suspended_caller_makes_one_call_when_it_resumes() {
     let mut pacer = Pacer::new(fleet(1, 10.0), 7, 0);
-    let woken = 3_600 * S;
-    assert!(pacer.call(woken));
-    pacer.failed(woken, Failure::Unavailable);
-    assert!(!pacer.call(woken), "the next one waits");
-    assert!(pacer.due_ns().unwrap() >= woken + 100 * MS);
+    let resumed_ns = 3_600 * S;
+    assert!(pacer.call(resumed_ns));
+    pacer.failed(resumed_ns, Failure::Unavailable);
+    assert!(!pacer.call(resumed_ns), "the next one waits");
+    assert!(pacer.due_ns().unwrap() >= resumed_ns + 100 * MS);
 }
 
 #[test]
@@ -140,29 +146,37 @@
         for (count, capacity) in [(20, 50.0), (100, 25.0), (300, 75.0), (300, 100.0)] {
             let mut herd = herd(count, fleet(count, capacity), capacity, seed);
             let (ideal, n) = (f64::from(count) / capacity * 1e9, u64::from(count));
-            let told = |what: &str, p| format!("{what} of {count} at {capacity}, seed {seed}: {p:?}");
+            let message = |what: &str, p| format!("{what} of {count} at {capacity}, seed {seed}: {p:?}");
             // Up to a second is allowed where the service accepts all callers at once.
-            let settled = 1.5 * ideal.max(1e9);
+            let max_settled_ns = 1.5 * ideal.max(1e9);
             let start = herd.pass(60 * S);
-            assert!(start.calls * 2 <= n * 3, "{}", told("start", start));
-            assert!(start.settled_ns.is_some_and(|ns| ns as f64 <= settled), "{}", told("start", start));
-            assert!(start.worst_second as f64 <= capacity * 1.5, "{}", told("start", start));
+            assert!(start.calls * 2 <= n * 3, "{}", message("start", start));
+            assert!(
+                start.settled_ns.is_some_and(|ns| ns as f64 <= max_settled_ns),
+                "{}",
+                message("start", start)
+            );
+            assert!(start.worst_second as f64 <= capacity * 1.5, "{}", message("start", start));
             herd.now += 30 * S;
             herd.drop_all();
             herd.service.away = true;
             let away = herd.pass(10 * S);
-            assert!(away.calls <= 10 * n, "{}", told("away", away));
-            assert!(count < 100 || away.calls <= 5 * n, "{}", told("away", away));
-            assert!(away.worst_second as f64 <= capacity * 1.5, "{}", told("away", away));
+            assert!(away.calls <= 10 * n, "{}", message("away", away));
+            assert!(count < 100 || away.calls <= 5 * n, "{}", message("away", away));
+            assert!(away.worst_second as f64 <= capacity * 1.5, "{}", message("away", away));
             herd.service.away = false;
             let back = herd.pass(60 * S);
-            assert!(back.calls * 2 <= n * 3, "{}", told("back", back));
+            assert!(back.calls * 2 <= n * 3, "{}", message("back", back));
             assert!(
-                back.settled_ns.is_some_and(|ns| ns as f64 <= settled.max(3e9)),
+                back.settled_ns.is_some_and(|ns| ns as f64 <= max_settled_ns.max(3e9)),
                 "{}",
-                told("back", back)
+                message("back", back)
+            );
+            assert!(
+                count < 100 || back.worst_100ms * 100 <= 15 * count as usize,
+                "{}",
+                message("back", back)
             );
-            assert!(count < 100 || back.worst_100ms * 100 <= 15 * count as usize, "{}", told("back", back));
         }
     }
 }
@@ -175,9 +189,9 @@
             let mut herd = herd(200, pace, 50.0, seed);
             for what in ["start", "back"] {
                 let passed = herd.pass(120 * S);
-                let told = format!("{what}, told {callers:?}, seed {seed}: {passed:?}");
-                assert!(passed.settled_ns.is_some_and(|ns| ns <= 15 * S), "{told}");
-                assert!(passed.calls <= 800, "{told}");
+                let message = format!("{what}, assumed {callers:?}, seed {seed}: {passed:?}");
+                assert!(passed.settled_ns.is_some_and(|ns| ns <= 15 * S), "{message}");
+                assert!(passed.calls <= 800, "{message}");
                 herd.now += 20 * S;
                 herd.drop_all();
             }
@@ -209,9 +223,15 @@
     );
     assert_eq!(PacingParams { budget_per_s: 0.0, ..pace }.find_error(), Some(ParamsError::Budget));
     assert_eq!(PacingParams { longest_ns: 1, ..pace }.find_error(), Some(ParamsError::LongestBelowShortest));
-    let thin = fleet(1_000, 50.0);
-    assert!(matches!(thin.find_error(), Some(ParamsError::IntervalOverLongest(share)) if share > 20 * S));
-    assert_eq!(thin.window_ns(), thin.longest_ns, "the budget is exceeded rather than the update delay");
+    let undersized = fleet(1_000, 50.0);
+    assert!(
+        matches!(undersized.find_error(), Some(ParamsError::IntervalOverLongest(share)) if share > 20 * S)
+    );
+    assert_eq!(
+        undersized.window_ns(),
+        undersized.longest_ns,
+        "the budget is exceeded rather than the update delay"
+    );
 }
 
 #[test]
