--- a/crates/discovery/src/consul.rs
+++ b/crates/discovery/src/consul.rs
@@ -271,7 +271,8 @@
         self.tick(now, net);
     }
 
-    /// Processes input on a connection. Returns the full list if it has changed.
+    /// Processes input on a connection. Returns the full list after each complete response, once
+    /// both queries have been answered.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) -> Option<Change> {
         let at = self.watches.iter().position(|w| w.conn == Some(conn))?;
         let ended = net.service(conn).ended.is_some();
