--- a/crates/discovery/src/cached_snapshot.rs
+++ b/crates/discovery/src/cached_snapshot.rs
@@ -1,5 +1,5 @@
-//! The last list of engines, kept for a start without the list service: what is in it, when it is to be written, and what of
-//! a file can be believed. Pure; files and clocks are the caller's.
+//! The cached snapshot of the engine list, for a start without the list service: its file format,
+//! and when it is written. No file access and no clock.
 
 use std::io::{self, BufWriter, Seek, SeekFrom, Write};
 use std::net::SocketAddr;
@@ -13,52 +13,53 @@
 
 use super::{Change, Target};
 use crate::bound::ListBound;
-use crate::roster::Roster;
+use crate::listed_engines::ListedEngines;
 use crate::split::{SplitError, Splitter};
 use crate::update::{ListError, Text};
 
-/// The first word of a file, and the version of what follows.
-const WORD: &str = "marljunction-list";
+/// First field of a file, and version of the format.
+const MAGIC: &str = "marljunction-list";
 const VERSION: u32 = 1;
-/// Where a file's engines are in its text.
+/// JSON path of the engines.
 const ENGINES: &[&str] = &["engines"];
-/// Digits of a checksum.
-const SUM_DIGITS: usize = 64;
-/// Least time between writes (ns), and time after which a list that has not changed is written again, so that its age is
-/// told right.
-const WRITE_NS: u64 = 1_000_000_000;
-const REWRITE_NS: u64 = 10_000_000_000;
+/// Hex digits of the checksum.
+const CHECKSUM_DIGITS: usize = 64;
+/// Shortest interval between writes, and the interval at which an unchanged list is written again
+/// so that its recorded age stays correct.
+const MIN_WRITE_INTERVAL_NS: u64 = 1_000_000_000;
+const MAX_WRITE_INTERVAL_NS: u64 = 10_000_000_000;
 
-/// Why a file is not used.
+/// Why a snapshot is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Refusal {
-    /// It is empty, or not a file of this kind.
-    #[error("it is no kept list")]
-    NotAList,
-    /// It was written by another version of the format.
-    #[error("it is of version {0} of the format, and this program reads version {VERSION}")]
+pub enum DecodeError {
+    /// Empty, or not a snapshot file.
+    #[error("not a cached snapshot")]
+    NotASnapshot,
+    /// Written in an unsupported version of the format.
+    #[error("format version {0} is not supported, only version {VERSION}")]
     Version(u32),
-    /// Its checksum is not that of what it holds: it is torn, or was changed.
-    #[error("it is torn or was changed: its checksum is wrong")]
-    Spoilt,
-    /// It holds what can't be read though its checksum is right.
-    #[error("it can't be read: {0}")]
+    /// The checksum is wrong: the file is truncated or was modified.
+    #[error("wrong checksum: the file is truncated or was modified")]
+    ChecksumMismatch,
+    /// The checksum is correct but the contents are invalid.
+    #[error("invalid contents: {0}")]
     Unreadable(ListError),
-    /// It is larger than a list may be under the memory limit (bytes).
-    #[error("its {0} bytes are more than the {1} that the memory limit allows")]
-    Huge(u64, u64),
-    /// It names more engines than a list may under the memory limit (count).
-    #[error("it names over {0} engines, which is all that the memory limit allows")]
-    Many(usize),
-    /// It is older than it may be (ns).
-    #[error("it is {} s old, which is more than it may be", .0 / 1_000_000_000)]
-    Old(u64),
+    /// Size of the file, and the limit (bytes).
+    #[error("its {0} bytes exceed the {1} that the memory limit allows")]
+    TooLarge(u64, u64),
+    /// More engines than the limit, which it holds.
+    #[error("more than {0} engines, the most that the memory limit allows")]
+    TooManyEngines(usize),
+    /// The list is older than allowed. Holds its age (ns).
+    #[error("its age of {} s exceeds the maximum", .0 / 1_000_000_000)]
+    TooOld(u64),
 }
 
 #[derive(Deserialize)]
 struct Body<'a> {
-    /// When the list was last known to be right (Unix ms).
-    heard_ms: u64,
+    /// When the list was last confirmed by its source (Unix ms).
+    #[serde(rename = "heard_ms")]
+    confirmed_ms: u64,
     #[serde(borrow)]
     engines: Vec<Entry<'a>>,
 }
@@ -81,7 +82,7 @@
 }
 
 #[derive(Serialize)]
-struct EntryText<'a> {
+struct EncodedEntry<'a> {
     id: u64,
     address: SocketAddr,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -110,10 +111,10 @@
     }
 }
 
-impl<'a> EntryText<'a> {
-    fn of(target: &Target, names: &'a Names) -> EntryText<'a> {
+impl<'a> EncodedEntry<'a> {
+    fn of(target: &Target, names: &'a Names) -> EncodedEntry<'a> {
         let name = |list: &'a [String], at: Option<usize>| at.and_then(|at| list.get(at)).map(String::as_str);
-        EntryText {
+        EncodedEntry {
             id: target.entry.engine.0,
             address: target.address,
             zone: name(&names.zones, target.entry.zone.map(|z| z.0)),
@@ -126,93 +127,99 @@
     }
 }
 
-/// When the list is to be written.
+/// Decides when the list is written, and logs lists and writes that fail once each.
 #[derive(Clone, Debug, Default)]
 pub struct CachedSnapshot {
     bound: ListBound,
     changed: bool,
     written_ns: u64,
-    /// It was said that the list is too large to be kept, and that it could not be written.
-    told: [bool; 2],
+    /// Whether these warnings were logged: the list is over the bound; a write failed.
+    logged: [bool; 2],
 }
 
 impl CachedSnapshot {
-    /// A list that is kept up to a bound.
+    /// Creates the schedule for lists up to a bound.
     pub fn new(bound: ListBound) -> CachedSnapshot {
         CachedSnapshot { bound, ..CachedSnapshot::default() }
     }
 
-    /// The list has changed.
+    /// Records that the list has changed.
     pub fn changed(&mut self) {
         self.changed = true;
     }
 
-    /// Whether the list of so many engines is to be written now; what was asked counts as written. Nothing is written of a list that names no
-    /// engine: a start with none would be no better for it. Nor of one over the bound, which no start would read.
+    /// Whether a list of this many engines should be written now; if so, the caller is expected to
+    /// do it. An empty list is never written, as it is of no use at a start, nor one over the
+    /// bound, as no start would accept it.
     pub fn due(&mut self, now: u64, engines: usize) -> bool {
-        let wait = if self.changed { WRITE_NS } else { REWRITE_NS };
-        let due = engines > 0 && now >= self.written_ns + wait;
+        let interval_ns = if self.changed { MIN_WRITE_INTERVAL_NS } else { MAX_WRITE_INTERVAL_NS };
+        let due = engines > 0 && now >= self.written_ns + interval_ns;
         if due {
             (self.changed, self.written_ns) = (false, now);
         }
-        due && self.fits(engines)
+        due && self.is_within_bound(engines)
     }
 
-    /// What became of a write; a file that can't be written is told of once.
+    /// Records the result of a write. Only the first of several failures is logged.
     pub fn written(&mut self, path: &Path, written: io::Result<()>) {
         match written {
-            Ok(()) => self.told[1] = false,
-            Err(e) if !std::mem::replace(&mut self.told[1], true) => {
-                warn!("the list of engines could not be kept in {}: {e}", path.display());
+            Ok(()) => self.logged[1] = false,
+            Err(e) if !std::mem::replace(&mut self.logged[1], true) => {
+                warn!("cannot write the engine list to {}: {e}", path.display());
             }
             Err(_) => {}
         }
     }
 
-    /// Whether the list is within its bound; one that is not is told of once.
-    fn fits(&mut self, engines: usize) -> bool {
-        let most = self.bound.engines;
-        if engines <= most {
-            self.told[0] = false;
-        } else if !std::mem::replace(&mut self.told[0], true) {
-            warn!("the list of {engines} engines is not kept: the memory limit allows {most}");
+    /// Whether the list is within the bound. Only the first of several that are not is logged.
+    fn is_within_bound(&mut self, engines: usize) -> bool {
+        let limit = self.bound.engines;
+        if engines <= limit {
+            self.logged[0] = false;
+        } else if !std::mem::replace(&mut self.logged[0], true) {
+            warn!("not caching the list of {engines} engines: the memory limit allows {limit}");
         }
-        engines <= most
+        engines <= limit
     }
 }
 
-/// Writes a file's text, of a list that was last known to be right at `heard_ns` (Unix ns). It is written entry by entry, its
-/// checksum last, and never held.
+/// Writes a list that was last confirmed at `confirmed_ns` (Unix ns). It is written entry by entry,
+/// never buffered as a whole, with the checksum last.
 ///
 /// # Errors
-/// What `out` says: the file is of no use then.
-pub fn write<W: Write + Seek>(out: W, roster: &Roster, names: &Names, heard_ns: u64) -> io::Result<()> {
-    let head = format!("{WORD} {VERSION} ");
-    let mut text = Summed { out: BufWriter::new(out), hasher: blake3::Hasher::new() };
-    writeln!(text.out, "{head}{:0>SUM_DIGITS$}", "")?;
-    write!(text, "{{\"heard_ms\":{},\"engines\":[", heard_ns / 1_000_000)?;
+/// If `out` fails. The output is then invalid.
+pub fn write<W: Write + Seek>(
+    out: W,
+    listed_engines: &ListedEngines,
+    names: &Names,
+    confirmed_ns: u64,
+) -> io::Result<()> {
+    let head = format!("{MAGIC} {VERSION} ");
+    let mut text = HashingWriter { out: BufWriter::new(out), hasher: blake3::Hasher::new() };
+    writeln!(text.out, "{head}{:0>CHECKSUM_DIGITS$}", "")?;
+    write!(text, "{{\"heard_ms\":{},\"engines\":[", confirmed_ns / 1_000_000)?;
     let mut entry = Vec::new();
-    for (at, target) in roster.iter().enumerate() {
+    for (at, target) in listed_engines.iter().enumerate() {
         entry.clear();
         entry.extend_from_slice(if at > 0 { b"," } else { b"" });
-        serde_json::to_writer(&mut entry, &EntryText::of(&target, names))?;
+        serde_json::to_writer(&mut entry, &EncodedEntry::of(&target, names))?;
         text.write_all(&entry)?;
     }
     text.write_all(b"]}")?;
-    let Summed { mut out, hasher } = text;
+    let HashingWriter { mut out, hasher } = text;
     out.write_all(b"\n")?;
     out.seek(SeekFrom::Start(head.len() as u64))?;
     out.write_all(hasher.finalize().to_hex().as_bytes())?;
     out.flush()
 }
 
-/// What is written is summed up.
-struct Summed<W: Write> {
+/// Writer that computes the checksum of what it writes.
+struct HashingWriter<W: Write> {
     out: BufWriter<W>,
     hasher: blake3::Hasher,
 }
 
-impl<W: Write> Write for Summed<W> {
+impl<W: Write> Write for HashingWriter<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.hasher.update(bytes);
         self.out.write_all(bytes)?;
@@ -224,50 +231,49 @@
     }
 }
 
-/// Reads a file's text: the list, and how old it is at `now` (Unix ns; a file from the future is as new as can be). One
-/// older than `most_ns` is refused, and one over `bound`.
+/// Decodes a snapshot. Returns the list and its age at `now` (Unix ns), 0 if it lies in the future.
 ///
 /// # Errors
-/// Where it can't be believed: nothing of it is used then.
+/// If the file is invalid, older than `max_age_ns` or over `bound`. Nothing of it is used then.
 pub fn decode(
     bytes: &[u8],
     names: &Names,
     now: u64,
-    most_ns: u64,
+    max_age_ns: u64,
     bound: &ListBound,
-) -> Result<(Change, u64), Refusal> {
+) -> Result<(Change, u64), DecodeError> {
     if bytes.len() > bound.file_bytes {
-        return Err(Refusal::Huge(bytes.len() as u64, bound.file_bytes as u64));
+        return Err(DecodeError::TooLarge(bytes.len() as u64, bound.file_bytes as u64));
     }
-    let text = std::str::from_utf8(bytes).map_err(|_| Refusal::NotAList)?;
-    let (head, body) = text.split_once('\n').ok_or(Refusal::NotAList)?;
-    let words: Vec<&str> = head.split(' ').collect();
-    let [WORD, version, sum] = words[..] else { return Err(Refusal::NotAList) };
-    // The version comes first: what another one means by its other fields is not known here.
-    let version: u32 = version.parse().map_err(|_| Refusal::NotAList)?;
+    let text = std::str::from_utf8(bytes).map_err(|_| DecodeError::NotASnapshot)?;
+    let (head, body) = text.split_once('\n').ok_or(DecodeError::NotASnapshot)?;
+    let fields: Vec<&str> = head.split(' ').collect();
+    let [MAGIC, version, checksum] = fields[..] else { return Err(DecodeError::NotASnapshot) };
+    // The version comes first, as other versions may define the other fields differently.
+    let version: u32 = version.parse().map_err(|_| DecodeError::NotASnapshot)?;
     if version != VERSION {
-        return Err(Refusal::Version(version));
+        return Err(DecodeError::Version(version));
     }
-    let body = body.strip_suffix('\n').ok_or(Refusal::Spoilt)?;
-    if blake3::hash(body.as_bytes()).to_hex().as_str() != sum {
-        return Err(Refusal::Spoilt);
+    let body = body.strip_suffix('\n').ok_or(DecodeError::ChecksumMismatch)?;
+    if blake3::hash(body.as_bytes()).to_hex().as_str() != checksum {
+        return Err(DecodeError::ChecksumMismatch);
     }
-    let (heard_ms, targets) = read_body(body, names, bound)?;
-    let age = now.saturating_sub(heard_ms.saturating_mul(1_000_000));
-    if age > most_ns {
-        return Err(Refusal::Old(age));
+    let (confirmed_ms, targets) = read_body(body, names, bound)?;
+    let age = now.saturating_sub(confirmed_ms.saturating_mul(1_000_000));
+    if age > max_age_ns {
+        return Err(DecodeError::TooOld(age));
     }
     Ok((Change { kind: MembershipKind::Full, targets }, age))
 }
 
-/// When the list was last known to be right (Unix ms), and its engines.
-fn read_body(body: &str, names: &Names, bound: &ListBound) -> Result<(u64, Vec<Target>), Refusal> {
-    let unreadable = |error: serde_json::Error| Refusal::Unreadable(ListError::from(error));
+/// Returns when the list was last confirmed (Unix ms), and its engines.
+fn read_body(body: &str, names: &Names, bound: &ListBound) -> Result<(u64, Vec<Target>), DecodeError> {
+    let unreadable = |error: serde_json::Error| DecodeError::Unreadable(ListError::from(error));
     let mut targets = Vec::new();
     let mut splitter = Splitter::new(ENGINES, bound.entry_bytes);
     splitter.push(body.as_bytes(), |entry| {
         if targets.len() >= bound.engines {
-            return Err(Refusal::Many(bound.engines));
+            return Err(DecodeError::TooManyEngines(bound.engines));
         }
         let entry: Entry = serde_json::from_slice(entry).map_err(unreadable)?;
         targets.push(entry.target(names));
@@ -276,11 +282,11 @@
     let rest = splitter.finish()?;
     let body: Body = serde_json::from_slice(&rest).map_err(unreadable)?;
     targets.extend(body.engines.iter().map(|entry| entry.target(names)));
-    Ok((body.heard_ms, targets))
+    Ok((body.confirmed_ms, targets))
 }
 
-impl From<SplitError> for Refusal {
-    fn from(error: SplitError) -> Refusal {
-        Refusal::Unreadable(ListError::from(error))
+impl From<SplitError> for DecodeError {
+    fn from(error: SplitError) -> DecodeError {
+        DecodeError::Unreadable(ListError::from(error))
     }
 }
--- a/crates/discovery/src/consul.rs
+++ b/crates/discovery/src/consul.rs
@@ -1,46 +1,46 @@
-//! Consul: the catalogue says which engines there are, the health API which of them are well. Both are asked
-//! by blocking queries, which are answered once something has changed.
+//! Engine list from Consul: the catalog names the engines, the health API their states. Both are
+//! read by blocking queries, which Consul answers when something changes.
 
 use std::net::SocketAddr;
 
 use log::{info, warn};
 
 use super::staleness::Staleness;
-use super::{taken, Change, Fault, Pacing, Target, BYTE_NS};
-use crate::answer::{Answer, AnswerReader, Asked};
+use super::{check_status, Change, SourceError, SourceParams, Target, MAX_NS_PER_BYTE};
 use crate::bound::ListBound;
-use crate::refused::{Reason, Refused};
+use crate::consul_response::{ConsulQuery, ConsulResponse, ResponseReader};
+use crate::rejected_updates::{RejectReason, RejectedUpdates};
 use marljunction_control::interface::*;
 use marljunction_http1::chunks::ChunkedDecoder;
 use marljunction_http1::head::{parse_response_head, Head};
 use marljunction_net::{Net, Owner};
-use marljunction_pacing::{Failure, Pace, Pacer};
+use marljunction_pacing::{Failure, Pacer, PacingParams};
 use marljunction_settings::Names;
 
-/// How long a blocking query may wait for a change.
+/// Longest time for which Consul holds a blocking query (s).
 const WAIT_S: u64 = 10;
-/// Silence after which a query is taken for lost (ns): Consul adds up to a sixteenth to the wait.
+/// Silence after which a query has failed (ns). Consul adds up to a sixteenth to the wait.
 const SILENT_NS: u64 = (WAIT_S + 2) * 1_000_000_000;
 
-/// One blocking query that is asked over and over.
+/// A blocking query that is repeated.
 struct Watch {
-    asked: Asked,
+    query: ConsulQuery,
     index: u64,
     conn: Option<u64>,
     head: Option<Head>,
     chunks: ChunkedDecoder,
-    /// What one call takes out of chunks.
+    /// Buffer for the decoded chunks of one read.
     text: Vec<u8>,
-    body: AnswerReader,
-    /// When the present query was asked.
-    asked_ns: u64,
-    /// A query is out; else the connection, where there is one, waits for the next.
-    asking: bool,
+    body: ResponseReader,
+    /// When the current query was sent.
+    sent_ns: u64,
+    /// A query is in flight. Otherwise the connection, if any, is idle.
+    in_flight: bool,
     pacer: Pacer,
-    refused: Refused,
+    rejected_updates: RejectedUpdates,
 }
 
-/// The two watches on one service.
+/// The catalog and health queries for one service.
 pub struct Consul {
     address: SocketAddr,
     service: String,
@@ -48,75 +48,85 @@
     bound: ListBound,
     watches: [Watch; 2],
     catalog: Option<Vec<Target>>,
-    /// By engine, in order.
+    /// Sorted by engine.
     health: Option<Vec<(EngineId, EngineState)>>,
     staleness: Staleness,
 }
 
-/// Each router is two callers.
-fn for_watches(pace: Pace) -> [Pace; 2] {
+/// Divides the pacing parameters between the two queries: each router counts as two callers.
+fn per_watch(pace: PacingParams) -> [PacingParams; 2] {
     let callers = pace.callers.map(|n| n.saturating_mul(2));
-    [0, 1].map(|watch| Pace { callers, me: pace.me.saturating_mul(2).saturating_add(watch), ..pace })
+    [0, 1].map(|watch| PacingParams {
+        callers,
+        caller_index: pace.caller_index.saturating_mul(2).saturating_add(watch),
+        ..pace
+    })
 }
 
 impl Watch {
-    fn new(asked: Asked, bound: ListBound, pacer: Pacer) -> Self {
+    fn new(query: ConsulQuery, bound: ListBound, pacer: Pacer) -> Self {
         Watch {
-            asked,
+            query,
             index: 0,
             conn: None,
             head: None,
             chunks: ChunkedDecoder::default(),
             text: Vec::new(),
-            body: AnswerReader::new(asked, bound),
-            asked_ns: 0,
-            asking: false,
+            body: ResponseReader::new(query, bound),
+            sent_ns: 0,
+            in_flight: false,
             pacer,
-            refused: Refused::default(),
+            rejected_updates: RejectedUpdates::default(),
         }
     }
 
-    /// When the query is taken for lost. Guards against an answer that never comes to its end, a byte at a time.
-    fn lost_ns(&self) -> u64 {
-        self.asked_ns + SILENT_NS + (self.body.bytes() as u64).saturating_mul(BYTE_NS)
+    /// When the current query fails. Guards against a response that arrives a byte at a time
+    /// without end.
+    fn deadline_ns(&self) -> u64 {
+        self.sent_ns + SILENT_NS + (self.body.bytes() as u64).saturating_mul(MAX_NS_PER_BYTE)
     }
 
-    /// The query came to nothing, and its connection is over.
-    fn fail(&mut self, now: u64, net: &mut Net, fault: Fault) {
-        let failure = self.refuse(fault);
+    /// Ends a failed query and its connection, and schedules the next one.
+    fn fail(&mut self, now: u64, net: &mut Net, fault: SourceError) {
+        let failure = self.record_failure(fault);
         self.drop_conn(net);
         self.pacer.failed(now, failure);
     }
 
-    /// Counts and logs why a query came to nothing.
-    fn refuse(&mut self, fault: Fault) -> Failure {
-        let name = self.asked.name();
+    /// Counts and logs a failed query.
+    fn record_failure(&mut self, fault: SourceError) -> Failure {
+        let name = self.query.name();
         match fault {
-            Fault::TurnedAway(after_ns) => return Failure::TurnedAway { after_ns },
-            Fault::List(error) if error.is_size() => {
-                self.refused.add(Reason::TooLarge, || {
-                    format!("consul's {name} is too large: {error}; what was known stays in force")
+            SourceError::Rejected(after_ns) => return Failure::Rejected { after_ns },
+            SourceError::List(error) if error.is_over_limit() => {
+                self.rejected_updates.record(RejectReason::TooLarge, || {
+                    format!("consul {name} response is too large: {error}; the previous list stays in force")
                 });
-                return Failure::Useless;
+                return Failure::Unusable;
             }
-            Fault::List(error) => {
-                self.refused.add(Reason::Spoilt, || format!("consul's {name} can't be read: {error}"));
+            SourceError::List(error) => {
+                self.rejected_updates
+                    .record(RejectReason::Invalid, || format!("invalid consul {name} response: {error}"));
             }
-            Fault::Ended if self.head.is_some() => {
+            SourceError::Ended if self.head.is_some() => {
                 let bytes = self.body.bytes();
-                self.refused.add(Reason::Cut, || format!("consul's {name} ended after {bytes} bytes"));
+                self.rejected_updates.record(RejectReason::Truncated, || {
+                    format!("consul {name} response ended after {bytes} bytes")
+                });
             }
-            other => self.refused.add(Reason::Call, || format!("consul's {name}: {other}")),
+            other => self
+                .rejected_updates
+                .record(RejectReason::CallFailed, || format!("consul {name} query failed: {other}")),
         }
-        Failure::Away
+        Failure::Unavailable
     }
 
     fn drop_conn(&mut self, net: &mut Net) {
         self.conn.take().into_iter().for_each(|conn| net.close(conn));
-        self.asking = false;
+        self.in_flight = false;
     }
 
-    fn ask(
+    fn send_query(
         &mut self,
         (now, bound): (u64, ListBound),
         net: &mut Net,
@@ -124,127 +134,133 @@
         to: SocketAddr,
         service: &str,
     ) {
-        (self.asked_ns, self.asking, self.head, self.chunks) = (now, true, None, ChunkedDecoder::default());
-        self.body = AnswerReader::new(self.asked, bound);
-        let call = format!(
+        (self.sent_ns, self.in_flight, self.head, self.chunks) = (now, true, None, ChunkedDecoder::default());
+        self.body = ResponseReader::new(self.query, bound);
+        let request = format!(
             "GET {}{service}?index={}&wait={WAIT_S}s HTTP/1.1\r\nHost: {to}\r\nAccept: application/json\r\n\r\n",
-            self.asked.path(),
+            self.query.path(),
             self.index
         );
-        net.send(conn, call.as_bytes());
+        net.send(conn, request.as_bytes());
     }
 
-    /// What the answer says, once it has come whole.
-    fn read(&mut self, now: u64, net: &mut Net, conn: u64, names: &Names) -> Result<Option<Answer>, Fault> {
+    /// Reads the response. Returns it once it is complete.
+    fn read(
+        &mut self,
+        now: u64,
+        net: &mut Net,
+        conn: u64,
+        names: &Names,
+    ) -> Result<Option<ConsulResponse>, SourceError> {
         if self.head.is_none() {
-            let Some((head, size)) = parse_response_head(net.input(conn)).map_err(Fault::Head)? else {
+            let Some((head, size)) = parse_response_head(net.input(conn)).map_err(SourceError::Head)? else {
                 return Ok(None);
             };
             net.consume(conn, size);
-            taken(now, &head)?;
-            self.pacer.taken(now);
+            check_status(now, &head)?;
+            self.pacer.accepted(now);
             if let Some(length) = head.length.filter(|_| !head.chunked) {
-                self.body.expect(length)?;
+                self.body.check_length(length)?;
             }
             self.head = Some(head);
         }
         let Some(head) = &self.head else { return Ok(None) };
         let input = net.input(conn);
-        let (taken, whole) = match (head.chunked, head.length) {
+        let (consumed, complete) = match (head.chunked, head.length) {
             (true, _) => {
                 self.text.clear();
-                let took = self.chunks.decode(input, &mut self.text)?;
+                let decoded = self.chunks.decode(input, &mut self.text)?;
                 self.body.push(&self.text, names)?;
-                took
+                decoded
             }
             (false, Some(length)) => {
                 let part = (length - self.body.bytes().min(length)).min(input.len());
                 self.body.push(&input[..part], names)?;
                 (part, self.body.bytes() >= length)
             }
-            (false, None) => return Err(Fault::NoLength),
+            (false, None) => return Err(SourceError::MissingLength),
         };
-        net.consume(conn, taken);
-        if !whole {
+        net.consume(conn, consumed);
+        if !complete {
             return Ok(None);
         }
-        // An index that goes back, or none, means that Consul started anew: the next query must not wait.
+        // A lower index, or none, means that Consul has restarted: the next query must not wait.
         let index = head.consul_index.unwrap_or(0);
-        let answer = self.body.finish()?;
+        let response = self.body.finish()?;
         self.index = if index < self.index { 0 } else { index };
-        Ok(Some(answer))
+        Ok(Some(response))
     }
 }
 
 impl Consul {
-    /// Watches on a service's engines.
-    pub fn new(now: u64, address: SocketAddr, service: String, names: Names, pacing: Pacing) -> Self {
-        let [catalog, health] = for_watches(pacing.pace);
+    /// Creates the queries for a service, within the default bound.
+    pub fn new(now: u64, address: SocketAddr, service: String, names: Names, pacing: SourceParams) -> Self {
+        let [catalog, health] = per_watch(pacing.pace);
         let bound = ListBound::default();
         let watches = [
-            Watch::new(Asked::Catalog, bound, Pacer::new(catalog, pacing.seed, now)),
-            Watch::new(Asked::Health, bound, Pacer::new(health, !pacing.seed, now)),
+            Watch::new(ConsulQuery::Catalog, bound, Pacer::new(catalog, pacing.seed, now)),
+            Watch::new(ConsulQuery::Health, bound, Pacer::new(health, !pacing.seed, now)),
         ];
         let staleness = Staleness::new(now, pacing.stale_ns + SILENT_NS);
         Consul { address, service, names, bound, watches, catalog: None, health: None, staleness }
     }
 
-    /// Watches that take answers up to a bound.
+    /// Sets the size limits of responses.
     pub fn with_bound(mut self, bound: ListBound) -> Self {
         self.bound = bound;
         self
     }
 
-    /// What of the news was refused, by watch.
-    pub fn refused(&self) -> [Refused; 2] {
-        [self.watches[0].refused, self.watches[1].refused]
+    /// Rejected updates of the catalog and health queries.
+    pub fn rejected_updates(&self) -> [RejectedUpdates; 2] {
+        [self.watches[0].rejected_updates, self.watches[1].rejected_updates]
     }
 
-    /// Paces calls so from the next one on.
-    pub fn set_pace(&mut self, pace: Pace, stale_ns: u64) {
-        for (watch, pace) in self.watches.iter_mut().zip(for_watches(pace)) {
+    /// Replaces the pacing parameters and the staleness limit.
+    pub fn set_pace(&mut self, pace: PacingParams, stale_ns: u64) {
+        for (watch, pace) in self.watches.iter_mut().zip(per_watch(pace)) {
             watch.pacer.set_pace(pace);
         }
-        self.staleness.set_stale(stale_ns + SILENT_NS);
+        self.staleness.set_stale_ns(stale_ns + SILENT_NS);
     }
 
-    /// How old the news is, to be told.
+    /// The staleness of the list, to update.
     pub fn staleness_mut(&mut self) -> &mut Staleness {
         &mut self.staleness
     }
 
-    /// Calls made and turned away, and how old the news is.
-    pub fn view(&self) -> ((u64, u64), &Staleness) {
+    /// Calls made and calls rejected because of load, and the staleness of the list.
+    pub fn stats(&self) -> ((u64, u64), &Staleness) {
         let [a, b] = [0, 1].map(|i| self.watches[i].pacer.calls());
         ((a.0 + b.0, a.1 + b.1), &self.staleness)
     }
 
-    /// Asks where nothing is being asked and a query is due; gives up a query that is silent for too long.
+    /// Sends queries that are due, and ends those that have timed out.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
         for watch in &mut self.watches {
-            if watch.asking && now > watch.lost_ns() {
-                watch.fail(now, net, Fault::Ended);
+            if watch.in_flight && now > watch.deadline_ns() {
+                watch.fail(now, net, SourceError::Ended);
             }
-            if watch.asking || !watch.pacer.call(now) {
+            if watch.in_flight || !watch.pacer.call(now) {
                 continue;
             }
             match watch.conn.map_or_else(|| net.connect(self.address, Owner::Discovery), Ok) {
                 Ok(conn) => {
                     watch.conn = Some(conn);
-                    watch.ask((now, self.bound), net, conn, self.address, &self.service);
+                    watch.send_query((now, self.bound), net, conn, self.address, &self.service);
                 }
-                Err(_) => watch.pacer.failed(now, Failure::Away),
+                Err(_) => watch.pacer.failed(now, Failure::Unavailable),
             }
         }
         self.staleness.tick(now);
     }
 
-    /// Asks at another address. Its indexes are its own: both watches start anew there.
+    /// Switches to another address. Both queries start again there, as indexes belong to a server.
     pub fn reload(&mut self, now: u64, net: &mut Net, address: SocketAddr) {
         if address == self.address {
             return;
         }
-        info!("consul is asked at {address} now");
+        info!("consul address changed to {address}");
         self.address = address;
         (self.catalog, self.health) = (None, None);
         for watch in &mut self.watches {
@@ -255,55 +271,64 @@
         self.tick(now, net);
     }
 
-    /// Takes what has come in; gives the whole list where it has changed.
+    /// Processes input on a connection. Returns the full list after each complete response, once
+    /// both queries have been answered.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) -> Option<Change> {
         let at = self.watches.iter().position(|w| w.conn == Some(conn))?;
         let ended = net.service(conn).ended.is_some();
-        if !self.watches[at].asking {
-            // Nothing is asked: it has closed, or says what nobody asked for.
+        if !self.watches[at].in_flight {
+            // No query is in flight: the connection was closed, or sent unrequested data.
             self.watches[at].drop_conn(net);
             return None;
         }
         match self.watches[at].read(now, net, conn, &self.names) {
-            Ok(Some(answer)) => return self.take(now, net, at, answer, ended),
-            Ok(None) if ended => self.watches[at].fail(now, net, Fault::Ended),
+            Ok(Some(response)) => return self.apply_response(now, net, at, response, ended),
+            Ok(None) if ended => self.watches[at].fail(now, net, SourceError::Ended),
             Ok(None) => {}
             Err(fault) => self.watches[at].fail(now, net, fault),
         }
         None
     }
 
-    /// Takes an answer that came whole.
-    fn take(&mut self, now: u64, net: &mut Net, at: usize, answer: Answer, ended: bool) -> Option<Change> {
+    /// Applies a complete response.
+    fn apply_response(
+        &mut self,
+        now: u64,
+        net: &mut Net,
+        at: usize,
+        response: ConsulResponse,
+        ended: bool,
+    ) -> Option<Change> {
         let watch = &mut self.watches[at];
-        (watch.asking, watch.head) = (false, None);
+        (watch.in_flight, watch.head) = (false, None);
         watch.pacer.answered(now);
-        watch.refused.taken();
+        watch.rejected_updates.accepted();
         if ended {
             watch.drop_conn(net);
         }
-        match answer {
-            Answer::Catalog(targets, unknown) => {
-                if unknown > 0 {
-                    warn!("consul's catalogue has {unknown} engines at addresses that can't be read");
+        match response {
+            ConsulResponse::Catalog(targets, unresolved) => {
+                if unresolved > 0 {
+                    warn!("consul catalog has {unresolved} engines with invalid addresses");
                 }
                 self.catalog = Some(targets);
             }
-            Answer::Health(states) => self.health = Some(states),
+            ConsulResponse::Health(states) => self.health = Some(states),
         }
-        // One answer that is not taken leaves what is known as old as it is.
-        if !self.watches.iter().any(|watch| watch.refused.is_too_large()) {
-            self.staleness.heard(now);
+        // The list is not confirmed while either query's responses are too large.
+        if !self.watches.iter().any(|watch| watch.rejected_updates.is_too_large()) {
+            self.staleness.confirm(now);
         }
         self.tick(now, net);
-        self.list()
+        self.merged_list()
     }
 
-    /// The whole list, once both have answered: who is in the catalogue, as well as the checks say.
-    fn list(&self) -> Option<Change> {
+    /// The full list, once both queries have been answered: the engines of the catalog, with the
+    /// states of their health checks.
+    fn merged_list(&self) -> Option<Change> {
         let (catalog, health) = (self.catalog.as_ref()?, self.health.as_ref()?);
         let state = |engine: EngineId| {
-            let at = health.binary_search_by_key(&engine, |(known, _)| *known).ok()?;
+            let at = health.binary_search_by_key(&engine, |(id, _)| *id).ok()?;
             Some(health[at].1)
         };
         let mut targets = catalog.clone();
--- a/crates/discovery/src/event.rs
+++ b/crates/discovery/src/event.rs
@@ -1,93 +1,99 @@
-//! Server-sent events, over a body in chunks or as it is, read as they come: each byte is looked at once, and no line is held.
+//! Incremental parser of server-sent events, over a chunked or plain body. Lines are not buffered.
 
 use memchr::memchr;
 
 use crate::bound::ListBound;
 use crate::update::{ListError, Update, UpdateReader};
-use crate::Fault;
+use crate::SourceError;
 use marljunction_http1::chunks::ChunkedDecoder;
 use marljunction_settings::Names;
 
-/// Longest name of a field, and longest number of an event, that are read (bytes).
+/// Longest field name and longest event id that are read (bytes).
 const MAX_FIELD: usize = 32;
 
 /// An event of the stream.
 #[derive(Debug)]
 pub struct Event {
-    /// Its number, where the stream tells one.
+    /// Its id, if the stream sends a valid one.
     pub number: Option<u64>,
-    /// What it says, or why it can't be read.
+    /// The update, or why it is invalid.
     pub update: Result<Update, ListError>,
 }
 
-/// What is being read of a line.
+/// The part of a line that is being read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Part {
-    /// Its field's name.
+enum LinePart {
+    /// Field name.
     #[default]
     Name,
-    /// An event's number.
+    /// Event id.
     Id,
-    /// An event's text.
+    /// Event data.
     Data,
-    /// What nobody asks for.
+    /// Ignored.
     Other,
 }
 
-/// A reader of server-sent events.
+/// Incremental reader of server-sent events.
 #[derive(Debug)]
 pub struct EventReader {
     chunks: Option<ChunkedDecoder>,
-    /// What one call takes out of chunks.
+    /// Buffer for the decoded chunks of one read.
     text: Vec<u8>,
     bound: ListBound,
-    part: Part,
-    /// The field's name or the event's number, as far as it has come.
-    small: Vec<u8>,
-    /// What has come of the present line (bytes).
+    part: LinePart,
+    /// Field name or event id read so far.
+    field_bytes: Vec<u8>,
+    /// Length of the current line so far.
     line_bytes: usize,
     id: Option<u64>,
     update: Option<UpdateReader>,
 }
 
 impl EventReader {
-    /// A reader for a body in chunks, or not.
+    /// Starts a body, chunked or plain.
     pub fn new(chunked: bool, bound: ListBound) -> Self {
         EventReader {
             chunks: chunked.then(ChunkedDecoder::default),
             text: Vec::new(),
             bound,
-            part: Part::Name,
-            small: Vec::new(),
+            part: LinePart::Name,
+            field_bytes: Vec::new(),
             line_bytes: 0,
             id: None,
             update: None,
         }
     }
 
-    /// What has come of an event that is not whole (bytes); none between events.
+    /// Bytes read of an incomplete event. `None` between events.
     pub fn pending(&self) -> Option<usize> {
         self.update.as_ref().map(UpdateReader::bytes)
     }
 
-    /// Takes what it can of `input`, adds whole events to `out`, and returns how much it took (bytes).
+    /// Reads from `input`, appends complete events to `out`, and returns the number of bytes
+    /// consumed.
     ///
     /// # Errors
-    /// Where the stream can't be read or has ended, or a line or an event is over its bound.
-    pub fn take(&mut self, input: &[u8], names: &Names, out: &mut Vec<Event>) -> Result<usize, Fault> {
+    /// If the body is invalid or has ended, or a line or an event is over the bound.
+    pub fn decode(
+        &mut self,
+        input: &[u8],
+        names: &Names,
+        out: &mut Vec<Event>,
+    ) -> Result<usize, SourceError> {
         let Some(chunks) = &mut self.chunks else {
             self.read(input, names, out)?;
             return Ok(input.len());
         };
         let mut text = std::mem::take(&mut self.text);
         text.clear();
-        let (taken, ended) = chunks.decode(input, &mut text)?;
+        let (consumed, ended) = chunks.decode(input, &mut text)?;
         let read = self.read(&text, names, out);
         self.text = text;
         read?;
         match ended {
-            true => Err(Fault::Ended),
-            false => Ok(taken),
+            true => Err(SourceError::Ended),
+            false => Ok(consumed),
         }
     }
 
@@ -104,46 +110,46 @@
         Ok(())
     }
 
-    /// Takes a piece of one line.
+    /// Reads a part of one line.
     fn read_piece(&mut self, mut piece: &[u8], names: &Names) -> Result<(), ListError> {
         self.line_bytes += piece.len();
-        let (bytes, most) = (self.line_bytes, self.bound.event_bytes);
-        // An event's text is counted by who reads it, over all of its lines.
-        if bytes > most && self.part != Part::Data {
-            return Err(ListError::TooLong { bytes, engines: 0, most });
+        let (bytes, limit) = (self.line_bytes, self.bound.event_bytes);
+        // The event's reader counts its data itself, over all of its lines.
+        if bytes > limit && self.part != LinePart::Data {
+            return Err(ListError::TooLong { bytes, engines: 0, limit });
         }
-        if self.part == Part::Name {
+        if self.part == LinePart::Name {
             let Some(colon) = memchr(b':', piece) else {
-                self.keep_small(piece);
+                self.buffer_field(piece);
                 return Ok(());
             };
-            self.keep_small(&piece[..colon]);
+            self.buffer_field(&piece[..colon]);
             piece = &piece[colon + 1..];
             self.begin_value(names)?;
         }
         match self.part {
-            Part::Id => self.keep_small(piece),
-            Part::Data if !piece.is_empty() => self.push(piece, names)?,
+            LinePart::Id => self.buffer_field(piece),
+            LinePart::Data if !piece.is_empty() => self.push(piece, names)?,
             _ => {}
         }
         Ok(())
     }
 
-    /// Keeps the first bytes of a name or a number; one that is longer is none.
-    fn keep_small(&mut self, piece: &[u8]) {
-        let part = piece.len().min(MAX_FIELD + 1 - self.small.len());
-        self.small.extend_from_slice(&piece[..part]);
+    /// Buffers the start of a name or id; one that is too long matches nothing.
+    fn buffer_field(&mut self, piece: &[u8]) {
+        let part = piece.len().min(MAX_FIELD + 1 - self.field_bytes.len());
+        self.field_bytes.extend_from_slice(&piece[..part]);
     }
 
     fn begin_value(&mut self, names: &Names) -> Result<(), ListError> {
-        self.part = match self.small.as_slice() {
-            b"id" => Part::Id,
-            b"data" => Part::Data,
-            _ => Part::Other,
+        self.part = match self.field_bytes.as_slice() {
+            b"id" => LinePart::Id,
+            b"data" => LinePart::Data,
+            _ => LinePart::Other,
         };
-        self.small.clear();
-        // An event's text may come in several lines.
-        match self.part == Part::Data && self.update.is_some() {
+        self.field_bytes.clear();
+        // The data of an event may span several lines.
+        match self.part == LinePart::Data && self.update.is_some() {
             true => self.push(b"\n", names),
             false => Ok(()),
         }
@@ -154,17 +160,17 @@
     }
 
     fn end_line(&mut self, names: &Names, out: &mut Vec<Event>) {
-        let small = std::str::from_utf8(&self.small).unwrap_or("?").trim_end_matches('\r');
+        let field_bytes = std::str::from_utf8(&self.field_bytes).unwrap_or("?").trim_end_matches('\r');
         match self.part {
-            Part::Id => self.id = small.strip_prefix(' ').unwrap_or(small).parse().ok(),
-            Part::Name if small.is_empty() => {
+            LinePart::Id => self.id = field_bytes.strip_prefix(' ').unwrap_or(field_bytes).parse().ok(),
+            LinePart::Name if field_bytes.is_empty() => {
                 if let Some(update) = self.update.take() {
                     out.push(Event { number: self.id.take(), update: update.finish(names) });
                 }
             }
             _ => {}
         }
-        self.small.clear();
-        (self.part, self.line_bytes) = (Part::Name, 0);
+        self.field_bytes.clear();
+        (self.part, self.line_bytes) = (LinePart::Name, 0);
     }
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,15 +1,15 @@
-//! Where news of the engines comes from.
+//! Sources of the engine list: the coordinator's event stream and Consul.
 
 #![forbid(unsafe_code)]
 
-pub mod answer;
-pub mod bans;
 pub mod bound;
 pub mod cached_snapshot;
 pub mod consul;
+pub mod consul_response;
 pub mod event;
-pub mod refused;
-pub mod roster;
+pub mod excluded_engines;
+pub mod listed_engines;
+pub mod rejected_updates;
 pub mod split;
 pub mod staleness;
 pub mod stream;
@@ -19,26 +19,26 @@
 
 use thiserror::Error;
 
-use crate::refused::Refused;
+use crate::rejected_updates::RejectedUpdates;
 use crate::update::ListError;
 use marljunction_control::interface::{EngineEntry, EngineId, MembershipKind};
 use marljunction_http1::chunks::ChunkError;
 use marljunction_http1::head::Head;
 use marljunction_net::Net;
-use marljunction_pacing::Pace;
+use marljunction_pacing::PacingParams;
 
-/// How calls for news are paced.
+/// Parameters of a source.
 #[derive(Clone, Copy, Debug)]
-pub struct Pacing {
-    /// What the fleet may ask of the service.
-    pub pace: Pace,
-    /// Seed of this router's draws: no other router's.
+pub struct SourceParams {
+    /// Pacing of calls to the service.
+    pub pace: PacingParams,
+    /// Seed for random waits. It has to differ between routers.
     pub seed: u64,
-    /// Staleness from which news counts as too old (ns).
+    /// Age from which the list counts as stale (ns).
     pub stale_ns: u64,
 }
 
-/// Where membership news comes from.
+/// A source of membership changes.
 pub enum Source {
     /// The platform's coordinator.
     Stream(Box<stream::Stream>),
@@ -47,7 +47,7 @@
 }
 
 impl Source {
-    /// Looks after its connections.
+    /// Opens and closes connections as they are due.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
         match self {
             Source::Stream(stream) => stream.tick(now, net),
@@ -55,31 +55,31 @@
         }
     }
 
-    /// Paces calls so from the next one on.
-    pub fn set_pace(&mut self, pace: Pace, stale_ns: u64) {
+    /// Replaces the pacing parameters and the staleness limit, from the next call on.
+    pub fn set_pace(&mut self, pace: PacingParams, stale_ns: u64) {
         match self {
             Source::Stream(stream) => stream.set_pace(pace, stale_ns),
             Source::Consul(consul) => consul.set_pace(pace, stale_ns),
         }
     }
 
-    /// What is known was last right then (ns), as of a list that was kept.
-    pub fn set_heard(&mut self, heard_ns: u64) {
+    /// Sets when the list was last confirmed (ns), as for a cached snapshot.
+    pub fn set_confirmed(&mut self, confirmed_ns: u64) {
         match self {
-            Source::Stream(stream) => stream.staleness_mut().set_heard(heard_ns),
-            Source::Consul(consul) => consul.staleness_mut().set_heard(heard_ns),
+            Source::Stream(stream) => stream.staleness_mut().set_confirmed(confirmed_ns),
+            Source::Consul(consul) => consul.staleness_mut().set_confirmed(confirmed_ns),
         }
     }
 
-    /// How old the news is (ns).
+    /// Age of the list (ns).
     pub fn age_ns(&self, now: u64) -> u64 {
         match self {
-            Source::Stream(stream) => stream.view().1.age_ns(now),
-            Source::Consul(consul) => consul.view().1.age_ns(now),
+            Source::Stream(stream) => stream.stats().1.age_ns(now),
+            Source::Consul(consul) => consul.stats().1.age_ns(now),
         }
     }
 
-    /// Number of the last event that was taken; 0 where the service numbers none.
+    /// Number of the last applied event; 0 if the service does not number them.
     pub fn last_event(&self) -> u64 {
         match self {
             Source::Stream(stream) => stream.position().0,
@@ -87,32 +87,32 @@
         }
     }
 
-    /// Whether a stream of numbered events is open now.
+    /// Whether a stream of numbered events is open.
     pub fn is_open(&self) -> bool {
         matches!(self, Source::Stream(stream) if stream.position().1)
     }
 
-    /// What calls for news came to, and how old the news is, as counters.
+    /// Counters of calls, staleness and rejected updates.
     pub fn line(&self, now: u64) -> String {
-        let ((calls, turned_away), staleness) = match self {
-            Source::Stream(stream) => stream.view(),
-            Source::Consul(consul) => consul.view(),
+        let ((calls, rejected), staleness) = match self {
+            Source::Stream(stream) => stream.stats(),
+            Source::Consul(consul) => consul.stats(),
         };
-        let refused = match self {
-            Source::Stream(stream) => Refused::line(&[stream.refused()]),
-            Source::Consul(consul) => Refused::line(&consul.refused()),
+        let rejected_updates = match self {
+            Source::Stream(stream) => RejectedUpdates::counters(&[stream.rejected_updates()]),
+            Source::Consul(consul) => RejectedUpdates::counters(&consul.rejected_updates()),
         };
         let ms = |ns: u64| ns / 1_000_000;
         format!(
-            "list_calls={calls} list_turned_away={turned_away} list_age_ms={} list_age_most_ms={} list_stale={} {refused}",
+            "list_calls={calls} list_turned_away={rejected} list_age_ms={} list_age_most_ms={} list_stale={} {rejected_updates}",
             ms(staleness.age_ns(now)),
-            ms(staleness.longest_ns),
-            staleness.times
+            ms(staleness.max_age_ns),
+            staleness.stale_count
         )
     }
 
-    /// Asks at another address from here on; gives what of `known` is news. The old connection is dropped at
-    /// once: guards against an old source that still talks behind a new one.
+    /// Switches to another address, and returns those of the `known` updates that are new. The old
+    /// connection is closed at once, so that the old service cannot send further changes.
     pub fn reload(
         &mut self,
         now: u64,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes what has come in on one of them; gives the changes in order.
+    /// Processes input on a connection. Returns the changes in order.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) -> Vec<Change> {
         match self {
             Source::Stream(stream) => stream.ready(now, net, conn),
@@ -138,64 +138,64 @@
     }
 }
 
-/// Why a call for news came to nothing, or to an end.
+/// Why a call failed or ended.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
-    /// The service is there and takes no more calls for now; for how long it wants none (ns).
-    #[error("it takes no more calls for now")]
-    TurnedAway(Option<u64>),
-    /// It answers otherwise than with news.
+pub enum SourceError {
+    /// The service rejected the call because of its load, and asks for this wait (ns).
+    #[error("call rejected because of load")]
+    Rejected(Option<u64>),
+    /// Any other status than success.
     #[error("status {0}")]
     Status(u16),
-    /// The head of its answer can't be read.
+    /// Invalid response head.
     #[error("{0}")]
     Head(String),
-    /// The length of its answer is not told.
-    #[error("the body's length is not told")]
-    NoLength,
-    /// The chunks of its answer can't be read.
+    /// The response has no length.
+    #[error("response has no length")]
+    MissingLength,
+    /// Invalid chunked encoding.
     #[error("{0}")]
     Chunk(#[from] ChunkError),
-    /// It has ended, or is silent.
-    #[error("it has ended")]
+    /// The connection was closed or is silent.
+    #[error("connection ended")]
     Ended,
-    /// A list is over its bound, or can't be read.
+    /// A list is over its bound or invalid.
     #[error("{0}")]
     List(#[from] ListError),
 }
 
-/// Whether a service took a call, by the head of its answer.
-fn taken(now: u64, head: &Head) -> Result<(), Fault> {
+/// Checks the status of a response.
+fn check_status(now: u64, head: &Head) -> Result<(), SourceError> {
     match head.status {
         200 => Ok(()),
-        429 | 503 => Err(Fault::TurnedAway(head.retry_after.map(|after| after.delay_ns(now)))),
-        status => Err(Fault::Status(status)),
+        429 | 503 => Err(SourceError::Rejected(head.retry_after.map(|after| after.delay_ns(now)))),
+        status => Err(SourceError::Status(status)),
     }
 }
 
-/// Time that a list may take for each of its bytes, behind what it may take in any case (ns): 10 KB/s.
-const BYTE_NS: u64 = 100_000;
+/// Additional time allowed for each byte of a list, beyond the silence limit: 10 KB/s.
+const MAX_NS_PER_BYTE: u64 = 100_000;
 
-/// An engine and where it listens.
+/// An engine and its address.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Target {
-    /// What the module is told of it.
+    /// Its entry for the decision module.
     pub entry: EngineEntry,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
 }
 
-/// One membership event, from whatever source.
+/// A membership change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// How to read the list.
+    /// Whether `targets` is a full list or a delta.
     pub kind: MembershipKind,
-    /// The list.
+    /// The engines.
     pub targets: Vec<Target>,
 }
 
-/// The module's number of an engine, from its name: the same in every router. An address may pass to a new
-/// engine, so it says nothing.
+/// Engine id from its name, the same in every router. The address is not part of it, as it may be
+/// reassigned to another engine.
 pub fn engine_id(name: &str) -> EngineId {
     let hash =
         name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
--- a/crates/discovery/src/split.rs
+++ b/crates/discovery/src/split.rs
@@ -1,39 +1,39 @@
-//! Splits a JSON text that comes in pieces into the entries of one of its arrays and the rest of the text.
+//! Incremental JSON splitter: separates the entries of one array from the rest of the text.
 //!
-//! Each byte is looked at once. No more is held than one entry and the rest; both have a bound. What stands between the
-//! entries is checked here, the entries and the rest are the caller's to parse.
+//! Each byte is examined once. Only one entry and the rest are buffered, both up to a limit. The
+//! text between entries is checked here; the caller parses the entries and the rest.
 
 use thiserror::Error;
 
 /// Why a text can't be split.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SplitError {
-    /// Something other than an object, a comma or the array's end stands between entries.
-    #[error("byte {0:#04x} between entries")]
-    Between(u8),
-    /// An entry, or what stands around the entries, is longer than may be (bytes).
-    #[error("an entry of over {0} bytes")]
+    /// Neither an object, a comma nor the end of the array.
+    #[error("unexpected byte {0:#04x} between entries")]
+    UnexpectedByte(u8),
+    /// An entry, or the text around the array, is over the limit, which it holds (bytes).
+    #[error("entry or surrounding text exceeds {0} bytes")]
     TooLong(usize),
-    /// The text ends where it can't.
-    #[error("it ends within an entry")]
-    Cut,
+    /// The text ends inside the array.
+    #[error("text ends inside the list")]
+    Truncated,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum Position {
     /// Outside the array.
-    Rest,
+    Outside,
     /// Before the first entry.
-    First,
-    /// Within one.
-    Entry,
-    /// Behind one.
-    After,
-    /// Behind a comma.
-    Next,
+    ArrayStart,
+    /// Inside an entry.
+    InEntry,
+    /// After an entry.
+    AfterEntry,
+    /// After a comma.
+    AfterComma,
 }
 
-/// Strings and containers as they open and close.
+/// State of strings and nesting.
 #[derive(Clone, Copy, Debug, Default)]
 struct Scan {
     depth: usize,
@@ -42,7 +42,7 @@
 }
 
 impl Scan {
-    /// Takes a byte of a string; whether the string ends with it.
+    /// Processes a byte inside a string. Returns whether the string ends.
     fn string_byte(&mut self, byte: u8) -> bool {
         match byte {
             _ if self.escaped => self.escaped = false,
@@ -53,7 +53,7 @@
         !self.in_string
     }
 
-    /// Where the container that is open ends in `text` (bytes); none where it goes on behind it.
+    /// Length of the text up to the end of the entry. `None` if it goes on.
     fn end_of_entry(&mut self, text: &[u8]) -> Option<usize> {
         for (at, byte) in text.iter().enumerate() {
             if self.in_string {
@@ -76,57 +76,57 @@
     }
 }
 
-/// A text that is being split.
+/// Incremental splitter of one text.
 #[derive(Debug)]
 pub struct Splitter {
-    /// Names of the objects down to the array; none where the text is the array.
+    /// Names of the nested fields that lead to the array; empty if the text is the array.
     path: &'static [&'static str],
-    place: Place,
+    position: Position,
     max_bytes: usize,
     /// The text without the entries.
     rest: Vec<u8>,
     outer: Scan,
-    /// Names of the path that are open.
+    /// Number of path names whose objects are open.
     matched: usize,
-    /// The next value is the one of the path's next name.
-    named: bool,
-    /// Where the last string of the rest starts and ends.
-    last: (usize, usize),
-    /// What has come of the present entry.
+    /// The next value belongs to the next name of the path.
+    at_path_value: bool,
+    /// Start and end of the last string in `rest`.
+    last_string: (usize, usize),
+    /// The current entry so far, if it spans several pieces.
     entry: Vec<u8>,
     inner: Scan,
 }
 
 impl Splitter {
-    /// A text whose entries are those of the array behind the names of `path`, none longer than `max_bytes`.
+    /// Splits the array at `path`. Entries and the rest may each have up to `max_bytes`.
     pub fn new(path: &'static [&'static str], max_bytes: usize) -> Splitter {
         Splitter {
             path,
-            place: Place::Rest,
+            position: Position::Outside,
             max_bytes,
             rest: Vec::new(),
             outer: Scan::default(),
             matched: 0,
-            named: false,
-            last: (0, 0),
+            at_path_value: false,
+            last_string: (0, 0),
             entry: Vec::new(),
             inner: Scan::default(),
         }
     }
 
-    /// Takes the next piece; gives each entry that is whole to `take`.
+    /// Processes the next piece of text, and passes each complete entry to `on_entry`.
     ///
     /// # Errors
-    /// What `take` says, and [`SplitError`]: the text is of no use then.
+    /// Errors of `on_entry`, and [`SplitError`]. The splitter must not be used after either.
     pub fn push<E: From<SplitError>>(
         &mut self,
         mut piece: &[u8],
-        mut take: impl FnMut(&[u8]) -> Result<(), E>,
+        mut on_entry: impl FnMut(&[u8]) -> Result<(), E>,
     ) -> Result<(), E> {
         while !piece.is_empty() {
-            let used = match self.place {
-                Place::Rest => self.push_rest(piece)?,
-                Place::Entry => self.push_entry(piece, &mut take)?,
+            let used = match self.position {
+                Position::Outside => self.push_rest(piece)?,
+                Position::InEntry => self.push_entry(piece, &mut on_entry)?,
                 _ => self.push_between(piece)?,
             };
             piece = &piece[used..];
@@ -134,14 +134,14 @@
         Ok(())
     }
 
-    /// The text without its entries, once it has come whole.
+    /// Returns the text without its entries.
     ///
     /// # Errors
-    /// Where it ends within the array.
+    /// If the text ends inside the array.
     pub fn finish(self) -> Result<Vec<u8>, SplitError> {
-        match self.place {
-            Place::Rest => Ok(self.rest),
-            _ => Err(SplitError::Cut),
+        match self.position {
+            Position::Outside => Ok(self.rest),
+            _ => Err(SplitError::Truncated),
         }
     }
 
@@ -152,29 +152,29 @@
             }
             self.rest.push(*byte);
             if self.rest_byte(*byte) {
-                self.place = Place::First;
+                self.position = Position::ArrayStart;
                 return Ok(at + 1);
             }
         }
         Ok(piece.len())
     }
 
-    /// Whether the array opens with a byte of the rest.
+    /// Processes a byte of the rest. Returns whether the array starts with it.
     fn rest_byte(&mut self, byte: u8) -> bool {
         if self.outer.in_string {
             if self.outer.string_byte(byte) {
-                self.last.1 = self.rest.len() - 1;
+                self.last_string.1 = self.rest.len() - 1;
             }
             return false;
         }
         match byte {
-            b'"' => (self.outer.in_string, self.last.0) = (true, self.rest.len()),
-            b':' => self.named = self.is_next_name(),
-            b',' => self.named = false,
-            b'[' if self.is_list() => return true,
+            b'"' => (self.outer.in_string, self.last_string.0) = (true, self.rest.len()),
+            b':' => self.at_path_value = self.is_next_name(),
+            b',' => self.at_path_value = false,
+            b'[' if self.opens_array() => return true,
             b'{' | b'[' => {
-                self.matched += usize::from(self.named && byte == b'{');
-                (self.named, self.outer.depth) = (false, self.outer.depth + 1);
+                self.matched += usize::from(self.at_path_value && byte == b'{');
+                (self.at_path_value, self.outer.depth) = (false, self.outer.depth + 1);
             }
             b'}' | b']' => {
                 self.matched -= usize::from(self.matched > 0 && self.outer.depth == self.matched + 1);
@@ -185,17 +185,17 @@
         false
     }
 
-    /// Whether the last string is the path's next name, in the object that the path has come to.
+    /// Whether the last string is the next name of the path, at the right depth.
     fn is_next_name(&self) -> bool {
         let name = self.path.get(self.matched).filter(|_| self.outer.depth == self.matched + 1);
-        name.is_some_and(|name| name.as_bytes() == &self.rest[self.last.0..self.last.1])
+        name.is_some_and(|name| name.as_bytes() == &self.rest[self.last_string.0..self.last_string.1])
     }
 
-    /// Whether an array that opens here is the one of the path.
-    fn is_list(&self) -> bool {
+    /// Whether an array that starts here is the one at the path.
+    fn opens_array(&self) -> bool {
         match self.path.len() {
             0 => self.outer.depth == 0,
-            names => self.named && self.matched + 1 == names,
+            names => self.at_path_value && self.matched + 1 == names,
         }
     }
 
@@ -203,17 +203,17 @@
         let space = |byte: &&u8| matches!(byte, b' ' | b'\t' | b'\n' | b'\r');
         let spaces = piece.iter().take_while(space).count();
         let Some(byte) = piece.get(spaces) else { return Ok(piece.len()) };
-        match (self.place, byte) {
-            (Place::First | Place::Next, b'{') => {
-                (self.place, self.inner) = (Place::Entry, Scan::default());
+        match (self.position, byte) {
+            (Position::ArrayStart | Position::AfterComma, b'{') => {
+                (self.position, self.inner) = (Position::InEntry, Scan::default());
                 return Ok(spaces);
             }
-            (Place::First | Place::After, b']') => {
+            (Position::ArrayStart | Position::AfterEntry, b']') => {
                 self.rest.push(b']');
-                (self.place, self.named) = (Place::Rest, false);
+                (self.position, self.at_path_value) = (Position::Outside, false);
             }
-            (Place::After, b',') => self.place = Place::Next,
-            _ => return Err(SplitError::Between(*byte)),
+            (Position::AfterEntry, b',') => self.position = Position::AfterComma,
+            _ => return Err(SplitError::UnexpectedByte(*byte)),
         }
         Ok(spaces + 1)
     }
@@ -221,7 +221,7 @@
     fn push_entry<E: From<SplitError>>(
         &mut self,
         piece: &[u8],
-        take: &mut impl FnMut(&[u8]) -> Result<(), E>,
+        on_entry: &mut impl FnMut(&[u8]) -> Result<(), E>,
     ) -> Result<usize, E> {
         let end = self.inner.end_of_entry(piece);
         let part = &piece[..end.unwrap_or(piece.len())];
@@ -229,16 +229,16 @@
             return Err(SplitError::TooLong(self.max_bytes).into());
         }
         match end {
-            // The usual case: nothing is copied.
-            Some(_) if self.entry.is_empty() => take(part)?,
+            // An entry within one piece is not copied.
+            Some(_) if self.entry.is_empty() => on_entry(part)?,
             _ => self.entry.extend_from_slice(part),
         }
         if end.is_some() {
             if !self.entry.is_empty() {
-                take(&self.entry)?;
+                on_entry(&self.entry)?;
                 self.entry.clear();
             }
-            self.place = Place::After;
+            self.position = Position::AfterEntry;
         }
         Ok(part.len())
     }
--- a/crates/discovery/tests/cached_snapshot.rs
+++ b/crates/discovery/tests/cached_snapshot.rs
@@ -1,9 +1,10 @@
-//! The kept list: what is written is read again, and what can't be believed is refused whole.
+//! Checks that a written snapshot is decoded unchanged, and that an invalid one is rejected as a
+//! whole.
 
 use marljunction_control::interface::*;
 use marljunction_discovery::bound::ListBound;
-use marljunction_discovery::cached_snapshot::{self, CachedSnapshot, Refusal};
-use marljunction_discovery::roster::Roster;
+use marljunction_discovery::cached_snapshot::{self, CachedSnapshot, DecodeError};
+use marljunction_discovery::listed_engines::ListedEngines;
 use marljunction_discovery::{Change, Target};
 use marljunction_settings::Names;
 
@@ -31,13 +32,13 @@
     Change { kind, targets }
 }
 
-fn decode(bytes: &[u8], names: &Names, now: u64, most_ns: u64) -> Result<(Change, u64), Refusal> {
-    cached_snapshot::decode(bytes, names, now, most_ns, &ListBound::default())
+fn decode(bytes: &[u8], names: &Names, now: u64, max_age_ns: u64) -> Result<(Change, u64), DecodeError> {
+    cached_snapshot::decode(bytes, names, now, max_age_ns, &ListBound::default())
 }
 
-fn encode(roster: &Roster) -> String {
+fn encode(listed_engines: &ListedEngines) -> String {
     let mut out = std::io::Cursor::new(Vec::new());
-    cached_snapshot::write(&mut out, roster, &names(), NOW).unwrap();
+    cached_snapshot::write(&mut out, listed_engines, &names(), NOW).unwrap();
     String::from_utf8(out.into_inner()).unwrap()
 }
 
@@ -46,39 +47,42 @@
 }
 
 fn file() -> String {
-    let mut roster = Roster::default();
-    roster.change(&change(
+    let mut listed_engines = ListedEngines::default();
+    listed_engines.apply(&change(
         MembershipKind::Full,
         vec![target(1, EngineState::Ready), target(2, EngineState::Ready), target(3, EngineState::Ready)],
     ));
-    roster.change(&change(
+    listed_engines.apply(&change(
         MembershipKind::Delta,
         vec![target(2, EngineState::Draining), target(3, EngineState::Gone)],
     ));
-    encode(&roster)
+    encode(&listed_engines)
 }
 
 #[test]
-fn what_is_written_is_read_again_with_its_age() {
+fn a_written_snapshot_is_decoded_with_its_age() {
     let (read, age) = decode(file().as_bytes(), &names(), NOW + 90 * S, 3_600 * S).unwrap();
     assert_eq!(age, 90 * S);
     assert_eq!(
         read,
         change(MembershipKind::Full, vec![target(1, EngineState::Ready), target(2, EngineState::Draining)])
     );
-    // Names hold, numbers do not: the settings of the next start may list zones in another order.
-    let turned = Names { zones: vec!["b".into(), "a".into()], ..names() };
-    let (read, _) = decode(file().as_bytes(), &turned, NOW, 3_600 * S).unwrap();
+    // Zones are stored by name, as the settings of the next start may list them in another order.
+    let reordered = Names { zones: vec!["b".into(), "a".into()], ..names() };
+    let (read, _) = decode(file().as_bytes(), &reordered, NOW, 3_600 * S).unwrap();
     assert_eq!(read.targets[0].entry.zone, Some(ZoneId(0)));
-    assert_eq!(decode(file().as_bytes(), &names(), NOW - 50 * S, S).unwrap().1, 0, "a clock that went back");
+    assert_eq!(decode(file().as_bytes(), &names(), NOW - 50 * S, S).unwrap().1, 0, "the clock was set back");
 }
 
 #[test]
-fn a_file_cut_anywhere_or_with_any_bit_flipped_is_refused() {
+fn a_truncated_file_or_one_with_a_flipped_bit_is_rejected() {
     let whole = file().into_bytes();
     for size in 0..whole.len() {
-        let refused = decode(&whole[..size], &names(), NOW, 3_600 * S).unwrap_err();
-        assert!(matches!(refused, Refusal::NotAList | Refusal::Spoilt), "{size} bytes: {refused:?}");
+        let error = decode(&whole[..size], &names(), NOW, 3_600 * S).unwrap_err();
+        assert!(
+            matches!(error, DecodeError::NotASnapshot | DecodeError::ChecksumMismatch),
+            "{size} bytes: {error:?}"
+        );
     }
     for at in 0..whole.len() {
         for bit in 0..8 {
@@ -90,46 +94,49 @@
 }
 
 #[test]
-fn other_versions_old_lists_and_huge_files_are_told_apart() {
+fn unsupported_versions_and_files_over_a_limit_have_their_own_errors() {
     let read = |text: &str| decode(text.as_bytes(), &names(), NOW, 60 * S).unwrap_err();
-    assert_eq!(read(""), Refusal::NotAList);
-    assert_eq!(read("{}\n"), Refusal::NotAList);
-    assert_eq!(read(&file().replacen(" 1 ", " 2 ", 1)), Refusal::Version(2));
-    assert_eq!(read(&file().replacen(" 1 ", " 0 ", 1)), Refusal::Version(0));
-    assert_eq!(decode(file().as_bytes(), &names(), NOW + 61 * S, 60 * S), Err(Refusal::Old(61 * S)));
+    assert_eq!(read(""), DecodeError::NotASnapshot);
+    assert_eq!(read("{}\n"), DecodeError::NotASnapshot);
+    assert_eq!(read(&file().replacen(" 1 ", " 2 ", 1)), DecodeError::Version(2));
+    assert_eq!(read(&file().replacen(" 1 ", " 0 ", 1)), DecodeError::Version(0));
+    assert_eq!(decode(file().as_bytes(), &names(), NOW + 61 * S, 60 * S), Err(DecodeError::TooOld(61 * S)));
     let bound = ListBound::default();
     let huge = vec![b'x'; bound.file_bytes + 1];
-    let most = bound.file_bytes as u64;
-    assert_eq!(decode(&huge, &names(), NOW, S), Err(Refusal::Huge(most + 1, most)));
-    let mut many = Roster::default();
-    many.change(&ready(bound.engines + 1));
-    assert_eq!(decode(encode(&many).as_bytes(), &names(), NOW, S), Err(Refusal::Many(bound.engines)));
+    let limit = bound.file_bytes as u64;
+    assert_eq!(decode(&huge, &names(), NOW, S), Err(DecodeError::TooLarge(limit + 1, limit)));
+    let mut many = ListedEngines::default();
+    many.apply(&ready(bound.engines + 1));
+    assert_eq!(
+        decode(encode(&many).as_bytes(), &names(), NOW, S),
+        Err(DecodeError::TooManyEngines(bound.engines))
+    );
 }
 
 #[test]
-fn a_list_of_30000_engines_is_read_again_as_it_was() {
-    let mut roster = Roster::default();
-    roster.change(&ready(30_000));
-    let (read, _) = decode(encode(&roster).as_bytes(), &names(), NOW, S).unwrap();
-    assert_eq!(read.targets, roster.iter().collect::<Vec<_>>());
+fn a_snapshot_of_30000_engines_survives_a_round_trip() {
+    let mut listed_engines = ListedEngines::default();
+    listed_engines.apply(&ready(30_000));
+    let (read, _) = decode(encode(&listed_engines).as_bytes(), &names(), NOW, S).unwrap();
+    assert_eq!(read.targets, listed_engines.iter().collect::<Vec<_>>());
     assert_eq!(read.targets.len(), 30_000);
 }
 
 #[test]
-fn a_list_over_the_bound_is_not_written_and_one_within_it_again() {
+fn a_snapshot_over_the_bound_is_not_written() {
     let bound = ListBound::of(1.0);
-    let mut kept = CachedSnapshot::new(bound);
-    assert!(!kept.due(NOW, bound.engines + 1) && kept.due(NOW + 10 * S, bound.engines));
+    let mut snapshot = CachedSnapshot::new(bound);
+    assert!(!snapshot.due(NOW, bound.engines + 1) && snapshot.due(NOW + 10 * S, bound.engines));
 }
 
 #[test]
-fn a_list_is_written_a_second_after_it_changed_at_most_and_again_as_it_ages() {
-    let mut kept = CachedSnapshot::new(ListBound::default());
-    assert!(!kept.due(NOW, 0), "nothing to write yet");
-    kept.changed();
-    assert!(kept.due(NOW, 1) && !kept.due(NOW + 9 * S, 1) && kept.due(NOW + 10 * S, 1));
-    kept.changed();
-    assert!(!kept.due(NOW + 10 * S + 1, 2) && kept.due(NOW + 11 * S, 2));
-    kept.changed();
-    assert!(!kept.due(NOW + 60 * S, 0), "a list that names no engine does not push out one that does");
+fn a_snapshot_is_written_within_a_second_of_a_change_and_refreshed_every_ten() {
+    let mut snapshot = CachedSnapshot::new(ListBound::default());
+    assert!(!snapshot.due(NOW, 0), "nothing to write yet");
+    snapshot.changed();
+    assert!(snapshot.due(NOW, 1) && !snapshot.due(NOW + 9 * S, 1) && snapshot.due(NOW + 10 * S, 1));
+    snapshot.changed();
+    assert!(!snapshot.due(NOW + 10 * S + 1, 2) && snapshot.due(NOW + 11 * S, 2));
+    snapshot.changed();
+    assert!(!snapshot.due(NOW + 60 * S, 0), "an empty list does not replace another one");
 }
--- a/crates/discovery/tests/common/mod.rs
+++ b/crates/discovery/tests/common/mod.rs
@@ -8,25 +8,29 @@
 use marljunction_control::interface::MembershipKind;
 use marljunction_discovery::{engine_id, Change};
 use marljunction_net::{ConnectionLimits, Net};
-use marljunction_pacing::pace::TOLD_NS;
-use marljunction_pacing::Pace;
+use marljunction_pacing::pace::MAX_UPDATE_DELAY_NS;
+use marljunction_pacing::PacingParams;
 use marljunction_settings::Names;
 use mio::{Events, Poll};
 
 pub const MS: u64 = 1_000_000;
 pub const T0: u64 = 1_700_000_000_000 * MS;
-/// Longer than anything that must happen takes.
+/// Longest wait for an expected event.
 const LIMIT: Duration = Duration::from_secs(8);
 
 pub fn names() -> Names {
     Names { zones: vec!["a".into(), "b".into()], kinds: vec!["std".into()], ..Names::default() }
 }
 
-pub fn pacing(seed: u64) -> marljunction_discovery::Pacing {
-    marljunction_discovery::Pacing { pace: Pace::default(), seed, stale_ns: TOLD_NS }
+pub fn pacing(seed: u64) -> marljunction_discovery::SourceParams {
+    marljunction_discovery::SourceParams {
+        pace: PacingParams::default(),
+        seed,
+        stale_ns: MAX_UPDATE_DELAY_NS,
+    }
 }
 
-/// One engine of a list, as the coordinator tells it.
+/// JSON of one engine, as the coordinator sends it.
 pub fn target(i: usize, state: &str) -> String {
     let (a, b, c) = (i >> 16 & 255, i >> 8 & 255, i & 255);
     format!(
@@ -36,7 +40,7 @@
     )
 }
 
-/// A whole list of so many engines, from number 1 on.
+/// JSON of a full list of this many engines, numbered from 1.
 pub fn list(index: u64, engines: usize) -> String {
     let targets: Vec<String> = (1..=engines).map(|i| target(i, "in_service")).collect();
     format!(r#"{{"index":{index},"endpoints":{{"all":true,"targets":[{}]}}}}"#, targets.join(","))
@@ -46,13 +50,13 @@
     format!("id: {index}\ndata: {text}\n\n")
 }
 
-/// As a body in chunks of so many bytes.
+/// Encodes a body in chunks of `size` bytes.
 pub fn chunked(body: &[u8], size: usize) -> Vec<u8> {
     let chunk = |part: &[u8]| [format!("{:x}\r\n", part.len()).as_bytes(), part, b"\r\n"].concat();
     body.chunks(size).flat_map(chunk).collect()
 }
 
-/// A whole list of just these engines, in order.
+/// Asserts that the change is a full list of exactly these engines, in order.
 #[track_caller]
 pub fn assert_names(change: &Change, engines: usize) {
     assert_eq!((change.kind, change.targets.len()), (MembershipKind::Full, engines));
@@ -61,103 +65,108 @@
     }
 }
 
-/// The sockets of whoever asks, and the service that is asked.
-pub struct Wire {
+/// A service that listens on a local socket, and the network of the client under test.
+pub struct TestService {
     poll: Poll,
     pub net: Net,
-    service: TcpListener,
-    /// The service's connections, and what came on them since the last whole call.
+    listener: TcpListener,
+    /// Connections to the service, with the bytes of an incomplete request.
     calls: Vec<(TcpStream, Vec<u8>)>,
     pub now: u64,
 }
 
-impl Wire {
-    pub fn new() -> Wire {
+impl TestService {
+    pub fn new() -> TestService {
         let poll = Poll::new().unwrap();
         let net = Net::new(poll.registry().try_clone().unwrap(), 1, ConnectionLimits::of(64, 64.0));
-        let service = TcpListener::bind("127.0.0.1:0").unwrap();
-        service.set_nonblocking(true).unwrap();
-        Wire { poll, net, service, calls: Vec::new(), now: T0 }
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        listener.set_nonblocking(true).unwrap();
+        TestService { poll, net, listener, calls: Vec::new(), now: T0 }
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.service.local_addr().unwrap()
+        self.listener.local_addr().unwrap()
     }
 
-    /// A call that has come whole, and what it asks for.
-    pub fn call(&mut self) -> Option<(TcpStream, String)> {
-        while let Ok((call, _)) = self.service.accept() {
+    /// Next complete request, with its connection.
+    pub fn next_request(&mut self) -> Option<(TcpStream, String)> {
+        while let Ok((call, _)) = self.listener.accept() {
             call.set_nonblocking(false).unwrap();
             call.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
             self.calls.push((call, Vec::new()));
         }
         let mut bytes = [0; 4096];
-        self.calls.retain_mut(|(call, asked)| match call.read(&mut bytes) {
+        self.calls.retain_mut(|(call, request)| match call.read(&mut bytes) {
             Ok(size) => {
-                asked.extend_from_slice(&bytes[..size]);
+                request.extend_from_slice(&bytes[..size]);
                 size > 0
             }
             Err(e) => matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
         });
-        let (call, asked) = self.calls.iter_mut().find(|(_, asked)| asked.ends_with(b"\r\n\r\n"))?;
-        Some((call.try_clone().unwrap(), String::from_utf8(std::mem::take(asked)).unwrap()))
+        let (call, request) = self.calls.iter_mut().find(|(_, request)| request.ends_with(b"\r\n\r\n"))?;
+        Some((call.try_clone().unwrap(), String::from_utf8(std::mem::take(request)).unwrap()))
     }
 
-    /// Connections with something to look at within a time.
+    /// Connections that become ready within a time.
     pub fn ready_within(&mut self, limit: Duration) -> Vec<u64> {
         let mut events = Events::with_capacity(8);
         self.poll.poll(&mut events, Some(limit)).unwrap();
         events.iter().map(|event| event.token().0 as u64).collect()
     }
 
-    /// Connections with something to look at, which must come.
+    /// Connections that become ready. Panics if there are none.
     pub fn ready(&mut self) -> Vec<u64> {
         let ready = self.ready_within(LIMIT);
-        assert!(!ready.is_empty(), "nothing comes");
+        assert!(!ready.is_empty(), "no connection became ready");
         ready
     }
 }
 
-/// Answers on a thread of its own, as what it says may be larger than the machine holds on its way; ends the connection behind it
-/// unless that `stays`.
-pub fn answer(mut call: TcpStream, head: &str, body: Vec<u8>, stays: bool) -> std::thread::JoinHandle<()> {
+/// Responds from a thread, as the body may be larger than the socket buffers. Then closes the
+/// connection unless `keep_open`.
+pub fn answer(
+    mut call: TcpStream,
+    head: &str,
+    body: Vec<u8>,
+    keep_open: bool,
+) -> std::thread::JoinHandle<()> {
     let head = head.to_owned();
     std::thread::spawn(move || {
-        // Whoever asked may have had enough.
+        // The client may have closed the connection.
         let _ = call.write_all(head.as_bytes()).and_then(|()| call.write_all(&body));
-        if !stays {
+        if !keep_open {
             let _ = call.shutdown(Shutdown::Both);
         }
     })
 }
 
 thread_local! {
-    static SAID: std::cell::RefCell<Vec<String>> = const { std::cell::RefCell::new(Vec::new()) };
+    static LOG_LINES: std::cell::RefCell<Vec<String>> = const { std::cell::RefCell::new(Vec::new()) };
 }
 
-struct Said;
+struct CapturedLog;
 
-impl log::Log for Said {
+impl log::Log for CapturedLog {
     fn enabled(&self, _: &log::Metadata) -> bool {
         true
     }
 
     fn log(&self, record: &log::Record) {
-        SAID.with(|said| said.borrow_mut().push(format!("{} {}", record.level(), record.args())));
+        LOG_LINES.with(|lines| lines.borrow_mut().push(format!("{} {}", record.level(), record.args())));
     }
 
     fn flush(&self) {}
 }
 
-/// What this test logs from here on.
-pub fn listen() {
-    // Another test of this program may have set it up.
-    let _ = log::set_logger(&Said);
+/// Starts capturing the log of this test.
+pub fn capture_log() {
+    // Another test in this binary may have set the logger.
+    let _ = log::set_logger(&CapturedLog);
     log::set_max_level(log::LevelFilter::Info);
-    SAID.with(|said| said.borrow_mut().clear());
+    LOG_LINES.with(|lines| lines.borrow_mut().clear());
 }
 
-/// Lines of this test's log that hold some words.
-pub fn said(words: &str) -> Vec<String> {
-    SAID.with(|said| said.borrow().iter().filter(|line| line.contains(words)).cloned().collect())
+/// Captured lines that contain `words`.
+pub fn logged_lines(words: &str) -> Vec<String> {
+    LOG_LINES.with(|lines| lines.borrow().iter().filter(|line| line.contains(words)).cloned().collect())
 }
--- a/crates/pacing/tests/pacer.rs
+++ b/crates/pacing/tests/pacer.rs
@@ -1,36 +1,36 @@
-//! The pacer held against its bounds: whatever happens, over many seeds, alone and in a herd.
+//! Checks the pacer against its bounds, for one caller and for many at once, over many seeds.
 
-use marljunction_pacing::pacer::MAX_USELESS_WAIT_NS;
-use marljunction_pacing::{Failure, Pace, Pacer, Unfit};
+use marljunction_pacing::pacer::MAX_UNUSABLE_WAIT_NS;
+use marljunction_pacing::{Failure, Pacer, PacingParams, ParamsError};
 use marljunction_testkit::herd::{Herd, Service};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
 const S: u64 = 1_000 * MS;
 
-fn fleet(callers: u32, budget_per_s: f64) -> Pace {
-    let spread_ns = Pace::default().longest_ns;
-    Pace { callers: Some(callers), budget_per_s, spread_ns, ..Pace::default() }
+fn fleet(callers: u32, budget_per_s: f64) -> PacingParams {
+    let spread_ns = PacingParams::default().longest_ns;
+    PacingParams { callers: Some(callers), budget_per_s, spread_ns, ..PacingParams::default() }
 }
 
-fn herd(count: u32, pace: Pace, capacity: f64, seed: u64) -> Herd<Pacer> {
-    let one = |i: u32| Pacer::new(Pace { me: i, ..pace }, seed * 1_000 + u64::from(i), 0);
+fn herd(count: u32, pace: PacingParams, capacity: f64, seed: u64) -> Herd<Pacer> {
+    let one = |i: u32| Pacer::new(PacingParams { caller_index: i, ..pace }, seed * 1_000 + u64::from(i), 0);
     Herd::new((0..count).map(one).collect(), Service::new(capacity))
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Away,
-    TurnedAway(Option<u64>),
+    Unavailable,
+    Rejected(Option<u64>),
     Up(u64),
     Answered(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        Just(Step::Away),
+        Just(Step::Unavailable),
         proptest::option::of(prop_oneof![Just(0), Just(S), Just(86_400 * S), Just(u64::MAX), 0..10 * S])
-            .prop_map(Step::TurnedAway),
+            .prop_map(Step::Rejected),
         (0..100 * S).prop_map(Step::Up),
         (0..20 * S).prop_map(Step::Answered),
     ]
@@ -40,85 +40,91 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn no_wait_is_longer_than_the_longest_and_what_is_asked_for_is_kept_within_it(
+    fn waits_stay_within_the_longest_and_honor_retry_after_up_to_it(
         steps in proptest::collection::vec(step(), 1..40),
         callers in proptest::option::of(1u32..2_000),
-        me in 0u32..4_000,
+        caller_index in 0u32..4_000,
         budget in 0.5f64..5_000.0,
         longest in 100 * MS..60 * S,
         seed: u64,
     ) {
-        let pace =
-            Pace { callers, me, budget_per_s: budget, spread_ns: longest, longest_ns: longest, ..Pace::default() };
+        let pace = PacingParams {
+            callers,
+            caller_index,
+            budget_per_s: budget,
+            spread_ns: longest,
+            longest_ns: longest,
+            ..PacingParams::default()
+        };
         let mut now = 5 * S;
         let mut pacer = Pacer::new(pace, seed, now);
         for step in steps {
-            let due = pacer.due_ns().expect("no call is out, so one is due");
+            let due = pacer.due_ns().expect("no call is in progress, so one is due");
             prop_assert!(due <= now + longest, "{} after {now}", due - now);
-            prop_assert!(due <= now || !pacer.call(due - 1), "a call before its time");
+            prop_assert!(due <= now || !pacer.call(due - 1), "a call before it was due");
             now = due;
             prop_assert!(pacer.call(now));
             prop_assert!(!pacer.call(now + 3_600 * S), "one call at a time");
-            let asked = match step {
-                Step::Away => {
-                    pacer.failed(now, Failure::Away);
+            let requested_ns = match step {
+                Step::Unavailable => {
+                    pacer.failed(now, Failure::Unavailable);
                     pace.shortest_ns
                 }
-                Step::TurnedAway(after_ns) => {
-                    pacer.failed(now, Failure::TurnedAway { after_ns });
+                Step::Rejected(after_ns) => {
+                    pacer.failed(now, Failure::Rejected { after_ns });
                     after_ns.unwrap_or(pace.shortest_ns).max(pace.shortest_ns)
                 }
                 Step::Up(time) => {
-                    pacer.taken(now);
+                    pacer.accepted(now);
                     prop_assert!(pacer.due_ns().is_none());
                     now += time;
                     pacer.ended(now);
                     0
                 }
                 Step::Answered(time) => {
-                    pacer.taken(now);
+                    pacer.accepted(now);
                     now += time;
                     pacer.answered(now);
                     0
                 }
             };
             let due = pacer.due_ns().unwrap();
-            let least = asked.min(longest / 10 * 9);
-            prop_assert!(due >= now.saturating_add(least), "{} where {asked} was asked for", due - now);
+            let min_wait_ns = requested_ns.min(longest / 10 * 9);
+            prop_assert!(due >= now.saturating_add(min_wait_ns), "{} instead of {requested_ns}", due - now);
         }
     }
 }
 
 #[test]
-fn a_caller_that_stood_still_makes_one_call_not_all_that_it_missed() {
+fn a_suspended_caller_makes_one_call_when_it_resumes() {
     let mut pacer = Pacer::new(fleet(1, 10.0), 7, 0);
-    let woken = 3_600 * S;
-    assert!(pacer.call(woken));
-    pacer.failed(woken, Failure::Away);
-    assert!(!pacer.call(woken), "the next one waits");
-    assert!(pacer.due_ns().unwrap() >= woken + 100 * MS);
+    let resumed_ns = 3_600 * S;
+    assert!(pacer.call(resumed_ns));
+    pacer.failed(resumed_ns, Failure::Unavailable);
+    assert!(!pacer.call(resumed_ns), "the next one waits");
+    assert!(pacer.due_ns().unwrap() >= resumed_ns + 100 * MS);
 }
 
 #[test]
-fn waits_grow_while_a_service_is_away_and_what_was_up_for_long_starts_from_nothing() {
+fn backoff_grows_during_an_outage_and_resets_after_a_long_connection() {
     let mut pacer = Pacer::new(fleet(1, 100.0), 3, 0);
     let mut waits = Vec::new();
     for _ in 0..12 {
         let now = pacer.due_ns().unwrap();
         assert!(pacer.call(now));
-        pacer.failed(now, Failure::Away);
+        pacer.failed(now, Failure::Unavailable);
         waits.push(pacer.due_ns().unwrap() - now);
     }
     assert!(waits[0] <= 300 * MS && waits[11] >= 1_250 * MS, "{waits:?}");
     let now = pacer.due_ns().unwrap();
     assert!(pacer.call(now));
-    pacer.taken(now);
+    pacer.accepted(now);
     pacer.ended(now + 3_600 * S);
-    assert!(pacer.due_ns().unwrap() - now - 3_600 * S <= 20 * MS, "it was well for an hour");
+    assert!(pacer.due_ns().unwrap() - now - 3_600 * S <= 20 * MS, "it was up for an hour");
 }
 
 #[test]
-fn a_service_that_drops_each_call_after_a_second_is_not_hammered() {
+fn connections_dropped_after_a_second_are_reopened_with_backoff() {
     for seed in 0..200 {
         let mut pacer = Pacer::new(fleet(3, 200.0), seed, 0);
         let (mut now, mut calls) = (0, 0);
@@ -126,7 +132,7 @@
             now = pacer.due_ns().unwrap();
             assert!(pacer.call(now));
             calls += 1;
-            pacer.taken(now);
+            pacer.accepted(now);
             now += S;
             pacer.ended(now);
         }
@@ -135,49 +141,57 @@
 }
 
 #[test]
-fn a_herd_keeps_to_the_budget_at_the_start_while_the_service_is_away_and_as_it_is_back() {
+fn many_callers_keep_to_the_budget_at_start_in_an_outage_and_after_it() {
     for seed in 0..300 {
         for (count, capacity) in [(20, 50.0), (100, 25.0), (300, 75.0), (300, 100.0)] {
             let mut herd = herd(count, fleet(count, capacity), capacity, seed);
             let (ideal, n) = (f64::from(count) / capacity * 1e9, u64::from(count));
-            let told = |what: &str, p| format!("{what} of {count} at {capacity}, seed {seed}: {p:?}");
-            // Few callers that all fit into a second's calls are no matter for pacing.
-            let settled = 1.5 * ideal.max(1e9);
+            let message = |what: &str, p| format!("{what} of {count} at {capacity}, seed {seed}: {p:?}");
+            // Up to a second is allowed where the service accepts all callers at once.
+            let max_settled_ns = 1.5 * ideal.max(1e9);
             let start = herd.pass(60 * S);
-            assert!(start.calls * 2 <= n * 3, "{}", told("start", start));
-            assert!(start.settled_ns.is_some_and(|ns| ns as f64 <= settled), "{}", told("start", start));
-            assert!(start.worst_second as f64 <= capacity * 1.5, "{}", told("start", start));
+            assert!(start.calls * 2 <= n * 3, "{}", message("start", start));
+            assert!(
+                start.settled_ns.is_some_and(|ns| ns as f64 <= max_settled_ns),
+                "{}",
+                message("start", start)
+            );
+            assert!(start.worst_second as f64 <= capacity * 1.5, "{}", message("start", start));
             herd.now += 30 * S;
             herd.drop_all();
             herd.service.away = true;
             let away = herd.pass(10 * S);
-            assert!(away.calls <= 10 * n, "{}", told("away", away));
-            assert!(count < 100 || away.calls <= 5 * n, "{}", told("away", away));
-            assert!(away.worst_second as f64 <= capacity * 1.5, "{}", told("away", away));
+            assert!(away.calls <= 10 * n, "{}", message("away", away));
+            assert!(count < 100 || away.calls <= 5 * n, "{}", message("away", away));
+            assert!(away.worst_second as f64 <= capacity * 1.5, "{}", message("away", away));
             herd.service.away = false;
             let back = herd.pass(60 * S);
-            assert!(back.calls * 2 <= n * 3, "{}", told("back", back));
+            assert!(back.calls * 2 <= n * 3, "{}", message("back", back));
             assert!(
-                back.settled_ns.is_some_and(|ns| ns as f64 <= settled.max(3e9)),
+                back.settled_ns.is_some_and(|ns| ns as f64 <= max_settled_ns.max(3e9)),
                 "{}",
-                told("back", back)
+                message("back", back)
+            );
+            assert!(
+                count < 100 || back.worst_100ms * 100 <= 15 * count as usize,
+                "{}",
+                message("back", back)
             );
-            assert!(count < 100 || back.worst_100ms * 100 <= 15 * count as usize, "{}", told("back", back));
         }
     }
 }
 
 #[test]
-fn a_herd_whose_count_is_wrong_or_unknown_settles_with_few_calls() {
+fn callers_with_a_wrong_or_unknown_count_settle_with_few_calls() {
     for seed in 0..100 {
         for callers in [None, Some(50), Some(100), Some(200), Some(400), Some(1)] {
-            let pace = Pace { callers, ..fleet(0, 50.0) };
+            let pace = PacingParams { callers, ..fleet(0, 50.0) };
             let mut herd = herd(200, pace, 50.0, seed);
             for what in ["start", "back"] {
                 let passed = herd.pass(120 * S);
-                let told = format!("{what}, told {callers:?}, seed {seed}: {passed:?}");
-                assert!(passed.settled_ns.is_some_and(|ns| ns <= 15 * S), "{told}");
-                assert!(passed.calls <= 800, "{told}");
+                let message = format!("{what}, assumed {callers:?}, seed {seed}: {passed:?}");
+                assert!(passed.settled_ns.is_some_and(|ns| ns <= 15 * S), "{message}");
+                assert!(passed.calls <= 800, "{message}");
                 herd.now += 20 * S;
                 herd.drop_all();
             }
@@ -186,9 +200,9 @@
 }
 
 #[test]
-fn callers_with_one_seed_and_one_number_by_mistake_still_settle() {
-    let pace = Pace { me: 0, ..fleet(200, 50.0) };
-    // Their seeds differ by name and address only, which is what the program sees to.
+fn callers_with_the_same_index_still_settle() {
+    let pace = PacingParams { caller_index: 0, ..fleet(200, 50.0) };
+    // The seeds of routers differ by name and address even if their indices are equal.
     let callers = (0..200).map(|i| Pacer::new(pace, i, 0)).collect();
     let mut herd = Herd::new(callers, Service::new(50.0));
     let start = herd.pass(60 * S);
@@ -196,43 +210,49 @@
 }
 
 #[test]
-fn the_longest_wait_follows_from_how_late_news_may_be() {
-    let pace = Pace::default();
+fn the_longest_wait_follows_from_the_maximum_update_delay() {
+    let pace = PacingParams::default();
     let silent = 2_200 * MS;
     assert_eq!(pace.longest_ns, 4_300 * MS);
-    assert!(pace.blind_at_most_ns(silent) <= marljunction_pacing::pace::TOLD_NS);
-    assert_eq!(pace.unfit(), None);
+    assert!(pace.max_reconnect_ns(silent) <= marljunction_pacing::pace::MAX_UPDATE_DELAY_NS);
+    assert_eq!(pace.find_error(), None);
     assert_eq!(
-        Pace { callers: Some(300), me: 299, ..pace }.window_ns(),
+        PacingParams { callers: Some(300), caller_index: 299, ..pace }.window_ns(),
         100 * MS,
-        "nobody has to wait by default"
+        "by default calls wait only briefly"
+    );
+    assert_eq!(PacingParams { budget_per_s: 0.0, ..pace }.find_error(), Some(ParamsError::Budget));
+    assert_eq!(PacingParams { longest_ns: 1, ..pace }.find_error(), Some(ParamsError::LongestBelowShortest));
+    let undersized = fleet(1_000, 50.0);
+    assert!(
+        matches!(undersized.find_error(), Some(ParamsError::IntervalOverLongest(share)) if share > 20 * S)
+    );
+    assert_eq!(
+        undersized.window_ns(),
+        undersized.longest_ns,
+        "the budget is exceeded rather than the update delay"
     );
-    assert_eq!(Pace { budget_per_s: 0.0, ..pace }.unfit(), Some(Unfit::Budget));
-    assert_eq!(Pace { longest_ns: 1, ..pace }.unfit(), Some(Unfit::LongestBelowShortest));
-    let thin = fleet(1_000, 50.0);
-    assert!(matches!(thin.unfit(), Some(Unfit::ShareOverLongest(share)) if share > 20 * S));
-    assert_eq!(thin.window_ns(), thin.longest_ns, "a fleet goes over the budget rather than be told late");
 }
 
 #[test]
-fn an_answer_that_is_of_no_use_is_asked_for_ever_more_rarely_and_the_next_good_one_at_once() {
+fn unusable_responses_are_retried_with_growing_waits() {
     for seed in 0..50 {
-        let pace = Pace::default();
+        let pace = PacingParams::default();
         let (mut pacer, mut waits) = (Pacer::new(pace, seed, 0), Vec::new());
         for _ in 0..20 {
             let now = pacer.due_ns().unwrap();
             assert!(pacer.call(now));
-            pacer.taken(now);
-            pacer.failed(now, Failure::Useless);
+            pacer.accepted(now);
+            pacer.failed(now, Failure::Unusable);
             waits.push(pacer.due_ns().unwrap() - now);
         }
         assert!(waits[..4].windows(2).all(|pair| pair[1] > pair[0]), "{waits:?}");
-        let longest = MAX_USELESS_WAIT_NS;
+        let longest = MAX_UNUSABLE_WAIT_NS;
         assert!(waits[8..].iter().all(|wait| (longest / 2..=longest).contains(wait)), "{waits:?}");
-        // What fails otherwise waits no longer than the settings say.
+        // Other failures wait no longer than the parameters allow.
         let now = pacer.due_ns().unwrap();
         assert!(pacer.call(now));
-        pacer.failed(now, Failure::Away);
+        pacer.failed(now, Failure::Unavailable);
         assert!(pacer.due_ns().unwrap() - now <= pace.longest_ns);
     }
 }
--- a/src/daemon/overrides.rs
+++ b/src/daemon/overrides.rs
@@ -31,7 +31,7 @@
         id: &str,
         excluded: bool,
     ) -> Result<Version, AdminResponse> {
-        let listed = self.engine_list.bans().knows(id);
+        let listed = self.engine_list.excluded_engines().is_listed(id);
         let Some(health) = self.router.health() else {
             return Err(AdminResponse::new(404, "this router shares no verdicts"));
         };
@@ -57,7 +57,8 @@
             return;
         }
         info!("the whole fleet leaves out: {}", excluded.join(" "));
-        let changes = exclusions.bans.set_fleet(excluded.iter().map(String::as_str), now);
+        let changes =
+            exclusions.excluded_engines.set_fleet_excluded(excluded.iter().map(String::as_str), now);
         exclusions.fleet_excluded = excluded;
         for change in changes {
             self.notify(change);
