--- a/crates/cells/examples/divisions.rs
+++ b/crates/cells/examples/divisions.rs
@@ -84,9 +84,9 @@
 fn weigh(name: &str, divide: impl Fn(&[u64], u32) -> Parts) {
     let engines: Vec<u64> = (0..PER_ZONE).map(|id| hash(id, 1) >> 1).collect();
     let parts = divide(&engines, ROUTERS_PER_ZONE);
-    let mut sharers = BTreeMap::<u64, u32>::new();
-    sharers.extend(engines.iter().map(|id| (*id, 0)));
-    parts.iter().flatten().for_each(|id| *sharers.entry(*id).or_default() += 1);
+    let mut routers_per_cell = BTreeMap::<u64, u32>::new();
+    routers_per_cell.extend(engines.iter().map(|id| (*id, 0)));
+    parts.iter().flatten().for_each(|id| *routers_per_cell.entry(*id).or_default() += 1);
     let sizes: Vec<usize> = parts.iter().map(BTreeSet::len).collect();
     let gone = engines[17];
     let fewer: Vec<u64> = engines.iter().copied().filter(|id| *id != gone).collect();
@@ -104,9 +104,9 @@
          \"routers_hit\": {hit}, \"routers_left_without\": {none_left}, \"parts_of_a_zone\": {}}}",
         sizes.iter().min().unwrap_or(&0),
         sizes.iter().max().unwrap_or(&0),
-        sharers.values().min().unwrap_or(&0),
-        sharers.values().max().unwrap_or(&0),
-        sharers.values().filter(|count| **count == 0).count(),
+        routers_per_cell.values().min().unwrap_or(&0),
+        routers_per_cell.values().max().unwrap_or(&0),
+        routers_per_cell.values().filter(|count| **count == 0).count(),
         different.len(),
     );
 }
@@ -135,7 +135,7 @@
     let mut relay = Relay::new(S, settings);
     let list: Vec<Engine> = (0..ENGINES).map(engine).collect();
     let learned = Instant::now();
-    relay.learn(1, true, list.clone());
+    relay.apply_update(1, true, list.clone());
     relay.heard(S, 0);
     let learn_ms = learned.elapsed().as_secs_f64() * 1e3;
     let mut routers: Vec<Subscriber> = (0..ROUTERS).map(|number| subscriber(number, relay_at)).collect();
@@ -209,11 +209,11 @@
     );
     let drained = Engine { state: EngineState::Draining, ..list[100].clone() };
     let since = Instant::now();
-    relay.learn(2, false, vec![drained]);
+    relay.apply_update(2, false, vec![drained]);
     let delta_ms = since.elapsed().as_secs_f64() * 1e3;
     let told = relay.tick(now + 20_000_000).len();
     let since = Instant::now();
-    relay.learn(3, true, list);
+    relay.apply_update(3, true, list);
     let whole_ms = since.elapsed().as_secs_f64() * 1e3;
     println!(
         "{{\"run\": \"a change\", \"one_engine_ms\": {delta_ms:.2}, \"whole_list_again_ms\": {whole_ms:.1}, \"datagrams\": {told}}}"
--- a/crates/cells/src/bound.rs
+++ b/crates/cells/src/bound.rs
@@ -9,7 +9,7 @@
 
 /// What bounds are computed from.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct BoundParams {
     /// Routers of the fleet (count).
     pub routers: u32,
     /// Relays (count).
@@ -34,9 +34,9 @@
     pub tick_ns: u64,
 }
 
-impl Default for Terms {
+impl Default for BoundParams {
     fn default() -> Self {
-        Terms {
+        BoundParams {
             routers: 1,
             relays: 1,
             ask_ns: 1_000_000_000,
@@ -58,40 +58,40 @@
     /// Nothing.
     None,
     /// Datagrams overtake each other.
-    Overtaken,
+    Reordering,
     /// Datagrams get lost.
     Loss,
     /// The router's relay is gone, or stands still, at whatever moment, and goes on or not.
-    RelayStops,
+    RelayStopped,
     /// The router's relay is replaced by another process under its address.
     RelayReplaced,
     /// No relay can be reached; counted from when all can again.
-    Cut,
+    Partition,
     /// The list service is away; counted from when it is back.
-    ServiceAway,
+    ServiceUnavailable,
     /// The list service counts its events anew, from below.
-    ServiceAnew,
+    VersionRestart,
     /// All routers start knowing nothing.
-    AllCold,
+    ColdStart,
     /// The same, with one relay left.
-    AllColdOneRelay,
+    ColdStartOneRelay,
 }
 
 /// All of them, with names for operators.
 pub const FAULTS: [(Fault, &str); 10] = [
     (Fault::None, "nothing at fault"),
-    (Fault::Overtaken, "datagrams overtake each other"),
+    (Fault::Reordering, "datagrams overtake each other"),
     (Fault::Loss, "datagrams lost"),
-    (Fault::RelayStops, "the relay is gone or stands still"),
+    (Fault::RelayStopped, "the relay is gone or stands still"),
     (Fault::RelayReplaced, "the relay is replaced under its address"),
-    (Fault::Cut, "cut off from all relays, from the end of the cut"),
-    (Fault::ServiceAway, "the list service away, from when it is back"),
-    (Fault::ServiceAnew, "the list service counts anew"),
-    (Fault::AllCold, "all routers cold"),
-    (Fault::AllColdOneRelay, "all routers cold, one relay left"),
+    (Fault::Partition, "cut off from all relays, from the end of the cut"),
+    (Fault::ServiceUnavailable, "the list service away, from when it is back"),
+    (Fault::VersionRestart, "the list service counts anew"),
+    (Fault::ColdStart, "all routers cold"),
+    (Fault::ColdStartOneRelay, "all routers cold, one relay left"),
 ];
 
-impl Terms {
+impl BoundParams {
     /// Datagrams that a relay sends in a second at most.
     fn budget_per_s(&self) -> u64 {
         let (ask_ns, silence_ns) = (self.ask_ns, self.silence_ns);
@@ -145,66 +145,71 @@
 
     /// The most that what a router knows can age while nothing is at fault (ns): the service is heard at least so often, and the
     /// router asks at least so often.
-    pub fn age_at_most_ns(&self) -> u64 {
+    pub fn max_age_ns(&self) -> u64 {
         self.silence_ns + self.ask_at_most_ns() + self.answered_ns(self.per_relay(), 1)
     }
 }
 
 /// The longest time until a change that a sound relay has taken is known at every router that can reach one (ns); for cold
 /// routers, until each has its part.
-pub fn bound_ns(terms: &Terms, fault: Fault) -> u64 {
-    let ask = terms.ask_at_most_ns();
-    let whole = terms.answered_ns(terms.per_relay(), terms.pieces);
-    let short = terms.answered_ns(terms.per_relay(), 1);
-    let soon = terms.ask_ns / SOON_PART + terms.tick_ns;
-    let pushed = terms.sent_ns(terms.per_relay(), 1) + terms.delay_ns + 2 * terms.tick_ns;
+pub fn bound_ns(bound_params: &BoundParams, fault: Fault) -> u64 {
+    let ask = bound_params.ask_at_most_ns();
+    let whole = bound_params.answered_ns(bound_params.per_relay(), bound_params.pieces);
+    let short = bound_params.answered_ns(bound_params.per_relay(), 1);
+    let soon = bound_params.ask_ns / SOON_PART + bound_params.tick_ns;
+    let pushed =
+        bound_params.sent_ns(bound_params.per_relay(), 1) + bound_params.delay_ns + 2 * bound_params.tick_ns;
     let next = soon + whole;
     match fault {
         Fault::None => pushed,
-        Fault::Overtaken => pushed + next,
-        Fault::Loss => terms.lossy_ns() + whole,
-        Fault::RelayStops => ask + u64::from(MAX_UNANSWERED) * terms.repeat_at_most_ns() + next,
+        Fault::Reordering => pushed + next,
+        Fault::Loss => bound_params.lossy_ns() + whole,
+        Fault::RelayStopped => ask + u64::from(MAX_UNANSWERED) * bound_params.repeat_at_most_ns() + next,
         Fault::RelayReplaced => ask + short + next,
-        Fault::Cut => ask + whole,
-        Fault::ServiceAway => terms.reconnect_ns + pushed,
+        Fault::Partition => ask + whole,
+        Fault::ServiceUnavailable => bound_params.reconnect_ns + pushed,
         // Two relays are heard, twice each, then they are believed, and asked for the part.
-        Fault::ServiceAnew => terms.reconnect_ns + terms.settle_ns.max(4 * ask) + 2 * ask + short + next,
-        Fault::AllCold => terms.spread_ns() + whole,
-        Fault::AllColdOneRelay => {
-            let all = u64::from(terms.routers);
+        Fault::VersionRestart => {
+            bound_params.reconnect_ns + bound_params.settle_ns.max(4 * ask) + 2 * ask + short + next
+        }
+        Fault::ColdStart => bound_params.spread_ns() + whole,
+        Fault::ColdStartOneRelay => {
+            let all = u64::from(bound_params.routers);
             // The first that is asked is missed several times, and each other once.
-            let asks = u64::from(MAX_UNANSWERED + terms.relays);
-            terms.spread_ns() + asks * terms.repeat_at_most_ns() + terms.answered_ns(all, terms.pieces)
+            let asks = u64::from(MAX_UNANSWERED + bound_params.relays);
+            bound_params.spread_ns()
+                + asks * bound_params.repeat_at_most_ns()
+                + bound_params.answered_ns(all, bound_params.pieces)
         }
     }
 }
 
 /// What follows, as operators read it.
-pub fn told(terms: &Terms) -> Vec<String> {
+pub fn describe_bounds(bound_params: &BoundParams) -> Vec<String> {
     let seconds = |ns: u64| ns as f64 / 1e9;
     let mut lines = vec![format!(
         "cells: a part of {} datagrams from {} relays, asked for every {:.1} s; known to be at most {:.1} s old while nothing is \
          at fault; datagrams take at most {:.0} ms",
-        terms.pieces,
-        terms.relays,
-        seconds(terms.ask_ns),
-        seconds(terms.age_at_most_ns()),
-        seconds(terms.delay_ns) * 1e3,
+        bound_params.pieces,
+        bound_params.relays,
+        seconds(bound_params.ask_ns),
+        seconds(bound_params.max_age_ns()),
+        seconds(bound_params.delay_ns) * 1e3,
     )];
     for (fault, name) in FAULTS {
         let lost = match fault {
             Fault::Loss => {
                 format!(
                     " ({:.0}% of them, missed by one change in {:.0})",
-                    terms.loss * 100.0,
-                    1.0 / terms.chance
+                    bound_params.loss * 100.0,
+                    1.0 / bound_params.chance
                 )
             }
             _ => String::new(),
         };
         lines.push(format!(
             "  {name}{lost}: a change is known within {:.1} s",
-            seconds(bound_ns(terms, fault))
+            seconds(bound_ns(bound_params, fault))
         ));
     }
     lines
--- a/crates/cells/src/cell.rs
+++ b/crates/cells/src/cell.rs
@@ -20,12 +20,12 @@
 
 /// How numbers are given to the routers of the zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Numbers {
+pub enum RouterNumbering {
     /// One zone after the other: those of a zone follow each other.
     #[default]
-    Blocks,
+    Contiguous,
     /// In turn: a zone's routers are as many numbers apart as there are zones.
-    Turns,
+    Interleaved,
 }
 
 /// How a fleet is divided, as the operator's file says.
@@ -36,11 +36,11 @@
     /// What divides the engines.
     pub by: DivideBy,
     /// How routers are numbered.
-    pub numbers: Numbers,
+    pub numbering: RouterNumbering,
     /// This router's cell; none for the one that follows from its number.
     pub cell: Option<u32>,
     /// Most routers of one cell (count); none for what follows from the settings.
-    pub sharers: Option<u32>,
+    pub routers_per_cell: Option<u32>,
     /// Which of its cell's routers this one is; none for what follows from its number.
     pub rank: Option<u32>,
 }
@@ -50,9 +50,9 @@
         CellPlan {
             cells: 1,
             by: DivideBy::Engine,
-            numbers: Numbers::Blocks,
+            numbering: RouterNumbering::Contiguous,
             cell: None,
-            sharers: None,
+            routers_per_cell: None,
             rank: None,
         }
     }
@@ -73,7 +73,7 @@
 
 impl CellId {
     /// Whether an engine belongs to it.
-    pub fn holds(&self, engine: &Engine) -> bool {
+    pub fn contains(&self, engine: &Engine) -> bool {
         let same_zone = self.zone.is_none() || self.zone.as_deref() == engine.zone.as_deref();
         same_zone && cell_of(engine, self.cells, self.by) == self.cell
     }
@@ -97,7 +97,7 @@
     /// The cell.
     pub id: CellId,
     /// Most routers of one cell (count): what the decision module divides budgets of shared engines by.
-    pub sharers: u32,
+    pub routers_per_cell: u32,
     /// Which of them this router is: below `sharers`.
     pub rank: u32,
 }
@@ -107,15 +107,19 @@
     /// none).
     pub fn new(plan: &CellPlan, zone: Option<&str>, zones: u32, number: u32, routers: u32) -> CellConfig {
         let cells = plan.cells.max(1);
-        let position = match plan.numbers {
-            Numbers::Blocks => number,
-            Numbers::Turns => number / zones.max(1),
+        let position = match plan.numbering {
+            RouterNumbering::Contiguous => number,
+            RouterNumbering::Interleaved => number / zones.max(1),
         };
         let follows = routers.max(1).div_ceil(zones.max(1)).div_ceil(cells);
-        let sharers = plan.sharers.unwrap_or(follows).max(1);
+        let routers_per_cell = plan.routers_per_cell.unwrap_or(follows).max(1);
         let cell = plan.cell.unwrap_or(position % cells) % cells;
-        let rank = plan.rank.unwrap_or(position / cells) % sharers;
-        CellConfig { id: CellId { zone: zone.map(str::to_owned), cells, cell, by: plan.by }, sharers, rank }
+        let rank = plan.rank.unwrap_or(position / cells) % routers_per_cell;
+        CellConfig {
+            id: CellId { zone: zone.map(str::to_owned), cells, cell, by: plan.by },
+            routers_per_cell,
+            rank,
+        }
     }
 }
 
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -26,9 +26,9 @@
 mod schedule;
 pub mod subscriber;
 
-pub use cell::{CellConfig, CellId, CellPlan, DivideBy, Numbers};
+pub use cell::{CellConfig, CellId, CellPlan, DivideBy, RouterNumbering};
 pub use digest::Digest;
 pub use engine::{Engine, EngineState};
 pub use message::Message;
 pub use relay::{Relay, RelaySettings};
-pub use subscriber::{PartNews, Subscriber, SubscriberSettings};
+pub use subscriber::{PartUpdate, Subscriber, SubscriberSettings};
--- a/crates/cells/src/message.rs
+++ b/crates/cells/src/message.rs
@@ -10,7 +10,7 @@
 use crate::engine::{join_address, split_address, Engine, EngineState};
 
 /// Largest message (bytes): the seal and the sender's name have the rest of a datagram.
-pub const MAX_MESSAGE: usize = 1_000;
+pub const MAX_MESSAGE_BYTES: usize = 1_000;
 /// Most pieces that a part comes in (count): what a router puts together is bounded.
 pub const MAX_PIECES: u16 = 1_024;
 /// Most pieces that one ask names as missing (count).
@@ -88,7 +88,7 @@
             engine.started_ms,
         );
         let bytes = encoded_size(&row) + added.iter().map(|name| name.len() + 5).sum::<usize>();
-        let fits = *size + bytes <= MAX_MESSAGE && self.names.len() + added.len() < 255;
+        let fits = *size + bytes <= MAX_MESSAGE_BYTES && self.names.len() + added.len() < 255;
         if !fits && !self.rows.is_empty() {
             return false;
         }
@@ -99,8 +99,8 @@
     }
 
     /// Whether a change with this table fits one message with so many ids of engines that went.
-    pub fn fits_with(&self, gone: usize) -> bool {
-        FRAME + encoded_size(self) + gone * (size_of::<u64>() + 1) <= MAX_MESSAGE
+    pub fn fits_with_removed(&self, gone: usize) -> bool {
+        FRAME + encoded_size(self) + gone * (size_of::<u64>() + 1) <= MAX_MESSAGE_BYTES
     }
 
     /// The engines.
@@ -160,7 +160,8 @@
     /// Number of the list service's last event that the relay has taken.
     pub version: u64,
     /// How long ago the relay last heard the list service (ms).
-    pub heard_age_ms: u64,
+    #[serde(rename = "heard_age_ms")]
+    pub contact_age_ms: u64,
 }
 
 /// A piece of the whole part.
@@ -227,7 +228,7 @@
     /// # Errors
     /// Where it is too large, cut, or no message.
     pub fn decode(bytes: &[u8]) -> Result<Message, Unreadable> {
-        if bytes.len() > MAX_MESSAGE {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(Unreadable::Huge(bytes.len()));
         }
         Ok(rmp_serde::from_slice(bytes)?)
@@ -235,5 +236,5 @@
 }
 
 fn encoded_size(value: &impl Serialize) -> usize {
-    rmp_serde::to_vec(value).map_or(MAX_MESSAGE, |bytes| bytes.len())
+    rmp_serde::to_vec(value).map_or(MAX_MESSAGE_BYTES, |bytes| bytes.len())
 }
--- a/crates/cells/src/relay.rs
+++ b/crates/cells/src/relay.rs
@@ -18,11 +18,11 @@
 use crate::part::Part;
 
 /// Longest name of a zone or kind that is told on (bytes).
-pub const MAX_NAME: usize = 200;
+pub const MAX_NAME_BYTES: usize = 200;
 /// Asks of time without a word after which a router is forgotten (count).
 pub(crate) const EXPIRE_ASKS: u64 = 10;
 /// A relay that did nothing for so long stood still (ns): what waits for it is old, and nobody says how old.
-pub const STOOD_STILL_NS: u64 = 1_000_000_000;
+pub const MIN_PAUSE_NS: u64 = 1_000_000_000;
 /// The least that a relay sends in a second where it must (datagrams), and the part of a second's that it sends at once.
 const MIN_BUDGET_PER_S: u64 = 2_000;
 const BURST_PART: f64 = 0.05;
@@ -193,12 +193,12 @@
     }
 
     /// Counts a datagram that can't be read.
-    pub fn unreadable(&mut self, from: SocketAddr) {
+    pub fn record_undecodable(&mut self, from: SocketAddr) {
         self.passed.count(Reason::Spoilt, from);
     }
 
     /// Takes news of the list, which is at this version then: a whole list in place of all, or engines that changed.
-    pub fn learn(&mut self, version: u64, whole: bool, engines: Vec<Engine>) {
+    pub fn apply_update(&mut self, version: u64, whole: bool, engines: Vec<Engine>) {
         self.list.version = version;
         let mut touched = BTreeSet::new();
         if whole {
@@ -208,7 +208,7 @@
         }
         for engine in engines {
             let names = [&engine.zone, &engine.kind];
-            if names.into_iter().flatten().any(|name| name.len() > MAX_NAME) {
+            if names.into_iter().flatten().any(|name| name.len() > MAX_NAME_BYTES) {
                 self.passed.count(Reason::Engine, engine.address);
                 continue;
             }
@@ -234,7 +234,7 @@
     /// Guards against old news that waited while the process stood still: what comes first as it wakes is not fresh. All that
     /// waited is taken to be read within the silence bound.
     fn wake(&mut self, now: u64) {
-        if now.saturating_sub(self.hearing.ticked_ns) >= STOOD_STILL_NS {
+        if now.saturating_sub(self.hearing.ticked_ns) >= MIN_PAUSE_NS {
             self.hearing.doubt_until_ns = now + self.settings.silence_ns;
         }
         self.hearing.ticked_ns = self.hearing.ticked_ns.max(now);
@@ -247,7 +247,7 @@
             return self.passed.count(Reason::OtherRouter, from);
         };
         self.counters.asks += 1;
-        if ask.cell.cells == 0 || ask.cell.zone.as_ref().is_some_and(|zone| zone.len() > MAX_NAME) {
+        if ask.cell.cells == 0 || ask.cell.zone.as_ref().is_some_and(|zone| zone.len() > MAX_NAME_BYTES) {
             return self.passed.count(Reason::Spoilt, from);
         }
         match self.clients.get(&from).map(|known| (known.incarnation, known.sequence)) {
@@ -321,7 +321,7 @@
         let (changed, gone) = after.since(&before.part);
         let mut tables = Table::pack(changed);
         let table = tables.swap_remove(0);
-        let fits = tables.is_empty() && table.fits_with(gone.len());
+        let fits = tables.is_empty() && table.fits_with_removed(gone.len());
         let step = Step { from: before.part.digest(), to: after.digest(), table, gone };
         let step = fits.then(|| Rc::new(step));
         for (address, client) in self.clients.iter_mut().filter(|(_, client)| client.cell == *cell) {
@@ -405,7 +405,7 @@
             sequence: client.sequence,
             cell: client.cell.hash(),
             version,
-            heard_age_ms: now.saturating_sub(heard_ns).div_ceil(1_000_000),
+            contact_age_ms: now.saturating_sub(heard_ns).div_ceil(1_000_000),
         };
         let short = match (ready, told.tables.len() <= usize::from(MAX_PIECES)) {
             (false, _) | (_, false) => Some(Message::NotReady(answer)),
@@ -481,6 +481,6 @@
             Some(zone) => self.zones.get(&zone).into_iter().collect(),
             None => self.zones.values().collect(),
         };
-        zones.into_iter().flat_map(|engines| engines.values()).filter(|engine| cell.holds(engine))
+        zones.into_iter().flat_map(|engines| engines.values()).filter(|engine| cell.contains(engine))
     }
 }
--- a/crates/cells/src/subscriber.rs
+++ b/crates/cells/src/subscriber.rs
@@ -62,11 +62,11 @@
 
 /// What became known of the part.
 #[derive(Clone, Debug, PartialEq)]
-pub enum PartNews {
+pub enum PartUpdate {
     /// The whole part.
-    Whole(Vec<Engine>),
+    Snapshot(Vec<Engine>),
     /// Engines that came or changed, and ids of those that went.
-    Changed(Vec<Engine>, Vec<u64>),
+    Delta(Vec<Engine>, Vec<u64>),
 }
 
 /// What is known.
@@ -157,7 +157,7 @@
     }
 
     /// Counts a datagram that can't be read.
-    pub fn unreadable(&mut self, from: SocketAddr) {
+    pub fn record_undecodable(&mut self, from: SocketAddr) {
         self.passed.count(Reason::Spoilt, from);
     }
 
@@ -245,7 +245,7 @@
     }
 
     /// Takes a message from the relay at this address; gives what became known of the part.
-    pub fn receive(&mut self, now: u64, from: SocketAddr, message: Message) -> Option<PartNews> {
+    pub fn receive(&mut self, now: u64, from: SocketAddr, message: Message) -> Option<PartUpdate> {
         if !self.order.contains(from) {
             self.passed.count(Reason::Stranger, from);
             return None;
@@ -317,7 +317,7 @@
         hears
     }
 
-    fn same(&mut self, now: u64, open: Open, answer: &Answer) -> Option<PartNews> {
+    fn same(&mut self, now: u64, open: Open, answer: &Answer) -> Option<PartUpdate> {
         let held = self.known.as_ref()?;
         // A change may have come in between: then it says nothing of what is held now.
         if open.have != Some(held.part.digest()) {
@@ -390,12 +390,12 @@
         false
     }
 
-    fn piece(&mut self, now: u64, open: Open, piece: Piece) -> Option<PartNews> {
+    fn piece(&mut self, now: u64, open: Open, piece: Piece) -> Option<PartUpdate> {
         let Ok(engines) = piece.table.engines() else {
             self.passed.count(Reason::Spoilt, open.relay);
             return None;
         };
-        if !engines.iter().all(|engine| self.settings.cell.holds(engine)) {
+        if !engines.iter().all(|engine| self.settings.cell.contains(engine)) {
             self.passed.count(Reason::OtherRouter, open.relay);
             return None;
         }
@@ -426,7 +426,7 @@
     }
 
     /// Takes the part whose pieces are all there, if it is what its digest says.
-    fn install(&mut self, now: u64, relay: SocketAddr, hears: bool) -> Option<PartNews> {
+    fn install(&mut self, now: u64, relay: SocketAddr, hears: bool) -> Option<PartUpdate> {
         let pieces = self.assembly.take()?;
         let (digest, version, fresh_ns) = (pieces.key().digest, pieces.version(), pieces.fresh_ns());
         let part = Part::new(pieces.into_engines());
@@ -444,15 +444,15 @@
         if hears {
             self.well(relay);
         }
-        Some(PartNews::Whole(engines))
+        Some(PartUpdate::Snapshot(engines))
     }
 
-    fn delta(&mut self, now: u64, from: SocketAddr, delta: Delta) -> Option<PartNews> {
+    fn delta(&mut self, now: u64, from: SocketAddr, delta: Delta) -> Option<PartUpdate> {
         let Ok(changed) = delta.table.engines() else {
             self.passed.count(Reason::Spoilt, from);
             return None;
         };
-        let ours = changed.iter().all(|engine| self.settings.cell.holds(engine));
+        let ours = changed.iter().all(|engine| self.settings.cell.contains(engine));
         let reason = match &self.known {
             _ if delta.incarnation != self.settings.incarnation => Reason::OtherIncarnation,
             _ if delta.cell != self.settings.cell.hash() || !ours => Reason::OtherRouter,
@@ -471,7 +471,13 @@
 
     /// Makes the held part the one that a delta leads to, if it does. How fresh it is stays: the delta may have been on its way
     /// for long.
-    fn apply(&mut self, now: u64, from: SocketAddr, delta: &Delta, changed: Vec<Engine>) -> Option<PartNews> {
+    fn apply(
+        &mut self,
+        now: u64,
+        from: SocketAddr,
+        delta: &Delta,
+        changed: Vec<Engine>,
+    ) -> Option<PartUpdate> {
         let known = self.known.as_mut()?;
         let part = known.part.with(&changed, &delta.gone);
         if part.digest() != delta.to {
@@ -480,7 +486,7 @@
         }
         (known.part, known.version, known.learned_ns) = (part, delta.version, now);
         self.counters.deltas += 1;
-        Some(PartNews::Changed(changed, delta.gone.clone()))
+        Some(PartUpdate::Delta(changed, delta.gone.clone()))
     }
 
     /// Counters, as one line.
@@ -504,5 +510,5 @@
 
 /// The age that an answer tells (ns).
 fn age_ns(answer: &Answer) -> u64 {
-    answer.heard_age_ms.saturating_mul(1_000_000)
+    answer.contact_age_ms.saturating_mul(1_000_000)
 }
--- a/crates/cells/tests/cells.rs
+++ b/crates/cells/tests/cells.rs
@@ -6,7 +6,7 @@
 
 use common::{by_engine, engine};
 use marljunction_cells::cell::cell_of;
-use marljunction_cells::{CellConfig, CellPlan, DivideBy, Engine, Numbers};
+use marljunction_cells::{CellConfig, CellPlan, DivideBy, Engine, RouterNumbering};
 
 const ROUTERS: u32 = 3_200;
 const ZONES: u32 = 25;
@@ -19,7 +19,7 @@
         let zone = zone_of(number);
         let name = format!("z{zone}");
         let config = CellConfig::new(plan, Some(&name), ZONES, number, ROUTERS);
-        assert_eq!(config.sharers, 13);
+        assert_eq!(config.routers_per_cell, 13);
         all.entry((zone, config.id.cell)).or_default().push(config.rank);
     }
     all
@@ -28,7 +28,7 @@
 #[test]
 fn routers_of_a_zone_fall_into_its_cells_evenly_and_no_two_of_a_cell_have_one_rank() {
     let blocks = CellPlan { cells: CELLS, ..CellPlan::default() };
-    let turns = CellPlan { numbers: Numbers::Turns, ..blocks.clone() };
+    let turns = CellPlan { numbering: RouterNumbering::Interleaved, ..blocks.clone() };
     for (plan, all) in [(&blocks, ranks(&blocks, |n| n / 128)), (&turns, ranks(&turns, |n| n % ZONES))] {
         assert_eq!(all.len(), (ZONES * CELLS) as usize, "{plan:?}");
         for (cell, ranks) in all {
@@ -42,10 +42,15 @@
 
 #[test]
 fn what_the_operators_file_says_goes_before_what_follows_from_the_number() {
-    let plan =
-        CellPlan { cells: CELLS, cell: Some(7), sharers: Some(4), rank: Some(3), ..CellPlan::default() };
+    let plan = CellPlan {
+        cells: CELLS,
+        cell: Some(7),
+        routers_per_cell: Some(4),
+        rank: Some(3),
+        ..CellPlan::default()
+    };
     let config = CellConfig::new(&plan, None, 1, 99, ROUTERS);
-    assert_eq!((config.id.cell, config.sharers, config.rank, config.id.zone), (7, 4, 3, None));
+    assert_eq!((config.id.cell, config.routers_per_cell, config.rank, config.id.zone), (7, 4, 3, None));
 }
 
 #[test]
@@ -80,7 +85,7 @@
 fn a_cell_holds_only_engines_of_its_zone_and_each_engine_is_in_one_cell() {
     for id in 0..100 {
         let engine = engine(id);
-        let held = (0..CELLS).filter(|cell| by_engine(*cell, CELLS).holds(&engine)).count();
+        let held = (0..CELLS).filter(|cell| by_engine(*cell, CELLS).contains(&engine)).count();
         assert_eq!(held, usize::from(engine.zone.as_deref() == Some("z0")));
     }
     assert_ne!(by_engine(1, CELLS).hash(), by_engine(2, CELLS).hash());
--- a/crates/cells/tests/common/mod.rs
+++ b/crates/cells/tests/common/mod.rs
@@ -5,9 +5,9 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use marljunction_cells::bound::Terms;
+use marljunction_cells::bound::BoundParams;
 use marljunction_cells::{
-    CellConfig, CellId, CellPlan, Digest, DivideBy, Engine, EngineState, Message, PartNews, Relay,
+    CellConfig, CellId, CellPlan, Digest, DivideBy, Engine, EngineState, Message, PartUpdate, Relay,
     RelaySettings, Subscriber, SubscriberSettings,
 };
 use rand::rngs::StdRng;
@@ -39,12 +39,23 @@
     }
 }
 
-pub fn terms() -> Terms {
-    Terms { routers: 8, relays: 3, pieces: 2, settle_ns: 5 * S, reconnect_ns: S, ..Terms::default() }
+pub fn bound_params() -> BoundParams {
+    BoundParams {
+        routers: 8,
+        relays: 3,
+        pieces: 2,
+        settle_ns: 5 * S,
+        reconnect_ns: S,
+        ..BoundParams::default()
+    }
 }
 
-pub fn relay_settings(terms: &Terms) -> RelaySettings {
-    RelaySettings { routers: terms.routers, ask_ns: terms.ask_ns, silence_ns: terms.silence_ns }
+pub fn relay_settings(bound_params: &BoundParams) -> RelaySettings {
+    RelaySettings {
+        routers: bound_params.routers,
+        ask_ns: bound_params.ask_ns,
+        silence_ns: bound_params.silence_ns,
+    }
 }
 
 /// A change of the list, numbered.
@@ -74,7 +85,7 @@
     }
 
     pub fn digest(&self, cell: &CellId) -> Digest {
-        Digest::of(self.engines.iter().filter(|engine| cell.holds(engine)))
+        Digest::of(self.engines.iter().filter(|engine| cell.contains(engine)))
     }
 
     fn note(&mut self, now: u64) {
@@ -157,7 +168,7 @@
     pub address: SocketAddr,
     pub machine: Subscriber,
     pub cell: CellId,
-    pub news: Vec<PartNews>,
+    pub news: Vec<PartUpdate>,
     /// What a router's module would hold by the news alone.
     pub held: std::collections::BTreeMap<u64, Engine>,
 }
@@ -173,7 +184,7 @@
 
 pub struct World {
     pub now: u64,
-    pub terms: Terms,
+    pub bound_params: BoundParams,
     pub service: Service,
     pub relays: Vec<RelayHost>,
     pub routers: Vec<RouterHost>,
@@ -185,14 +196,14 @@
 }
 
 impl World {
-    pub fn new(seed: u64, terms: Terms) -> World {
+    pub fn new(seed: u64, bound_params: BoundParams) -> World {
         let plan = CellPlan { cells: CELLS, ..CellPlan::default() };
-        let per_zone = terms.routers.div_ceil(ZONES.len() as u32);
+        let per_zone = bound_params.routers.div_ceil(ZONES.len() as u32);
         let cell = |router: u32| {
             let zone = ZONES[(router / per_zone) as usize];
-            CellConfig::new(&plan, Some(zone), ZONES.len() as u32, router, terms.routers).id
+            CellConfig::new(&plan, Some(zone), ZONES.len() as u32, router, bound_params.routers).id
         };
-        let cells: Vec<CellId> = (0..terms.routers).map(cell).collect();
+        let cells: Vec<CellId> = (0..bound_params.routers).map(cell).collect();
         let relay = |at: usize| RelayHost {
             address: address(1, at),
             machine: None,
@@ -205,14 +216,14 @@
         let mut world = World {
             now: 10 * S,
             service: Service::new(60, &cells),
-            relays: (0..terms.relays as usize).map(relay).collect(),
+            relays: (0..bound_params.relays as usize).map(relay).collect(),
             routers: Vec::new(),
             shape: Shape::default(),
             rng: StdRng::seed_from_u64(seed),
             net: Vec::new(),
             incarnations: 1,
             beat_ns: 0,
-            terms,
+            bound_params,
         };
         for (at, cell) in cells.into_iter().enumerate() {
             let machine = world.subscriber(at, &cell);
@@ -236,10 +247,10 @@
             router: at as u64,
             incarnation: self.incarnations,
             relays: self.relays.iter().map(|relay| relay.address).collect(),
-            ask_ns: self.terms.ask_ns,
-            silence_ns: self.terms.silence_ns,
-            settle_ns: self.terms.settle_ns,
-            spread_ns: self.terms.spread_ns(),
+            ask_ns: self.bound_params.ask_ns,
+            silence_ns: self.bound_params.silence_ns,
+            settle_ns: self.bound_params.settle_ns,
+            spread_ns: self.bound_params.spread_ns(),
             stale_ns: 7 * S,
             seed: self.rng.gen(),
         };
@@ -255,7 +266,7 @@
 
     pub fn start_relay(&mut self, at: usize) {
         let relay = &mut self.relays[at];
-        relay.machine = Some(Relay::new(self.now, relay_settings(&self.terms)));
+        relay.machine = Some(Relay::new(self.now, relay_settings(&self.bound_params)));
         (relay.frozen, relay.hears) = (false, !self.service.away);
         (relay.events, relay.waiting) = (VecDeque::new(), Vec::new());
         if relay.hears {
@@ -302,7 +313,7 @@
             if self.shape.cut || self.rng.gen_bool(self.shape.loss) {
                 continue;
             }
-            let most = self.terms.delay_ns;
+            let most = self.bound_params.delay_ns;
             let delay = if self.shape.in_order { most } else { self.rng.gen_range(0..=most) };
             self.net.push((self.now + delay, from, to, bytes.clone()));
         }
@@ -353,7 +364,7 @@
             } else if let Some(router) = self.routers.iter_mut().find(|router| router.address == to) {
                 match Message::decode(&bytes) {
                     Ok(message) => router.receive(now, from, message),
-                    Err(_) => router.machine.unreadable(from),
+                    Err(_) => router.machine.record_undecodable(from),
                 }
             }
         }
@@ -367,14 +378,14 @@
         let some = relay.events.len().min(EVENTS_A_STEP);
         for event in relay.events.drain(..some) {
             if let Some(event) = event {
-                machine.learn(event.version, event.whole, event.engines);
+                machine.apply_update(event.version, event.whole, event.engines);
             }
             machine.heard(now, 0);
         }
         for (from, bytes) in std::mem::take(&mut relay.waiting) {
             match Message::decode(&bytes) {
                 Ok(message) => machine.receive(now, from, message),
-                Err(_) => machine.unreadable(from),
+                Err(_) => machine.record_undecodable(from),
             }
         }
         let (lies, address) = (relay.lies, relay.address);
@@ -425,10 +436,10 @@
     pub fn receive(&mut self, now: u64, from: SocketAddr, message: Message) {
         let Some(news) = self.machine.receive(now, from, message) else { return };
         match &news {
-            PartNews::Whole(engines) => {
+            PartUpdate::Snapshot(engines) => {
                 self.held = engines.iter().map(|engine| (engine.id, engine.clone())).collect();
             }
-            PartNews::Changed(engines, gone) => {
+            PartUpdate::Delta(engines, gone) => {
                 gone.iter().for_each(|id| drop(self.held.remove(id)));
                 self.held.extend(engines.iter().map(|engine| (engine.id, engine.clone())));
             }
--- a/crates/cells/tests/faults.rs
+++ b/crates/cells/tests/faults.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use marljunction_cells::bound::{bound_ns, Fault, Terms};
+use marljunction_cells::bound::{bound_ns, BoundParams, Fault};
 use rand::Rng;
 
 /// Schedules of each fault (count).
@@ -11,10 +11,10 @@
 
 /// Runs with changes at random moments, and faults made and mended by `fault` each so often; no router may be behind for longer
 /// than the bound, counted from no earlier than the time that `fault` gave last.
-fn holds(terms: &Terms, fault: Fault, mut make: impl FnMut(&mut World, u32) -> u64) {
-    let bound = bound_ns(terms, fault);
+fn holds(bound_params: &BoundParams, fault: Fault, mut make: impl FnMut(&mut World, u32) -> u64) {
+    let bound = bound_ns(bound_params, fault);
     for seed in 0..SEEDS {
-        let mut world = World::new(seed, terms.clone());
+        let mut world = World::new(seed, bound_params.clone());
         world.settle(60 * S);
         let mut since = 0;
         for round in 0..6 {
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_change_is_known_within_the_bound_with_nothing_at_fault() {
-    holds(&terms(), Fault::None, |world, _| {
+    holds(&bound_params(), Fault::None, |world, _| {
         world.shape.in_order = true;
         0
     });
@@ -50,13 +50,13 @@
 
 #[test]
 fn a_change_is_known_within_the_bound_with_datagrams_that_overtake_each_other() {
-    holds(&terms(), Fault::Overtaken, |_, _| 0);
+    holds(&bound_params(), Fault::Reordering, |_, _| 0);
 }
 
 #[test]
 fn a_change_is_known_within_the_bound_with_a_third_of_datagrams_lost_and_many_doubled() {
-    let terms = Terms { loss: 0.3, ..terms() };
-    holds(&terms, Fault::Loss, |world, _| {
+    let bound_params = BoundParams { loss: 0.3, ..bound_params() };
+    holds(&bound_params, Fault::Loss, |world, _| {
         world.shape = Shape { loss: 0.3, doubled: 0.2, ..Shape::default() };
         0
     });
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_change_is_known_within_the_bound_with_a_relay_killed() {
-    holds(&terms(), Fault::RelayStops, |world, round| {
+    holds(&bound_params(), Fault::RelayStopped, |world, round| {
         let at = round as usize / 2 % world.relays.len();
         match round % 2 {
             0 => world.kill_relay(at),
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_change_is_known_within_the_bound_with_a_relay_that_stands_still_and_goes_on() {
-    holds(&terms(), Fault::RelayStops, |world, round| {
+    holds(&bound_params(), Fault::RelayStopped, |world, round| {
         let at = round as usize / 2 % world.relays.len();
         world.relays[at].frozen = round % 2 == 0;
         0
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_change_is_known_within_the_bound_with_relays_replaced_under_their_addresses() {
-    holds(&terms(), Fault::RelayReplaced, |world, round| {
+    holds(&bound_params(), Fault::RelayReplaced, |world, round| {
         let at = round as usize % world.relays.len();
         world.start_relay(at);
         // The new process has not reached the list service yet.
@@ -101,7 +101,7 @@
 
 #[test]
 fn a_change_is_known_within_the_bound_after_a_cut_from_all_relays() {
-    holds(&terms(), Fault::Cut, |world, round| {
+    holds(&bound_params(), Fault::Partition, |world, round| {
         world.shape.cut = round % 2 == 0;
         match world.shape.cut {
             true => u64::MAX,
@@ -113,7 +113,7 @@
 
 #[test]
 fn a_change_is_known_within_the_bound_once_the_list_service_is_back() {
-    holds(&terms(), Fault::ServiceAway, |world, round| {
+    holds(&bound_params(), Fault::ServiceUnavailable, |world, round| {
         world.set_away(round % 2 == 0);
         if round % 2 == 0 {
             world.now + 6 * S
@@ -125,7 +125,7 @@
 
 #[test]
 fn a_change_is_known_within_the_bound_when_the_list_service_counts_anew() {
-    holds(&terms(), Fault::ServiceAnew, |world, round| {
+    holds(&bound_params(), Fault::VersionRestart, |world, round| {
         if round % 3 == 1 {
             world.count_anew();
         }
@@ -136,14 +136,14 @@
 #[test]
 fn cold_routers_learn_their_parts_within_the_bound() {
     for seed in 0..SEEDS {
-        let mut world = World::new(seed, terms());
+        let mut world = World::new(seed, bound_params());
         // Relays have the list: what is bounded is what the routers take.
         world.run(STEP);
-        world.settle(bound_ns(&terms(), Fault::AllCold));
-        let many = Terms { relays: 12, ..terms() };
+        world.settle(bound_ns(&bound_params(), Fault::ColdStart));
+        let many = BoundParams { relays: 12, ..bound_params() };
         let mut world = World::new(seed, many.clone());
         (1..world.relays.len()).for_each(|at| world.kill_relay(at));
-        world.settle(bound_ns(&many, Fault::AllColdOneRelay));
+        world.settle(bound_ns(&many, Fault::ColdStartOneRelay));
     }
 }
 
@@ -151,7 +151,7 @@
 #[test]
 fn what_is_held_is_always_a_past_state_and_the_present_one_once_all_is_mended() {
     for seed in 1_000..1_000 + 200 {
-        let mut world = World::new(seed, terms());
+        let mut world = World::new(seed, bound_params());
         for _ in 0..12 {
             disturb(&mut world);
             let end = world.now + world.rng.gen_range(100 * MS..5 * S);
@@ -168,7 +168,8 @@
             world.start_relay(at);
         }
         world.set_away(false);
-        let limit = bound_ns(&terms(), Fault::ServiceAnew) + bound_ns(&terms(), Fault::RelayStops);
+        let limit =
+            bound_ns(&bound_params(), Fault::VersionRestart) + bound_ns(&bound_params(), Fault::RelayStopped);
         world.settle(limit);
     }
 }
@@ -202,7 +203,7 @@
 #[test]
 fn the_age_that_a_router_tells_is_never_less_than_the_true_one() {
     for seed in 0..200 {
-        let mut world = World::new(seed, terms());
+        let mut world = World::new(seed, bound_params());
         for _ in 0..10 {
             disturb(&mut world);
             // A relay that lies tells an old list for a new one; numbers alone are checked elsewhere.
--- a/crates/cells/tests/messages.rs
+++ b/crates/cells/tests/messages.rs
@@ -2,8 +2,10 @@
 
 mod common;
 
-use common::{engine, relay_settings, terms, MS, S};
-use marljunction_cells::message::{Answer, Ask, Delta, Piece, Table, MAX_MESSAGE, MAX_MISSING, MAX_PIECES};
+use common::{bound_params, engine, relay_settings, MS, S};
+use marljunction_cells::message::{
+    Answer, Ask, Delta, Piece, Table, MAX_MESSAGE_BYTES, MAX_MISSING, MAX_PIECES,
+};
 use marljunction_cells::{CellId, Digest, DivideBy, Engine, EngineState, Message, Relay};
 use marljunction_peers::datagram::MAX_CONTENT_BYTES;
 use marljunction_peers::PeerIdentity;
@@ -12,7 +14,7 @@
 
 fn answer() -> Answer {
     let most = u64::MAX;
-    Answer { incarnation: most, sequence: most, cell: most, version: most, heard_age_ms: most }
+    Answer { incarnation: most, sequence: most, cell: most, version: most, contact_age_ms: most }
 }
 
 /// An engine whose every field takes as many bytes as it can.
@@ -43,13 +45,13 @@
         renewal: u32::MAX,
     };
     let sender = rmp_serde::to_vec(&who).expect("a sender").len();
-    assert!(sender + MAX_MESSAGE <= MAX_CONTENT_BYTES, "{sender} bytes of sender");
+    assert!(sender + MAX_MESSAGE_BYTES <= MAX_CONTENT_BYTES, "{sender} bytes of sender");
     let digest = Digest(u64::MAX, u64::MAX);
     let engines: Vec<Engine> =
         (0..200).map(|id| if id % 3 == 0 { largest(id) } else { engine(id) }).collect();
     for table in all_tables(&engines) {
         let piece = Piece { answer: answer(), digest, at: u16::MAX, of: u16::MAX, table };
-        assert!(Message::Piece(piece).encode().len() <= MAX_MESSAGE);
+        assert!(Message::Piece(piece).encode().len() <= MAX_MESSAGE_BYTES);
     }
     let cell = CellId { zone: Some("z".repeat(200)), cells: u32::MAX, cell: u32::MAX, by: DivideBy::Group };
     let missing = Some((digest, vec![u16::MAX; MAX_MISSING]));
@@ -61,10 +63,10 @@
         least: Some(u64::MAX),
         missing,
     };
-    assert!(Message::Ask(ask).encode().len() <= MAX_MESSAGE);
+    assert!(Message::Ask(ask).encode().len() <= MAX_MESSAGE_BYTES);
     for gone in [0, 20, 60, 100, 200] {
         let table = all_tables(&engines[1..3]).swap_remove(0);
-        let fits = table.fits_with(gone);
+        let fits = table.fits_with_removed(gone);
         let gone = vec![u64::MAX; gone];
         let delta = Delta {
             incarnation: u64::MAX,
@@ -75,7 +77,7 @@
             table,
             gone,
         };
-        assert!(!fits || Message::Delta(delta).encode().len() <= MAX_MESSAGE);
+        assert!(!fits || Message::Delta(delta).encode().len() <= MAX_MESSAGE_BYTES);
     }
 }
 
@@ -99,10 +101,11 @@
     let piece = Piece { answer: answer(), digest: Digest(1, 2), at: 0, of: 1, table };
     let whole = Message::Piece(piece).encode();
     assert!((0..whole.len()).all(|cut| Message::decode(&whole[..cut]).is_err()), "a cut message was read");
-    let cell = CellId { zone: Some("z".repeat(2 * MAX_MESSAGE)), cells: 1, cell: 0, by: DivideBy::Engine };
+    let cell =
+        CellId { zone: Some("z".repeat(2 * MAX_MESSAGE_BYTES)), cells: 1, cell: 0, by: DivideBy::Engine };
     let long = Ask { incarnation: 1, sequence: 1, cell, have: None, least: None, missing: None };
     assert!(Message::decode(&Message::Ask(long).encode()).is_err(), "a message of any length was read");
-    assert!(Message::decode(&vec![0x91; MAX_MESSAGE]).is_err());
+    assert!(Message::decode(&vec![0x91; MAX_MESSAGE_BYTES]).is_err());
     for _ in 0..20_000 {
         let mut bytes = whole.clone();
         for _ in 0..rng.gen_range(1..4) {
@@ -125,8 +128,8 @@
         zone: Some(format!("zone-{}", id % 25).into()),
         ..engine(id)
     };
-    let mut relay = Relay::new(S, relay_settings(&terms()));
-    relay.learn(7, true, (0..30_000).map(listed).collect());
+    let mut relay = Relay::new(S, relay_settings(&bound_params()));
+    relay.apply_update(7, true, (0..30_000).map(listed).collect());
     relay.heard(S, 0);
     let (mut largest, mut engines) = (0, 0);
     for zone in 0..8 {
--- a/crates/cells/tests/subscriber.rs
+++ b/crates/cells/tests/subscriber.rs
@@ -4,11 +4,11 @@
 
 use std::net::SocketAddr;
 
-use common::{address, by_engine, engine, relay_settings, terms, MS, S};
+use common::{address, bound_params, by_engine, engine, relay_settings, MS, S};
 use marljunction_cells::counters::Reason;
 use marljunction_cells::message::{Answer, Ask, Delta, Piece, Table};
 use marljunction_cells::{
-    CellId, Digest, Engine, EngineState, Message, PartNews, Relay, Subscriber, SubscriberSettings,
+    CellId, Digest, Engine, EngineState, Message, PartUpdate, Relay, Subscriber, SubscriberSettings,
 };
 
 const INCARNATION: u64 = 50;
@@ -34,7 +34,7 @@
 
 fn engines(count: u64) -> Vec<Engine> {
     let cell = by_engine(0, 2);
-    (0..).map(engine).filter(|engine| cell.holds(engine)).take(count as usize).collect()
+    (0..).map(engine).filter(|engine| cell.contains(engine)).take(count as usize).collect()
 }
 
 /// The one ask to the current relay that is due.
@@ -49,28 +49,28 @@
     to.expect("an ask")
 }
 
-fn answer(ask: &Ask, version: u64, heard_age_ms: u64) -> Answer {
+fn answer(ask: &Ask, version: u64, contact_age_ms: u64) -> Answer {
     Answer {
         incarnation: ask.incarnation,
         sequence: ask.sequence,
         cell: ask.cell.hash(),
         version,
-        heard_age_ms,
+        contact_age_ms,
     }
 }
 
-fn pieces(ask: &Ask, version: u64, heard_age_ms: u64, engines: &[Engine]) -> Vec<Message> {
+fn pieces(ask: &Ask, version: u64, contact_age_ms: u64, engines: &[Engine]) -> Vec<Message> {
     let tables = Table::pack(engines);
     let (of, digest) = (tables.len() as u16, Digest::of(engines));
     let piece = |(at, table)| {
-        let answer = answer(ask, version, heard_age_ms);
+        let answer = answer(ask, version, contact_age_ms);
         Message::Piece(Piece { answer, digest, at: at as u16, of, table })
     };
     tables.into_iter().enumerate().map(piece).collect()
 }
 
 /// A subscriber that holds these engines at version 10, and the time.
-fn holds(count: usize, engines: &[Engine]) -> (Subscriber, u64) {
+fn synced_subscriber(count: usize, engines: &[Engine]) -> (Subscriber, u64) {
     let mut subscriber = Subscriber::new(S, settings(count));
     let (relay, ask) = asked(&mut subscriber, S);
     for piece in pieces(&ask, 10, 0, engines) {
@@ -119,14 +119,14 @@
     let (_, again) = asked(&mut subscriber, S);
     assert_eq!(again.missing.map(|(_, missing)| missing.len()), Some(1));
     // The rest may answer the earlier ask.
-    assert_eq!(subscriber.receive(2 * S, relay, last), Some(PartNews::Whole(all.clone())));
+    assert_eq!(subscriber.receive(2 * S, relay, last), Some(PartUpdate::Snapshot(all.clone())));
     assert_eq!(held(&subscriber), all);
 }
 
 #[test]
 fn a_part_that_is_not_what_its_digest_says_is_not_taken() {
     let all = engines(10);
-    let (mut subscriber, now) = holds(1, &all);
+    let (mut subscriber, now) = synced_subscriber(1, &all);
     let (relay, ask) = asked(&mut subscriber, now);
     let Message::Piece(mut piece) = pieces(&ask, 11, 0, &all[..5]).remove(0) else { unreachable!() };
     piece.digest = Digest(1, 2);
@@ -137,7 +137,7 @@
 #[test]
 fn counts_of_pieces_that_cannot_be_cost_no_memory() {
     let all = engines(10);
-    let (mut subscriber, now) = holds(1, &all);
+    let (mut subscriber, now) = synced_subscriber(1, &all);
     for (at, of) in [(0, 0), (0, u16::MAX), (9, 2)] {
         let (relay, ask) = asked(&mut subscriber, now);
         let Message::Piece(piece) = pieces(&ask, 11, 0, &all[..5]).remove(0) else { unreachable!() };
@@ -152,7 +152,7 @@
 #[test]
 fn a_lower_version_is_passed_over_and_counted() {
     let all = engines(10);
-    let (mut subscriber, now) = holds(3, &all);
+    let (mut subscriber, now) = synced_subscriber(3, &all);
     let (relay, ask) = asked(&mut subscriber, now);
     for piece in pieces(&ask, 9, 0, &all[..5]) {
         assert_eq!(subscriber.receive(now, relay, piece), None);
@@ -163,7 +163,7 @@
 #[test]
 fn another_content_of_the_same_version_is_passed_over() {
     let all = engines(10);
-    let (mut subscriber, now) = holds(3, &all);
+    let (mut subscriber, now) = synced_subscriber(3, &all);
     let (relay, ask) = asked(&mut subscriber, now);
     for piece in pieces(&ask, 10, 0, &all[..5]) {
         assert_eq!(subscriber.receive(now, relay, piece), None);
@@ -201,7 +201,7 @@
 
 #[test]
 fn a_service_that_counts_anew_is_believed_once_two_relays_said_so_for_the_settle_time() {
-    let (mut subscriber, now) = holds(3, &engines(10));
+    let (mut subscriber, now) = synced_subscriber(3, &engines(10));
     let now = all_say(&mut subscriber, now, 4 * S, |_| (2, 0));
     assert_eq!(held(&subscriber), engines(10), "before the settle time");
     all_say(&mut subscriber, now, 4 * S, |_| (2, 0));
@@ -210,7 +210,7 @@
 
 #[test]
 fn one_relay_that_lies_about_its_number_takes_nobody_back() {
-    let (mut subscriber, now) = holds(3, &engines(10));
+    let (mut subscriber, now) = synced_subscriber(3, &engines(10));
     let liar = relays(3)[0];
     // The others can't be reached by their news: they hold what is known.
     let mut now = now;
@@ -233,7 +233,7 @@
 
 #[test]
 fn a_number_that_was_too_high_is_left_behind_once_the_others_said_theirs_for_the_settle_time() {
-    let (mut subscriber, now) = holds(3, &engines(10));
+    let (mut subscriber, now) = synced_subscriber(3, &engines(10));
     let relay = subscriber.relay().expect("a relay");
     let (_, ask) = asked(&mut subscriber, now);
     subscriber.receive(now, relay, Message::Same(answer(&ask, u64::MAX, 0)));
@@ -245,7 +245,7 @@
 
 #[test]
 fn relays_that_do_not_hear_their_service_are_no_witnesses_that_it_counts_anew() {
-    let (mut subscriber, now) = holds(3, &engines(10));
+    let (mut subscriber, now) = synced_subscriber(3, &engines(10));
     all_say(&mut subscriber, now, 60 * S, |_| (2, 4_000));
     assert_eq!((held(&subscriber), subscriber.version()), (engines(10), Some(10)));
 }
@@ -253,14 +253,15 @@
 #[test]
 fn answers_of_another_life_ask_or_cell_and_of_strangers_are_dropped_and_counted() {
     let all = engines(10);
-    let (mut subscriber, now) = holds(1, &all);
+    let (mut subscriber, now) = synced_subscriber(1, &all);
     let (relay, ask) = asked(&mut subscriber, now);
     let whole = |change: &dyn Fn(&mut Piece)| {
         let Message::Piece(mut piece) = pieces(&ask, 11, 0, &all[..5]).remove(0) else { unreachable!() };
         change(&mut piece);
         Message::Piece(piece)
     };
-    let other_cell: Vec<Engine> = (0..40).map(engine).filter(|e| by_engine(1, 2).holds(e)).take(5).collect();
+    let other_cell: Vec<Engine> =
+        (0..40).map(engine).filter(|e| by_engine(1, 2).contains(e)).take(5).collect();
     let cases: [(SocketAddr, Message, Reason); 5] = [
         (relay, whole(&|piece| piece.answer.incarnation = INCARNATION - 1), Reason::OtherIncarnation),
         (relay, whole(&|piece| piece.answer.sequence += 1), Reason::OtherAsk),
@@ -284,7 +285,7 @@
 fn a_change_is_taken_from_exactly_the_part_held_and_says_nothing_of_how_fresh_it_is() {
     let all = engines(10);
     let after = drained(&all);
-    let (mut subscriber, now) = holds(2, &all);
+    let (mut subscriber, now) = synced_subscriber(2, &all);
     let (relay, _) = asked(&mut subscriber, now);
     let age = subscriber.age_ns(now);
     let cases: [(Delta, Reason); 5] = [
@@ -299,14 +300,14 @@
         assert_eq!((held(&subscriber), subscriber.passed().of(reason)), (all.clone(), 1), "{reason:?}");
     }
     let news = subscriber.receive(now, relay, Message::Delta(delta(&all, &after, 11)));
-    assert_eq!(news, Some(PartNews::Changed(vec![after[0].clone()], Vec::new())));
+    assert_eq!(news, Some(PartUpdate::Delta(vec![after[0].clone()], Vec::new())));
     assert_eq!((held(&subscriber), subscriber.version(), subscriber.age_ns(now)), (after, Some(11), age));
 }
 
 #[test]
 fn a_change_of_a_part_that_is_not_held_is_asked_for_soon_and_no_more_often_than_that() {
     let all = engines(10);
-    let (mut subscriber, now) = holds(2, &all);
+    let (mut subscriber, now) = synced_subscriber(2, &all);
     let (relay, ask) = asked(&mut subscriber, now);
     let now = subscriber.next_due_ns() - 249 * MS;
     subscriber.receive(now, relay, Message::Same(answer(&ask, 10, 0)));
@@ -322,7 +323,7 @@
 #[test]
 fn freshness_counts_from_when_the_ask_was_sent_less_the_age_that_the_relay_tells() {
     let all = engines(10);
-    let (mut subscriber, now) = holds(1, &all);
+    let (mut subscriber, now) = synced_subscriber(1, &all);
     let sent = subscriber.next_due_ns();
     let (relay, ask) = asked(&mut subscriber, now);
     let late = sent + 5 * S;
@@ -334,7 +335,7 @@
 fn that_nothing_changed_is_said_of_the_part_that_was_held_when_it_was_asked() {
     let all = engines(10);
     let after = drained(&all);
-    let (mut subscriber, now) = holds(1, &all);
+    let (mut subscriber, now) = synced_subscriber(1, &all);
     let (relay, ask) = asked(&mut subscriber, now);
     subscriber.receive(now, relay, Message::Delta(delta(&all, &after, 11)));
     let age = subscriber.age_ns(now);
@@ -351,7 +352,7 @@
         |ask| vec![Message::Same(answer(ask, 10, 4_000))],
     ];
     for (at, bad) in cases.into_iter().enumerate() {
-        let (mut subscriber, mut now) = holds(3, &engines(10));
+        let (mut subscriber, mut now) = synced_subscriber(3, &engines(10));
         let first = subscriber.relay().expect("a relay");
         let run = |subscriber: &mut Subscriber, mut now: u64, ns: u64, is_bad: bool| {
             let end = now + ns;
@@ -377,7 +378,7 @@
 #[test]
 fn asks_are_paced_and_what_is_known_stays_where_nobody_answers() {
     let all = engines(10);
-    let (mut subscriber, mut now) = holds(3, &all);
+    let (mut subscriber, mut now) = synced_subscriber(3, &all);
     let (before, end) = (subscriber.counters().asks, now + 600 * S);
     while now < end {
         now = now.max(subscriber.next_due_ns());
@@ -406,7 +407,7 @@
 
 /// A relay and its one router, at this time.
 fn relay(now: u64) -> (Relay, SocketAddr) {
-    (Relay::new(now, relay_settings(&terms())), address(2, 0))
+    (Relay::new(now, relay_settings(&bound_params())), address(2, 0))
 }
 
 fn ask(sequence: u64, cell: CellId) -> Message {
@@ -421,26 +422,26 @@
         relay.tick(now).into_iter().map(|(_, message)| message).collect::<Vec<_>>()
     };
     assert!(matches!(says(&mut relay, 1, S)[..], [Message::NotReady(_)]));
-    relay.learn(5, false, engines(3));
+    relay.apply_update(5, false, engines(3));
     relay.heard(S, 0);
     assert!(matches!(says(&mut relay, 2, S)[..], [Message::NotReady(_)]), "changes alone are no list");
     let (mut other, _) = self::relay(S);
-    other.learn(5, true, engines(3));
+    other.apply_update(5, true, engines(3));
     assert!(matches!(says(&mut other, 1, S)[..], [Message::NotReady(_)]), "the service was not heard");
-    relay.learn(6, true, engines(3));
+    relay.apply_update(6, true, engines(3));
     assert!(matches!(says(&mut relay, 3, S)[..], [Message::Piece(_)]));
 }
 
 #[test]
 fn a_relay_that_stood_still_does_not_take_what_waited_for_fresh() {
     let (mut relay, router) = relay(S);
-    relay.learn(5, true, engines(3));
+    relay.apply_update(5, true, engines(3));
     relay.heard(S, 0);
     let thaw = 61 * S;
     relay.heard(thaw, 0);
     relay.receive(thaw, router, ask(1, by_engine(0, 2)));
     let told = relay.tick(thaw).into_iter().find_map(|(_, message)| match message {
-        Message::Piece(piece) => Some(piece.answer.heard_age_ms),
+        Message::Piece(piece) => Some(piece.answer.contact_age_ms),
         _ => None,
     });
     assert_eq!(told, Some(60_000));
@@ -453,7 +454,7 @@
     }
     relay.receive(now, router, ask(2, by_engine(0, 2)));
     let fresh = relay.tick(now).into_iter().all(|(_, message)| match message {
-        Message::Piece(piece) => piece.answer.heard_age_ms == 0,
+        Message::Piece(piece) => piece.answer.contact_age_ms == 0,
         _ => false,
     });
     assert!(fresh);
@@ -463,7 +464,7 @@
 fn a_relay_that_stood_still_before_it_ever_heard_its_service_is_not_ready_as_it_wakes() {
     let (mut relay, router) = relay(S);
     let thaw = 20 * S;
-    relay.learn(5, true, engines(3));
+    relay.apply_update(5, true, engines(3));
     relay.heard(thaw, 0);
     relay.receive(thaw, router, ask(1, by_engine(0, 2)));
     assert!(matches!(relay.tick(thaw)[..], [(_, Message::NotReady(_))]));
@@ -472,7 +473,7 @@
 #[test]
 fn a_change_goes_at_once_to_the_routers_whose_part_it_touches_and_to_no_other() {
     let (mut relay, first) = relay(S);
-    relay.learn(5, true, (0..40).map(engine).collect());
+    relay.apply_update(5, true, (0..40).map(engine).collect());
     relay.heard(S, 0);
     let second = address(2, 1);
     relay.receive(S, first, ask(1, by_engine(0, 2)));
@@ -480,7 +481,7 @@
     relay.tick(S);
     let mut drains = engines(1);
     drains[0].state = EngineState::Draining;
-    relay.learn(6, false, drains.clone());
+    relay.apply_update(6, false, drains.clone());
     let sent = relay.tick(S + MS);
     let [(to, Message::Delta(delta))] = &sent[..] else { panic!("{sent:?}") };
     assert_eq!((*to, delta.version, delta.table.engines().expect("engines")), (first, 6, drains));
@@ -491,12 +492,12 @@
 fn a_change_that_fits_no_datagram_is_told_as_the_whole_part() {
     let (mut relay, router) = relay(S);
     let all = engines(100);
-    relay.learn(5, true, all.clone());
+    relay.apply_update(5, true, all.clone());
     relay.heard(S, 0);
     relay.receive(S, router, ask(1, by_engine(0, 2)));
     relay.tick(S);
     let heavier = all.into_iter().map(|engine| Engine { weight: 2.0, ..engine });
-    relay.learn(6, false, heavier.collect());
+    relay.apply_update(6, false, heavier.collect());
     let sent = relay.tick(S + MS);
     assert!(sent.len() > 1, "{} datagrams", sent.len());
     assert!(sent.iter().all(|(_, message)| matches!(message, Message::Piece(_))));
@@ -504,9 +505,9 @@
 
 #[test]
 fn what_a_relay_sends_is_bounded_by_its_budget_and_what_it_keeps_by_its_routers() {
-    let few = terms();
+    let few = bound_params();
     let mut relay = Relay::new(S, relay_settings(&few));
-    relay.learn(5, true, (0..12_000).map(engine).collect());
+    relay.apply_update(5, true, (0..12_000).map(engine).collect());
     relay.heard(S, 0);
     let budget = relay_settings(&few).budget_per_s() as usize;
     let (mut now, mut sent, mut sequence) = (S, 0, 0);
@@ -533,7 +534,7 @@
 #[test]
 fn asks_that_were_overtaken_or_doubled_are_not_answered_again() {
     let (mut relay, router) = relay(S);
-    relay.learn(5, true, engines(3));
+    relay.apply_update(5, true, engines(3));
     relay.heard(S, 0);
     for (sequence, answered) in [(5, true), (4, false), (5, false), (6, true)] {
         relay.receive(S, router, ask(sequence, by_engine(0, 2)));
@@ -547,7 +548,7 @@
     let mut all = engines(3);
     let long = Engine { id: 77, kind: Some("k".repeat(2_000).into()), ..all[0].clone() };
     all.push(long);
-    relay.learn(5, true, all);
+    relay.apply_update(5, true, all);
     relay.heard(S, 0);
     relay.receive(S, router, ask(1, by_engine(0, 2)));
     assert_eq!((relay.engines(), relay.passed().of(Reason::Engine)), (3, 1));
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 
 use log::info;
-use marljunction_cells::bound::{told, Terms};
+use marljunction_cells::bound::{describe_bounds, BoundParams};
 use marljunction_cells::{
-    CellConfig, CellId, CellPlan, Engine, EngineState as CellEngineState, Message, PartNews, Relay,
+    CellConfig, CellId, CellPlan, Engine, EngineState as CellEngineState, Message, PartUpdate, Relay,
     RelaySettings, Subscriber, SubscriberSettings,
 };
 use marljunction_control::interface::{EngineEntry, EngineId, EngineState, KindId, ZoneId};
@@ -87,9 +87,9 @@
 
     /// Returns the inputs of the bounds for a fleet of `routers`; `None` for a relay, which does
     /// not know the number of relays.
-    pub fn terms(&self, routers: u32) -> Option<Terms> {
+    pub fn bound_params(&self, routers: u32) -> Option<BoundParams> {
         let ListRole::Cell { relays, engines, .. } = &self.role else { return None };
-        Some(Terms {
+        Some(BoundParams {
             routers,
             relays: relays.len() as u32,
             ask_ns: self.ask_ns,
@@ -98,17 +98,17 @@
             reconnect_ns: self.timing.reconnect_ns,
             pieces: engines.div_ceil(ENGINES_PER_PIECE),
             delay_ns: self.delay_ns,
-            ..Terms::default()
+            ..BoundParams::default()
         })
     }
 
     /// Formats the bounds for operators.
     pub(crate) fn bounds(&self, routers: u32) -> Vec<String> {
-        match self.terms(routers) {
-            Some(terms) => {
+        match self.bound_params(routers) {
+            Some(bound_params) => {
                 let ranks =
                     "two routers of one cell with equal ranks use the same share of cold engines' budgets";
-                told(&terms)
+                describe_bounds(&bound_params)
                     .into_iter()
                     .chain([format!("  {ranks}: set distinct numbers or 'rank'")])
                     .collect()
@@ -142,8 +142,8 @@
         names: &Names,
     ) -> Result<Option<ListMachine>, FleetError> {
         let Some(list) = &config.list else { return Ok(None) };
-        let (ListRole::Cell { relays, .. }, Some(terms), Some(cell)) =
-            (&list.role, list.terms(config.routers), list.cell(identity, names, config.routers))
+        let (ListRole::Cell { relays, .. }, Some(bound_params), Some(cell)) =
+            (&list.role, list.bound_params(config.routers), list.cell(identity, names, config.routers))
         else {
             let relay = Relay::new(now, list.relay_settings(config.routers));
             return Ok(Some(ListMachine::Relay(Box::new(relay))));
@@ -154,7 +154,7 @@
             cell.id.cells,
             cell.id.zone.as_deref().unwrap_or("-"),
             relays.len(),
-            cell.sharers,
+            cell.routers_per_cell,
             cell.rank,
         );
         let settings = SubscriberSettings {
@@ -165,7 +165,7 @@
             ask_ns: list.ask_ns,
             silence_ns: list.timing.silence_ns,
             settle_ns: list.settle_ns(),
-            spread_ns: terms.spread_ns(),
+            spread_ns: bound_params.spread_ns(),
             stale_ns: list.timing.stale_ns,
             seed: identity.seed,
         };
@@ -196,7 +196,7 @@
     pub fn update_list(&mut self, now: u64, version: u64, changes: Vec<(bool, Vec<Engine>)>) {
         if let Some(ListMachine::Relay(relay)) = &mut self.list {
             for (is_full, engines) in changes {
-                relay.learn(version, is_full, engines);
+                relay.apply_update(version, is_full, engines);
             }
         }
         self.run_list(now);
@@ -210,7 +210,7 @@
     }
 
     /// Takes the changes of the router's part of the list since the last call.
-    pub fn take_list_updates(&mut self) -> Vec<PartNews> {
+    pub fn take_list_updates(&mut self) -> Vec<PartUpdate> {
         std::mem::take(&mut self.list_updates)
     }
 
@@ -235,11 +235,11 @@
         match (&mut self.list, Message::decode(&payload.bytes)) {
             (None, _) => {}
             (Some(ListMachine::Relay(relay)), Ok(message)) => relay.receive(now, from, message),
-            (Some(ListMachine::Relay(relay)), Err(_)) => relay.unreadable(from),
+            (Some(ListMachine::Relay(relay)), Err(_)) => relay.record_undecodable(from),
             (Some(ListMachine::Subscriber(subscriber)), Ok(message)) => {
                 self.list_updates.extend(subscriber.receive(now, from, message));
             }
-            (Some(ListMachine::Subscriber(subscriber)), Err(_)) => subscriber.unreadable(from),
+            (Some(ListMachine::Subscriber(subscriber)), Err(_)) => subscriber.record_undecodable(from),
         }
     }
 
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 
 use log::{info, warn};
-use marljunction_cells::PartNews;
+use marljunction_cells::PartUpdate;
 use marljunction_control::interface::Settings;
 use marljunction_core::cold::ColdBudgets;
 use marljunction_core::health::FleetHealth;
@@ -83,7 +83,7 @@
     pub(crate) pending_payloads: Vec<PeerPayload>,
     pub(crate) dropped_payloads: u64,
     pub(crate) list: Option<ListMachine>,
-    pub(crate) list_updates: Vec<PartNews>,
+    pub(crate) list_updates: Vec<PartUpdate>,
 }
 
 impl FleetRuntime {
--- a/crates/lab/src/capacity/cells.rs
+++ b/crates/lab/src/capacity/cells.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
-use marljunction_cells::bound::Terms;
+use marljunction_cells::bound::BoundParams;
 use marljunction_cells::{
     CellId, DivideBy, Engine, EngineState, Message, Relay, RelaySettings, Subscriber, SubscriberSettings,
 };
@@ -127,11 +127,15 @@
 impl Fleet {
     /// A relay that knows `zones` cells of `part` engines each, a zone to a cell; routers of the first of them start.
     fn new(routers: usize, part: usize, zones: usize) -> Result<Fleet, String> {
-        let terms = Terms { routers: FLEET.0, relays: FLEET.1, ..Terms::default() };
-        let settings = RelaySettings { routers: FLEET.0, ask_ns: terms.ask_ns, silence_ns: terms.silence_ns };
+        let bound_params = BoundParams { routers: FLEET.0, relays: FLEET.1, ..BoundParams::default() };
+        let settings = RelaySettings {
+            routers: FLEET.0,
+            ask_ns: bound_params.ask_ns,
+            silence_ns: bound_params.silence_ns,
+        };
         let mut relay = Relay::new(START_NS, settings);
         let all = (0..part * zones).map(|number| engine(number, zones, EngineState::Ready)).collect();
-        relay.learn(1, true, all);
+        relay.apply_update(1, true, all);
         relay.heard(START_NS, 0);
         let at = Port::new(60_000)?;
         let mut fleet = Fleet { now: START_NS, relay, at, routers: Vec::new(), version: 1 };
@@ -141,10 +145,10 @@
                 router: number as u64,
                 incarnation: START_NS,
                 relays: vec![fleet.at.address],
-                ask_ns: terms.ask_ns,
-                silence_ns: terms.silence_ns,
-                settle_ns: terms.settle_ns,
-                spread_ns: terms.spread_ns(),
+                ask_ns: bound_params.ask_ns,
+                silence_ns: bound_params.silence_ns,
+                settle_ns: bound_params.settle_ns,
+                spread_ns: bound_params.spread_ns(),
                 stale_ns: 7 * SECOND_NS,
                 seed: number as u64 + 1,
             };
@@ -258,7 +262,7 @@
     fleet.version += 1;
     // Engines with even numbers are of the first zone.
     let news = (0..changed).map(|n| engine(2 * n, 2, EngineState::Draining)).collect();
-    fleet.relay.learn(fleet.version, false, news);
+    fleet.relay.apply_update(fleet.version, false, news);
     fleet.run(2);
     if !fleet.all_at(fleet.version) {
         return Err(format!("{changed} changes were not told within 2 s"));
@@ -275,7 +279,7 @@
     let mut relay = Relay::new(START_NS, settings);
     let cpu = thread_ns();
     // The list itself is handed over, so that its own heap counts.
-    relay.learn(1, true, all.clone());
+    relay.apply_update(1, true, all.clone());
     let cpu = thread_ns() - cpu;
     let held = HEAP.current_usage().saturating_sub(before);
     drop(relay);
--- a/crates/testkit/src/hollow/fleet_side.rs
+++ b/crates/testkit/src/hollow/fleet_side.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use marljunction_cells::{CellPlan, Numbers};
+use marljunction_cells::{CellPlan, RouterNumbering};
 use marljunction_control::interface::Settings;
 use marljunction_core::limits::LimitScope;
 use marljunction_core::Router;
@@ -57,7 +57,11 @@
         let ListSource::Relays(setup) = self.source else { return None };
         let cell = ListRole::Cell {
             relays: setup.relays.iter().map(SocketAddr::to_string).collect(),
-            plan: CellPlan { cells: setup.cells, numbers: Numbers::Turns, ..CellPlan::default() },
+            plan: CellPlan {
+                cells: setup.cells,
+                numbering: RouterNumbering::Interleaved,
+                ..CellPlan::default()
+            },
             engines,
         };
         Some(ListConfig {
--- a/crates/testkit/src/hollow/known_list.rs
+++ b/crates/testkit/src/hollow/known_list.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use marljunction_cells::{Engine, EngineState as CellEngineState, PartNews};
+use marljunction_cells::{Engine, EngineState as CellEngineState, PartUpdate};
 use marljunction_control::interface::{EngineState, MembershipKind};
 use marljunction_discovery::{Change, Target};
 
@@ -30,10 +30,10 @@
     }
 
     /// Takes news of a cell's part that a relay told.
-    pub fn apply_part(&mut self, news: &PartNews) {
+    pub fn apply_part(&mut self, news: &PartUpdate) {
         match news {
-            PartNews::Whole(engines) => self.replace(engines.iter().map(entry_of_engine)),
-            PartNews::Changed(engines, gone) => {
+            PartUpdate::Snapshot(engines) => self.replace(engines.iter().map(entry_of_engine)),
+            PartUpdate::Delta(engines, gone) => {
                 engines.iter().map(entry_of_engine).for_each(|(id, entry)| self.put(id, entry));
                 gone.iter().for_each(|id| self.put(*id, None));
             }
--- a/crates/testkit/src/hollow/relay_feed.rs
+++ b/crates/testkit/src/hollow/relay_feed.rs
@@ -2,7 +2,7 @@
 //!
 //! The program's own functions are part of its loop; these few lines follow them, over the same runtime.
 
-use marljunction_cells::{Engine, PartNews};
+use marljunction_cells::{Engine, PartUpdate};
 use marljunction_control::interface::{EngineEntry, MembershipKind};
 use marljunction_discovery::stream::Stream;
 use marljunction_discovery::Change;
@@ -57,11 +57,11 @@
 }
 
 /// What the module is told of news of a part.
-pub fn membership_of(news: &PartNews, names: &Names) -> (MembershipKind, Vec<EngineEntry>) {
+pub fn membership_of(news: &PartUpdate, names: &Names) -> (MembershipKind, Vec<EngineEntry>) {
     let entries = |engines: &[Engine]| engines.iter().map(|engine| to_engine_entry(engine, names)).collect();
     match news {
-        PartNews::Whole(engines) => (MembershipKind::Full, entries(engines)),
-        PartNews::Changed(engines, gone) => {
+        PartUpdate::Snapshot(engines) => (MembershipKind::Full, entries(engines)),
+        PartUpdate::Delta(engines, gone) => {
             let mut entries: Vec<EngineEntry> = entries(engines);
             entries.extend(gone.iter().map(|id| removed_entry(*id)));
             (MembershipKind::Delta, entries)
--- a/src/daemon/relayed_list.rs
+++ b/src/daemon/relayed_list.rs
@@ -4,7 +4,7 @@
 //! heard only once what it missed must have come; a router of a cell takes nothing of the list but its cell's engines.
 
 use log::{info, warn};
-use marljunction_cells::{CellConfig, Engine, PartNews};
+use marljunction_cells::{CellConfig, Engine, PartUpdate};
 use marljunction_control::interface::MembershipKind;
 use marljunction_discovery::{Change, Target};
 use marljunction_fleet::list::{removed_entry, to_cell_engine, to_engine_entry};
@@ -39,7 +39,7 @@
 ) -> Option<CellConfig> {
     let fleet = fleet?;
     let cell = fleet.list.as_ref()?.cell(identity, &config.names, fleet.routers)?;
-    (config.settings.router_count, config.settings.router_index) = (cell.sharers, cell.rank);
+    (config.settings.router_count, config.settings.router_index) = (cell.routers_per_cell, cell.rank);
     start.routers = Count::AsInSettings;
     Some(cell)
 }
@@ -67,13 +67,13 @@
 }
 
 /// A change of the list, of what a relay told.
-fn change_of(news: PartNews, names: &Names) -> Change {
+fn change_of(news: PartUpdate, names: &Names) -> Change {
     match news {
-        PartNews::Whole(engines) => Change {
+        PartUpdate::Snapshot(engines) => Change {
             kind: MembershipKind::Full,
             targets: engines.iter().map(|engine| target_of(engine, names)).collect(),
         },
-        PartNews::Changed(engines, gone) => {
+        PartUpdate::Delta(engines, gone) => {
             let gone = gone.into_iter().map(|id| Target { entry: removed_entry(id), address: NOWHERE });
             let changed = engines.iter().map(|engine| target_of(engine, names));
             Change { kind: MembershipKind::Delta, targets: changed.chain(gone).collect() }
@@ -87,7 +87,7 @@
         let Some(subscriber) = self.fleet.as_ref().and_then(|fleet| fleet.subscriber()) else { return };
         let names = self.config.directory.names();
         let cell = subscriber.cell();
-        change.targets.retain(|target| cell.holds(&to_cell_engine(&target.entry, target.address, names)));
+        change.targets.retain(|target| cell.contains(&to_cell_engine(&target.entry, target.address, names)));
     }
 
     /// Takes what relays told of this router's cell.
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -10,7 +10,7 @@
 use marljunction_language::value::{Quantity, RecordValue, Value, What};
 use marljunction_language::{read, Outcome};
 
-use marljunction_cells::{CellPlan, DivideBy, Numbers};
+use marljunction_cells::{CellPlan, DivideBy, RouterNumbering};
 use marljunction_core::limits::LimitScope;
 use marljunction_fleet::config::{failure_mode, limit_kind};
 use marljunction_fleet::{FleetConfig, HealthConfig, LimitConfig, ListConfig, ListRole, ListTiming};
@@ -238,9 +238,13 @@
             plan: CellPlan {
                 cells: of("cells")?,
                 by: if text(list, "divide")? == "group" { DivideBy::Group } else { DivideBy::Engine },
-                numbers: if text(list, "numbers")? == "turns" { Numbers::Turns } else { Numbers::Blocks },
+                numbering: if text(list, "numbers")? == "turns" {
+                    RouterNumbering::Interleaved
+                } else {
+                    RouterNumbering::Contiguous
+                },
                 cell: of("cell"),
-                sharers: of("sharers"),
+                routers_per_cell: of("sharers"),
                 rank: of("rank"),
             },
             engines: of("engines")?,
--- a/tests/fleet_cells.rs
+++ b/tests/fleet_cells.rs
@@ -49,9 +49,9 @@
     );
     std::fs::write(&path, text).unwrap();
     let fleet = Operator::of_file(&path).unwrap().fleet.unwrap();
-    let mut terms = fleet.list.as_ref().unwrap().terms(fleet.routers).unwrap();
-    terms.loss = 0.3;
-    Duration::from_nanos(bound_ns(&terms, fault)) + MACHINE
+    let mut bound_params = fleet.list.as_ref().unwrap().bound_params(fleet.routers).unwrap();
+    bound_params.loss = 0.3;
+    Duration::from_nanos(bound_ns(&bound_params, fault)) + MACHINE
 }
 
 /// Engines of a cell.
@@ -193,7 +193,7 @@
     let relay = busiest_relay(&mut fleet);
     fleet.kill(relay);
     let mut drained = drain(&mut fleet, 0);
-    all_hold(&mut fleet, &drained, within(Fault::RelayStops));
+    all_hold(&mut fleet, &drained, within(Fault::RelayStopped));
     fleet.start(relay).unwrap();
     drained.extend(drain(&mut fleet, 1));
     all_hold(&mut fleet, &drained, within(Fault::RelayReplaced));
@@ -201,7 +201,7 @@
     assert!(fleet.run_until(LIMIT, |fleet| fleet.live() == RELAYS).unwrap(), "the new relay has no stream");
     fleet.kill(1 - relay);
     drained.extend(drain(&mut fleet, 2));
-    all_hold(&mut fleet, &drained, within(Fault::RelayStops) + within(Fault::RelayReplaced));
+    all_hold(&mut fleet, &drained, within(Fault::RelayStopped) + within(Fault::RelayReplaced));
     fleet.end_well(LIMIT).unwrap();
 }
 
@@ -211,7 +211,7 @@
     let relay = busiest_relay(&mut fleet);
     fleet.freeze(relay, true);
     let drained = drain(&mut fleet, 0);
-    all_hold(&mut fleet, &drained, within(Fault::RelayStops));
+    all_hold(&mut fleet, &drained, within(Fault::RelayStopped));
     fleet.freeze(relay, false);
     let end = fleet.now() + 5_000_000_000;
     while fleet.now() < end {
@@ -232,7 +232,7 @@
     all_hold(&mut fleet, &[], LIMIT);
     fleet.set_list(Manner::Well);
     let drained = drain(&mut fleet, 0);
-    all_hold(&mut fleet, &drained, within(Fault::ServiceAway));
+    all_hold(&mut fleet, &drained, within(Fault::ServiceUnavailable));
     fleet.end_well(LIMIT).unwrap();
 }
 
@@ -247,6 +247,6 @@
     fleet.restart_list();
     let more = drain(&mut fleet, 1);
     let all: Vec<usize> = drained.into_iter().chain(more).collect();
-    all_hold(&mut fleet, &all, within(Fault::ServiceAnew));
+    all_hold(&mut fleet, &all, within(Fault::VersionRestart));
     fleet.end_well(LIMIT).unwrap();
 }
