--- a/crates/cells/examples/divisions.rs
+++ b/crates/cells/examples/divisions.rs
@@ -81,27 +81,28 @@
     before.iter().zip(after).map(differ).sum()
 }
 
-fn weigh(name: &str, divide: impl Fn(&[u64], u32) -> Parts) {
+fn compare(name: &str, divide: impl Fn(&[u64], u32) -> Parts) {
     let engines: Vec<u64> = (0..PER_ZONE).map(|id| hash(id, 1) >> 1).collect();
     let parts = divide(&engines, ROUTERS_PER_ZONE);
     let mut routers_per_cell = BTreeMap::<u64, u32>::new();
     routers_per_cell.extend(engines.iter().map(|id| (*id, 0)));
     parts.iter().flatten().for_each(|id| *routers_per_cell.entry(*id).or_default() += 1);
     let sizes: Vec<usize> = parts.iter().map(BTreeSet::len).collect();
-    let gone = engines[17];
-    let fewer: Vec<u64> = engines.iter().copied().filter(|id| *id != gone).collect();
-    let engine_gone = churn(&parts, &divide(&fewer, ROUTERS_PER_ZONE), Some(gone));
-    let router_more = churn(&parts, &divide(&engines, ROUTERS_PER_ZONE + 1), None);
+    let removed = engines[17];
+    let remaining: Vec<u64> = engines.iter().copied().filter(|id| *id != removed).collect();
+    let engine_removed = churn(&parts, &divide(&remaining, ROUTERS_PER_ZONE), Some(removed));
+    let router_added = churn(&parts, &divide(&engines, ROUTERS_PER_ZONE + 1), None);
     // All engines that one router knows fail together, as by what its clients send.
-    let lost = &parts[5];
-    let left = |part: &BTreeSet<u64>| part.difference(lost).count() as f64 / part.len() as f64;
-    let none_left = parts.iter().filter(|part| left(part) == 0.0).count();
-    let hit = parts.iter().filter(|part| left(part) < 1.0).count();
+    let lost_part = &parts[5];
+    let remaining_share =
+        |part: &BTreeSet<u64>| part.difference(lost_part).count() as f64 / part.len() as f64;
+    let none_left = parts.iter().filter(|part| remaining_share(part) == 0.0).count();
+    let affected = parts.iter().filter(|part| remaining_share(part) < 1.0).count();
     let different: BTreeSet<&BTreeSet<u64>> = parts.iter().collect();
     println!(
         "{{\"way\": \"{name}\", \"part_min\": {}, \"part_max\": {}, \"sharers_min\": {}, \"sharers_max\": {}, \
-         \"engines_without_router\": {}, \"churn_engine_gone\": {engine_gone}, \"churn_router_more\": {router_more}, \
-         \"routers_hit\": {hit}, \"routers_left_without\": {none_left}, \"parts_of_a_zone\": {}}}",
+         \"engines_without_router\": {}, \"churn_engine_gone\": {engine_removed}, \"churn_router_more\": {router_added}, \
+         \"routers_hit\": {affected}, \"routers_left_without\": {none_left}, \"parts_of_a_zone\": {}}}",
         sizes.iter().min().unwrap_or(&0),
         sizes.iter().max().unwrap_or(&0),
         routers_per_cell.values().min().unwrap_or(&0),
@@ -112,15 +113,15 @@
 }
 
 /// Bytes of a datagram besides its message: the seal, and who sent it.
-fn frame() -> u64 {
-    let who = PeerIdentity {
+fn envelope_bytes() -> u64 {
+    let sender_identity = PeerIdentity {
         name: "router-0000".into(),
         number: ROUTERS - 1,
         address: address(7),
         incarnation: 1 << 60,
         renewal: 0,
     };
-    let sender = rmp_serde::to_vec(&who).map_or(0, |bytes| bytes.len());
+    let sender = rmp_serde::to_vec(&sender_identity).map_or(0, |bytes| bytes.len());
     (MAX_DATAGRAM_BYTES - MAX_CONTENT_BYTES + sender) as u64
 }
 
@@ -129,81 +130,82 @@
 }
 
 /// One relay and all routers, cold: bytes and time of each side, then an ordinary minute, then one change.
-fn spend() {
-    let relay_at = address(60_000);
+fn measure_cost() {
+    let relay_address = address(60_000);
     let settings = RelaySettings { routers: ROUTERS, ask_ns: S, silence_ns: 3 * S };
     let mut relay = Relay::new(S, settings);
     let list: Vec<Engine> = (0..ENGINES).map(engine).collect();
-    let learned = Instant::now();
+    let update_started = Instant::now();
     relay.apply_update(1, true, list.clone());
     relay.heard(S, 0);
-    let learn_ms = learned.elapsed().as_secs_f64() * 1e3;
-    let mut routers: Vec<Subscriber> = (0..ROUTERS).map(|number| subscriber(number, relay_at)).collect();
-    let (mut bytes, frame) = ([0u64; 2], frame());
+    let update_ms = update_started.elapsed().as_secs_f64() * 1e3;
+    let mut routers: Vec<Subscriber> = (0..ROUTERS).map(|number| subscriber(number, relay_address)).collect();
+    let (mut bytes, envelope_bytes) = ([0u64; 2], envelope_bytes());
     let (mut relay_s, mut router_s) = (0.0, 0.0);
-    let mut run = |relay: &mut Relay, routers: &mut Vec<Subscriber>, from: u64, to: u64| {
+    let mut step_until = |relay: &mut Relay, routers: &mut Vec<Subscriber>, from: u64, to: u64| {
         let before = bytes;
         let mut now = from;
         while now < to {
             now += 20_000_000;
             for (at, router) in routers.iter_mut().enumerate() {
                 let since = Instant::now();
-                let asks = router.tick(now);
+                let requests = router.tick(now);
                 router_s += since.elapsed().as_secs_f64();
-                for (_, ask) in asks {
-                    bytes[0] += ask.encode().len() as u64 + frame;
+                for (_, request) in requests {
+                    bytes[0] += request.encode().len() as u64 + envelope_bytes;
                     let since = Instant::now();
-                    relay.receive(now, address(at as u32), ask);
+                    relay.receive(now, address(at as u32), request);
                     relay_s += since.elapsed().as_secs_f64();
                 }
             }
             let since = Instant::now();
             relay.heard(now, 0);
-            let told = relay.tick(now);
+            let sent = relay.tick(now);
             relay_s += since.elapsed().as_secs_f64();
-            for (to, message) in told {
+            for (to, message) in sent {
                 let encoded = message.encode();
-                bytes[1] += encoded.len() as u64 + frame;
+                bytes[1] += encoded.len() as u64 + envelope_bytes;
                 let SocketAddr::V4(to) = to else { continue };
                 let octets = to.ip().octets();
                 let at = usize::from(octets[2]) << 8 | usize::from(octets[3]);
                 let since = Instant::now();
                 if let Ok(message) = Message::decode(&encoded) {
-                    routers[at].receive(now, relay_at, message);
+                    routers[at].receive(now, relay_address, message);
                 }
                 router_s += since.elapsed().as_secs_f64();
             }
         }
-        let used = [bytes[0] - before[0], bytes[1] - before[1]];
+        let bytes_sent = [bytes[0] - before[0], bytes[1] - before[1]];
         let times = [std::mem::take(&mut relay_s), std::mem::take(&mut router_s)];
-        (used, times)
+        (bytes_sent, times)
     };
-    let per = |bytes: u64| bytes as f64 / f64::from(ROUTERS);
+    let per_router = |bytes: u64| bytes as f64 / f64::from(ROUTERS);
     let mut now = 2 * S;
-    let (mut used, mut times) = ([0; 2], [0.0; 2]);
-    let known = |routers: &[Subscriber]| routers.iter().filter(|router| router.part().is_some()).count();
-    while known(&routers) < ROUTERS as usize && now < 60 * S {
-        let (more, spent) = run(&mut relay, &mut routers, now, now + 20_000_000);
+    let (mut bytes_sent, mut times) = ([0; 2], [0.0; 2]);
+    let synced_routers =
+        |routers: &[Subscriber]| routers.iter().filter(|router| router.part().is_some()).count();
+    while synced_routers(&routers) < ROUTERS as usize && now < 60 * S {
+        let (more_bytes, more_time) = step_until(&mut relay, &mut routers, now, now + 20_000_000);
         now += 20_000_000;
-        used = [used[0] + more[0], used[1] + more[1]];
-        times = [times[0] + spent[0], times[1] + spent[1]];
+        bytes_sent = [bytes_sent[0] + more_bytes[0], bytes_sent[1] + more_bytes[1]];
+        times = [times[0] + more_time[0], times[1] + more_time[1]];
     }
     println!(
-        "{{\"run\": \"all cold, one relay\", \"learn_list_ms\": {learn_ms:.1}, \"known_after_s\": {:.2}, \"asked_bytes_each\": {:.0}, \
+        "{{\"run\": \"all cold, one relay\", \"learn_list_ms\": {update_ms:.1}, \"known_after_s\": {:.2}, \"asked_bytes_each\": {:.0}, \
          \"told_bytes_each\": {:.0}, \"relay_cpu_s\": {:.3}, \"router_cpu_us_each\": {:.0}}}",
         (now - 2 * S) as f64 / 1e9,
-        per(used[0]),
-        per(used[1]),
+        per_router(bytes_sent[0]),
+        per_router(bytes_sent[1]),
         times[0],
         times[1] / f64::from(ROUTERS) * 1e6,
     );
-    let (used, times) = run(&mut relay, &mut routers, now, now + 60 * S);
+    let (bytes_sent, times) = step_until(&mut relay, &mut routers, now, now + 60 * S);
     now += 60 * S;
     println!(
         "{{\"run\": \"a quiet minute, one relay\", \"asked_bytes_per_s_each\": {:.0}, \"told_bytes_per_s_each\": {:.0}, \
          \"relay_core_share\": {:.4}, \"router_core_share\": {:.6}}}",
-        per(used[0]) / 60.0,
-        per(used[1]) / 60.0,
+        per_router(bytes_sent[0]) / 60.0,
+        per_router(bytes_sent[1]) / 60.0,
         times[0] / 60.0,
         times[1] / 60.0 / f64::from(ROUTERS),
     );
@@ -211,12 +213,12 @@
     let since = Instant::now();
     relay.apply_update(2, false, vec![drained]);
     let delta_ms = since.elapsed().as_secs_f64() * 1e3;
-    let told = relay.tick(now + 20_000_000).len();
+    let sent = relay.tick(now + 20_000_000).len();
     let since = Instant::now();
     relay.apply_update(3, true, list);
     let whole_ms = since.elapsed().as_secs_f64() * 1e3;
     println!(
-        "{{\"run\": \"a change\", \"one_engine_ms\": {delta_ms:.2}, \"whole_list_again_ms\": {whole_ms:.1}, \"datagrams\": {told}}}"
+        "{{\"run\": \"a change\", \"one_engine_ms\": {delta_ms:.2}, \"whole_list_again_ms\": {whole_ms:.1}, \"datagrams\": {sent}}}"
     );
 }
 
@@ -240,8 +242,8 @@
 }
 
 fn main() {
-    weigh("shuffled subsets", shuffled);
-    weigh("deterministic subsets", deterministic);
-    weigh("cells", cells);
-    spend();
+    compare("shuffled subsets", shuffled);
+    compare("deterministic subsets", deterministic);
+    compare("cells", cells);
+    measure_cost();
 }
--- a/crates/cells/src/bound.rs
+++ b/crates/cells/src/bound.rs
@@ -3,9 +3,9 @@
 //! All bounds count from when a relay that is not at fault has taken the change. They hold where a datagram takes no longer
 //! than the delay that the terms state, and with the chance that the terms state where datagrams get lost.
 
+use crate::jitter::max_jittered;
 use crate::relay::RelaySettings;
-use crate::schedule::at_most;
-use crate::subscriber::{quick_asks, MAX_UNANSWERED, REPEAT_PART, SOON_PART};
+use crate::subscriber::{max_quick_retries, MAX_UNANSWERED, MIN_INTERVAL_DIVISOR, RETRY_DIVISOR};
 
 /// What bounds are computed from.
 #[derive(Clone, Debug, PartialEq)]
@@ -29,7 +29,7 @@
     /// Share of datagrams that get lost, where the fault is loss.
     pub loss: f64,
     /// Chance that the bound under loss does not hold for a change.
-    pub chance: f64,
+    pub miss_probability: f64,
     /// How often the processes look after what is due (ns).
     pub tick_ns: u64,
 }
@@ -46,7 +46,7 @@
             pieces: 6,
             delay_ns: 100_000_000,
             loss: 0.1,
-            chance: 1e-6,
+            miss_probability: 1e-6,
             tick_ns: 20_000_000,
         }
     }
@@ -99,87 +99,99 @@
     }
 
     /// Time in which a relay sends so many datagrams to each of so many routers (ns).
-    fn sent_ns(&self, routers: u64, datagrams: u32) -> u64 {
+    fn send_time_ns(&self, routers: u64, datagrams: u32) -> u64 {
         routers.saturating_mul(u64::from(datagrams)).saturating_mul(1_000_000_000)
             / self.budget_per_s().max(1)
     }
 
     /// Routers that one relay has: twice its part, for what chance makes of the order.
-    fn per_relay(&self) -> u64 {
+    fn max_routers_per_relay(&self) -> u64 {
         u64::from((2 * self.routers.div_ceil(self.relays.max(1))).min(self.routers))
     }
 
     /// Time from when an ask is due until its answer of so many datagrams has come (ns).
-    fn answered_ns(&self, routers: u64, datagrams: u32) -> u64 {
-        3 * self.tick_ns + 2 * self.delay_ns + self.sent_ns(routers, datagrams)
+    fn response_time_ns(&self, routers: u64, datagrams: u32) -> u64 {
+        3 * self.tick_ns + 2 * self.delay_ns + self.send_time_ns(routers, datagrams)
     }
 
     /// The longest time between an answer and the next ask (ns).
-    fn ask_at_most_ns(&self) -> u64 {
-        at_most(self.ask_ns) + self.tick_ns
+    fn max_request_interval_ns(&self) -> u64 {
+        max_jittered(self.ask_ns) + self.tick_ns
     }
 
     /// The longest time between an ask that was not answered, or not in whole, and the next (ns).
-    fn repeat_at_most_ns(&self) -> u64 {
-        at_most(self.ask_ns / REPEAT_PART) + 2 * self.tick_ns + 2 * self.delay_ns
+    fn max_retry_interval_ns(&self) -> u64 {
+        max_jittered(self.ask_ns / RETRY_DIVISOR) + 2 * self.tick_ns + 2 * self.delay_ns
     }
 
     /// Time over which first asks are spread, so that no relay owes more than its budget takes (ns).
     pub fn spread_ns(&self) -> u64 {
-        self.sent_ns(self.per_relay(), self.pieces + 1)
+        self.send_time_ns(self.max_routers_per_relay(), self.pieces + 1)
     }
 
     /// Rounds after which, but for the chance, each datagram of a part has come once (count).
-    fn rounds(&self) -> u64 {
-        let missed = 1.0 - (1.0 - self.loss) * (1.0 - self.loss);
+    fn max_rounds(&self) -> u64 {
+        let round_loss = 1.0 - (1.0 - self.loss) * (1.0 - self.loss);
         let pieces = f64::from(self.pieces.max(1));
-        ((self.chance / pieces).ln() / missed.max(1e-9).ln()).ceil().max(1.0) as u64
+        ((self.miss_probability / pieces).ln() / round_loss.max(1e-9).ln()).ceil().max(1.0) as u64
     }
 
-    fn lossy_ns(&self) -> u64 {
-        let rounds = self.rounds();
+    fn loss_bound_ns(&self) -> u64 {
+        let max_rounds = self.max_rounds();
         // Past these, asks are paced as if nothing was wrong.
-        let quick = rounds.min(u64::from(quick_asks(self.relays as usize)));
-        self.ask_at_most_ns() + quick * self.repeat_at_most_ns() + (rounds - quick) * self.ask_at_most_ns()
+        let quick_rounds = max_rounds.min(u64::from(max_quick_retries(self.relays as usize)));
+        self.max_request_interval_ns()
+            + quick_rounds * self.max_retry_interval_ns()
+            + (max_rounds - quick_rounds) * self.max_request_interval_ns()
     }
 
     /// The most that what a router knows can age while nothing is at fault (ns): the service is heard at least so often, and the
     /// router asks at least so often.
     pub fn max_age_ns(&self) -> u64 {
-        self.silence_ns + self.ask_at_most_ns() + self.answered_ns(self.per_relay(), 1)
+        self.silence_ns
+            + self.max_request_interval_ns()
+            + self.response_time_ns(self.max_routers_per_relay(), 1)
     }
 }
 
 /// The longest time until a change that a sound relay has taken is known at every router that can reach one (ns); for cold
 /// routers, until each has its part.
 pub fn bound_ns(bound_params: &BoundParams, fault: Fault) -> u64 {
-    let ask = bound_params.ask_at_most_ns();
-    let whole = bound_params.answered_ns(bound_params.per_relay(), bound_params.pieces);
-    let short = bound_params.answered_ns(bound_params.per_relay(), 1);
-    let soon = bound_params.ask_ns / SOON_PART + bound_params.tick_ns;
-    let pushed =
-        bound_params.sent_ns(bound_params.per_relay(), 1) + bound_params.delay_ns + 2 * bound_params.tick_ns;
-    let next = soon + whole;
+    let interval_ns = bound_params.max_request_interval_ns();
+    let snapshot_ns =
+        bound_params.response_time_ns(bound_params.max_routers_per_relay(), bound_params.pieces);
+    let single_ns = bound_params.response_time_ns(bound_params.max_routers_per_relay(), 1);
+    let min_interval_ns = bound_params.ask_ns / MIN_INTERVAL_DIVISOR + bound_params.tick_ns;
+    let push_ns = bound_params.send_time_ns(bound_params.max_routers_per_relay(), 1)
+        + bound_params.delay_ns
+        + 2 * bound_params.tick_ns;
+    let resync_ns = min_interval_ns + snapshot_ns;
     match fault {
-        Fault::None => pushed,
-        Fault::Reordering => pushed + next,
-        Fault::Loss => bound_params.lossy_ns() + whole,
-        Fault::RelayStopped => ask + u64::from(MAX_UNANSWERED) * bound_params.repeat_at_most_ns() + next,
-        Fault::RelayReplaced => ask + short + next,
-        Fault::Partition => ask + whole,
-        Fault::ServiceUnavailable => bound_params.reconnect_ns + pushed,
+        Fault::None => push_ns,
+        Fault::Reordering => push_ns + resync_ns,
+        Fault::Loss => bound_params.loss_bound_ns() + snapshot_ns,
+        Fault::RelayStopped => {
+            interval_ns + u64::from(MAX_UNANSWERED) * bound_params.max_retry_interval_ns() + resync_ns
+        }
+        Fault::RelayReplaced => interval_ns + single_ns + resync_ns,
+        Fault::Partition => interval_ns + snapshot_ns,
+        Fault::ServiceUnavailable => bound_params.reconnect_ns + push_ns,
         // Two relays are heard, twice each, then they are believed, and asked for the part.
         Fault::VersionRestart => {
-            bound_params.reconnect_ns + bound_params.settle_ns.max(4 * ask) + 2 * ask + short + next
+            bound_params.reconnect_ns
+                + bound_params.settle_ns.max(4 * interval_ns)
+                + 2 * interval_ns
+                + single_ns
+                + resync_ns
         }
-        Fault::ColdStart => bound_params.spread_ns() + whole,
+        Fault::ColdStart => bound_params.spread_ns() + snapshot_ns,
         Fault::ColdStartOneRelay => {
             let all = u64::from(bound_params.routers);
             // The first that is asked is missed several times, and each other once.
-            let asks = u64::from(MAX_UNANSWERED + bound_params.relays);
+            let requests = u64::from(MAX_UNANSWERED + bound_params.relays);
             bound_params.spread_ns()
-                + asks * bound_params.repeat_at_most_ns()
-                + bound_params.answered_ns(all, bound_params.pieces)
+                + requests * bound_params.max_retry_interval_ns()
+                + bound_params.response_time_ns(all, bound_params.pieces)
         }
     }
 }
@@ -197,18 +209,18 @@
         seconds(bound_params.delay_ns) * 1e3,
     )];
     for (fault, name) in FAULTS {
-        let lost = match fault {
+        let loss_note = match fault {
             Fault::Loss => {
                 format!(
                     " ({:.0}% of them, missed by one change in {:.0})",
                     bound_params.loss * 100.0,
-                    1.0 / bound_params.chance
+                    1.0 / bound_params.miss_probability
                 )
             }
             _ => String::new(),
         };
         lines.push(format!(
-            "  {name}{lost}: a change is known within {:.1} s",
+            "  {name}{loss_note}: a change is known within {:.1} s",
             seconds(bound_ns(bound_params, fault))
         ));
     }
--- a/crates/cells/src/engine.rs
+++ b/crates/cells/src/engine.rs
@@ -25,7 +25,7 @@
     }
 
     /// The state with this number, where there is one.
-    pub(crate) fn of_code(code: u8) -> Option<EngineState> {
+    pub(crate) fn from_code(code: u8) -> Option<EngineState> {
         [EngineState::Ready, EngineState::Draining, EngineState::Gone].get(usize::from(code)).copied()
     }
 }
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -11,19 +11,19 @@
 
 #![forbid(unsafe_code)]
 
-mod anew;
-mod asking;
 mod assembly;
 pub mod bound;
 pub mod cell;
 pub mod counters;
 pub mod digest;
 pub mod engine;
+mod jitter;
 pub mod message;
-mod order;
 pub mod part;
 pub mod relay;
-mod schedule;
+mod relay_selector;
+mod request_tracker;
+mod restart_detector;
 pub mod subscriber;
 
 pub use cell::{CellConfig, CellId, CellPlan, DivideBy, RouterNumbering};
--- a/crates/cells/src/message.rs
+++ b/crates/cells/src/message.rs
@@ -16,20 +16,20 @@
 /// Most pieces that one ask names as missing (count).
 pub const MAX_MISSING: usize = 32;
 /// What stands in a piece or delta besides names and engines, at most (bytes).
-const FRAME: usize = 120;
+const MAX_ENVELOPE_BYTES: usize = 120;
 
 /// Why a message is passed over.
 #[derive(Debug, Error)]
-pub enum Unreadable {
+pub enum CodecError {
     /// It is no message.
     #[error("it can't be read: {0}")]
     Format(#[from] rmp_serde::decode::Error),
     /// It is larger than a message may be (bytes).
     #[error("it is too large: {0} bytes")]
-    Huge(usize),
+    TooLarge(usize),
     /// It names an engine in a way that can't be.
     #[error("it names an engine with a state, address or name that can't be")]
-    Engine,
+    InvalidEngine,
 }
 
 /// An engine in a datagram: id, address (two halves and a port), numbers of zone and kind in the message's names plus one (0 for
@@ -48,7 +48,7 @@
     /// Engines in as few tables as fit a message each; one empty table for none.
     pub fn pack<'a>(engines: impl IntoIterator<Item = &'a Engine>) -> Vec<Table> {
         let mut tables = vec![Table::default()];
-        let mut size = FRAME;
+        let mut size = MAX_ENVELOPE_BYTES;
         for engine in engines {
             let full = match tables.last_mut() {
                 Some(table) => !table.push(engine, &mut size),
@@ -56,7 +56,7 @@
             };
             if full {
                 let mut table = Table::default();
-                size = FRAME;
+                size = MAX_ENVELOPE_BYTES;
                 table.push(engine, &mut size);
                 tables.push(table);
             }
@@ -99,29 +99,29 @@
     }
 
     /// Whether a change with this table fits one message with so many ids of engines that went.
-    pub fn fits_with_removed(&self, gone: usize) -> bool {
-        FRAME + encoded_size(self) + gone * (size_of::<u64>() + 1) <= MAX_MESSAGE_BYTES
+    pub fn fits_with_removed(&self, removed: usize) -> bool {
+        MAX_ENVELOPE_BYTES + encoded_size(self) + removed * (size_of::<u64>() + 1) <= MAX_MESSAGE_BYTES
     }
 
     /// The engines.
     ///
     /// # Errors
     /// Where a row is of no engine.
-    pub fn engines(&self) -> Result<Vec<Engine>, Unreadable> {
+    pub fn engines(&self) -> Result<Vec<Engine>, CodecError> {
         let names: Vec<Arc<str>> = self.names.iter().map(|name| Arc::from(name.as_str())).collect();
         let name = |at: u8| match usize::from(at).checked_sub(1) {
             None => Ok(None),
-            Some(at) => names.get(at).cloned().map(Some).ok_or(Unreadable::Engine),
+            Some(at) => names.get(at).cloned().map(Some).ok_or(CodecError::InvalidEngine),
         };
         let engine = |Row(id, (high, low, port), zone, kind, group, state, weight, started_ms): &Row| {
             Ok(Engine {
                 id: *id,
-                address: join_address(*high, *low, *port).ok_or(Unreadable::Engine)?,
+                address: join_address(*high, *low, *port).ok_or(CodecError::InvalidEngine)?,
                 zone: name(*zone)?,
                 kind: name(*kind)?,
                 group: *group,
-                state: EngineState::of_code(*state).ok_or(Unreadable::Engine)?,
-                weight: Some(*weight).filter(|weight| weight.is_finite()).ok_or(Unreadable::Engine)?,
+                state: EngineState::from_code(*state).ok_or(CodecError::InvalidEngine)?,
+                weight: Some(*weight).filter(|weight| weight.is_finite()).ok_or(CodecError::InvalidEngine)?,
                 started_ms: *started_ms,
             })
         };
@@ -131,7 +131,7 @@
 
 /// A router asks for its cell's part.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// The router's life: larger with each start.
     #[serde(rename = "life")]
     pub incarnation: u64,
@@ -140,16 +140,18 @@
     /// Its cell.
     pub cell: CellId,
     /// The part that it holds.
-    pub have: Option<Digest>,
+    #[serde(rename = "have")]
+    pub held_digest: Option<Digest>,
     /// The version that a part must not be below; none for any.
-    pub least: Option<u64>,
+    #[serde(rename = "least")]
+    pub min_version: Option<u64>,
     /// The part that it has pieces of, and the numbers of those missing, the first of them.
     pub missing: Option<(Digest, Vec<u16>)>,
 }
 
 /// Which ask an answer is to, and what the relay knew then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct ResponseHeader {
     /// The router's life, as it asked.
     #[serde(rename = "life")]
     pub incarnation: u64,
@@ -168,13 +170,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Piece {
     /// What it answers.
-    pub answer: Answer,
+    #[serde(rename = "answer")]
+    pub header: ResponseHeader,
     /// Digest of the whole part.
     pub digest: Digest,
     /// Which piece this is, of how many.
-    pub at: u16,
+    #[serde(rename = "at")]
+    pub index: u16,
     /// Pieces in all.
-    pub of: u16,
+    #[serde(rename = "of")]
+    pub count: u16,
     /// The engines.
     pub table: Table,
 }
@@ -196,24 +201,27 @@
     /// Engines that came or changed.
     pub table: Table,
     /// Ids of engines that went.
-    pub gone: Vec<u64>,
+    #[serde(rename = "gone")]
+    pub removed: Vec<u64>,
 }
 
 /// One datagram's message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// A router asks.
-    Ask(Ask),
+    #[serde(rename = "Ask")]
+    Request(Request),
     /// The router holds what the relay does.
-    Same(Answer),
+    #[serde(rename = "Same")]
+    Unchanged(ResponseHeader),
     /// The relay is at a lower version than the router asked for.
-    Behind(Answer),
+    Behind(ResponseHeader),
     /// A piece of the whole part.
     Piece(Piece),
     /// The part has changed.
     Delta(Delta),
     /// The relay has not learned a whole list yet.
-    NotReady(Answer),
+    NotReady(ResponseHeader),
 }
 
 impl Message {
@@ -227,9 +235,9 @@
     ///
     /// # Errors
     /// Where it is too large, cut, or no message.
-    pub fn decode(bytes: &[u8]) -> Result<Message, Unreadable> {
+    pub fn decode(bytes: &[u8]) -> Result<Message, CodecError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
-            return Err(Unreadable::Huge(bytes.len()));
+            return Err(CodecError::TooLarge(bytes.len()));
         }
         Ok(rmp_serde::from_slice(bytes)?)
     }
--- a/crates/cells/src/part.rs
+++ b/crates/cells/src/part.rs
@@ -16,10 +16,10 @@
     /// A part of these engines.
     pub fn new(engines: impl IntoIterator<Item = Engine>) -> Part {
         let here = engines.into_iter().filter(|engine| engine.state != EngineState::Gone);
-        Part::of(here.map(|engine| (engine.id, engine)).collect())
+        Part::from_engines(here.map(|engine| (engine.id, engine)).collect())
     }
 
-    fn of(engines: BTreeMap<u64, Engine>) -> Part {
+    fn from_engines(engines: BTreeMap<u64, Engine>) -> Part {
         let digest = Digest::of(engines.values());
         Part { engines, digest }
     }
@@ -50,19 +50,19 @@
     }
 
     /// The part with these engines changed or added, and those taken out.
-    pub fn with(&self, changed: &[Engine], gone: &[u64]) -> Part {
+    pub fn with_changes(&self, changed: &[Engine], removed: &[u64]) -> Part {
         let mut engines = self.engines.clone();
-        for id in gone {
+        for id in removed {
             engines.remove(id);
         }
         engines.extend(changed.iter().map(|engine| (engine.id, engine.clone())));
-        Part::of(engines)
+        Part::from_engines(engines)
     }
 
     /// What makes this part of an earlier one: engines that came or changed, and ids of those that went.
-    pub fn since<'a>(&'a self, earlier: &Part) -> (Vec<&'a Engine>, Vec<u64>) {
+    pub fn diff_from<'a>(&'a self, earlier: &Part) -> (Vec<&'a Engine>, Vec<u64>) {
         let changed = self.engines.values().filter(|engine| earlier.get(engine.id) != Some(*engine));
-        let gone = earlier.engines.keys().filter(|id| !self.engines.contains_key(id));
-        (changed.collect(), gone.copied().collect())
+        let removed = earlier.engines.keys().filter(|id| !self.engines.contains_key(id));
+        (changed.collect(), removed.copied().collect())
     }
 }
--- a/crates/cells/src/relay.rs
+++ b/crates/cells/src/relay.rs
@@ -11,21 +11,21 @@
 use std::sync::Arc;
 
 use crate::cell::CellId;
-use crate::counters::{Passed, Reason, RelayCounters};
+use crate::counters::{RejectReason, RejectedMessages, RelayCounters};
 use crate::digest::Digest;
 use crate::engine::{Engine, EngineState};
-use crate::message::{Answer, Ask, Delta, Message, Piece, Table, MAX_MISSING, MAX_PIECES};
+use crate::message::{Delta, Message, Piece, Request, ResponseHeader, Table, MAX_MISSING, MAX_PIECES};
 use crate::part::Part;
 
 /// Longest name of a zone or kind that is told on (bytes).
 pub const MAX_NAME_BYTES: usize = 200;
 /// Asks of time without a word after which a router is forgotten (count).
-pub(crate) const EXPIRE_ASKS: u64 = 10;
+pub(crate) const EXPIRY_REQUESTS: u64 = 10;
 /// A relay that did nothing for so long stood still (ns): what waits for it is old, and nobody says how old.
 pub const MIN_PAUSE_NS: u64 = 1_000_000_000;
 /// The least that a relay sends in a second where it must (datagrams), and the part of a second's that it sends at once.
 const MIN_BUDGET_PER_S: u64 = 2_000;
-const BURST_PART: f64 = 0.05;
+const BURST_FRACTION: f64 = 0.05;
 
 /// What a relay is set up with.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,14 +41,14 @@
 impl RelaySettings {
     /// Datagrams that it sends in a second at most: twice what all routers ask for, if it is the only relay left.
     pub fn budget_per_s(&self) -> u64 {
-        let asks = u64::from(self.routers).saturating_mul(1_000_000_000) / self.ask_ns.max(1);
-        (2 * asks).max(MIN_BUDGET_PER_S)
+        let requests = u64::from(self.routers).saturating_mul(1_000_000_000) / self.ask_ns.max(1);
+        (2 * requests).max(MIN_BUDGET_PER_S)
     }
 }
 
 /// A part as it is told.
 #[derive(Clone, Debug)]
-struct Told {
+struct PublishedPart {
     part: Part,
     tables: Vec<Table>,
     /// Routers of it (count).
@@ -57,76 +57,76 @@
 
 /// A change of a part.
 #[derive(Clone, Debug)]
-struct Step {
+struct PartDelta {
     from: Digest,
     to: Digest,
     table: Table,
-    gone: Vec<u64>,
+    removed: Vec<u64>,
 }
 
 /// An answer that is owed.
 #[derive(Clone, Debug)]
-struct Owed {
+struct PendingResponse {
     /// Of the part that is being sent, the pieces still to go; none before the first.
-    rest: Option<(Digest, VecDeque<u16>)>,
-    have: Option<Digest>,
-    least: Option<u64>,
+    remaining: Option<(Digest, VecDeque<u16>)>,
+    held_digest: Option<Digest>,
+    min_version: Option<u64>,
     missing: Option<(Digest, Vec<u16>)>,
 }
 
 /// A router that asks.
 #[derive(Clone, Debug)]
-struct Client {
+struct Subscription {
     incarnation: u64,
     sequence: u64,
     cell: CellId,
-    heard_ns: u64,
-    change: Option<Rc<Step>>,
-    owed: Option<Owed>,
+    last_request_ns: u64,
+    pending_delta: Option<Rc<PartDelta>>,
+    pending_response: Option<PendingResponse>,
 }
 
 /// The list as the service told it.
 #[derive(Clone, Debug, Default)]
-struct List {
+struct EngineList {
     zones: BTreeMap<Option<Arc<str>>, BTreeMap<u64, Engine>>,
     zone_of: BTreeMap<u64, Option<Arc<str>>>,
     version: u64,
-    whole: bool,
+    is_complete: bool,
 }
 
 /// When the list service was heard.
 #[derive(Clone, Debug, Default)]
-struct Hearing {
-    heard_ns: Option<u64>,
-    ticked_ns: u64,
+struct ServiceContact {
+    contact_ns: Option<u64>,
+    last_active_ns: u64,
     /// Until when what comes counts as heard no later than it stood still (ns).
-    doubt_until_ns: u64,
+    untrusted_until_ns: u64,
 }
 
 /// What may be sent now.
 #[derive(Clone, Debug)]
-struct Budget {
+struct TokenBucket {
     per_s: f64,
     tokens: f64,
-    at_ns: u64,
+    refilled_ns: u64,
 }
 
-impl Budget {
-    fn new(now: u64, per_s: f64) -> Budget {
-        Budget { per_s, tokens: per_s * BURST_PART, at_ns: now }
+impl TokenBucket {
+    fn new(now: u64, per_s: f64) -> TokenBucket {
+        TokenBucket { per_s, tokens: per_s * BURST_FRACTION, refilled_ns: now }
     }
 
-    fn pass(&mut self, now: u64) {
-        let passed = now.saturating_sub(self.at_ns) as f64 / 1e9;
-        self.tokens = (self.tokens + self.per_s * passed).min((self.per_s * BURST_PART).max(1.0));
-        self.at_ns = self.at_ns.max(now);
+    fn refill(&mut self, now: u64) {
+        let elapsed_s = now.saturating_sub(self.refilled_ns) as f64 / 1e9;
+        self.tokens = (self.tokens + self.per_s * elapsed_s).min((self.per_s * BURST_FRACTION).max(1.0));
+        self.refilled_ns = self.refilled_ns.max(now);
     }
 
     /// Takes one datagram's part; whether there was one.
-    fn take(&mut self) -> bool {
-        let has = self.tokens >= 1.0;
-        self.tokens -= f64::from(u8::from(has));
-        has
+    fn try_take(&mut self) -> bool {
+        let available = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(available));
+        available
     }
 }
 
@@ -134,14 +134,14 @@
 #[derive(Clone, Debug)]
 pub struct Relay {
     settings: RelaySettings,
-    list: List,
-    hearing: Hearing,
-    parts: BTreeMap<CellId, Told>,
-    clients: BTreeMap<SocketAddr, Client>,
-    changes: VecDeque<SocketAddr>,
-    answers: VecDeque<SocketAddr>,
-    budget: Budget,
-    passed: Passed,
+    list: EngineList,
+    service: ServiceContact,
+    parts: BTreeMap<CellId, PublishedPart>,
+    subscriptions: BTreeMap<SocketAddr, Subscription>,
+    delta_queue: VecDeque<SocketAddr>,
+    response_queue: VecDeque<SocketAddr>,
+    budget: TokenBucket,
+    rejected: RejectedMessages,
     counters: RelayCounters,
 }
 
@@ -149,15 +149,15 @@
     /// A relay that knows no list yet.
     pub fn new(now: u64, settings: RelaySettings) -> Relay {
         Relay {
-            budget: Budget::new(now, settings.budget_per_s() as f64),
+            budget: TokenBucket::new(now, settings.budget_per_s() as f64),
             settings,
-            list: List::default(),
-            hearing: Hearing { ticked_ns: now, ..Hearing::default() },
+            list: EngineList::default(),
+            service: ServiceContact { last_active_ns: now, ..ServiceContact::default() },
             parts: BTreeMap::new(),
-            clients: BTreeMap::new(),
-            changes: VecDeque::new(),
-            answers: VecDeque::new(),
-            passed: Passed::default(),
+            subscriptions: BTreeMap::new(),
+            delta_queue: VecDeque::new(),
+            response_queue: VecDeque::new(),
+            rejected: RejectedMessages::default(),
             counters: RelayCounters::default(),
         }
     }
@@ -174,12 +174,12 @@
 
     /// Routers that it knows (count).
     pub fn routers(&self) -> usize {
-        self.clients.len()
+        self.subscriptions.len()
     }
 
     /// Whether it has learned a whole list and heard the service.
     pub fn is_ready(&self) -> bool {
-        self.list.whole && self.hearing.heard_ns.is_some()
+        self.list.is_complete && self.service.contact_ns.is_some()
     }
 
     /// How often what happened.
@@ -188,155 +188,174 @@
     }
 
     /// Messages that were passed over.
-    pub fn passed(&self) -> &Passed {
-        &self.passed
+    pub fn rejected(&self) -> &RejectedMessages {
+        &self.rejected
     }
 
     /// Counts a datagram that can't be read.
     pub fn record_undecodable(&mut self, from: SocketAddr) {
-        self.passed.count(Reason::Spoilt, from);
+        self.rejected.count(RejectReason::Invalid, from);
     }
 
     /// Takes news of the list, which is at this version then: a whole list in place of all, or engines that changed.
-    pub fn apply_update(&mut self, version: u64, whole: bool, engines: Vec<Engine>) {
+    pub fn apply_update(&mut self, version: u64, is_full: bool, engines: Vec<Engine>) {
         self.list.version = version;
-        let mut touched = BTreeSet::new();
-        if whole {
-            touched.extend(std::mem::take(&mut self.list.zones).into_keys());
+        let mut changed_zones = BTreeSet::new();
+        if is_full {
+            changed_zones.extend(std::mem::take(&mut self.list.zones).into_keys());
             self.list.zone_of.clear();
-            self.list.whole = true;
+            self.list.is_complete = true;
         }
         for engine in engines {
             let names = [&engine.zone, &engine.kind];
             if names.into_iter().flatten().any(|name| name.len() > MAX_NAME_BYTES) {
-                self.passed.count(Reason::Engine, engine.address);
+                self.rejected.count(RejectReason::InvalidEngine, engine.address);
                 continue;
             }
-            touched.extend(self.list.take(engine));
+            changed_zones.extend(self.list.insert(engine));
         }
-        let touches = |cell: &&CellId| match &cell.zone {
-            None => !touched.is_empty(),
-            Some(zone) => touched.contains(&Some(Arc::from(zone.as_str()))),
+        let is_affected = |cell: &&CellId| match &cell.zone {
+            None => !changed_zones.is_empty(),
+            Some(zone) => changed_zones.contains(&Some(Arc::from(zone.as_str()))),
         };
-        let cells: Vec<CellId> = self.parts.keys().filter(touches).cloned().collect();
-        cells.into_iter().for_each(|cell| self.compute(&cell));
+        let cells: Vec<CellId> = self.parts.keys().filter(is_affected).cloned().collect();
+        cells.into_iter().for_each(|cell| self.rebuild_part(&cell));
     }
 
     /// The service was heard so long ago (ns).
     pub fn heard(&mut self, now: u64, age_ns: u64) {
-        self.wake(now);
+        self.detect_pause(now);
         // In doubt also before it was ever heard: what waited tells nothing of now.
-        if now >= self.hearing.doubt_until_ns {
-            self.hearing.heard_ns = self.hearing.heard_ns.max(Some(now.saturating_sub(age_ns)));
+        if now >= self.service.untrusted_until_ns {
+            self.service.contact_ns = self.service.contact_ns.max(Some(now.saturating_sub(age_ns)));
         }
     }
 
     /// Guards against old news that waited while the process stood still: what comes first as it wakes is not fresh. All that
     /// waited is taken to be read within the silence bound.
-    fn wake(&mut self, now: u64) {
-        if now.saturating_sub(self.hearing.ticked_ns) >= MIN_PAUSE_NS {
-            self.hearing.doubt_until_ns = now + self.settings.silence_ns;
+    fn detect_pause(&mut self, now: u64) {
+        if now.saturating_sub(self.service.last_active_ns) >= MIN_PAUSE_NS {
+            self.service.untrusted_until_ns = now + self.settings.silence_ns;
         }
-        self.hearing.ticked_ns = self.hearing.ticked_ns.max(now);
+        self.service.last_active_ns = self.service.last_active_ns.max(now);
     }
 
     /// Takes a router's message.
     pub fn receive(&mut self, now: u64, from: SocketAddr, message: Message) {
-        self.wake(now);
-        let Message::Ask(ask) = message else {
-            return self.passed.count(Reason::OtherRouter, from);
+        self.detect_pause(now);
+        let Message::Request(request) = message else {
+            return self.rejected.count(RejectReason::WrongRecipient, from);
         };
-        self.counters.asks += 1;
-        if ask.cell.cells == 0 || ask.cell.zone.as_ref().is_some_and(|zone| zone.len() > MAX_NAME_BYTES) {
-            return self.passed.count(Reason::Spoilt, from);
+        self.counters.requests += 1;
+        if request.cell.cells == 0
+            || request.cell.zone.as_ref().is_some_and(|zone| zone.len() > MAX_NAME_BYTES)
+        {
+            return self.rejected.count(RejectReason::Invalid, from);
         }
-        match self.clients.get(&from).map(|known| (known.incarnation, known.sequence)) {
+        match self.subscriptions.get(&from).map(|latest| (latest.incarnation, latest.sequence)) {
             // An ask that was overtaken, or doubled on its way.
-            Some(known) if known >= (ask.incarnation, ask.sequence) => {
-                return self.passed.count(Reason::OtherAsk, from);
+            Some(latest) if latest >= (request.incarnation, request.sequence) => {
+                return self.rejected.count(RejectReason::UnknownRequest, from);
             }
-            None if self.clients.len() >= 2 * self.settings.routers as usize => {
-                return self.passed.count(Reason::Full, from);
+            None if self.subscriptions.len() >= 2 * self.settings.routers as usize => {
+                return self.rejected.count(RejectReason::TooManyRouters, from);
             }
             _ => {}
         }
-        self.owe(now, from, ask);
+        self.enqueue_response(now, from, request);
     }
 
-    fn owe(&mut self, now: u64, from: SocketAddr, ask: Ask) {
-        let Ask { incarnation, sequence, cell, have, least, missing } = ask;
+    fn enqueue_response(&mut self, now: u64, from: SocketAddr, request: Request) {
+        let Request { incarnation, sequence, cell, held_digest, min_version, missing } = request;
         let missing = missing.map(|(digest, all)| (digest, all.into_iter().take(MAX_MISSING).collect()));
-        let owed = Some(Owed { rest: None, have, least, missing });
-        let before = self.clients.remove(&from);
-        let moved = before.as_ref().is_none_or(|before| before.cell != cell);
-        if let Some(left) = before.as_ref().filter(|_| moved) {
-            self.release(&left.cell.clone());
+        let pending_response = Some(PendingResponse { remaining: None, held_digest, min_version, missing });
+        let previous = self.subscriptions.remove(&from);
+        let cell_changed = previous.as_ref().is_none_or(|previous| previous.cell != cell);
+        if let Some(old) = previous.as_ref().filter(|_| cell_changed) {
+            self.release_part(&old.cell.clone());
         }
-        if moved {
-            self.join(&cell);
+        if cell_changed {
+            self.acquire_part(&cell);
         }
-        if before.as_ref().is_none_or(|before| before.owed.is_none()) {
-            self.answers.push_back(from);
+        if previous.as_ref().is_none_or(|previous| previous.pending_response.is_none()) {
+            self.response_queue.push_back(from);
         }
-        let change = before
-            .filter(|before| before.incarnation == incarnation && !moved)
-            .and_then(|before| before.change);
-        self.clients.insert(from, Client { incarnation, sequence, cell, heard_ns: now, change, owed });
+        let pending_delta = previous
+            .filter(|previous| previous.incarnation == incarnation && !cell_changed)
+            .and_then(|previous| previous.pending_delta);
+        self.subscriptions.insert(
+            from,
+            Subscription {
+                incarnation,
+                sequence,
+                cell,
+                last_request_ns: now,
+                pending_delta,
+                pending_response,
+            },
+        );
     }
 
-    fn join(&mut self, cell: &CellId) {
+    fn acquire_part(&mut self, cell: &CellId) {
         if !self.parts.contains_key(cell) {
-            let told = self.told(cell);
-            self.parts.insert(cell.clone(), told);
+            let published = self.build_part(cell);
+            self.parts.insert(cell.clone(), published);
         }
-        self.parts.entry(cell.clone()).and_modify(|told| told.routers += 1);
+        self.parts.entry(cell.clone()).and_modify(|published| published.routers += 1);
     }
 
-    fn release(&mut self, cell: &CellId) {
-        if let Some(told) = self.parts.get_mut(cell) {
-            told.routers -= 1;
-            if told.routers == 0 {
+    fn release_part(&mut self, cell: &CellId) {
+        if let Some(published) = self.parts.get_mut(cell) {
+            published.routers -= 1;
+            if published.routers == 0 {
                 self.parts.remove(cell);
             }
         }
     }
 
-    fn told(&mut self, cell: &CellId) -> Told {
-        self.counters.parts += 1;
+    fn build_part(&mut self, cell: &CellId) -> PublishedPart {
+        self.counters.parts_built += 1;
         let part = Part::new(self.list.of_cell(cell).cloned());
         let tables = Table::pack(part.engines());
-        Told { part, tables, routers: 0 }
+        PublishedPart { part, tables, routers: 0 }
     }
 
     /// Computes a cell's part anew, and owes its routers the change.
-    fn compute(&mut self, cell: &CellId) {
-        let mut told = self.told(cell);
-        let Some(before) = self.parts.get_mut(cell) else { return };
-        told.routers = before.routers;
-        let before = std::mem::replace(before, told);
-        let Some(after) = self.parts.get(cell).map(|told| &told.part) else { return };
-        if after.digest() == before.part.digest() {
+    fn rebuild_part(&mut self, cell: &CellId) {
+        let mut published = self.build_part(cell);
+        let Some(previous) = self.parts.get_mut(cell) else { return };
+        published.routers = previous.routers;
+        let previous = std::mem::replace(previous, published);
+        let Some(after) = self.parts.get(cell).map(|published| &published.part) else { return };
+        if after.digest() == previous.part.digest() {
             return;
         }
-        let (changed, gone) = after.since(&before.part);
+        let (changed, removed) = after.diff_from(&previous.part);
         let mut tables = Table::pack(changed);
         let table = tables.swap_remove(0);
-        let fits = tables.is_empty() && table.fits_with_removed(gone.len());
-        let step = Step { from: before.part.digest(), to: after.digest(), table, gone };
-        let step = fits.then(|| Rc::new(step));
-        for (address, client) in self.clients.iter_mut().filter(|(_, client)| client.cell == *cell) {
-            let waiting = client.change.is_some();
-            match (&step, waiting) {
-                (Some(step), false) => {
-                    client.change = Some(step.clone());
-                    self.changes.push_back(*address);
+        let fits = tables.is_empty() && table.fits_with_removed(removed.len());
+        let part_delta = PartDelta { from: previous.part.digest(), to: after.digest(), table, removed };
+        let part_delta = fits.then(|| Rc::new(part_delta));
+        for (address, subscription) in
+            self.subscriptions.iter_mut().filter(|(_, subscription)| subscription.cell == *cell)
+        {
+            let has_unsent_delta = subscription.pending_delta.is_some();
+            match (&part_delta, has_unsent_delta) {
+                (Some(part_delta), false) => {
+                    subscription.pending_delta = Some(part_delta.clone());
+                    self.delta_queue.push_back(*address);
                 }
                 // What fits no datagram, or follows on one that was not sent yet, is answered as if asked for.
                 _ => {
-                    client.change = None;
-                    if client.owed.is_none() {
-                        client.owed = Some(Owed { rest: None, have: None, least: None, missing: None });
-                        self.answers.push_back(*address);
+                    subscription.pending_delta = None;
+                    if subscription.pending_response.is_none() {
+                        subscription.pending_response = Some(PendingResponse {
+                            remaining: None,
+                            held_digest: None,
+                            min_version: None,
+                            missing: None,
+                        });
+                        self.response_queue.push_back(*address);
                     }
                 }
             }
@@ -345,19 +364,19 @@
 
     /// Passes time; gives what is to be sent.
     pub fn tick(&mut self, now: u64) -> Vec<(SocketAddr, Message)> {
-        self.wake(now);
-        self.budget.pass(now);
+        self.detect_pause(now);
+        self.budget.refill(now);
         self.expire(now);
         let mut out = Vec::new();
         if !self.is_ready() {
-            self.changes.clear();
-            self.clients.values_mut().for_each(|client| client.change = None);
+            self.delta_queue.clear();
+            self.subscriptions.values_mut().for_each(|subscription| subscription.pending_delta = None);
         }
         while self.budget.tokens >= 1.0 {
-            if let Some(to) = self.changes.pop_front() {
-                self.send_change(to, &mut out);
-            } else if let Some(to) = self.answers.pop_front() {
-                self.send_answer(now, to, &mut out);
+            if let Some(to) = self.delta_queue.pop_front() {
+                self.send_delta(to, &mut out);
+            } else if let Some(to) = self.response_queue.pop_front() {
+                self.send_response(now, to, &mut out);
             } else {
                 break;
             }
@@ -367,103 +386,116 @@
     }
 
     fn expire(&mut self, now: u64) {
-        let old = EXPIRE_ASKS.saturating_mul(self.settings.ask_ns);
-        let gone = |(_, client): &(&SocketAddr, &Client)| now > client.heard_ns.saturating_add(old);
-        let gone: Vec<SocketAddr> = self.clients.iter().filter(gone).map(|(address, _)| *address).collect();
-        for address in gone {
-            if let Some(client) = self.clients.remove(&address) {
-                self.release(&client.cell);
+        let expiry_ns = EXPIRY_REQUESTS.saturating_mul(self.settings.ask_ns);
+        let is_expired = |(_, subscription): &(&SocketAddr, &Subscription)| {
+            now > subscription.last_request_ns.saturating_add(expiry_ns)
+        };
+        let expired: Vec<SocketAddr> =
+            self.subscriptions.iter().filter(is_expired).map(|(address, _)| *address).collect();
+        for address in expired {
+            if let Some(subscription) = self.subscriptions.remove(&address) {
+                self.release_part(&subscription.cell);
             }
         }
     }
 
-    fn send_change(&mut self, to: SocketAddr, out: &mut Vec<(SocketAddr, Message)>) {
-        let Some(client) = self.clients.get_mut(&to) else { return };
-        let Some(step) = client.change.take() else { return };
+    fn send_delta(&mut self, to: SocketAddr, out: &mut Vec<(SocketAddr, Message)>) {
+        let Some(subscription) = self.subscriptions.get_mut(&to) else { return };
+        let Some(part_delta) = subscription.pending_delta.take() else { return };
         let delta = Delta {
-            incarnation: client.incarnation,
-            cell: client.cell.hash(),
+            incarnation: subscription.incarnation,
+            cell: subscription.cell.hash(),
             version: self.list.version,
-            from: step.from,
-            to: step.to,
-            table: step.table.clone(),
-            gone: step.gone.clone(),
+            from: part_delta.from,
+            to: part_delta.to,
+            table: part_delta.table.clone(),
+            removed: part_delta.removed.clone(),
         };
-        self.budget.take();
+        self.budget.try_take();
         self.counters.deltas += 1;
         out.push((to, Message::Delta(delta)));
     }
 
-    fn send_answer(&mut self, now: u64, to: SocketAddr, out: &mut Vec<(SocketAddr, Message)>) {
+    fn send_response(&mut self, now: u64, to: SocketAddr, out: &mut Vec<(SocketAddr, Message)>) {
         let ready = self.is_ready();
-        let heard_ns = self.hearing.heard_ns.unwrap_or(0);
+        let contact_ns = self.service.contact_ns.unwrap_or(0);
         let version = self.list.version;
-        let Some(client) = self.clients.get_mut(&to) else { return };
-        let (Some(mut owed), Some(told)) = (client.owed.take(), self.parts.get(&client.cell)) else { return };
-        let answer = Answer {
-            incarnation: client.incarnation,
-            sequence: client.sequence,
-            cell: client.cell.hash(),
+        let Some(subscription) = self.subscriptions.get_mut(&to) else { return };
+        let (Some(mut pending_response), Some(published)) =
+            (subscription.pending_response.take(), self.parts.get(&subscription.cell))
+        else {
+            return;
+        };
+        let header = ResponseHeader {
+            incarnation: subscription.incarnation,
+            sequence: subscription.sequence,
+            cell: subscription.cell.hash(),
             version,
-            contact_age_ms: now.saturating_sub(heard_ns).div_ceil(1_000_000),
+            contact_age_ms: now.saturating_sub(contact_ns).div_ceil(1_000_000),
         };
-        let short = match (ready, told.tables.len() <= usize::from(MAX_PIECES)) {
-            (false, _) | (_, false) => Some(Message::NotReady(answer)),
-            _ if owed.least.is_some_and(|least| version < least) => Some(Message::Behind(answer)),
-            _ if owed.have == Some(told.part.digest()) => Some(Message::Same(answer)),
+        let reply = match (ready, published.tables.len() <= usize::from(MAX_PIECES)) {
+            (false, _) | (_, false) => Some(Message::NotReady(header)),
+            _ if pending_response.min_version.is_some_and(|min_version| version < min_version) => {
+                Some(Message::Behind(header))
+            }
+            _ if pending_response.held_digest == Some(published.part.digest()) => {
+                Some(Message::Unchanged(header))
+            }
             _ => None,
         };
-        if let Some(message) = short {
-            self.budget.take();
+        if let Some(message) = reply {
+            self.budget.try_take();
             return out.push((to, message));
         }
-        let mut rest = owed.pieces_of(told);
-        let (digest, of) = (told.part.digest(), told.tables.len() as u16);
-        rest.retain(|at| *at < of);
-        while !rest.is_empty() && self.budget.take() {
-            let Some(at) = rest.pop_front() else { break };
-            let Some(table) = told.tables.get(usize::from(at)) else { continue };
-            out.push((to, Message::Piece(Piece { answer, digest, at, of, table: table.clone() })));
+        let mut remaining = pending_response.take_remaining(published);
+        let (digest, count) = (published.part.digest(), published.tables.len() as u16);
+        remaining.retain(|index| *index < count);
+        while !remaining.is_empty() && self.budget.try_take() {
+            let Some(index) = remaining.pop_front() else { break };
+            let Some(table) = published.tables.get(usize::from(index)) else { continue };
+            out.push((to, Message::Piece(Piece { header, digest, index, count, table: table.clone() })));
         }
-        if !rest.is_empty() {
-            owed.rest = Some((told.part.digest(), rest));
-            client.owed = Some(owed);
-            self.answers.push_front(to);
+        if !remaining.is_empty() {
+            pending_response.remaining = Some((published.part.digest(), remaining));
+            subscription.pending_response = Some(pending_response);
+            self.response_queue.push_front(to);
         }
     }
 
     /// Counters, as one line.
     pub fn line(&self) -> String {
-        let RelayCounters { asks, sent, parts, deltas } = self.counters;
-        let passed: String =
-            self.passed.all().map(|(name, count)| format!(" cells_passed_{name}={count}")).collect();
+        let RelayCounters { requests, sent, parts_built, deltas } = self.counters;
+        let rejected: String =
+            self.rejected.iter().map(|(name, count)| format!(" cells_passed_{name}={count}")).collect();
         format!(
-            "cells_routers={} cells_version={} cells_ready={} cells_asks={asks} cells_sent={sent} cells_parts={parts} \
-             cells_deltas={deltas}{passed}",
-            self.clients.len(),
+            "cells_routers={} cells_version={} cells_ready={} cells_asks={requests} cells_sent={sent} cells_parts={parts_built} \
+             cells_deltas={deltas}{rejected}",
+            self.subscriptions.len(),
             self.list.version,
             u8::from(self.is_ready()),
         )
     }
 }
 
-impl Owed {
+impl PendingResponse {
     /// Numbers of the pieces to be sent, as the part is now.
-    fn pieces_of(&mut self, told: &Told) -> VecDeque<u16> {
-        let digest = told.part.digest();
-        match (self.rest.take(), self.missing.take()) {
-            (Some((of, rest)), _) if of == digest => rest,
-            (None, Some((of, missing))) if of == digest && !missing.is_empty() => missing.into(),
-            _ => (0..told.tables.len() as u16).collect(),
+    fn take_remaining(&mut self, published: &PublishedPart) -> VecDeque<u16> {
+        let digest = published.part.digest();
+        match (self.remaining.take(), self.missing.take()) {
+            (Some((part_digest, remaining)), _) if part_digest == digest => remaining,
+            (None, Some((part_digest, missing))) if part_digest == digest && !missing.is_empty() => {
+                missing.into()
+            }
+            _ => (0..published.tables.len() as u16).collect(),
         }
     }
 }
 
-impl List {
+impl EngineList {
     /// Takes one engine; gives the zones that it was in and is in.
-    fn take(&mut self, engine: Engine) -> Vec<Option<Arc<str>>> {
-        let before = self.zone_of.remove(&engine.id);
-        if let Some(engines) = before.as_ref().and_then(|zone| self.zones.get_mut(zone)) {
+    fn insert(&mut self, engine: Engine) -> Vec<Option<Arc<str>>> {
+        let previous = self.zone_of.remove(&engine.id);
+        if let Some(engines) = previous.as_ref().and_then(|zone| self.zones.get_mut(zone)) {
             engines.remove(&engine.id);
         }
         let zone = engine.zone.clone();
@@ -471,13 +503,13 @@
             self.zone_of.insert(engine.id, zone.clone());
             self.zones.entry(zone.clone()).or_default().insert(engine.id, engine);
         }
-        before.into_iter().chain([zone]).collect()
+        previous.into_iter().chain([zone]).collect()
     }
 
     /// The engines of a cell.
     fn of_cell<'a>(&'a self, cell: &'a CellId) -> impl Iterator<Item = &'a Engine> {
-        let one = cell.zone.as_deref().map(|zone| Some(Arc::from(zone)));
-        let zones: Vec<&BTreeMap<u64, Engine>> = match one {
+        let zone_key = cell.zone.as_deref().map(|zone| Some(Arc::from(zone)));
+        let zones: Vec<&BTreeMap<u64, Engine>> = match zone_key {
             Some(zone) => self.zones.get(&zone).into_iter().collect(),
             None => self.zones.values().collect(),
         };
--- a/crates/cells/src/order.rs
+++ b/crates/cells/src/relay_selector.rs
@@ -6,32 +6,32 @@
 use crate::engine::split_address;
 
 /// A relay that failed is left alone for so many asks at first, and twice as long each further time, up to the second (asks).
-const AVOID_ASKS: u64 = 10;
-const MAX_AVOID_ASKS: u64 = 80;
+const INITIAL_BACKOFF_REQUESTS: u64 = 10;
+const MAX_BACKOFF_REQUESTS: u64 = 80;
 
 #[derive(Clone, Debug)]
 struct Candidate {
     address: SocketAddr,
-    avoid_until_ns: u64,
+    backoff_until_ns: u64,
     failures: u32,
 }
 
 /// The relays in a router's own order, by rendezvous hash: relays have about as many routers each, and those of one that is gone
 /// spread over all others.
 #[derive(Clone, Debug)]
-pub(crate) struct Order {
+pub(crate) struct RelaySelector {
     relays: Vec<Candidate>,
     current: usize,
     ask_ns: u64,
 }
 
-impl Order {
-    pub(crate) fn new(router: u64, relays: &[SocketAddr], ask_ns: u64) -> Order {
+impl RelaySelector {
+    pub(crate) fn new(router: u64, relays: &[SocketAddr], ask_ns: u64) -> RelaySelector {
         let mut ranked: Vec<(u64, SocketAddr)> = relays.iter().map(|at| (rank(router, *at), *at)).collect();
         ranked.sort_unstable();
         ranked.dedup();
-        let candidate = |(_, address)| Candidate { address, avoid_until_ns: 0, failures: 0 };
-        Order { relays: ranked.into_iter().map(candidate).collect(), current: 0, ask_ns }
+        let candidate = |(_, address)| Candidate { address, backoff_until_ns: 0, failures: 0 };
+        RelaySelector { relays: ranked.into_iter().map(candidate).collect(), current: 0, ask_ns }
     }
 
     /// The relay that is asked now; none where there are none.
@@ -49,35 +49,35 @@
 
     /// Leaves the current relay for the first that is not left alone, or else for the next; whether the new one is not left
     /// alone.
-    pub(crate) fn leave(&mut self, now: u64) -> bool {
-        let left = self.current;
-        self.avoid(now, left);
-        let free = |at: &usize| *at != left && self.relays[*at].avoid_until_ns <= now;
-        let first = (0..self.relays.len()).find(free);
-        self.current = first.unwrap_or((left + 1) % self.relays.len().max(1));
+    pub(crate) fn fail_over(&mut self, now: u64) -> bool {
+        let failed = self.current;
+        self.back_off(now, failed);
+        let available = |at: &usize| *at != failed && self.relays[*at].backoff_until_ns <= now;
+        let first = (0..self.relays.len()).find(available);
+        self.current = first.unwrap_or((failed + 1) % self.relays.len().max(1));
         first.is_some()
     }
 
-    fn avoid(&mut self, now: u64, at: usize) {
+    fn back_off(&mut self, now: u64, at: usize) {
         let ask_ns = self.ask_ns;
         if let Some(relay) = self.relays.get_mut(at) {
-            let asks = (AVOID_ASKS << relay.failures.min(8)).min(MAX_AVOID_ASKS);
-            relay.avoid_until_ns = now.saturating_add(asks.saturating_mul(ask_ns));
+            let requests = (INITIAL_BACKOFF_REQUESTS << relay.failures.min(8)).min(MAX_BACKOFF_REQUESTS);
+            relay.backoff_until_ns = now.saturating_add(requests.saturating_mul(ask_ns));
             relay.failures += 1;
         }
     }
 
     /// A relay before the current one that may be tried again; it is left alone from here on until it answers.
-    pub(crate) fn better(&mut self, now: u64) -> Option<SocketAddr> {
-        let at = (0..self.current).find(|at| self.relays[*at].avoid_until_ns <= now)?;
-        self.avoid(now, at);
+    pub(crate) fn retry_preferred(&mut self, now: u64) -> Option<SocketAddr> {
+        let at = (0..self.current).find(|at| self.relays[*at].backoff_until_ns <= now)?;
+        self.back_off(now, at);
         Some(self.relays[at].address)
     }
 
     /// A relay has answered well: it is the current one where it stands before that, and is left alone no more.
-    pub(crate) fn answered(&mut self, relay: SocketAddr) {
+    pub(crate) fn record_response(&mut self, relay: SocketAddr) {
         if let Some(at) = self.relays.iter().position(|candidate| candidate.address == relay) {
-            self.relays[at].avoid_until_ns = 0;
+            self.relays[at].backoff_until_ns = 0;
             self.relays[at].failures = 0;
             self.current = self.current.min(at);
         }
--- a/crates/cells/src/subscriber.rs
+++ b/crates/cells/src/subscriber.rs
@@ -12,28 +12,28 @@
 
 use log::{info, warn};
 
-use crate::anew::Anew;
-use crate::asking::{Asking, Open};
-use crate::assembly::{Assembly, Key};
+use crate::assembly::{Assembly, AssemblyKey};
 use crate::cell::CellId;
-use crate::counters::{Passed, Reason, SubscriberCounters};
+use crate::counters::{RejectReason, RejectedMessages, SubscriberCounters};
 use crate::digest::Digest;
 use crate::engine::Engine;
-use crate::message::{Answer, Ask, Delta, Message, Piece};
-use crate::order::Order;
+use crate::jitter::Jitter;
+use crate::message::{Delta, Message, Piece, Request, ResponseHeader};
 use crate::part::Part;
-use crate::schedule::Draws;
+use crate::relay_selector::RelaySelector;
+use crate::request_tracker::{PendingRequest, RequestTracker};
+use crate::restart_detector::RestartDetector;
 
 /// Asks without an answer after which a relay is left (count).
 pub const MAX_UNANSWERED: u32 = 3;
 /// An ask without an answer is repeated after this part of the interval.
-pub(crate) const REPEAT_PART: u64 = 4;
+pub(crate) const RETRY_DIVISOR: u64 = 4;
 /// Asks in a row without any answer that are repeated soon, besides one to each relay (count).
-const QUICK_ASKS: u32 = 12;
+const MIN_QUICK_RETRIES: u32 = 12;
 /// The least time between asks is this part of the interval.
-pub(crate) const SOON_PART: u64 = 10;
+pub(crate) const MIN_INTERVAL_DIVISOR: u64 = 10;
 /// Answers in a row that are old, after which a relay is left (count): one may be an event behind for a moment.
-const MAX_OLD: u32 = 2;
+const MAX_OUTDATED_RESPONSES: u32 = 2;
 
 /// What a subscriber is set up with.
 #[derive(Clone, Debug, PartialEq)]
@@ -71,47 +71,47 @@
 
 /// What is known.
 #[derive(Clone, Debug)]
-struct Known {
+struct HeldPart {
     part: Part,
     version: u64,
     /// As of when it is known to be right (ns).
-    fresh_ns: u64,
+    confirmed_ns: u64,
     /// When its version was learned (ns).
-    learned_ns: u64,
+    version_learned_ns: u64,
 }
 
 /// A router's part of the list, and what it takes to keep it.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
     settings: SubscriberSettings,
-    order: Order,
-    draws: Draws,
-    known: Option<Known>,
+    selector: RelaySelector,
+    jitter: Jitter,
+    held: Option<HeldPart>,
     assembly: Option<Assembly>,
-    anew: Anew,
-    asking: Asking,
-    passed: Passed,
+    restart_detector: RestartDetector,
+    tracker: RequestTracker,
+    rejected: RejectedMessages,
     counters: SubscriberCounters,
     started_ns: u64,
-    warned: bool,
+    stale_warned: bool,
 }
 
 impl Subscriber {
     /// A subscriber that knows nothing yet.
     pub fn new(now: u64, settings: SubscriberSettings) -> Subscriber {
-        let mut draws = Draws::new(settings.seed);
-        let due_ns = now + draws.below(settings.spread_ns);
+        let mut jitter = Jitter::new(settings.seed);
+        let due_ns = now + jitter.below(settings.spread_ns);
         Subscriber {
-            order: Order::new(settings.router, &settings.relays, settings.ask_ns),
-            draws,
-            known: None,
+            selector: RelaySelector::new(settings.router, &settings.relays, settings.ask_ns),
+            jitter,
+            held: None,
             assembly: None,
-            anew: Anew::default(),
-            asking: Asking::new(due_ns),
-            passed: Passed::default(),
+            restart_detector: RestartDetector::default(),
+            tracker: RequestTracker::new(due_ns),
+            rejected: RejectedMessages::default(),
             counters: SubscriberCounters::default(),
             started_ns: now,
-            warned: false,
+            stale_warned: false,
             settings,
         }
     }
@@ -123,22 +123,22 @@
 
     /// The part that is known; none before the first was learned.
     pub fn part(&self) -> Option<&Part> {
-        self.known.as_ref().map(|known| &known.part)
+        self.held.as_ref().map(|held| &held.part)
     }
 
     /// The version of what is known.
     pub fn version(&self) -> Option<u64> {
-        self.known.as_ref().map(|known| known.version)
+        self.held.as_ref().map(|held| held.version)
     }
 
     /// How old what is known is, at most (ns); since the start where nothing is.
     pub fn age_ns(&self, now: u64) -> u64 {
-        now.saturating_sub(self.known.as_ref().map_or(self.started_ns, |known| known.fresh_ns))
+        now.saturating_sub(self.held.as_ref().map_or(self.started_ns, |held| held.confirmed_ns))
     }
 
     /// The relay that is asked now.
     pub fn relay(&self) -> Option<SocketAddr> {
-        self.order.current()
+        self.selector.current()
     }
 
     /// How often what happened.
@@ -147,98 +147,104 @@
     }
 
     /// Messages that were passed over.
-    pub fn passed(&self) -> &Passed {
-        &self.passed
+    pub fn rejected(&self) -> &RejectedMessages {
+        &self.rejected
     }
 
     /// When it has something to send next (ns).
     pub fn next_due_ns(&self) -> u64 {
-        self.asking.due_ns
+        self.tracker.due_ns
     }
 
     /// Counts a datagram that can't be read.
     pub fn record_undecodable(&mut self, from: SocketAddr) {
-        self.passed.count(Reason::Spoilt, from);
+        self.rejected.count(RejectReason::Invalid, from);
     }
 
     /// Passes time; gives what is to be sent.
     pub fn tick(&mut self, now: u64) -> Vec<(SocketAddr, Message)> {
-        self.warn_of_age(now);
-        if now < self.asking.due_ns {
+        self.check_staleness(now);
+        if now < self.tracker.due_ns {
             return Vec::new();
         }
         // Once one was left for its silence, each other is asked once in turn: any of them may be there.
-        let most = if self.asking.silent >= MAX_UNANSWERED { 1 } else { MAX_UNANSWERED };
-        if self.asking.unanswered >= most {
-            self.leave(now);
+        let max_unanswered =
+            if self.tracker.unanswered_overall >= MAX_UNANSWERED { 1 } else { MAX_UNANSWERED };
+        if self.tracker.unanswered >= max_unanswered {
+            self.fail_over(now);
         }
         // A relay that stands before the current one is asked beside it: guards against a router that goes back to one which does
         // not answer yet.
-        let asked: Vec<SocketAddr> = self.order.current().into_iter().chain(self.order.better(now)).collect();
+        let recipients: Vec<SocketAddr> =
+            self.selector.current().into_iter().chain(self.selector.retry_preferred(now)).collect();
         let mut out = Vec::new();
-        for relay in asked {
-            out.push((relay, self.ask(now, relay)));
+        for relay in recipients {
+            out.push((relay, self.build_request(now, relay)));
         }
-        self.asking.unanswered += 1;
-        self.asking.silent += 1;
-        self.asking.sent_ns = now;
-        self.asking.due_ns = now + self.wait_ns();
+        self.tracker.unanswered += 1;
+        self.tracker.unanswered_overall += 1;
+        self.tracker.sent_ns = now;
+        self.tracker.due_ns = now + self.retry_interval_ns();
         out
     }
 
     /// Time until the next ask, where no answer comes (ns): soon, until each relay was asked.
-    fn wait_ns(&mut self) -> u64 {
-        let part = if self.asking.silent < quick_asks(self.order.len()) { REPEAT_PART } else { 1 };
-        self.draws.about(self.settings.ask_ns / part)
+    fn retry_interval_ns(&mut self) -> u64 {
+        let part = if self.tracker.unanswered_overall < max_quick_retries(self.selector.len()) {
+            RETRY_DIVISOR
+        } else {
+            1
+        };
+        self.jitter.jittered(self.settings.ask_ns / part)
     }
 
-    fn ask(&mut self, now: u64, relay: SocketAddr) -> Message {
-        self.counters.asks += 1;
-        self.asking.sequence += 1;
-        let have = self.known.as_ref().map(|known| known.part.digest());
-        let open = Open { sequence: self.asking.sequence, relay, sent_ns: now, have };
-        self.asking.add(open);
-        let least = self.version().filter(|_| !self.believes_anew(now));
-        Message::Ask(Ask {
+    fn build_request(&mut self, now: u64, relay: SocketAddr) -> Message {
+        self.counters.requests += 1;
+        self.tracker.sequence += 1;
+        let held_digest = self.held.as_ref().map(|held| held.part.digest());
+        let pending = PendingRequest { sequence: self.tracker.sequence, relay, sent_ns: now, held_digest };
+        self.tracker.add(pending);
+        let min_version = self.version().filter(|_| !self.versions_restarted(now));
+        Message::Request(Request {
             incarnation: self.settings.incarnation,
-            sequence: self.asking.sequence,
+            sequence: self.tracker.sequence,
             cell: self.settings.cell.clone(),
-            have,
-            least,
-            missing: self.assembly.as_ref().map(|pieces| (pieces.key().digest, pieces.missing())),
+            held_digest,
+            min_version,
+            missing: self.assembly.as_ref().map(|assembly| (assembly.key().digest, assembly.missing())),
         })
     }
 
     /// Asks again soon: what is known may be behind.
-    fn ask_soon(&mut self, now: u64) {
-        let soon = (self.asking.sent_ns + self.settings.ask_ns / SOON_PART).max(now);
-        self.asking.due_ns = self.asking.due_ns.min(soon);
+    fn request_soon(&mut self, now: u64) {
+        let soon = (self.tracker.sent_ns + self.settings.ask_ns / MIN_INTERVAL_DIVISOR).max(now);
+        self.tracker.due_ns = self.tracker.due_ns.min(soon);
     }
 
-    fn leave(&mut self, now: u64) {
-        let from = self.order.current();
-        let free = self.order.leave(now);
-        self.counters.left += 1;
-        (self.asking.unanswered, self.asking.old) = (0, 0);
-        if free {
-            self.ask_soon(now);
+    fn fail_over(&mut self, now: u64) {
+        let from = self.selector.current();
+        let available = self.selector.fail_over(now);
+        self.counters.failovers += 1;
+        (self.tracker.unanswered, self.tracker.outdated) = (0, 0);
+        if available {
+            self.request_soon(now);
         }
-        if let (Some(from), Some(to)) = (from, self.order.current()) {
+        if let (Some(from), Some(to)) = (from, self.selector.current()) {
             // Each ask leaves one while none answers: only the first such times are of use.
-            if self.counters.left <= self.order.len() as u64 {
+            if self.counters.failovers <= self.selector.len() as u64 {
                 info!("the list: asks relay {to} in place of {from}");
             }
         }
     }
 
-    fn warn_of_age(&mut self, now: u64) {
+    fn check_staleness(&mut self, now: u64) {
         let age = self.age_ns(now);
         if age <= self.settings.stale_ns {
-            if std::mem::take(&mut self.warned) {
+            if std::mem::take(&mut self.stale_warned) {
                 info!("the list of this cell's engines is fresh again");
             }
-        } else if !std::mem::replace(&mut self.warned, true) {
-            self.counters.stale += 1;
+        } else if !std::mem::replace(&mut self.stale_warned, true) {
+            self.counters.stale_periods += 1;
             let age = age as f64 / 1e9;
             warn!("no relay has told of this cell's engines for {age:.1} s: what is known stays in force");
         }
@@ -246,257 +252,264 @@
 
     /// Takes a message from the relay at this address; gives what became known of the part.
     pub fn receive(&mut self, now: u64, from: SocketAddr, message: Message) -> Option<PartUpdate> {
-        if !self.order.contains(from) {
-            self.passed.count(Reason::Stranger, from);
+        if !self.selector.contains(from) {
+            self.rejected.count(RejectReason::UnknownSender, from);
             return None;
         }
         match message {
-            Message::Ask(_) => {
-                self.passed.count(Reason::OtherRouter, from);
+            Message::Request(_) => {
+                self.rejected.count(RejectReason::WrongRecipient, from);
                 None
             }
-            Message::Same(answer) => {
-                let open = self.answered(from, &answer)?;
-                self.same(now, open, &answer)
+            Message::Unchanged(header) => {
+                let pending = self.match_response(from, &header)?;
+                self.handle_unchanged(now, pending, &header)
             }
-            Message::Behind(answer) => {
-                let open = self.answered(from, &answer)?;
-                let hears = self.hears(now, from, &answer);
-                if self.may_follow(now, open, &answer, None, hears) {
-                    self.ask_soon(now);
+            Message::Behind(header) => {
+                let pending = self.match_response(from, &header)?;
+                let in_contact = self.check_contact(now, from, &header);
+                if self.accepts_state(now, pending, &header, None, in_contact) {
+                    self.request_soon(now);
                 }
                 None
             }
-            Message::NotReady(answer) => {
-                self.answered(from, &answer)?;
-                if self.order.current() == Some(from) {
-                    self.leave(now);
+            Message::NotReady(header) => {
+                self.match_response(from, &header)?;
+                if self.selector.current() == Some(from) {
+                    self.fail_over(now);
                 }
                 None
             }
             Message::Piece(piece) => {
-                let open = self.answered(from, &piece.answer)?;
-                self.piece(now, open, piece)
+                let pending = self.match_response(from, &piece.header)?;
+                self.handle_piece(now, pending, piece)
             }
-            Message::Delta(delta) => self.delta(now, from, delta),
+            Message::Delta(delta) => self.handle_delta(now, from, delta),
         }
     }
 
     /// The ask that an answer is to, where it is to one of this life and cell that is open.
-    fn answered(&mut self, from: SocketAddr, answer: &Answer) -> Option<Open> {
-        let reason = if answer.incarnation != self.settings.incarnation {
-            Reason::OtherIncarnation
-        } else if answer.cell != self.settings.cell.hash() {
-            Reason::OtherRouter
+    fn match_response(&mut self, from: SocketAddr, header: &ResponseHeader) -> Option<PendingRequest> {
+        let reason = if header.incarnation != self.settings.incarnation {
+            RejectReason::OtherIncarnation
+        } else if header.cell != self.settings.cell.hash() {
+            RejectReason::WrongRecipient
         } else {
-            if let Some(open) = self.asking.find(from, answer.sequence) {
-                self.heard(from);
-                return Some(open);
+            if let Some(pending) = self.tracker.find(from, header.sequence) {
+                self.record_contact(from);
+                return Some(pending);
             }
-            Reason::OtherAsk
+            RejectReason::UnknownRequest
         };
-        self.passed.count(reason, from);
+        self.rejected.count(reason, from);
         None
     }
 
     /// The relay that is asked now has said something.
-    fn heard(&mut self, from: SocketAddr) {
-        self.asking.silent = 0;
-        if self.order.current() == Some(from) && self.asking.unanswered > 0 {
-            self.asking.unanswered = 0;
-            self.asking.due_ns = self.asking.sent_ns + self.draws.about(self.settings.ask_ns);
+    fn record_contact(&mut self, from: SocketAddr) {
+        self.tracker.unanswered_overall = 0;
+        if self.selector.current() == Some(from) && self.tracker.unanswered > 0 {
+            self.tracker.unanswered = 0;
+            self.tracker.due_ns = self.tracker.sent_ns + self.jitter.jittered(self.settings.ask_ns);
         }
     }
 
     /// Whether the relay heard its list service lately; one that did not is left for another.
-    fn hears(&mut self, now: u64, from: SocketAddr, answer: &Answer) -> bool {
-        let hears = age_ns(answer) <= self.settings.silence_ns;
-        if !hears && self.order.current() == Some(from) {
-            self.leave(now);
+    fn check_contact(&mut self, now: u64, from: SocketAddr, header: &ResponseHeader) -> bool {
+        let in_contact = contact_age_ns(header) <= self.settings.silence_ns;
+        if !in_contact && self.selector.current() == Some(from) {
+            self.fail_over(now);
         }
-        hears
+        in_contact
     }
 
-    fn same(&mut self, now: u64, open: Open, answer: &Answer) -> Option<PartUpdate> {
-        let held = self.known.as_ref()?;
+    fn handle_unchanged(
+        &mut self,
+        now: u64,
+        pending: PendingRequest,
+        header: &ResponseHeader,
+    ) -> Option<PartUpdate> {
+        let held = self.held.as_ref()?;
         // A change may have come in between: then it says nothing of what is held now.
-        if open.have != Some(held.part.digest()) {
+        if pending.held_digest != Some(held.part.digest()) {
             return None;
         }
-        let hears = self.hears(now, open.relay, answer);
-        if !self.may_follow(now, open, answer, None, hears) {
+        let in_contact = self.check_contact(now, pending.relay, header);
+        if !self.accepts_state(now, pending, header, None, in_contact) {
             return None;
         }
-        self.confirm(now, open, answer, hears);
+        self.confirm(now, pending, header, in_contact);
         None
     }
 
     /// What is held is right as of when the relay heard its service.
-    fn confirm(&mut self, now: u64, open: Open, answer: &Answer, hears: bool) {
-        if let Some(known) = &mut self.known {
-            if known.version != answer.version {
-                (known.version, known.learned_ns) = (answer.version, now);
+    fn confirm(&mut self, now: u64, pending: PendingRequest, header: &ResponseHeader, in_contact: bool) {
+        if let Some(held) = &mut self.held {
+            if held.version != header.version {
+                (held.version, held.version_learned_ns) = (header.version, now);
             }
-            known.fresh_ns = known.fresh_ns.max(open.sent_ns.saturating_sub(age_ns(answer)));
+            held.confirmed_ns = held.confirmed_ns.max(pending.sent_ns.saturating_sub(contact_age_ns(header)));
         }
-        if hears {
-            self.well(open.relay);
+        if in_contact {
+            self.record_current(pending.relay);
         }
     }
 
     /// A relay that hears its service has said what is known, or more.
-    fn well(&mut self, relay: SocketAddr) {
-        self.anew.forget();
-        self.asking.old = 0;
-        self.order.answered(relay);
+    fn record_current(&mut self, relay: SocketAddr) {
+        self.restart_detector.clear();
+        self.tracker.outdated = 0;
+        self.selector.record_response(relay);
     }
 
     /// Whether relays have said for long enough that the list service counts anew.
-    fn believes_anew(&self, now: u64) -> bool {
-        self.anew.is_believed(now, self.settings.settle_ns, self.order.len())
+    fn versions_restarted(&self, now: u64) -> bool {
+        self.restart_detector.is_confirmed(now, self.settings.settle_ns, self.selector.len())
     }
 
     /// Whether a relay's state may follow the one held: it is of a higher version, of the same one with the same content, or the
     /// list service counts anew. `content` is none where it is the one held.
-    fn may_follow(
+    fn accepts_state(
         &mut self,
         now: u64,
-        open: Open,
-        answer: &Answer,
+        pending: PendingRequest,
+        header: &ResponseHeader,
         content: Option<Digest>,
-        hears: bool,
+        in_contact: bool,
     ) -> bool {
-        let Some(known) = &self.known else { return true };
-        let same = content.is_none_or(|digest| digest == known.part.digest());
-        if answer.version > known.version || answer.version == known.version && same {
+        let Some(held) = &self.held else { return true };
+        let same_content = content.is_none_or(|digest| digest == held.part.digest());
+        if header.version > held.version || header.version == held.version && same_content {
             return true;
         }
         // What was asked before this version was learned may be behind by right.
-        let witness = hears && open.sent_ns >= known.learned_ns;
-        self.passed.count(Reason::Old, open.relay);
-        if !witness {
+        let credible = in_contact && pending.sent_ns >= held.version_learned_ns;
+        self.rejected.count(RejectReason::Outdated, pending.relay);
+        if !credible {
             return false;
         }
-        self.anew.note(now, open.relay, self.settings.settle_ns);
-        if self.believes_anew(now) {
+        self.restart_detector.record(now, pending.relay, self.settings.settle_ns);
+        if self.versions_restarted(now) {
             return true;
         }
-        let further = open.sequence != self.asking.old_sequence && self.order.current() == Some(open.relay);
-        self.asking.old_sequence = open.sequence;
-        self.asking.old += u32::from(further);
-        if self.asking.old >= MAX_OLD && self.order.len() > 1 {
-            self.leave(now);
+        let counts = pending.sequence != self.tracker.outdated_sequence
+            && self.selector.current() == Some(pending.relay);
+        self.tracker.outdated_sequence = pending.sequence;
+        self.tracker.outdated += u32::from(counts);
+        if self.tracker.outdated >= MAX_OUTDATED_RESPONSES && self.selector.len() > 1 {
+            self.fail_over(now);
         }
         false
     }
 
-    fn piece(&mut self, now: u64, open: Open, piece: Piece) -> Option<PartUpdate> {
+    fn handle_piece(&mut self, now: u64, pending: PendingRequest, piece: Piece) -> Option<PartUpdate> {
         let Ok(engines) = piece.table.engines() else {
-            self.passed.count(Reason::Spoilt, open.relay);
+            self.rejected.count(RejectReason::Invalid, pending.relay);
             return None;
         };
         if !engines.iter().all(|engine| self.settings.cell.contains(engine)) {
-            self.passed.count(Reason::OtherRouter, open.relay);
+            self.rejected.count(RejectReason::WrongRecipient, pending.relay);
             return None;
         }
-        let hears = self.hears(now, open.relay, &piece.answer);
-        if !self.may_follow(now, open, &piece.answer, Some(piece.digest), hears) {
+        let in_contact = self.check_contact(now, pending.relay, &piece.header);
+        if !self.accepts_state(now, pending, &piece.header, Some(piece.digest), in_contact) {
             return None;
         }
-        if self.known.as_ref().is_some_and(|known| known.part.digest() == piece.digest) {
-            self.confirm(now, open, &piece.answer, hears);
+        if self.held.as_ref().is_some_and(|held| held.part.digest() == piece.digest) {
+            self.confirm(now, pending, &piece.header, in_contact);
             return None;
         }
-        let key = Key { digest: piece.digest, of: piece.of };
-        let fresh_ns = open.sent_ns.saturating_sub(age_ns(&piece.answer));
-        if !self.assembly.as_ref().is_some_and(|pieces| *pieces.key() == key) {
+        let key = AssemblyKey { digest: piece.digest, piece_count: piece.count };
+        let confirmed_ns = pending.sent_ns.saturating_sub(contact_age_ns(&piece.header));
+        if !self.assembly.as_ref().is_some_and(|assembly| *assembly.key() == key) {
             self.assembly = Assembly::new(key);
         }
-        let Some(pieces) = &mut self.assembly else {
-            self.passed.count(Reason::Spoilt, open.relay);
+        let Some(assembly) = &mut self.assembly else {
+            self.rejected.count(RejectReason::Invalid, pending.relay);
             return None;
         };
-        pieces.add(piece.at, engines, piece.answer.version, fresh_ns);
-        if !pieces.is_whole() {
+        assembly.add(piece.index, engines, piece.header.version, confirmed_ns);
+        if !assembly.is_complete() {
             // Pieces are asked for again where they don't all come.
-            self.asking.due_ns = self.asking.due_ns.min(now + self.settings.ask_ns / REPEAT_PART);
+            self.tracker.due_ns = self.tracker.due_ns.min(now + self.settings.ask_ns / RETRY_DIVISOR);
             return None;
         }
-        self.install(now, open.relay, hears)
+        self.complete_assembly(now, pending.relay, in_contact)
     }
 
     /// Takes the part whose pieces are all there, if it is what its digest says.
-    fn install(&mut self, now: u64, relay: SocketAddr, hears: bool) -> Option<PartUpdate> {
-        let pieces = self.assembly.take()?;
-        let (digest, version, fresh_ns) = (pieces.key().digest, pieces.version(), pieces.fresh_ns());
-        let part = Part::new(pieces.into_engines());
+    fn complete_assembly(&mut self, now: u64, relay: SocketAddr, in_contact: bool) -> Option<PartUpdate> {
+        let assembly = self.assembly.take()?;
+        let (digest, version, confirmed_ns) =
+            (assembly.key().digest, assembly.version(), assembly.confirmed_ns());
+        let part = Part::new(assembly.into_engines());
         if part.digest() != digest {
-            self.passed.count(Reason::Spoilt, relay);
+            self.rejected.count(RejectReason::Invalid, relay);
             // Guards against a relay that spoils each part that it sends.
-            if self.order.len() > 1 {
-                self.leave(now);
+            if self.selector.len() > 1 {
+                self.fail_over(now);
             }
             return None;
         }
         let engines: Vec<Engine> = part.engines().cloned().collect();
-        self.known = Some(Known { part, version, fresh_ns, learned_ns: now });
-        self.counters.wholes += 1;
-        if hears {
-            self.well(relay);
+        self.held = Some(HeldPart { part, version, confirmed_ns, version_learned_ns: now });
+        self.counters.snapshots += 1;
+        if in_contact {
+            self.record_current(relay);
         }
         Some(PartUpdate::Snapshot(engines))
     }
 
-    fn delta(&mut self, now: u64, from: SocketAddr, delta: Delta) -> Option<PartUpdate> {
+    fn handle_delta(&mut self, now: u64, from: SocketAddr, delta: Delta) -> Option<PartUpdate> {
         let Ok(changed) = delta.table.engines() else {
-            self.passed.count(Reason::Spoilt, from);
+            self.rejected.count(RejectReason::Invalid, from);
             return None;
         };
-        let ours = changed.iter().all(|engine| self.settings.cell.contains(engine));
-        let reason = match &self.known {
-            _ if delta.incarnation != self.settings.incarnation => Reason::OtherIncarnation,
-            _ if delta.cell != self.settings.cell.hash() || !ours => Reason::OtherRouter,
-            Some(known) if delta.version <= known.version => Reason::Old,
-            Some(known) if delta.from == known.part.digest() => {
-                return self.apply(now, from, &delta, changed)
+        let in_cell = changed.iter().all(|engine| self.settings.cell.contains(engine));
+        let reason = match &self.held {
+            _ if delta.incarnation != self.settings.incarnation => RejectReason::OtherIncarnation,
+            _ if delta.cell != self.settings.cell.hash() || !in_cell => RejectReason::WrongRecipient,
+            Some(held) if delta.version <= held.version => RejectReason::Outdated,
+            Some(held) if delta.from == held.part.digest() => {
+                return self.apply_delta(now, from, &delta, changed)
             }
             _ => {
-                self.ask_soon(now);
-                Reason::Gap
+                self.request_soon(now);
+                RejectReason::Gap
             }
         };
-        self.passed.count(reason, from);
+        self.rejected.count(reason, from);
         None
     }
 
     /// Makes the held part the one that a delta leads to, if it does. How fresh it is stays: the delta may have been on its way
     /// for long.
-    fn apply(
+    fn apply_delta(
         &mut self,
         now: u64,
         from: SocketAddr,
         delta: &Delta,
         changed: Vec<Engine>,
     ) -> Option<PartUpdate> {
-        let known = self.known.as_mut()?;
-        let part = known.part.with(&changed, &delta.gone);
+        let held = self.held.as_mut()?;
+        let part = held.part.with_changes(&changed, &delta.removed);
         if part.digest() != delta.to {
-            self.passed.count(Reason::Spoilt, from);
+            self.rejected.count(RejectReason::Invalid, from);
             return None;
         }
-        (known.part, known.version, known.learned_ns) = (part, delta.version, now);
+        (held.part, held.version, held.version_learned_ns) = (part, delta.version, now);
         self.counters.deltas += 1;
-        Some(PartUpdate::Delta(changed, delta.gone.clone()))
+        Some(PartUpdate::Delta(changed, delta.removed.clone()))
     }
 
     /// Counters, as one line.
     pub fn line(&self, now: u64) -> String {
-        let SubscriberCounters { asks, wholes, deltas, left, stale } = self.counters;
-        let passed: String =
-            self.passed.all().map(|(name, count)| format!(" cells_passed_{name}={count}")).collect();
+        let SubscriberCounters { requests, snapshots, deltas, failovers, stale_periods } = self.counters;
+        let rejected: String =
+            self.rejected.iter().map(|(name, count)| format!(" cells_passed_{name}={count}")).collect();
         format!(
-            "cells_engines={} cells_age_ms={} cells_asks={asks} cells_wholes={wholes} cells_deltas={deltas} \
-             cells_left={left} cells_stale={stale}{passed}",
+            "cells_engines={} cells_age_ms={} cells_asks={requests} cells_wholes={snapshots} cells_deltas={deltas} \
+             cells_left={failovers} cells_stale={stale_periods}{rejected}",
             self.part().map_or(0, Part::len),
             self.age_ns(now) / 1_000_000,
         )
@@ -504,11 +517,11 @@
 }
 
 /// Asks in a row without any answer that are repeated soon, with so many relays (count).
-pub(crate) fn quick_asks(relays: usize) -> u32 {
-    QUICK_ASKS.saturating_add(relays as u32)
+pub(crate) fn max_quick_retries(relays: usize) -> u32 {
+    MIN_QUICK_RETRIES.saturating_add(relays as u32)
 }
 
 /// The age that an answer tells (ns).
-fn age_ns(answer: &Answer) -> u64 {
-    answer.contact_age_ms.saturating_mul(1_000_000)
+fn contact_age_ns(header: &ResponseHeader) -> u64 {
+    header.contact_age_ms.saturating_mul(1_000_000)
 }
--- a/crates/cells/tests/cells.rs
+++ b/crates/cells/tests/cells.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{by_engine, engine};
+use common::{cell_id, engine};
 use marljunction_cells::cell::cell_of;
 use marljunction_cells::{CellConfig, CellPlan, DivideBy, Engine, RouterNumbering};
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn routers_of_a_zone_fall_into_its_cells_evenly_and_no_two_of_a_cell_have_one_rank() {
+fn routers_are_spread_evenly_over_cells_with_distinct_ranks() {
     let blocks = CellPlan { cells: CELLS, ..CellPlan::default() };
     let turns = CellPlan { numbering: RouterNumbering::Interleaved, ..blocks.clone() };
     for (plan, all) in [(&blocks, ranks(&blocks, |n| n / 128)), (&turns, ranks(&turns, |n| n % ZONES))] {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_the_operators_file_says_goes_before_what_follows_from_the_number() {
+fn explicit_settings_override_values_derived_from_the_router_number() {
     let plan = CellPlan {
         cells: CELLS,
         cell: Some(7),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_engines_cell_is_its_ids_and_stays_over_builds_and_addresses() {
+fn the_cell_of_an_engine_depends_on_its_id_only() {
     let cells: Vec<u32> = (0..8).map(|id| cell_of(&engine(id), CELLS, DivideBy::Engine)).collect();
     assert_eq!(cells, [0, 9, 6, 9, 1, 4, 1, 9]);
     let moved = Engine { address: "10.1.1.1:1".parse().expect("an address"), ..engine(3) };
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn engines_of_a_zone_are_divided_into_cells_that_are_about_as_large() {
+fn engines_are_spread_evenly_over_cells() {
     let mut sizes = [0u32; CELLS as usize];
     for id in 0..1_200u64 {
         let engine = engine(id.wrapping_mul(0x5851_f42d_4c95_7f2d));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn engines_of_one_group_are_in_one_cell_where_the_plan_says_so() {
+fn dividing_by_group_keeps_a_group_in_one_cell() {
     let mut cells = BTreeSet::new();
     for id in 0..400 {
         let engine = Engine { group: Some(id / 20), ..engine(id) };
@@ -82,11 +82,11 @@
 }
 
 #[test]
-fn a_cell_holds_only_engines_of_its_zone_and_each_engine_is_in_one_cell() {
+fn each_engine_is_in_exactly_one_cell_of_its_zone() {
     for id in 0..100 {
         let engine = engine(id);
-        let held = (0..CELLS).filter(|cell| by_engine(*cell, CELLS).contains(&engine)).count();
+        let held = (0..CELLS).filter(|cell| cell_id(*cell, CELLS).contains(&engine)).count();
         assert_eq!(held, usize::from(engine.zone.as_deref() == Some("z0")));
     }
-    assert_ne!(by_engine(1, CELLS).hash(), by_engine(2, CELLS).hash());
+    assert_ne!(cell_id(1, CELLS).hash(), cell_id(2, CELLS).hash());
 }
--- a/crates/cells/tests/common/mod.rs
+++ b/crates/cells/tests/common/mod.rs
@@ -16,11 +16,11 @@
 pub const MS: u64 = 1_000_000;
 pub const S: u64 = 1_000 * MS;
 /// Time of one step (ns), as the processes look after what is due.
-pub const STEP: u64 = 20 * MS;
+pub const STEP_NS: u64 = 20 * MS;
 pub const ZONES: [&str; 2] = ["z0", "z1"];
 pub const CELLS: u32 = 2;
 /// Events that a relay reads in one step (count).
-const EVENTS_A_STEP: usize = 4;
+const EVENTS_PER_STEP: usize = 4;
 
 pub fn address(host: u8, number: usize) -> SocketAddr {
     SocketAddr::from(([10, host, (number >> 8) as u8, number as u8], 7000))
@@ -62,25 +62,25 @@
 #[derive(Clone)]
 pub struct Event {
     pub version: u64,
-    pub whole: bool,
+    pub is_full: bool,
     pub engines: Vec<Engine>,
 }
 
 /// The list service: its list, and what was true of each cell until when.
-pub struct Service {
+pub struct ListService {
     pub engines: Vec<Engine>,
     pub version: u64,
     next_id: u64,
     pub history: Vec<(CellId, Vec<(u64, Digest)>)>,
-    pub away: bool,
+    pub unavailable: bool,
 }
 
-impl Service {
-    pub fn new(count: u64, cells: &[CellId]) -> Service {
+impl ListService {
+    pub fn new(count: u64, cells: &[CellId]) -> ListService {
         let engines = (0..count).map(engine).collect();
         let history = cells.iter().map(|cell| (cell.clone(), Vec::new())).collect();
-        let mut service = Service { engines, version: 100, next_id: 1_000, history, away: false };
-        service.note(0);
+        let mut service = ListService { engines, version: 100, next_id: 1_000, history, unavailable: false };
+        service.record_states(0);
         service
     }
 
@@ -88,7 +88,7 @@
         Digest::of(self.engines.iter().filter(|engine| cell.contains(engine)))
     }
 
-    fn note(&mut self, now: u64) {
+    fn record_states(&mut self, now: u64) {
         for at in 0..self.history.len() {
             let digest = self.digest(&self.history[at].0);
             let states = &mut self.history[at].1;
@@ -98,8 +98,8 @@
         }
     }
 
-    pub fn whole(&self) -> Event {
-        Event { version: self.version, whole: true, engines: self.engines.clone() }
+    pub fn snapshot_event(&self) -> Event {
+        Event { version: self.version, is_full: true, engines: self.engines.clone() }
     }
 
     /// Some engines drain, go, come or get another address.
@@ -132,8 +132,8 @@
             }
             changed.push(engine);
         }
-        self.note(now);
-        Event { version: self.version, whole: false, engines: changed }
+        self.record_states(now);
+        Event { version: self.version, is_full: false, engines: changed }
     }
 
     /// Since when a cell's state is another than this (ns); 0 where it never was.
@@ -147,7 +147,7 @@
     }
 
     /// Whether a cell's list ever was this.
-    pub fn ever(&self, cell: &CellId, digest: Digest) -> bool {
+    pub fn was_ever(&self, cell: &CellId, digest: Digest) -> bool {
         self.history.iter().any(|(id, states)| id == cell && states.iter().any(|(_, state)| *state == digest))
     }
 }
@@ -155,48 +155,48 @@
 pub struct RelayHost {
     pub address: SocketAddr,
     pub machine: Option<Relay>,
-    pub frozen: bool,
-    pub hears: bool,
+    pub paused: bool,
+    pub connected: bool,
     /// Events on their way to it, and datagrams that wait while it stands still.
     pub events: VecDeque<Option<Event>>,
-    pub waiting: Vec<(SocketAddr, Vec<u8>)>,
+    pub inbox: Vec<(SocketAddr, Vec<u8>)>,
     /// What it adds to the version that it says.
-    pub lies: i64,
+    pub version_offset: i64,
 }
 
 pub struct RouterHost {
     pub address: SocketAddr,
     pub machine: Subscriber,
     pub cell: CellId,
-    pub news: Vec<PartUpdate>,
+    pub updates: Vec<PartUpdate>,
     /// What a router's module would hold by the news alone.
     pub held: std::collections::BTreeMap<u64, Engine>,
 }
 
 #[derive(Clone, Copy, Default)]
-pub struct Shape {
+pub struct NetworkFaults {
     pub loss: f64,
-    pub doubled: f64,
-    pub cut: bool,
+    pub duplication: f64,
+    pub partitioned: bool,
     /// All datagrams take as long, so that none overtakes another.
     pub in_order: bool,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     pub bound_params: BoundParams,
-    pub service: Service,
+    pub service: ListService,
     pub relays: Vec<RelayHost>,
     pub routers: Vec<RouterHost>,
-    pub shape: Shape,
+    pub network: NetworkFaults,
     pub rng: StdRng,
     net: Vec<(u64, SocketAddr, SocketAddr, Vec<u8>)>,
     incarnations: u64,
-    beat_ns: u64,
+    last_heartbeat_ns: u64,
 }
 
-impl World {
-    pub fn new(seed: u64, bound_params: BoundParams) -> World {
+impl Simulation {
+    pub fn new(seed: u64, bound_params: BoundParams) -> Simulation {
         let plan = CellPlan { cells: CELLS, ..CellPlan::default() };
         let per_zone = bound_params.routers.div_ceil(ZONES.len() as u32);
         let cell = |router: u32| {
@@ -207,37 +207,37 @@
         let relay = |at: usize| RelayHost {
             address: address(1, at),
             machine: None,
-            frozen: false,
-            hears: true,
+            paused: false,
+            connected: true,
             events: VecDeque::new(),
-            waiting: Vec::new(),
-            lies: 0,
+            inbox: Vec::new(),
+            version_offset: 0,
         };
-        let mut world = World {
+        let mut sim = Simulation {
             now: 10 * S,
-            service: Service::new(60, &cells),
+            service: ListService::new(60, &cells),
             relays: (0..bound_params.relays as usize).map(relay).collect(),
             routers: Vec::new(),
-            shape: Shape::default(),
+            network: NetworkFaults::default(),
             rng: StdRng::seed_from_u64(seed),
             net: Vec::new(),
             incarnations: 1,
-            beat_ns: 0,
+            last_heartbeat_ns: 0,
             bound_params,
         };
         for (at, cell) in cells.into_iter().enumerate() {
-            let machine = world.subscriber(at, &cell);
+            let machine = sim.subscriber(at, &cell);
             let address = address(2, at);
-            world.routers.push(RouterHost {
+            sim.routers.push(RouterHost {
                 address,
                 machine,
                 cell,
-                news: Vec::new(),
+                updates: Vec::new(),
                 held: Default::default(),
             });
         }
-        (0..world.relays.len()).for_each(|at| world.start_relay(at));
-        world
+        (0..sim.relays.len()).for_each(|at| sim.start_relay(at));
+        sim
     }
 
     fn subscriber(&mut self, at: usize, cell: &CellId) -> Subscriber {
@@ -267,61 +267,61 @@
     pub fn start_relay(&mut self, at: usize) {
         let relay = &mut self.relays[at];
         relay.machine = Some(Relay::new(self.now, relay_settings(&self.bound_params)));
-        (relay.frozen, relay.hears) = (false, !self.service.away);
-        (relay.events, relay.waiting) = (VecDeque::new(), Vec::new());
-        if relay.hears {
-            relay.events.push_back(Some(self.service.whole()));
+        (relay.paused, relay.connected) = (false, !self.service.unavailable);
+        (relay.events, relay.inbox) = (VecDeque::new(), Vec::new());
+        if relay.connected {
+            relay.events.push_back(Some(self.service.snapshot_event()));
         }
     }
 
     pub fn kill_relay(&mut self, at: usize) {
         self.relays[at].machine = None;
-        self.relays[at].waiting.clear();
+        self.relays[at].inbox.clear();
     }
 
     /// The service goes away, or comes back and tells the whole list to all who reconnect.
-    pub fn set_away(&mut self, away: bool) {
-        self.service.away = away;
+    pub fn set_unavailable(&mut self, unavailable: bool) {
+        self.service.unavailable = unavailable;
         for relay in &mut self.relays {
-            relay.hears = !away;
-            if !away {
-                relay.events.push_back(Some(self.service.whole()));
+            relay.connected = !unavailable;
+            if !unavailable {
+                relay.events.push_back(Some(self.service.snapshot_event()));
             }
         }
     }
 
     pub fn change(&mut self) {
         let event = self.service.change(self.now, &mut self.rng);
-        for relay in self.relays.iter_mut().filter(|relay| relay.hears && relay.machine.is_some()) {
+        for relay in self.relays.iter_mut().filter(|relay| relay.connected && relay.machine.is_some()) {
             relay.events.push_back(Some(event.clone()));
         }
     }
 
     /// The service starts anew: its numbers are low again.
-    pub fn count_anew(&mut self) {
+    pub fn restart_versions(&mut self) {
         self.service.version = 1;
-        for relay in self.relays.iter_mut().filter(|relay| relay.hears) {
+        for relay in self.relays.iter_mut().filter(|relay| relay.connected) {
             relay.events.clear();
-            relay.events.push_back(Some(self.service.whole()));
+            relay.events.push_back(Some(self.service.snapshot_event()));
         }
     }
 
     pub fn send(&mut self, from: SocketAddr, to: SocketAddr, message: &Message) {
         let bytes = message.encode();
-        let copies = 1 + usize::from(self.rng.gen_bool(self.shape.doubled));
+        let copies = 1 + usize::from(self.rng.gen_bool(self.network.duplication));
         for _ in 0..copies {
-            if self.shape.cut || self.rng.gen_bool(self.shape.loss) {
+            if self.network.partitioned || self.rng.gen_bool(self.network.loss) {
                 continue;
             }
             let most = self.bound_params.delay_ns;
-            let delay = if self.shape.in_order { most } else { self.rng.gen_range(0..=most) };
+            let delay = if self.network.in_order { most } else { self.rng.gen_range(0..=most) };
             self.net.push((self.now + delay, from, to, bytes.clone()));
         }
     }
 
     pub fn step(&mut self) {
-        self.now += STEP;
-        self.beat();
+        self.now += STEP_NS;
+        self.heartbeat();
         self.deliver();
         for at in 0..self.relays.len() {
             self.tick_relay(at);
@@ -332,7 +332,7 @@
                 self.send(from, to, &message);
             }
         }
-        self.check();
+        self.check_invariants();
     }
 
     pub fn run(&mut self, ns: u64) {
@@ -342,12 +342,12 @@
         }
     }
 
-    fn beat(&mut self) {
-        if self.now < self.beat_ns + S {
+    fn heartbeat(&mut self) {
+        if self.now < self.last_heartbeat_ns + S {
             return;
         }
-        self.beat_ns = self.now;
-        for relay in self.relays.iter_mut().filter(|relay| relay.hears && relay.machine.is_some()) {
+        self.last_heartbeat_ns = self.now;
+        for relay in self.relays.iter_mut().filter(|relay| relay.connected && relay.machine.is_some()) {
             relay.events.push_back(None);
         }
     }
@@ -360,7 +360,7 @@
         due.sort_by_key(|(at, ..)| *at);
         for (_, from, to, bytes) in due {
             if let Some(relay) = self.relays.iter_mut().find(|relay| relay.address == to) {
-                relay.waiting.push((from, bytes));
+                relay.inbox.push((from, bytes));
             } else if let Some(router) = self.routers.iter_mut().find(|router| router.address == to) {
                 match Message::decode(&bytes) {
                     Ok(message) => router.receive(now, from, message),
@@ -374,33 +374,33 @@
     /// what it knows by then.
     fn tick_relay(&mut self, at: usize) {
         let (now, relay) = (self.now, &mut self.relays[at]);
-        let Some(machine) = relay.machine.as_mut().filter(|_| !relay.frozen) else { return };
-        let some = relay.events.len().min(EVENTS_A_STEP);
+        let Some(machine) = relay.machine.as_mut().filter(|_| !relay.paused) else { return };
+        let some = relay.events.len().min(EVENTS_PER_STEP);
         for event in relay.events.drain(..some) {
             if let Some(event) = event {
-                machine.apply_update(event.version, event.whole, event.engines);
+                machine.apply_update(event.version, event.is_full, event.engines);
             }
             machine.heard(now, 0);
         }
-        for (from, bytes) in std::mem::take(&mut relay.waiting) {
+        for (from, bytes) in std::mem::take(&mut relay.inbox) {
             match Message::decode(&bytes) {
                 Ok(message) => machine.receive(now, from, message),
                 Err(_) => machine.record_undecodable(from),
             }
         }
-        let (lies, address) = (relay.lies, relay.address);
+        let (version_offset, address) = (relay.version_offset, relay.address);
         for (to, mut message) in machine.tick(now) {
-            lie(&mut message, lies);
+            offset_version(&mut message, version_offset);
             self.send(address, to, &message);
         }
     }
 
     /// What must hold at every moment.
-    fn check(&mut self) {
+    fn check_invariants(&mut self) {
         for (at, router) in self.routers.iter().enumerate() {
             let Some(part) = router.machine.part() else { continue };
-            let ever = self.service.ever(&router.cell, part.digest());
-            assert!(ever, "router {at} holds what its cell's list never was, at {} ms", self.now / MS);
+            let was_ever = self.service.was_ever(&router.cell, part.digest());
+            assert!(was_ever, "router {at} holds what its cell's list never was, at {} ms", self.now / MS);
             let held: Vec<&Engine> = router.held.values().collect();
             assert!(
                 held.iter().copied().eq(part.engines()),
@@ -422,7 +422,7 @@
     }
 
     /// Runs until all routers hold what is true; the time that it took (ns).
-    pub fn settle(&mut self, limit: u64) -> u64 {
+    pub fn run_until_current(&mut self, limit: u64) -> u64 {
         let start = self.now;
         while !self.all_current() {
             assert!(self.now < start + limit, "not all routers are current after {} ms", limit / MS);
@@ -434,30 +434,32 @@
 
 impl RouterHost {
     pub fn receive(&mut self, now: u64, from: SocketAddr, message: Message) {
-        let Some(news) = self.machine.receive(now, from, message) else { return };
-        match &news {
+        let Some(updates) = self.machine.receive(now, from, message) else { return };
+        match &updates {
             PartUpdate::Snapshot(engines) => {
                 self.held = engines.iter().map(|engine| (engine.id, engine.clone())).collect();
             }
-            PartUpdate::Delta(engines, gone) => {
-                gone.iter().for_each(|id| drop(self.held.remove(id)));
+            PartUpdate::Delta(engines, removed) => {
+                removed.iter().for_each(|id| drop(self.held.remove(id)));
                 self.held.extend(engines.iter().map(|engine| (engine.id, engine.clone())));
             }
         }
-        self.news.push(news);
+        self.updates.push(updates);
     }
 }
 
-fn lie(message: &mut Message, by: i64) {
+fn offset_version(message: &mut Message, by: i64) {
     let version = match message {
-        Message::Ask(_) => return,
-        Message::Same(answer) | Message::NotReady(answer) | Message::Behind(answer) => &mut answer.version,
-        Message::Piece(piece) => &mut piece.answer.version,
+        Message::Request(_) => return,
+        Message::Unchanged(header) | Message::NotReady(header) | Message::Behind(header) => {
+            &mut header.version
+        }
+        Message::Piece(piece) => &mut piece.header.version,
         Message::Delta(delta) => &mut delta.version,
     };
     *version = version.saturating_add_signed(by);
 }
 
-pub fn by_engine(cell: u32, cells: u32) -> CellId {
+pub fn cell_id(cell: u32, cells: u32) -> CellId {
     CellId { zone: Some("z0".into()), cells, cell, by: DivideBy::Engine }
 }
--- a/crates/cells/tests/messages.rs
+++ b/crates/cells/tests/messages.rs
@@ -4,7 +4,7 @@
 
 use common::{bound_params, engine, relay_settings, MS, S};
 use marljunction_cells::message::{
-    Answer, Ask, Delta, Piece, Table, MAX_MESSAGE_BYTES, MAX_MISSING, MAX_PIECES,
+    Delta, Piece, Request, ResponseHeader, Table, MAX_MESSAGE_BYTES, MAX_MISSING, MAX_PIECES,
 };
 use marljunction_cells::{CellId, Digest, DivideBy, Engine, EngineState, Message, Relay};
 use marljunction_peers::datagram::MAX_CONTENT_BYTES;
@@ -12,9 +12,9 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-fn answer() -> Answer {
+fn header() -> ResponseHeader {
     let most = u64::MAX;
-    Answer { incarnation: most, sequence: most, cell: most, version: most, contact_age_ms: most }
+    ResponseHeader { incarnation: most, sequence: most, cell: most, version: most, contact_age_ms: most }
 }
 
 /// An engine whose every field takes as many bytes as it can.
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn each_message_fits_a_datagram_with_its_sender() {
+fn each_message_fits_a_datagram_with_its_sender_identity() {
     let who = PeerIdentity {
         name: "router-".repeat(8),
         number: u32::MAX,
@@ -50,24 +50,24 @@
     let engines: Vec<Engine> =
         (0..200).map(|id| if id % 3 == 0 { largest(id) } else { engine(id) }).collect();
     for table in all_tables(&engines) {
-        let piece = Piece { answer: answer(), digest, at: u16::MAX, of: u16::MAX, table };
+        let piece = Piece { header: header(), digest, index: u16::MAX, count: u16::MAX, table };
         assert!(Message::Piece(piece).encode().len() <= MAX_MESSAGE_BYTES);
     }
     let cell = CellId { zone: Some("z".repeat(200)), cells: u32::MAX, cell: u32::MAX, by: DivideBy::Group };
     let missing = Some((digest, vec![u16::MAX; MAX_MISSING]));
-    let ask = Ask {
+    let request = Request {
         incarnation: u64::MAX,
         sequence: u64::MAX,
         cell,
-        have: Some(digest),
-        least: Some(u64::MAX),
+        held_digest: Some(digest),
+        min_version: Some(u64::MAX),
         missing,
     };
-    assert!(Message::Ask(ask).encode().len() <= MAX_MESSAGE_BYTES);
-    for gone in [0, 20, 60, 100, 200] {
+    assert!(Message::Request(request).encode().len() <= MAX_MESSAGE_BYTES);
+    for removed in [0, 20, 60, 100, 200] {
         let table = all_tables(&engines[1..3]).swap_remove(0);
-        let fits = table.fits_with_removed(gone);
-        let gone = vec![u64::MAX; gone];
+        let fits = table.fits_with_removed(removed);
+        let removed = vec![u64::MAX; removed];
         let delta = Delta {
             incarnation: u64::MAX,
             cell: u64::MAX,
@@ -75,14 +75,14 @@
             from: digest,
             to: digest,
             table,
-            gone,
+            removed,
         };
         assert!(!fits || Message::Delta(delta).encode().len() <= MAX_MESSAGE_BYTES);
     }
 }
 
 #[test]
-fn engines_come_out_of_tables_as_they_went_in() {
+fn engines_survive_a_round_trip_through_tables() {
     let engines: Vec<Engine> =
         (0..300).map(|id| if id % 7 == 0 { largest(id) } else { engine(id) }).collect();
     let plain = Engine { zone: None, kind: None, group: None, started_ms: 0, ..engine(5) };
@@ -94,17 +94,21 @@
 }
 
 #[test]
-fn messages_that_are_cut_changed_or_endless_are_not_read_and_end_nothing() {
+fn truncated_corrupt_or_oversized_messages_are_rejected_without_a_panic() {
     let mut rng = StdRng::seed_from_u64(4);
     let engines: Vec<Engine> = (0..20).map(engine).collect();
     let table = all_tables(&engines).swap_remove(0);
-    let piece = Piece { answer: answer(), digest: Digest(1, 2), at: 0, of: 1, table };
+    let piece = Piece { header: header(), digest: Digest(1, 2), index: 0, count: 1, table };
     let whole = Message::Piece(piece).encode();
-    assert!((0..whole.len()).all(|cut| Message::decode(&whole[..cut]).is_err()), "a cut message was read");
+    assert!(
+        (0..whole.len()).all(|partitioned| Message::decode(&whole[..partitioned]).is_err()),
+        "a cut message was read"
+    );
     let cell =
         CellId { zone: Some("z".repeat(2 * MAX_MESSAGE_BYTES)), cells: 1, cell: 0, by: DivideBy::Engine };
-    let long = Ask { incarnation: 1, sequence: 1, cell, have: None, least: None, missing: None };
-    assert!(Message::decode(&Message::Ask(long).encode()).is_err(), "a message of any length was read");
+    let long =
+        Request { incarnation: 1, sequence: 1, cell, held_digest: None, min_version: None, missing: None };
+    assert!(Message::decode(&Message::Request(long).encode()).is_err(), "a message of any length was read");
     assert!(Message::decode(&vec![0x91; MAX_MESSAGE_BYTES]).is_err());
     for _ in 0..20_000 {
         let mut bytes = whole.clone();
@@ -120,7 +124,7 @@
 
 /// What a relay sends a router that knows nothing, of a list at full size: the figure of the operate page.
 #[test]
-fn a_start_costs_a_router_its_cells_part_alone() {
+fn a_starting_router_receives_only_the_part_of_its_cell() {
     let cell =
         |zone: u64| CellId { zone: Some(format!("zone-{zone}")), cells: 10, cell: 3, by: DivideBy::Engine };
     let listed = |id: u64| Engine {
@@ -133,9 +137,15 @@
     relay.heard(S, 0);
     let (mut largest, mut engines) = (0, 0);
     for zone in 0..8 {
-        let ask =
-            Ask { incarnation: 1, sequence: 1, cell: cell(zone), have: None, least: None, missing: None };
-        relay.receive(S, common::address(2, zone as usize), Message::Ask(ask));
+        let request = Request {
+            incarnation: 1,
+            sequence: 1,
+            cell: cell(zone),
+            held_digest: None,
+            min_version: None,
+            missing: None,
+        };
+        relay.receive(S, common::address(2, zone as usize), Message::Request(request));
         let sent = relay.tick(S + zone * 200 * MS);
         let bytes = sent.iter().map(|(_, message)| message.encode().len()).sum::<usize>();
         let pieces = sent.iter().filter_map(|(_, message)| match message {
