--- a/crates/cells/src/cell.rs
+++ b/crates/cells/src/cell.rs
@@ -111,8 +111,8 @@
             RouterNumbering::Contiguous => number,
             RouterNumbering::Interleaved => number / zones.max(1),
         };
-        let follows = routers.max(1).div_ceil(zones.max(1)).div_ceil(cells);
-        let routers_per_cell = plan.routers_per_cell.unwrap_or(follows).max(1);
+        let derived = routers.max(1).div_ceil(zones.max(1)).div_ceil(cells);
+        let routers_per_cell = plan.routers_per_cell.unwrap_or(derived).max(1);
         let cell = plan.cell.unwrap_or(position % cells) % cells;
         let rank = plan.rank.unwrap_or(position / cells) % routers_per_cell;
         CellConfig {
--- a/crates/cells/src/jitter.rs
+++ b/crates/cells/src/jitter.rs
@@ -26,7 +26,7 @@
     }
 
     /// About this interval (ns).
-    pub(crate) fn jittered(&mut self, ns: u64) -> u64 {
+    pub(crate) fn apply(&mut self, ns: u64) -> u64 {
         ((1.0 - JITTER_FRACTION + 2.0 * JITTER_FRACTION * self.uniform()) * ns as f64) as u64
     }
 }
--- a/crates/cells/src/message.rs
+++ b/crates/cells/src/message.rs
@@ -50,11 +50,11 @@
         let mut tables = vec![Table::default()];
         let mut size = MAX_ENVELOPE_BYTES;
         for engine in engines {
-            let full = match tables.last_mut() {
+            let needs_new_table = match tables.last_mut() {
                 Some(table) => !table.push(engine, &mut size),
                 None => true,
             };
-            if full {
+            if needs_new_table {
                 let mut table = Table::default();
                 size = MAX_ENVELOPE_BYTES;
                 table.push(engine, &mut size);
@@ -66,34 +66,35 @@
 
     /// Adds an engine where it fits; whether it did. A table's first always fits, or its message would hold none.
     fn push(&mut self, engine: &Engine, size: &mut usize) -> bool {
-        let known = |name: &Option<Arc<str>>| match name {
+        let name_number = |name: &Option<Arc<str>>| match name {
             None => Some(0),
             Some(name) => self.names.iter().position(|n| **n == **name).map(|at| at as u8 + 1),
         };
-        let (zone, kind) = (known(&engine.zone), known(&engine.kind));
-        let added: Vec<String> = [(&engine.zone, zone), (&engine.kind, kind)]
+        let (zone, kind) = (name_number(&engine.zone), name_number(&engine.kind));
+        let new_names: Vec<String> = [(&engine.zone, zone), (&engine.kind, kind)]
             .into_iter()
             .filter(|(_, at)| at.is_none())
             .filter_map(|(name, _)| name.as_deref().map(str::to_owned))
             .collect();
-        let number = |at: Option<u8>, before: usize| at.unwrap_or((self.names.len() + before) as u8 + 1);
+        let number_or_next =
+            |at: Option<u8>, before: usize| at.unwrap_or((self.names.len() + before) as u8 + 1);
         let row = Row(
             engine.id,
             split_address(engine.address),
-            number(zone, 0),
-            number(kind, usize::from(zone.is_none())),
+            number_or_next(zone, 0),
+            number_or_next(kind, usize::from(zone.is_none())),
             engine.group,
             engine.state.code(),
             engine.weight,
             engine.started_ms,
         );
-        let bytes = encoded_size(&row) + added.iter().map(|name| name.len() + 5).sum::<usize>();
-        let fits = *size + bytes <= MAX_MESSAGE_BYTES && self.names.len() + added.len() < 255;
+        let bytes = encoded_size(&row) + new_names.iter().map(|name| name.len() + 5).sum::<usize>();
+        let fits = *size + bytes <= MAX_MESSAGE_BYTES && self.names.len() + new_names.len() < 255;
         if !fits && !self.rows.is_empty() {
             return false;
         }
         *size += bytes;
-        self.names.extend(added);
+        self.names.extend(new_names);
         self.rows.push(row);
         true
     }
--- a/crates/cells/src/relay.rs
+++ b/crates/cells/src/relay.rs
@@ -315,7 +315,7 @@
 
     fn build_part(&mut self, cell: &CellId) -> PublishedPart {
         self.counters.parts_built += 1;
-        let part = Part::new(self.list.of_cell(cell).cloned());
+        let part = Part::new(self.list.cell_engines(cell).cloned());
         let tables = Table::pack(part.engines());
         PublishedPart { part, tables, routers: 0 }
     }
@@ -326,15 +326,15 @@
         let Some(previous) = self.parts.get_mut(cell) else { return };
         published.routers = previous.routers;
         let previous = std::mem::replace(previous, published);
-        let Some(after) = self.parts.get(cell).map(|published| &published.part) else { return };
-        if after.digest() == previous.part.digest() {
+        let Some(current) = self.parts.get(cell).map(|published| &published.part) else { return };
+        if current.digest() == previous.part.digest() {
             return;
         }
-        let (changed, removed) = after.diff_from(&previous.part);
+        let (changed, removed) = current.diff_from(&previous.part);
         let mut tables = Table::pack(changed);
         let table = tables.swap_remove(0);
         let fits = tables.is_empty() && table.fits_with_removed(removed.len());
-        let part_delta = PartDelta { from: previous.part.digest(), to: after.digest(), table, removed };
+        let part_delta = PartDelta { from: previous.part.digest(), to: current.digest(), table, removed };
         let part_delta = fits.then(|| Rc::new(part_delta));
         for (address, subscription) in
             self.subscriptions.iter_mut().filter(|(_, subscription)| subscription.cell == *cell)
@@ -367,22 +367,22 @@
         self.detect_pause(now);
         self.budget.refill(now);
         self.expire(now);
-        let mut out = Vec::new();
+        let mut outgoing = Vec::new();
         if !self.is_ready() {
             self.delta_queue.clear();
             self.subscriptions.values_mut().for_each(|subscription| subscription.pending_delta = None);
         }
         while self.budget.tokens >= 1.0 {
             if let Some(to) = self.delta_queue.pop_front() {
-                self.send_delta(to, &mut out);
+                self.send_delta(to, &mut outgoing);
             } else if let Some(to) = self.response_queue.pop_front() {
-                self.send_response(now, to, &mut out);
+                self.send_response(now, to, &mut outgoing);
             } else {
                 break;
             }
         }
-        self.counters.sent += out.len() as u64;
-        out
+        self.counters.sent += outgoing.len() as u64;
+        outgoing
     }
 
     fn expire(&mut self, now: u64) {
@@ -399,7 +399,7 @@
         }
     }
 
-    fn send_delta(&mut self, to: SocketAddr, out: &mut Vec<(SocketAddr, Message)>) {
+    fn send_delta(&mut self, to: SocketAddr, outgoing: &mut Vec<(SocketAddr, Message)>) {
         let Some(subscription) = self.subscriptions.get_mut(&to) else { return };
         let Some(part_delta) = subscription.pending_delta.take() else { return };
         let delta = Delta {
@@ -413,11 +413,11 @@
         };
         self.budget.try_take();
         self.counters.deltas += 1;
-        out.push((to, Message::Delta(delta)));
+        outgoing.push((to, Message::Delta(delta)));
     }
 
-    fn send_response(&mut self, now: u64, to: SocketAddr, out: &mut Vec<(SocketAddr, Message)>) {
-        let ready = self.is_ready();
+    fn send_response(&mut self, now: u64, to: SocketAddr, outgoing: &mut Vec<(SocketAddr, Message)>) {
+        let is_ready = self.is_ready();
         let contact_ns = self.service.contact_ns.unwrap_or(0);
         let version = self.list.version;
         let Some(subscription) = self.subscriptions.get_mut(&to) else { return };
@@ -433,7 +433,7 @@
             version,
             contact_age_ms: now.saturating_sub(contact_ns).div_ceil(1_000_000),
         };
-        let reply = match (ready, published.tables.len() <= usize::from(MAX_PIECES)) {
+        let reply = match (is_ready, published.tables.len() <= usize::from(MAX_PIECES)) {
             (false, _) | (_, false) => Some(Message::NotReady(header)),
             _ if pending_response.min_version.is_some_and(|min_version| version < min_version) => {
                 Some(Message::Behind(header))
@@ -445,7 +445,7 @@
         };
         if let Some(message) = reply {
             self.budget.try_take();
-            return out.push((to, message));
+            return outgoing.push((to, message));
         }
         let mut remaining = pending_response.take_remaining(published);
         let (digest, count) = (published.part.digest(), published.tables.len() as u16);
@@ -453,7 +453,7 @@
         while !remaining.is_empty() && self.budget.try_take() {
             let Some(index) = remaining.pop_front() else { break };
             let Some(table) = published.tables.get(usize::from(index)) else { continue };
-            out.push((to, Message::Piece(Piece { header, digest, index, count, table: table.clone() })));
+            outgoing.push((to, Message::Piece(Piece { header, digest, index, count, table: table.clone() })));
         }
         if !remaining.is_empty() {
             pending_response.remaining = Some((published.part.digest(), remaining));
@@ -507,7 +507,7 @@
     }
 
     /// The engines of a cell.
-    fn of_cell<'a>(&'a self, cell: &'a CellId) -> impl Iterator<Item = &'a Engine> {
+    fn cell_engines<'a>(&'a self, cell: &'a CellId) -> impl Iterator<Item = &'a Engine> {
         let zone_key = cell.zone.as_deref().map(|zone| Some(Arc::from(zone)));
         let zones: Vec<&BTreeMap<u64, Engine>> = match zone_key {
             Some(zone) => self.zones.get(&zone).into_iter().collect(),
--- a/crates/cells/src/subscriber.rs
+++ b/crates/cells/src/subscriber.rs
@@ -177,25 +177,25 @@
         // not answer yet.
         let recipients: Vec<SocketAddr> =
             self.selector.current().into_iter().chain(self.selector.retry_preferred(now)).collect();
-        let mut out = Vec::new();
+        let mut outgoing = Vec::new();
         for relay in recipients {
-            out.push((relay, self.build_request(now, relay)));
+            outgoing.push((relay, self.build_request(now, relay)));
         }
         self.tracker.unanswered += 1;
         self.tracker.unanswered_overall += 1;
         self.tracker.sent_ns = now;
         self.tracker.due_ns = now + self.retry_interval_ns();
-        out
+        outgoing
     }
 
     /// Time until the next ask, where no answer comes (ns): soon, until each relay was asked.
     fn retry_interval_ns(&mut self) -> u64 {
-        let part = if self.tracker.unanswered_overall < max_quick_retries(self.selector.len()) {
+        let divisor = if self.tracker.unanswered_overall < max_quick_retries(self.selector.len()) {
             RETRY_DIVISOR
         } else {
             1
         };
-        self.jitter.jittered(self.settings.ask_ns / part)
+        self.jitter.apply(self.settings.ask_ns / divisor)
     }
 
     fn build_request(&mut self, now: u64, relay: SocketAddr) -> Message {
@@ -217,8 +217,8 @@
 
     /// Asks again soon: what is known may be behind.
     fn request_soon(&mut self, now: u64) {
-        let soon = (self.tracker.sent_ns + self.settings.ask_ns / MIN_INTERVAL_DIVISOR).max(now);
-        self.tracker.due_ns = self.tracker.due_ns.min(soon);
+        let earliest_ns = (self.tracker.sent_ns + self.settings.ask_ns / MIN_INTERVAL_DIVISOR).max(now);
+        self.tracker.due_ns = self.tracker.due_ns.min(earliest_ns);
     }
 
     fn fail_over(&mut self, now: u64) {
@@ -310,7 +310,7 @@
         self.tracker.unanswered_overall = 0;
         if self.selector.current() == Some(from) && self.tracker.unanswered > 0 {
             self.tracker.unanswered = 0;
-            self.tracker.due_ns = self.tracker.sent_ns + self.jitter.jittered(self.settings.ask_ns);
+            self.tracker.due_ns = self.tracker.sent_ns + self.jitter.apply(self.settings.ask_ns);
         }
     }
 
