--- a/crates/cells/src/subscriber.rs
+++ b/crates/cells/src/subscriber.rs
@@ -296,7 +296,7 @@
             RejectReason::WrongRecipient
         } else {
             if let Some(pending) = self.tracker.find(from, header.sequence) {
-                self.record_contact(from);
+                self.reset_unanswered(from);
                 return Some(pending);
             }
             RejectReason::UnknownRequest
@@ -306,7 +306,7 @@
     }
 
     /// The relay that is asked now has said something.
-    fn record_contact(&mut self, from: SocketAddr) {
+    fn reset_unanswered(&mut self, from: SocketAddr) {
         self.tracker.unanswered_overall = 0;
         if self.selector.current() == Some(from) && self.tracker.unanswered > 0 {
             self.tracker.unanswered = 0;
