--- a/crates/cells/src/assembly.rs
+++ b/crates/cells/src/assembly.rs
@@ -1,19 +1,20 @@
-//! The pieces of a part, until all are there.
+//! Assembly of a snapshot from its pieces.
 
 use crate::digest::Digest;
 use crate::engine::Engine;
 use crate::message::{MAX_MISSING, MAX_PIECES};
 
-/// What pieces must share to be put together.
+/// What pieces of one snapshot have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AssemblyKey {
-    /// Digest of the whole part.
+    /// Digest of the complete part.
     pub digest: Digest,
-    /// Pieces in all.
+    /// Number of pieces.
     pub piece_count: u16,
 }
 
-/// Pieces of one part. They may answer several asks and come from several relays: a part with one digest is cut in one way.
+/// Received pieces of one part. They may belong to several requests and relays: parts with equal
+/// digests are divided into equal pieces.
 #[derive(Clone, Debug)]
 pub(crate) struct Assembly {
     key: AssemblyKey,
@@ -23,7 +24,7 @@
 }
 
 impl Assembly {
-    /// None for a count of pieces that can't be.
+    /// Creates an assembly without pieces; `None` if the number of pieces is invalid.
     pub(crate) fn new(key: AssemblyKey) -> Option<Assembly> {
         let valid = (1..=MAX_PIECES).contains(&key.piece_count);
         valid.then(|| Assembly {
@@ -38,7 +39,8 @@
         &self.key
     }
 
-    /// Adds a piece. The whole counts as of the least version and time of its pieces.
+    /// Adds a piece. The part gets the lowest version and the earliest confirmation time of its
+    /// pieces.
     pub(crate) fn add(&mut self, index: u16, engines: Vec<Engine>, version: u64, confirmed_ns: u64) {
         if let Some(slot) = self.pieces.get_mut(usize::from(index)) {
             *slot = Some(engines);
@@ -51,7 +53,7 @@
         self.pieces.iter().all(Option::is_some)
     }
 
-    /// Numbers of the first pieces that are missing.
+    /// Returns the indices of the first missing pieces.
     pub(crate) fn missing(&self) -> Vec<u16> {
         let all = self.pieces.iter().enumerate().filter(|(_, piece)| piece.is_none());
         all.map(|(index, _)| index as u16).take(MAX_MISSING).collect()
--- a/crates/cells/src/bound.rs
+++ b/crates/cells/src/bound.rs
@@ -1,36 +1,40 @@
-//! By when a router's part holds what the list service told, under each fault, computed from the settings.
+//! Bounds on the time in which a change reaches the routers under each fault, computed from the
+//! settings.
 //!
-//! All bounds count from when a relay that is not at fault has taken the change. They hold where a datagram takes no longer
-//! than the delay that the terms state, and with the chance that the terms state where datagrams get lost.
+//! A bound counts from the moment when a working relay has applied the change. It assumes that a
+//! datagram takes no longer than the configured delay and, under loss, holds with the configured
+//! probability.
 
 use crate::jitter::max_jittered;
 use crate::relay::RelaySettings;
 use crate::subscriber::{max_quick_retries, MAX_UNANSWERED, MIN_INTERVAL_DIVISOR, RETRY_DIVISOR};
 
-/// What bounds are computed from.
+/// Inputs of the bounds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BoundParams {
-    /// Routers of the fleet (count).
+    /// Number of routers in the fleet.
     pub routers: u32,
-    /// Relays (count).
+    /// Number of relays.
     pub relays: u32,
-    /// Time between asks (ns).
+    /// Interval between the requests of a router, in nanoseconds.
     pub ask_ns: u64,
-    /// Age from which a relay does not count as hearing the list service (ns).
+    /// Time without contact after which a relay treats the list service as unavailable, in
+    /// nanoseconds.
     pub silence_ns: u64,
-    /// How long relays must say that the list service counts anew (ns).
+    /// Time for which relays must report restarted event numbers before a router accepts them, in
+    /// nanoseconds.
     pub settle_ns: u64,
-    /// Time in which a relay that lost the list service hears it again (ns).
+    /// Time in which a relay regains a lost list service, in nanoseconds.
     pub reconnect_ns: u64,
-    /// Datagrams of a whole part (count).
+    /// Number of datagrams in a snapshot.
     pub pieces: u32,
-    /// The longest that a datagram takes (ns).
+    /// Longest delivery time of a datagram, in nanoseconds.
     pub delay_ns: u64,
-    /// Share of datagrams that get lost, where the fault is loss.
+    /// Fraction of datagrams lost under [`Fault::Loss`].
     pub loss: f64,
-    /// Chance that the bound under loss does not hold for a change.
+    /// Probability that the bound under loss does not hold for a change.
     pub miss_probability: f64,
-    /// How often the processes look after what is due (ns).
+    /// Interval of the processes' periodic work, in nanoseconds.
     pub tick_ns: u64,
 }
 
@@ -52,84 +56,89 @@
     }
 }
 
-/// What can go wrong.
+/// A fault for which a bound is computed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Datagrams overtake each other.
+    /// Datagrams are reordered.
     Reordering,
-    /// Datagrams get lost.
+    /// Datagrams are lost.
     Loss,
-    /// The router's relay is gone, or stands still, at whatever moment, and goes on or not.
+    /// The router's relay stops or is paused, and may resume.
     RelayStopped,
-    /// The router's relay is replaced by another process under its address.
+    /// The router's relay is replaced by another process at its address.
     RelayReplaced,
-    /// No relay can be reached; counted from when all can again.
+    /// No relay is reachable. The bound counts from the end of the partition.
     Partition,
-    /// The list service is away; counted from when it is back.
+    /// The list service is unavailable. The bound counts from its return.
     ServiceUnavailable,
-    /// The list service counts its events anew, from below.
+    /// The list service restarts its event numbers at a lower one.
     VersionRestart,
-    /// All routers start knowing nothing.
+    /// All routers start without a list.
     ColdStart,
-    /// The same, with one relay left.
+    /// All routers start without a list, and one relay is left.
     ColdStartOneRelay,
 }
 
-/// All of them, with names for operators.
+/// All faults with descriptions for operators.
 pub const FAULTS: [(Fault, &str); 10] = [
-    (Fault::None, "nothing at fault"),
-    (Fault::Reordering, "datagrams overtake each other"),
+    (Fault::None, "no fault"),
+    (Fault::Reordering, "datagrams reordered"),
     (Fault::Loss, "datagrams lost"),
-    (Fault::RelayStopped, "the relay is gone or stands still"),
-    (Fault::RelayReplaced, "the relay is replaced under its address"),
-    (Fault::Partition, "cut off from all relays, from the end of the cut"),
-    (Fault::ServiceUnavailable, "the list service away, from when it is back"),
-    (Fault::VersionRestart, "the list service counts anew"),
+    (Fault::RelayStopped, "the relay stopped or paused"),
+    (Fault::RelayReplaced, "the relay replaced at its address"),
+    (Fault::Partition, "partition from all relays, counted from its end"),
+    (Fault::ServiceUnavailable, "list service unavailable, counted from its return"),
+    (Fault::VersionRestart, "the list service restarts its event numbers"),
     (Fault::ColdStart, "all routers cold"),
     (Fault::ColdStartOneRelay, "all routers cold, one relay left"),
 ];
 
 impl BoundParams {
-    /// Datagrams that a relay sends in a second at most.
+    /// Returns the largest number of datagrams that a relay sends per second.
     fn budget_per_s(&self) -> u64 {
         let (ask_ns, silence_ns) = (self.ask_ns, self.silence_ns);
         RelaySettings { routers: self.routers, ask_ns, silence_ns }.budget_per_s()
     }
 
-    /// Time in which a relay sends so many datagrams to each of so many routers (ns).
+    /// Returns the time in which a relay sends `datagrams` to each of `routers`, in nanoseconds.
     fn send_time_ns(&self, routers: u64, datagrams: u32) -> u64 {
         routers.saturating_mul(u64::from(datagrams)).saturating_mul(1_000_000_000)
             / self.budget_per_s().max(1)
     }
 
-    /// Routers that one relay has: twice its part, for what chance makes of the order.
+    /// Returns the largest number of routers that use one relay: twice the mean, to allow for the
+    /// uneven distribution by hashing.
     fn max_routers_per_relay(&self) -> u64 {
         u64::from((2 * self.routers.div_ceil(self.relays.max(1))).min(self.routers))
     }
 
-    /// Time from when an ask is due until its answer of so many datagrams has come (ns).
+    /// Returns the time from when a request is due until its response of `datagrams` has arrived,
+    /// in nanoseconds.
     fn response_time_ns(&self, routers: u64, datagrams: u32) -> u64 {
         3 * self.tick_ns + 2 * self.delay_ns + self.send_time_ns(routers, datagrams)
     }
 
-    /// The longest time between an answer and the next ask (ns).
+    /// Returns the longest time between a response and the next request, in nanoseconds.
     fn max_request_interval_ns(&self) -> u64 {
         max_jittered(self.ask_ns) + self.tick_ns
     }
 
-    /// The longest time between an ask that was not answered, or not in whole, and the next (ns).
+    /// Returns the longest time between a request without a complete response and the next one, in
+    /// nanoseconds.
     fn max_retry_interval_ns(&self) -> u64 {
         max_jittered(self.ask_ns / RETRY_DIVISOR) + 2 * self.tick_ns + 2 * self.delay_ns
     }
 
-    /// Time over which first asks are spread, so that no relay owes more than its budget takes (ns).
+    /// Returns the time over which first requests are spread, so that no relay exceeds its budget,
+    /// in nanoseconds.
     pub fn spread_ns(&self) -> u64 {
         self.send_time_ns(self.max_routers_per_relay(), self.pieces + 1)
     }
 
-    /// Rounds after which, but for the chance, each datagram of a part has come once (count).
+    /// Returns the number of requests after which each datagram of a part has arrived once, except
+    /// with the accepted probability.
     fn max_rounds(&self) -> u64 {
         let round_loss = 1.0 - (1.0 - self.loss) * (1.0 - self.loss);
         let pieces = f64::from(self.pieces.max(1));
@@ -138,15 +147,14 @@
 
     fn loss_bound_ns(&self) -> u64 {
         let max_rounds = self.max_rounds();
-        // Past these, asks are paced as if nothing was wrong.
+        // Further requests are sent at the normal interval.
         let quick_rounds = max_rounds.min(u64::from(max_quick_retries(self.relays as usize)));
         self.max_request_interval_ns()
             + quick_rounds * self.max_retry_interval_ns()
             + (max_rounds - quick_rounds) * self.max_request_interval_ns()
     }
 
-    /// The most that what a router knows can age while nothing is at fault (ns): the service is heard at least so often, and the
-    /// router asks at least so often.
+    /// Returns the largest age of a part without faults, in nanoseconds.
     pub fn max_age_ns(&self) -> u64 {
         self.silence_ns
             + self.max_request_interval_ns()
@@ -154,8 +162,8 @@
     }
 }
 
-/// The longest time until a change that a sound relay has taken is known at every router that can reach one (ns); for cold
-/// routers, until each has its part.
+/// Returns the longest time until a change that a working relay has applied has reached every
+/// router that can reach one, in nanoseconds; for cold routers, until each has its part.
 pub fn bound_ns(bound_params: &BoundParams, fault: Fault) -> u64 {
     let interval_ns = bound_params.max_request_interval_ns();
     let snapshot_ns =
@@ -176,7 +184,7 @@
         Fault::RelayReplaced => interval_ns + single_ns + resync_ns,
         Fault::Partition => interval_ns + snapshot_ns,
         Fault::ServiceUnavailable => bound_params.reconnect_ns + push_ns,
-        // Two relays are heard, twice each, then they are believed, and asked for the part.
+        // Two relays must report the restart, each twice, before the router requests their part.
         Fault::VersionRestart => {
             bound_params.reconnect_ns
                 + bound_params.settle_ns.max(4 * interval_ns)
@@ -187,7 +195,7 @@
         Fault::ColdStart => bound_params.spread_ns() + snapshot_ns,
         Fault::ColdStartOneRelay => {
             let all = u64::from(bound_params.routers);
-            // The first that is asked is missed several times, and each other once.
+            // The first relay is tried several times, and each other one once.
             let requests = u64::from(MAX_UNANSWERED + bound_params.relays);
             bound_params.spread_ns()
                 + requests * bound_params.max_retry_interval_ns()
@@ -196,12 +204,12 @@
     }
 }
 
-/// What follows, as operators read it.
+/// Describes the bounds for operators, one line each.
 pub fn describe_bounds(bound_params: &BoundParams) -> Vec<String> {
     let seconds = |ns: u64| ns as f64 / 1e9;
     let mut lines = vec![format!(
-        "cells: a part of {} datagrams from {} relays, asked for every {:.1} s; known to be at most {:.1} s old while nothing is \
-         at fault; datagrams take at most {:.0} ms",
+        "cells: a part of {} datagrams from {} relays, requested every {:.1} s; at most {:.1} s old without faults, if \
+         datagrams take at most {:.0} ms",
         bound_params.pieces,
         bound_params.relays,
         seconds(bound_params.ask_ns),
@@ -212,7 +220,7 @@
         let loss_note = match fault {
             Fault::Loss => {
                 format!(
-                    " ({:.0}% of them, missed by one change in {:.0})",
+                    " ({:.0}% of them; one change in {:.0} takes longer)",
                     bound_params.loss * 100.0,
                     1.0 / bound_params.miss_probability
                 )
@@ -220,7 +228,7 @@
             _ => String::new(),
         };
         lines.push(format!(
-            "  {name}{loss_note}: a change is known within {:.1} s",
+            "  {name}{loss_note}: a change arrives within {:.1} s",
             seconds(bound_ns(bound_params, fault))
         ));
     }
--- a/crates/cells/src/cell.rs
+++ b/crates/cells/src/cell.rs
@@ -1,47 +1,49 @@
-//! Which engines belong to a cell, and which cell a router belongs to.
+//! Assignment of engines and routers to cells.
 
 use serde::{Deserialize, Serialize};
 
 use crate::engine::Engine;
 
-/// Salts of the hashes: what else divides engines by their ids must not fall together with the cells.
+/// Salt of the cell hash, so that cells are independent of other divisions by engine id.
 const SALT_CELL: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Salt of the hash of a cell's identity.
 const SALT_ID: u64 = 0xcbf2_9ce4_8422_2325;
 
-/// What the hash is taken of that puts an engine into a cell.
+/// What determines the cell of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DivideBy {
     /// The engine's id.
     #[default]
     Engine,
-    /// The group of engines that drop each other's repeats, where the engine has one: a repeat finds all of them in one cell.
+    /// The deduplication group of the engine, if it has one: all engines that can recognise a retry
+    /// are then in one cell.
     Group,
 }
 
-/// How numbers are given to the routers of the zones.
+/// How router numbers are assigned to zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RouterNumbering {
-    /// One zone after the other: those of a zone follow each other.
+    /// The routers of a zone have consecutive numbers.
     #[default]
     Contiguous,
-    /// In turn: a zone's routers are as many numbers apart as there are zones.
+    /// Numbers rotate over the zones: those of one zone are as far apart as there are zones.
     Interleaved,
 }
 
-/// How a fleet is divided, as the operator's file says.
+/// Configured division of a fleet into cells.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CellPlan {
-    /// Cells of each zone (count).
+    /// Number of cells in each zone.
     pub cells: u32,
-    /// What divides the engines.
+    /// What determines the cell of an engine.
     pub by: DivideBy,
-    /// How routers are numbered.
+    /// How router numbers are assigned to zones.
     pub numbering: RouterNumbering,
-    /// This router's cell; none for the one that follows from its number.
+    /// Cell of this router; `None` to derive it from the router's number.
     pub cell: Option<u32>,
-    /// Most routers of one cell (count); none for what follows from the settings.
+    /// Largest number of routers in a cell; `None` to derive it from the size of the fleet.
     pub routers_per_cell: Option<u32>,
-    /// Which of its cell's routers this one is; none for what follows from its number.
+    /// Rank of this router within its cell; `None` to derive it from the router's number.
     pub rank: Option<u32>,
 }
 
@@ -58,27 +60,28 @@
     }
 }
 
-/// A cell, as relays know it.
+/// Identity of a cell.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellId {
-    /// The zone by name; none where the engines have no zones, or are not divided by them.
+    /// Name of the zone; `None` if engines are not divided by zone.
     pub zone: Option<String>,
-    /// Cells of the zone (count).
+    /// Number of cells in the zone.
     pub cells: u32,
-    /// Which of them.
+    /// Index of the cell, below `cells`.
     pub cell: u32,
-    /// What divides the engines.
+    /// What determines the cell of an engine.
     pub by: DivideBy,
 }
 
 impl CellId {
-    /// Whether an engine belongs to it.
+    /// Returns whether an engine belongs to the cell.
     pub fn contains(&self, engine: &Engine) -> bool {
         let same_zone = self.zone.is_none() || self.zone.as_deref() == engine.zone.as_deref();
         same_zone && cell_of(engine, self.cells, self.by) == self.cell
     }
 
-    /// A number for it (a stable hash): answers bear it, so that one for another cell is noticed.
+    /// Returns a stable hash of the cell. Responses carry it, so that a router rejects those for
+    /// another cell.
     pub fn hash(&self) -> u64 {
         let zone = self.zone.as_deref().unwrap_or_default().bytes();
         let start = mix_hash(SALT_ID ^ u64::from(self.zone.is_some()));
@@ -91,20 +94,21 @@
     }
 }
 
-/// The cell that a router belongs to, and its part among the routers that share the cell's engines.
+/// Cell of a router, and its rank among the routers that share the engines of the cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CellConfig {
     /// The cell.
     pub id: CellId,
-    /// Most routers of one cell (count): what the decision module divides budgets of shared engines by.
+    /// Largest number of routers in a cell. The decision module divides the budgets of shared
+    /// engines by it.
     pub routers_per_cell: u32,
-    /// Which of them this router is: below `sharers`.
+    /// Rank of this router, below `routers_per_cell`.
     pub rank: u32,
 }
 
 impl CellConfig {
-    /// The cell of router `number` of `routers` in all, in this one of `zones` zones (count; zone none and 1 where there are
-    /// none).
+    /// Determines the cell of router `number` in a fleet of `routers` and `zones`. Without zones,
+    /// `zone` is `None` and `zones` is 1.
     pub fn new(plan: &CellPlan, zone: Option<&str>, zones: u32, number: u32, routers: u32) -> CellConfig {
         let cells = plan.cells.max(1);
         let position = match plan.numbering {
@@ -123,7 +127,8 @@
     }
 }
 
-/// The cell of an engine among `cells` of its zone: the same at every router and relay, whatever address it has.
+/// Returns the cell of an engine among `cells` of its zone. All routers and relays compute the same
+/// cell; the address of the engine has no influence.
 pub fn cell_of(engine: &Engine, cells: u32, by: DivideBy) -> u32 {
     let key = match (by, engine.group) {
         (DivideBy::Group, Some(group)) => group,
@@ -132,7 +137,7 @@
     (mix_hash(key ^ SALT_CELL) % u64::from(cells.max(1))) as u32
 }
 
-/// A mixing function (splitmix64): each bit of the input changes about half of the bits of the output.
+/// Mixes the bits of a number (splitmix64).
 pub(crate) fn mix_hash(number: u64) -> u64 {
     let z = number.wrapping_add(SALT_CELL);
     let z = (z ^ z >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/cells/src/counters.rs
+++ b/crates/cells/src/counters.rs
@@ -1,46 +1,51 @@
-//! How often what happened, and why messages were passed over.
+//! Counters of relays and subscribers, and the reasons for rejecting messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use log::warn;
 
-/// Why a message is passed over.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectReason {
-    /// It can't be read, or its pieces are not of the part that they say.
+    /// It could not be decoded, has invalid fields or pieces, or does not match its digest.
     Invalid,
-    /// It is of a lower version than what is known, or of the same version and another content.
+    /// Its version is lower than the one held, or equal with different content.
     Outdated,
-    /// It answers an ask of an earlier life of this router.
+    /// It is for an earlier incarnation of this router.
     OtherIncarnation,
-    /// It answers no ask that is open.
+    /// It belongs to no outstanding request, or is a duplicated or reordered request.
     UnknownRequest,
-    /// It is for another router: of another cell, or with engines of another.
+    /// It is for another cell, contains engines of another cell, or has a direction that its
+    /// recipient does not handle.
     WrongRecipient,
-    /// Its sender is no relay of the settings.
+    /// Its sender is not a configured relay.
     UnknownSender,
-    /// It is a change of a part that is not held.
+    /// It is a delta based on a part that is not held.
     Gap,
-    /// There is no room for a further router.
+    /// The relay already serves its largest number of routers.
     TooManyRouters,
-    /// It names an engine that can't be told on.
+    /// It contains an engine whose names are too long to publish.
     InvalidEngine,
 }
 
-/// All of them, for counters and the log.
+/// All reasons with the names of their counters and descriptions for the log.
 pub const REJECT_REASONS: [(RejectReason, &str, &str); 9] = [
-    (RejectReason::Invalid, "spoilt", "it can't be read, or is not what its digest says"),
-    (RejectReason::Outdated, "old", "it is older than what is known"),
-    (RejectReason::OtherIncarnation, "other_life", "it is for an earlier life of this process"),
-    (RejectReason::UnknownRequest, "other_ask", "it answers no ask that is open"),
-    (RejectReason::WrongRecipient, "other_router", "it is for another router's cell"),
-    (RejectReason::UnknownSender, "stranger", "its sender is none of the relays"),
-    (RejectReason::Gap, "gap", "it changes a part that is not held"),
-    (RejectReason::TooManyRouters, "full", "there are as many routers as may be"),
-    (RejectReason::InvalidEngine, "engine", "an engine's names are too long to be told on"),
+    (RejectReason::Invalid, "spoilt", "it is invalid or does not match its digest"),
+    (RejectReason::Outdated, "old", "its version is outdated"),
+    (RejectReason::OtherIncarnation, "other_life", "it is for an earlier incarnation of this process"),
+    (
+        RejectReason::UnknownRequest,
+        "other_ask",
+        "it belongs to no outstanding request, or repeats an earlier one",
+    ),
+    (RejectReason::WrongRecipient, "other_router", "it is for another router or cell"),
+    (RejectReason::UnknownSender, "stranger", "its sender is not a configured relay"),
+    (RejectReason::Gap, "gap", "it is based on a part that is not held"),
+    (RejectReason::TooManyRouters, "full", "the relay already serves its largest number of routers"),
+    (RejectReason::InvalidEngine, "engine", "the names of an engine are too long to publish"),
 ];
 
-/// Counts of messages that were passed over, by why.
+/// Number of rejected messages by reason.
 #[derive(Clone, Debug, Default)]
 pub struct RejectedMessages {
     counts: BTreeMap<RejectReason, u64>,
@@ -48,7 +53,7 @@
 }
 
 impl RejectedMessages {
-    /// Counts one; each reason is logged once.
+    /// Counts a message. The first message of each reason is logged.
     pub fn count(&mut self, reason: RejectReason, from: impl std::fmt::Display) {
         *self.counts.entry(reason).or_default() += 1;
         if self.logged.insert(reason) {
@@ -57,46 +62,46 @@
                 .find(|(r, _, _)| *r == reason)
                 .map_or("", |(_, _, description)| description);
             warn!(
-                "a message about the list from {from} is passed over: {description}; further ones are only counted"
+                "rejected a message about the engine list from {from}: {description}; further ones are only counted"
             );
         }
     }
 
-    /// How many were passed over for this reason.
+    /// Returns the number of messages rejected for this reason.
     pub fn get(&self, reason: RejectReason) -> u64 {
         self.counts.get(&reason).copied().unwrap_or(0)
     }
 
-    /// All counts by name.
+    /// Returns all counts with their names.
     pub fn iter(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         REJECT_REASONS.iter().map(|(reason, name, _)| (*name, self.get(*reason)))
     }
 }
 
-/// How often what happened at a subscriber.
+/// Counters of a subscriber.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SubscriberCounters {
-    /// Asks sent.
+    /// Requests sent.
     pub requests: u64,
-    /// Whole parts taken.
+    /// Snapshots applied.
     pub snapshots: u64,
-    /// Changes taken.
+    /// Deltas applied.
     pub deltas: u64,
-    /// Times that a relay was left for another.
+    /// Switches to another relay.
     pub failovers: u64,
-    /// Times that what is known got older than it may be.
+    /// Times that the part exceeded its maximum age.
     pub stale_periods: u64,
 }
 
-/// How often what happened at a relay.
+/// Counters of a relay.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RelayCounters {
-    /// Asks heard.
+    /// Requests received.
     pub requests: u64,
     /// Datagrams sent.
     pub sent: u64,
-    /// Parts computed.
+    /// Parts built from the list.
     pub parts_built: u64,
-    /// Changes sent.
+    /// Deltas sent.
     pub deltas: u64,
 }
--- a/crates/cells/src/digest.rs
+++ b/crates/cells/src/digest.rs
@@ -1,15 +1,15 @@
-//! A short number for a part of the list: two parts that differ in anything have two digests.
+//! Digest of a part of the list.
 
 use serde::{Deserialize, Serialize};
 
 use crate::engine::{split_address, Engine};
 
-/// The digest of a part: half of a BLAKE3 hash over its engines in the order of their ids.
+/// Digest of a part: the first 128 bits of a BLAKE3 hash over its engines in order of their ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Digest(pub u64, pub u64);
 
 impl Digest {
-    /// The digest of these engines, which come in the order of their ids.
+    /// Computes the digest of engines, which must be in order of their ids.
     pub fn of<'a>(engines: impl IntoIterator<Item = &'a Engine>) -> Digest {
         let mut hasher = blake3::Hasher::new();
         let mut text = Vec::new();
@@ -33,7 +33,7 @@
     to.push(u8::from(engine.group.is_some()));
     to.extend_from_slice(&engine.group.unwrap_or(0).to_le_bytes());
     for name in [&engine.zone, &engine.kind] {
-        // A length tells where a name ends, and whether there is one.
+        // The length delimits the name; zero stands for no name.
         let length = name.as_ref().map_or(0, |name| name.len() as u64 + 1);
         to.extend_from_slice(&length.to_le_bytes());
         to.extend_from_slice(name.as_deref().unwrap_or_default().as_bytes());
--- a/crates/cells/src/engine.rs
+++ b/crates/cells/src/engine.rs
@@ -1,21 +1,22 @@
-//! An engine as the list has it, with the names of its zone and kind: numbers of those are each process's own.
+//! Engines as the list describes them. Zones and kinds are given by name, because their numbers
+//! differ between processes.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::sync::Arc;
 
-/// What an engine takes.
+/// Whether an engine accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EngineState {
-    /// New work.
+    /// Accepts new work.
     Ready,
-    /// No new work: it ends what it has.
+    /// Finishes its current work and accepts no more.
     Draining,
-    /// Nothing: it is on the list no more.
+    /// Removed from the list.
     Gone,
 }
 
 impl EngineState {
-    /// Its number in a datagram.
+    /// Returns the code in a datagram.
     pub(crate) fn code(self) -> u8 {
         match self {
             EngineState::Ready => 0,
@@ -24,7 +25,7 @@
         }
     }
 
-    /// The state with this number, where there is one.
+    /// Returns the state with this code, if there is one.
     pub(crate) fn from_code(code: u8) -> Option<EngineState> {
         [EngineState::Ready, EngineState::Draining, EngineState::Gone].get(usize::from(code)).copied()
     }
@@ -33,28 +34,28 @@
 /// An engine of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Its number, the same at every router and over restarts of its process.
+    /// Id, equal at all routers and stable over restarts of the engine's process.
     pub id: u64,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its zone by name, where it has one.
+    /// Name of its zone.
     pub zone: Option<Arc<str>>,
-    /// Its kind by name, where it has one.
+    /// Name of its kind.
     pub kind: Option<Arc<str>>,
-    /// The group of engines that drop each other's repeats.
+    /// Deduplication group: engines that recognise each other's retries.
     pub group: Option<u64>,
-    /// What it takes.
+    /// Whether it accepts work.
     pub state: EngineState,
-    /// Its weight, as the list says.
+    /// Weight from the list.
     pub weight: f64,
-    /// When it started (Unix ms); 0 where that is not told.
+    /// Start time in Unix milliseconds; 0 if unknown.
     pub started_ms: u64,
 }
 
-/// Marks a port of an address of version 6.
+/// Flag that marks the port of an IPv6 address.
 const PORT_V6: u32 = 1 << 16;
 
-/// An address as two halves of an IP and a port.
+/// Splits an address into the two halves of its IP and its port.
 pub(crate) fn split_address(address: SocketAddr) -> (u64, u64, u32) {
     let port = u32::from(address.port());
     match address.ip() {
@@ -66,7 +67,7 @@
     }
 }
 
-/// The address of these halves; none where they are of no address.
+/// Reverses [`split_address`]; `None` if the numbers are not a valid address.
 pub(crate) fn join_address(high: u64, low: u64, port: u32) -> Option<SocketAddr> {
     let number = u16::try_from(port & !PORT_V6).ok()?;
     let ip = match port & PORT_V6 {
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -1,13 +1,16 @@
-//! Cells: a router holds only its cell's part of the list of engines, and learns it from relays.
+//! Distribution of the engine list: relays publish it, and a router subscribes to the part of its
+//! cell.
 //!
-//! The engines of a zone are divided into cells by a stable hash ([`cell`]); a router belongs to one cell of its own zone. A
-//! relay ([`relay`]) holds the whole list and answers the routers' asks with the part of their cell; a router ([`subscriber`])
-//! asks one relay after another. What they say to each other ([`message`]) fits one datagram each. The machines have no I/O
-//! and no clock: times (ns) are passed in. [`bound`] computes from the settings how stale a part can be under each fault.
+//! A stable hash divides the engines of a zone into cells ([`cell`]); a router belongs to one cell
+//! of its own zone. A relay ([`relay`]) holds the full list and answers requests with the part of
+//! the requested cell; a router ([`subscriber`]) sends requests to one relay at a time. Each
+//! message ([`message`]) fits one datagram. The state machines perform no I/O and read no clock:
+//! times are passed in, in nanoseconds. [`bound`] computes from the settings how stale a part can
+//! become under each fault.
 //!
-//! Invariants: a router's part is always one that a relay held whole at one version; it is replaced only by a part whose digest
-//! was computed again and is equal, or by a delta from exactly the part held; and never by one of a lower version, unless the
-//! list service counts anew.
+//! Invariants: the part of a router is always one that a relay held at some version. It is replaced
+//! only by a snapshot whose digest has been verified, or by a delta based on exactly the part held.
+//! Its version never decreases, unless the list service restarts its event numbers.
 
 #![forbid(unsafe_code)]
 
--- a/crates/cells/src/message.rs
+++ b/crates/cells/src/message.rs
@@ -1,4 +1,4 @@
-//! What routers and relays say to each other about the list: each message fits one datagram.
+//! Messages between routers and relays. Each fits one datagram.
 
 use std::sync::Arc;
 
@@ -9,35 +9,37 @@
 use crate::digest::Digest;
 use crate::engine::{join_address, split_address, Engine, EngineState};
 
-/// Largest message (bytes): the seal and the sender's name have the rest of a datagram.
+/// Largest message, in bytes. The rest of a datagram is left for the signature and the sender's
+/// identity.
 pub const MAX_MESSAGE_BYTES: usize = 1_000;
-/// Most pieces that a part comes in (count): what a router puts together is bounded.
+/// Largest number of pieces in a snapshot. Bounds the memory that a router uses for assembly.
 pub const MAX_PIECES: u16 = 1_024;
-/// Most pieces that one ask names as missing (count).
+/// Largest number of missing pieces that one request names.
 pub const MAX_MISSING: usize = 32;
-/// What stands in a piece or delta besides names and engines, at most (bytes).
+/// Largest size of a piece or delta without its names and engines, in bytes.
 const MAX_ENVELOPE_BYTES: usize = 120;
 
-/// Why a message is passed over.
+/// Why a message could not be decoded.
 #[derive(Debug, Error)]
 pub enum CodecError {
-    /// It is no message.
-    #[error("it can't be read: {0}")]
+    /// It is not a valid encoding.
+    #[error("invalid encoding: {0}")]
     Format(#[from] rmp_serde::decode::Error),
-    /// It is larger than a message may be (bytes).
-    #[error("it is too large: {0} bytes")]
+    /// It exceeds the largest message size; holds its size in bytes.
+    #[error("message too large: {0} bytes")]
     TooLarge(usize),
-    /// It names an engine in a way that can't be.
-    #[error("it names an engine with a state, address or name that can't be")]
+    /// It contains an engine with an invalid state, address, name or weight.
+    #[error("engine with an invalid state, address, name or weight")]
     InvalidEngine,
 }
 
-/// An engine in a datagram: id, address (two halves and a port), numbers of zone and kind in the message's names plus one (0 for
-/// none), group, state, weight, start (Unix ms).
+/// Encoded engine: id, address (two halves of the IP, and the port), zone and kind as one-based
+/// indices into the names of the table (0 for none), group, state, weight, and start time in Unix
+/// milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row(u64, (u64, u64, u32), u8, u8, Option<u64>, u8, f64, u64);
 
-/// Engines, with the names that their rows refer to.
+/// Encoded engines, and the names that their rows refer to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Table {
     names: Vec<String>,
@@ -45,7 +47,8 @@
 }
 
 impl Table {
-    /// Engines in as few tables as fit a message each; one empty table for none.
+    /// Encodes engines in as few tables as fit one message each. Returns one empty table if there
+    /// are no engines.
     pub fn pack<'a>(engines: impl IntoIterator<Item = &'a Engine>) -> Vec<Table> {
         let mut tables = vec![Table::default()];
         let mut size = MAX_ENVELOPE_BYTES;
@@ -64,7 +67,8 @@
         tables
     }
 
-    /// Adds an engine where it fits; whether it did. A table's first always fits, or its message would hold none.
+    /// Adds an engine if it fits, and returns whether it did. The first engine of a table is always
+    /// added.
     fn push(&mut self, engine: &Engine, size: &mut usize) -> bool {
         let name_number = |name: &Option<Arc<str>>| match name {
             None => Some(0),
@@ -99,15 +103,15 @@
         true
     }
 
-    /// Whether a change with this table fits one message with so many ids of engines that went.
+    /// Returns whether a delta with this table and `removed` ids fits one message.
     pub fn fits_with_removed(&self, removed: usize) -> bool {
         MAX_ENVELOPE_BYTES + encoded_size(self) + removed * (size_of::<u64>() + 1) <= MAX_MESSAGE_BYTES
     }
 
-    /// The engines.
+    /// Decodes the engines.
     ///
     /// # Errors
-    /// Where a row is of no engine.
+    /// [`CodecError::InvalidEngine`] if a row is not a valid engine.
     pub fn engines(&self) -> Result<Vec<Engine>, CodecError> {
         let names: Vec<Arc<str>> = self.names.iter().map(|name| Arc::from(name.as_str())).collect();
         let name = |at: u8| match usize::from(at).checked_sub(1) {
@@ -130,112 +134,112 @@
     }
 }
 
-/// A router asks for its cell's part.
+/// Request of a router for the part of its cell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// The router's life: larger with each start.
+    /// Incarnation of the router, which increases with each start.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Grows with each of its asks.
+    /// Sequence number, which increases with each request of the router.
     pub sequence: u64,
-    /// Its cell.
+    /// Cell of the router.
     pub cell: CellId,
-    /// The part that it holds.
+    /// Digest of the part that the router holds.
     #[serde(rename = "have")]
     pub held_digest: Option<Digest>,
-    /// The version that a part must not be below; none for any.
+    /// Lowest version that the router accepts; `None` for any.
     #[serde(rename = "least")]
     pub min_version: Option<u64>,
-    /// The part that it has pieces of, and the numbers of those missing, the first of them.
+    /// Digest of an incomplete snapshot, and the first indices of its missing pieces.
     pub missing: Option<(Digest, Vec<u16>)>,
 }
 
-/// Which ask an answer is to, and what the relay knew then.
+/// Request that a response belongs to, and the state of the relay at that time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseHeader {
-    /// The router's life, as it asked.
+    /// Incarnation of the router, from the request.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The ask.
+    /// Sequence number of the request.
     pub sequence: u64,
-    /// The cell's number.
+    /// Hash of the cell.
     pub cell: u64,
-    /// Number of the list service's last event that the relay has taken.
+    /// Number of the last event of the list service that the relay has applied.
     pub version: u64,
-    /// How long ago the relay last heard the list service (ms).
+    /// Time since the relay last had contact with the list service, in milliseconds.
     #[serde(rename = "heard_age_ms")]
     pub contact_age_ms: u64,
 }
 
-/// A piece of the whole part.
+/// One piece of a snapshot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Piece {
-    /// What it answers.
+    /// Request that it belongs to.
     #[serde(rename = "answer")]
     pub header: ResponseHeader,
-    /// Digest of the whole part.
+    /// Digest of the complete part.
     pub digest: Digest,
-    /// Which piece this is, of how many.
+    /// Index of the piece.
     #[serde(rename = "at")]
     pub index: u16,
-    /// Pieces in all.
+    /// Number of pieces.
     #[serde(rename = "of")]
     pub count: u16,
-    /// The engines.
+    /// Engines of the piece.
     pub table: Table,
 }
 
-/// A change of a part, told without being asked for.
+/// Change of a part, sent without a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The router's life, as it asked last.
+    /// Incarnation of the router, from its latest request.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The cell's number.
+    /// Hash of the cell.
     pub cell: u64,
     /// Number of the list service's event.
     pub version: u64,
-    /// The part before, and after.
+    /// Digest of the part before the change.
     pub from: Digest,
-    /// The part after.
+    /// Digest of the part after the change.
     pub to: Digest,
-    /// Engines that came or changed.
+    /// Added and changed engines.
     pub table: Table,
-    /// Ids of engines that went.
+    /// Ids of removed engines.
     #[serde(rename = "gone")]
     pub removed: Vec<u64>,
 }
 
-/// One datagram's message.
+/// A message of one datagram. The variants are encoded by their names on the wire.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A router asks.
+    /// Request of a router.
     #[serde(rename = "Ask")]
     Request(Request),
-    /// The router holds what the relay does.
+    /// The router already holds the current part.
     #[serde(rename = "Same")]
     Unchanged(ResponseHeader),
-    /// The relay is at a lower version than the router asked for.
+    /// The relay has a lower version than the router accepts.
     Behind(ResponseHeader),
-    /// A piece of the whole part.
+    /// One piece of a snapshot.
     Piece(Piece),
     /// The part has changed.
     Delta(Delta),
-    /// The relay has not learned a whole list yet.
+    /// The relay cannot serve the part, for example because it has not received a full list yet.
     NotReady(ResponseHeader),
 }
 
 impl Message {
-    /// Its bytes.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
-        // Writing into memory can't fail, and all fields are of kinds that the format has.
+        // Encoding into memory cannot fail for these types.
         rmp_serde::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads what [`Message::encode`] wrote.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// Where it is too large, cut, or no message.
+    /// [`CodecError`] if it is too large or invalid.
     pub fn decode(bytes: &[u8]) -> Result<Message, CodecError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(CodecError::TooLarge(bytes.len()));
--- a/crates/cells/src/part.rs
+++ b/crates/cells/src/part.rs
@@ -1,11 +1,11 @@
-//! The part of the list that one cell has: its engines by id, and their digest.
+//! The part of the engine list that belongs to one cell.
 
 use std::collections::BTreeMap;
 
 use crate::digest::Digest;
 use crate::engine::{Engine, EngineState};
 
-/// A part of the list. Engines that are gone are not in it.
+/// Engines of a cell by id, with their digest. Engines in state `Gone` are not included.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Part {
     engines: BTreeMap<u64, Engine>,
@@ -13,7 +13,7 @@
 }
 
 impl Part {
-    /// A part of these engines.
+    /// Creates a part from engines; those in state `Gone` are left out.
     pub fn new(engines: impl IntoIterator<Item = Engine>) -> Part {
         let here = engines.into_iter().filter(|engine| engine.state != EngineState::Gone);
         Part::from_engines(here.map(|engine| (engine.id, engine)).collect())
@@ -24,32 +24,32 @@
         Part { engines, digest }
     }
 
-    /// Its digest.
+    /// Returns the digest.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// Its engines, by id.
+    /// Returns the engines in order of their ids.
     pub fn engines(&self) -> impl Iterator<Item = &Engine> {
         self.engines.values()
     }
 
-    /// The engine with this id.
+    /// Returns the engine with this id.
     pub fn get(&self, id: u64) -> Option<&Engine> {
         self.engines.get(&id)
     }
 
-    /// Engines in it (count).
+    /// Returns the number of engines.
     pub fn len(&self) -> usize {
         self.engines.len()
     }
 
-    /// Whether it holds none.
+    /// Returns whether there are no engines.
     pub fn is_empty(&self) -> bool {
         self.engines.is_empty()
     }
 
-    /// The part with these engines changed or added, and those taken out.
+    /// Returns a copy with the `changed` engines added or replaced and the `removed` ids left out.
     pub fn with_changes(&self, changed: &[Engine], removed: &[u64]) -> Part {
         let mut engines = self.engines.clone();
         for id in removed {
@@ -59,7 +59,8 @@
         Part::from_engines(engines)
     }
 
-    /// What makes this part of an earlier one: engines that came or changed, and ids of those that went.
+    /// Returns the engines that were added or changed since an earlier part, and the ids of those
+    /// removed.
     pub fn diff_from<'a>(&'a self, earlier: &Part) -> (Vec<&'a Engine>, Vec<u64>) {
         let changed = self.engines.values().filter(|engine| earlier.get(engine.id) != Some(*engine));
         let removed = earlier.engines.keys().filter(|id| !self.engines.contains_key(id));
--- a/crates/cells/src/relay.rs
+++ b/crates/cells/src/relay.rs
@@ -1,9 +1,10 @@
-//! A relay's side: it holds the whole list as the list service told it, and tells each router its cell's part.
+//! State machine of a relay: holds the full list and publishes to each router the part of its cell.
 //!
-//! Invariants: before a whole list was learned and the service was heard in this life nothing is told but that; the age that is
-//! told is never less than the true one, also after the process stood still; a part is computed once for each version and cell,
-//! not for each ask; what is owed to a router is one answer and one change, and what is sent is bounded by a budget, changes
-//! first.
+//! Invariants: until the relay has received a full list and has had contact with the list service,
+//! it only responds that it is not ready. The reported contact age is never less than the true one,
+//! even after the process was paused. A part is built once per version and cell, not per request.
+//! At most one response and one delta are pending for a router. The send rate is limited, and
+//! deltas are sent first.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -17,45 +18,49 @@
 use crate::message::{Delta, Message, Piece, Request, ResponseHeader, Table, MAX_MISSING, MAX_PIECES};
 use crate::part::Part;
 
-/// Longest name of a zone or kind that is told on (bytes).
+/// Longest name of a zone or kind that is published, in bytes.
 pub const MAX_NAME_BYTES: usize = 200;
-/// Asks of time without a word after which a router is forgotten (count).
+/// Request intervals without a request after which a router is removed.
 pub(crate) const EXPIRY_REQUESTS: u64 = 10;
-/// A relay that did nothing for so long stood still (ns): what waits for it is old, and nobody says how old.
+/// Inactivity after which a relay treats its process as having been paused, in nanoseconds: the age
+/// of its queued input is then unknown.
 pub const MIN_PAUSE_NS: u64 = 1_000_000_000;
-/// The least that a relay sends in a second where it must (datagrams), and the part of a second's that it sends at once.
+/// Lower limit of the budget, in datagrams per second.
 const MIN_BUDGET_PER_S: u64 = 2_000;
+/// Fraction of a second's budget that may be sent at once.
 const BURST_FRACTION: f64 = 0.05;
 
-/// What a relay is set up with.
+/// Settings of a relay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelaySettings {
-    /// Routers of the fleet (count). As many again may be known: those that started anew at another address.
+    /// Number of routers in the fleet. The relay accepts twice as many, because a restarted router
+    /// may have a new address.
     pub routers: u32,
-    /// Time between a router's asks (ns).
+    /// Interval between the requests of a router, in nanoseconds.
     pub ask_ns: u64,
-    /// Age from which it does not count as hearing the list service (ns).
+    /// Time without contact after which the list service counts as unavailable, in nanoseconds.
     pub silence_ns: u64,
 }
 
 impl RelaySettings {
-    /// Datagrams that it sends in a second at most: twice what all routers ask for, if it is the only relay left.
+    /// Returns the largest number of datagrams sent per second: two per router and request
+    /// interval, so that one remaining relay can serve the fleet.
     pub fn budget_per_s(&self) -> u64 {
         let requests = u64::from(self.routers).saturating_mul(1_000_000_000) / self.ask_ns.max(1);
         (2 * requests).max(MIN_BUDGET_PER_S)
     }
 }
 
-/// A part as it is told.
+/// A part, encoded for sending.
 #[derive(Clone, Debug)]
 struct PublishedPart {
     part: Part,
     tables: Vec<Table>,
-    /// Routers of it (count).
+    /// Number of routers subscribed to it.
     routers: u32,
 }
 
-/// A change of a part.
+/// Change of a part.
 #[derive(Clone, Debug)]
 struct PartDelta {
     from: Digest,
@@ -64,17 +69,18 @@
     removed: Vec<u64>,
 }
 
-/// An answer that is owed.
+/// Response that has not been sent completely.
 #[derive(Clone, Debug)]
 struct PendingResponse {
-    /// Of the part that is being sent, the pieces still to go; none before the first.
+    /// Digest of the part that is being sent, and the indices of the pieces left; `None` before the
+    /// first piece.
     remaining: Option<(Digest, VecDeque<u16>)>,
     held_digest: Option<Digest>,
     min_version: Option<u64>,
     missing: Option<(Digest, Vec<u16>)>,
 }
 
-/// A router that asks.
+/// State of a router.
 #[derive(Clone, Debug)]
 struct Subscription {
     incarnation: u64,
@@ -85,7 +91,7 @@
     pending_response: Option<PendingResponse>,
 }
 
-/// The list as the service told it.
+/// The list as received from the list service.
 #[derive(Clone, Debug, Default)]
 struct EngineList {
     zones: BTreeMap<Option<Arc<str>>, BTreeMap<u64, Engine>>,
@@ -94,16 +100,17 @@
     is_complete: bool,
 }
 
-/// When the list service was heard.
+/// Contact with the list service.
 #[derive(Clone, Debug, Default)]
 struct ServiceContact {
     contact_ns: Option<u64>,
     last_active_ns: u64,
-    /// Until when what comes counts as heard no later than it stood still (ns).
+    /// Time until which input does not count as contact, because it may have been queued while the
+    /// process was paused.
     untrusted_until_ns: u64,
 }
 
-/// What may be sent now.
+/// Rate limit of sent datagrams.
 #[derive(Clone, Debug)]
 struct TokenBucket {
     per_s: f64,
@@ -122,7 +129,7 @@
         self.refilled_ns = self.refilled_ns.max(now);
     }
 
-    /// Takes one datagram's part; whether there was one.
+    /// Takes a token, and returns whether one was available.
     fn try_take(&mut self) -> bool {
         let available = self.tokens >= 1.0;
         self.tokens -= f64::from(u8::from(available));
@@ -130,7 +137,7 @@
     }
 }
 
-/// The whole list, and the routers that are told of it.
+/// State machine of a relay.
 #[derive(Clone, Debug)]
 pub struct Relay {
     settings: RelaySettings,
@@ -146,7 +153,7 @@
 }
 
 impl Relay {
-    /// A relay that knows no list yet.
+    /// Creates a relay without a list.
     pub fn new(now: u64, settings: RelaySettings) -> Relay {
         Relay {
             budget: TokenBucket::new(now, settings.budget_per_s() as f64),
@@ -162,42 +169,44 @@
         }
     }
 
-    /// Number of the last event that was taken.
+    /// Returns the number of the last applied event.
     pub fn version(&self) -> u64 {
         self.list.version
     }
 
-    /// Engines on the list (count).
+    /// Returns the number of engines on the list.
     pub fn engines(&self) -> usize {
         self.list.zone_of.len()
     }
 
-    /// Routers that it knows (count).
+    /// Returns the number of subscribed routers.
     pub fn routers(&self) -> usize {
         self.subscriptions.len()
     }
 
-    /// Whether it has learned a whole list and heard the service.
+    /// Returns whether the relay has received a full list and has had contact with the list
+    /// service.
     pub fn is_ready(&self) -> bool {
         self.list.is_complete && self.service.contact_ns.is_some()
     }
 
-    /// How often what happened.
+    /// Returns the counters.
     pub fn counters(&self) -> &RelayCounters {
         &self.counters
     }
 
-    /// Messages that were passed over.
+    /// Returns the counters of rejected messages.
     pub fn rejected(&self) -> &RejectedMessages {
         &self.rejected
     }
 
-    /// Counts a datagram that can't be read.
+    /// Counts a datagram that could not be decoded.
     pub fn record_undecodable(&mut self, from: SocketAddr) {
         self.rejected.count(RejectReason::Invalid, from);
     }
 
-    /// Takes news of the list, which is at this version then: a whole list in place of all, or engines that changed.
+    /// Applies an update of the list, which is then at `version`: the full list if `is_full` is
+    /// set, otherwise the changed engines.
     pub fn apply_update(&mut self, version: u64, is_full: bool, engines: Vec<Engine>) {
         self.list.version = version;
         let mut changed_zones = BTreeSet::new();
@@ -222,17 +231,17 @@
         cells.into_iter().for_each(|cell| self.rebuild_part(&cell));
     }
 
-    /// The service was heard so long ago (ns).
+    /// Records that the last contact with the list service was `age_ns` nanoseconds ago.
     pub fn heard(&mut self, now: u64, age_ns: u64) {
         self.detect_pause(now);
-        // In doubt also before it was ever heard: what waited tells nothing of now.
+        // Also before the first contact: queued input has an unknown age.
         if now >= self.service.untrusted_until_ns {
             self.service.contact_ns = self.service.contact_ns.max(Some(now.saturating_sub(age_ns)));
         }
     }
 
-    /// Guards against old news that waited while the process stood still: what comes first as it wakes is not fresh. All that
-    /// waited is taken to be read within the silence bound.
+    /// Detects that the process was paused. Input that was queued meanwhile is assumed to be read
+    /// within the silence time; until then no input counts as contact.
     fn detect_pause(&mut self, now: u64) {
         if now.saturating_sub(self.service.last_active_ns) >= MIN_PAUSE_NS {
             self.service.untrusted_until_ns = now + self.settings.silence_ns;
@@ -240,7 +249,7 @@
         self.service.last_active_ns = self.service.last_active_ns.max(now);
     }
 
-    /// Takes a router's message.
+    /// Handles a message from a router.
     pub fn receive(&mut self, now: u64, from: SocketAddr, message: Message) {
         self.detect_pause(now);
         let Message::Request(request) = message else {
@@ -253,7 +262,7 @@
             return self.rejected.count(RejectReason::Invalid, from);
         }
         match self.subscriptions.get(&from).map(|latest| (latest.incarnation, latest.sequence)) {
-            // An ask that was overtaken, or doubled on its way.
+            // Reordered or duplicated request.
             Some(latest) if latest >= (request.incarnation, request.sequence) => {
                 return self.rejected.count(RejectReason::UnknownRequest, from);
             }
@@ -320,7 +329,7 @@
         PublishedPart { part, tables, routers: 0 }
     }
 
-    /// Computes a cell's part anew, and owes its routers the change.
+    /// Rebuilds the part of a cell and schedules the change for its routers.
     fn rebuild_part(&mut self, cell: &CellId) {
         let mut published = self.build_part(cell);
         let Some(previous) = self.parts.get_mut(cell) else { return };
@@ -345,7 +354,8 @@
                     subscription.pending_delta = Some(part_delta.clone());
                     self.delta_queue.push_back(*address);
                 }
-                // What fits no datagram, or follows on one that was not sent yet, is answered as if asked for.
+                // A change that does not fit one datagram or follows an unsent delta is sent as a
+                // response.
                 _ => {
                     subscription.pending_delta = None;
                     if subscription.pending_response.is_none() {
@@ -362,7 +372,7 @@
         }
     }
 
-    /// Passes time; gives what is to be sent.
+    /// Performs periodic work and returns the messages to send.
     pub fn tick(&mut self, now: u64) -> Vec<(SocketAddr, Message)> {
         self.detect_pause(now);
         self.budget.refill(now);
@@ -462,7 +472,7 @@
         }
     }
 
-    /// Counters, as one line.
+    /// Formats the counters as one line.
     pub fn line(&self) -> String {
         let RelayCounters { requests, sent, parts_built, deltas } = self.counters;
         let rejected: String =
@@ -478,7 +488,7 @@
 }
 
 impl PendingResponse {
-    /// Numbers of the pieces to be sent, as the part is now.
+    /// Takes the indices of the pieces to send, given the current part.
     fn take_remaining(&mut self, published: &PublishedPart) -> VecDeque<u16> {
         let digest = published.part.digest();
         match (self.remaining.take(), self.missing.take()) {
@@ -492,7 +502,7 @@
 }
 
 impl EngineList {
-    /// Takes one engine; gives the zones that it was in and is in.
+    /// Inserts, replaces or removes an engine. Returns its previous and its current zone.
     fn insert(&mut self, engine: Engine) -> Vec<Option<Arc<str>>> {
         let previous = self.zone_of.remove(&engine.id);
         if let Some(engines) = previous.as_ref().and_then(|zone| self.zones.get_mut(zone)) {
@@ -506,7 +516,7 @@
         previous.into_iter().chain([zone]).collect()
     }
 
-    /// The engines of a cell.
+    /// Returns the engines of a cell.
     fn cell_engines<'a>(&'a self, cell: &'a CellId) -> impl Iterator<Item = &'a Engine> {
         let zone_key = cell.zone.as_deref().map(|zone| Some(Arc::from(zone)));
         let zones: Vec<&BTreeMap<u64, Engine>> = match zone_key {
--- a/crates/cells/src/relay_selector.rs
+++ b/crates/cells/src/relay_selector.rs
@@ -1,12 +1,14 @@
-//! Which relay a router asks: an order of its own, and for how long a relay that failed it is left alone.
+//! Choice of the relay that a router sends requests to, with backoff after failures.
 
 use std::net::SocketAddr;
 
 use crate::cell::mix_hash;
 use crate::engine::split_address;
 
-/// A relay that failed is left alone for so many asks at first, and twice as long each further time, up to the second (asks).
+/// Backoff after the first failure of a relay, in request intervals. It doubles with each further
+/// failure.
 const INITIAL_BACKOFF_REQUESTS: u64 = 10;
+/// Upper limit of the backoff, in request intervals.
 const MAX_BACKOFF_REQUESTS: u64 = 80;
 
 #[derive(Clone, Debug)]
@@ -16,8 +18,8 @@
     failures: u32,
 }
 
-/// The relays in a router's own order, by rendezvous hash: relays have about as many routers each, and those of one that is gone
-/// spread over all others.
+/// The relays in an order specific to the router, by rendezvous hashing: routers are spread evenly
+/// over the relays, and the routers of a removed relay evenly over the others.
 #[derive(Clone, Debug)]
 pub(crate) struct RelaySelector {
     relays: Vec<Candidate>,
@@ -34,7 +36,7 @@
         RelaySelector { relays: ranked.into_iter().map(candidate).collect(), current: 0, ask_ns }
     }
 
-    /// The relay that is asked now; none where there are none.
+    /// Returns the relay in use; `None` if there are no relays.
     pub(crate) fn current(&self) -> Option<SocketAddr> {
         self.relays.get(self.current).map(|relay| relay.address)
     }
@@ -47,8 +49,8 @@
         self.relays.len()
     }
 
-    /// Leaves the current relay for the first that is not left alone, or else for the next; whether the new one is not left
-    /// alone.
+    /// Switches to the first relay without backoff, or to the next one if all have backoff. Returns
+    /// whether a relay without backoff was found.
     pub(crate) fn fail_over(&mut self, now: u64) -> bool {
         let failed = self.current;
         self.back_off(now, failed);
@@ -67,14 +69,16 @@
         }
     }
 
-    /// A relay before the current one that may be tried again; it is left alone from here on until it answers.
+    /// Returns a relay preferred over the current one whose backoff has expired. It gets a new
+    /// backoff until it responds.
     pub(crate) fn retry_preferred(&mut self, now: u64) -> Option<SocketAddr> {
         let at = (0..self.current).find(|at| self.relays[*at].backoff_until_ns <= now)?;
         self.back_off(now, at);
         Some(self.relays[at].address)
     }
 
-    /// A relay has answered well: it is the current one where it stands before that, and is left alone no more.
+    /// Clears the backoff of a relay that responded, and switches to it if it is preferred over the
+    /// current one.
     pub(crate) fn record_response(&mut self, relay: SocketAddr) {
         if let Some(at) = self.relays.iter().position(|candidate| candidate.address == relay) {
             self.relays[at].backoff_until_ns = 0;
--- a/crates/cells/src/request_tracker.rs
+++ b/crates/cells/src/request_tracker.rs
@@ -1,46 +1,47 @@
-//! The asks of a subscriber that are open, and when the next is due.
+//! Outstanding requests of a subscriber, and the time of the next one.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
 use crate::digest::Digest;
 
-/// Asks whose answers are still taken (count).
+/// Number of requests for which responses are still accepted.
 const MAX_PENDING_REQUESTS: usize = 64;
 
-/// An ask whose answer is still taken.
+/// A request for which responses are still accepted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingRequest {
     pub sequence: u64,
     pub relay: SocketAddr,
     pub sent_ns: u64,
-    /// What was held then.
+    /// Digest of the part held when the request was sent.
     pub held_digest: Option<Digest>,
 }
 
-/// Asks, and what comes of them at the relay that is asked now.
+/// Outstanding requests, and the recent results at the current relay.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestTracker {
     pending: VecDeque<PendingRequest>,
     pub sequence: u64,
     pub sent_ns: u64,
     pub due_ns: u64,
-    /// Asks in a row without an answer (count).
+    /// Consecutive requests to the current relay without a response.
     pub unanswered: u32,
-    /// Asks in a row without an answer of any relay (count).
+    /// Consecutive requests without a response from any relay.
     pub unanswered_overall: u32,
-    /// Answers in a row that were old (count), and the last ask that one was to.
+    /// Consecutive outdated responses from the current relay.
     pub outdated: u32,
+    /// Request that the last outdated response belongs to.
     pub outdated_sequence: u64,
 }
 
 impl RequestTracker {
-    /// None sent yet; the first is due then (ns).
+    /// Creates a tracker without requests; the first one is due at `due_ns`.
     pub(crate) fn new(due_ns: u64) -> RequestTracker {
         RequestTracker { due_ns, ..RequestTracker::default() }
     }
 
-    /// Notes an ask that is sent.
+    /// Records a sent request.
     pub(crate) fn add(&mut self, pending: PendingRequest) {
         self.pending.push_back(pending);
         if self.pending.len() > MAX_PENDING_REQUESTS {
@@ -48,7 +49,8 @@
         }
     }
 
-    /// The ask with this number to this relay, where its answer is still taken.
+    /// Returns the request with this sequence number to this relay, if responses are still
+    /// accepted.
     pub(crate) fn find(&self, relay: SocketAddr, sequence: u64) -> Option<PendingRequest> {
         self.pending.iter().find(|pending| pending.sequence == sequence && pending.relay == relay).copied()
     }
--- a/crates/cells/src/restart_detector.rs
+++ b/crates/cells/src/restart_detector.rs
@@ -1,9 +1,10 @@
-//! Whether the list service counts its events anew: relays that hear it say so for long enough.
+//! Detection of a list service that restarted its event numbers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Relays that must say so, where there are so many (count): one that lies about its number is not believed alone.
+/// Number of relays that must report a restart, if there are as many. Guards against a rollback
+/// caused by one relay with a wrong version.
 const MIN_OBSERVERS: usize = 2;
 
 #[derive(Clone, Debug)]
@@ -13,13 +14,12 @@
     relays: BTreeSet<SocketAddr>,
 }
 
-/// Relays that hear the list service and are behind what is held.
+/// Relays that have contact to the list service and report a lower version than the part held.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RestartDetector(Option<Reports>);
 
 impl RestartDetector {
-    /// A relay which hears the list service is behind what is held. What was said longer ago than the settle time is no witness
-    /// for what is said now.
+    /// Records such a report. Earlier ones are dropped if the latest is older than `settle_ns`.
     pub(crate) fn record(&mut self, now: u64, relay: SocketAddr, settle_ns: u64) {
         let before = self.0.take().filter(|reports| now <= reports.last_ns.saturating_add(settle_ns));
         let reports = before.unwrap_or(Reports { first_ns: now, last_ns: now, relays: BTreeSet::new() });
@@ -28,12 +28,13 @@
         reports.relays.insert(relay);
     }
 
-    /// A relay which hears the list service is where the held list is, or further.
+    /// Drops all reports: a relay with contact to the list service has the held version or a later
+    /// one.
     pub(crate) fn clear(&mut self) {
         self.0 = None;
     }
 
-    /// Whether enough of so many relays have said so for the settle time.
+    /// Returns whether enough of the `relays` have reported a lower version for `settle_ns`.
     pub(crate) fn is_confirmed(&self, now: u64, settle_ns: u64, relays: usize) -> bool {
         let enough = |reports: &Reports| reports.relays.len() >= MIN_OBSERVERS.min(relays);
         self.0
--- a/crates/cells/src/subscriber.rs
+++ b/crates/cells/src/subscriber.rs
@@ -1,12 +1,14 @@
-//! A router's side: it asks one relay after another for its cell's part of the list, and takes only what is whole and newer.
+//! State machine of a router that subscribes to the part of its cell at one relay at a time.
 //!
-//! Invariants: what is known is replaced only by a part that came whole and whose digest, computed again, is equal, or by a
-//! delta from exactly the part held to exactly the one it names; never by one of a lower version, unless the list service
-//! counts anew (below); and no message makes it less than a relay's whole part. How fresh it is counts from when
-//! the ask was sent, less the age that the relay told: a late answer is not taken for a fresh one.
+//! Invariants: the part held is replaced only by a complete snapshot with a verified digest, or by
+//! a delta based on exactly the part held, whose result has the stated digest. Its version never
+//! decreases, unless the list service restarts its event numbers. The age of the part counts from
+//! when the request was sent, plus the age that the relay reported: a late response does not make
+//! the part appear fresh.
 //!
-//! Counting anew: relays that hear their service and are at a lower version than the part held are believed once two of them
-//! (or the only one) have said so over the settle time, and none of those heard meanwhile was at the held version.
+//! A restart of event numbers is accepted once two relays (or the only one) that have contact with
+//! the list service have reported a lower version for the settle time, and no relay has confirmed
+//! the held version meanwhile.
 
 use std::net::SocketAddr;
 
@@ -24,63 +26,66 @@
 use crate::request_tracker::{PendingRequest, RequestTracker};
 use crate::restart_detector::RestartDetector;
 
-/// Asks without an answer after which a relay is left (count).
+/// Number of unanswered requests after which a router switches to another relay.
 pub const MAX_UNANSWERED: u32 = 3;
-/// An ask without an answer is repeated after this part of the interval.
+/// An unanswered request is repeated after the request interval divided by this.
 pub(crate) const RETRY_DIVISOR: u64 = 4;
-/// Asks in a row without any answer that are repeated soon, besides one to each relay (count).
+/// Number of consecutive requests without any response that are repeated quickly, in addition to
+/// one for each relay.
 const MIN_QUICK_RETRIES: u32 = 12;
-/// The least time between asks is this part of the interval.
+/// The shortest time between requests is the request interval divided by this.
 pub(crate) const MIN_INTERVAL_DIVISOR: u64 = 10;
-/// Answers in a row that are old, after which a relay is left (count): one may be an event behind for a moment.
+/// Number of consecutive outdated responses after which a router switches to another relay. One is
+/// tolerated, because a relay may be an event behind for a moment.
 const MAX_OUTDATED_RESPONSES: u32 = 2;
 
-/// What a subscriber is set up with.
+/// Settings of a subscriber.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubscriberSettings {
-    /// Its cell.
+    /// Cell of the router.
     pub cell: CellId,
-    /// A number of this router's own, the same in each of its lives: its order of the relays follows from it.
+    /// Number of the router, stable over restarts. Determines its order of the relays.
     pub router: u64,
-    /// Its life: larger with each start.
+    /// Incarnation of the router, which increases with each start.
     pub incarnation: u64,
-    /// The relays.
+    /// Addresses of the relays.
     pub relays: Vec<SocketAddr>,
-    /// Time between asks (ns).
+    /// Interval between requests, in nanoseconds.
     pub ask_ns: u64,
-    /// A relay that has not heard the list service for longer does not hear it (ns).
+    /// Contact age from which a relay counts as having lost the list service, in nanoseconds.
     pub silence_ns: u64,
-    /// How long relays must say that the list service counts anew before they are believed (ns).
+    /// Time for which relays must report restarted event numbers before they are accepted, in
+    /// nanoseconds.
     pub settle_ns: u64,
-    /// Time over which first asks are spread (ns).
+    /// Time over which first requests are spread, in nanoseconds.
     pub spread_ns: u64,
-    /// Age of what is known from which a warning is logged (ns).
+    /// Age of the part from which a warning is logged, in nanoseconds.
     pub stale_ns: u64,
-    /// Seed of its draws.
+    /// Seed of the jitter.
     pub seed: u64,
 }
 
-/// What became known of the part.
+/// Update of a router's part.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PartUpdate {
-    /// The whole part.
+    /// All engines of the part.
     Snapshot(Vec<Engine>),
-    /// Engines that came or changed, and ids of those that went.
+    /// Added and changed engines, and the ids of removed ones.
     Delta(Vec<Engine>, Vec<u64>),
 }
 
-/// What is known.
+/// The part held, with its version and age.
 #[derive(Clone, Debug)]
 struct HeldPart {
     part: Part,
     version: u64,
-    /// As of when it is known to be right (ns).
+    /// Time at which the part was last known to be current, in nanoseconds.
     confirmed_ns: u64,
-    /// When its version was learned (ns).
+    /// Time at which the version was received, in nanoseconds.
     version_learned_ns: u64,
 }
 
-/// A router's part of the list, and what it takes to keep it.
+/// State machine of a subscriber.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
     settings: SubscriberSettings,
@@ -97,7 +102,7 @@
 }
 
 impl Subscriber {
-    /// A subscriber that knows nothing yet.
+    /// Creates a subscriber without a part.
     pub fn new(now: u64, settings: SubscriberSettings) -> Subscriber {
         let mut jitter = Jitter::new(settings.seed);
         let due_ns = now + jitter.below(settings.spread_ns);
@@ -116,65 +121,66 @@
         }
     }
 
-    /// Its cell.
+    /// Returns the cell.
     pub fn cell(&self) -> &CellId {
         &self.settings.cell
     }
 
-    /// The part that is known; none before the first was learned.
+    /// Returns the part held; `None` before the first one is complete.
     pub fn part(&self) -> Option<&Part> {
         self.held.as_ref().map(|held| &held.part)
     }
 
-    /// The version of what is known.
+    /// Returns the version of the part.
     pub fn version(&self) -> Option<u64> {
         self.held.as_ref().map(|held| held.version)
     }
 
-    /// How old what is known is, at most (ns); since the start where nothing is.
+    /// Returns the largest possible age of the part, in nanoseconds; without a part, the time since
+    /// the start.
     pub fn age_ns(&self, now: u64) -> u64 {
         now.saturating_sub(self.held.as_ref().map_or(self.started_ns, |held| held.confirmed_ns))
     }
 
-    /// The relay that is asked now.
+    /// Returns the relay in use.
     pub fn relay(&self) -> Option<SocketAddr> {
         self.selector.current()
     }
 
-    /// How often what happened.
+    /// Returns the counters.
     pub fn counters(&self) -> &SubscriberCounters {
         &self.counters
     }
 
-    /// Messages that were passed over.
+    /// Returns the counters of rejected messages.
     pub fn rejected(&self) -> &RejectedMessages {
         &self.rejected
     }
 
-    /// When it has something to send next (ns).
+    /// Returns the time of the next request, in nanoseconds.
     pub fn next_due_ns(&self) -> u64 {
         self.tracker.due_ns
     }
 
-    /// Counts a datagram that can't be read.
+    /// Counts a datagram that could not be decoded.
     pub fn record_undecodable(&mut self, from: SocketAddr) {
         self.rejected.count(RejectReason::Invalid, from);
     }
 
-    /// Passes time; gives what is to be sent.
+    /// Performs periodic work and returns the messages to send.
     pub fn tick(&mut self, now: u64) -> Vec<(SocketAddr, Message)> {
         self.check_staleness(now);
         if now < self.tracker.due_ns {
             return Vec::new();
         }
-        // Once one was left for its silence, each other is asked once in turn: any of them may be there.
+        // After the first relay stopped responding, each other one is tried once in turn.
         let max_unanswered =
             if self.tracker.unanswered_overall >= MAX_UNANSWERED { 1 } else { MAX_UNANSWERED };
         if self.tracker.unanswered >= max_unanswered {
             self.fail_over(now);
         }
-        // A relay that stands before the current one is asked beside it: guards against a router that goes back to one which does
-        // not answer yet.
+        // A preferred relay is tried beside the current one, so that the router does not return to
+        // one that does not respond yet.
         let recipients: Vec<SocketAddr> =
             self.selector.current().into_iter().chain(self.selector.retry_preferred(now)).collect();
         let mut outgoing = Vec::new();
@@ -188,7 +194,8 @@
         outgoing
     }
 
-    /// Time until the next ask, where no answer comes (ns): soon, until each relay was asked.
+    /// Returns the time until the next request if no response arrives: short until each relay has
+    /// been tried.
     fn retry_interval_ns(&mut self) -> u64 {
         let divisor = if self.tracker.unanswered_overall < max_quick_retries(self.selector.len()) {
             RETRY_DIVISOR
@@ -215,7 +222,7 @@
         })
     }
 
-    /// Asks again soon: what is known may be behind.
+    /// Moves the next request forward, because the part may be outdated.
     fn request_soon(&mut self, now: u64) {
         let earliest_ns = (self.tracker.sent_ns + self.settings.ask_ns / MIN_INTERVAL_DIVISOR).max(now);
         self.tracker.due_ns = self.tracker.due_ns.min(earliest_ns);
@@ -230,9 +237,10 @@
             self.request_soon(now);
         }
         if let (Some(from), Some(to)) = (from, self.selector.current()) {
-            // Each ask leaves one while none answers: only the first such times are of use.
+            // While no relay responds, each request causes a failover: only the first ones are
+            // logged.
             if self.counters.failovers <= self.selector.len() as u64 {
-                info!("the list: asks relay {to} in place of {from}");
+                info!("engine list: switched from relay {from} to relay {to}");
             }
         }
     }
@@ -241,16 +249,16 @@
         let age = self.age_ns(now);
         if age <= self.settings.stale_ns {
             if std::mem::take(&mut self.stale_warned) {
-                info!("the list of this cell's engines is fresh again");
+                info!("the engine list of this cell is fresh again");
             }
         } else if !std::mem::replace(&mut self.stale_warned, true) {
             self.counters.stale_periods += 1;
             let age = age as f64 / 1e9;
-            warn!("no relay has told of this cell's engines for {age:.1} s: what is known stays in force");
+            warn!("no relay has confirmed the engine list of this cell for {age:.1} s; the last list stays in use");
         }
     }
 
-    /// Takes a message from the relay at this address; gives what became known of the part.
+    /// Handles a message from a relay. Returns the resulting update of the part, if there is one.
     pub fn receive(&mut self, now: u64, from: SocketAddr, message: Message) -> Option<PartUpdate> {
         if !self.selector.contains(from) {
             self.rejected.count(RejectReason::UnknownSender, from);
@@ -288,7 +296,7 @@
         }
     }
 
-    /// The ask that an answer is to, where it is to one of this life and cell that is open.
+    /// Returns the outstanding request that a response belongs to.
     fn match_response(&mut self, from: SocketAddr, header: &ResponseHeader) -> Option<PendingRequest> {
         let reason = if header.incarnation != self.settings.incarnation {
             RejectReason::OtherIncarnation
@@ -305,7 +313,7 @@
         None
     }
 
-    /// The relay that is asked now has said something.
+    /// Resets the counts of unanswered requests.
     fn reset_unanswered(&mut self, from: SocketAddr) {
         self.tracker.unanswered_overall = 0;
         if self.selector.current() == Some(from) && self.tracker.unanswered > 0 {
@@ -314,7 +322,8 @@
         }
     }
 
-    /// Whether the relay heard its list service lately; one that did not is left for another.
+    /// Returns whether the relay has contact with the list service, and switches to another relay
+    /// if the current one has not.
     fn check_contact(&mut self, now: u64, from: SocketAddr, header: &ResponseHeader) -> bool {
         let in_contact = contact_age_ns(header) <= self.settings.silence_ns;
         if !in_contact && self.selector.current() == Some(from) {
@@ -330,7 +339,7 @@
         header: &ResponseHeader,
     ) -> Option<PartUpdate> {
         let held = self.held.as_ref()?;
-        // A change may have come in between: then it says nothing of what is held now.
+        // A delta has been applied since the request: the response is about an earlier part.
         if pending.held_digest != Some(held.part.digest()) {
             return None;
         }
@@ -342,7 +351,7 @@
         None
     }
 
-    /// What is held is right as of when the relay heard its service.
+    /// Records that the part was current when the relay last had contact with the list service.
     fn confirm(&mut self, now: u64, pending: PendingRequest, header: &ResponseHeader, in_contact: bool) {
         if let Some(held) = &mut self.held {
             if held.version != header.version {
@@ -355,20 +364,21 @@
         }
     }
 
-    /// A relay that hears its service has said what is known, or more.
+    /// Records a response from a relay that has contact with the list service and is not behind.
     fn record_current(&mut self, relay: SocketAddr) {
         self.restart_detector.clear();
         self.tracker.outdated = 0;
         self.selector.record_response(relay);
     }
 
-    /// Whether relays have said for long enough that the list service counts anew.
+    /// Returns whether relays have reported restarted event numbers for long enough.
     fn versions_restarted(&self, now: u64) -> bool {
         self.restart_detector.is_confirmed(now, self.settings.settle_ns, self.selector.len())
     }
 
-    /// Whether a relay's state may follow the one held: it is of a higher version, of the same one with the same content, or the
-    /// list service counts anew. `content` is none where it is the one held.
+    /// Returns whether the state of a relay may replace the one held: its version is higher, or
+    /// equal with the same content, or the event numbers have restarted. `content` is `None` for
+    /// the content held.
     fn accepts_state(
         &mut self,
         now: u64,
@@ -382,7 +392,7 @@
         if header.version > held.version || header.version == held.version && same_content {
             return true;
         }
-        // What was asked before this version was learned may be behind by right.
+        // A request sent before the held version was received may get an outdated response.
         let credible = in_contact && pending.sent_ns >= held.version_learned_ns;
         self.rejected.count(RejectReason::Outdated, pending.relay);
         if !credible {
@@ -430,14 +440,14 @@
         };
         assembly.add(piece.index, engines, piece.header.version, confirmed_ns);
         if !assembly.is_complete() {
-            // Pieces are asked for again where they don't all come.
+            // Missing pieces are requested again.
             self.tracker.due_ns = self.tracker.due_ns.min(now + self.settings.ask_ns / RETRY_DIVISOR);
             return None;
         }
         self.complete_assembly(now, pending.relay, in_contact)
     }
 
-    /// Takes the part whose pieces are all there, if it is what its digest says.
+    /// Replaces the part with the assembled one, after verifying its digest.
     fn complete_assembly(&mut self, now: u64, relay: SocketAddr, in_contact: bool) -> Option<PartUpdate> {
         let assembly = self.assembly.take()?;
         let (digest, version, confirmed_ns) =
@@ -445,7 +455,7 @@
         let part = Part::new(assembly.into_engines());
         if part.digest() != digest {
             self.rejected.count(RejectReason::Invalid, relay);
-            // Guards against a relay that spoils each part that it sends.
+            // Guards against a relay whose snapshots are always invalid.
             if self.selector.len() > 1 {
                 self.fail_over(now);
             }
@@ -482,8 +492,8 @@
         None
     }
 
-    /// Makes the held part the one that a delta leads to, if it does. How fresh it is stays: the delta may have been on its way
-    /// for long.
+    /// Applies a delta if the result has the stated digest. The age of the part does not change,
+    /// because the delta may have been delayed.
     fn apply_delta(
         &mut self,
         now: u64,
@@ -502,7 +512,7 @@
         Some(PartUpdate::Delta(changed, delta.removed.clone()))
     }
 
-    /// Counters, as one line.
+    /// Formats the counters as one line.
     pub fn line(&self, now: u64) -> String {
         let SubscriberCounters { requests, snapshots, deltas, failovers, stale_periods } = self.counters;
         let rejected: String =
@@ -516,12 +526,12 @@
     }
 }
 
-/// Asks in a row without any answer that are repeated soon, with so many relays (count).
+/// Returns the number of consecutive requests without any response that are repeated quickly.
 pub(crate) fn max_quick_retries(relays: usize) -> u32 {
     MIN_QUICK_RETRIES.saturating_add(relays as u32)
 }
 
-/// The age that an answer tells (ns).
+/// Returns the contact age that a response reports, in nanoseconds.
 fn contact_age_ns(header: &ResponseHeader) -> u64 {
     header.contact_age_ms.saturating_mul(1_000_000)
 }
