--- a/crates/cells/examples/divisions.rs
+++ b/crates/cells/examples/divisions.rs
@@ -84,9 +84,9 @@
 fn compare(name: &str, divide: impl Fn(&[u64], u32) -> Parts) {
     let engines: Vec<u64> = (0..PER_ZONE).map(|id| hash(id, 1) >> 1).collect();
     let parts = divide(&engines, ROUTERS_PER_ZONE);
-    let mut routers_per_cell = BTreeMap::<u64, u32>::new();
-    routers_per_cell.extend(engines.iter().map(|id| (*id, 0)));
-    parts.iter().flatten().for_each(|id| *routers_per_cell.entry(*id).or_default() += 1);
+    let mut routers_per_engine = BTreeMap::<u64, u32>::new();
+    routers_per_engine.extend(engines.iter().map(|id| (*id, 0)));
+    parts.iter().flatten().for_each(|id| *routers_per_engine.entry(*id).or_default() += 1);
     let sizes: Vec<usize> = parts.iter().map(BTreeSet::len).collect();
     let removed = engines[17];
     let remaining: Vec<u64> = engines.iter().copied().filter(|id| *id != removed).collect();
@@ -105,9 +105,9 @@
          \"routers_hit\": {affected}, \"routers_left_without\": {none_left}, \"parts_of_a_zone\": {}}}",
         sizes.iter().min().unwrap_or(&0),
         sizes.iter().max().unwrap_or(&0),
-        routers_per_cell.values().min().unwrap_or(&0),
-        routers_per_cell.values().max().unwrap_or(&0),
-        routers_per_cell.values().filter(|count| **count == 0).count(),
+        routers_per_engine.values().min().unwrap_or(&0),
+        routers_per_engine.values().max().unwrap_or(&0),
+        routers_per_engine.values().filter(|count| **count == 0).count(),
         different.len(),
     );
 }
@@ -148,31 +148,31 @@
         while now < to {
             now += 20_000_000;
             for (at, router) in routers.iter_mut().enumerate() {
-                let since = Instant::now();
+                let started = Instant::now();
                 let requests = router.tick(now);
-                router_s += since.elapsed().as_secs_f64();
+                router_s += started.elapsed().as_secs_f64();
                 for (_, request) in requests {
                     bytes[0] += request.encode().len() as u64 + envelope_bytes;
-                    let since = Instant::now();
+                    let started = Instant::now();
                     relay.receive(now, address(at as u32), request);
-                    relay_s += since.elapsed().as_secs_f64();
+                    relay_s += started.elapsed().as_secs_f64();
                 }
             }
-            let since = Instant::now();
+            let started = Instant::now();
             relay.heard(now, 0);
             let sent = relay.tick(now);
-            relay_s += since.elapsed().as_secs_f64();
+            relay_s += started.elapsed().as_secs_f64();
             for (to, message) in sent {
                 let encoded = message.encode();
                 bytes[1] += encoded.len() as u64 + envelope_bytes;
                 let SocketAddr::V4(to) = to else { continue };
                 let octets = to.ip().octets();
                 let at = usize::from(octets[2]) << 8 | usize::from(octets[3]);
-                let since = Instant::now();
+                let started = Instant::now();
                 if let Ok(message) = Message::decode(&encoded) {
                     routers[at].receive(now, relay_address, message);
                 }
-                router_s += since.elapsed().as_secs_f64();
+                router_s += started.elapsed().as_secs_f64();
             }
         }
         let bytes_sent = [bytes[0] - before[0], bytes[1] - before[1]];
@@ -210,15 +210,15 @@
         times[1] / 60.0 / f64::from(ROUTERS),
     );
     let drained = Engine { state: EngineState::Draining, ..list[100].clone() };
-    let since = Instant::now();
+    let started = Instant::now();
     relay.apply_update(2, false, vec![drained]);
-    let delta_ms = since.elapsed().as_secs_f64() * 1e3;
+    let delta_ms = started.elapsed().as_secs_f64() * 1e3;
     let sent = relay.tick(now + 20_000_000).len();
-    let since = Instant::now();
+    let started = Instant::now();
     relay.apply_update(3, true, list);
-    let whole_ms = since.elapsed().as_secs_f64() * 1e3;
+    let full_list_ms = started.elapsed().as_secs_f64() * 1e3;
     println!(
-        "{{\"run\": \"a change\", \"one_engine_ms\": {delta_ms:.2}, \"whole_list_again_ms\": {whole_ms:.1}, \"datagrams\": {sent}}}"
+        "{{\"run\": \"a change\", \"one_engine_ms\": {delta_ms:.2}, \"whole_list_again_ms\": {full_list_ms:.1}, \"datagrams\": {sent}}}"
     );
 }
 
--- a/crates/cells/tests/common/mod.rs
+++ b/crates/cells/tests/common/mod.rs
@@ -147,7 +147,7 @@
     }
 
     /// Whether a cell's list ever was this.
-    pub fn was_ever(&self, cell: &CellId, digest: Digest) -> bool {
+    pub fn existed(&self, cell: &CellId, digest: Digest) -> bool {
         self.history.iter().any(|(id, states)| id == cell && states.iter().any(|(_, state)| *state == digest))
     }
 }
@@ -313,8 +313,9 @@
             if self.network.partitioned || self.rng.gen_bool(self.network.loss) {
                 continue;
             }
-            let most = self.bound_params.delay_ns;
-            let delay = if self.network.in_order { most } else { self.rng.gen_range(0..=most) };
+            let max_delay_ns = self.bound_params.delay_ns;
+            let delay =
+                if self.network.in_order { max_delay_ns } else { self.rng.gen_range(0..=max_delay_ns) };
             self.net.push((self.now + delay, from, to, bytes.clone()));
         }
     }
@@ -399,8 +400,8 @@
     fn check_invariants(&mut self) {
         for (at, router) in self.routers.iter().enumerate() {
             let Some(part) = router.machine.part() else { continue };
-            let was_ever = self.service.was_ever(&router.cell, part.digest());
-            assert!(was_ever, "router {at} holds what its cell's list never was, at {} ms", self.now / MS);
+            let existed = self.service.existed(&router.cell, part.digest());
+            assert!(existed, "router {at} holds what its cell's list never was, at {} ms", self.now / MS);
             let held: Vec<&Engine> = router.held.values().collect();
             assert!(
                 held.iter().copied().eq(part.engines()),
--- a/crates/cells/tests/faults.rs
+++ b/crates/cells/tests/faults.rs
@@ -20,9 +20,9 @@
     for seed in 0..SEEDS {
         let mut sim = Simulation::new(seed, bound_params.clone());
         sim.run_until_current(60 * S);
-        let mut since = 0;
+        let mut faults_end_ns = 0;
         for round in 0..6 {
-            since = inject(&mut sim, round).max(since);
+            faults_end_ns = inject(&mut sim, round).max(faults_end_ns);
             let end = sim.now + 6 * S;
             while sim.now < end {
                 if sim.rng.gen_bool(0.02) {
@@ -30,7 +30,7 @@
                 }
                 sim.step();
                 for at in 0..sim.routers.len() {
-                    let lag = sim.lag_ns(at).min(sim.now.saturating_sub(since));
+                    let lag = sim.lag_ns(at).min(sim.now.saturating_sub(faults_end_ns));
                     assert!(
                         lag <= bound,
                         "seed {seed}: router {at} is {} ms behind at {} ms; {fault:?} allows {} ms",
--- a/crates/cells/tests/messages.rs
+++ b/crates/cells/tests/messages.rs
@@ -13,8 +13,14 @@
 use rand::{Rng, SeedableRng};
 
 fn header() -> ResponseHeader {
-    let most = u64::MAX;
-    ResponseHeader { incarnation: most, sequence: most, cell: most, version: most, contact_age_ms: most }
+    let max_delay_ns = u64::MAX;
+    ResponseHeader {
+        incarnation: max_delay_ns,
+        sequence: max_delay_ns,
+        cell: max_delay_ns,
+        version: max_delay_ns,
+        contact_age_ms: max_delay_ns,
+    }
 }
 
 /// An engine whose every field takes as many bytes as it can.
--- a/crates/cells/tests/subscriber.rs
+++ b/crates/cells/tests/subscriber.rs
@@ -188,15 +188,15 @@
             let Message::Request(request) = message else { continue };
             let (version, age) = state_at(to);
             let few = engines(5);
-            let behind = request.min_version.is_some_and(|min_version| version < min_version);
-            let answers = match behind {
+            let is_behind = request.min_version.is_some_and(|min_version| version < min_version);
+            let responses = match is_behind {
                 true => vec![Message::Behind(header(&request, version, age))],
                 false if request.held_digest == Some(Digest::of(&few)) => {
                     vec![Message::Unchanged(header(&request, version, age))]
                 }
                 false => pieces(&request, version, age, &few),
             };
-            answers.into_iter().for_each(|message| drop(subscriber.receive(now, to, message)));
+            responses.into_iter().for_each(|message| drop(subscriber.receive(now, to, message)));
         }
     }
     now
@@ -222,13 +222,13 @@
         now = now.max(subscriber.next_due_ns());
         for (to, message) in subscriber.tick(now) {
             let Message::Request(request) = message else { continue };
-            let answers = match to == faulty {
+            let responses = match to == faulty {
                 true if request.min_version.is_some() => vec![Message::Behind(header(&request, 3, 0))],
                 true => pieces(&request, 3, 0, &engines(5)),
                 // Loss: nobody else is heard.
                 false => Vec::new(),
             };
-            answers.into_iter().for_each(|message| drop(subscriber.receive(now, to, message)));
+            responses.into_iter().for_each(|message| drop(subscriber.receive(now, to, message)));
         }
     }
     assert_eq!((held(&subscriber), subscriber.version()), (engines(10), Some(10)));
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn relays_without_contact_to_the_service_do_not_confirm_a_version_restart() {
+fn relays_without_contact_with_the_service_do_not_confirm_a_version_restart() {
     let (mut subscriber, now) = synced_subscriber(3, &engines(10));
     respond_to_all(&mut subscriber, now, 60 * S, |_| (2, 4_000));
     assert_eq!((held(&subscriber), subscriber.version()), (engines(10), Some(10)));
@@ -353,17 +353,18 @@
         |request| vec![Message::NotReady(header(request, 0, 0))],
         |request| vec![Message::Unchanged(header(request, 10, 4_000))],
     ];
-    for (at, bad) in cases.into_iter().enumerate() {
+    for (at, faulty_response) in cases.into_iter().enumerate() {
         let (mut subscriber, mut now) = synced_subscriber(3, &engines(10));
         let first = subscriber.relay().expect("a relay");
-        let run = |subscriber: &mut Subscriber, mut now: u64, ns: u64, is_bad: bool| {
+        let run = |subscriber: &mut Subscriber, mut now: u64, ns: u64, is_faulty: bool| {
             let end = now + ns;
             while now < end {
                 now = now.max(subscriber.next_due_ns());
                 for (to, message) in subscriber.tick(now) {
                     let Message::Request(request) = message else { continue };
-                    let good = vec![Message::Unchanged(header(&request, 10, 0))];
-                    let replies = if is_bad && to == first { bad(&request) } else { good };
+                    let valid_response = vec![Message::Unchanged(header(&request, 10, 0))];
+                    let replies =
+                        if is_faulty && to == first { faulty_response(&request) } else { valid_response };
                     replies.into_iter().for_each(|message| drop(subscriber.receive(now, to, message)));
                 }
             }
@@ -393,17 +394,19 @@
 
 #[test]
 fn routers_of_a_removed_relay_spread_over_all_others() {
-    let order = |router: u64, relays: Vec<SocketAddr>| {
+    let selected_relay = |router: u64, relays: Vec<SocketAddr>| {
         Subscriber::new(S, SubscriberSettings { router, relays, ..settings(1) }).relay().expect("a relay")
     };
     let count = |relays: &[SocketAddr], routers: u64| -> Vec<usize> {
-        let chosen: Vec<SocketAddr> = (0..routers).map(|router| order(router, relays.to_vec())).collect();
+        let chosen: Vec<SocketAddr> =
+            (0..routers).map(|router| selected_relay(router, relays.to_vec())).collect();
         relays.iter().map(|relay| chosen.iter().filter(|at| *at == relay).count()).collect()
     };
     let all = relays(39);
     let loads = count(&all, 3_200);
     assert!(loads.iter().all(|load| (50..=120).contains(load)), "{loads:?}");
-    let moved = (0..3_200).filter(|router| order(*router, all.clone()) != order(*router, all[1..].to_vec()));
+    let moved = (0..3_200)
+        .filter(|router| selected_relay(*router, all.clone()) != selected_relay(*router, all[1..].to_vec()));
     assert_eq!(moved.count(), loads[0], "only those of the relay that is gone move");
 }
 
@@ -424,7 +427,7 @@
 }
 
 #[test]
-fn a_relay_is_not_ready_before_it_has_a_full_list_and_contact_to_its_service() {
+fn a_relay_is_not_ready_before_it_has_a_full_list_and_contact_with_its_service() {
     let (mut relay, router) = relay(S);
     let responses = |relay: &mut Relay, sequence: u64, now: u64| {
         relay.receive(now, router, request(sequence, cell_id(0, 2)));
@@ -449,11 +452,11 @@
     let resumed = 61 * S;
     relay.heard(resumed, 0);
     relay.receive(resumed, router, request(1, cell_id(0, 2)));
-    let told = relay.tick(resumed).into_iter().find_map(|(_, message)| match message {
+    let age_ms = relay.tick(resumed).into_iter().find_map(|(_, message)| match message {
         Message::Piece(piece) => Some(piece.header.contact_age_ms),
         _ => None,
     });
-    assert_eq!(told, Some(60_000));
+    assert_eq!(age_ms, Some(60_000));
     // It goes on: from some time on, what is heard counts.
     let mut now = resumed;
     while now < resumed + 4 * S {
@@ -488,12 +491,12 @@
     relay.receive(S, first, request(1, cell_id(0, 2)));
     relay.receive(S, second, request(1, cell_id(1, 2)));
     relay.tick(S);
-    let mut drains = engines(1);
-    drains[0].state = EngineState::Draining;
-    relay.apply_update(6, false, drains.clone());
+    let mut draining = engines(1);
+    draining[0].state = EngineState::Draining;
+    relay.apply_update(6, false, draining.clone());
     let sent = relay.tick(S + MS);
     let [(to, Message::Delta(delta))] = &sent[..] else { panic!("{sent:?}") };
-    assert_eq!((*to, delta.version, delta.table.engines().expect("engines")), (first, 6, drains));
+    assert_eq!((*to, delta.version, delta.table.engines().expect("engines")), (first, 6, draining));
     assert!(relay.tick(S + 2 * MS).is_empty());
 }
 
@@ -505,8 +508,8 @@
     relay.heard(S, 0);
     relay.receive(S, router, request(1, cell_id(0, 2)));
     relay.tick(S);
-    let heavier = all.into_iter().map(|engine| Engine { weight: 2.0, ..engine });
-    relay.apply_update(6, false, heavier.collect());
+    let reweighted = all.into_iter().map(|engine| Engine { weight: 2.0, ..engine });
+    relay.apply_update(6, false, reweighted.collect());
     let sent = relay.tick(S + MS);
     assert!(sent.len() > 1, "{} datagrams", sent.len());
     assert!(sent.iter().all(|(_, message)| matches!(message, Message::Piece(_))));
@@ -527,9 +530,9 @@
         for router in 0..100 {
             relay.receive(now, address(2, router), request(sequence, cell_id(0, 1)));
         }
-        let told = relay.tick(now).len();
-        assert!(told <= budget / 20 + 1, "{told} datagrams at once");
-        sent += told;
+        let sent_now = relay.tick(now).len();
+        assert!(sent_now <= budget / 20 + 1, "{sent_now} datagrams at once");
+        sent += sent_now;
     }
     assert!(sent <= 10 * budget + budget / 10, "{sent} datagrams in 10 s");
     assert!(sent >= 9 * budget, "{sent} datagrams in 10 s");
