--- a/crates/cells/examples/divisions.rs
+++ b/crates/cells/examples/divisions.rs
@@ -1,6 +1,7 @@
-//! Weighs ways to give each router a part of the engines, and what a relay and a router spend, at 3,200 routers and 30,000 engines.
+//! Compares ways to divide the engines among routers, and measures the cost of a relay and of
+//! routers, for 3,200 routers and 30,000 engines.
 //!
-//! `cargo run --release -p marljunction-cells --example divisions` prints one JSON object a line.
+//! `cargo run --release -p marljunction-cells --example divisions` prints one JSON object per line.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -46,7 +47,7 @@
     }
 }
 
-/// Each router of a zone takes the engines that hash highest with its number.
+/// Each router of a zone uses the engines with the highest hash of the pair of both.
 fn shuffled(engines: &[u64], routers: u32) -> Parts {
     let part = |router: u32| {
         let mut ranked: Vec<u64> = engines.to_vec();
@@ -56,7 +57,8 @@
     (0..routers).map(part).collect()
 }
 
-/// Routers in rounds: each round shuffles all engines its own way and gives each of its routers an equal slice.
+/// Deterministic subsetting: each round of routers shuffles the engines with its own seed and
+/// divides them evenly among its routers.
 fn deterministic(engines: &[u64], routers: u32) -> Parts {
     let part = |router: u32| {
         let mut all = engines.to_vec();
@@ -73,7 +75,7 @@
     (0..routers).map(part).collect()
 }
 
-/// Entries of all parts that come or go, other than those of the engine itself.
+/// Counts the entries added to or removed from all parts, except those of `engine`.
 fn churn(before: &Parts, after: &Parts, engine: Option<u64>) -> usize {
     let differ = |(a, b): (&BTreeSet<u64>, &BTreeSet<u64>)| {
         a.symmetric_difference(b).filter(|id| Some(**id) != engine).count()
@@ -92,7 +94,7 @@
     let remaining: Vec<u64> = engines.iter().copied().filter(|id| *id != removed).collect();
     let engine_removed = churn(&parts, &divide(&remaining, ROUTERS_PER_ZONE), Some(removed));
     let router_added = churn(&parts, &divide(&engines, ROUTERS_PER_ZONE + 1), None);
-    // All engines that one router knows fail together, as by what its clients send.
+    // All engines of one router fail together, for example because of the queries it sends.
     let lost_part = &parts[5];
     let remaining_share =
         |part: &BTreeSet<u64>| part.difference(lost_part).count() as f64 / part.len() as f64;
@@ -112,7 +114,7 @@
     );
 }
 
-/// Bytes of a datagram besides its message: the seal, and who sent it.
+/// Returns the size of a datagram without its message: signature and sender identity.
 fn envelope_bytes() -> u64 {
     let sender_identity = PeerIdentity {
         name: "router-0000".into(),
@@ -129,7 +131,8 @@
     SocketAddr::from(([10, 200, (number >> 8) as u8, number as u8], 7000))
 }
 
-/// One relay and all routers, cold: bytes and time of each side, then an ordinary minute, then one change.
+/// Measures bytes and processor time of one relay and all routers: a cold start, an idle minute,
+/// and one change.
 fn measure_cost() {
     let relay_address = address(60_000);
     let settings = RelaySettings { routers: ROUTERS, ask_ns: S, silence_ns: 3 * S };
--- a/crates/cells/tests/cells.rs
+++ b/crates/cells/tests/cells.rs
@@ -1,4 +1,4 @@
-//! Which engines and routers a cell has, at the size that the fleet is designed for.
+//! Division of engines and routers into cells at the design size of the fleet.
 
 mod common;
 
@@ -12,7 +12,7 @@
 const ZONES: u32 = 25;
 const CELLS: u32 = 10;
 
-/// Routers by zone and cell, with their ranks.
+/// Returns the ranks of the routers by zone and cell.
 fn ranks(plan: &CellPlan, zone_of: impl Fn(u32) -> u32) -> BTreeMap<(u32, u32), Vec<u32>> {
     let mut all = BTreeMap::<(u32, u32), Vec<u32>>::new();
     for number in 0..ROUTERS {
--- a/crates/cells/tests/common/mod.rs
+++ b/crates/cells/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet in stepped time: a list service, relays and routers, and a network that loses, doubles, delays and reorders.
+//! Simulation of a list service, relays and routers in stepped time, over a network that loses,
+//! duplicates, delays and reorders datagrams.
 
 #![allow(dead_code)]
 
@@ -15,11 +16,11 @@
 
 pub const MS: u64 = 1_000_000;
 pub const S: u64 = 1_000 * MS;
-/// Time of one step (ns), as the processes look after what is due.
+/// Duration of a step in nanoseconds; the interval of the processes' periodic work.
 pub const STEP_NS: u64 = 20 * MS;
 pub const ZONES: [&str; 2] = ["z0", "z1"];
 pub const CELLS: u32 = 2;
-/// Events that a relay reads in one step (count).
+/// Number of events that a relay reads in one step.
 const EVENTS_PER_STEP: usize = 4;
 
 pub fn address(host: u8, number: usize) -> SocketAddr {
@@ -58,7 +59,7 @@
     }
 }
 
-/// A change of the list, numbered.
+/// A numbered change of the list.
 #[derive(Clone)]
 pub struct Event {
     pub version: u64,
@@ -66,7 +67,7 @@
     pub engines: Vec<Engine>,
 }
 
-/// The list service: its list, and what was true of each cell until when.
+/// A list service, with the history of each cell: digests, and when they became current.
 pub struct ListService {
     pub engines: Vec<Engine>,
     pub version: u64,
@@ -102,7 +103,7 @@
         Event { version: self.version, is_full: true, engines: self.engines.clone() }
     }
 
-    /// Some engines drain, go, come or get another address.
+    /// Drains, removes, adds or moves some engines.
     pub fn change(&mut self, now: u64, rng: &mut StdRng) -> Event {
         self.version += 1;
         let mut changed = Vec::new();
@@ -136,7 +137,8 @@
         Event { version: self.version, is_full: false, engines: changed }
     }
 
-    /// Since when a cell's state is another than this (ns); 0 where it never was.
+    /// Returns when a state of a cell was replaced, in nanoseconds: 0 if it never existed, `None`
+    /// if it is current.
     pub fn superseded_ns(&self, cell: &CellId, digest: Digest) -> Option<u64> {
         let states = &self.history.iter().find(|(id, _)| id == cell)?.1;
         let last = states.iter().rposition(|(_, state)| *state == digest);
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Whether a cell's list ever was this.
+    /// Returns whether a state of a cell ever existed.
     pub fn existed(&self, cell: &CellId, digest: Digest) -> bool {
         self.history.iter().any(|(id, states)| id == cell && states.iter().any(|(_, state)| *state == digest))
     }
@@ -157,10 +159,11 @@
     pub machine: Option<Relay>,
     pub paused: bool,
     pub connected: bool,
-    /// Events on their way to it, and datagrams that wait while it stands still.
+    /// Undelivered events; `None` is a heartbeat.
     pub events: VecDeque<Option<Event>>,
+    /// Datagrams received while paused.
     pub inbox: Vec<(SocketAddr, Vec<u8>)>,
-    /// What it adds to the version that it says.
+    /// Added to the versions that the relay reports.
     pub version_offset: i64,
 }
 
@@ -169,7 +172,7 @@
     pub machine: Subscriber,
     pub cell: CellId,
     pub updates: Vec<PartUpdate>,
-    /// What a router's module would hold by the news alone.
+    /// Engines according to the updates alone.
     pub held: std::collections::BTreeMap<u64, Engine>,
 }
 
@@ -178,7 +181,7 @@
     pub loss: f64,
     pub duplication: f64,
     pub partitioned: bool,
-    /// All datagrams take as long, so that none overtakes another.
+    /// Gives all datagrams the same delay, so that none is reordered.
     pub in_order: bool,
 }
 
@@ -257,7 +260,7 @@
         Subscriber::new(self.now, settings)
     }
 
-    /// A router's process starts anew under its address.
+    /// Restarts a router at its address.
     pub fn restart_router(&mut self, at: usize) {
         let cell = self.routers[at].cell.clone();
         self.routers[at].machine = self.subscriber(at, &cell);
@@ -279,7 +282,8 @@
         self.relays[at].inbox.clear();
     }
 
-    /// The service goes away, or comes back and tells the whole list to all who reconnect.
+    /// Makes the service unavailable, or available again; it then sends the full list to all
+    /// relays.
     pub fn set_unavailable(&mut self, unavailable: bool) {
         self.service.unavailable = unavailable;
         for relay in &mut self.relays {
@@ -297,7 +301,7 @@
         }
     }
 
-    /// The service starts anew: its numbers are low again.
+    /// Restarts the event numbers of the service.
     pub fn restart_versions(&mut self) {
         self.service.version = 1;
         for relay in self.relays.iter_mut().filter(|relay| relay.connected) {
@@ -371,8 +375,7 @@
         }
     }
 
-    /// A relay that goes on reads some events at a time, all within its silence bound: what it is asked meanwhile is answered by
-    /// what it knows by then.
+    /// A resumed relay reads a few events per step, all within its silence time.
     fn tick_relay(&mut self, at: usize) {
         let (now, relay) = (self.now, &mut self.relays[at]);
         let Some(machine) = relay.machine.as_mut().filter(|_| !relay.paused) else { return };
@@ -396,21 +399,22 @@
         }
     }
 
-    /// What must hold at every moment.
+    /// Asserts what must hold at every moment.
     fn check_invariants(&mut self) {
         for (at, router) in self.routers.iter().enumerate() {
             let Some(part) = router.machine.part() else { continue };
             let existed = self.service.existed(&router.cell, part.digest());
-            assert!(existed, "router {at} holds what its cell's list never was, at {} ms", self.now / MS);
+            assert!(existed, "router {at} holds a state that its cell never had, at {} ms", self.now / MS);
             let held: Vec<&Engine> = router.held.values().collect();
             assert!(
                 held.iter().copied().eq(part.engines()),
-                "router {at}: the news do not add up to the part"
+                "router {at}: the updates do not add up to the part"
             );
         }
     }
 
-    /// How long ago what a router holds was last true (ns); 0 where it is true, the time since the start where it holds nothing.
+    /// Returns how long ago the part of a router was last current, in nanoseconds: 0 if it is
+    /// current, the time since the start if there is no part.
     pub fn lag_ns(&self, at: usize) -> u64 {
         let router = &self.routers[at];
         let Some(part) = router.machine.part() else { return self.now - 10 * S };
@@ -422,7 +426,7 @@
         (0..self.routers.len()).all(|at| self.routers[at].machine.part().is_some() && self.lag_ns(at) == 0)
     }
 
-    /// Runs until all routers hold what is true; the time that it took (ns).
+    /// Runs until all routers are current, and returns how long that took in nanoseconds.
     pub fn run_until_current(&mut self, limit: u64) -> u64 {
         let start = self.now;
         while !self.all_current() {
--- a/crates/cells/tests/faults.rs
+++ b/crates/cells/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Routers and relays under faults in stepped time: what is held is always a past state of the list, and no older than the bound.
+//! Simulated faults: the part of a router is always a past state of the list, and its lag stays
+//! within the bound.
 
 mod common;
 
@@ -6,11 +7,11 @@
 use marljunction_cells::bound::{bound_ns, BoundParams, Fault};
 use rand::Rng;
 
-/// Schedules of each fault (count).
+/// Number of schedules per fault.
 const SEEDS: u64 = 40;
 
-/// Runs with changes at random moments, and faults made and mended by `fault` each so often; no router may be behind for longer
-/// than the bound, counted from no earlier than the time that `fault` gave last.
+/// Runs random changes while `inject` starts and ends faults between rounds. The lag of each router
+/// must stay within the bound, counted from the latest time that `inject` returned.
 fn assert_lag_within_bound(
     bound_params: &BoundParams,
     fault: Fault,
@@ -92,7 +93,7 @@
     assert_lag_within_bound(&bound_params(), Fault::RelayReplaced, |sim, round| {
         let at = round as usize % sim.relays.len();
         sim.start_relay(at);
-        // The new process has not reached the list service yet.
+        // The new process has no contact with the list service yet.
         if round % 2 == 0 {
             sim.relays[at].events.clear();
             sim.relays[at].connected = false;
@@ -141,7 +142,7 @@
 fn cold_routers_receive_their_parts_within_the_bound() {
     for seed in 0..SEEDS {
         let mut sim = Simulation::new(seed, bound_params());
-        // Relays have the list: what is bounded is what the routers take.
+        // The bound counts from when the relays have the list.
         sim.run(STEP_NS);
         sim.run_until_current(bound_ns(&bound_params(), Fault::ColdStart));
         let many = BoundParams { relays: 12, ..bound_params() };
@@ -151,7 +152,7 @@
     }
 }
 
-/// Faults of all kinds at random, at once; then all is mended.
+/// Guards against invented states and lasting divergence under combined random faults.
 #[test]
 fn routers_hold_only_past_states_and_converge_after_random_faults() {
     for seed in 1_000..1_000 + 200 {
@@ -204,14 +205,14 @@
     }
 }
 
-/// Whatever is frozen, killed, replaced, late or lost: a router that says how old its part is at most says the truth.
+/// Guards against a router that reports an outdated part as fresh.
 #[test]
 fn the_reported_age_is_never_less_than_the_true_age() {
     for seed in 0..200 {
         let mut sim = Simulation::new(seed, bound_params());
         for _ in 0..10 {
             inject_random_fault(&mut sim);
-            // A relay that lies tells an old list for a new one; numbers alone are checked elsewhere.
+            // A relay with wrong versions may present an old list as current.
             sim.relays.iter_mut().for_each(|relay| relay.version_offset = 0);
             let end = sim.now + sim.rng.gen_range(100 * MS..5 * S);
             while sim.now < end {
@@ -224,7 +225,7 @@
                     if sim.routers[at].machine.part().is_some() {
                         assert!(
                             lag <= age + 2 * STEP_NS,
-                            "seed {seed}: router {at}: {lag} ns old, says {age}"
+                            "seed {seed}: router {at}: {lag} ns old, reports {age}"
                         );
                     }
                 }
--- a/crates/cells/tests/messages.rs
+++ b/crates/cells/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages fit a datagram, and what can't be read costs nothing but itself.
+//! Sizes of messages, and rejection of invalid ones.
 
 mod common;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// An engine whose every field takes as many bytes as it can.
+/// Returns an engine whose fields all have their largest encoding.
 fn largest(id: u64) -> Engine {
     Engine {
         id: u64::MAX - id,
@@ -108,13 +108,13 @@
     let whole = Message::Piece(piece).encode();
     assert!(
         (0..whole.len()).all(|partitioned| Message::decode(&whole[..partitioned]).is_err()),
-        "a cut message was read"
+        "decoded a truncated message"
     );
     let cell =
         CellId { zone: Some("z".repeat(2 * MAX_MESSAGE_BYTES)), cells: 1, cell: 0, by: DivideBy::Engine };
     let long =
         Request { incarnation: 1, sequence: 1, cell, held_digest: None, min_version: None, missing: None };
-    assert!(Message::decode(&Message::Request(long).encode()).is_err(), "a message of any length was read");
+    assert!(Message::decode(&Message::Request(long).encode()).is_err(), "decoded an oversized message");
     assert!(Message::decode(&vec![0x91; MAX_MESSAGE_BYTES]).is_err());
     for _ in 0..20_000 {
         let mut bytes = whole.clone();
@@ -128,7 +128,7 @@
     }
 }
 
-/// What a relay sends a router that knows nothing, of a list at full size: the figure of the operate page.
+/// Guards the size of a router's first snapshot with the list at its design size.
 #[test]
 fn a_starting_router_receives_only_the_part_of_its_cell() {
     let cell =
--- a/crates/cells/tests/subscriber.rs
+++ b/crates/cells/tests/subscriber.rs
@@ -1,4 +1,4 @@
-//! What a router takes of what relays say, message by message.
+//! Handling of single messages by subscribers and relays.
 
 mod common;
 
@@ -37,7 +37,7 @@
     (0..).map(engine).filter(|engine| cell.contains(engine)).take(count as usize).collect()
 }
 
-/// The one ask to the current relay that is due.
+/// Advances to the next request, and returns the one sent to the current relay.
 fn next_request(subscriber: &mut Subscriber, now: u64) -> (SocketAddr, Request) {
     let relay = subscriber.relay().expect("a relay");
     let due = now.max(subscriber.next_due_ns());
@@ -69,7 +69,7 @@
     tables.into_iter().enumerate().map(piece).collect()
 }
 
-/// A subscriber that holds these engines at version 10, and the time.
+/// Returns a subscriber that holds these engines at version 10, and the time.
 fn synced_subscriber(count: usize, engines: &[Engine]) -> (Subscriber, u64) {
     let mut subscriber = Subscriber::new(S, settings(count));
     let (relay, request) = next_request(&mut subscriber, S);
@@ -118,7 +118,7 @@
     assert!(subscriber.part().is_none());
     let (_, again) = next_request(&mut subscriber, S);
     assert_eq!(again.missing.map(|(_, missing)| missing.len()), Some(1));
-    // The rest may answer the earlier ask.
+    // The missing piece may belong to the earlier request.
     assert_eq!(subscriber.receive(2 * S, relay, last), Some(PartUpdate::Snapshot(all.clone())));
     assert_eq!(held(&subscriber), all);
 }
@@ -147,7 +147,7 @@
             None
         );
         let (_, again) = next_request(&mut subscriber, now);
-        assert!(count == 2 || again.missing.is_none(), "pieces are kept of {count}");
+        assert!(count == 2 || again.missing.is_none(), "retains pieces of {count}");
     }
     assert_eq!(held(&subscriber), all);
 }
@@ -174,7 +174,8 @@
     assert_eq!((held(&subscriber), subscriber.rejected().get(RejectReason::Outdated)), (all, 1));
 }
 
-/// Answers each ask for so long with this version of these engines, as the relay that is asked (and no other) says.
+/// Answers all requests for `ns` with the version and contact age that `state_at` gives for a
+/// relay.
 fn respond_to_all(
     subscriber: &mut Subscriber,
     mut now: u64,
@@ -215,7 +216,6 @@
 fn one_relay_with_a_wrong_version_cannot_cause_a_rollback() {
     let (mut subscriber, now) = synced_subscriber(3, &engines(10));
     let faulty = relays(3)[0];
-    // The others can't be reached by their news: they hold what is known.
     let mut now = now;
     let end = now + 60 * S;
     while now < end {
@@ -225,7 +225,7 @@
             let responses = match to == faulty {
                 true if request.min_version.is_some() => vec![Message::Behind(header(&request, 3, 0))],
                 true => pieces(&request, 3, 0, &engines(5)),
-                // Loss: nobody else is heard.
+                // No other relay responds.
                 false => Vec::new(),
             };
             responses.into_iter().for_each(|message| drop(subscriber.receive(now, to, message)));
@@ -241,7 +241,7 @@
     let (_, request) = next_request(&mut subscriber, now);
     subscriber.receive(now, relay, Message::Unchanged(header(&request, u64::MAX, 0)));
     assert_eq!(subscriber.version(), Some(u64::MAX));
-    // That relay is gone; the others are where the service is.
+    // All relays report the current version.
     respond_to_all(&mut subscriber, now, 12 * S, |_| (11, 0));
     assert_eq!((held(&subscriber), subscriber.version()), (engines(5), Some(11)));
 }
@@ -280,7 +280,7 @@
             "{reason:?}"
         );
     }
-    assert!(subscriber.receive(now, relay, whole(&|_| ())).is_some(), "what is right is taken");
+    assert!(subscriber.receive(now, relay, whole(&|_| ())).is_some(), "a valid response is accepted");
 }
 
 #[test]
@@ -319,7 +319,7 @@
         subscriber.receive(now, relay, Message::Delta(delta(&all[..4], &all[..3], 12)));
     }
     assert!(subscriber.next_due_ns() < sent && subscriber.next_due_ns() <= now + S / 10);
-    assert!(subscriber.next_due_ns() >= now.min(S + S / 10), "an ask at once for each");
+    assert!(subscriber.next_due_ns() >= now.min(S + S / 10), "an immediate request for each delta");
 }
 
 #[test]
@@ -388,7 +388,7 @@
         subscriber.tick(now);
     }
     let requests = subscriber.counters().requests - before;
-    assert!((500..=760).contains(&requests), "{requests} asks in 600 s");
+    assert!((500..=760).contains(&requests), "{requests} requests in 600 s");
     assert_eq!((held(&subscriber), subscriber.counters().stale_periods), (all, 1));
 }
 
@@ -407,10 +407,10 @@
     assert!(loads.iter().all(|load| (50..=120).contains(load)), "{loads:?}");
     let moved = (0..3_200)
         .filter(|router| selected_relay(*router, all.clone()) != selected_relay(*router, all[1..].to_vec()));
-    assert_eq!(moved.count(), loads[0], "only those of the relay that is gone move");
+    assert_eq!(moved.count(), loads[0], "only routers of the removed relay move");
 }
 
-/// A relay and its one router, at this time.
+/// Returns a relay and the address of a router.
 fn relay(now: u64) -> (Relay, SocketAddr) {
     (Relay::new(now, relay_settings(&bound_params())), address(2, 0))
 }
@@ -436,10 +436,13 @@
     assert!(matches!(responses(&mut relay, 1, S)[..], [Message::NotReady(_)]));
     relay.apply_update(5, false, engines(3));
     relay.heard(S, 0);
-    assert!(matches!(responses(&mut relay, 2, S)[..], [Message::NotReady(_)]), "changes alone are no list");
+    assert!(matches!(responses(&mut relay, 2, S)[..], [Message::NotReady(_)]), "without a full list");
     let (mut other, _) = self::relay(S);
     other.apply_update(5, true, engines(3));
-    assert!(matches!(responses(&mut other, 1, S)[..], [Message::NotReady(_)]), "the service was not heard");
+    assert!(
+        matches!(responses(&mut other, 1, S)[..], [Message::NotReady(_)]),
+        "without contact with the service"
+    );
     relay.apply_update(6, true, engines(3));
     assert!(matches!(responses(&mut relay, 3, S)[..], [Message::Piece(_)]));
 }
@@ -457,7 +460,7 @@
         _ => None,
     });
     assert_eq!(age_ms, Some(60_000));
-    // It goes on: from some time on, what is heard counts.
+    // After the silence time, contact counts again.
     let mut now = resumed;
     while now < resumed + 4 * S {
         now += 20 * MS;
@@ -526,7 +529,7 @@
     while now < 11 * S {
         now += 20 * MS;
         sequence += 1;
-        // Far more ask, and far more often, than the settings say.
+        // More requests from more routers than configured.
         for router in 0..100 {
             relay.receive(now, address(2, router), request(sequence, cell_id(0, 1)));
         }
@@ -538,7 +541,7 @@
     assert!(sent >= 9 * budget, "{sent} datagrams in 10 s");
     assert_eq!(relay.routers(), 2 * few.routers as usize);
     assert!(relay.rejected().get(RejectReason::TooManyRouters) > 0);
-    // Those that say nothing more are forgotten.
+    // Routers that send no more requests are removed.
     relay.tick(now + 11 * S);
     assert_eq!(relay.routers(), 0);
 }
