--- a/crates/cells/tests/messages.rs
+++ b/crates/cells/tests/messages.rs
@@ -105,9 +105,9 @@
     let engines: Vec<Engine> = (0..20).map(engine).collect();
     let table = all_tables(&engines).swap_remove(0);
     let piece = Piece { header: header(), digest: Digest(1, 2), index: 0, count: 1, table };
-    let whole = Message::Piece(piece).encode();
+    let encoded = Message::Piece(piece).encode();
     assert!(
-        (0..whole.len()).all(|partitioned| Message::decode(&whole[..partitioned]).is_err()),
+        (0..encoded.len()).all(|length| Message::decode(&encoded[..length]).is_err()),
         "decoded a truncated message"
     );
     let cell =
@@ -117,7 +117,7 @@
     assert!(Message::decode(&Message::Request(long).encode()).is_err(), "decoded an oversized message");
     assert!(Message::decode(&vec![0x91; MAX_MESSAGE_BYTES]).is_err());
     for _ in 0..20_000 {
-        let mut bytes = whole.clone();
+        let mut bytes = encoded.clone();
         for _ in 0..rng.gen_range(1..4) {
             let at = rng.gen_range(0..bytes.len());
             bytes[at] = rng.gen();
--- a/crates/cells/tests/subscriber.rs
+++ b/crates/cells/tests/subscriber.rs
@@ -258,18 +258,22 @@
     let all = engines(10);
     let (mut subscriber, now) = synced_subscriber(1, &all);
     let (relay, request) = next_request(&mut subscriber, now);
-    let whole = |change: &dyn Fn(&mut Piece)| {
+    let changed_piece = |change: &dyn Fn(&mut Piece)| {
         let Message::Piece(mut piece) = pieces(&request, 11, 0, &all[..5]).remove(0) else { unreachable!() };
         change(&mut piece);
         Message::Piece(piece)
     };
     let other_cell: Vec<Engine> = (0..40).map(engine).filter(|e| cell_id(1, 2).contains(e)).take(5).collect();
     let cases: [(SocketAddr, Message, RejectReason); 5] = [
-        (relay, whole(&|piece| piece.header.incarnation = INCARNATION - 1), RejectReason::OtherIncarnation),
-        (relay, whole(&|piece| piece.header.sequence += 1), RejectReason::UnknownRequest),
-        (relay, whole(&|piece| piece.header.cell += 1), RejectReason::WrongRecipient),
+        (
+            relay,
+            changed_piece(&|piece| piece.header.incarnation = INCARNATION - 1),
+            RejectReason::OtherIncarnation,
+        ),
+        (relay, changed_piece(&|piece| piece.header.sequence += 1), RejectReason::UnknownRequest),
+        (relay, changed_piece(&|piece| piece.header.cell += 1), RejectReason::WrongRecipient),
         (relay, pieces(&request, 11, 0, &other_cell).remove(0), RejectReason::WrongRecipient),
-        (address(7, 7), whole(&|_| ()), RejectReason::UnknownSender),
+        (address(7, 7), changed_piece(&|_| ()), RejectReason::UnknownSender),
     ];
     for (from, message, reason) in cases {
         let before = subscriber.rejected().get(reason);
@@ -280,7 +284,7 @@
             "{reason:?}"
         );
     }
-    assert!(subscriber.receive(now, relay, whole(&|_| ())).is_some(), "a valid response is accepted");
+    assert!(subscriber.receive(now, relay, changed_piece(&|_| ())).is_some(), "a valid response is accepted");
 }
 
 #[test]
