--- a/crates/cells/tests/subscriber.rs
+++ b/crates/cells/tests/subscriber.rs
@@ -46,7 +46,7 @@
         Message::Request(request) if to == relay || subscriber.relay() == Some(to) => Some((to, request)),
         _ => None,
     });
-    to.expect("an ask")
+    to.expect("a request")
 }
 
 fn header(request: &Request, version: u64, contact_age_ms: u64) -> ResponseHeader {
