--- a/crates/cells/src/counters.rs
+++ b/crates/cells/src/counters.rs
@@ -1,99 +1,107 @@
-//! How often what happened, and why messages were passed over.
+//! Counters of relays and subscribers, and the reasons for rejecting messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use log::warn;
 
-/// Why a message is passed over.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Reason {
-    /// It can't be read, or its pieces are not of the part that they say.
-    Spoilt,
-    /// It is of a lower version than what is known, or of the same version and another content.
-    Old,
-    /// It answers an ask of an earlier life of this router.
+pub enum RejectReason {
+    /// It could not be decoded, has invalid fields or pieces, or does not match its digest.
+    Invalid,
+    /// Its version is lower than the one held, or equal with different content.
+    Outdated,
+    /// It is for an earlier incarnation of this router.
     OtherIncarnation,
-    /// It answers no ask that is open.
-    OtherAsk,
-    /// It is for another router: of another cell, or with engines of another.
-    OtherRouter,
-    /// Its sender is no relay of the settings.
-    Stranger,
-    /// It is a change of a part that is not held.
+    /// It belongs to no outstanding request, or is a duplicated or reordered request.
+    UnknownRequest,
+    /// It is for another cell, contains engines of another cell, or has a direction that its
+    /// recipient does not handle.
+    WrongRecipient,
+    /// Its sender is not a configured relay.
+    UnknownSender,
+    /// It is a delta based on a part that is not held.
     Gap,
-    /// There is no room for a further router.
-    Full,
-    /// It names an engine that can't be told on.
-    Engine,
+    /// The relay already serves its largest number of routers.
+    TooManyRouters,
+    /// It contains an engine whose names are too long to publish.
+    InvalidEngine,
 }
 
-/// All of them, for counters and the log.
-pub const REASONS: [(Reason, &str, &str); 9] = [
-    (Reason::Spoilt, "spoilt", "it can't be read, or is not what its digest says"),
-    (Reason::Old, "old", "it is older than what is known"),
-    (Reason::OtherIncarnation, "other_life", "it is for an earlier life of this process"),
-    (Reason::OtherAsk, "other_ask", "it answers no ask that is open"),
-    (Reason::OtherRouter, "other_router", "it is for another router's cell"),
-    (Reason::Stranger, "stranger", "its sender is none of the relays"),
-    (Reason::Gap, "gap", "it changes a part that is not held"),
-    (Reason::Full, "full", "there are as many routers as may be"),
-    (Reason::Engine, "engine", "an engine's names are too long to be told on"),
+/// All reasons with the names of their counters and descriptions for the log.
+pub const REJECT_REASONS: [(RejectReason, &str, &str); 9] = [
+    (RejectReason::Invalid, "spoilt", "it is invalid or does not match its digest"),
+    (RejectReason::Outdated, "old", "its version is outdated"),
+    (RejectReason::OtherIncarnation, "other_life", "it is for an earlier incarnation of this process"),
+    (
+        RejectReason::UnknownRequest,
+        "other_ask",
+        "it belongs to no outstanding request, or repeats an earlier one",
+    ),
+    (RejectReason::WrongRecipient, "other_router", "it is for another router or cell"),
+    (RejectReason::UnknownSender, "stranger", "its sender is not a configured relay"),
+    (RejectReason::Gap, "gap", "it is based on a part that is not held"),
+    (RejectReason::TooManyRouters, "full", "the relay already serves its largest number of routers"),
+    (RejectReason::InvalidEngine, "engine", "the names of an engine are too long to publish"),
 ];
 
-/// Counts of messages that were passed over, by why.
+/// Number of rejected messages by reason.
 #[derive(Clone, Debug, Default)]
-pub struct Passed {
-    counts: BTreeMap<Reason, u64>,
-    told: BTreeSet<Reason>,
+pub struct RejectedMessages {
+    counts: BTreeMap<RejectReason, u64>,
+    logged: BTreeSet<RejectReason>,
 }
 
-impl Passed {
-    /// Counts one; each reason is logged once.
-    pub fn count(&mut self, reason: Reason, from: impl std::fmt::Display) {
+impl RejectedMessages {
+    /// Counts a message. The first message of each reason is logged.
+    pub fn count(&mut self, reason: RejectReason, from: impl std::fmt::Display) {
         *self.counts.entry(reason).or_default() += 1;
-        if self.told.insert(reason) {
-            let why = REASONS.iter().find(|(r, _, _)| *r == reason).map_or("", |(_, _, why)| why);
+        if self.logged.insert(reason) {
+            let description = REJECT_REASONS
+                .iter()
+                .find(|(r, _, _)| *r == reason)
+                .map_or("", |(_, _, description)| description);
             warn!(
-                "a message about the list from {from} is passed over: {why}; further ones are only counted"
+                "rejected a message about the engine list from {from}: {description}; further ones are only counted"
             );
         }
     }
 
-    /// How many were passed over for this reason.
-    pub fn of(&self, reason: Reason) -> u64 {
+    /// Returns the number of messages rejected for this reason.
+    pub fn get(&self, reason: RejectReason) -> u64 {
         self.counts.get(&reason).copied().unwrap_or(0)
     }
 
-    /// All counts by name.
-    pub fn all(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
-        REASONS.iter().map(|(reason, name, _)| (*name, self.of(*reason)))
+    /// Returns all counts with their names.
+    pub fn iter(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+        REJECT_REASONS.iter().map(|(reason, name, _)| (*name, self.get(*reason)))
     }
 }
 
-/// How often what happened at a subscriber.
+/// Counters of a subscriber.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SubscriberCounters {
-    /// Asks sent.
-    pub asks: u64,
-    /// Whole parts taken.
-    pub wholes: u64,
-    /// Changes taken.
+    /// Requests sent.
+    pub requests: u64,
+    /// Snapshots applied.
+    pub snapshots: u64,
+    /// Deltas applied.
     pub deltas: u64,
-    /// Times that a relay was left for another.
-    pub left: u64,
-    /// Times that what is known got older than it may be.
-    pub stale: u64,
+    /// Switches to another relay.
+    pub failovers: u64,
+    /// Times that the part exceeded its maximum age.
+    pub stale_periods: u64,
 }
 
-/// How often what happened at a relay.
+/// Counters of a relay.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RelayCounters {
-    /// Asks heard.
-    pub asks: u64,
+    /// Requests received.
+    pub requests: u64,
     /// Datagrams sent.
     pub sent: u64,
-    /// Parts computed.
-    pub parts: u64,
-    /// Changes sent.
+    /// Parts built from the list.
+    pub parts_built: u64,
+    /// Deltas sent.
     pub deltas: u64,
 }
--- a/crates/cells/tests/common/mod.rs
+++ b/crates/cells/tests/common/mod.rs
@@ -1,13 +1,14 @@
-//! A fleet in stepped time: a list service, relays and routers, and a network that loses, doubles, delays and reorders.
+//! Simulation of a list service, relays and routers in stepped time, over a network that loses,
+//! duplicates, delays and reorders datagrams.
 
 #![allow(dead_code)]
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use marljunction_cells::bound::Terms;
+use marljunction_cells::bound::BoundParams;
 use marljunction_cells::{
-    CellConfig, CellId, CellPlan, Digest, DivideBy, Engine, EngineState, Message, PartNews, Relay,
+    CellConfig, CellId, CellPlan, Digest, DivideBy, Engine, EngineState, Message, PartUpdate, Relay,
     RelaySettings, Subscriber, SubscriberSettings,
 };
 use rand::rngs::StdRng;
@@ -15,12 +16,12 @@
 
 pub const MS: u64 = 1_000_000;
 pub const S: u64 = 1_000 * MS;
-/// Time of one step (ns), as the processes look after what is due.
-pub const STEP: u64 = 20 * MS;
+/// Duration of a step in nanoseconds; the interval of the processes' periodic work.
+pub const STEP_NS: u64 = 20 * MS;
 pub const ZONES: [&str; 2] = ["z0", "z1"];
 pub const CELLS: u32 = 2;
-/// Events that a relay reads in one step (count).
-const EVENTS_A_STEP: usize = 4;
+/// Number of events that a relay reads in one step.
+const EVENTS_PER_STEP: usize = 4;
 
 pub fn address(host: u8, number: usize) -> SocketAddr {
     SocketAddr::from(([10, host, (number >> 8) as u8, number as u8], 7000))
@@ -39,45 +40,56 @@
     }
 }
 
-pub fn terms() -> Terms {
-    Terms { routers: 8, relays: 3, pieces: 2, settle_ns: 5 * S, reconnect_ns: S, ..Terms::default() }
+pub fn bound_params() -> BoundParams {
+    BoundParams {
+        routers: 8,
+        relays: 3,
+        pieces: 2,
+        settle_ns: 5 * S,
+        reconnect_ns: S,
+        ..BoundParams::default()
+    }
 }
 
-pub fn relay_settings(terms: &Terms) -> RelaySettings {
-    RelaySettings { routers: terms.routers, ask_ns: terms.ask_ns, silence_ns: terms.silence_ns }
+pub fn relay_settings(bound_params: &BoundParams) -> RelaySettings {
+    RelaySettings {
+        routers: bound_params.routers,
+        ask_ns: bound_params.ask_ns,
+        silence_ns: bound_params.silence_ns,
+    }
 }
 
-/// A change of the list, numbered.
+/// A numbered change of the list.
 #[derive(Clone)]
 pub struct Event {
     pub version: u64,
-    pub whole: bool,
+    pub is_full: bool,
     pub engines: Vec<Engine>,
 }
 
-/// The list service: its list, and what was true of each cell until when.
-pub struct Service {
+/// A list service, with the history of each cell: digests, and when they became current.
+pub struct ListService {
     pub engines: Vec<Engine>,
     pub version: u64,
     next_id: u64,
     pub history: Vec<(CellId, Vec<(u64, Digest)>)>,
-    pub away: bool,
+    pub unavailable: bool,
 }
 
-impl Service {
-    pub fn new(count: u64, cells: &[CellId]) -> Service {
+impl ListService {
+    pub fn new(count: u64, cells: &[CellId]) -> ListService {
         let engines = (0..count).map(engine).collect();
         let history = cells.iter().map(|cell| (cell.clone(), Vec::new())).collect();
-        let mut service = Service { engines, version: 100, next_id: 1_000, history, away: false };
-        service.note(0);
+        let mut service = ListService { engines, version: 100, next_id: 1_000, history, unavailable: false };
+        service.record_states(0);
         service
     }
 
     pub fn digest(&self, cell: &CellId) -> Digest {
-        Digest::of(self.engines.iter().filter(|engine| cell.holds(engine)))
+        Digest::of(self.engines.iter().filter(|engine| cell.contains(engine)))
     }
 
-    fn note(&mut self, now: u64) {
+    fn record_states(&mut self, now: u64) {
         for at in 0..self.history.len() {
             let digest = self.digest(&self.history[at].0);
             let states = &mut self.history[at].1;
@@ -87,11 +99,11 @@
         }
     }
 
-    pub fn whole(&self) -> Event {
-        Event { version: self.version, whole: true, engines: self.engines.clone() }
+    pub fn snapshot_event(&self) -> Event {
+        Event { version: self.version, is_full: true, engines: self.engines.clone() }
     }
 
-    /// Some engines drain, go, come or get another address.
+    /// Drains, removes, adds or moves some engines.
     pub fn change(&mut self, now: u64, rng: &mut StdRng) -> Event {
         self.version += 1;
         let mut changed = Vec::new();
@@ -121,11 +133,12 @@
             }
             changed.push(engine);
         }
-        self.note(now);
-        Event { version: self.version, whole: false, engines: changed }
+        self.record_states(now);
+        Event { version: self.version, is_full: false, engines: changed }
     }
 
-    /// Since when a cell's state is another than this (ns); 0 where it never was.
+    /// Returns when a state of a cell was replaced, in nanoseconds: 0 if it never existed, `None`
+    /// if it is current.
     pub fn superseded_ns(&self, cell: &CellId, digest: Digest) -> Option<u64> {
         let states = &self.history.iter().find(|(id, _)| id == cell)?.1;
         let last = states.iter().rposition(|(_, state)| *state == digest);
@@ -135,8 +148,8 @@
         }
     }
 
-    /// Whether a cell's list ever was this.
-    pub fn ever(&self, cell: &CellId, digest: Digest) -> bool {
+    /// Returns whether a state of a cell ever existed.
+    pub fn existed(&self, cell: &CellId, digest: Digest) -> bool {
         self.history.iter().any(|(id, states)| id == cell && states.iter().any(|(_, state)| *state == digest))
     }
 }
@@ -144,89 +157,90 @@
 pub struct RelayHost {
     pub address: SocketAddr,
     pub machine: Option<Relay>,
-    pub frozen: bool,
-    pub hears: bool,
-    /// Events on their way to it, and datagrams that wait while it stands still.
+    pub paused: bool,
+    pub connected: bool,
+    /// Undelivered events; `None` is a heartbeat.
     pub events: VecDeque<Option<Event>>,
-    pub waiting: Vec<(SocketAddr, Vec<u8>)>,
-    /// What it adds to the version that it says.
-    pub lies: i64,
+    /// Datagrams received while paused.
+    pub inbox: Vec<(SocketAddr, Vec<u8>)>,
+    /// Added to the versions that the relay reports.
+    pub version_offset: i64,
 }
 
 pub struct RouterHost {
     pub address: SocketAddr,
     pub machine: Subscriber,
     pub cell: CellId,
-    pub news: Vec<PartNews>,
-    /// What a router's module would hold by the news alone.
+    pub updates: Vec<PartUpdate>,
+    /// Engines according to the updates alone.
     pub held: std::collections::BTreeMap<u64, Engine>,
 }
 
 #[derive(Clone, Copy, Default)]
-pub struct Shape {
+pub struct NetworkFaults {
     pub loss: f64,
-    pub doubled: f64,
-    pub cut: bool,
-    /// All datagrams take as long, so that none overtakes another.
+    pub duplication: f64,
+    pub partitioned: bool,
+    /// Gives all datagrams the same delay, so that none is reordered.
     pub in_order: bool,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
-    pub terms: Terms,
-    pub service: Service,
+    pub bound_params: BoundParams,
+    pub service: ListService,
     pub relays: Vec<RelayHost>,
     pub routers: Vec<RouterHost>,
-    pub shape: Shape,
+    pub network: NetworkFaults,
     pub rng: StdRng,
     net: Vec<(u64, SocketAddr, SocketAddr, Vec<u8>)>,
     incarnations: u64,
-    beat_ns: u64,
+    last_heartbeat_ns: u64,
 }
 
-impl World {
-    pub fn new(seed: u64, terms: Terms) -> World {
+impl Simulation {
+    pub fn new(seed: u64, bound_params: BoundParams) -> Simulation {
         let plan = CellPlan { cells: CELLS, ..CellPlan::default() };
-        let per_zone = terms.routers.div_ceil(ZONES.len() as u32);
+        let per_zone = bound_params.routers.div_ceil(ZONES.len() as u32);
         let cell = |router: u32| {
             let zone = ZONES[(router / per_zone) as usize];
-            CellConfig::new(&plan, Some(zone), ZONES.len() as u32, router, terms.routers).id
+            CellConfig::new(&plan, Some(zone), ZONES.len() as u32, router, bound_params.routers).id
         };
-        let cells: Vec<CellId> = (0..terms.routers).map(cell).collect();
+        let cells: Vec<CellId> = (0..bound_params.routers).map(cell).collect();
         let relay = |at: usize| RelayHost {
             address: address(1, at),
             machine: None,
-            frozen: false,
-            hears: true,
+            paused: false,
+            connected: true,
             events: VecDeque::new(),
-            waiting: Vec::new(),
-            lies: 0,
+            inbox: Vec::new(),
+            version_offset: 0,
         };
-        let mut world = World {
+        let mut sim = Simulation {
             now: 10 * S,
-            service: Service::new(60, &cells),
-            relays: (0..terms.relays as usize).map(relay).collect(),
+            service: ListService::new(60, &cells),
+            relays: (0..bound_params.relays as usize).map(relay).collect(),
             routers: Vec::new(),
-            shape: Shape::default(),
+            network: NetworkFaults::default(),
             rng: StdRng::seed_from_u64(seed),
             net: Vec::new(),
             incarnations: 1,
-            beat_ns: 0,
-            terms,
+            last_heartbeat_ns: 0,
+            bound_params,
         };
         for (at, cell) in cells.into_iter().enumerate() {
-            let machine = world.subscriber(at, &cell);
+            let machine = sim.subscriber(at, &cell);
             let address = address(2, at);
-            world.routers.push(RouterHost {
+            sim.routers.push(RouterHost {
                 address,
                 machine,
                 cell,
-                news: Vec::new(),
+                updates: Vec::new(),
                 held: Default::default(),
             });
         }
-        (0..world.relays.len()).for_each(|at| world.start_relay(at));
-        world
+        (0..sim.relays.len()).for_each(|at| sim.start_relay(at));
+        sim
     }
 
     fn subscriber(&mut self, at: usize, cell: &CellId) -> Subscriber {
@@ -236,17 +250,17 @@
             router: at as u64,
             incarnation: self.incarnations,
             relays: self.relays.iter().map(|relay| relay.address).collect(),
-            ask_ns: self.terms.ask_ns,
-            silence_ns: self.terms.silence_ns,
-            settle_ns: self.terms.settle_ns,
-            spread_ns: self.terms.spread_ns(),
+            ask_ns: self.bound_params.ask_ns,
+            silence_ns: self.bound_params.silence_ns,
+            settle_ns: self.bound_params.settle_ns,
+            spread_ns: self.bound_params.spread_ns(),
             stale_ns: 7 * S,
             seed: self.rng.gen(),
         };
         Subscriber::new(self.now, settings)
     }
 
-    /// A router's process starts anew under its address.
+    /// Restarts a router at its address.
     pub fn restart_router(&mut self, at: usize) {
         let cell = self.routers[at].cell.clone();
         self.routers[at].machine = self.subscriber(at, &cell);
@@ -255,62 +269,64 @@
 
     pub fn start_relay(&mut self, at: usize) {
         let relay = &mut self.relays[at];
-        relay.machine = Some(Relay::new(self.now, relay_settings(&self.terms)));
-        (relay.frozen, relay.hears) = (false, !self.service.away);
-        (relay.events, relay.waiting) = (VecDeque::new(), Vec::new());
-        if relay.hears {
-            relay.events.push_back(Some(self.service.whole()));
+        relay.machine = Some(Relay::new(self.now, relay_settings(&self.bound_params)));
+        (relay.paused, relay.connected) = (false, !self.service.unavailable);
+        (relay.events, relay.inbox) = (VecDeque::new(), Vec::new());
+        if relay.connected {
+            relay.events.push_back(Some(self.service.snapshot_event()));
         }
     }
 
     pub fn kill_relay(&mut self, at: usize) {
         self.relays[at].machine = None;
-        self.relays[at].waiting.clear();
+        self.relays[at].inbox.clear();
     }
 
-    /// The service goes away, or comes back and tells the whole list to all who reconnect.
-    pub fn set_away(&mut self, away: bool) {
-        self.service.away = away;
+    /// Makes the service unavailable, or available again; it then sends the full list to all
+    /// relays.
+    pub fn set_unavailable(&mut self, unavailable: bool) {
+        self.service.unavailable = unavailable;
         for relay in &mut self.relays {
-            relay.hears = !away;
-            if !away {
-                relay.events.push_back(Some(self.service.whole()));
+            relay.connected = !unavailable;
+            if !unavailable {
+                relay.events.push_back(Some(self.service.snapshot_event()));
             }
         }
     }
 
     pub fn change(&mut self) {
         let event = self.service.change(self.now, &mut self.rng);
-        for relay in self.relays.iter_mut().filter(|relay| relay.hears && relay.machine.is_some()) {
+        for relay in self.relays.iter_mut().filter(|relay| relay.connected && relay.machine.is_some()) {
             relay.events.push_back(Some(event.clone()));
         }
     }
 
-    /// The service starts anew: its numbers are low again.
-    pub fn count_anew(&mut self) {
+    /// Restarts the event numbers of the service.
+    pub fn restart_versions(&mut self) {
         self.service.version = 1;
-        for relay in self.relays.iter_mut().filter(|relay| relay.hears) {
+        for relay in self.relays.iter_mut().filter(|relay| relay.connected) {
             relay.events.clear();
-            relay.events.push_back(Some(self.service.whole()));
+            relay.events.push_back(Some(self.service.snapshot_event()));
         }
     }
 
     pub fn send(&mut self, from: SocketAddr, to: SocketAddr, message: &Message) {
         let bytes = message.encode();
-        let copies = 1 + usize::from(self.rng.gen_bool(self.shape.doubled));
+        let copies = 1 + usize::from(self.rng.gen_bool(self.network.duplication));
         for _ in 0..copies {
-            if self.shape.cut || self.rng.gen_bool(self.shape.loss) {
+            if self.network.partitioned || self.rng.gen_bool(self.network.loss) {
                 continue;
             }
-            let most = self.terms.delay_ns;
-            let delay = if self.shape.in_order { most } else { self.rng.gen_range(0..=most) };
+            let max_delay_ns = self.bound_params.delay_ns;
+            let delay =
+                if self.network.in_order { max_delay_ns } else { self.rng.gen_range(0..=max_delay_ns) };
             self.net.push((self.now + delay, from, to, bytes.clone()));
         }
     }
 
     pub fn step(&mut self) {
-        self.now += STEP;
-        self.beat();
+        self.now += STEP_NS;
+        self.heartbeat();
         self.deliver();
         for at in 0..self.relays.len() {
             self.tick_relay(at);
@@ -321,7 +337,7 @@
                 self.send(from, to, &message);
             }
         }
-        self.check();
+        self.check_invariants();
     }
 
     pub fn run(&mut self, ns: u64) {
@@ -331,12 +347,12 @@
         }
     }
 
-    fn beat(&mut self) {
-        if self.now < self.beat_ns + S {
+    fn heartbeat(&mut self) {
+        if self.now < self.last_heartbeat_ns + S {
             return;
         }
-        self.beat_ns = self.now;
-        for relay in self.relays.iter_mut().filter(|relay| relay.hears && relay.machine.is_some()) {
+        self.last_heartbeat_ns = self.now;
+        for relay in self.relays.iter_mut().filter(|relay| relay.connected && relay.machine.is_some()) {
             relay.events.push_back(None);
         }
     }
@@ -349,56 +365,56 @@
         due.sort_by_key(|(at, ..)| *at);
         for (_, from, to, bytes) in due {
             if let Some(relay) = self.relays.iter_mut().find(|relay| relay.address == to) {
-                relay.waiting.push((from, bytes));
+                relay.inbox.push((from, bytes));
             } else if let Some(router) = self.routers.iter_mut().find(|router| router.address == to) {
                 match Message::decode(&bytes) {
                     Ok(message) => router.receive(now, from, message),
-                    Err(_) => router.machine.unreadable(from),
+                    Err(_) => router.machine.record_undecodable(from),
                 }
             }
         }
     }
 
-    /// A relay that goes on reads some events at a time, all within its silence bound: what it is asked meanwhile is answered by
-    /// what it knows by then.
+    /// A resumed relay reads a few events per step, all within its silence time.
     fn tick_relay(&mut self, at: usize) {
         let (now, relay) = (self.now, &mut self.relays[at]);
-        let Some(machine) = relay.machine.as_mut().filter(|_| !relay.frozen) else { return };
-        let some = relay.events.len().min(EVENTS_A_STEP);
+        let Some(machine) = relay.machine.as_mut().filter(|_| !relay.paused) else { return };
+        let some = relay.events.len().min(EVENTS_PER_STEP);
         for event in relay.events.drain(..some) {
             if let Some(event) = event {
-                machine.learn(event.version, event.whole, event.engines);
+                machine.apply_update(event.version, event.is_full, event.engines);
             }
             machine.heard(now, 0);
         }
-        for (from, bytes) in std::mem::take(&mut relay.waiting) {
+        for (from, bytes) in std::mem::take(&mut relay.inbox) {
             match Message::decode(&bytes) {
                 Ok(message) => machine.receive(now, from, message),
-                Err(_) => machine.unreadable(from),
+                Err(_) => machine.record_undecodable(from),
             }
         }
-        let (lies, address) = (relay.lies, relay.address);
+        let (version_offset, address) = (relay.version_offset, relay.address);
         for (to, mut message) in machine.tick(now) {
-            lie(&mut message, lies);
+            offset_version(&mut message, version_offset);
             self.send(address, to, &message);
         }
     }
 
-    /// What must hold at every moment.
-    fn check(&mut self) {
+    /// Asserts what must hold at every moment.
+    fn check_invariants(&mut self) {
         for (at, router) in self.routers.iter().enumerate() {
             let Some(part) = router.machine.part() else { continue };
-            let ever = self.service.ever(&router.cell, part.digest());
-            assert!(ever, "router {at} holds what its cell's list never was, at {} ms", self.now / MS);
+            let existed = self.service.existed(&router.cell, part.digest());
+            assert!(existed, "router {at} holds a state that its cell never had, at {} ms", self.now / MS);
             let held: Vec<&Engine> = router.held.values().collect();
             assert!(
                 held.iter().copied().eq(part.engines()),
-                "router {at}: the news do not add up to the part"
+                "router {at}: the updates do not add up to the part"
             );
         }
     }
 
-    /// How long ago what a router holds was last true (ns); 0 where it is true, the time since the start where it holds nothing.
+    /// Returns how long ago the part of a router was last current, in nanoseconds: 0 if it is
+    /// current, the time since the start if there is no part.
     pub fn lag_ns(&self, at: usize) -> u64 {
         let router = &self.routers[at];
         let Some(part) = router.machine.part() else { return self.now - 10 * S };
@@ -410,8 +426,8 @@
         (0..self.routers.len()).all(|at| self.routers[at].machine.part().is_some() && self.lag_ns(at) == 0)
     }
 
-    /// Runs until all routers hold what is true; the time that it took (ns).
-    pub fn settle(&mut self, limit: u64) -> u64 {
+    /// Runs until all routers are current, and returns how long that took in nanoseconds.
+    pub fn run_until_current(&mut self, limit: u64) -> u64 {
         let start = self.now;
         while !self.all_current() {
             assert!(self.now < start + limit, "not all routers are current after {} ms", limit / MS);
@@ -423,30 +439,32 @@
 
 impl RouterHost {
     pub fn receive(&mut self, now: u64, from: SocketAddr, message: Message) {
-        let Some(news) = self.machine.receive(now, from, message) else { return };
-        match &news {
-            PartNews::Whole(engines) => {
+        let Some(updates) = self.machine.receive(now, from, message) else { return };
+        match &updates {
+            PartUpdate::Snapshot(engines) => {
                 self.held = engines.iter().map(|engine| (engine.id, engine.clone())).collect();
             }
-            PartNews::Changed(engines, gone) => {
-                gone.iter().for_each(|id| drop(self.held.remove(id)));
+            PartUpdate::Delta(engines, removed) => {
+                removed.iter().for_each(|id| drop(self.held.remove(id)));
                 self.held.extend(engines.iter().map(|engine| (engine.id, engine.clone())));
             }
         }
-        self.news.push(news);
+        self.updates.push(updates);
     }
 }
 
-fn lie(message: &mut Message, by: i64) {
+fn offset_version(message: &mut Message, by: i64) {
     let version = match message {
-        Message::Ask(_) => return,
-        Message::Same(answer) | Message::NotReady(answer) | Message::Behind(answer) => &mut answer.version,
-        Message::Piece(piece) => &mut piece.answer.version,
+        Message::Request(_) => return,
+        Message::Unchanged(header) | Message::NotReady(header) | Message::Behind(header) => {
+            &mut header.version
+        }
+        Message::Piece(piece) => &mut piece.header.version,
         Message::Delta(delta) => &mut delta.version,
     };
     *version = version.saturating_add_signed(by);
 }
 
-pub fn by_engine(cell: u32, cells: u32) -> CellId {
+pub fn cell_id(cell: u32, cells: u32) -> CellId {
     CellId { zone: Some("z0".into()), cells, cell, by: DivideBy::Engine }
 }
