--- a/src/cli.rs
+++ b/src/cli.rs
@@ -9,7 +9,7 @@
 use clap::{CommandFactory, Parser, Subcommand};
 
 use crate::behaviour::effects;
-use crate::config::Files;
+use crate::config::ConfigFiles;
 use crate::daemon::Daemon;
 use crate::error::{ConfigError, DaemonError};
 use crate::setup::Setup;
@@ -92,7 +92,7 @@
 }
 
 fn run(own: Option<PathBuf>) -> Result<(), DaemonError> {
-    let files = Files::from_env(own)?;
+    let files = ConfigFiles::from_env(own)?;
     Daemon::start(files)?.run()
 }
 
@@ -112,7 +112,7 @@
     match setup::read_file(path).map(|outcome| setup::faults(&outcome)) {
         Ok(None) => {
             println!("{}: right", path.display());
-            if let Ok(setup) = Setup::of_file(path) {
+            if let Ok(setup) = Setup::from_file(path) {
                 println!("  {}", setup.start.bounds(None));
                 for line in setup.fleet.iter().flat_map(|fleet| fleet.bounds(LONGEST_NS)) {
                     println!("  {line}");
@@ -168,7 +168,7 @@
 
 /// Prints what the second file changes; the status says whether it does, or that one is wrong.
 fn print_diff(from: &Path, to: &Path) -> ExitCode {
-    match (Setup::of_file(from), Setup::of_file(to)) {
+    match (Setup::from_file(from), Setup::from_file(to)) {
         (Ok(Setup { value: Some(from), .. }), Ok(Setup { value: Some(to), .. })) => {
             let all = effects(&from, &to);
             all.iter().for_each(|effect| println!("{effect}"));
--- a/src/config.rs
+++ b/src/config.rs
@@ -56,7 +56,7 @@
 /// The PostgreSQL side, from a file of its own; without one it is off.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct PostgresFile {
+pub struct PostgresConfig {
     /// Where PostgreSQL clients connect; absent for nowhere.
     pub listen: Option<String>,
     /// Class of requests whose session names none.
@@ -67,15 +67,15 @@
     pub sessions: usize,
     /// What the engines speak.
     #[serde(default)]
-    pub engines: EngineFile,
+    pub engines: EngineProtocol,
     /// Consul in the coordinator's place.
-    pub consul: Option<ConsulFile>,
+    pub consul: Option<ConsulConfig>,
 }
 
 /// What the engines speak.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
-pub enum EngineFile {
+pub enum EngineProtocol {
     /// The platform's HTTP.
     #[default]
     Http,
@@ -91,7 +91,7 @@
 /// Where Consul is, and the engines' service there.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ConsulFile {
+pub struct ConsulConfig {
     /// Its address.
     pub address: String,
     /// The service.
@@ -103,7 +103,7 @@
 pub enum Count {
     /// As many as the settings say.
     #[default]
-    AsInSettings,
+    FromSettings,
     /// Nobody knows.
     Unknown,
     /// So many.
@@ -112,7 +112,7 @@
 
 /// How a router starts and comes back, as the operator's file says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StartFile {
+pub struct StartConfig {
     /// Calls a second that the list service takes from the whole fleet.
     pub budget_per_s: f64,
     /// Routers of the fleet.
@@ -131,12 +131,12 @@
     pub keep_for_ns: u64,
 }
 
-impl Default for StartFile {
+impl Default for StartConfig {
     fn default() -> Self {
         let pace = Pace::default();
-        StartFile {
+        StartConfig {
             budget_per_s: pace.budget_per_s,
-            routers: Count::AsInSettings,
+            routers: Count::FromSettings,
             spread_ns: pace.spread_ns,
             longest_ns: pace.longest_ns,
             stale_ns: TOLD_NS,
@@ -147,15 +147,15 @@
     }
 }
 
-impl StartFile {
+impl StartConfig {
     /// The pace of router `me` of a fleet that the settings say has `gateways` routers.
     pub fn pace(&self, router_count: u32, me: u32) -> Pace {
         let callers = match self.routers {
-            Count::AsInSettings => Some(router_count),
+            Count::FromSettings => Some(router_count),
             Count::Unknown => None,
             Count::Of(count) => Some(count),
         };
-        let StartFile { budget_per_s, spread_ns, longest_ns, .. } = *self;
+        let StartConfig { budget_per_s, spread_ns, longest_ns, .. } = *self;
         Pace { budget_per_s, callers, me, spread_ns, longest_ns, ..Pace::default() }
     }
 
@@ -205,10 +205,10 @@
     }
 }
 
-impl PostgresFile {
+impl PostgresConfig {
     /// Reads the JSON text.
-    pub fn read(text: &str) -> Result<PostgresFile, ConfigError> {
-        serde_json::from_str(text).map_err(ConfigError::PostgresFile)
+    pub fn read(text: &str) -> Result<PostgresConfig, ConfigError> {
+        serde_json::from_str(text).map_err(ConfigError::PostgresConfig)
     }
 }
 
@@ -230,11 +230,11 @@
     /// The configuration.
     pub config: Config,
     /// The PostgreSQL side, where it is on.
-    pub postgres: Option<PostgresFile>,
+    pub postgres: Option<PostgresConfig>,
     /// The door, where it is on.
     pub door: Option<DoorSettings>,
     /// How the router starts and comes back.
-    pub start: StartFile,
+    pub start: StartConfig,
     /// The fleet, where routers talk to each other.
     pub fleet: Option<FleetConfig>,
     /// All that the operator's file says, and the level of the log that it names.
@@ -245,7 +245,7 @@
 
 /// The files that one process is set up by; a reload reads them again.
 #[derive(Clone, Debug)]
-pub struct Files {
+pub struct ConfigFiles {
     /// The configuration.
     pub config: String,
     /// The PostgreSQL side, where it is on.
@@ -260,21 +260,21 @@
     pub kept: Option<PathBuf>,
 }
 
-impl Files {
+impl ConfigFiles {
     /// As the environment names them; `setup` in place of the operator's file that it names.
-    pub fn from_env(setup: Option<PathBuf>) -> Result<Files, ConfigError> {
-        let config = std::env::var("ROUTER_CONFIG").map_err(|_| ConfigError::NoConfiguration)?;
+    pub fn from_env(setup: Option<PathBuf>) -> Result<ConfigFiles, ConfigError> {
+        let config = std::env::var("ROUTER_CONFIG").map_err(|_| ConfigError::MissingConfiguration)?;
         let named = || std::env::var_os("MARLJUNCTION_SETUP").map(PathBuf::from);
         let postgres = std::env::var("MARLJUNCTION_POSTGRES").ok();
         let set = |name: &str| std::env::var(name).ok().filter(|value| !value.trim().is_empty());
         let (inherited, operator) = (set("ROUTER_FD"), set("ROUTER_OPERATOR"));
         let kept = set("TMPDIR").map(PathBuf::from);
-        Ok(Files { config, postgres, setup: setup.or_else(named), inherited, operator, kept })
+        Ok(ConfigFiles { config, postgres, setup: setup.or_else(named), inherited, operator, kept })
     }
 
     /// What the operator's file says; nothing where there is none.
     fn setup(&self) -> Result<Setup, ConfigError> {
-        self.setup.as_deref().map_or(Ok(Setup::default()), Setup::of_file)
+        self.setup.as_deref().map_or(Ok(Setup::default()), Setup::from_file)
     }
 
     /// Reads all of them.
@@ -283,10 +283,10 @@
     /// Where one can't be read, is not of its form, or contradicts another.
     pub fn read(&self) -> Result<Read, ConfigError> {
         let text = |path: &str| std::fs::read_to_string(path).map_err(ConfigError::unreadable(path));
-        let postgres = self.postgres.as_ref().map(|path| PostgresFile::read(&text(path)?)).transpose()?;
+        let postgres = self.postgres.as_ref().map(|path| PostgresConfig::read(&text(path)?)).transpose()?;
         let Setup { door, postgres: operators_postgres, start, fleet, level, value } = self.setup()?;
         if postgres.is_some() && operators_postgres.is_some() {
-            return Err(ConfigError::TwoPostgres);
+            return Err(ConfigError::ConflictingPostgres);
         }
         let postgres = postgres.or(operators_postgres);
         if let Some(fault) = door.as_ref().and_then(DoorSettings::fault) {
@@ -295,7 +295,7 @@
         let config = Config::read(&text(&self.config)?)?;
         let mut weighted = door.iter().flat_map(|d| d.weights.keys());
         if let Some(name) = weighted.find(|name| !config.names.tenants.contains(name)) {
-            return Err(ConfigError::UnknownWeight(name.clone()));
+            return Err(ConfigError::UnknownTenant(name.clone()));
         }
         Ok(Read { config, postgres, door, start, fleet, operator: value, level })
     }
--- a/src/daemon/listeners.rs
+++ b/src/daemon/listeners.rs
@@ -5,7 +5,7 @@
 use mio::net::TcpListener;
 use mio::{Interest, Registry, Token};
 
-use crate::config::{Config, Files, PostgresFile};
+use crate::config::{Config, ConfigFiles, PostgresConfig};
 use crate::error::DaemonError;
 
 pub(super) const MSGPACK: Token = Token(0);
@@ -36,9 +36,9 @@
     /// Opens all of them.
     pub(super) fn open(
         registry: &Registry,
-        files: &Files,
+        files: &ConfigFiles,
         config: &Config,
-        postgres: Option<&PostgresFile>,
+        postgres: Option<&PostgresConfig>,
     ) -> Result<Listeners, DaemonError> {
         let name = &config.name;
         let clients = Listen::of(&config.listen, files.inherited.as_deref()).map_err(DaemonError::Listen)?;
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -32,7 +32,7 @@
 use marljunction_net::clock::Clock;
 use marljunction_net::Net;
 
-use crate::config::{Config, Files, Limits};
+use crate::config::{Config, ConfigFiles, Limits};
 
 use admin::Admin;
 use engine_list::EngineList;
@@ -60,7 +60,7 @@
 
 /// The files that the process is set up by, and what of them is in force.
 struct ConfigState {
-    files: Files,
+    files: ConfigFiles,
     applied: AppliedConfig,
     /// What the operator's file said when it was last applied.
     operator_file: Option<Value>,
@@ -69,7 +69,12 @@
 }
 
 impl ConfigState {
-    fn new(files: Files, config: Config, operator_file: Option<Value>, directory: Directory) -> ConfigState {
+    fn new(
+        files: ConfigFiles,
+        config: Config,
+        operator_file: Option<Value>,
+        directory: Directory,
+    ) -> ConfigState {
         let applied = AppliedConfig::of(&config);
         ConfigState { files, applied, operator_file, settings: config.settings, directory }
     }
--- a/src/daemon/relayed_list.rs
+++ b/src/daemon/relayed_list.rs
@@ -12,7 +12,7 @@
 use marljunction_settings::Names;
 
 use super::Daemon;
-use crate::config::{Config, Count, StartFile};
+use crate::config::{Config, Count, StartConfig};
 
 /// Time for which a stream must be open before what is heard on it tells that nothing was missed (ns), unless the whole list came on
 /// it: what happened meanwhile comes first, and a comment each second behind it.
@@ -33,14 +33,14 @@
 /// Makes the module divide by the routers of the cell, where this router is of one, in place of the whole fleet.
 pub(super) fn apply_cell(
     config: &mut Config,
-    start: &mut StartFile,
+    start: &mut StartConfig,
     fleet: Option<&FleetConfig>,
     identity: &RouterIdentity,
 ) -> Option<CellConfig> {
     let fleet = fleet?;
     let cell = fleet.list.as_ref()?.cell(identity, &config.names, fleet.routers)?;
     (config.settings.router_count, config.settings.router_index) = (cell.sharers, cell.rank);
-    start.routers = Count::AsInSettings;
+    start.routers = Count::FromSettings;
     Some(cell)
 }
 
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -14,7 +14,7 @@
 use super::wiring::parse_address;
 use super::{AppliedConfig, Daemon};
 use crate::behaviour::effects;
-use crate::config::{Config, Read, StartFile};
+use crate::config::{Config, Read, StartConfig};
 use crate::error::DaemonError;
 use crate::logger;
 
@@ -85,7 +85,7 @@
         }
     }
 
-    fn apply_pacing(&mut self, config: &Config, start: &StartFile) {
+    fn apply_pacing(&mut self, config: &Config, start: &StartConfig) {
         let pace = start.pace(config.settings.router_count, config.settings.router_index);
         if let Some(source) = &mut self.engine_list.source {
             source.set_pace(pace, start.stale_ns);
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -35,7 +35,7 @@
 use super::snapshot::Snapshot;
 use super::stop::StopState;
 use super::{ConfigState, Daemon, Fronts};
-use crate::config::{Config, EngineFile, Files, PostgresFile, Read, StartFile};
+use crate::config::{Config, ConfigFiles, EngineProtocol, PostgresConfig, Read, StartConfig};
 use crate::error::DaemonError;
 use crate::logger;
 
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     /// Where a file can't be used, or the machine does not give what the program needs.
-    pub fn start(files: Files) -> Result<Daemon, DaemonError> {
+    pub fn start(files: ConfigFiles) -> Result<Daemon, DaemonError> {
         let read = files.read()?;
         logger::set_level(read.level);
         let (event_loop, registry) = EventLoop::open()?;
@@ -53,7 +53,7 @@
     }
 
     fn build(
-        files: Files,
+        files: ConfigFiles,
         read: Read,
         event_loop: EventLoop,
         registry: Registry,
@@ -136,7 +136,7 @@
     Door::new(now, settings, site)
 }
 
-fn build_pacing(config: &Config, start: &StartFile) -> Pacing {
+fn build_pacing(config: &Config, start: &StartConfig) -> Pacing {
     Pacing {
         pace: start.pace(config.settings.router_count, config.settings.router_index),
         seed: config.own_seed(),
@@ -148,8 +148,8 @@
 fn build_source(
     now: u64,
     config: &Config,
-    start: &StartFile,
-    postgres: Option<&PostgresFile>,
+    start: &StartConfig,
+    postgres: Option<&PostgresConfig>,
     pacing: Pacing,
 ) -> Result<Option<Source>, DaemonError> {
     let names = config.names.clone();
@@ -174,13 +174,13 @@
 
 fn build_engines(
     config: &Config,
-    start: &StartFile,
-    postgres: Option<&PostgresFile>,
+    start: &StartConfig,
+    postgres: Option<&PostgresConfig>,
     pacing: Pacing,
 ) -> Box<dyn Backend> {
     let connect_timeout_ns = config.connect_timeout_ns;
     let mut engines: Box<dyn Backend> = match postgres.map(|postgres| postgres.engines.clone()) {
-        Some(EngineFile::Postgres { user, database }) => {
+        Some(EngineProtocol::Postgres { user, database }) => {
             Box::new(PostgresBackend::new(user, database, connect_timeout_ns))
         }
         _ => Box::new(HttpBackend::new(config.engine_idle_ns, connect_timeout_ns)),
@@ -192,7 +192,7 @@
 
 fn build_fronts(
     config: &Config,
-    postgres: Option<PostgresFile>,
+    postgres: Option<PostgresConfig>,
     directory: &Directory,
 ) -> Result<Fronts, DaemonError> {
     let msgpack = MsgpackFront::new(directory.clone());
@@ -202,7 +202,7 @@
         class,
         columns: file.columns,
         // Engines that speak HTTP take no parameters but in the text.
-        inlines: !matches!(file.engines, EngineFile::Postgres { .. }),
+        inlines: !matches!(file.engines, EngineProtocol::Postgres { .. }),
         sessions_most: file.sessions,
     };
     let setup = setup.within(config.limits.memory_mb);
@@ -219,7 +219,7 @@
     fleet: Option<FleetConfig>,
     identity: RouterIdentity,
     config: &Config,
-    files: &Files,
+    files: &ConfigFiles,
 ) -> Result<(Option<FleetRuntime>, FleetMachines), DaemonError> {
     let Some(fleet) = fleet else { return Ok((None, (None, None))) };
     let FleetStart { runtime, limits, health } = FleetRuntime::start(
--- a/src/error.rs
+++ b/src/error.rs
@@ -10,7 +10,7 @@
 pub enum ConfigError {
     /// The environment names no configuration.
     #[error("ROUTER_CONFIG names no file")]
-    NoConfiguration,
+    MissingConfiguration,
     /// A file can't be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
@@ -33,13 +33,13 @@
     Content(String),
     /// The PostgreSQL file is not of its form.
     #[error("PostgreSQL file: {0}")]
-    PostgresFile(#[source] serde_json::Error),
+    PostgresConfig(#[source] serde_json::Error),
     /// PostgreSQL is set up in two places.
     #[error("MARLJUNCTION_POSTGRES and the operator's file both set PostgreSQL up: keep one")]
-    TwoPostgres,
+    ConflictingPostgres,
     /// The operator's file is wrong, as its messages say.
     #[error("{} can't be used\n{messages}", path.display())]
-    OperatorFile {
+    InvalidOperatorFile {
         /// The file.
         path: PathBuf,
         /// All that is wrong with it.
@@ -47,7 +47,7 @@
     },
     /// The operator's file is right by its definitions, and yet of another shape.
     #[error("{} holds no record, or a limit of its fleet has neither a rate nor at_once, or both", path.display())]
-    OperatorFileShape {
+    OperatorFileStructure {
         /// The file.
         path: PathBuf,
     },
@@ -56,7 +56,7 @@
     FairQueue(String),
     /// A weight is of a tenant that the settings do not have.
     #[error("door: the weight of {0} is of no tenant: name one of the settings'")]
-    UnknownWeight(String),
+    UnknownTenant(String),
 }
 
 impl ConfigError {
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -16,7 +16,7 @@
 use marljunction_fleet::{FleetConfig, HealthConfig, LimitConfig, ListConfig, ListRole, ListTiming};
 use marljunction_limits::Limit;
 
-use crate::config::{ConsulFile, Count, EngineFile, PostgresFile, StartFile};
+use crate::config::{ConsulConfig, Count, EngineProtocol, PostgresConfig, StartConfig};
 use crate::error::ConfigError;
 
 /// What an operator's file may say.
@@ -28,9 +28,9 @@
     /// The door, where it is on.
     pub door: Option<DoorSettings>,
     /// The PostgreSQL side, where it is on.
-    pub postgres: Option<PostgresFile>,
+    pub postgres: Option<PostgresConfig>,
     /// How the router starts and comes back.
-    pub start: StartFile,
+    pub start: StartConfig,
     /// The fleet, where routers talk to each other.
     pub fleet: Option<FleetConfig>,
     /// What is logged.
@@ -80,12 +80,12 @@
     ///
     /// # Errors
     /// Where it can't be read, or is wrong.
-    pub fn of_file(path: &Path) -> Result<Setup, ConfigError> {
+    pub fn from_file(path: &Path) -> Result<Setup, ConfigError> {
         let outcome = read_file(path)?;
         if let Some(messages) = faults(&outcome) {
-            return Err(ConfigError::OperatorFile { path: path.to_owned(), messages });
+            return Err(ConfigError::InvalidOperatorFile { path: path.to_owned(), messages });
         }
-        Setup::of(&outcome.value).ok_or_else(|| ConfigError::OperatorFileShape { path: path.to_owned() })
+        Setup::of(&outcome.value).ok_or_else(|| ConfigError::OperatorFileStructure { path: path.to_owned() })
     }
 
     /// What a value that its definitions hold for says; none where it is not of their shape.
@@ -97,7 +97,7 @@
         let level = text(record(field(main, "log")?)?, "level")?.parse().ok();
         let start = match field(main, "start") {
             Some(part) => start(part)?,
-            None => StartFile::default(),
+            None => StartConfig::default(),
         };
         let mut fleet = flat(main.fields.get("fleet").map(|f| fleet(&f.value)))?;
         if let Some(list) = fleet.as_mut().and_then(|fleet| fleet.list.as_mut()) {
@@ -172,15 +172,15 @@
     })
 }
 
-fn start(value: &Value) -> Option<StartFile> {
+fn start(value: &Value) -> Option<StartConfig> {
     let start = record(value)?;
     let nanoseconds = |name: &str| number(start, name).map(|ns| ns as u64);
-    Some(StartFile {
+    Some(StartConfig {
         budget_per_s: number(start, "budget")?,
         routers: match number(start, "routers") {
             Some(count) => Count::Of(count as u32),
             None if field(start, "routers").is_some() => Count::Unknown,
-            None => Count::AsInSettings,
+            None => Count::FromSettings,
         },
         spread_ns: nanoseconds("spread")?,
         longest_ns: nanoseconds("longest")?,
@@ -275,16 +275,18 @@
     })
 }
 
-fn consul(value: &Value) -> Option<ConsulFile> {
+fn consul(value: &Value) -> Option<ConsulConfig> {
     let consul = record(value)?;
-    Some(ConsulFile { address: text(consul, "address")?, service: text(consul, "service")? })
+    Some(ConsulConfig { address: text(consul, "address")?, service: text(consul, "service")? })
 }
 
-fn postgres(value: &Value, consul: Option<ConsulFile>) -> Option<PostgresFile> {
+fn postgres(value: &Value, consul: Option<ConsulConfig>) -> Option<PostgresConfig> {
     let side = record(value)?;
     let engines = match &field(side, "engines")?.what {
-        What::Record(of) => EngineFile::Postgres { user: text(of, "user")?, database: text(of, "database")? },
-        _ => EngineFile::Http,
+        What::Record(of) => {
+            EngineProtocol::Postgres { user: text(of, "user")?, database: text(of, "database")? }
+        }
+        _ => EngineProtocol::Http,
     };
     let columns = match &field(side, "columns")?.what {
         What::List(all, _) => all.iter().map(|v| match &v.what {
@@ -293,7 +295,7 @@
         }),
         _ => return None,
     };
-    Some(PostgresFile {
+    Some(PostgresConfig {
         listen: text(side, "listen"),
         class: text(side, "class")?,
         columns: columns.collect::<Option<_>>()?,
--- a/tests/fleet_cells.rs
+++ b/tests/fleet_cells.rs
@@ -48,7 +48,7 @@
         cell_file(&relays)
     );
     std::fs::write(&path, text).unwrap();
-    let fleet = Operator::of_file(&path).unwrap().fleet.unwrap();
+    let fleet = Operator::from_file(&path).unwrap().fleet.unwrap();
     let mut terms = fleet.list.as_ref().unwrap().terms(fleet.routers).unwrap();
     terms.loss = 0.3;
     Duration::from_nanos(bound_ns(&terms, fault)) + MACHINE
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -47,7 +47,7 @@
             "fleet: {{ listen: \"127.0.0.1:0\", key: \"key\", seeds: [], routers: {ROUTERS}, {LIMITS} }}\n"
         );
         std::fs::write(&path, text).unwrap();
-        Operator::of_file(&path).unwrap().fleet.unwrap()
+        Operator::from_file(&path).unwrap().fleet.unwrap()
     };
     FILE.get_or_init(read).clone()
 }
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use marljunction::config::StartFile;
+use marljunction::config::StartConfig;
 use marljunction_discovery::bound::ListBound;
 use marljunction_pacing::Pace;
 use marljunction_testkit::audit::calls_within;
@@ -32,7 +32,7 @@
 
 /// The pace that follows from the operator's file above.
 fn pace() -> Pace {
-    StartFile { budget_per_s: 40.0, spread_ns: S, longest_ns: S, ..StartFile::default() }
+    StartConfig { budget_per_s: 40.0, spread_ns: S, longest_ns: S, ..StartConfig::default() }
         .pace(ROUTERS as u32, 0)
 }
 
@@ -342,7 +342,7 @@
     run(&mut fleet, 3_000);
     fleet.lose(0);
     run(&mut fleet, 2_000);
-    let file = StartFile { connections_per_s: Some(2.0), ..StartFile::default() };
+    let file = StartConfig { connections_per_s: Some(2.0), ..StartConfig::default() };
     let bound = file.openings(pace()).unwrap();
     let since = fleet.routers.iter().map(|r| r.started_ns).min().unwrap();
     let most = bound.at_most(fleet.now() - since);
--- a/tests/setup.rs
+++ b/tests/setup.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 
 use marljunction::behaviour::{effects, Effect};
-use marljunction::config::EngineFile;
+use marljunction::config::EngineProtocol;
 use marljunction::setup::Setup;
 use marljunction_fair_queue::settings::{DoorSettings, Who};
 use marljunction_fleet::ListRole;
@@ -39,16 +39,16 @@
         let text = std::fs::read_to_string(shipped(name)).unwrap();
         assert_eq!(format(&text).as_ref(), Some(&text), "{name}");
     }
-    let setup = Setup::of_file(&shipped("deploy/operator.conf")).unwrap();
+    let setup = Setup::from_file(&shipped("deploy/operator.conf")).unwrap();
     let postgres = setup.postgres.unwrap();
     assert_eq!((postgres.class.as_str(), postgres.sessions), ("lookup", 64));
-    assert!(matches!(postgres.engines, EngineFile::Postgres { .. }));
+    assert!(matches!(postgres.engines, EngineProtocol::Postgres { .. }));
     assert_eq!(postgres.consul.unwrap().service, "engine");
 }
 
 #[test]
 fn the_definitions_defaults_are_the_doors_own() {
-    let setup = Setup::of_file(&shipped("deploy/door.conf")).unwrap();
+    let setup = Setup::from_file(&shipped("deploy/door.conf")).unwrap();
     assert_eq!(setup.door, Some(DoorSettings::default()));
     assert!(setup.postgres.is_none());
     assert_eq!(DoorSettings::default().fault(), None);
@@ -60,7 +60,7 @@
         let text = format!(
             "fleet: {{ listen: \"127.0.0.1:0\", key: \"key\", seeds: [], routers: 8, limits: {{}}{list} }}\n"
         );
-        Setup::of_file(&folder(name, &[("main.conf", &text)]).join("main.conf"))
+        Setup::from_file(&folder(name, &[("main.conf", &text)]).join("main.conf"))
     };
     let read = |name: &str, list: &str| file(name, list).unwrap().fleet.unwrap().list;
     assert_eq!(read("no-list", ""), None);
@@ -81,10 +81,10 @@
     let main = "include \"below/weights.conf\"\n\ndoor: { weights: #weights, client: { field: \"who\" }, stale: 0.2s }\n";
     let dir =
         folder("include", &[weights, ("main.conf", main), ("out.conf", "include \"../../etc/hostname\"\n")]);
-    let door = Setup::of_file(&dir.join("main.conf")).unwrap().door.unwrap();
+    let door = Setup::from_file(&dir.join("main.conf")).unwrap().door.unwrap();
     assert_eq!((door.weights["gulf-coast-comfort"], door.weights["other"]), (73.0, 1.5));
     assert_eq!((door.client, door.stale_ms), (Who::Field("who".into()), 200));
-    let fault = Setup::of_file(&dir.join("out.conf")).unwrap_err().to_string();
+    let fault = Setup::from_file(&dir.join("out.conf")).unwrap_err().to_string();
     assert!(fault.contains("can't be included"), "{fault}");
     std::fs::remove_dir_all(dir).unwrap();
 }
@@ -120,7 +120,7 @@
 /// What the second of two texts changes, a line each.
 fn changes(name: &str, from: &str, to: &str) -> Vec<String> {
     let dir = folder(name, &[("from.conf", from), ("to.conf", to), ("part.conf", "#w: { a: 2 }\n")]);
-    let read = |file: &str| Setup::of_file(&dir.join(file)).unwrap().value.unwrap();
+    let read = |file: &str| Setup::from_file(&dir.join(file)).unwrap().value.unwrap();
     let all = effects(&read("from.conf"), &read("to.conf")).iter().map(Effect::to_string).collect();
     std::fs::remove_dir_all(dir).unwrap();
     all
@@ -164,10 +164,10 @@
 
 #[test]
 fn two_sources_of_one_part_are_refused() {
-    use marljunction::config::Files;
+    use marljunction::config::ConfigFiles;
     let config =
         folder("twice", &[("postgres.json", "{\"class\": \"lookup\", \"columns\": [], \"sessions\": 1}")]);
-    let files = Files {
+    let files = ConfigFiles {
         config: "no such file".into(),
         postgres: Some(config.join("postgres.json").display().to_string()),
         setup: Some(shipped("deploy/operator.conf")),
