--- a/src/config.rs
+++ b/src/config.rs
@@ -100,14 +100,14 @@
 
 /// How many routers the fleet has, as the operator's file says.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Count {
+pub enum RouterCount {
     /// As many as the settings say.
     #[default]
     FromSettings,
     /// Nobody knows.
     Unknown,
     /// So many.
-    Of(u32),
+    Exact(u32),
 }
 
 /// How a router starts and comes back, as the operator's file says.
@@ -116,7 +116,7 @@
     /// Calls a second that the list service takes from the whole fleet.
     pub budget_per_s: f64,
     /// Routers of the fleet.
-    pub routers: Count,
+    pub routers: RouterCount,
     /// Longest wait before the list service is called, where nothing speaks against it (ns).
     pub spread_ns: u64,
     /// Longest wait before the list service is called again (ns).
@@ -126,9 +126,9 @@
     /// Connections for new work that all routers together open to one engine in a second; none for any number.
     pub connections_per_s: Option<f64>,
     /// File that the last list of engines is kept in; none for nowhere.
-    pub keep: Option<PathBuf>,
+    pub snapshot_path: Option<PathBuf>,
     /// Age up to which a kept list is used (ns).
-    pub keep_for_ns: u64,
+    pub max_snapshot_age_ns: u64,
 }
 
 impl Default for StartConfig {
@@ -136,13 +136,13 @@
         let pace = Pace::default();
         StartConfig {
             budget_per_s: pace.budget_per_s,
-            routers: Count::FromSettings,
+            routers: RouterCount::FromSettings,
             spread_ns: pace.spread_ns,
             longest_ns: pace.longest_ns,
             stale_ns: TOLD_NS,
             connections_per_s: None,
-            keep: None,
-            keep_for_ns: 3_600_000_000_000,
+            snapshot_path: None,
+            max_snapshot_age_ns: 3_600_000_000_000,
         }
     }
 }
@@ -151,9 +151,9 @@
     /// The pace of router `me` of a fleet that the settings say has `gateways` routers.
     pub fn pace(&self, router_count: u32, me: u32) -> Pace {
         let callers = match self.routers {
-            Count::FromSettings => Some(router_count),
-            Count::Unknown => None,
-            Count::Of(count) => Some(count),
+            RouterCount::FromSettings => Some(router_count),
+            RouterCount::Unknown => None,
+            RouterCount::Exact(count) => Some(count),
         };
         let StartConfig { budget_per_s, spread_ns, longest_ns, .. } = *self;
         Pace { budget_per_s, callers, me, spread_ns, longest_ns, ..Pace::default() }
@@ -253,11 +253,11 @@
     /// The operator's file, where there is one.
     pub setup: Option<PathBuf>,
     /// The clients' listening socket as the platform hands it down (`$ROUTER_FD`), in place of binding `listen`.
-    pub inherited: Option<String>,
+    pub inherited_socket: Option<String>,
     /// Where the operators' door listens where the configuration does not say (`$ROUTER_OPERATOR`).
     pub operator: Option<String>,
     /// Where what must outlast the process is kept for its successor (`$TMPDIR`); nothing is kept without it.
-    pub kept: Option<PathBuf>,
+    pub state_dir: Option<PathBuf>,
 }
 
 impl ConfigFiles {
@@ -267,9 +267,16 @@
         let named = || std::env::var_os("MARLJUNCTION_SETUP").map(PathBuf::from);
         let postgres = std::env::var("MARLJUNCTION_POSTGRES").ok();
         let set = |name: &str| std::env::var(name).ok().filter(|value| !value.trim().is_empty());
-        let (inherited, operator) = (set("ROUTER_FD"), set("ROUTER_OPERATOR"));
-        let kept = set("TMPDIR").map(PathBuf::from);
-        Ok(ConfigFiles { config, postgres, setup: setup.or_else(named), inherited, operator, kept })
+        let (inherited_socket, operator) = (set("ROUTER_FD"), set("ROUTER_OPERATOR"));
+        let state_dir = set("TMPDIR").map(PathBuf::from);
+        Ok(ConfigFiles {
+            config,
+            postgres,
+            setup: setup.or_else(named),
+            inherited_socket,
+            operator,
+            state_dir,
+        })
     }
 
     /// What the operator's file says; nothing where there is none.
@@ -344,7 +351,7 @@
 
     /// The seed of this router's own draws. Guards against routers that were given one seed by mistake and would all
     /// do the same at the same moment: their names or addresses differ.
-    pub fn own_seed(&self) -> u64 {
+    pub fn router_seed(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         (self.seed, &self.name, &self.listen).hash(&mut hasher);
         hasher.finish()
@@ -357,7 +364,7 @@
             name: self.name.clone(),
             number: self.settings.router_index,
             zone,
-            seed: self.own_seed(),
+            seed: self.router_seed(),
         }
     }
 
--- a/src/daemon/listeners.rs
+++ b/src/daemon/listeners.rs
@@ -41,7 +41,8 @@
         postgres: Option<&PostgresConfig>,
     ) -> Result<Listeners, DaemonError> {
         let name = &config.name;
-        let clients = Listen::of(&config.listen, files.inherited.as_deref()).map_err(DaemonError::Listen)?;
+        let clients =
+            Listen::of(&config.listen, files.inherited_socket.as_deref()).map_err(DaemonError::Listen)?;
         let msgpack = open_listener(registry, name, clients, MSGPACK)?;
         let postgres = postgres.and_then(|postgres| postgres.listen.as_deref());
         let postgres = postgres.map(|at| bind_listener(registry, name, at, POSTGRES)).transpose()?;
--- a/src/daemon/relayed_list.rs
+++ b/src/daemon/relayed_list.rs
@@ -12,7 +12,7 @@
 use marljunction_settings::Names;
 
 use super::Daemon;
-use crate::config::{Config, Count, StartConfig};
+use crate::config::{Config, RouterCount, StartConfig};
 
 /// Time for which a stream must be open before what is heard on it tells that nothing was missed (ns), unless the whole list came on
 /// it: what happened meanwhile comes first, and a comment each second behind it.
@@ -40,7 +40,7 @@
     let fleet = fleet?;
     let cell = fleet.list.as_ref()?.cell(identity, &config.names, fleet.routers)?;
     (config.settings.router_count, config.settings.router_index) = (cell.sharers, cell.rank);
-    start.routers = Count::FromSettings;
+    start.routers = RouterCount::FromSettings;
     Some(cell)
 }
 
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -91,7 +91,7 @@
             source.set_pace(pace, start.stale_ns);
         }
         let openings = start.openings(pace);
-        self.engines.set_connection_budget(openings.map(|openings| (openings, config.own_seed())));
+        self.engines.set_connection_budget(openings.map(|openings| (openings, config.router_seed())));
     }
 
     fn apply_fair_queue(&mut self, settings: DoorSettings, config: &Config) {
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -80,8 +80,8 @@
         let (fleet, machines) = start_fleet(now, &registry, fleet, identity, &config, &files)?;
         let router = build_router(&config, pacing.seed, door, machines);
         let net = build_net(registry, &config);
-        let snapshot = Snapshot::in_file(start.keep.clone(), ListBound::of(config.limits.memory_mb));
-        let exclusions = Exclusions::in_directory(files.kept.as_deref());
+        let snapshot = Snapshot::in_file(start.snapshot_path.clone(), ListBound::of(config.limits.memory_mb));
+        let exclusions = Exclusions::in_directory(files.state_dir.as_deref());
         let admin = Admin::new(config.limits.sockets);
         let known = std::mem::take(&mut config.known);
         let mut daemon = Daemon {
@@ -98,7 +98,7 @@
             admin,
             fleet,
         };
-        daemon.load_engines(known, start.keep_for_ns);
+        daemon.load_engines(known, start.max_snapshot_age_ns);
         Ok(daemon)
     }
 }
@@ -139,7 +139,7 @@
 fn build_pacing(config: &Config, start: &StartConfig) -> Pacing {
     Pacing {
         pace: start.pace(config.settings.router_count, config.settings.router_index),
-        seed: config.own_seed(),
+        seed: config.router_seed(),
         stale_ns: start.stale_ns,
     }
 }
@@ -230,7 +230,7 @@
         identity,
         &config.settings,
         &config.names,
-        files.kept.as_deref(),
+        files.state_dir.as_deref(),
     )?;
     Ok((Some(runtime), (Some(limits), health)))
 }
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -16,7 +16,7 @@
 use marljunction_fleet::{FleetConfig, HealthConfig, LimitConfig, ListConfig, ListRole, ListTiming};
 use marljunction_limits::Limit;
 
-use crate::config::{ConsulConfig, Count, EngineProtocol, PostgresConfig, StartConfig};
+use crate::config::{ConsulConfig, EngineProtocol, PostgresConfig, RouterCount, StartConfig};
 use crate::error::ConfigError;
 
 /// What an operator's file may say.
@@ -178,16 +178,16 @@
     Some(StartConfig {
         budget_per_s: number(start, "budget")?,
         routers: match number(start, "routers") {
-            Some(count) => Count::Of(count as u32),
-            None if field(start, "routers").is_some() => Count::Unknown,
-            None => Count::FromSettings,
+            Some(count) => RouterCount::Exact(count as u32),
+            None if field(start, "routers").is_some() => RouterCount::Unknown,
+            None => RouterCount::FromSettings,
         },
         spread_ns: nanoseconds("spread")?,
         longest_ns: nanoseconds("longest")?,
         stale_ns: nanoseconds("stale")?,
         connections_per_s: number(start, "connections"),
-        keep: text(start, "keep").map(PathBuf::from),
-        keep_for_ns: nanoseconds("keep_for")?,
+        snapshot_path: text(start, "keep").map(PathBuf::from),
+        max_snapshot_age_ns: nanoseconds("keep_for")?,
     })
 }
 
--- a/tests/setup.rs
+++ b/tests/setup.rs
@@ -171,9 +171,9 @@
         config: "no such file".into(),
         postgres: Some(config.join("postgres.json").display().to_string()),
         setup: Some(shipped("deploy/operator.conf")),
-        inherited: None,
+        inherited_socket: None,
         operator: None,
-        kept: None,
+        state_dir: None,
     };
     let fault = files.read().unwrap_err().to_string();
     assert!(fault.contains("keep one"), "{fault}");
