--- a/src/config.rs
+++ b/src/config.rs
@@ -226,7 +226,7 @@
 
 /// What the files say.
 #[derive(Debug)]
-pub struct Read {
+pub struct LoadedConfig {
     /// The configuration.
     pub config: Config,
     /// The PostgreSQL side, where it is on.
@@ -288,7 +288,7 @@
     ///
     /// # Errors
     /// Where one can't be read, is not of its form, or contradicts another.
-    pub fn read(&self) -> Result<Read, ConfigError> {
+    pub fn read(&self) -> Result<LoadedConfig, ConfigError> {
         let text = |path: &str| std::fs::read_to_string(path).map_err(ConfigError::unreadable(path));
         let postgres = self.postgres.as_ref().map(|path| PostgresConfig::read(&text(path)?)).transpose()?;
         let Setup { door, postgres: operators_postgres, start, fleet, level, value } = self.setup()?;
@@ -304,7 +304,7 @@
         if let Some(name) = weighted.find(|name| !config.names.tenants.contains(name)) {
             return Err(ConfigError::UnknownTenant(name.clone()));
         }
-        Ok(Read { config, postgres, door, start, fleet, operator: value, level })
+        Ok(LoadedConfig { config, postgres, door, start, fleet, operator: value, level })
     }
 }
 
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -14,7 +14,7 @@
 use super::wiring::parse_address;
 use super::{AppliedConfig, Daemon};
 use crate::behaviour::effects;
-use crate::config::{Config, Read, StartConfig};
+use crate::config::{Config, LoadedConfig, StartConfig};
 use crate::error::DaemonError;
 use crate::logger;
 
@@ -34,7 +34,7 @@
     }
 
     /// What the files say, and the address of the list service where it is of the kind that runs.
-    fn read_files(&self) -> Result<(Read, Option<SocketAddr>), DaemonError> {
+    fn read_files(&self) -> Result<(LoadedConfig, Option<SocketAddr>), DaemonError> {
         let read = self.config.files.read()?;
         let consul = read.postgres.as_ref().and_then(|postgres| postgres.consul.as_ref());
         let address = match (&self.engine_list.source, consul, &read.config.coordinator) {
@@ -46,8 +46,8 @@
         Ok((read, address))
     }
 
-    fn apply_files(&mut self, now: u64, read: Read, address: Option<SocketAddr>) {
-        let Read { mut config, door, mut start, fleet, operator, level, .. } = read;
+    fn apply_files(&mut self, now: u64, read: LoadedConfig, address: Option<SocketAddr>) {
+        let LoadedConfig { mut config, door, mut start, fleet, operator, level, .. } = read;
         let identity = config.identity();
         apply_cell(&mut config, &mut start, fleet.as_ref(), &identity);
         self.log_effects(operator.as_ref());
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -35,7 +35,7 @@
 use super::snapshot::Snapshot;
 use super::stop::StopState;
 use super::{ConfigState, Daemon, Fronts};
-use crate::config::{Config, ConfigFiles, EngineProtocol, PostgresConfig, Read, StartConfig};
+use crate::config::{Config, ConfigFiles, EngineProtocol, LoadedConfig, PostgresConfig, StartConfig};
 use crate::error::DaemonError;
 use crate::logger;
 
@@ -54,12 +54,12 @@
 
     fn build(
         files: ConfigFiles,
-        read: Read,
+        read: LoadedConfig,
         event_loop: EventLoop,
         registry: Registry,
         listeners: Listeners,
     ) -> Result<Daemon, DaemonError> {
-        let Read { mut config, postgres, door, mut start, fleet, operator, .. } = read;
+        let LoadedConfig { mut config, postgres, door, mut start, fleet, operator, .. } = read;
         let identity = config.identity();
         let cell = apply_cell(&mut config, &mut start, fleet.as_ref(), &identity);
         cell.iter().for_each(|cell| warn_of_classes(&config, cell));
