--- a/src/config.rs
+++ b/src/config.rs
@@ -166,7 +166,7 @@
     }
 
     /// What routers together may open to one engine, for a fleet of this pace; none for any number.
-    pub fn openings(&self, pace: Pace) -> Option<Openings> {
+    pub fn connection_budget(&self, pace: Pace) -> Option<Openings> {
         self.connections_per_s.map(|per_s| Openings { per_s, sharers: pace.sharers(), pace })
     }
 
@@ -195,8 +195,8 @@
                 ));
             }
         }
-        if let Some(openings) = self.openings(pace).filter(|_| callers.is_some()) {
-            let most = openings.at_most(1_000_000_000);
+        if let Some(connection_budget) = self.connection_budget(pace).filter(|_| callers.is_some()) {
+            let most = connection_budget.at_most(1_000_000_000);
             told.push_str(&format!(
                 "; an engine gets at most {most:.0} connections for new work within a second"
             ));
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -90,8 +90,10 @@
         if let Some(source) = &mut self.engine_list.source {
             source.set_pace(pace, start.stale_ns);
         }
-        let openings = start.openings(pace);
-        self.engines.set_connection_budget(openings.map(|openings| (openings, config.router_seed())));
+        let connection_budget = start.connection_budget(pace);
+        self.engines.set_connection_budget(
+            connection_budget.map(|connection_budget| (connection_budget, config.router_seed())),
+        );
     }
 
     fn apply_fair_queue(&mut self, settings: DoorSettings, config: &Config) {
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -185,8 +185,9 @@
         }
         _ => Box::new(HttpBackend::new(config.engine_idle_ns, connect_timeout_ns)),
     };
-    let openings = start.openings(pacing.pace);
-    engines.set_connection_budget(openings.map(|openings| (openings, pacing.seed)));
+    let connection_budget = start.connection_budget(pacing.pace);
+    engines
+        .set_connection_budget(connection_budget.map(|connection_budget| (connection_budget, pacing.seed)));
     engines
 }
 
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -343,7 +343,7 @@
     fleet.lose(0);
     run(&mut fleet, 2_000);
     let file = StartConfig { connections_per_s: Some(2.0), ..StartConfig::default() };
-    let bound = file.openings(pace()).unwrap();
+    let bound = file.connection_budget(pace()).unwrap();
     let since = fleet.routers.iter().map(|r| r.started_ns).min().unwrap();
     let most = bound.at_most(fleet.now() - since);
     for engine in &fleet.engines {
