--- a/src/cli.rs
+++ b/src/cli.rs
@@ -16,11 +16,11 @@
 use crate::{logger, setup};
 
 /// The longest that a request is out, where no settings say: bounds are told by it (ns).
-const LONGEST_NS: u64 = 27_500_000_000;
+const DEFAULT_MAX_REQUEST_NS: u64 = 27_500_000_000;
 /// How long the admin API may take to connect, and to answer.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(3);
 /// The status where a file of a comparison is wrong.
-const WRONG_FILE_STATUS: u8 = 2;
+const INVALID_FILE_STATUS: u8 = 2;
 
 /// Why a task of the command line can't be done.
 #[derive(Debug, thiserror::Error)]
@@ -33,7 +33,7 @@
     Io(#[from] std::io::Error),
     /// The router's answer is not of its form.
     #[error("no answer that can be read")]
-    Unreadable,
+    MalformedResponse,
     /// The router refuses, or the file is wrong, as the text says.
     #[error("{0}")]
     Refused(String),
@@ -91,17 +91,17 @@
     },
 }
 
-fn run(own: Option<PathBuf>) -> Result<(), DaemonError> {
-    let files = ConfigFiles::from_env(own)?;
+fn run(operator_file: Option<PathBuf>) -> Result<(), DaemonError> {
+    let files = ConfigFiles::from_env(operator_file)?;
     Daemon::start(files)?.run()
 }
 
-fn serve(own: Option<PathBuf>) -> ExitCode {
+fn serve(operator_file: Option<PathBuf>) -> ExitCode {
     logger::start();
-    match run(own) {
+    match run(operator_file) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            log::error!("{fault}");
+        Err(error) => {
+            log::error!("{error}");
             ExitCode::FAILURE
         }
     }
@@ -114,7 +114,7 @@
             println!("{}: right", path.display());
             if let Ok(setup) = Setup::from_file(path) {
                 println!("  {}", setup.start.bounds(None));
-                for line in setup.fleet.iter().flat_map(|fleet| fleet.bounds(LONGEST_NS)) {
+                for line in setup.fleet.iter().flat_map(|fleet| fleet.bounds(DEFAULT_MAX_REQUEST_NS)) {
                     println!("  {line}");
                 }
             }
@@ -124,21 +124,21 @@
             eprintln!("{messages}");
             false
         }
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             false
         }
     }
 }
 
 /// What the admin API at this address says of the fleet.
-fn ask_fleet(at: SocketAddr) -> Result<String, CliError> {
+fn fetch_fleet(at: SocketAddr) -> Result<String, CliError> {
     let mut stream = TcpStream::connect_timeout(&at, ADMIN_TIMEOUT)?;
     stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
     stream.write_all(b"GET /fleet HTTP/1.1\r\nHost: router\r\n\r\n")?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer)?;
-    let (head, body) = answer.split_once("\r\n\r\n").ok_or(CliError::Unreadable)?;
+    let (head, body) = answer.split_once("\r\n\r\n").ok_or(CliError::MalformedResponse)?;
     match head.starts_with("HTTP/1.1 200 ") {
         true => Ok(body.to_owned()),
         false => Err(CliError::Refused(body.trim_end().to_owned())),
@@ -146,20 +146,20 @@
 }
 
 /// Lays a file out, or only tells whether it is; whether it needs no further change.
-fn format(path: &Path, only_check: bool) -> Result<bool, CliError> {
+fn format(path: &Path, check_only: bool) -> Result<bool, CliError> {
     let text = std::fs::read_to_string(path).map_err(ConfigError::unreadable(path))?;
-    let Some(laid_out) = marljunction_language::format::format(&text) else {
+    let Some(formatted) = marljunction_language::format::format(&text) else {
         let outcome = setup::read_file(path)?;
         return Err(CliError::Refused(setup::faults(&outcome).unwrap_or_default()));
     };
-    let right = laid_out == text;
-    if !right && !only_check {
-        std::fs::write(path, laid_out).map_err(ConfigError::unreadable(path))?;
+    let ok = formatted == text;
+    if !ok && !check_only {
+        std::fs::write(path, formatted).map_err(ConfigError::unreadable(path))?;
         println!("{}: laid out", path.display());
-    } else if !right {
+    } else if !ok {
         println!("{}: not laid out", path.display());
     }
-    Ok(right || !only_check)
+    Ok(ok || !check_only)
 }
 
 fn print_completions(shell: clap_complete::Shell) {
@@ -175,34 +175,34 @@
             ExitCode::from(u8::from(!all.is_empty()))
         }
         (one, other) => {
-            [one, other].into_iter().filter_map(Result::err).for_each(|fault| eprintln!("{fault}"));
-            ExitCode::from(WRONG_FILE_STATUS)
+            [one, other].into_iter().filter_map(Result::err).for_each(|error| eprintln!("{error}"));
+            ExitCode::from(INVALID_FILE_STATUS)
         }
     }
 }
 
 fn print_fleet(at: SocketAddr) -> ExitCode {
-    match ask_fleet(at) {
+    match fetch_fleet(at) {
         Ok(text) => {
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(fault) => {
-            eprintln!("{at}: {fault}");
+        Err(error) => {
+            eprintln!("{at}: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn format_or_complain(path: &Path, only_check: bool) -> bool {
-    format(path, only_check).unwrap_or_else(|fault| {
-        eprintln!("{fault}");
+fn format_or_report(path: &Path, check_only: bool) -> bool {
+    format(path, check_only).unwrap_or_else(|error| {
+        eprintln!("{error}");
         false
     })
 }
 
-fn all_right(right: Vec<bool>) -> ExitCode {
-    match right.iter().all(|right| *right) {
+fn exit_code(ok: Vec<bool>) -> ExitCode {
+    match ok.iter().all(|ok| *ok) {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
@@ -213,9 +213,9 @@
     match Arguments::parse().task {
         None => serve(None),
         Some(Task::Run { setup }) => serve(setup),
-        Some(Task::Check { files }) => all_right(files.iter().map(|path| check(path)).collect()),
+        Some(Task::Check { files }) => exit_code(files.iter().map(|path| check(path)).collect()),
         Some(Task::Fmt { check, files }) => {
-            all_right(files.iter().map(|path| format_or_complain(path, check)).collect())
+            exit_code(files.iter().map(|path| format_or_report(path, check)).collect())
         }
         Some(Task::Diff { from, to }) => print_diff(&from, &to),
         Some(Task::Fleet { at }) => print_fleet(at),
