--- a/src/setup.rs
+++ b/src/setup.rs
@@ -40,20 +40,20 @@
 }
 
 /// Files below the folder of the first one.
-struct Folder {
+struct IncludeDir {
     root: PathBuf,
 }
 
-impl Loader for Folder {
+impl Loader for IncludeDir {
     fn load(&mut self, _from: &str, name: &str) -> Result<(String, String), String> {
         let path = self.root.join(name);
-        let found = path.canonicalize().map_err(|e| e.to_string())?;
+        let resolved = path.canonicalize().map_err(|e| e.to_string())?;
         // Guards against a file that reaches for what the operator did not put beside it.
-        if !found.starts_with(&self.root) {
+        if !resolved.starts_with(&self.root) {
             return Err("it lies outside the folder of the first file".into());
         }
-        let text = std::fs::read_to_string(&found).map_err(|e| e.to_string())?;
-        Ok((found.display().to_string(), text))
+        let text = std::fs::read_to_string(&resolved).map_err(|e| e.to_string())?;
+        Ok((resolved.display().to_string(), text))
     }
 }
 
@@ -62,11 +62,11 @@
 /// # Errors
 /// Where the file can't be read; what is wrong with its text is in the outcome.
 pub fn read_file(path: &Path) -> Result<Outcome, ConfigError> {
-    let found = path.canonicalize().map_err(ConfigError::unreadable(path))?;
-    let text = std::fs::read_to_string(&found).map_err(ConfigError::unreadable(path))?;
-    let root = found.parent().map_or_else(PathBuf::new, Path::to_owned);
-    let name = found.display().to_string();
-    Ok(read(&name, &text, &mut Folder { root }, DEFINITIONS, "#Main"))
+    let resolved = path.canonicalize().map_err(ConfigError::unreadable(path))?;
+    let text = std::fs::read_to_string(&resolved).map_err(ConfigError::unreadable(path))?;
+    let root = resolved.parent().map_or_else(PathBuf::new, Path::to_owned);
+    let name = resolved.display().to_string();
+    Ok(read(&name, &text, &mut IncludeDir { root }, DEFINITIONS, "#Main"))
 }
 
 /// All that is wrong with a file, as operators read it; none where nothing is.
@@ -96,21 +96,21 @@
         let postgres = main.fields.get("postgres").map(|f| postgres(&f.value, consul.clone().flatten()));
         let level = text(record(field(main, "log")?)?, "level")?.parse().ok();
         let start = match field(main, "start") {
-            Some(part) => start(part)?,
+            Some(section) => start(section)?,
             None => StartConfig::default(),
         };
-        let mut fleet = flat(main.fields.get("fleet").map(|f| fleet(&f.value)))?;
+        let mut fleet = optional_section(main.fields.get("fleet").map(|f| fleet(&f.value)))?;
         if let Some(list) = fleet.as_mut().and_then(|fleet| fleet.list.as_mut()) {
             list.timing = start.list_timing();
         }
-        let (door, postgres) = (flat(door)?, flat(postgres)?);
+        let (door, postgres) = (optional_section(door)?, optional_section(postgres)?);
         Some(Setup { door, postgres, start, fleet, level, value: Some(value.clone()) })
     }
 }
 
 /// A part that is absent is right, one that can't be read is not.
-fn flat<T>(part: Option<Option<T>>) -> Option<Option<T>> {
-    match part {
+fn optional_section<T>(section: Option<Option<T>>) -> Option<Option<T>> {
+    match section {
         None => Some(None),
         Some(read) => read.map(Some),
     }
@@ -191,7 +191,7 @@
     })
 }
 
-fn texts(value: &Value) -> Option<Vec<String>> {
+fn text_list(value: &Value) -> Option<Vec<String>> {
     let What::List(all, _) = &value.what else { return None };
     let one = |v: &Value| match &v.what {
         What::Text(text) => Some(text.clone()),
@@ -207,13 +207,13 @@
         listen: text(fleet, "listen")?,
         advertise: text(fleet, "advertise"),
         key: PathBuf::from(text(fleet, "key")?),
-        seeds: texts(field(fleet, "seeds")?)?,
+        seeds: text_list(field(fleet, "seeds")?)?,
         routers: number(fleet, "routers")? as u32,
         lease_ns: number(fleet, "lease")? as u64,
         drift: number(fleet, "drift")?,
         cold: text(fleet, "cold")? == "shared",
-        health: flat(fleet.fields.get("verdicts").map(|f| health(&f.value)))?,
-        list: flat(fleet.fields.get("list").map(|f| list(&f.value)))?,
+        health: optional_section(fleet.fields.get("verdicts").map(|f| health(&f.value)))?,
+        list: optional_section(fleet.fields.get("list").map(|f| list(&f.value)))?,
         limits: limits.fields.iter().map(|(name, f)| limit(name, &f.value)).collect::<Option<_>>()?,
     })
 }
@@ -234,7 +234,7 @@
     let role = match field(list, "relays") {
         None => ListRole::Relay,
         Some(relays) => ListRole::Cell {
-            relays: texts(relays)?,
+            relays: text_list(relays)?,
             plan: CellPlan {
                 cells: of("cells")?,
                 by: if text(list, "divide")? == "group" { DivideBy::Group } else { DivideBy::Engine },
@@ -281,14 +281,14 @@
 }
 
 fn postgres(value: &Value, consul: Option<ConsulConfig>) -> Option<PostgresConfig> {
-    let side = record(value)?;
-    let engines = match &field(side, "engines")?.what {
+    let section = record(value)?;
+    let engines = match &field(section, "engines")?.what {
         What::Record(of) => {
             EngineProtocol::Postgres { user: text(of, "user")?, database: text(of, "database")? }
         }
         _ => EngineProtocol::Http,
     };
-    let columns = match &field(side, "columns")?.what {
+    let columns = match &field(section, "columns")?.what {
         What::List(all, _) => all.iter().map(|v| match &v.what {
             What::Text(name) => Some(name.clone()),
             _ => None,
@@ -296,10 +296,10 @@
         _ => return None,
     };
     Some(PostgresConfig {
-        listen: text(side, "listen"),
-        class: text(side, "class")?,
+        listen: text(section, "listen"),
+        class: text(section, "class")?,
         columns: columns.collect::<Option<_>>()?,
-        sessions: number(side, "sessions")? as usize,
+        sessions: number(section, "sessions")? as usize,
         engines,
         consul,
     })
