--- a/src/config.rs
+++ b/src/config.rs
@@ -20,7 +20,7 @@
 use marljunction_settings::{read_settings, Names};
 
 /// How often the list service says something at least (ns).
-const COMMENT_NS: u64 = 1_000_000_000;
+const COMMENT_INTERVAL_NS: u64 = 1_000_000_000;
 
 /// Limits of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
@@ -32,7 +32,7 @@
 }
 
 #[derive(Deserialize)]
-struct Known<'a> {
+struct RawKnown<'a> {
     index: u64,
     #[serde(default, borrow)]
     updates: Vec<&'a RawValue>,
@@ -48,7 +48,7 @@
     #[serde(default)]
     operator: Option<String>,
     #[serde(borrow)]
-    known: Known<'a>,
+    known: RawKnown<'a>,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
@@ -162,7 +162,7 @@
     /// The times that a fleet with relays goes by, which call the list service so.
     pub fn list_timing(&self) -> ListTiming {
         let reconnect_ns = self.pace(0, 0).blind_at_most_ns(SILENT_NS);
-        ListTiming { silence_ns: SILENT_NS + COMMENT_NS, reconnect_ns, stale_ns: self.stale_ns }
+        ListTiming { silence_ns: SILENT_NS + COMMENT_INTERVAL_NS, reconnect_ns, stale_ns: self.stale_ns }
     }
 
     /// What routers together may open to one engine, for a fleet of this pace; none for any number.
@@ -176,19 +176,19 @@
         let pace = self.pace(router_count.unwrap_or(0), 0);
         let callers = pace.callers.filter(|n| *n > 0);
         let seconds = |ns: u64| ns as f64 / 1e9;
-        let mut told = format!(
+        let mut summary = format!(
             "news of the engines is at most {:.1} s late while the list service answers",
             seconds(pace.blind_at_most_ns(SILENT_NS))
         );
         if let (Some(count), Some(ideal)) = (callers, pace.ideal_ns()) {
-            told.push_str(&format!(
+            summary.push_str(&format!(
                 "; {count} routers at {} calls/s start within {:.1} s, at best {:.1} s",
                 pace.budget_per_s,
                 seconds(pace.window_ns()),
                 seconds(ideal)
             ));
             if let Some(Unfit::ShareOverLongest(share)) = pace.unfit() {
-                told.push_str(&format!(
+                summary.push_str(&format!(
                     "; the longest wait of {:.1} s goes before the budget, which asks for {:.1} s",
                     seconds(pace.longest_ns.min(pace.spread_ns)),
                     seconds(share)
@@ -196,12 +196,12 @@
             }
         }
         if let Some(connection_budget) = self.connection_budget(pace).filter(|_| callers.is_some()) {
-            let most = connection_budget.at_most(1_000_000_000);
-            told.push_str(&format!(
-                "; an engine gets at most {most:.0} connections for new work within a second"
+            let max_connections = connection_budget.at_most(1_000_000_000);
+            summary.push_str(&format!(
+                "; an engine gets at most {max_connections:.0} connections for new work within a second"
             ));
         }
-        told
+        summary
     }
 }
 
@@ -213,13 +213,13 @@
 }
 
 #[derive(Deserialize)]
-struct Timing {
+struct RawTiming {
     #[serde(default)]
-    limits: TimingLimits,
+    limits: RawTimingLimits,
 }
 
 #[derive(Default, Deserialize)]
-struct TimingLimits {
+struct RawTimingLimits {
     conn_idle_ns: Option<u64>,
     connect_timeout_ns: Option<u64>,
 }
@@ -375,7 +375,7 @@
     pub fn read(text: &str) -> Result<Config, ConfigError> {
         let raw: RawConfig = serde_json::from_str(text).map_err(ConfigError::Configuration)?;
         let (settings, names) = read_settings(raw.settings.get()).map_err(ConfigError::Content)?;
-        let timing: Timing = serde_json::from_str(raw.settings.get()).map_err(ConfigError::Settings)?;
+        let timing: RawTiming = serde_json::from_str(raw.settings.get()).map_err(ConfigError::Settings)?;
         let known = raw.known.updates.iter().map(|u| Update::read(u.get(), &names));
         Ok(Config {
             name: raw.name,
