--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -57,7 +57,7 @@
     }
 
     fn readiness(&mut self, now: u64) -> Reply {
-        if !self.knows_overrides(now) {
+        if !self.overrides_synced(now) {
             return Reply::new(503, "not ready: asks the fleet which engines are out");
         }
         match self.stop.phase.is_ready() {
--- a/src/daemon/clients.rs
+++ b/src/daemon/clients.rs
@@ -21,13 +21,13 @@
 
 /// What one attempt to accept came to.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Accepted {
+enum AcceptOutcome {
     /// There may be more.
-    More,
+    Continue,
     /// Nothing waits any more.
-    Drained,
+    QueueEmpty,
     /// No descriptor is to be had: it is tried again later.
-    Blocked,
+    RetryLater,
 }
 
 impl Daemon {
@@ -35,7 +35,7 @@
     pub(super) fn accept_clients(&mut self, now: u64) {
         self.listeners.retry_ns = None;
         for owner in [Owner::Msgpack, Owner::Postgres] {
-            if self.accept_clients_of(now, owner) == Accepted::Blocked {
+            if self.accept_clients_of(now, owner) == AcceptOutcome::RetryLater {
                 return;
             }
         }
@@ -44,7 +44,7 @@
     /// Accepts connections to the admin API: at once, however busy the router is, within the API's own bound.
     pub(super) fn accept_admin(&mut self, now: u64) {
         for _ in 0..MAX_ACCEPTS {
-            if self.accept_one_admin(now) != Accepted::More {
+            if self.accept_one_admin(now) != AcceptOutcome::Continue {
                 return;
             }
         }
@@ -60,52 +60,52 @@
         }
     }
 
-    fn accept_clients_of(&mut self, now: u64, owner: Owner) -> Accepted {
+    fn accept_clients_of(&mut self, now: u64, owner: Owner) -> AcceptOutcome {
         // Guards against hundreds that connect at once: who is connected already has its turn first.
         for _ in 0..MAX_ACCEPTS {
             let accepted = self.accept_one_client(now, owner);
-            if accepted != Accepted::More {
+            if accepted != AcceptOutcome::Continue {
                 return accepted;
             }
         }
         self.listeners.retry_ns = Some(now);
-        Accepted::More
+        AcceptOutcome::Continue
     }
 
-    fn accept_one_client(&mut self, now: u64, owner: Owner) -> Accepted {
+    fn accept_one_client(&mut self, now: u64, owner: Owner) -> AcceptOutcome {
         if self.client_listener(owner).is_none() {
-            return Accepted::Drained;
+            return AcceptOutcome::QueueEmpty;
         }
         let full = self.net.clients() >= self.listeners.max_clients && !self.net.drop_leaver();
         // Guards against running out of descriptors: who has nothing open makes room, else all wait.
         let evicted = if full { self.idle_client(now) } else { None };
         if full && evicted.is_none() {
             self.listeners.retry_ns = Some(now + ACCEPT_RETRY_DELAY_NS);
-            return Accepted::Blocked;
+            return AcceptOutcome::RetryLater;
         }
-        let Some(listener) = self.client_listener(owner) else { return Accepted::Drained };
+        let Some(listener) = self.client_listener(owner) else { return AcceptOutcome::QueueEmpty };
         match listener.accept() {
             Ok((stream, from)) => {
                 if let Ok(conn) = self.net.adopt(stream, owner) {
-                    self.admit_client(now, owner, (conn, from.ip()), evicted);
+                    self.register_client(now, owner, (conn, from.ip()), evicted);
                 }
-                Accepted::More
+                AcceptOutcome::Continue
             }
-            Err(fault) => self.accept_failed(now, &fault),
+            Err(error) => self.accept_failed(now, &error),
         }
     }
 
-    fn accept_one_admin(&mut self, now: u64) -> Accepted {
-        let Some(listener) = &self.listeners.admin else { return Accepted::Drained };
+    fn accept_one_admin(&mut self, now: u64) -> AcceptOutcome {
+        let Some(listener) = &self.listeners.admin else { return AcceptOutcome::QueueEmpty };
         match listener.accept() {
             Ok((stream, _)) => {
                 match self.net.adopt(stream, Owner::Operator) {
                     Ok(conn) => self.admin.server.accept(now, &mut self.net, conn),
                     Err(_) => self.router.counters.short_of_descriptors += 1,
                 }
-                Accepted::More
+                AcceptOutcome::Continue
             }
-            Err(fault) => self.accept_failed(now, &fault),
+            Err(error) => self.accept_failed(now, &error),
         }
     }
 
@@ -117,7 +117,7 @@
         }
     }
 
-    fn admit_client(&mut self, now: u64, owner: Owner, (conn, peer): (u64, IpAddr), evicted: Option<u64>) {
+    fn register_client(&mut self, now: u64, owner: Owner, (conn, peer): (u64, IpAddr), evicted: Option<u64>) {
         self.router.counters.accepted += 1;
         // Only now: guards against closing one whenever nobody else comes.
         if let Some(idle) = evicted {
@@ -131,22 +131,22 @@
         self.connection_ready(now, conn);
     }
 
-    fn accept_failed(&mut self, now: u64, fault: &std::io::Error) -> Accepted {
-        match fault.kind() {
-            ErrorKind::WouldBlock => Accepted::Drained,
-            ErrorKind::Interrupted | ErrorKind::ConnectionAborted => Accepted::More,
-            _ if self.make_room(now, fault) => Accepted::More,
-            _ => Accepted::Blocked,
+    fn accept_failed(&mut self, now: u64, error: &std::io::Error) -> AcceptOutcome {
+        match error.kind() {
+            ErrorKind::WouldBlock => AcceptOutcome::QueueEmpty,
+            ErrorKind::Interrupted | ErrorKind::ConnectionAborted => AcceptOutcome::Continue,
+            _ if self.recover_from_accept_error(now, error) => AcceptOutcome::Continue,
+            _ => AcceptOutcome::RetryLater,
         }
     }
 
     /// A connection could not be accepted: whether it can be tried again at once, as a client made room for it. Guards against
     /// spinning on a listener that has no descriptor to give, and against those who wait in its queue behind clients with nothing
     /// open, where the machine gives fewer descriptors than the configuration says.
-    fn make_room(&mut self, now: u64, fault: &std::io::Error) -> bool {
-        warn!("accept: {fault}");
+    fn recover_from_accept_error(&mut self, now: u64, error: &std::io::Error) -> bool {
+        warn!("accept: {error}");
         self.router.counters.short_of_descriptors += 1;
-        let short = fault.raw_os_error().is_some_and(|code| NO_DESCRIPTOR_CODES.contains(&code));
+        let short = error.raw_os_error().is_some_and(|code| NO_DESCRIPTOR_CODES.contains(&code));
         let idle = if short { self.idle_client(now) } else { None };
         match idle {
             Some(idle) => self.close_idle(idle),
--- a/src/daemon/engine_list.rs
+++ b/src/daemon/engine_list.rs
@@ -6,7 +6,7 @@
 use marljunction_engine::Context;
 
 use super::exclusions::Exclusions;
-use super::relayed_list::RelayFeed;
+use super::relayed_list::RelayStream;
 use super::snapshot::Snapshot;
 use super::Daemon;
 
@@ -19,7 +19,7 @@
     /// Engines that operators took out, and the list as it was told last.
     pub(super) exclusions: Exclusions,
     /// What a relay's stream has brought.
-    pub(super) feed: RelayFeed,
+    pub(super) relay_stream: RelayStream,
 }
 
 impl EngineList {
@@ -37,10 +37,10 @@
         known.iter_mut().for_each(|update| self.retain_cell(&mut update.change));
         if let Some(last) = known.iter().map(|update| update.index).max() {
             let changes: Vec<Change> = known.iter().map(|update| update.change.clone()).collect();
-            self.tell_routers(self.clock.now_ns(), last, &changes);
+            self.publish_list_update(self.clock.now_ns(), last, &changes);
         }
         for update in known {
-            self.engines_changed(update.change);
+            self.apply_list_change(update.change);
         }
         if !any_known {
             self.read_snapshot(max_snapshot_age_ns);
@@ -53,15 +53,15 @@
         let changes = source.ready(now, &mut self.net, conn);
         let version = source.last_event();
         if !changes.is_empty() {
-            self.tell_routers(now, version, &changes);
+            self.publish_list_update(now, version, &changes);
         }
         for change in changes {
-            self.engines_changed(change);
+            self.apply_list_change(change);
         }
     }
 
     /// News of the source: kept, and told through the exclusions.
-    pub(super) fn engines_changed(&mut self, change: Change) {
+    pub(super) fn apply_list_change(&mut self, change: Change) {
         self.engine_list.snapshot.list.changed();
         if let Some(health) = self.router.health() {
             health.change(change.kind, change.targets.iter().map(|target| target.entry));
--- a/src/daemon/exclusions.rs
+++ b/src/daemon/exclusions.rs
@@ -20,7 +20,7 @@
     pub(super) bans: Bans,
     /// The file, and its text as last read or written; none where nothing is kept.
     file: Option<(PathBuf, String)>,
-    read_ns: u64,
+    last_read_ns: u64,
     /// Engines that operators took out of the whole fleet, as they were last applied.
     pub(super) fleet_excluded: Vec<String>,
     /// The revision of the fleet's overrides that was applied last.
@@ -33,7 +33,7 @@
         Exclusions {
             bans: Bans::new(),
             file: directory.map(|directory| (directory.join(FILE_NAME), String::new())),
-            read_ns: 0,
+            last_read_ns: 0,
             fleet_excluded: Vec::new(),
             applied_revision: 0,
         }
@@ -45,7 +45,7 @@
         let text = self.bans.to_text();
         match write_atomically(path, &text) {
             Ok(()) => *written = text,
-            Err(fault) => warn!("the bans could not be kept in {}: {fault}", path.display()),
+            Err(error) => warn!("the bans could not be kept in {}: {error}", path.display()),
         }
     }
 }
@@ -53,7 +53,7 @@
 impl Daemon {
     /// Reads the file again, where that is due.
     pub(super) fn poll_exclusions(&mut self, now: u64) {
-        if now >= self.engine_list.exclusions.read_ns + READ_PERIOD_NS {
+        if now >= self.engine_list.exclusions.last_read_ns + READ_PERIOD_NS {
             self.read_exclusions(now);
         }
     }
@@ -61,7 +61,7 @@
     /// Takes what the other process of an upgrade may have written, where it changed.
     pub(super) fn read_exclusions(&mut self, now: u64) {
         let exclusions = &mut self.engine_list.exclusions;
-        exclusions.read_ns = now;
+        exclusions.last_read_ns = now;
         let Some((path, seen)) = &mut exclusions.file else { return };
         let Ok(text) = std::fs::read_to_string(&*path) else { return };
         if text == *seen {
--- a/src/daemon/iteration.rs
+++ b/src/daemon/iteration.rs
@@ -27,7 +27,7 @@
     pub(super) signals: Signals,
     /// Connections with input that no event tells of.
     pub(super) unread: Vec<u64>,
-    ticked_ns: u64,
+    last_tick_ns: u64,
     commands: Vec<Command>,
 }
 
@@ -39,7 +39,8 @@
         // Before anything says that this process is there: guards against a signal that ends it as it starts.
         let mut signals = Signals::new([SIGTERM, SIGUSR1, SIGHUP]).map_err(DaemonError::io("signals"))?;
         registry.register(&mut signals, SIGNALS, Interest::READABLE).map_err(DaemonError::io("signals"))?;
-        let event_loop = EventLoop { poll, signals, unread: Vec::new(), ticked_ns: 0, commands: Vec::new() };
+        let event_loop =
+            EventLoop { poll, signals, unread: Vec::new(), last_tick_ns: 0, commands: Vec::new() };
         Ok((event_loop, registry))
     }
 }
@@ -57,8 +58,8 @@
                 Ok(()) => {}
                 // Guards against a process that stood still and finds its timers past and its news unread: what is due is looked at
                 // with what came, never before it.
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => continue,
-                Err(fault) => return Err(DaemonError::io("poll")(fault)),
+                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+                Err(error) => return Err(DaemonError::io("poll")(error)),
             }
             let now = self.clock.now_ns();
             self.run_iteration(now, &events);
@@ -75,8 +76,8 @@
     fn run_iteration(&mut self, now: u64, events: &Events) {
         self.dispatch(now, events);
         self.retry_accept(now);
-        if now >= self.event_loop.ticked_ns + TICK_NS {
-            self.event_loop.ticked_ns = now;
+        if now >= self.event_loop.last_tick_ns + TICK_NS {
+            self.event_loop.last_tick_ns = now;
             self.tick(now);
         }
         self.run_module();
@@ -90,7 +91,7 @@
             return Duration::ZERO;
         }
         let now = self.clock.now_ns();
-        let next_tick_ns = self.event_loop.ticked_ns + TICK_NS;
+        let next_tick_ns = self.event_loop.last_tick_ns + TICK_NS;
         let due_ns = self.router.next_due_ns().unwrap_or(u64::MAX).min(next_tick_ns);
         let due_ns = due_ns.min(self.listeners.retry_ns.unwrap_or(u64::MAX));
         Duration::from_nanos(due_ns.saturating_sub(now))
@@ -151,7 +152,7 @@
                 self.event_loop.unread.push(FLEET.0 as u64);
             }
         }
-        self.follow_relays();
+        self.apply_relay_updates();
         // An override counts from when it was heard.
         self.apply_overrides(now);
     }
@@ -167,7 +168,7 @@
             source.tick(now, &mut self.net);
         }
         self.write_snapshot(now);
-        self.feed_relay(now);
+        self.record_list_freshness(now);
         if let Some(fleet) = &mut self.fleet {
             fleet.tick(now, &mut self.router);
             self.apply_overrides(now);
--- a/src/daemon/overrides.rs
+++ b/src/daemon/overrides.rs
@@ -20,7 +20,7 @@
 
 impl Daemon {
     /// Whether this router knows which engines the fleet was told to leave out.
-    pub(super) fn knows_overrides(&mut self, now: u64) -> bool {
+    pub(super) fn overrides_synced(&mut self, now: u64) -> bool {
         self.router.health().is_none_or(|health| health.node().is_synced(now))
     }
 
@@ -69,8 +69,8 @@
     pub(super) fn confirm_overrides(&mut self, now: u64) {
         for pending in std::mem::take(&mut self.admin.pending) {
             let Some(health) = self.router.health() else { continue };
-            let (heard, peers) = (health.node().acks(pending.version), health.node().peers());
-            if heard < peers && now < pending.deadline_ns {
+            let (acked, peers) = (health.node().acks(pending.version), health.node().peers());
+            if acked < peers && now < pending.deadline_ns {
                 self.admin.pending.push(pending);
                 continue;
             }
@@ -80,7 +80,7 @@
                 Call::EnableForAll(id) => (id, "back"),
                 _ => continue,
             };
-            let text = format!("{id} is {state}; heard by {heard} of {peers} other routers");
+            let text = format!("{id} is {state}; heard by {acked} of {peers} other routers");
             self.admin.server.answer(now, &mut self.net, conn, &call, Reply::new(200, text));
         }
     }
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -26,9 +26,9 @@
                 self.router.counters.reloads += 1;
                 self.apply_files(now, read, address);
             }
-            Err(fault) => {
+            Err(error) => {
                 self.router.counters.reloads_failed += 1;
-                warn!("the configuration stays as it was: {fault}");
+                warn!("the configuration stays as it was: {error}");
             }
         }
     }
@@ -64,7 +64,7 @@
         };
         info!("the configuration was read again; {} membership events were new", changes.len());
         for change in changes {
-            self.engines_changed(change);
+            self.apply_list_change(change);
         }
         if let Some(door) = door {
             self.apply_fair_queue(door, &config);
--- a/src/daemon/snapshot.rs
+++ b/src/daemon/snapshot.rs
@@ -34,20 +34,20 @@
         let Some(path) = self.engine_list.snapshot.path.clone() else { return };
         let size = match std::fs::metadata(&path) {
             Ok(metadata) => metadata.len(),
-            Err(fault) => return info!("no list of engines is kept in {}: {fault}", path.display()),
+            Err(error) => return info!("no list of engines is kept in {}: {error}", path.display()),
         };
         match self.decode_snapshot(&path, size, max_age_ns) {
             Ok((mut change, age_ns)) => {
                 self.retain_cell(&mut change);
-                let heard_ns = self.clock.now_ns().saturating_sub(age_ns);
+                let contact_ns = self.clock.now_ns().saturating_sub(age_ns);
                 if let Some(source) = &mut self.engine_list.source {
-                    source.set_heard(heard_ns);
+                    source.set_heard(contact_ns);
                 }
                 let (count, age_s) = (change.targets.len(), age_ns as f64 / 1e9);
                 info!("starts with the {count} engines kept in {}, a list {age_s:.1} s old", path.display());
-                self.engines_changed(change);
+                self.apply_list_change(change);
             }
-            Err(fault) => warn!("the list kept in {} is not used: {fault}", path.display()),
+            Err(error) => warn!("the list kept in {} is not used: {error}", path.display()),
         }
     }
 
@@ -60,9 +60,9 @@
     ) -> Result<(Change, u64), SnapshotError> {
         // Guards against a file that is read into memory before it is found too large.
         let bound = &self.engine_list.snapshot.bound;
-        let most = bound.file_bytes as u64;
-        if size > most {
-            return Err(SnapshotError::Rejected(cached_snapshot::Refusal::Huge(size, most)));
+        let max_bytes = bound.file_bytes as u64;
+        if size > max_bytes {
+            return Err(SnapshotError::Rejected(cached_snapshot::Refusal::Huge(size, max_bytes)));
         }
         let bytes = std::fs::read(path)?;
         let names = self.config.directory.names();
@@ -75,13 +75,13 @@
         let source_age_ns = self.engine_list.source.as_ref().map(|source| source.age_ns(now));
         let subscriber = self.fleet.as_ref().and_then(|fleet| fleet.subscriber());
         let age_ns = source_age_ns.or(subscriber.map(|subscriber| subscriber.age_ns(now)));
-        let heard_ns = age_ns.map_or(0, |age_ns| now.saturating_sub(age_ns));
+        let contact_ns = age_ns.map_or(0, |age_ns| now.saturating_sub(age_ns));
         let roster = self.engine_list.exclusions.bans.listed();
         let Snapshot { list, path, .. } = &mut self.engine_list.snapshot;
         let Some(path) = path.as_ref().filter(|_| list.due(now, roster.len())) else { return };
         let names = self.config.directory.names();
         let written =
-            write_atomically_with(path, |file| cached_snapshot::write(file, roster, names, heard_ns));
+            write_atomically_with(path, |file| cached_snapshot::write(file, roster, names, contact_ns));
         list.written(path, written);
     }
 }
--- a/src/daemon/stop.rs
+++ b/src/daemon/stop.rs
@@ -17,9 +17,9 @@
 const MAX_DEADLINE_NS: u64 = 3_000_000_000;
 /// Time behind the longest deadline at which all that is still open gets its final answer (ns): the program may be killed 0.3 s
 /// later.
-const ANSWER_ALL_NS: u64 = 400_000_000;
+const FINAL_ANSWERS_DELAY_NS: u64 = 400_000_000;
 /// Time behind the longest deadline at which the program ends whatever its clients do (ns).
-const FORCED_END_NS: u64 = 600_000_000;
+const FORCED_EXIT_DELAY_NS: u64 = 600_000_000;
 /// Time between the last answer and the end (ns).
 const LINGER_NS: u64 = 100_000_000;
 
@@ -65,7 +65,7 @@
 
     /// Guards against requests that SIGKILL finds unanswered: they get an answer while there is time.
     pub(super) fn end_all(&mut self, now: u64) {
-        if !self.answers_all(now) || self.router.unanswered() == 0 {
+        if !self.must_answer_all(now) || self.router.unanswered() == 0 {
             return;
         }
         let mut commands = Vec::new();
@@ -82,10 +82,10 @@
             self.close_client_listeners(now);
         }
         let quiet = self.is_quiet(now);
-        let awaits_clients = self.listeners.accepts_clients() && !self.answers_all(now);
+        let awaits_clients = self.listeners.accepts_clients() && !self.must_answer_all(now);
         let done = now >= since_ns + MIN_STOP_NS && !awaits_clients && quiet;
         // Guards against a stop that is held up for ever by a client that never stops sending, or never reads.
-        done || self.is_past_deadlines(now, FORCED_END_NS)
+        done || self.is_past_deadlines(now, FORCED_EXIT_DELAY_NS)
     }
 
     /// Guards against connections that the machine has accepted and a listener that closes would reset, with the requests on them:
@@ -113,15 +113,15 @@
     }
 
     /// Whether the process has been told to stop for so long that all still open gets its final answer.
-    fn answers_all(&self, now: u64) -> bool {
-        self.is_past_deadlines(now, ANSWER_ALL_NS)
+    fn must_answer_all(&self, now: u64) -> bool {
+        self.is_past_deadlines(now, FINAL_ANSWERS_DELAY_NS)
     }
 
     /// Whether so long (ns) has passed behind the longest deadline, or the most of it that counts, since the process was told to
     /// stop.
-    fn is_past_deadlines(&self, now: u64, behind_ns: u64) -> bool {
+    fn is_past_deadlines(&self, now: u64, extra_ns: u64) -> bool {
         let deadlines_ns = self.config.settings.classes.iter().map(|class| class.deadline_ns);
         let longest_ns = deadlines_ns.max().unwrap_or(0).min(MAX_DEADLINE_NS);
-        self.stop.phase.stopping_since().is_some_and(|since_ns| now >= since_ns + longest_ns + behind_ns)
+        self.stop.phase.stopping_since().is_some_and(|since_ns| now >= since_ns + longest_ns + extra_ns)
     }
 }
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -31,7 +31,7 @@
 use super::exclusions::Exclusions;
 use super::iteration::EventLoop;
 use super::listeners::{Listeners, FIRST_CONNECTION, FLEET, MIN_DESCRIPTORS};
-use super::relayed_list::{apply_cell, warn_of_classes, RelayFeed};
+use super::relayed_list::{apply_cell, warn_unservable_classes, RelayStream};
 use super::snapshot::Snapshot;
 use super::stop::StopState;
 use super::{ConfigState, Daemon, Fronts};
@@ -62,7 +62,7 @@
         let LoadedConfig { mut config, postgres, door, mut start, fleet, operator, .. } = read;
         let identity = config.identity();
         let cell = apply_cell(&mut config, &mut start, fleet.as_ref(), &identity);
-        cell.iter().for_each(|cell| warn_of_classes(&config, cell));
+        cell.iter().for_each(|cell| warn_unservable_classes(&config, cell));
         let clock = Clock::start();
         let now = clock.now_ns();
         let directory = build_directory(&config, door.as_ref(), fleet.as_ref())?;
@@ -77,8 +77,8 @@
         config.settings.router_count = pacing.pace.sharers();
         let engines = build_engines(&config, &start, postgres.as_ref(), pacing);
         let fronts = build_fronts(&config, postgres, &directory)?;
-        let (fleet, machines) = start_fleet(now, &registry, fleet, identity, &config, &files)?;
-        let router = build_router(&config, pacing.seed, door, machines);
+        let (fleet, fleet_state) = start_fleet(now, &registry, fleet, identity, &config, &files)?;
+        let router = build_router(&config, pacing.seed, door, fleet_state);
         let net = build_net(registry, &config);
         let snapshot = Snapshot::in_file(start.snapshot_path.clone(), ListBound::of(config.limits.memory_mb));
         let exclusions = Exclusions::in_directory(files.state_dir.as_deref());
@@ -94,7 +94,7 @@
             stop: StopState::serving(),
             fronts,
             engines,
-            engine_list: EngineList { source, snapshot, exclusions, feed: RelayFeed::default() },
+            engine_list: EngineList { source, snapshot, exclusions, relay_stream: RelayStream::default() },
             admin,
             fleet,
         };
@@ -212,7 +212,7 @@
 }
 
 /// The machines that the router shares with its fleet; none where there is no fleet.
-type FleetMachines = (Option<FleetLimits>, Option<FleetHealth>);
+type FleetState = (Option<FleetLimits>, Option<FleetHealth>);
 
 fn start_fleet(
     now: u64,
@@ -221,7 +221,7 @@
     identity: RouterIdentity,
     config: &Config,
     files: &ConfigFiles,
-) -> Result<(Option<FleetRuntime>, FleetMachines), DaemonError> {
+) -> Result<(Option<FleetRuntime>, FleetState), DaemonError> {
     let Some(fleet) = fleet else { return Ok((None, (None, None))) };
     let FleetStart { runtime, limits, health } = FleetRuntime::start(
         now,
@@ -236,7 +236,7 @@
     Ok((Some(runtime), (Some(limits), health)))
 }
 
-fn build_router(config: &Config, seed: u64, door: Option<Door>, (limits, health): FleetMachines) -> Router {
+fn build_router(config: &Config, seed: u64, door: Option<Door>, (limits, health): FleetState) -> Router {
     Router::new(config.settings.clone(), seed, config.limits.memory_mb)
         .with_door(door)
         .with_limits(limits)
