--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -18,7 +18,7 @@
             return Ok(());
         }
         let text = line.trim_end_matches(['\n', '\r']);
-        if let Some(reply) = host.take_line(text)? {
+        if let Some(reply) = host.handle_line(text)? {
             output.write_all(reply.as_bytes())?;
             output.flush()?;
         }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -17,18 +17,18 @@
     /// Number of the line, from 1.
     pub line: u64,
     /// What is wrong with it.
-    pub fault: String,
+    pub message: String,
 }
 
 impl std::fmt::Display for WireError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "line {}: {}", self.line, self.fault)
+        write!(f, "line {}: {}", self.line, self.message)
     }
 }
 
 impl std::error::Error for WireError {}
 
-struct RawRow {
+struct EngineRow {
     engine: EngineId,
     zone: String,
     kind: String,
@@ -47,13 +47,13 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<String, Instance>,
-    lists: BTreeMap<u64, Vec<RawRow>>,
+    lists: BTreeMap<u64, Vec<EngineRow>>,
     open_list: Option<(u64, usize)>,
-    speaker: Option<String>,
+    target_instance: Option<String>,
     now_ns: Option<u64>,
     line: u64,
     reply: String,
-    speaking: Option<String>,
+    reply_instance: Option<String>,
     actions: Vec<Action>,
 }
 
@@ -146,9 +146,9 @@
     }
 
     /// Takes one line; at the end of a batch gives the reply, to be written and flushed.
-    pub fn take_line(&mut self, line: &str) -> Result<Option<String>, WireError> {
+    pub fn handle_line(&mut self, line: &str) -> Result<Option<String>, WireError> {
         self.line += 1;
-        self.read(line).map_err(|fault| WireError { line: self.line, fault })
+        self.read(line).map_err(|message| WireError { line: self.line, message })
     }
 
     fn read(&mut self, line: &str) -> Result<Option<String>, String> {
@@ -172,13 +172,13 @@
             }
             "FLUSH" => {
                 f.end()?;
-                (self.now_ns, self.speaker, self.speaking) = (None, None, None);
+                (self.now_ns, self.target_instance, self.reply_instance) = (None, None, None);
                 let mut reply = std::mem::take(&mut self.reply);
                 reply.push_str("OK\n");
                 return Ok(Some(reply));
             }
             "TARGET_INSTANCE" => {
-                self.speaker = Some(f.next()?.to_owned());
+                self.target_instance = Some(f.next()?.to_owned());
                 f.end()?;
             }
             "DIRECTORY" => {
@@ -190,7 +190,7 @@
             }
             "ROW" => self.read_row(f)?,
             "POWER_ON" => {
-                let name = self.speaker.clone().ok_or("no instance named")?;
+                let name = self.target_instance.clone().ok_or("no instance named")?;
                 let seed: u64 = f.num()?;
                 let rest: Vec<&str> = f.parts.collect();
                 let (settings, names) = read_settings(&rest.join(" "))?;
@@ -198,7 +198,7 @@
             }
             "DETACH" => {
                 f.end()?;
-                let name = self.speaker.as_ref().ok_or("no instance named")?;
+                let name = self.target_instance.as_ref().ok_or("no instance named")?;
                 self.instances.remove(name).ok_or_else(|| format!("unknown instance {name}"))?;
             }
             _ => self.read_event(verb, f)?,
@@ -208,7 +208,7 @@
 
     fn read_row(&mut self, mut f: Fields) -> Result<(), String> {
         let (list, missing) = self.open_list.ok_or("ROW outside a list")?;
-        let row = RawRow {
+        let row = EngineRow {
             engine: f.engine()?,
             zone: f.next()?.to_owned(),
             kind: f.next()?.to_owned(),
@@ -229,7 +229,7 @@
     }
 
     fn read_event(&mut self, verb: &str, mut f: Fields) -> Result<(), String> {
-        let name = self.speaker.clone().ok_or("no instance named")?;
+        let name = self.target_instance.clone().ok_or("no instance named")?;
         let now_ns = self.now_ns.ok_or("no clock")?;
         let instance =
             self.instances.get_mut(&name).ok_or_else(|| format!("instance {name} is not running"))?;
@@ -272,13 +272,13 @@
                 f.engine()?;
                 let kind: u64 = f.num()?;
                 let value = f.real()?.unwrap_or_default();
-                let note = match kind {
+                let update = match kind {
                     1 => AttemptUpdate::Progress(value),
                     2 => AttemptUpdate::Spilling(value),
                     3 => AttemptUpdate::Waiting,
                     _ => return f.end(),
                 };
-                Event::Progress(RequestId(id), attempt, note)
+                Event::Progress(RequestId(id), attempt, update)
             }
             "OUTCOME" => {
                 let request = RequestId(f.num()?);
@@ -316,9 +316,9 @@
         };
         f.end()?;
         instance.controller.handle(now_ns, event, &mut self.actions);
-        if !self.actions.is_empty() && self.speaking.as_ref() != Some(&name) {
+        if !self.actions.is_empty() && self.reply_instance.as_ref() != Some(&name) {
             let _ = writeln!(self.reply, "SPEAKING {name}");
-            self.speaking = Some(name);
+            self.reply_instance = Some(name);
         }
         for action in self.actions.drain(..) {
             write_action(&mut self.reply, &action);
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -10,10 +10,10 @@
 "request_classes":[{"name":"look","aim_ns":600000000,"aim_stretch":2.0,"give_up_ns":3000000000,
 "effect":"idempotent","worth":1.0,"late_worth":0.1}]}"#;
 
-fn feed(host: &mut Host, text: &str) -> Result<String, String> {
+fn send_lines(host: &mut Host, text: &str) -> Result<String, String> {
     let mut reply = String::new();
     for line in text.lines() {
-        if let Some(part) = host.take_line(line).map_err(|e| e.to_string())? {
+        if let Some(part) = host.handle_line(line).map_err(|e| e.to_string())? {
             reply.push_str(&part);
         }
     }
@@ -30,7 +30,7 @@
 
 fn started() -> Host {
     let mut host = Host::new();
-    assert_eq!(feed(&mut host, &start("controller-0")).unwrap(), "OK\n");
+    assert_eq!(send_lines(&mut host, &start("controller-0")).unwrap(), "OK\n");
     host
 }
 
@@ -38,14 +38,15 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    assert_eq!(feed(&mut Host::new(), "FRAME 5\nFLUSH\n").unwrap(), "OK\n");
+    assert_eq!(send_lines(&mut Host::new(), "FRAME 5\nFLUSH\n").unwrap(), "OK\n");
 }
 
 #[test]
-fn a_request_is_sent_and_its_outcome_and_odd_events_are_read() {
+fn requests_outcomes_and_unknown_fields_are_accepted() {
     let mut host = started();
     let reply =
-        feed(&mut host, &format!("FRAME 2000000000\nTARGET_INSTANCE controller-0\n{REQ}\nFLUSH\n")).unwrap();
+        send_lines(&mut host, &format!("FRAME 2000000000\nTARGET_INSTANCE controller-0\n{REQ}\nFLUSH\n"))
+            .unwrap();
     assert!(reply.starts_with("SPEAKING controller-0\n"), "{reply}");
     assert!(reply.contains("SUBMIT_TO 11 10.18.74.7:5003 2000000000\n"), "{reply}");
     assert!(reply.ends_with("OK\n"));
@@ -53,36 +54,39 @@
         CHANGE 11 0 10.18.74.7:5003 9 0.5\nOUTCOME 11 0 10.18.74.7:5003 done 100000000 1 69728 rif:7,novel:x\n\
         LEFT 11\nWAKEUP 99\nMEMO 1 aGkgNw==\nMEMO 1 -\nCHECK_RESULT 10.18.74.7:5003 done 1000 rif:1\n\
         REGISTRY lost - -\nDETACH\nFLUSH\n";
-    assert_eq!(feed(&mut host, rest).unwrap(), "OK\n");
-    let gone = format!("FRAME 2200000000\nTARGET_INSTANCE controller-0\n{REQ}\nFLUSH\n");
-    assert!(feed(&mut host, &gone).unwrap_err().contains("not running"), "all is discarded on DETACH");
+    assert_eq!(send_lines(&mut host, rest).unwrap(), "OK\n");
+    let after_detach = format!("FRAME 2200000000\nTARGET_INSTANCE controller-0\n{REQ}\nFLUSH\n");
+    assert!(
+        send_lines(&mut host, &after_detach).unwrap_err().contains("not running"),
+        "all is discarded on DETACH"
+    );
 }
 
 #[test]
-fn a_list_number_used_again_is_resolved_in_event_order() {
+fn reused_list_number_refers_to_the_latest_list() {
     let mut host = started();
     let batch = format!(
         "FRAME 2000000000\nTARGET_INSTANCE controller-0\nDIRECTORY 0 1\nROW 10.0.0.1:1 a k 0 in_service 1 -\n\
          REGISTRY total 2 0\nDIRECTORY 0 1\nROW 10.0.0.2:2 a k 0 in_service 1 -\nREGISTRY total 3 0\n{REQ}\nFLUSH\n"
     );
-    let reply = feed(&mut host, &batch).unwrap();
+    let reply = send_lines(&mut host, &batch).unwrap();
     assert!(reply.contains("SUBMIT_TO 11 10.0.0.2:2 "), "{reply}");
 }
 
 #[test]
-fn instances_have_nothing_in_common() {
+fn instances_do_not_share_state() {
     let mut alone = started();
     let mut both = started();
-    feed(&mut both, &start("controller-1")).unwrap();
+    send_lines(&mut both, &start("controller-1")).unwrap();
     let mine = format!("FRAME 2000000000\nTARGET_INSTANCE controller-0\n{REQ}\nFLUSH\n");
     let theirs =
         format!("FRAME 1500000000\nTARGET_INSTANCE controller-1\n{}\nFLUSH\n", REQ.replace("11", "12"));
-    feed(&mut both, &theirs).unwrap();
-    assert_eq!(feed(&mut alone, &mine), feed(&mut both, &mine));
+    send_lines(&mut both, &theirs).unwrap();
+    assert_eq!(send_lines(&mut alone, &mine), send_lines(&mut both, &mine));
 }
 
 #[test]
-fn malformed_input_names_the_line_and_the_fault() {
+fn malformed_input_reports_the_line_and_the_error() {
     let at = "FRAME 2000000000\nTARGET_INSTANCE controller-0\n";
     let cases = [
         ("NOVEL 1\nFLUSH", "outside a batch"),
@@ -112,27 +116,28 @@
         ("@OUTCOME 1 0 10.0.0.1:1 done 1 1 0 rif", "bad report"),
         ("@OUTCOME 1 0 10.0.0.1:1 done 1 1 0 rif:x", "bad report value"),
     ];
-    for (text, fault) in cases {
+    for (text, message) in cases {
         let text = text.replace('@', at);
-        let error = feed(&mut started(), &text).unwrap_err();
-        assert!(error.contains(fault) && error.starts_with("line "), "{text}: {error}");
+        let error = send_lines(&mut started(), &text).unwrap_err();
+        assert!(error.contains(message) && error.starts_with("line "), "{text}: {error}");
     }
 }
 
 #[test]
-fn a_missing_optional_setting_is_absent_and_not_zero() {
+fn missing_optional_setting_is_none_not_zero() {
     // No send_cap: further attempts are allowed; no cold_ns: nothing is held back from a fresh engine.
     let bare = SETTINGS.replace(",\"send_cap\":5", "").replace("\"cold_ns\":15000000000,", "");
     let text = start("controller-0").replace(&SETTINGS.replace('\n', ""), &bare.replace('\n', ""));
     let mut host = Host::new();
-    feed(&mut host, &text.replace("in_service 1 -", "in_service 1 900000000")).unwrap();
+    send_lines(&mut host, &text.replace("in_service 1 -", "in_service 1 900000000")).unwrap();
     let reply =
-        feed(&mut host, &format!("FRAME 1000000001\nTARGET_INSTANCE controller-0\n{REQ}\nFLUSH\n")).unwrap();
+        send_lines(&mut host, &format!("FRAME 1000000001\nTARGET_INSTANCE controller-0\n{REQ}\nFLUSH\n"))
+            .unwrap();
     assert!(reply.contains("SUBMIT_TO"), "{reply}");
 }
 
 #[test]
-fn the_process_fails_plainly_on_malformed_input_and_exits_at_its_end() {
+fn process_fails_on_malformed_input_and_exits_at_end_of_input() {
     use std::io::Write;
     use std::process::{Command, Stdio};
     for (input, ok) in [("FRAME 1\nFLUSH\n", true), ("FRAME 1\nNOVEL\n", false)] {
