--- a/src/cli.rs
+++ b/src/cli.rs
@@ -8,9 +8,9 @@
 
 use clap::{CommandFactory, Parser, Subcommand};
 
-use crate::behaviour::effects;
 use crate::config::ConfigFiles;
 use crate::daemon::Daemon;
+use crate::effects::effects;
 use crate::error::{ConfigError, DaemonError};
 use crate::setup::Setup;
 use crate::{logger, setup};
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -13,8 +13,8 @@
 use super::relayed_list::apply_cell;
 use super::wiring::parse_address;
 use super::{AppliedConfig, Daemon};
-use crate::behaviour::effects;
 use crate::config::{Config, LoadedConfig, StartConfig};
+use crate::effects::effects;
 use crate::error::DaemonError;
 use crate::logger;
 
--- a/tests/setup.rs
+++ b/tests/setup.rs
@@ -3,8 +3,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-use marljunction::behaviour::{effects, Effect};
 use marljunction::config::EngineProtocol;
+use marljunction::effects::{effects, Effect};
 use marljunction::setup::Setup;
 use marljunction_fair_queue::settings::{DoorSettings, Who};
 use marljunction_fleet::ListRole;
