--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line. With no arguments the program serves, as the platform starts it.
+//! The command line. Without arguments the program runs the daemon.
 
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
@@ -15,31 +15,32 @@
 use crate::setup::Setup;
 use crate::{logger, setup};
 
-/// The longest that a request is out, where no settings say: bounds are told by it (ns).
+/// Longest request that printed bounds assume, as no settings are read here.
 const DEFAULT_MAX_REQUEST_NS: u64 = 27_500_000_000;
-/// How long the admin API may take to connect, and to answer.
+/// Timeout for connecting to the admin API, and for each read.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(3);
-/// The status where a file of a comparison is wrong.
+/// Exit status of `diff` if a file is not valid.
 const INVALID_FILE_STATUS: u8 = 2;
 
-/// Why a task of the command line can't be done.
+/// Error of a subcommand.
 #[derive(Debug, thiserror::Error)]
 enum CliError {
-    /// A file can't be used.
+    /// A configuration file is not valid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The router can't be reached.
+    /// The router cannot be reached.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The router's answer is not of its form.
-    #[error("no answer that can be read")]
+    /// The router's response is not HTTP.
+    #[error("malformed HTTP response")]
     MalformedResponse,
-    /// The router refuses, or the file is wrong, as the text says.
+    /// The router answered with an error, or the file is not valid.
     #[error("{0}")]
     Refused(String),
 }
 
-/// A query router daemon: decides which engine runs each query and when, and gives each client one final answer.
+/// A query router daemon: decides which engine runs each query and when, and gives each client one
+/// final answer.
 #[derive(Parser)]
 #[command(name = "marljunction", version)]
 struct Arguments {
@@ -49,42 +50,42 @@
 
 #[derive(Subcommand)]
 enum Task {
-    /// Serve: what is done with no arguments at all.
+    /// Run the daemon; the default without arguments.
     Run {
-        /// The operator's file; else the one that MARLJUNCTION_SETUP names, or none.
+        /// The operator's file; by default the one named by MARLJUNCTION_SETUP, if any.
         #[arg(long, value_name = "FILE")]
         setup: Option<PathBuf>,
     },
-    /// Tell what is wrong with operators' files.
+    /// Check operator's files and print their errors.
     Check {
         /// The files.
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Lay files of the configuration language out in the one way.
+    /// Format files of the configuration language.
     Fmt {
-        /// Change nothing; tell which files are not laid out so.
+        /// Change nothing; list the files that are not formatted.
         #[arg(long)]
         check: bool,
         /// The files.
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Tell what the program does differently under the second of two files; status 0 where they mean the same, 1 where not,
-    /// 2 where one is wrong.
+    /// Print the effects of replacing one operator's file with another; exits with status 0 if they
+    /// are equivalent, 1 if they differ, 2 if one is not valid.
     Diff {
-        /// The file as it is.
+        /// The current file.
         from: PathBuf,
-        /// The file as it is to be.
+        /// The new file.
         to: PathBuf,
     },
-    /// Print what a running router knows of its fleet: peers, and its part in each limit.
+    /// Print the peers of a running router and its share of each limit.
     Fleet {
-        /// Address of its admin API.
+        /// Address of the router's admin API.
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
     },
-    /// Print a shell's completions.
+    /// Print completions for a shell.
     Completions {
         /// The shell.
         shell: clap_complete::Shell,
@@ -107,11 +108,11 @@
     }
 }
 
-/// Whether a file is right; what is wrong with it goes to standard error.
+/// Prints the bounds of a valid file, or the errors of an invalid one; returns whether it is valid.
 fn check(path: &Path) -> bool {
     match setup::read_file(path).map(|outcome| setup::faults(&outcome)) {
         Ok(None) => {
-            println!("{}: right", path.display());
+            println!("{}: valid", path.display());
             if let Ok(setup) = Setup::from_file(path) {
                 println!("  {}", setup.start.bounds(None));
                 for line in setup.fleet.iter().flat_map(|fleet| fleet.bounds(DEFAULT_MAX_REQUEST_NS)) {
@@ -131,7 +132,7 @@
     }
 }
 
-/// What the admin API at this address says of the fleet.
+/// Fetches `/fleet` from the admin API.
 fn fetch_fleet(at: SocketAddr) -> Result<String, CliError> {
     let mut stream = TcpStream::connect_timeout(&at, ADMIN_TIMEOUT)?;
     stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
@@ -145,7 +146,7 @@
     }
 }
 
-/// Lays a file out, or only tells whether it is; whether it needs no further change.
+/// Formats a file, or only checks its format; returns false if a check found a difference.
 fn format(path: &Path, check_only: bool) -> Result<bool, CliError> {
     let text = std::fs::read_to_string(path).map_err(ConfigError::unreadable(path))?;
     let Some(formatted) = marljunction_language::format::format(&text) else {
@@ -155,9 +156,9 @@
     let ok = formatted == text;
     if !ok && !check_only {
         std::fs::write(path, formatted).map_err(ConfigError::unreadable(path))?;
-        println!("{}: laid out", path.display());
+        println!("{}: formatted", path.display());
     } else if !ok {
-        println!("{}: not laid out", path.display());
+        println!("{}: not formatted", path.display());
     }
     Ok(ok || !check_only)
 }
@@ -166,7 +167,7 @@
     clap_complete::generate(shell, &mut Arguments::command(), "marljunction", &mut std::io::stdout());
 }
 
-/// Prints what the second file changes; the status says whether it does, or that one is wrong.
+/// Prints the effects of a change; the exit status is described at [`Task::Diff`].
 fn print_diff(from: &Path, to: &Path) -> ExitCode {
     match (Setup::from_file(from), Setup::from_file(to)) {
         (Ok(Setup { value: Some(from), .. }), Ok(Setup { value: Some(to), .. })) => {
@@ -208,7 +209,7 @@
     }
 }
 
-/// Does what the arguments say.
+/// Parses the arguments and runs the subcommand.
 pub fn main() -> ExitCode {
     match Arguments::parse().task {
         None => serve(None),
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: where to listen, the limits, the settings of the module and the engines known so far.
+//! The configuration files: the router's JSON file, the PostgreSQL file and the operator's file.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::path::PathBuf;
@@ -19,13 +19,13 @@
 use marljunction_pacing::pace::{Pace, Unfit, TOLD_NS};
 use marljunction_settings::{read_settings, Names};
 
-/// How often the list service says something at least (ns).
+/// Longest interval between comments on the list service's stream.
 const COMMENT_INTERVAL_NS: u64 = 1_000_000_000;
 
-/// Limits of the machine.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Limits {
-    /// Memory, in megabytes.
+    /// Memory in megabytes.
     pub memory_mb: f64,
     /// File descriptors.
     pub sockets: usize,
@@ -53,81 +53,81 @@
     settings: &'a RawValue,
 }
 
-/// The PostgreSQL side, from a file of its own; without one it is off.
+/// PostgreSQL configuration; PostgreSQL is disabled without it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PostgresConfig {
-    /// Where PostgreSQL clients connect; absent for nowhere.
+    /// Listen address for PostgreSQL clients; without it none can connect.
     pub listen: Option<String>,
-    /// Class of requests whose session names none.
+    /// Class of requests whose session sets none.
     pub class: String,
-    /// Names of a result's columns.
+    /// Column names of a result, described before a query has run.
     pub columns: Vec<String>,
-    /// Sessions that may be open.
+    /// Maximum number of open sessions.
     pub sessions: usize,
-    /// What the engines speak.
+    /// Protocol of the engines.
     #[serde(default)]
     pub engines: EngineProtocol,
-    /// Consul in the coordinator's place.
+    /// Consul, used as the list service in place of the coordinator.
     pub consul: Option<ConsulConfig>,
 }
 
-/// What the engines speak.
+/// Protocol of the engines.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum EngineProtocol {
-    /// The platform's HTTP.
+    /// HTTP.
     #[default]
     Http,
-    /// PostgreSQL, as this user on this database.
+    /// PostgreSQL.
     Postgres {
-        /// The user.
+        /// User to connect as.
         user: String,
-        /// The database.
+        /// Database to connect to.
         database: String,
     },
 }
 
-/// Where Consul is, and the engines' service there.
+/// Address of Consul, and the name of the engines' service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConsulConfig {
-    /// Its address.
+    /// Address, `IP:PORT`.
     pub address: String,
-    /// The service.
+    /// Service name.
     pub service: String,
 }
 
-/// How many routers the fleet has, as the operator's file says.
+/// Number of routers of the fleet that share a budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RouterCount {
-    /// As many as the settings say.
+    /// The count in the settings.
     #[default]
     FromSettings,
-    /// Nobody knows.
+    /// Not known.
     Unknown,
-    /// So many.
+    /// This many.
     Exact(u32),
 }
 
-/// How a router starts and comes back, as the operator's file says.
+/// Pacing of calls to the list service and of connections to engines: the `start` section.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartConfig {
-    /// Calls a second that the list service takes from the whole fleet.
+    /// Calls per second to the list service, of the whole fleet.
     pub budget_per_s: f64,
-    /// Routers of the fleet.
+    /// Routers that share the budget.
     pub routers: RouterCount,
-    /// Longest wait before the list service is called, where nothing speaks against it (ns).
+    /// Longest wait before the first call to the list service.
     pub spread_ns: u64,
-    /// Longest wait before the list service is called again (ns).
+    /// Longest wait before the list service is called again.
     pub longest_ns: u64,
-    /// Age from which news of the engines counts as too old (ns).
+    /// Age from which the engine list counts as stale.
     pub stale_ns: u64,
-    /// Connections for new work that all routers together open to one engine in a second; none for any number.
+    /// Connections per second for new work, of the whole fleet to one engine; `None` for no limit.
     pub connections_per_s: Option<f64>,
-    /// File that the last list of engines is kept in; none for nowhere.
+    /// File of the engine list snapshot; `None` writes no snapshot.
     pub snapshot_path: Option<PathBuf>,
-    /// Age up to which a kept list is used (ns).
+    /// Age up to which a snapshot is used at the start.
     pub max_snapshot_age_ns: u64,
 }
 
@@ -148,7 +148,7 @@
 }
 
 impl StartConfig {
-    /// The pace of router `me` of a fleet that the settings say has `gateways` routers.
+    /// Returns the pace of router `me`; `router_count` is the count in the settings.
     pub fn pace(&self, router_count: u32, me: u32) -> Pace {
         let callers = match self.routers {
             RouterCount::FromSettings => Some(router_count),
@@ -159,25 +159,25 @@
         Pace { budget_per_s, callers, me, spread_ns, longest_ns, ..Pace::default() }
     }
 
-    /// The times that a fleet with relays goes by, which call the list service so.
+    /// Returns the timing of a fleet whose relays call the list service at this pace.
     pub fn list_timing(&self) -> ListTiming {
         let reconnect_ns = self.pace(0, 0).blind_at_most_ns(SILENT_NS);
         ListTiming { silence_ns: SILENT_NS + COMMENT_INTERVAL_NS, reconnect_ns, stale_ns: self.stale_ns }
     }
 
-    /// What routers together may open to one engine, for a fleet of this pace; none for any number.
+    /// Returns the fleet's budget of connections to one engine; `None` for no limit.
     pub fn connection_budget(&self, pace: Pace) -> Option<Openings> {
         self.connections_per_s.map(|per_s| Openings { per_s, sharers: pace.sharers(), pace })
     }
 
-    /// What follows from it for news of the engines, as operators read it; nothing is said of the budget's share where the
-    /// count of routers is not known here.
+    /// Describes the resulting bounds for operators; those that depend on the number of routers are
+    /// left out if it is not known.
     pub fn bounds(&self, router_count: Option<u32>) -> String {
         let pace = self.pace(router_count.unwrap_or(0), 0);
         let callers = pace.callers.filter(|n| *n > 0);
         let seconds = |ns: u64| ns as f64 / 1e9;
         let mut summary = format!(
-            "news of the engines is at most {:.1} s late while the list service answers",
+            "the engine list is at most {:.1} s out of date while the list service responds",
             seconds(pace.blind_at_most_ns(SILENT_NS))
         );
         if let (Some(count), Some(ideal)) = (callers, pace.ideal_ns()) {
@@ -189,7 +189,7 @@
             ));
             if let Some(Unfit::ShareOverLongest(share)) = pace.unfit() {
                 summary.push_str(&format!(
-                    "; the longest wait of {:.1} s goes before the budget, which asks for {:.1} s",
+                    "; the longest wait of {:.1} s overrides the budget, which needs {:.1} s",
                     seconds(pace.longest_ns.min(pace.spread_ns)),
                     seconds(share)
                 ));
@@ -206,7 +206,10 @@
 }
 
 impl PostgresConfig {
-    /// Reads the JSON text.
+    /// Parses the JSON text.
+    ///
+    /// # Errors
+    /// If the text is not valid JSON of this form.
     pub fn read(text: &str) -> Result<PostgresConfig, ConfigError> {
         serde_json::from_str(text).map_err(ConfigError::PostgresConfig)
     }
@@ -224,44 +227,47 @@
     connect_timeout_ns: Option<u64>,
 }
 
-/// What the files say.
+/// Content of all configuration files.
 #[derive(Debug)]
 pub struct LoadedConfig {
-    /// The configuration.
+    /// The router's configuration.
     pub config: Config,
-    /// The PostgreSQL side, where it is on.
+    /// PostgreSQL configuration, if enabled.
     pub postgres: Option<PostgresConfig>,
-    /// The door, where it is on.
+    /// Settings of the fair queues, if enabled.
     pub door: Option<DoorSettings>,
-    /// How the router starts and comes back.
+    /// Pacing of the start and of reconnects.
     pub start: StartConfig,
-    /// The fleet, where routers talk to each other.
+    /// Fleet configuration, if the router is part of a fleet.
     pub fleet: Option<FleetConfig>,
-    /// All that the operator's file says, and the level of the log that it names.
+    /// The evaluated operator's file, if there is one.
     pub operator: Option<Value>,
-    /// The level of the log.
+    /// Log level of the operator's file.
     pub level: Option<LevelFilter>,
 }
 
-/// The files that one process is set up by; a reload reads them again.
+/// Paths of the configuration files, and settings of the environment.
 #[derive(Clone, Debug)]
 pub struct ConfigFiles {
-    /// The configuration.
+    /// The router's configuration.
     pub config: String,
-    /// The PostgreSQL side, where it is on.
+    /// The PostgreSQL file, if any.
     pub postgres: Option<String>,
-    /// The operator's file, where there is one.
+    /// The operator's file, if any.
     pub setup: Option<PathBuf>,
-    /// The clients' listening socket as the platform hands it down (`$ROUTER_FD`), in place of binding `listen`.
+    /// Inherited listening socket for clients (`$ROUTER_FD`), used instead of binding `listen`.
     pub inherited_socket: Option<String>,
-    /// Where the operators' door listens where the configuration does not say (`$ROUTER_OPERATOR`).
+    /// Listen address of the admin API if the configuration has none (`$ROUTER_OPERATOR`).
     pub operator: Option<String>,
-    /// Where what must outlast the process is kept for its successor (`$TMPDIR`); nothing is kept without it.
+    /// Directory for state that the next process reads (`$TMPDIR`); without it no state is stored.
     pub state_dir: Option<PathBuf>,
 }
 
 impl ConfigFiles {
-    /// As the environment names them; `setup` in place of the operator's file that it names.
+    /// Reads the environment; `setup` overrides the operator's file named there.
+    ///
+    /// # Errors
+    /// If the environment does not name a configuration.
     pub fn from_env(setup: Option<PathBuf>) -> Result<ConfigFiles, ConfigError> {
         let config = std::env::var("ROUTER_CONFIG").map_err(|_| ConfigError::MissingConfiguration)?;
         let named = || std::env::var_os("MARLJUNCTION_SETUP").map(PathBuf::from);
@@ -279,15 +285,15 @@
         })
     }
 
-    /// What the operator's file says; nothing where there is none.
+    /// Reads the operator's file; defaults if there is none.
     fn setup(&self) -> Result<Setup, ConfigError> {
         self.setup.as_deref().map_or(Ok(Setup::default()), Setup::from_file)
     }
 
-    /// Reads all of them.
+    /// Reads all files.
     ///
     /// # Errors
-    /// Where one can't be read, is not of its form, or contradicts another.
+    /// If a file cannot be read, is not valid, or contradicts another.
     pub fn read(&self) -> Result<LoadedConfig, ConfigError> {
         let text = |path: &str| std::fs::read_to_string(path).map_err(ConfigError::unreadable(path));
         let postgres = self.postgres.as_ref().map(|path| PostgresConfig::read(&text(path)?)).transpose()?;
@@ -308,39 +314,39 @@
     }
 }
 
-/// All that one process is told at its start.
+/// The router's configuration file.
 #[derive(Debug)]
 pub struct Config {
     /// Name of this router.
     pub name: String,
-    /// Where clients connect.
+    /// Listen address for MessagePack clients.
     pub listen: String,
-    /// Seed for random numbers.
+    /// Seed of random numbers.
     pub seed: u64,
-    /// Limits of the machine.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// Address of the coordinator, where there is one.
+    /// Address of the coordinator, if any.
     pub coordinator: Option<String>,
-    /// Where the operators' door listens, where the configuration says.
+    /// Listen address of the admin API, if configured.
     pub operator: Option<String>,
-    /// Number of the last event in `known`.
+    /// Index of the last event in `known`.
     pub known_index: u64,
-    /// Membership events so far.
+    /// Membership events from before the start.
     pub known: Vec<Update>,
     /// Settings of the decision module.
     pub settings: Settings,
-    /// The settings as they were written.
+    /// The settings as text.
     pub settings_text: String,
-    /// The names behind its numbers.
+    /// Names of the classes, tenants, zones and kinds that the settings index.
     pub names: Names,
-    /// Engines close a connection that is idle for so long.
+    /// Idle time after which engines close a connection.
     pub engine_idle_ns: u64,
-    /// A connection that does not come up within this time never will.
+    /// Timeout for connecting to an engine.
     pub connect_timeout_ns: u64,
 }
 
 impl Config {
-    /// Weights of the tenants: as the door's file says, else by their allowances.
+    /// Returns the weight of each tenant: as configured, else its allowance, else 1.
     pub fn weights(&self, door: &DoorSettings) -> Vec<f64> {
         let allowances = self.settings.tenants.iter().map(|t| t.allowance_per_s);
         let by_name = |(name, allowance): (&String, Option<f64>)| {
@@ -349,15 +355,15 @@
         self.names.tenants.iter().zip(allowances).map(by_name).collect()
     }
 
-    /// The seed of this router's own draws. Guards against routers that were given one seed by mistake and would all
-    /// do the same at the same moment: their names or addresses differ.
+    /// Returns a seed that differs between routers even if their configured seeds are equal. Guards
+    /// against routers that act in lockstep.
     pub fn router_seed(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         (self.seed, &self.name, &self.listen).hash(&mut hasher);
         hasher.finish()
     }
 
-    /// Who this router is to its fleet.
+    /// Returns the router's identity in its fleet.
     pub fn identity(&self) -> RouterIdentity {
         let zone = self.settings.zone.and_then(|zone| self.names.zones.get(zone.0)).cloned();
         RouterIdentity {
@@ -368,10 +374,10 @@
         }
     }
 
-    /// Reads the JSON text.
+    /// Parses the JSON text.
     ///
     /// # Errors
-    /// Where it is not of its form.
+    /// If the text is not valid JSON of this form, or holds an invalid value.
     pub fn read(text: &str) -> Result<Config, ConfigError> {
         let raw: RawConfig = serde_json::from_str(text).map_err(ConfigError::Configuration)?;
         let (settings, names) = read_settings(raw.settings.get()).map_err(ConfigError::Content)?;
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -1,76 +1,69 @@
-//! What a change of the operator's file changes in what the program does, and when.
+//! Describes what a change in the operator's file affects, and whether it needs a restart.
 
 use marljunction_language::diff::{diff, Change};
 use marljunction_language::value::Value;
 
-/// When a change counts.
+/// When a change takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppliesOn {
-    /// On SIGHUP, for what waits as well.
+    /// On SIGHUP, also for requests that are already queued.
     Reload,
-    /// From the next start on.
+    /// At the next start.
     Restart,
 }
 
-/// Fields, the longest first where one begins like another: when a change of theirs counts, and what it changes.
+/// Path prefix of a field, when a change to it takes effect, and what it affects. The first match
+/// counts, so a longer prefix stands before a shorter one.
 const FIELD_EFFECTS: [(&str, AppliesOn, &str); 31] = [
-    ("door.order", AppliesOn::Restart, "how turns are divided"),
-    ("door.client", AppliesOn::Restart, "what names a client, and so whom it shares its turns with"),
-    ("door.weights.", AppliesOn::Reload, "this tenant's part of the turns while all want more than there is"),
-    ("door.queues", AppliesOn::Restart, "how many queues a tenant's clients are spread over"),
-    ("door.hand", AppliesOn::Reload, "how many queues one client may fill"),
-    ("door.queued", AppliesOn::Reload, "how many requests may wait before the longest queue is pushed out"),
-    ("door.promises", AppliesOn::Restart, "how many refused clients may hold a promise"),
-    ("door.window", AppliesOn::Restart, "how late a promised client may come back"),
-    ("door.stale", AppliesOn::Reload, "how long a request waits in a queue that does not empty"),
-    ("door", AppliesOn::Restart, "whether there are fair queues at all"),
-    ("postgres.listen", AppliesOn::Restart, "where PostgreSQL clients connect"),
-    ("postgres.class", AppliesOn::Restart, "the class, and so the deadline, of sessions that name none"),
-    ("postgres.columns", AppliesOn::Restart, "what clients are told of a result before it has run"),
-    ("postgres.sessions", AppliesOn::Restart, "how many sessions may be open"),
-    ("postgres.engines", AppliesOn::Restart, "what is spoken to the engines"),
-    ("postgres", AppliesOn::Restart, "whether PostgreSQL is spoken at all"),
-    ("consul.address", AppliesOn::Reload, "where news of the engines is asked for"),
-    ("consul", AppliesOn::Restart, "where news of the engines comes from"),
-    ("start.budget", AppliesOn::Reload, "how many calls a second the list service gets from the whole fleet"),
-    ("start.routers", AppliesOn::Reload, "among how many routers the budget is divided"),
+    ("door.order", AppliesOn::Restart, "whether queues are served fairly or in order of arrival"),
+    ("door.client", AppliesOn::Restart, "what identifies a client in the fair queues"),
+    ("door.weights.", AppliesOn::Reload, "this tenant's share of capacity under overload"),
+    ("door.queues", AppliesOn::Restart, "the number of queues of each tenant"),
+    ("door.hand", AppliesOn::Reload, "the number of queues one client may use"),
     (
-        "start.longest",
+        "door.queued",
         AppliesOn::Reload,
-        "how long a router waits at most before it calls the list service again",
-    ),
-    ("start.keep_for", AppliesOn::Restart, "up to which age a kept list of engines is used"),
-    (
-        "start.keep",
-        AppliesOn::Restart,
-        "where the last list of engines is kept for a start without the list service",
-    ),
-    (
-        "start.spread",
-        AppliesOn::Reload,
-        "how long a router waits at most before it first calls the list service",
+        "the number of queued requests above which the longest queue drops one",
     ),
+    ("door.promises", AppliesOn::Restart, "the number of refused clients that may hold a reservation"),
+    ("door.window", AppliesOn::Restart, "how long a reservation can be used"),
+    ("door.stale", AppliesOn::Reload, "how long a request may wait while its tenant's queues do not empty"),
+    ("door", AppliesOn::Restart, "whether fair queues are enabled"),
+    ("postgres.listen", AppliesOn::Restart, "the listen address for PostgreSQL clients"),
+    ("postgres.class", AppliesOn::Restart, "the class, and thereby the deadline, of sessions that set none"),
+    ("postgres.columns", AppliesOn::Restart, "the result columns described to clients before execution"),
+    ("postgres.sessions", AppliesOn::Restart, "the maximum number of sessions"),
+    ("postgres.engines", AppliesOn::Restart, "the protocol used with engines"),
+    ("postgres", AppliesOn::Restart, "whether PostgreSQL is enabled"),
+    ("consul.address", AppliesOn::Reload, "the address of Consul"),
+    ("consul", AppliesOn::Restart, "the source of the engine list"),
+    ("start.budget", AppliesOn::Reload, "the fleet's budget of list service calls per second"),
+    ("start.routers", AppliesOn::Reload, "the number of routers that share the budget"),
+    ("start.longest", AppliesOn::Reload, "the longest wait before the list service is called again"),
+    ("start.keep_for", AppliesOn::Restart, "the maximum age of a usable engine list snapshot"),
+    ("start.keep", AppliesOn::Restart, "the file of the engine list snapshot"),
+    ("start.spread", AppliesOn::Reload, "the longest wait before the list service is first called"),
     (
         "start.connections",
         AppliesOn::Reload,
-        "how many connections a second an engine gets from the whole fleet",
+        "the fleet's budget of new connections per second to one engine",
     ),
-    ("start.stale", AppliesOn::Reload, "the age from which news of the engines counts as too old"),
-    ("fleet.key", AppliesOn::Reload, "which keys seal and open what routers say to each other"),
-    ("fleet.limits.", AppliesOn::Restart, "a limit that holds for the whole fleet"),
-    ("fleet", AppliesOn::Restart, "whom this router talks to, and how loans of shares last"),
-    ("start", AppliesOn::Restart, "whether routers spare the list service as they start"),
-    ("log.level", AppliesOn::Reload, "what is logged"),
+    ("start.stale", AppliesOn::Reload, "the age from which the engine list counts as stale"),
+    ("fleet.key", AppliesOn::Reload, "the keys that sign and verify datagrams between routers"),
+    ("fleet.limits.", AppliesOn::Restart, "a fleet-wide limit"),
+    ("fleet", AppliesOn::Restart, "fleet membership, leases, engine health and engine list sharing"),
+    ("start", AppliesOn::Restart, "whether calls to the list service are paced"),
+    ("log.level", AppliesOn::Reload, "the log level"),
 ];
 
-/// A change with what it does.
+/// A changed field, and what the change affects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Effect {
     /// The change.
     pub change: Change,
-    /// When it counts.
+    /// When it takes effect.
     pub applies_on: AppliesOn,
-    /// What it changes.
+    /// What it affects, for operators.
     pub what: &'static str,
 }
 
@@ -83,19 +76,22 @@
     }
 }
 
-/// What the second of two files makes the program do differently; nothing where they mean the same.
+/// Lists the effects of replacing `from` with `to`; empty if they are equivalent.
 pub fn effects(from: &Value, to: &Value) -> Vec<Effect> {
     let all = diff(from, to);
     let section = |path: &str| path.split('.').next().unwrap_or_default().to_owned();
     let of = |change: Change| {
         let path = &change.path;
-        // A part that comes or goes as a whole needs a restart, whatever its fields do.
+        // Adding or removing a whole section needs a restart, whatever its fields need.
         let whole_section =
             all.iter().filter(|c| section(&c.path) == section(path)).all(|c| c.from.is_none())
                 || all.iter().filter(|c| section(&c.path) == section(path)).all(|c| c.to.is_none());
         let matches_prefix = |(prefix, ..): &&(&str, AppliesOn, &str)| path.starts_with(prefix);
-        let (_, applies_on, what) =
-            FIELD_EFFECTS.iter().find(matches_prefix).unwrap_or(&("", AppliesOn::Restart, "an unknown part"));
+        let (_, applies_on, what) = FIELD_EFFECTS.iter().find(matches_prefix).unwrap_or(&(
+            "",
+            AppliesOn::Restart,
+            "an unknown section",
+        ));
         let has_section = |value: &Value| match &value.what {
             marljunction_language::value::What::Record(record) => record.fields.contains_key(&section(path)),
             _ => false,
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,110 +1,110 @@
-//! Why the program can't be set up, can't start, or can't go on.
+//! Errors of the configuration, and of starting and running the daemon.
 
 use std::net::AddrParseError;
 use std::path::PathBuf;
 
 use marljunction_fleet::{FleetError, KeyFileError};
 
-/// Why the files that a process is set up by can't be used.
+/// Error in one of the configuration files.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment names no configuration.
-    #[error("ROUTER_CONFIG names no file")]
+    /// The environment does not name a configuration file.
+    #[error("ROUTER_CONFIG is not set or not valid Unicode")]
     MissingConfiguration,
-    /// A file can't be read.
+    /// A file cannot be read or written.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the machine says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The configuration is not of its form.
+    /// The configuration is not valid JSON, or lacks a field.
     #[error("configuration: {0}")]
     Configuration(#[source] serde_json::Error),
-    /// The configuration's seed is not a hexadecimal number.
+    /// The seed in the configuration is not a hexadecimal number.
     #[error("seed: {0}")]
     Seed(#[source] std::num::ParseIntError),
-    /// The settings in the configuration are not of their form.
+    /// The settings in the configuration are not valid.
     #[error("settings: {0}")]
     Settings(#[source] serde_json::Error),
-    /// The settings hold what can't be used, or the list of known engines does.
+    /// The settings or the known engines hold an invalid value.
     #[error("{0}")]
     Content(String),
-    /// The PostgreSQL file is not of its form.
+    /// The PostgreSQL file is not valid.
     #[error("PostgreSQL file: {0}")]
     PostgresConfig(#[source] serde_json::Error),
-    /// PostgreSQL is set up in two places.
-    #[error("MARLJUNCTION_POSTGRES and the operator's file both set PostgreSQL up: keep one")]
+    /// PostgreSQL is configured in two files.
+    #[error("MARLJUNCTION_POSTGRES and the operator's file both configure PostgreSQL: keep one")]
     ConflictingPostgres,
-    /// The operator's file is wrong, as its messages say.
-    #[error("{} can't be used\n{messages}", path.display())]
+    /// The operator's file does not match its schema.
+    #[error("{} is not valid\n{messages}", path.display())]
     InvalidOperatorFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// All that is wrong with it.
+        /// All errors, one message each.
         messages: String,
     },
-    /// The operator's file is right by its definitions, and yet of another shape.
-    #[error("{} holds no record, or a limit of its fleet has neither a rate nor at_once, or both", path.display())]
+    /// The operator's file matches its schema, but cannot be converted.
+    #[error("{} is not valid: the top level must be a record, and each fleet limit needs either rate or at_once", path.display())]
     OperatorFileStructure {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The fair queues' settings contradict each other.
+    /// The settings of the fair queues contradict each other.
     #[error("{0}")]
     FairQueue(String),
-    /// A weight is of a tenant that the settings do not have.
-    #[error("door: the weight of {0} is of no tenant: name one of the settings'")]
+    /// A weight is given for a tenant that is not in the settings.
+    #[error("door.weights: unknown tenant {0}; use a tenant of the settings")]
     UnknownTenant(String),
 }
 
 impl ConfigError {
-    /// A file that can't be read.
+    /// Wraps an I/O error with the path of the file.
     pub(crate) fn unreadable(path: impl Into<PathBuf>) -> impl FnOnce(std::io::Error) -> ConfigError {
         let path = path.into();
         |source| ConfigError::Unreadable { path, source }
     }
 }
 
-/// Why the program can't start, or can't go on.
+/// Error that prevents the daemon from starting, or ends it.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
-    /// Its files can't be used.
+    /// A configuration file is not valid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The fleet's runtime can't start.
+    /// The fleet runtime cannot start.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// The fleet's keys can't be read.
+    /// The fleet's key file cannot be used.
     #[error(transparent)]
     Keys(#[from] KeyFileError),
     /// An address is not of the form `IP:PORT`.
     #[error("address {address}: {source}")]
     Address {
-        /// The text.
+        /// The address as configured.
         address: String,
-        /// What is wrong with it.
+        /// Parse error.
         source: AddrParseError,
     },
-    /// Where to listen can't be read.
+    /// The listen address or the inherited socket is not valid.
     #[error("{0}")]
     Listen(String),
-    /// The PostgreSQL side names a class that the settings do not have.
+    /// The PostgreSQL configuration names a class that is not in the settings.
     #[error("unknown class {0:?}")]
     UnknownClass(String),
-    /// The machine does not give what the program needs.
+    /// A system call failed.
     #[error("{what}: {source}")]
     Io {
-        /// What was wanted.
+        /// The resource that was requested.
         what: &'static str,
-        /// What the machine says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
 impl DaemonError {
-    /// The machine does not give what the program needs.
+    /// Wraps an I/O error with the resource that was requested.
     pub(crate) fn io(what: &'static str) -> impl Fn(std::io::Error) -> DaemonError {
         move |source| DaemonError::Io { what, source }
     }
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -1,4 +1,4 @@
-//! A small logger: one line an entry on standard error.
+//! Logger that writes one line per record to standard error.
 
 use std::io::Write;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -16,7 +16,7 @@
         if self.enabled(record.metadata()) {
             let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             let level = record.level().as_str().to_ascii_lowercase();
-            // A log that can't be written must not stop the router.
+            // A failing log write must not stop the router.
             let _ = writeln!(
                 std::io::stderr(),
                 "{}.{:03} {level} {}",
@@ -30,14 +30,14 @@
     fn flush(&self) {}
 }
 
-/// Starts logging at the level that `MARLJUNCTION_LOG` names, or at `info`.
+/// Installs the logger at the level of `MARLJUNCTION_LOG`, or at `info`.
 pub fn start() {
     if log::set_logger(&Logger).is_ok() {
         set_level(None);
     }
 }
 
-/// Logs at another level from here on; `MARLJUNCTION_LOG` goes before it.
+/// Sets the log level; `MARLJUNCTION_LOG` takes precedence, and `info` is the default.
 pub fn set_level(level: Option<LevelFilter>) {
     let named = std::env::var("MARLJUNCTION_LOG").ok().and_then(|l| l.parse().ok());
     log::set_max_level(named.or(level).unwrap_or(LevelFilter::Info));
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -1,5 +1,4 @@
-//! The operator's file: written in the configuration language, held against its definitions, and read into what
-//! the program's parts are set up with.
+//! The operator's file: evaluated against its schema and converted to the program's settings.
 
 use std::path::{Path, PathBuf};
 
@@ -19,27 +18,27 @@
 use crate::config::{ConsulConfig, EngineProtocol, PostgresConfig, RouterCount, StartConfig};
 use crate::error::ConfigError;
 
-/// What an operator's file may say.
+/// Schema of the operator's file.
 pub const DEFINITIONS: &str = include_str!("definitions.conf");
 
-/// What an operator's file says.
+/// Content of an operator's file.
 #[derive(Clone, Debug, Default)]
 pub struct Setup {
-    /// The door, where it is on.
+    /// Settings of the fair queues, if enabled.
     pub door: Option<DoorSettings>,
-    /// The PostgreSQL side, where it is on.
+    /// PostgreSQL configuration, if enabled.
     pub postgres: Option<PostgresConfig>,
-    /// How the router starts and comes back.
+    /// Pacing of the start and of reconnects.
     pub start: StartConfig,
-    /// The fleet, where routers talk to each other.
+    /// Fleet configuration, if the router is part of a fleet.
     pub fleet: Option<FleetConfig>,
-    /// What is logged.
+    /// Log level.
     pub level: Option<LevelFilter>,
-    /// All that the file says, with defaults; none where there is no file.
+    /// The evaluated file with defaults; `None` without a file.
     pub value: Option<Value>,
 }
 
-/// Files below the folder of the first one.
+/// Loads included files from the directory of the main file.
 struct IncludeDir {
     root: PathBuf,
 }
@@ -48,19 +47,19 @@
     fn load(&mut self, _from: &str, name: &str) -> Result<(String, String), String> {
         let path = self.root.join(name);
         let resolved = path.canonicalize().map_err(|e| e.to_string())?;
-        // Guards against a file that reaches for what the operator did not put beside it.
+        // Rejects includes of files outside of the main file's directory.
         if !resolved.starts_with(&self.root) {
-            return Err("it lies outside the folder of the first file".into());
+            return Err("it is outside of the main file's directory".into());
         }
         let text = std::fs::read_to_string(&resolved).map_err(|e| e.to_string())?;
         Ok((resolved.display().to_string(), text))
     }
 }
 
-/// Reads a file with what it includes, against the definitions.
+/// Reads a file and its includes, and evaluates them against the schema.
 ///
 /// # Errors
-/// Where the file can't be read; what is wrong with its text is in the outcome.
+/// If the file cannot be read; errors in its text are part of the outcome.
 pub fn read_file(path: &Path) -> Result<Outcome, ConfigError> {
     let resolved = path.canonicalize().map_err(ConfigError::unreadable(path))?;
     let text = std::fs::read_to_string(&resolved).map_err(ConfigError::unreadable(path))?;
@@ -69,7 +68,7 @@
     Ok(read(&name, &text, &mut IncludeDir { root }, DEFINITIONS, "#Main"))
 }
 
-/// All that is wrong with a file, as operators read it; none where nothing is.
+/// Formats all errors of a file for operators; `None` if there are none.
 pub fn faults(outcome: &Outcome) -> Option<String> {
     let all: Vec<String> = outcome.faults.iter().map(|fault| long(&outcome.sources, fault)).collect();
     (!all.is_empty()).then(|| all.join("\n"))
@@ -79,7 +78,7 @@
     /// Reads the operator's file.
     ///
     /// # Errors
-    /// Where it can't be read, or is wrong.
+    /// If it cannot be read or is not valid.
     pub fn from_file(path: &Path) -> Result<Setup, ConfigError> {
         let outcome = read_file(path)?;
         if let Some(messages) = faults(&outcome) {
@@ -88,7 +87,7 @@
         Setup::of(&outcome.value).ok_or_else(|| ConfigError::OperatorFileStructure { path: path.to_owned() })
     }
 
-    /// What a value that its definitions hold for says; none where it is not of their shape.
+    /// Converts a value that matches the schema; `None` if it has another structure.
     fn of(value: &Value) -> Option<Setup> {
         let main = record(value)?;
         let door = main.fields.get("door").map(|f| door(&f.value));
@@ -108,7 +107,7 @@
     }
 }
 
-/// A part that is absent is right, one that can't be read is not.
+/// Returns `Some(None)` for an absent section, and `None` for one that could not be converted.
 fn optional_section<T>(section: Option<Option<T>>) -> Option<Option<T>> {
     match section {
         None => Some(None),
