--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,4 +1,4 @@
-//! Hosts the decision module on the simulator's wire.
+//! Runs the decision module behind the simulator's line protocol.
 
 #![forbid(unsafe_code)]
 
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts controllers on the simulator's wire: standard input to standard output.
+//! Runs controllers behind the simulator's line protocol, on standard input and output.
 
 #![forbid(unsafe_code)]
 
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: lines in, events out; actions in, lines out. No decision is made here.
+//! Translates between the simulator's line protocol and the decision module's events and actions.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -11,12 +11,12 @@
 use marljunction_control::Controller;
 use marljunction_settings::{index_of, read_settings, Names};
 
-/// Why a batch cannot be read: the line's number and the fault.
+/// Error in a line of the input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireError {
-    /// Number of the line, from 1.
+    /// Line number, from 1.
     pub line: u64,
-    /// What is wrong with it.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -43,7 +43,7 @@
     names: Names,
 }
 
-/// Hosts the instances of one process; they have nothing in common but the lists' numbers.
+/// Hosts the controller instances of one process; they share the numbered engine lists only.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<String, Instance>,
@@ -140,12 +140,15 @@
 }
 
 impl Host {
-    /// An empty host.
+    /// Creates a host without instances.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes one line; at the end of a batch gives the reply, to be written and flushed.
+    /// Handles one line. Returns the reply at the end of a batch; it is to be written and flushed.
+    ///
+    /// # Errors
+    /// If the line is malformed or not allowed at this point.
     pub fn handle_line(&mut self, line: &str) -> Result<Option<String>, WireError> {
         self.line += 1;
         self.read(line).map_err(|message| WireError { line: self.line, message })
@@ -374,7 +377,7 @@
             writeln!(reply, "MEMO_TO {to} {}", if data.is_empty() { "-" } else { &data })
         }
         Action::Subscribe => writeln!(reply, "TRACK 1"),
-        // Nothing here tells shares, so nothing is told of what they bear.
+        // The simulator assigns no budgets for cold engines, so there is nothing to report.
         Action::ColdSent { .. } => Ok(()),
         Action::Log(text) => writeln!(reply, "REMARK {}", text.replace(['\n', '\r'], " ")),
     };
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter: round trips and malformed input, through the host alone.
+//! Tests the adapter's line protocol: requests, lists, instances and malformed input.
 
 use marljunction_adapter::wire::Host;
 
@@ -58,7 +58,7 @@
     let after_detach = format!("FRAME 2200000000\nTARGET_INSTANCE controller-0\n{REQ}\nFLUSH\n");
     assert!(
         send_lines(&mut host, &after_detach).unwrap_err().contains("not running"),
-        "all is discarded on DETACH"
+        "DETACH removes the instance"
     );
 }
 
@@ -125,7 +125,7 @@
 
 #[test]
 fn missing_optional_setting_is_none_not_zero() {
-    // No send_cap: further attempts are allowed; no cold_ns: nothing is held back from a fresh engine.
+    // Without send_cap further attempts are allowed; without cold_ns a new engine has no warm-up.
     let bare = SETTINGS.replace(",\"send_cap\":5", "").replace("\"cold_ns\":15000000000,", "");
     let text = start("controller-0").replace(&SETTINGS.replace('\n', ""), &bare.replace('\n', ""));
     let mut host = Host::new();
--- a/crates/lab/src/verdicts.rs
+++ b/crates/lab/src/verdicts.rs
@@ -151,7 +151,7 @@
     (0..routers).for_each(|to| fleet.shape_between(None, to, bad));
     let said = fleet.now();
     let answer = fleet.call(1, "POST", "/fleet/engines/disable", "e1")?;
-    let heard = |f: &Fleet| (0..routers).all(|r| f.said(r).contains("the whole fleet leaves out: e1"));
+    let heard = |f: &Fleet| (0..routers).all(|r| f.said(r).contains("engines excluded fleet-wide: e1"));
     let all = fleet.run_until(LIMIT, heard)?;
     let took = fleet.now() - said;
     let bound = propagation_bound_ns(&HealthParams { routers: routers as u32, ..HealthParams::default() });
--- a/crates/testkit/src/stage.rs
+++ b/crates/testkit/src/stage.rs
@@ -309,7 +309,7 @@
         let ended_well = self.child.wait().is_ok_and(|status| status.success());
         let text = reader.join().map_err(|_| "the log's reader failed")?;
         let counters =
-            text.lines().rev().find(|l| l.contains("ends; ")).map(process::counters).unwrap_or_default();
+            text.lines().rev().find(|l| l.contains("stopped; ")).map(process::counters).unwrap_or_default();
         let tenants = text.lines().filter_map(|l| {
             let (name, fields) = l.split_once("door tenant=")?.1.split_once(' ')?;
             Some((name.to_owned(), process::counters(fields)))
--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -1,4 +1,4 @@
-//! The admin API: executes operators' calls and answers them.
+//! Executes calls to the admin API.
 
 use marljunction_discovery::bans::Refusal;
 use marljunction_discovery::engine_id;
@@ -8,29 +8,29 @@
 use super::overrides::PendingConfirmation;
 use super::Daemon;
 
-/// The server, and clients that wait until the fleet has heard their override.
+/// The server, and calls that wait for peers to acknowledge an override.
 pub(super) struct Admin {
     pub(super) server: OperatorFront,
     pub(super) pending: Vec<PendingConfirmation>,
 }
 
 impl Admin {
-    /// A server for a process with so many descriptors (count).
+    /// A server for a process that may open `descriptors` file descriptors.
     pub(super) fn new(descriptors: usize) -> Admin {
         Admin { server: OperatorFront::new(descriptors), pending: Vec::new() }
     }
 }
 
-/// What a call came to.
+/// Result of a call.
 enum Outcome {
-    /// Its answer.
+    /// Answered immediately.
     Reply(Reply),
-    /// It is answered once the peers have heard the override of this version.
+    /// Answered once the peers have acknowledged the override of this version.
     AwaitPeers(Version),
 }
 
 impl Daemon {
-    /// Executes one call and answers it, at once or when the peers have heard of it.
+    /// Executes a call; answers it, or leaves it pending until peers acknowledge its override.
     pub(super) fn handle_call(&mut self, now: u64, conn: u64, call: Call) {
         match self.execute_call(now, &call) {
             Outcome::Reply(reply) => {
--- a/src/daemon/clients.rs
+++ b/src/daemon/clients.rs
@@ -1,7 +1,8 @@
-//! Accepts connections, within the bounds on descriptors.
+//! Accepts connections within the limit on file descriptors.
 //!
-//! Invariants: one iteration accepts a bounded number, so that those who are connected have their turn; where no descriptor is to
-//! be had, an idle client makes room, or all wait in the listener's queue.
+//! Invariants: each iteration accepts a bounded number of connections, so that open connections are
+//! served in between; without a free descriptor an idle client is closed, or new connections wait
+//! in the listener's backlog.
 
 use std::io::ErrorKind;
 use std::net::IpAddr;
@@ -12,26 +13,26 @@
 
 use super::Daemon;
 
-/// Wait after which a listener is tried again when no descriptor was to be had (ns).
+/// Delay before accepting again after running out of file descriptors.
 const ACCEPT_RETRY_DELAY_NS: u64 = 20_000_000;
-/// The machine's codes for no descriptor to be had, of all processes and of this one (`ENFILE`, `EMFILE`).
+/// System and process limit of file descriptors reached (`ENFILE`, `EMFILE`).
 const NO_DESCRIPTOR_CODES: [i32; 2] = [23, 24];
-/// Connections that a listener accepts in one iteration (count): hundreds may come at once, and others wait meanwhile.
+/// Connections that a listener accepts in one iteration.
 const MAX_ACCEPTS: usize = 64;
 
-/// What one attempt to accept came to.
+/// Result of accepting on a listener.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AcceptOutcome {
-    /// There may be more.
+    /// More connections may be waiting.
     Continue,
-    /// Nothing waits any more.
+    /// The backlog is empty.
     QueueEmpty,
-    /// No descriptor is to be had: it is tried again later.
+    /// No file descriptor is available; to be retried later.
     RetryLater,
 }
 
 impl Daemon {
-    /// Accepts clients of both protocols.
+    /// Accepts clients on both protocols' listeners.
     pub(super) fn accept_clients(&mut self, now: u64) {
         self.listeners.retry_ns = None;
         for owner in [Owner::Msgpack, Owner::Postgres] {
@@ -41,18 +42,18 @@
         }
     }
 
-    /// Accepts connections to the admin API: at once, however busy the router is, within the API's own bound.
+    /// Accepts connections to the admin API, which has its own connection limit.
     pub(super) fn accept_admin(&mut self, now: u64) {
         for _ in 0..MAX_ACCEPTS {
             if self.accept_one_admin(now) != AcceptOutcome::Continue {
                 return;
             }
         }
-        // No further event tells of those who still wait.
+        // The poll raises no further event for connections that still wait.
         self.listeners.retry_ns = Some(now);
     }
 
-    /// Tries the listeners again where that is due.
+    /// Accepts again if a retry is due.
     pub(super) fn retry_accept(&mut self, now: u64) {
         if self.listeners.retry_ns.is_some_and(|at| now >= at) {
             self.accept_clients(now);
@@ -61,7 +62,7 @@
     }
 
     fn accept_clients_of(&mut self, now: u64, owner: Owner) -> AcceptOutcome {
-        // Guards against hundreds that connect at once: who is connected already has its turn first.
+        // Guards against a burst of new connections that starves open ones.
         for _ in 0..MAX_ACCEPTS {
             let accepted = self.accept_one_client(now, owner);
             if accepted != AcceptOutcome::Continue {
@@ -77,7 +78,8 @@
             return AcceptOutcome::QueueEmpty;
         }
         let full = self.net.clients() >= self.listeners.max_clients && !self.net.drop_leaver();
-        // Guards against running out of descriptors: who has nothing open makes room, else all wait.
+        // Without a free descriptor, an idle client is closed for the new one, or the new one
+        // waits.
         let evicted = if full { self.idle_client(now) } else { None };
         if full && evicted.is_none() {
             self.listeners.retry_ns = Some(now + ACCEPT_RETRY_DELAY_NS);
@@ -119,7 +121,7 @@
 
     fn register_client(&mut self, now: u64, owner: Owner, (conn, peer): (u64, IpAddr), evicted: Option<u64>) {
         self.router.counters.accepted += 1;
-        // Only now: guards against closing one whenever nobody else comes.
+        // Only once a new client is accepted: guards against closing idle clients without need.
         if let Some(idle) = evicted {
             self.close_idle(idle);
         }
@@ -127,7 +129,7 @@
             (Owner::Postgres, Some(front)) => front.accept(now, conn, peer),
             _ => self.fronts.msgpack.accept(now, conn, peer),
         }
-        // What it has sent counts in this iteration: guards against a cancel that is heard only after what it ends has gone out.
+        // Guards against a cancel request that is read only after its statement has been sent.
         self.connection_ready(now, conn);
     }
 
@@ -140,11 +142,10 @@
         }
     }
 
-    /// A connection could not be accepted: whether it can be tried again at once, as a client made room for it. Guards against
-    /// spinning on a listener that has no descriptor to give, and against those who wait in its queue behind clients with nothing
-    /// open, where the machine gives fewer descriptors than the configuration says.
+    /// Handles a failed accept: closes an idle client if descriptors ran out, else schedules a
+    /// retry. Returns whether accepting can be retried immediately.
     fn recover_from_accept_error(&mut self, now: u64, error: &std::io::Error) -> bool {
-        warn!("accept: {error}");
+        warn!("could not accept a connection: {error}");
         self.router.counters.short_of_descriptors += 1;
         let short = error.raw_os_error().is_some_and(|code| NO_DESCRIPTOR_CODES.contains(&code));
         let idle = if short { self.idle_client(now) } else { None };
@@ -155,7 +156,8 @@
         idle.is_some()
     }
 
-    /// The client that makes room for another, looked at once more. Guards against one that does so with its request unread.
+    /// Returns an idle client that can be closed. Reads from it first: guards against closing a
+    /// client whose request is still unread.
     fn idle_client(&mut self, now: u64) -> Option<u64> {
         loop {
             let idle = self.fronts.msgpack.idle(now, &self.net)?;
--- a/src/daemon/counters.rs
+++ b/src/daemon/counters.rs
@@ -1,4 +1,4 @@
-//! Counters: one line for all, and the fair queues' by tenant and client.
+//! Formats the counters for the log.
 
 use log::info;
 use marljunction_control::interface::TenantId;
@@ -6,7 +6,7 @@
 use super::Daemon;
 
 impl Daemon {
-    /// All counters in one line.
+    /// Formats all counters as one line.
     pub(super) fn counters_line(&mut self) -> String {
         let now = self.clock.now_ns();
         let mut parts = vec![
@@ -22,7 +22,7 @@
         parts.join(" ")
     }
 
-    /// Logs all counters, and the fair queues' by tenant where there are any.
+    /// Logs all counters, and those of the fair queues by tenant and client.
     pub(super) fn log_counters(&mut self) {
         let line = self.counters_line();
         info!("{line}");
--- a/src/daemon/engine_list.rs
+++ b/src/daemon/engine_list.rs
@@ -1,4 +1,5 @@
-//! News of the engines: from its source, through operators' exclusions, to the backend and the decision module.
+//! Passes engine list changes from their source through operators' exclusions to the backend and
+//! the decision module.
 
 use marljunction_discovery::bans::Bans;
 use marljunction_discovery::stream::Update;
@@ -10,27 +11,27 @@
 use super::snapshot::Snapshot;
 use super::Daemon;
 
-/// Where news of the engines comes from, and what is kept of it.
+/// Source of the engine list, and state derived from it.
 pub(super) struct EngineList {
-    /// The list service; none where there is none.
+    /// Client of the list service, if there is one.
     pub(super) source: Option<Source>,
-    /// When and where the list is kept, for a start without the list service.
+    /// Snapshot on disk, for a start without the list service.
     pub(super) snapshot: Snapshot,
-    /// Engines that operators took out, and the list as it was told last.
+    /// Engines that operators excluded, and the latest list.
     pub(super) exclusions: Exclusions,
-    /// What a relay's stream has brought.
+    /// State of a relay's stream from the list service.
     pub(super) relay_stream: RelayStream,
 }
 
 impl EngineList {
-    /// The engines that operators took out, by this router or the whole fleet.
+    /// Returns the engines that operators excluded, on this router or fleet-wide.
     pub(super) fn bans(&mut self) -> &mut Bans {
         &mut self.exclusions.bans
     }
 }
 
 impl Daemon {
-    /// Takes the engines that are known at the start: exclusions first, then the configuration's list, else the kept one.
+    /// Loads the initial engines: from the configuration, else from the snapshot.
     pub(super) fn load_engines(&mut self, mut known: Vec<Update>, max_snapshot_age_ns: u64) {
         self.read_exclusions(self.clock.now_ns());
         let any_known = known.iter().any(|update| !update.change.targets.is_empty());
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Takes what has come in on a connection to the list service.
+    /// Reads a connection to the list service.
     pub(super) fn discovery_ready(&mut self, now: u64, conn: u64) {
         let Some(source) = &mut self.engine_list.source else { return };
         let changes = source.ready(now, &mut self.net, conn);
@@ -60,7 +61,7 @@
         }
     }
 
-    /// News of the source: kept, and told through the exclusions.
+    /// Applies a change of the engine list, with operators' exclusions.
     pub(super) fn apply_list_change(&mut self, change: Change) {
         self.engine_list.snapshot.list.changed();
         if let Some(health) = self.router.health() {
@@ -70,12 +71,12 @@
         self.notify(change);
     }
 
-    /// Tells the backend and the decision module of a change.
+    /// Passes a change to the backend and the decision module.
     pub(super) fn notify(&mut self, change: Change) {
         let now = self.clock.now_ns();
         let mut context = Context { now, net: &mut self.net, router: &mut self.router };
         self.engines.apply_change(&mut context, &change);
-        // In the place of the targets: guards against memory for both at once.
+        // Converts in place: guards against holding two copies of a large list.
         let mut entries: Vec<_> = change.targets.into_iter().map(|target| target.entry).collect();
         entries.shrink_to_fit();
         self.router.membership(change.kind, entries);
--- a/src/daemon/exclusions.rs
+++ b/src/daemon/exclusions.rs
@@ -1,6 +1,5 @@
-//! Engines that operators took out of this router, shared with the other process of an upgrade through a file.
-//!
-//! It is written aside and renamed, so that a successor never reads half of it.
+//! Engines that operators excluded on this router, shared with the other process of an upgrade
+//! through a file that is replaced atomically.
 
 use std::path::{Path, PathBuf};
 
@@ -10,25 +9,25 @@
 
 use super::Daemon;
 
-/// Name of the file, in `$TMPDIR`.
+/// Name of the file in `$TMPDIR`.
 const FILE_NAME: &str = "marljunction-bans";
-/// How often the file is read that the other process of an upgrade may have written (ns).
+/// Interval between reads of the file.
 const READ_PERIOD_NS: u64 = 200_000_000;
 
-/// The excluded engines, and where they are kept.
+/// The excluded engines, and the file that they are stored in.
 pub(super) struct Exclusions {
     pub(super) bans: Bans,
-    /// The file, and its text as last read or written; none where nothing is kept.
+    /// Path and the text last read or written; `None` if they are not stored.
     file: Option<(PathBuf, String)>,
     last_read_ns: u64,
-    /// Engines that operators took out of the whole fleet, as they were last applied.
+    /// Engines excluded fleet-wide, as last applied.
     pub(super) fleet_excluded: Vec<String>,
-    /// The revision of the fleet's overrides that was applied last.
+    /// Revision of the fleet's overrides that was last applied.
     pub(super) applied_revision: u64,
 }
 
 impl Exclusions {
-    /// None yet, kept in this directory.
+    /// No exclusions yet; they are stored in `directory`.
     pub(super) fn in_directory(directory: Option<&Path>) -> Exclusions {
         Exclusions {
             bans: Bans::new(),
@@ -39,26 +38,26 @@
         }
     }
 
-    /// Writes the exclusions for a successor.
+    /// Writes the exclusions for the other process of an upgrade.
     pub(super) fn write(&mut self) {
         let Some((path, written)) = &mut self.file else { return };
         let text = self.bans.to_text();
         match write_atomically(path, &text) {
             Ok(()) => *written = text,
-            Err(error) => warn!("the bans could not be kept in {}: {error}", path.display()),
+            Err(error) => warn!("could not write the excluded engines to {}: {error}", path.display()),
         }
     }
 }
 
 impl Daemon {
-    /// Reads the file again, where that is due.
+    /// Reads the file again if that is due.
     pub(super) fn poll_exclusions(&mut self, now: u64) {
         if now >= self.engine_list.exclusions.last_read_ns + READ_PERIOD_NS {
             self.read_exclusions(now);
         }
     }
 
-    /// Takes what the other process of an upgrade may have written, where it changed.
+    /// Applies the file if the other process of an upgrade changed it.
     pub(super) fn read_exclusions(&mut self, now: u64) {
         let exclusions = &mut self.engine_list.exclusions;
         exclusions.last_read_ns = now;
@@ -69,7 +68,7 @@
         }
         let changes = exclusions.bans.adopt(bans::read_text(&text), now);
         let names: Vec<&str> = exclusions.bans.names().collect();
-        info!("bans read from {}: {}", path.display(), names.join(" "));
+        info!("excluded engines read from {}: {}", path.display(), names.join(" "));
         *seen = text;
         for change in changes {
             self.notify(change);
--- a/src/daemon/iteration.rs
+++ b/src/daemon/iteration.rs
@@ -1,4 +1,5 @@
-//! The event loop: waits for what is ready, dispatches it, passes time, runs the decision module, executes its commands.
+//! The event loop: polls for events, dispatches them, runs timers and the decision module, and
+//! executes its commands.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -16,27 +17,28 @@
 use super::Daemon;
 use crate::error::DaemonError;
 
-/// How often engines, discovery and the fleet are passed time (ns).
+/// Interval between ticks of engines, discovery and the fleet.
 const TICK_NS: u64 = 20_000_000;
-/// Events that one poll takes (count); further ones come with the next.
+/// Maximum number of events returned by one poll.
 const MAX_EVENTS: usize = 1_024;
 
-/// What the loop waits on, and what it carries from one iteration to the next.
+/// The poll, and the state that is kept between iterations.
 pub(super) struct EventLoop {
     poll: Poll,
     pub(super) signals: Signals,
-    /// Connections with input that no event tells of.
+    /// Tokens with unread input, for which no further event is raised.
     pub(super) unread: Vec<u64>,
     last_tick_ns: u64,
     commands: Vec<Command>,
 }
 
 impl EventLoop {
-    /// Opens the poll and takes the signals over.
+    /// Opens the poll and installs the signal handlers.
     pub(super) fn open() -> Result<(EventLoop, Registry), DaemonError> {
         let poll = Poll::new().map_err(DaemonError::io("poll"))?;
         let registry = poll.registry().try_clone().map_err(DaemonError::io("poll"))?;
-        // Before anything says that this process is there: guards against a signal that ends it as it starts.
+        // Before the listeners open: guards against a signal that kills the process during its
+        // start.
         let mut signals = Signals::new([SIGTERM, SIGUSR1, SIGHUP]).map_err(DaemonError::io("signals"))?;
         registry.register(&mut signals, SIGNALS, Interest::READABLE).map_err(DaemonError::io("signals"))?;
         let event_loop =
@@ -46,18 +48,18 @@
 }
 
 impl Daemon {
-    /// Serves until told to stop.
+    /// Runs until the process has stopped after SIGTERM.
     ///
     /// # Errors
-    /// Where the machine no longer tells what is ready.
+    /// If polling fails.
     pub fn run(&mut self) -> Result<(), DaemonError> {
         let mut events = Events::with_capacity(MAX_EVENTS);
         loop {
             let timeout = self.poll_timeout();
             match self.event_loop.poll.poll(&mut events, Some(timeout)) {
                 Ok(()) => {}
-                // Guards against a process that stood still and finds its timers past and its news unread: what is due is looked at
-                // with what came, never before it.
+                // Polls again before timers run. Guards against timers that expire ahead of input
+                // that came while the process was suspended.
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) => return Err(DaemonError::io("poll")(error)),
             }
@@ -67,7 +69,7 @@
                 self.net.finish_all(now);
                 self.log_counters();
                 let line = self.counters_line();
-                info!("ends; {line}");
+                info!("stopped; {line}");
                 return Ok(());
             }
         }
@@ -85,7 +87,7 @@
         self.flush_pending();
     }
 
-    /// How long the loop may wait for events.
+    /// Returns how long the loop may wait for events.
     fn poll_timeout(&self) -> Duration {
         if !self.event_loop.unread.is_empty() || self.router.has_pending_events() {
             return Duration::ZERO;
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Hands a connection that is ready to its owner.
+    /// Passes a ready connection to its owner.
     pub(super) fn connection_ready(&mut self, now: u64, conn: u64) {
         match self.net.owner(conn) {
             None => {}
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Takes datagrams of the fleet's other routers.
+    /// Reads datagrams of the other routers.
     fn fleet_ready(&mut self, now: u64) {
         if let Some(fleet) = &mut self.fleet {
             fleet.ready(now, &mut self.router);
@@ -153,11 +155,11 @@
             }
         }
         self.apply_relay_updates();
-        // An override counts from when it was heard.
+        // An override takes effect in the iteration that receives it.
         self.apply_overrides(now);
     }
 
-    /// Passes time to all that is driven.
+    /// Runs the timers of all components.
     fn tick(&mut self, now: u64) {
         let mut context = Context { now, net: &mut self.net, router: &mut self.router };
         self.engines.tick(&mut context);
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Hands what was gathered to the decision module and executes what comes back; what fails at once is handed over in its turn.
+    /// Runs the decision module and executes its commands, until they cause no further events.
     fn run_module(&mut self) {
         loop {
             let now = self.clock.now_ns();
@@ -247,7 +249,7 @@
         }
     }
 
-    /// Writes the calls to engines that wait for the end of the iteration.
+    /// Writes the calls to engines that were held until the end of the iteration.
     fn flush_pending(&mut self) {
         let now = self.clock.now_ns();
         for conn in self.net.release() {
--- a/src/daemon/listeners.rs
+++ b/src/daemon/listeners.rs
@@ -1,4 +1,4 @@
-//! The listening sockets: for MessagePack clients, PostgreSQL clients and the admin API.
+//! Listening sockets for MessagePack clients, PostgreSQL clients and the admin API.
 
 use log::info;
 use marljunction_net::listener::Listen;
@@ -13,27 +13,27 @@
 pub(super) const SIGNALS: Token = Token(2);
 pub(super) const ADMIN: Token = Token(3);
 pub(super) const FLEET: Token = Token(4);
-/// Numbers of connections start behind those of listeners.
+/// First token of a connection; lower ones are reserved.
 pub(super) const FIRST_CONNECTION: u64 = 15;
 
-/// The least file descriptors that bounds are computed for, whatever the configuration says (count).
+/// Lower bound on the configured number of file descriptors.
 pub(super) const MIN_DESCRIPTORS: usize = 64;
 
-/// The open listeners, and the bound on what they accept.
+/// The open listeners, and the limit on client connections.
 pub(super) struct Listeners {
     pub(super) msgpack: Option<TcpListener>,
     pub(super) postgres: Option<TcpListener>,
     pub(super) admin: Option<TcpListener>,
-    /// The MessagePack listener is shared with whoever started this process: a successor accepts from it.
+    /// The MessagePack socket was inherited, so the next process accepts on it as well.
     pub(super) shared: bool,
-    /// Clients' connections that may be open (count).
+    /// Maximum number of open client connections.
     pub(super) max_clients: usize,
-    /// When the listeners are tried again (ns), where they may hold connections that no event tells of.
+    /// When to accept again, if connections may wait for which no event is raised.
     pub(super) retry_ns: Option<u64>,
 }
 
 impl Listeners {
-    /// Opens all of them.
+    /// Opens all listeners.
     pub(super) fn open(
         registry: &Registry,
         files: &ConfigFiles,
@@ -53,18 +53,19 @@
             postgres,
             admin,
             shared: clients.is_shared(),
-            // The rest, less a few, is for engines.
+            // The rest is for connections to engines, apart from a few.
             max_clients: config.limits.sockets.max(MIN_DESCRIPTORS) * 2 / 5,
             retry_ns: None,
         })
     }
 
-    /// Whether clients can still connect.
+    /// Returns whether clients can still connect.
     pub(super) fn accepts_clients(&self) -> bool {
         self.msgpack.is_some() || self.postgres.is_some()
     }
 
-    /// Closes the clients' listeners; the admin API stays open to the end, as it tells that the process is not ready.
+    /// Closes the client listeners. The admin API stays open to report that the process is not
+    /// ready.
     pub(super) fn close_for_clients(&mut self) {
         self.msgpack = None;
         self.postgres = None;
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,11 +1,11 @@
-//! The running router: one event loop, and all that it drives.
+//! The router daemon: a single-threaded event loop and the components that it drives.
 //!
-//! An iteration gathers what is ready, hands it to the decision module in one go, executes the commands that come back, and
-//! flushes what waits for engines. Invariants:
+//! Each iteration reads ready connections, passes their events to the decision module in one batch,
+//! executes the resulting commands, and flushes pending writes to engines. Invariants:
 //!
-//! - Every listener, connection and datagram socket belongs to the loop's one thread.
-//! - What comes in within an iteration is known to the module before anything of that iteration goes out to engines.
-//! - The clock is read here and passed in; nothing below the loop reads it.
+//! - Listeners, connections and datagram sockets are used by the loop's thread only.
+//! - All input of an iteration reaches the decision module before the iteration writes to engines.
+//! - Only the daemon reads the clock; components get the time as an argument.
 
 mod admin;
 mod clients;
@@ -40,7 +40,7 @@
 use listeners::Listeners;
 use stop::StopState;
 
-/// What the configuration said of keys that only a restart applies.
+/// Configured values that only take effect at a start.
 #[derive(PartialEq)]
 struct AppliedConfig {
     listen: String,
@@ -58,11 +58,11 @@
     }
 }
 
-/// The files that the process is set up by, and what of them is in force.
+/// The configuration files, and the configuration in force.
 struct ConfigState {
     files: ConfigFiles,
     applied: AppliedConfig,
-    /// What the operator's file said when it was last applied.
+    /// The operator's file as last applied.
     operator_file: Option<Value>,
     settings: Settings,
     directory: Directory,
@@ -80,13 +80,13 @@
     }
 }
 
-/// What speaks to clients, by protocol.
+/// The client protocols.
 struct Fronts {
     msgpack: MsgpackFront,
     postgres: Option<PostgresFront>,
 }
 
-/// A running router.
+/// The router daemon.
 pub struct Daemon {
     clock: Clock,
     event_loop: EventLoop,
@@ -99,6 +99,6 @@
     engines: Box<dyn Backend>,
     engine_list: EngineList,
     admin: Admin,
-    /// What talks to the fleet's other routers; none where nothing does.
+    /// Communication with the other routers; `None` outside of a fleet.
     fleet: Option<FleetRuntime>,
 }
--- a/src/daemon/overrides.rs
+++ b/src/daemon/overrides.rs
@@ -1,4 +1,4 @@
-//! Operators' overrides of engine health that hold for the whole fleet: published, applied, and confirmed to whoever asked.
+//! Operators' fleet-wide overrides of engine health: publishes, applies and confirms them.
 
 use log::info;
 use marljunction_front::operator::{Call, Reply};
@@ -6,25 +6,25 @@
 
 use super::Daemon;
 
-/// How long a client of the admin API waits for the peers to have heard its override (ns): shorter than it may stay connected.
+/// Longest wait for peers to acknowledge an override; shorter than the admin API's client timeout.
 const CONFIRM_TIMEOUT_NS: u64 = 1_500_000_000;
 
-/// A client of the admin API whose override is on its way to the fleet.
+/// A call to the admin API whose override peers have yet to acknowledge.
 pub(super) struct PendingConfirmation {
     conn: u64,
     call: Call,
     version: Version,
-    /// When it is answered at the latest (ns).
+    /// Time at which it is answered in any case.
     deadline_ns: u64,
 }
 
 impl Daemon {
-    /// Whether this router knows which engines the fleet was told to leave out.
+    /// Returns whether the fleet's overrides have been received, or no peer was found in time.
     pub(super) fn overrides_synced(&mut self, now: u64) -> bool {
         self.router.health().is_none_or(|health| health.node().is_synced(now))
     }
 
-    /// Publishes an override to the fleet, and gives its version.
+    /// Publishes an override to the fleet and returns its version, or an error reply.
     pub(super) fn publish_override(&mut self, now: u64, id: &str, excluded: bool) -> Result<Version, Reply> {
         let listed = self.engine_list.bans().knows(id);
         let Some(health) = self.router.health() else {
@@ -38,7 +38,7 @@
         version.ok_or_else(|| Reply::new(409, "as many engines are out as may be"))
     }
 
-    /// Excludes the engines that the fleet's overrides exclude, and no others.
+    /// Applies the engines that the fleet's overrides exclude.
     pub(super) fn apply_overrides(&mut self, now: u64) {
         let Some(health) = self.router.health() else { return };
         let exclusions = &mut self.engine_list.exclusions;
@@ -51,7 +51,7 @@
         if excluded == exclusions.fleet_excluded {
             return;
         }
-        info!("the whole fleet leaves out: {}", excluded.join(" "));
+        info!("engines excluded fleet-wide: {}", excluded.join(" "));
         let changes = exclusions.bans.set_fleet(excluded.iter().map(String::as_str), now);
         exclusions.fleet_excluded = excluded;
         for change in changes {
@@ -59,13 +59,13 @@
         }
     }
 
-    /// Answers a client once the peers have heard its override.
+    /// Leaves a call pending until the peers have acknowledged its override.
     pub(super) fn await_confirmation(&mut self, now: u64, conn: u64, call: Call, version: Version) {
         let deadline_ns = now + CONFIRM_TIMEOUT_NS;
         self.admin.pending.push(PendingConfirmation { conn, call, version, deadline_ns });
     }
 
-    /// Answers clients whose override all peers have heard, and those that have waited long enough.
+    /// Answers the pending calls that all peers have acknowledged, or that timed out.
     pub(super) fn confirm_overrides(&mut self, now: u64) {
         for pending in std::mem::take(&mut self.admin.pending) {
             let Some(health) = self.router.health() else { continue };
--- a/src/daemon/relayed_list.rs
+++ b/src/daemon/relayed_list.rs
@@ -1,7 +1,9 @@
-//! The list of engines by way of relays: a relay tells on what the list service told it, a router of a cell learns its part.
+//! Distribution of the engine list through relays: a relay forwards the list service's changes, and
+//! a router of a cell receives its cell's part.
 //!
-//! Invariants: a relay takes the news of one read at once, under the number of the last of them; it counts the list service as
-//! heard only once what it missed must have come; a router of a cell takes nothing of the list but its cell's engines.
+//! Invariants: a relay publishes all changes of one read together, with the index of the last one;
+//! it records contact with the list service only after missed changes must have arrived; a router
+//! of a cell holds its cell's engines only.
 
 use log::{info, warn};
 use marljunction_cells::{CellConfig, Engine, PartNews};
@@ -14,23 +16,23 @@
 use super::Daemon;
 use crate::config::{Config, RouterCount, StartConfig};
 
-/// Time for which a stream must be open before what is heard on it tells that nothing was missed (ns), unless the whole list came on
-/// it: what happened meanwhile comes first, and a comment each second behind it.
+/// Time that a stream must be open before it counts as caught up, unless it has sent a full list.
+/// The service sends missed events first, and then a comment each second.
 const CATCH_UP_DELAY_NS: u64 = 1_000_000_000;
-/// Where an engine that is gone listened: it is told of without.
+/// Placeholder for the address of a removed engine, which updates do not carry.
 const UNSPECIFIED_ADDRESS: std::net::SocketAddr =
     std::net::SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
-/// What a relay's stream has brought.
+/// State of a relay's stream from the list service.
 #[derive(Default)]
 pub(super) struct RelayStream {
-    /// Since when the stream is open (ns).
+    /// When the stream was opened.
     open_since_ns: Option<u64>,
-    /// The whole list has come on it.
+    /// The stream has sent a full list.
     has_full_list: bool,
 }
 
-/// Makes the module divide by the routers of the cell, where this router is of one, in place of the whole fleet.
+/// Makes budgets be divided among the routers of this router's cell, if it has one, and returns it.
 pub(super) fn apply_cell(
     config: &mut Config,
     start: &mut StartConfig,
@@ -44,7 +46,7 @@
     Some(cell)
 }
 
-/// Tells of classes that no engine of the cell can serve.
+/// Warns of classes that no engine of the cell can serve.
 pub(super) fn warn_unservable_classes(config: &Config, cell: &CellConfig) {
     if cell.id.zone.is_none() {
         return;
@@ -52,12 +54,12 @@
     for (class, name) in config.settings.classes.iter().zip(&config.names.classes) {
         let elsewhere = class.only_zones.as_ref().zip(config.settings.zone);
         if elsewhere.is_some_and(|(zones, own_zone)| !zones.contains(&own_zone)) {
-            warn!("class {name} is served in other zones only: a router of a cell knows no engine there");
+            warn!("class {name} is served in other zones only, and this router's cell has no engines there");
         }
     }
 }
 
-/// The engines of a change, as relays tell of them.
+/// Converts the engines of a change to the relays' format.
 fn to_cell_engines(change: &Change, names: &Names) -> Vec<Engine> {
     change.targets.iter().map(|target| to_cell_engine(&target.entry, target.address, names)).collect()
 }
@@ -66,7 +68,7 @@
     Target { entry: to_engine_entry(engine, names), address: engine.address }
 }
 
-/// A change of the list, of what a relay told.
+/// Converts a relay's update to a change of the engine list.
 fn to_change(update: PartNews, names: &Names) -> Change {
     match update {
         PartNews::Whole(engines) => Change {
@@ -84,7 +86,7 @@
 }
 
 impl Daemon {
-    /// Leaves of a change what is of this router's cell, where it is of one.
+    /// Removes engines of other cells from a change, if this router has a cell.
     pub(super) fn retain_cell(&self, change: &mut Change) {
         let Some(subscriber) = self.fleet.as_ref().and_then(|fleet| fleet.subscriber()) else { return };
         let names = self.config.directory.names();
@@ -92,7 +94,7 @@
         change.targets.retain(|target| cell.holds(&to_cell_engine(&target.entry, target.address, names)));
     }
 
-    /// Takes what relays told of this router's cell.
+    /// Applies the updates received from relays.
     pub(super) fn apply_relay_updates(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
         for update in fleet.take_list_updates() {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Tells routers what the list service told, where this process is a relay; the list is at this event then.
+    /// On a relay, publishes changes that bring the list to the event `version`.
     pub(super) fn publish_list_update(&mut self, now: u64, version: u64, changes: &[Change]) {
         let Some(fleet) = self.fleet.as_mut().filter(|fleet| fleet.relay().is_some()) else { return };
         let names = self.config.directory.names();
@@ -111,7 +113,7 @@
         fleet.update_list(now, version, update);
     }
 
-    /// Tells a relay's routers how old its news is, once nothing of it can be missing.
+    /// On a relay, records how fresh its list is, once it cannot lack earlier changes.
     pub(super) fn record_list_freshness(&mut self, now: u64) {
         let Some(fleet) = self.fleet.as_mut().filter(|fleet| fleet.relay().is_some()) else { return };
         let Some(source) = &self.engine_list.source else { return };
@@ -125,7 +127,7 @@
             let was_ready = fleet.relay().is_some_and(|relay| relay.is_ready());
             fleet.record_list_service_contact(now, source.age_ns(now));
             if let Some(relay) = fleet.relay().filter(|relay| relay.is_ready() && !was_ready) {
-                info!("relay: knows the whole list, {} engines, and tells routers of it", relay.engines());
+                info!("relay: ready to serve the full list of {} engines", relay.engines());
             }
         }
     }
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -1,7 +1,7 @@
-//! Reads the configuration again while requests are open.
+//! Reloads the configuration while requests are open.
 //!
-//! What can change is applied: where news of the engines comes from, the news that the file holds, pacing, limits, weights. A file
-//! that can't be read leaves all as it is.
+//! Applies the address of the list service, new membership events, pacing, limits and weights. If a
+//! file is not valid, nothing changes.
 
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
 use crate::logger;
 
 impl Daemon {
-    /// Reads the files again and applies what can change. Guards against a file that is replaced badly.
+    /// Reads the files again and applies them; an invalid file leaves the configuration in force.
     pub(super) fn reload(&mut self, now: u64) {
         match self.read_files() {
             Ok((read, address)) => {
@@ -28,12 +28,12 @@
             }
             Err(error) => {
                 self.router.counters.reloads_failed += 1;
-                warn!("the configuration stays as it was: {error}");
+                warn!("reload failed, the configuration is unchanged: {error}");
             }
         }
     }
 
-    /// What the files say, and the address of the list service where it is of the kind that runs.
+    /// Reads the files, and the address of the list service if its kind is unchanged.
     fn read_files(&self) -> Result<(LoadedConfig, Option<SocketAddr>), DaemonError> {
         let read = self.config.files.read()?;
         let consul = read.postgres.as_ref().and_then(|postgres| postgres.consul.as_ref());
@@ -62,7 +62,7 @@
             (Some(source), Some(address)) => source.reload(now, &mut self.net, address, known),
             _ => Vec::new(),
         };
-        info!("the configuration was read again; {} membership events were new", changes.len());
+        info!("configuration reloaded with {} new membership events", changes.len());
         for change in changes {
             self.apply_list_change(change);
         }
@@ -70,7 +70,7 @@
             self.apply_fair_queue(door, &config);
         }
         if self.engine_list.source.is_some() && address.is_none() {
-            warn!("another source of membership news needs a restart");
+            warn!("a change of the source of membership events needs a restart");
         }
         if AppliedConfig::of(&config) != self.config.applied {
             warn!("changes of listen, limits or settings need a restart");
@@ -100,9 +100,9 @@
         let Some(door) = self.router.door() else { return };
         let weights = config.weights(&settings);
         let restart = door.reload(settings, &weights);
-        info!("the door has weights {weights:?}");
+        info!("fair queues: weights are {weights:?}");
         if !restart.is_empty() {
-            warn!("changes of the door's {} need a restart", restart.join(", "));
+            warn!("fair queues: changes of {} need a restart", restart.join(", "));
         }
     }
 }
--- a/src/daemon/snapshot.rs
+++ b/src/daemon/snapshot.rs
@@ -1,6 +1,6 @@
-//! The last list of engines on disk, for a start without the list service.
+//! Snapshot of the engine list on disk, for a start without the list service.
 //!
-//! It is written aside and renamed, so that no start finds half of it. What the list service tells replaces it whole.
+//! The file is replaced atomically. A list from the list service replaces the loaded snapshot.
 
 use std::path::{Path, PathBuf};
 
@@ -12,29 +12,29 @@
 
 use super::Daemon;
 
-/// When the list is written, and the file that it is kept in.
+/// Schedule and file of the snapshot.
 pub(super) struct Snapshot {
     pub(super) list: CachedSnapshot,
     bound: ListBound,
-    /// None where it is not kept.
+    /// `None` if no snapshot is stored.
     path: Option<PathBuf>,
 }
 
 impl Snapshot {
-    /// One that is kept in this file, up to a bound.
+    /// A snapshot in the file `path`, limited in size by `bound`.
     pub(super) fn in_file(path: Option<PathBuf>, bound: ListBound) -> Snapshot {
         Snapshot { list: CachedSnapshot::new(bound), bound, path }
     }
 }
 
 impl Daemon {
-    /// Takes the kept list for the list of engines, where there is one that can be believed: nothing is asked of the list service
-    /// behind a number that it gave to another process.
+    /// Loads the snapshot as the engine list if it is valid. The list service is not asked to
+    /// resume from it, as its event index was given to another process.
     pub(super) fn read_snapshot(&mut self, max_age_ns: u64) {
         let Some(path) = self.engine_list.snapshot.path.clone() else { return };
         let size = match std::fs::metadata(&path) {
             Ok(metadata) => metadata.len(),
-            Err(error) => return info!("no list of engines is kept in {}: {error}", path.display()),
+            Err(error) => return info!("no engine list snapshot at {}: {error}", path.display()),
         };
         match self.decode_snapshot(&path, size, max_age_ns) {
             Ok((mut change, age_ns)) => {
@@ -44,21 +44,21 @@
                     source.set_heard(contact_ns);
                 }
                 let (count, age_s) = (change.targets.len(), age_ns as f64 / 1e9);
-                info!("starts with the {count} engines kept in {}, a list {age_s:.1} s old", path.display());
+                info!("starting with {count} engines from the snapshot {}, {age_s:.1} s old", path.display());
                 self.apply_list_change(change);
             }
-            Err(error) => warn!("the list kept in {} is not used: {error}", path.display()),
+            Err(error) => warn!("engine list snapshot {} is not used: {error}", path.display()),
         }
     }
 
-    /// The list in a file, and its age (ns).
+    /// Returns the list in a file, and its age in nanoseconds.
     fn decode_snapshot(
         &self,
         path: &Path,
         size: u64,
         max_age_ns: u64,
     ) -> Result<(Change, u64), SnapshotError> {
-        // Guards against a file that is read into memory before it is found too large.
+        // Checked first: guards against reading a file that is too large into memory.
         let bound = &self.engine_list.snapshot.bound;
         let max_bytes = bound.file_bytes as u64;
         if size > max_bytes {
@@ -70,7 +70,7 @@
             .map_err(SnapshotError::Rejected)
     }
 
-    /// Writes the list, where that is due.
+    /// Writes the snapshot if that is due.
     pub(super) fn write_snapshot(&mut self, now: u64) {
         let source_age_ns = self.engine_list.source.as_ref().map(|source| source.age_ns(now));
         let subscriber = self.fleet.as_ref().and_then(|fleet| fleet.subscriber());
@@ -86,13 +86,13 @@
     }
 }
 
-/// Why a kept list is not used.
+/// Why a snapshot is not used.
 #[derive(Debug, thiserror::Error)]
 enum SnapshotError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Unreadable(#[from] std::io::Error),
-    /// What it holds can't be believed.
+    /// The content is not valid.
     #[error("{0}")]
     Rejected(cached_snapshot::Refusal),
 }
--- a/src/daemon/stop.rs
+++ b/src/daemon/stop.rs
@@ -1,7 +1,7 @@
-//! Signals, and the way from SIGTERM to the end of the process.
+//! Signal handling and graceful shutdown.
 //!
-//! Invariants: what was taken is answered before the end, as long as there is time; the process ends before it may be killed,
-//! whatever its clients do.
+//! Invariants: accepted requests are answered before the process exits, as long as there is time;
+//! the process exits before it may be killed, whatever its clients do.
 
 use log::info;
 use marljunction_net::phase::Phase;
@@ -9,36 +9,36 @@
 
 use super::Daemon;
 
-/// Time after SIGTERM for which new connections are taken (ns): they go on coming for 400 ms.
+/// Time after SIGTERM during which connections are accepted; clients may open them for 400 ms.
 const ACCEPT_AFTER_STOP_NS: u64 = 600_000_000;
-/// Time after SIGTERM before which the program does not end (ns): requests come for 600 ms.
+/// Earliest exit after SIGTERM; clients may send requests for 600 ms.
 const MIN_STOP_NS: u64 = 800_000_000;
-/// Longest part of the longest deadline that the end waits for (ns).
+/// Upper bound on the longest deadline that the shutdown waits for.
 const MAX_DEADLINE_NS: u64 = 3_000_000_000;
-/// Time behind the longest deadline at which all that is still open gets its final answer (ns): the program may be killed 0.3 s
-/// later.
+/// Time after the longest deadline at which open requests get their final answer; the process may
+/// be killed 0.3 s later.
 const FINAL_ANSWERS_DELAY_NS: u64 = 400_000_000;
-/// Time behind the longest deadline at which the program ends whatever its clients do (ns).
+/// Time after the longest deadline at which the process exits in any case.
 const FORCED_EXIT_DELAY_NS: u64 = 600_000_000;
-/// Time between the last answer and the end (ns).
+/// Time between the last answer and the exit, in which clients can read it.
 const LINGER_NS: u64 = 100_000_000;
 
-/// Where the process is in its life.
+/// Progress of the shutdown.
 pub(super) struct StopState {
     pub(super) phase: Phase,
-    /// Since when all that was taken is answered and written (ns), while stopping.
+    /// Since when all requests are answered and all answers written, while stopping.
     quiet_since_ns: Option<u64>,
 }
 
 impl StopState {
-    /// A process that serves.
+    /// A process that is serving.
     pub(super) fn serving() -> StopState {
         StopState { phase: Phase::Serving, quiet_since_ns: None }
     }
 }
 
 impl Daemon {
-    /// Does what the signals ask for that have come in.
+    /// Handles the signals received.
     pub(super) fn handle_signals(&mut self, now: u64) {
         let signals: Vec<i32> = self.event_loop.signals.pending().collect();
         for signal in signals {
@@ -51,19 +51,20 @@
     }
 
     fn begin_stop(&mut self, now: u64) {
-        info!("told to stop");
+        info!("SIGTERM received, stopping");
         if let Some(fleet) = &mut self.fleet {
             fleet.leave(now);
         }
         self.stop.phase.stop(now, self.listeners.shared);
         self.fronts.msgpack.set_well(self.stop.phase.is_well());
-        // Guards against connections taken only to be closed: a successor accepts from the same socket.
+        // The next process accepts on the same socket: guards against connections accepted only to
+        // be closed.
         if self.listeners.shared {
             self.listeners.msgpack = None;
         }
     }
 
-    /// Guards against requests that SIGKILL finds unanswered: they get an answer while there is time.
+    /// Gives open requests their final answer once time has run out, before a possible SIGKILL.
     pub(super) fn end_all(&mut self, now: u64) {
         if !self.must_answer_all(now) || self.router.unanswered() == 0 {
             return;
@@ -75,7 +76,7 @@
         }
     }
 
-    /// After SIGTERM: takes nothing new past a while; whether all is answered and written, or there is no more time.
+    /// Advances the shutdown; returns whether all requests are answered, or time has run out.
     pub(super) fn finished(&mut self, now: u64) -> bool {
         let Some(since_ns) = self.stop.phase.stopping_since() else { return false };
         if now >= since_ns + ACCEPT_AFTER_STOP_NS {
@@ -84,12 +85,13 @@
         let quiet = self.is_quiet(now);
         let awaits_clients = self.listeners.accepts_clients() && !self.must_answer_all(now);
         let done = now >= since_ns + MIN_STOP_NS && !awaits_clients && quiet;
-        // Guards against a stop that is held up for ever by a client that never stops sending, or never reads.
+        // Guards against a client that keeps sending, or never reads, and so delays the exit
+        // forever.
         done || self.is_past_deadlines(now, FORCED_EXIT_DELAY_NS)
     }
 
-    /// Guards against connections that the machine has accepted and a listener that closes would reset, with the requests on them:
-    /// it is closed once nothing waits in it.
+    /// Closes the client listeners once their backlog is empty. Guards against resetting
+    /// connections in the backlog, with the requests on them.
     fn close_client_listeners(&mut self, now: u64) {
         if !self.listeners.accepts_clients() {
             return;
@@ -100,8 +102,9 @@
         }
     }
 
-    /// Whether all has been answered and written for long enough. Guards against an answer that is reset away: an exit with unread
-    /// input resets its connection, so the client gets time to read what was just written.
+    /// Returns whether all answers have been written for [`LINGER_NS`]. Guards against lost
+    /// answers: an exit with unread input resets the connection, so clients need time to read
+    /// first.
     fn is_quiet(&mut self, now: u64) -> bool {
         let answered =
             self.router.unanswered() == 0 && self.net.all_written() && self.event_loop.unread.is_empty();
@@ -112,13 +115,13 @@
         answered && now >= quiet_since_ns + LINGER_NS
     }
 
-    /// Whether the process has been told to stop for so long that all still open gets its final answer.
+    /// Returns whether it is time to give all open requests their final answer.
     fn must_answer_all(&self, now: u64) -> bool {
         self.is_past_deadlines(now, FINAL_ANSWERS_DELAY_NS)
     }
 
-    /// Whether so long (ns) has passed behind the longest deadline, or the most of it that counts, since the process was told to
-    /// stop.
+    /// Returns whether the longest deadline, up to [`MAX_DEADLINE_NS`], plus `extra_ns` has passed
+    /// since SIGTERM.
     fn is_past_deadlines(&self, now: u64, extra_ns: u64) -> bool {
         let deadlines_ns = self.config.settings.classes.iter().map(|class| class.deadline_ns);
         let longest_ns = deadlines_ns.max().unwrap_or(0).min(MAX_DEADLINE_NS);
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -1,7 +1,7 @@
-//! Builds the running router from its files.
+//! Builds the daemon from its configuration files.
 //!
-//! Invariants: signals are taken over before anything tells that the process is there; no engine is told to the decision module
-//! before operators' exclusions are known.
+//! Invariants: signal handlers are installed before the listeners open; operators' exclusions are
+//! read before the decision module gets the first engine.
 
 use std::net::SocketAddr;
 
@@ -40,10 +40,10 @@
 use crate::logger;
 
 impl Daemon {
-    /// Reads the files and starts listening.
+    /// Reads the configuration files and opens the listeners.
     ///
     /// # Errors
-    /// Where a file can't be used, or the machine does not give what the program needs.
+    /// If a file is not valid, or a system call fails.
     pub fn start(files: ConfigFiles) -> Result<Daemon, DaemonError> {
         let read = files.read()?;
         logger::set_level(read.level);
@@ -69,11 +69,11 @@
         let door = door.map(|settings| build_fair_queue(now, settings, &config));
         let pacing = build_pacing(&config, &start);
         let source = match cell {
-            // Relays read the list service in its place.
+            // A router of a cell gets the list from relays, not from the list service.
             Some(_) => None,
             None => build_source(now, &config, &start, postgres.as_ref(), pacing)?,
         };
-        // Cold engines' budgets are divided by the same count as the list service's.
+        // The budgets of cold engines are divided by the same count as the list service's.
         config.settings.router_count = pacing.pace.sharers();
         let engines = build_engines(&config, &start, postgres.as_ref(), pacing);
         let fronts = build_fronts(&config, postgres, &directory)?;
@@ -108,14 +108,14 @@
     text.parse().map_err(|source| DaemonError::Address { address: text.to_owned(), source })
 }
 
-/// What the fronts know of classes, tenants and clients.
+/// Builds the directory of classes, tenants and clients.
 fn build_directory(
     config: &Config,
     door: Option<&DoorSettings>,
     fleet: Option<&FleetConfig>,
 ) -> Result<Directory, DaemonError> {
     let client = door.map(|door| door.client.clone()).unwrap_or_default();
-    // A limit by client holds for the fleet only where all routers know a client by one number.
+    // All routers of a fleet must map a client to the same number for limits by client.
     let clients_seed = match fleet {
         Some(fleet) => fleet.clients_seed()?,
         None => config.seed,
@@ -132,7 +132,7 @@
         bytes_most: Router::max_queued_bytes(config.limits.memory_mb),
         seed: config.seed,
     };
-    info!("a door stands before the module");
+    info!("fair queues are enabled");
     Door::new(now, settings, site)
 }
 
@@ -144,7 +144,7 @@
     }
 }
 
-/// The list service: Consul where the PostgreSQL side names one, else the coordinator, else none.
+/// Builds the client of the list service: Consul if configured, else the coordinator, else none.
 fn build_source(
     now: u64,
     config: &Config,
@@ -202,7 +202,7 @@
     let setup = PostgresSetup {
         class,
         columns: file.columns,
-        // Engines that speak HTTP take no parameters but in the text.
+        // HTTP engines accept parameters only as part of the statement text.
         inlines: !matches!(file.engines, EngineProtocol::Postgres { .. }),
         sessions_most: file.sessions,
     };
@@ -211,7 +211,7 @@
     Ok(Fronts { msgpack, postgres: Some(postgres) })
 }
 
-/// The machines that the router shares with its fleet; none where there is no fleet.
+/// State shared with the fleet; `None` outside of a fleet.
 type FleetState = (Option<FleetLimits>, Option<FleetHealth>);
 
 fn start_fleet(
--- a/tests/common/stand_in.rs
+++ b/tests/common/stand_in.rs
@@ -490,7 +490,8 @@
         self.log.read_to_string(&mut log).unwrap();
         assert!(self.child.wait().unwrap().success(), "{log}");
         let _ = std::fs::remove_dir_all(&self.dir);
-        let line = log.lines().find(|l| l.contains("ends; ")).unwrap_or_else(|| panic!("no counters: {log}"));
+        let line =
+            log.lines().find(|l| l.contains("stopped; ")).unwrap_or_else(|| panic!("no counters: {log}"));
         let pairs = line.split_whitespace().filter_map(|w| w.split_once('='));
         let counters = pairs.map(|(k, v)| (k.to_owned(), v.parse().unwrap())).collect();
         let mut engines = Vec::new();
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -323,7 +323,7 @@
         let said = fleet.said(router);
         match spoilt.get(router) {
             Some((_, why)) => assert!(said.contains("is not used") && said.contains(why), "{why}: {said}"),
-            None => assert!(said.contains("starts with the 4 engines kept"), "{said}"),
+            None => assert!(said.contains("starting with 4 engines from the snapshot"), "{said}"),
         }
     }
     fleet.set_list(Manner::Well);
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -86,7 +86,7 @@
         let line = said
             .lines()
             .rev()
-            .find_map(|l| Some(l.split_once("the whole fleet leaves out:")?.1.trim().to_owned()));
+            .find_map(|l| Some(l.split_once("engines excluded fleet-wide:")?.1.trim().to_owned()));
         line.unwrap_or_default()
     };
     until(fleet, limit, &format!("all leave out {engines:?}"), |f| {
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -140,12 +140,12 @@
 
     let mut new = Process::start(&dir, &socket);
     assert!(new.call("GET /ready", "").starts_with("HTTP/1.1 200"), "the new one is ready beside the old");
-    wait_for(&mut new.log, "bans read from");
+    wait_for(&mut new.log, "excluded engines read from");
     assert!(new.call("POST /engines/enable", "e1").ends_with("e1 is back\n"), "the ban passed over");
     assert!(new.call("POST /engines/enable", "e1").ends_with("e1 was not out\n"));
 
     old.signal("-TERM");
-    wait_for(&mut old.log, "told to stop");
+    wait_for(&mut old.log, "SIGTERM received, stopping");
     assert!(old.call("GET /ready", "").starts_with("HTTP/1.1 503"), "a stopping process is not ready");
     let mut rest = Vec::new();
     assert_eq!(stays.read_to_end(&mut rest).unwrap(), 0, "the old one closes a quiet client's connection");
