--- a/src/daemon/clients.rs
+++ b/src/daemon/clients.rs
@@ -1,7 +1,8 @@
-//! Accepts connections, within the bounds on descriptors.
+//! Accepts connections within the limit on file descriptors.
 //!
-//! Invariants: one iteration accepts a bounded number, so that those who are connected have their turn; where no descriptor is to
-//! be had, an idle client makes room, or all wait in the listener's queue.
+//! Invariants: each iteration accepts a bounded number of connections, so that open connections are
+//! served in between; without a free descriptor an idle client is closed, or new connections wait
+//! in the listener's backlog.
 
 use std::io::ErrorKind;
 use std::net::IpAddr;
@@ -12,47 +13,47 @@
 
 use super::Daemon;
 
-/// Wait after which a listener is tried again when no descriptor was to be had (ns).
+/// Delay before accepting again after running out of file descriptors.
 const ACCEPT_RETRY_DELAY_NS: u64 = 20_000_000;
-/// The machine's codes for no descriptor to be had, of all processes and of this one (`ENFILE`, `EMFILE`).
+/// System and process limit of file descriptors reached (`ENFILE`, `EMFILE`).
 const NO_DESCRIPTOR_CODES: [i32; 2] = [23, 24];
-/// Connections that a listener accepts in one iteration (count): hundreds may come at once, and others wait meanwhile.
+/// Connections that a listener accepts in one iteration.
 const MAX_ACCEPTS: usize = 64;
 
-/// What one attempt to accept came to.
+/// Result of accepting on a listener.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Accepted {
-    /// There may be more.
-    More,
-    /// Nothing waits any more.
-    Drained,
-    /// No descriptor is to be had: it is tried again later.
-    Blocked,
+enum AcceptOutcome {
+    /// More connections may be waiting.
+    Continue,
+    /// The backlog is empty.
+    QueueEmpty,
+    /// No file descriptor is available; to be retried later.
+    RetryLater,
 }
 
 impl Daemon {
-    /// Accepts clients of both protocols.
+    /// Accepts clients on both protocols' listeners.
     pub(super) fn accept_clients(&mut self, now: u64) {
         self.listeners.retry_ns = None;
         for owner in [Owner::Msgpack, Owner::Postgres] {
-            if self.accept_clients_of(now, owner) == Accepted::Blocked {
+            if self.accept_clients_of(now, owner) == AcceptOutcome::RetryLater {
                 return;
             }
         }
     }
 
-    /// Accepts connections to the admin API: at once, however busy the router is, within the API's own bound.
+    /// Accepts connections to the admin API, which has its own connection limit.
     pub(super) fn accept_admin(&mut self, now: u64) {
         for _ in 0..MAX_ACCEPTS {
-            if self.accept_one_admin(now) != Accepted::More {
+            if self.accept_one_admin(now) != AcceptOutcome::Continue {
                 return;
             }
         }
-        // No further event tells of those who still wait.
+        // The poll raises no further event for connections that still wait.
         self.listeners.retry_ns = Some(now);
     }
 
-    /// Tries the listeners again where that is due.
+    /// Accepts again if a retry is due.
     pub(super) fn retry_accept(&mut self, now: u64) {
         if self.listeners.retry_ns.is_some_and(|at| now >= at) {
             self.accept_clients(now);
@@ -60,52 +61,53 @@
         }
     }
 
-    fn accept_clients_of(&mut self, now: u64, owner: Owner) -> Accepted {
-        // Guards against hundreds that connect at once: who is connected already has its turn first.
+    fn accept_clients_of(&mut self, now: u64, owner: Owner) -> AcceptOutcome {
+        // Guards against a burst of new connections that starves open ones.
         for _ in 0..MAX_ACCEPTS {
             let accepted = self.accept_one_client(now, owner);
-            if accepted != Accepted::More {
+            if accepted != AcceptOutcome::Continue {
                 return accepted;
             }
         }
         self.listeners.retry_ns = Some(now);
-        Accepted::More
+        AcceptOutcome::Continue
     }
 
-    fn accept_one_client(&mut self, now: u64, owner: Owner) -> Accepted {
+    fn accept_one_client(&mut self, now: u64, owner: Owner) -> AcceptOutcome {
         if self.client_listener(owner).is_none() {
-            return Accepted::Drained;
+            return AcceptOutcome::QueueEmpty;
         }
         let full = self.net.clients() >= self.listeners.max_clients && !self.net.close_oldest_lingering();
-        // Guards against running out of descriptors: who has nothing open makes room, else all wait.
+        // Without a free descriptor, an idle client is closed for the new one, or the new one
+        // waits.
         let evicted = if full { self.idle_client(now) } else { None };
         if full && evicted.is_none() {
             self.listeners.retry_ns = Some(now + ACCEPT_RETRY_DELAY_NS);
-            return Accepted::Blocked;
+            return AcceptOutcome::RetryLater;
         }
-        let Some(listener) = self.client_listener(owner) else { return Accepted::Drained };
+        let Some(listener) = self.client_listener(owner) else { return AcceptOutcome::QueueEmpty };
         match listener.accept() {
             Ok((stream, from)) => {
                 if let Ok(conn) = self.net.add_accepted(stream, owner) {
-                    self.admit_client(now, owner, (conn, from.ip()), evicted);
+                    self.register_client(now, owner, (conn, from.ip()), evicted);
                 }
-                Accepted::More
+                AcceptOutcome::Continue
             }
-            Err(fault) => self.accept_failed(now, &fault),
+            Err(error) => self.accept_failed(now, &error),
         }
     }
 
-    fn accept_one_admin(&mut self, now: u64) -> Accepted {
-        let Some(listener) = &self.listeners.admin else { return Accepted::Drained };
+    fn accept_one_admin(&mut self, now: u64) -> AcceptOutcome {
+        let Some(listener) = &self.listeners.admin else { return AcceptOutcome::QueueEmpty };
         match listener.accept() {
             Ok((stream, _)) => {
                 match self.net.add_accepted(stream, Owner::Admin) {
                     Ok(conn) => self.admin.server.accept(now, &mut self.net, conn),
                     Err(_) => self.router.counters.short_of_descriptors += 1,
                 }
-                Accepted::More
+                AcceptOutcome::Continue
             }
-            Err(fault) => self.accept_failed(now, &fault),
+            Err(error) => self.accept_failed(now, &error),
         }
     }
 
@@ -117,9 +119,9 @@
         }
     }
 
-    fn admit_client(&mut self, now: u64, owner: Owner, (conn, peer): (u64, IpAddr), evicted: Option<u64>) {
+    fn register_client(&mut self, now: u64, owner: Owner, (conn, peer): (u64, IpAddr), evicted: Option<u64>) {
         self.router.counters.accepted += 1;
-        // Only now: guards against closing one whenever nobody else comes.
+        // Only once a new client is accepted: guards against closing idle clients without need.
         if let Some(eviction_candidate) = evicted {
             self.close_idle(eviction_candidate);
         }
@@ -127,26 +129,25 @@
             (Owner::Postgres, Some(front)) => front.accept(now, conn, peer),
             _ => self.fronts.msgpack.accept(now, conn, peer),
         }
-        // What it has sent counts in this iteration: guards against a cancel that is heard only after what it ends has gone out.
+        // Guards against a cancel request that is read only after its statement has been sent.
         self.connection_ready(now, conn);
     }
 
-    fn accept_failed(&mut self, now: u64, fault: &std::io::Error) -> Accepted {
-        match fault.kind() {
-            ErrorKind::WouldBlock => Accepted::Drained,
-            ErrorKind::Interrupted | ErrorKind::ConnectionAborted => Accepted::More,
-            _ if self.make_room(now, fault) => Accepted::More,
-            _ => Accepted::Blocked,
+    fn accept_failed(&mut self, now: u64, error: &std::io::Error) -> AcceptOutcome {
+        match error.kind() {
+            ErrorKind::WouldBlock => AcceptOutcome::QueueEmpty,
+            ErrorKind::Interrupted | ErrorKind::ConnectionAborted => AcceptOutcome::Continue,
+            _ if self.recover_from_accept_error(now, error) => AcceptOutcome::Continue,
+            _ => AcceptOutcome::RetryLater,
         }
     }
 
-    /// A connection could not be accepted: whether it can be tried again at once, as a client made room for it. Guards against
-    /// spinning on a listener that has no descriptor to give, and against those who wait in its queue behind clients with nothing
-    /// open, where the machine gives fewer descriptors than the configuration says.
-    fn make_room(&mut self, now: u64, fault: &std::io::Error) -> bool {
-        warn!("accept: {fault}");
+    /// Handles a failed accept: closes an idle client if descriptors ran out, else schedules a
+    /// retry. Returns whether accepting can be retried immediately.
+    fn recover_from_accept_error(&mut self, now: u64, error: &std::io::Error) -> bool {
+        warn!("could not accept a connection: {error}");
         self.router.counters.short_of_descriptors += 1;
-        let short = fault.raw_os_error().is_some_and(|code| NO_DESCRIPTOR_CODES.contains(&code));
+        let short = error.raw_os_error().is_some_and(|code| NO_DESCRIPTOR_CODES.contains(&code));
         let eviction_candidate = if short { self.idle_client(now) } else { None };
         match eviction_candidate {
             Some(eviction_candidate) => self.close_idle(eviction_candidate),
@@ -155,7 +156,8 @@
         eviction_candidate.is_some()
     }
 
-    /// The client that makes room for another, looked at once more. Guards against one that does so with its request unread.
+    /// Returns an idle client that can be closed. Reads from it first: guards against closing a
+    /// client whose request is still unread.
     fn idle_client(&mut self, now: u64) -> Option<u64> {
         loop {
             let eviction_candidate = self.fronts.msgpack.eviction_candidate(now, &self.net)?;
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -1,7 +1,7 @@
-//! Reads the configuration again while requests are open.
+//! Reloads the configuration while requests are open.
 //!
-//! What can change is applied: where news of the engines comes from, the news that the file holds, pacing, limits, weights. A file
-//! that can't be read leaves all as it is.
+//! Applies the address of the list service, new membership events, pacing, limits and weights. If a
+//! file is not valid, nothing changes.
 
 use std::net::SocketAddr;
 
@@ -13,28 +13,28 @@
 use super::relayed_list::apply_cell;
 use super::wiring::parse_address;
 use super::{AppliedConfig, Daemon};
-use crate::behaviour::effects;
-use crate::config::{Config, Read, StartFile};
+use crate::config::{Config, LoadedConfig, StartConfig};
+use crate::effects::effects;
 use crate::error::DaemonError;
 use crate::logger;
 
 impl Daemon {
-    /// Reads the files again and applies what can change. Guards against a file that is replaced badly.
+    /// Reads the files again and applies them; an invalid file leaves the configuration in force.
     pub(super) fn reload(&mut self, now: u64) {
         match self.read_files() {
             Ok((read, address)) => {
                 self.router.counters.reloads += 1;
                 self.apply_files(now, read, address);
             }
-            Err(fault) => {
+            Err(error) => {
                 self.router.counters.reloads_failed += 1;
-                warn!("the configuration stays as it was: {fault}");
+                warn!("reload failed, the configuration is unchanged: {error}");
             }
         }
     }
 
-    /// What the files say, and the address of the list service where it is of the kind that runs.
-    fn read_files(&self) -> Result<(Read, Option<SocketAddr>), DaemonError> {
+    /// Reads the files, and the address of the list service if its kind is unchanged.
+    fn read_files(&self) -> Result<(LoadedConfig, Option<SocketAddr>), DaemonError> {
         let read = self.config.files.read()?;
         let consul = read.postgres.as_ref().and_then(|postgres| postgres.consul.as_ref());
         let address = match (&self.engine_list.source, consul, &read.config.coordinator) {
@@ -46,8 +46,8 @@
         Ok((read, address))
     }
 
-    fn apply_files(&mut self, now: u64, read: Read, address: Option<SocketAddr>) {
-        let Read { mut config, fair_queue, mut start, fleet, operator, level, .. } = read;
+    fn apply_files(&mut self, now: u64, read: LoadedConfig, address: Option<SocketAddr>) {
+        let LoadedConfig { mut config, fair_queue, mut start, fleet, operator, level, .. } = read;
         let identity = config.identity();
         apply_cell(&mut config, &mut start, fleet.as_ref(), &identity);
         self.log_effects(operator.as_ref());
@@ -62,15 +62,15 @@
             (Some(source), Some(address)) => source.reload(now, &mut self.net, address, known),
             _ => Vec::new(),
         };
-        info!("the configuration was read again; {} membership events were new", changes.len());
+        info!("configuration reloaded with {} new membership events", changes.len());
         for change in changes {
-            self.engines_changed(change);
+            self.apply_list_change(change);
         }
         if let Some(fair_queue) = fair_queue {
             self.apply_fair_queue(fair_queue, &config);
         }
         if self.engine_list.source.is_some() && address.is_none() {
-            warn!("another source of membership news needs a restart");
+            warn!("a change of the source of membership events needs a restart");
         }
         if AppliedConfig::of(&config) != self.config.applied {
             warn!("changes of listen, limits or settings need a restart");
@@ -85,22 +85,24 @@
         }
     }
 
-    fn apply_pacing(&mut self, config: &Config, start: &StartFile) {
+    fn apply_pacing(&mut self, config: &Config, start: &StartConfig) {
         let pace = start.pace(config.settings.router_count, config.settings.router_index);
         if let Some(source) = &mut self.engine_list.source {
             source.set_pace(pace, start.stale_ns);
         }
-        let openings = start.openings(pace);
-        self.engines.set_connection_budget(openings.map(|openings| (openings, config.own_seed())));
+        let connection_budget = start.connection_budget(pace);
+        self.engines.set_connection_budget(
+            connection_budget.map(|connection_budget| (connection_budget, config.router_seed())),
+        );
     }
 
     fn apply_fair_queue(&mut self, settings: FairQueueConfig, config: &Config) {
         let Some(fair_queue) = self.router.fair_queue() else { return };
         let weights = config.weights(&settings);
         let restart = fair_queue.reload(settings, &weights);
-        info!("the door has weights {weights:?}");
+        info!("fair queues: weights are {weights:?}");
         if !restart.is_empty() {
-            warn!("changes of the door's {} need a restart", restart.join(", "));
+            warn!("fair queues: changes of {} need a restart", restart.join(", "));
         }
     }
 }
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -1,7 +1,7 @@
-//! Builds the running router from its files.
+//! Builds the daemon from its configuration files.
 //!
-//! Invariants: signals are taken over before anything tells that the process is there; no engine is told to the decision module
-//! before operators' exclusions are known.
+//! Invariants: signal handlers are installed before the listeners open; operators' exclusions are
+//! read before the decision module gets the first engine.
 
 use std::net::SocketAddr;
 
@@ -31,20 +31,20 @@
 use super::exclusions::Exclusions;
 use super::iteration::EventLoop;
 use super::listeners::{Listeners, FIRST_CONNECTION, FLEET, MIN_DESCRIPTORS};
-use super::relayed_list::{apply_cell, warn_of_classes, RelayFeed};
+use super::relayed_list::{apply_cell, warn_unservable_classes, RelayStream};
 use super::snapshot::Snapshot;
 use super::stop::StopState;
 use super::{ConfigState, Daemon, Fronts};
-use crate::config::{Config, EngineFile, Files, PostgresFile, Read, StartFile};
+use crate::config::{Config, ConfigFiles, EngineProtocol, LoadedConfig, PostgresConfig, StartConfig};
 use crate::error::DaemonError;
 use crate::logger;
 
 impl Daemon {
-    /// Reads the files and starts listening.
+    /// Reads the configuration files and opens the listeners.
     ///
     /// # Errors
-    /// Where a file can't be used, or the machine does not give what the program needs.
-    pub fn start(files: Files) -> Result<Daemon, DaemonError> {
+    /// If a file is not valid, or a system call fails.
+    pub fn start(files: ConfigFiles) -> Result<Daemon, DaemonError> {
         let read = files.read()?;
         logger::set_level(read.level);
         let (event_loop, registry) = EventLoop::open()?;
@@ -53,35 +53,35 @@
     }
 
     fn build(
-        files: Files,
-        read: Read,
+        files: ConfigFiles,
+        read: LoadedConfig,
         event_loop: EventLoop,
         registry: Registry,
         listeners: Listeners,
     ) -> Result<Daemon, DaemonError> {
-        let Read { mut config, postgres, fair_queue, mut start, fleet, operator, .. } = read;
+        let LoadedConfig { mut config, postgres, fair_queue, mut start, fleet, operator, .. } = read;
         let identity = config.identity();
         let cell = apply_cell(&mut config, &mut start, fleet.as_ref(), &identity);
-        cell.iter().for_each(|cell| warn_of_classes(&config, cell));
+        cell.iter().for_each(|cell| warn_unservable_classes(&config, cell));
         let clock = Clock::start();
         let now = clock.now_ns();
         let directory = build_directory(&config, fair_queue.as_ref(), fleet.as_ref())?;
         let fair_queue = fair_queue.map(|settings| build_fair_queue(now, settings, &config));
         let pacing = build_pacing(&config, &start);
         let source = match cell {
-            // Relays read the list service in its place.
+            // A router of a cell gets the list from relays, not from the list service.
             Some(_) => None,
             None => build_source(now, &config, &start, postgres.as_ref(), pacing)?,
         };
-        // Cold engines' budgets are divided by the same count as the list service's.
+        // The budgets of cold engines are divided by the same count as the list service's.
         config.settings.router_count = pacing.pace.caller_count();
         let engines = build_engines(&config, &start, postgres.as_ref(), pacing);
         let fronts = build_fronts(&config, postgres, &directory)?;
-        let (fleet, machines) = start_fleet(now, &registry, fleet, identity, &config, &files)?;
-        let router = build_router(&config, pacing.seed, fair_queue, machines);
+        let (fleet, fleet_state) = start_fleet(now, &registry, fleet, identity, &config, &files)?;
+        let router = build_router(&config, pacing.seed, fair_queue, fleet_state);
         let net = build_net(registry, &config);
-        let snapshot = Snapshot::in_file(start.keep.clone(), ListBound::of(config.limits.memory_mb));
-        let exclusions = Exclusions::in_directory(files.kept.as_deref());
+        let snapshot = Snapshot::in_file(start.snapshot_path.clone(), ListBound::of(config.limits.memory_mb));
+        let exclusions = Exclusions::in_directory(files.state_dir.as_deref());
         let admin = Admin::new(config.limits.sockets);
         let known = std::mem::take(&mut config.known);
         let mut daemon = Daemon {
@@ -94,11 +94,11 @@
             stop: StopState::serving(),
             fronts,
             engines,
-            engine_list: EngineList { source, snapshot, exclusions, feed: RelayFeed::default() },
+            engine_list: EngineList { source, snapshot, exclusions, relay_stream: RelayStream::default() },
             admin,
             fleet,
         };
-        daemon.load_engines(known, start.keep_for_ns);
+        daemon.load_engines(known, start.max_snapshot_age_ns);
         Ok(daemon)
     }
 }
@@ -108,14 +108,14 @@
     text.parse().map_err(|source| DaemonError::Address { address: text.to_owned(), source })
 }
 
-/// What the fronts know of classes, tenants and clients.
+/// Builds the directory of classes, tenants and clients.
 fn build_directory(
     config: &Config,
     fair_queue: Option<&FairQueueConfig>,
     fleet: Option<&FleetConfig>,
 ) -> Result<Directory, DaemonError> {
     let client = fair_queue.map(|fair_queue| fair_queue.client.clone()).unwrap_or_default();
-    // A limit by client holds for the fleet only where all routers know a client by one number.
+    // All routers of a fleet must map a client to the same number for limits by client.
     let clients_seed = match fleet {
         Some(fleet) => fleet.clients_seed()?,
         None => config.seed,
@@ -132,24 +132,24 @@
         max_queued_bytes: Router::max_queued_bytes(config.limits.memory_mb),
         seed: config.seed,
     };
-    info!("a door stands before the module");
+    info!("fair queues are enabled");
     FairQueue::new(now, settings, params)
 }
 
-fn build_pacing(config: &Config, start: &StartFile) -> SourceParams {
+fn build_pacing(config: &Config, start: &StartConfig) -> SourceParams {
     SourceParams {
         pace: start.pace(config.settings.router_count, config.settings.router_index),
-        seed: config.own_seed(),
+        seed: config.router_seed(),
         stale_ns: start.stale_ns,
     }
 }
 
-/// The list service: Consul where the PostgreSQL side names one, else the coordinator, else none.
+/// Builds the client of the list service: Consul if configured, else the coordinator, else none.
 fn build_source(
     now: u64,
     config: &Config,
-    start: &StartFile,
-    postgres: Option<&PostgresFile>,
+    start: &StartConfig,
+    postgres: Option<&PostgresConfig>,
     pacing: SourceParams,
 ) -> Result<Option<Source>, DaemonError> {
     let names = config.names.clone();
@@ -174,25 +174,26 @@
 
 fn build_engines(
     config: &Config,
-    start: &StartFile,
-    postgres: Option<&PostgresFile>,
+    start: &StartConfig,
+    postgres: Option<&PostgresConfig>,
     pacing: SourceParams,
 ) -> Box<dyn Backend> {
     let connect_timeout_ns = config.connect_timeout_ns;
     let mut engines: Box<dyn Backend> = match postgres.map(|postgres| postgres.engines.clone()) {
-        Some(EngineFile::Postgres { user, database }) => {
+        Some(EngineProtocol::Postgres { user, database }) => {
             Box::new(PostgresBackend::new(user, database, connect_timeout_ns))
         }
         _ => Box::new(HttpBackend::new(config.engine_idle_ns, connect_timeout_ns)),
     };
-    let openings = start.openings(pacing.pace);
-    engines.set_connection_budget(openings.map(|openings| (openings, pacing.seed)));
+    let connection_budget = start.connection_budget(pacing.pace);
+    engines
+        .set_connection_budget(connection_budget.map(|connection_budget| (connection_budget, pacing.seed)));
     engines
 }
 
 fn build_fronts(
     config: &Config,
-    postgres: Option<PostgresFile>,
+    postgres: Option<PostgresConfig>,
     directory: &Directory,
 ) -> Result<Fronts, DaemonError> {
     let msgpack = MsgpackFront::new(directory.clone());
@@ -201,8 +202,8 @@
     let setup = PostgresSetup {
         class,
         columns: file.columns,
-        // Engines that speak HTTP take no parameters but in the text.
-        inline_params: !matches!(file.engines, EngineFile::Postgres { .. }),
+        // HTTP engines accept parameters only as part of the statement text.
+        inline_params: !matches!(file.engines, EngineProtocol::Postgres { .. }),
         max_sessions: file.sessions,
     };
     let setup = setup.limit_to_memory(config.limits.memory_mb);
@@ -210,8 +211,8 @@
     Ok(Fronts { msgpack, postgres: Some(postgres) })
 }
 
-/// The machines that the router shares with its fleet; none where there is no fleet.
-type FleetMachines = (Option<FleetLimits>, Option<FleetHealth>);
+/// State shared with the fleet; `None` outside of a fleet.
+type FleetState = (Option<FleetLimits>, Option<FleetHealth>);
 
 fn start_fleet(
     now: u64,
@@ -219,8 +220,8 @@
     fleet: Option<FleetConfig>,
     identity: RouterIdentity,
     config: &Config,
-    files: &Files,
-) -> Result<(Option<FleetRuntime>, FleetMachines), DaemonError> {
+    files: &ConfigFiles,
+) -> Result<(Option<FleetRuntime>, FleetState), DaemonError> {
     let Some(fleet) = fleet else { return Ok((None, (None, None))) };
     let FleetStart { runtime, limits, health } = FleetRuntime::start(
         now,
@@ -230,7 +231,7 @@
         identity,
         &config.settings,
         &config.names,
-        files.kept.as_deref(),
+        files.state_dir.as_deref(),
     )?;
     Ok((Some(runtime), (Some(limits), health)))
 }
@@ -239,7 +240,7 @@
     config: &Config,
     seed: u64,
     fair_queue: Option<FairQueue>,
-    (limits, health): FleetMachines,
+    (limits, health): FleetState,
 ) -> Router {
     Router::new(config.settings.clone(), seed, config.limits.memory_mb)
         .with_fair_queue(fair_queue)
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -1,5 +1,4 @@
-//! The operator's file: written in the configuration language, held against its definitions, and read into what
-//! the program's parts are set up with.
+//! The operator's file: evaluated against its schema and converted to the program's settings.
 
 use std::path::{Path, PathBuf};
 
@@ -16,60 +15,60 @@
 use marljunction_fleet::{FleetConfig, HealthConfig, LimitConfig, ListConfig, ListRole, ListTiming};
 use marljunction_limits::Limit;
 
-use crate::config::{ConsulFile, Count, EngineFile, PostgresFile, StartFile};
+use crate::config::{ConsulConfig, EngineProtocol, PostgresConfig, RouterCount, StartConfig};
 use crate::error::ConfigError;
 
-/// What an operator's file may say.
+/// Schema of the operator's file.
 pub const DEFINITIONS: &str = include_str!("definitions.conf");
 
-/// What an operator's file says.
+/// Content of an operator's file.
 #[derive(Clone, Debug, Default)]
 pub struct Setup {
-    /// The door, where it is on.
+    /// Settings of the fair queues, if enabled.
     pub fair_queue: Option<FairQueueConfig>,
-    /// The PostgreSQL side, where it is on.
-    pub postgres: Option<PostgresFile>,
-    /// How the router starts and comes back.
-    pub start: StartFile,
-    /// The fleet, where routers talk to each other.
+    /// PostgreSQL configuration, if enabled.
+    pub postgres: Option<PostgresConfig>,
+    /// Pacing of the start and of reconnects.
+    pub start: StartConfig,
+    /// Fleet configuration, if the router is part of a fleet.
     pub fleet: Option<FleetConfig>,
-    /// What is logged.
+    /// Log level.
     pub level: Option<LevelFilter>,
-    /// All that the file says, with defaults; none where there is no file.
+    /// The evaluated file with defaults; `None` without a file.
     pub value: Option<Value>,
 }
 
-/// Files below the folder of the first one.
-struct Folder {
+/// Loads included files from the directory of the main file.
+struct IncludeDir {
     root: PathBuf,
 }
 
-impl Loader for Folder {
+impl Loader for IncludeDir {
     fn load(&mut self, _from: &str, name: &str) -> Result<(String, String), String> {
         let path = self.root.join(name);
-        let found = path.canonicalize().map_err(|e| e.to_string())?;
-        // Guards against a file that reaches for what the operator did not put beside it.
-        if !found.starts_with(&self.root) {
-            return Err("it lies outside the folder of the first file".into());
+        let resolved = path.canonicalize().map_err(|e| e.to_string())?;
+        // Rejects includes of files outside of the main file's directory.
+        if !resolved.starts_with(&self.root) {
+            return Err("it is outside of the main file's directory".into());
         }
-        let text = std::fs::read_to_string(&found).map_err(|e| e.to_string())?;
-        Ok((found.display().to_string(), text))
+        let text = std::fs::read_to_string(&resolved).map_err(|e| e.to_string())?;
+        Ok((resolved.display().to_string(), text))
     }
 }
 
-/// Reads a file with what it includes, against the definitions.
+/// Reads a file and its includes, and evaluates them against the schema.
 ///
 /// # Errors
-/// Where the file can't be read; what is wrong with its text is in the outcome.
+/// If the file cannot be read; errors in its text are part of the outcome.
 pub fn read_file(path: &Path) -> Result<Outcome, ConfigError> {
-    let found = path.canonicalize().map_err(ConfigError::unreadable(path))?;
-    let text = std::fs::read_to_string(&found).map_err(ConfigError::unreadable(path))?;
-    let root = found.parent().map_or_else(PathBuf::new, Path::to_owned);
-    let name = found.display().to_string();
-    Ok(read(&name, &text, &mut Folder { root }, DEFINITIONS, "#Main"))
+    let resolved = path.canonicalize().map_err(ConfigError::unreadable(path))?;
+    let text = std::fs::read_to_string(&resolved).map_err(ConfigError::unreadable(path))?;
+    let root = resolved.parent().map_or_else(PathBuf::new, Path::to_owned);
+    let name = resolved.display().to_string();
+    Ok(read(&name, &text, &mut IncludeDir { root }, DEFINITIONS, "#Main"))
 }
 
-/// All that is wrong with a file, as operators read it; none where nothing is.
+/// Formats all errors of a file for operators; `None` if there are none.
 pub fn diagnostics(outcome: &Outcome) -> Option<String> {
     let all: Vec<String> =
         outcome.diagnostics.iter().map(|fault| format_report(&outcome.sources, fault)).collect();
@@ -80,16 +79,16 @@
     /// Reads the operator's file.
     ///
     /// # Errors
-    /// Where it can't be read, or is wrong.
-    pub fn of_file(path: &Path) -> Result<Setup, ConfigError> {
+    /// If it cannot be read or is not valid.
+    pub fn from_file(path: &Path) -> Result<Setup, ConfigError> {
         let outcome = read_file(path)?;
         if let Some(messages) = diagnostics(&outcome) {
-            return Err(ConfigError::OperatorFile { path: path.to_owned(), messages });
+            return Err(ConfigError::InvalidOperatorFile { path: path.to_owned(), messages });
         }
-        Setup::of(&outcome.value).ok_or_else(|| ConfigError::OperatorFileShape { path: path.to_owned() })
+        Setup::of(&outcome.value).ok_or_else(|| ConfigError::OperatorFileStructure { path: path.to_owned() })
     }
 
-    /// What a value that its definitions hold for says; none where it is not of their shape.
+    /// Converts a value that matches the schema; `None` if it has another structure.
     fn of(value: &Value) -> Option<Setup> {
         let main = record(value)?;
         let fair_queue = main.fields.get("door").map(|f| fair_queue(&f.value));
@@ -97,21 +96,21 @@
         let postgres = main.fields.get("postgres").map(|f| postgres(&f.value, consul.clone().flatten()));
         let level = text(record(field(main, "log")?)?, "level")?.parse().ok();
         let start = match field(main, "start") {
-            Some(part) => start(part)?,
-            None => StartFile::default(),
+            Some(section) => start(section)?,
+            None => StartConfig::default(),
         };
-        let mut fleet = flat(main.fields.get("fleet").map(|f| fleet(&f.value)))?;
+        let mut fleet = optional_section(main.fields.get("fleet").map(|f| fleet(&f.value)))?;
         if let Some(list) = fleet.as_mut().and_then(|fleet| fleet.list.as_mut()) {
             list.timing = start.list_timing();
         }
-        let (fair_queue, postgres) = (flat(fair_queue)?, flat(postgres)?);
+        let (fair_queue, postgres) = (optional_section(fair_queue)?, optional_section(postgres)?);
         Some(Setup { fair_queue, postgres, start, fleet, level, value: Some(value.clone()) })
     }
 }
 
-/// A part that is absent is right, one that can't be read is not.
-fn flat<T>(part: Option<Option<T>>) -> Option<Option<T>> {
-    match part {
+/// Returns `Some(None)` for an absent section, and `None` for one that could not be converted.
+fn optional_section<T>(section: Option<Option<T>>) -> Option<Option<T>> {
+    match section {
         None => Some(None),
         Some(read) => read.map(Some),
     }
@@ -173,26 +172,26 @@
     })
 }
 
-fn start(value: &Value) -> Option<StartFile> {
+fn start(value: &Value) -> Option<StartConfig> {
     let start = record(value)?;
     let nanoseconds = |name: &str| number(start, name).map(|ns| ns as u64);
-    Some(StartFile {
+    Some(StartConfig {
         budget_per_s: number(start, "budget")?,
         routers: match number(start, "routers") {
-            Some(count) => Count::Of(count as u32),
-            None if field(start, "routers").is_some() => Count::Unknown,
-            None => Count::AsInSettings,
+            Some(count) => RouterCount::Exact(count as u32),
+            None if field(start, "routers").is_some() => RouterCount::Unknown,
+            None => RouterCount::FromSettings,
         },
         spread_ns: nanoseconds("spread")?,
         longest_ns: nanoseconds("longest")?,
         stale_ns: nanoseconds("stale")?,
         connections_per_s: number(start, "connections"),
-        keep: text(start, "keep").map(PathBuf::from),
-        keep_for_ns: nanoseconds("keep_for")?,
+        snapshot_path: text(start, "keep").map(PathBuf::from),
+        max_snapshot_age_ns: nanoseconds("keep_for")?,
     })
 }
 
-fn texts(value: &Value) -> Option<Vec<String>> {
+fn text_list(value: &Value) -> Option<Vec<String>> {
     let ValueKind::List(all, _) = &value.what else { return None };
     let one = |v: &Value| match &v.what {
         ValueKind::Text(text) => Some(text.clone()),
@@ -208,13 +207,13 @@
         listen: text(fleet, "listen")?,
         advertise: text(fleet, "advertise"),
         key: PathBuf::from(text(fleet, "key")?),
-        seeds: texts(field(fleet, "seeds")?)?,
+        seeds: text_list(field(fleet, "seeds")?)?,
         routers: number(fleet, "routers")? as u32,
         lease_ns: number(fleet, "lease")? as u64,
         drift: number(fleet, "drift")?,
         cold: text(fleet, "cold")? == "shared",
-        health: flat(fleet.fields.get("verdicts").map(|f| health(&f.value)))?,
-        list: flat(fleet.fields.get("list").map(|f| list(&f.value)))?,
+        health: optional_section(fleet.fields.get("verdicts").map(|f| health(&f.value)))?,
+        list: optional_section(fleet.fields.get("list").map(|f| list(&f.value)))?,
         limits: limits.fields.iter().map(|(name, f)| limit(name, &f.value)).collect::<Option<_>>()?,
     })
 }
@@ -235,7 +234,7 @@
     let role = match field(list, "relays") {
         None => ListRole::Relay,
         Some(relays) => ListRole::Cell {
-            relays: texts(relays)?,
+            relays: text_list(relays)?,
             plan: CellPlan {
                 cells: of("cells")?,
                 by: if text(list, "divide")? == "group" { DivideBy::Group } else { DivideBy::Engine },
@@ -280,31 +279,31 @@
     })
 }
 
-fn consul(value: &Value) -> Option<ConsulFile> {
+fn consul(value: &Value) -> Option<ConsulConfig> {
     let consul = record(value)?;
-    Some(ConsulFile { address: text(consul, "address")?, service: text(consul, "service")? })
+    Some(ConsulConfig { address: text(consul, "address")?, service: text(consul, "service")? })
 }
 
-fn postgres(value: &Value, consul: Option<ConsulFile>) -> Option<PostgresFile> {
-    let side = record(value)?;
-    let engines = match &field(side, "engines")?.what {
+fn postgres(value: &Value, consul: Option<ConsulConfig>) -> Option<PostgresConfig> {
+    let section = record(value)?;
+    let engines = match &field(section, "engines")?.what {
         ValueKind::Record(of) => {
-            EngineFile::Postgres { user: text(of, "user")?, database: text(of, "database")? }
+            EngineProtocol::Postgres { user: text(of, "user")?, database: text(of, "database")? }
         }
-        _ => EngineFile::Http,
+        _ => EngineProtocol::Http,
     };
-    let columns = match &field(side, "columns")?.what {
+    let columns = match &field(section, "columns")?.what {
         ValueKind::List(all, _) => all.iter().map(|v| match &v.what {
             ValueKind::Text(name) => Some(name.clone()),
             _ => None,
         }),
         _ => return None,
     };
-    Some(PostgresFile {
-        listen: text(side, "listen"),
-        class: text(side, "class")?,
+    Some(PostgresConfig {
+        listen: text(section, "listen"),
+        class: text(section, "class")?,
         columns: columns.collect::<Option<_>>()?,
-        sessions: number(side, "sessions")? as usize,
+        sessions: number(section, "sessions")? as usize,
         engines,
         consul,
     })
