--- a/crates/lab/src/door.rs
+++ b/crates/lab/src/fair_queue.rs
@@ -8,7 +8,7 @@
 use marljunction_testkit::stage::{Setup, Stage, Told};
 use serde_json::{json, Value};
 
-use crate::memory;
+use crate::fair_queue_cost;
 
 /// Longest advice that the settings allow (ms).
 const LONGEST_MS: u64 = 2_000;
@@ -201,7 +201,7 @@
 /// Runs the three side by side.
 pub fn run(quick: bool, program: &Path, seed: u64) -> Result<Value, String> {
     // Alone first: the draws of the router's runs would disturb its times.
-    let own = memory::run(seed);
+    let own = fair_queue_cost::run(seed);
     let doors = [
         ("off", None),
         ("fifo", Some(json!({"order": "fifo"}))),
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -5,14 +5,14 @@
 mod capacity;
 mod cold;
 mod disciplines;
-mod door;
+mod fair_queue;
+mod fair_queue_cost;
 mod fleet;
+mod health;
 mod limits;
-mod memory;
+mod pacing_strategies;
 mod scale;
 mod start;
-mod verdicts;
-mod ways;
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -35,7 +35,7 @@
 
 /// What most experiments are told.
 #[derive(clap::Args)]
-struct Usual {
+struct CommonArgs {
     /// Fewer routers, shorter: under 45 s in all.
     #[arg(long)]
     quick: bool,
@@ -50,21 +50,22 @@
     seed: u64,
 }
 
-impl Usual {
+impl CommonArgs {
     /// Runs an experiment with it, and writes its figures.
     fn run(
         self,
         experiment: impl FnOnce(&Path, bool, u64) -> Result<serde_json::Value, String>,
     ) -> Result<(), String> {
-        let program = named_or_beside(self.program)?;
-        write(self.json, &experiment(&program, self.quick, self.seed)?)
+        let program = resolve_program(self.program)?;
+        write_results(self.json, &experiment(&program, self.quick, self.seed)?)
     }
 }
 
 #[derive(Subcommand)]
 enum Experiment {
     /// A heavy tenant floods two light ones: the door beside no door and one plain queue.
-    Door(Usual),
+    #[command(name = "door")]
+    FairQueue(CommonArgs),
     /// A whole small fleet on loopback, to be watched while things break; ends by itself or at Ctrl-C, with a summary.
     Fleet {
         /// Routers.
@@ -86,7 +87,7 @@
     /// A whole fleet starts at once, loses its list service, and gets it back.
     Start {
         #[command(flatten)]
-        usual: Usual,
+        common: CommonArgs,
         /// Another build of it, measured in the same run.
         #[arg(long, value_name = "FILE")]
         against: Option<PathBuf>,
@@ -98,13 +99,14 @@
         capacity: Option<f64>,
     },
     /// Limits that hold for a whole fleet, under cuts, deaths and freezes.
-    Limits(Usual),
+    Limits(CommonArgs),
     /// Engines that have just started, with each router's own part of their budgets and with shared ones.
-    Cold(Usual),
+    Cold(CommonArgs),
     /// What a fleet believes of its engines: each router alone beside routers that share what they see.
-    Verdicts(Usual),
+    #[command(name = "verdicts")]
+    Health(CommonArgs),
     /// Thousands of hollow routers before tens of thousands of engines, with faults among them.
-    Scale(Usual),
+    Scale(CommonArgs),
     /// A list service for hollow routers, told what to do on standard input.
     #[command(hide = true)]
     HollowService,
@@ -146,8 +148,8 @@
     },
 }
 
-fn write(json: Option<PathBuf>, figures: &serde_json::Value) -> Result<(), String> {
-    let text = serde_json::to_string_pretty(figures).map_err(|e| e.to_string())?;
+fn write_results(json: Option<PathBuf>, results: &serde_json::Value) -> Result<(), String> {
+    let text = serde_json::to_string_pretty(results).map_err(|e| e.to_string())?;
     match json {
         Some(path) => std::fs::write(&path, text + "\n").map_err(|e| format!("{}: {e}", path.display())),
         None => {
@@ -158,55 +160,57 @@
 }
 
 /// The router's program that was named, or the one beside this one.
-fn named_or_beside(program: Option<PathBuf>) -> Result<PathBuf, String> {
+fn resolve_program(program: Option<PathBuf>) -> Result<PathBuf, String> {
     let beside = marljunction_testkit::stage::program_beside;
     program.or_else(beside).ok_or_else(|| "no program beside this one: build it, or name it".into())
 }
 
 fn run() -> Result<(), String> {
     match Arguments::parse().experiment {
-        Experiment::Door(usual) => usual.run(|program, quick, seed| door::run(quick, program, seed)),
-        Experiment::Start { usual, against, routers, capacity } => usual.run(|program, quick, seed| {
+        Experiment::FairQueue(common) => {
+            common.run(|program, quick, seed| fair_queue::run(quick, program, seed))
+        }
+        Experiment::Start { common, against, routers, capacity } => common.run(|program, quick, seed| {
             let against = against.as_deref();
             start::run(&start::Run { program, against, quick, seed, routers, capacity })
         }),
         Experiment::Fleet { routers, faults, seconds, program, seed } => {
-            let (program, time) = (named_or_beside(program)?, std::time::Duration::from_secs(seconds));
+            let (program, time) = (resolve_program(program)?, std::time::Duration::from_secs(seconds));
             let play = fleet::Play { program: &program, routers, faults: faults.as_deref(), time, seed };
-            let (summary, well) = fleet::run(&play)?;
+            let (summary, passed) = fleet::run(&play)?;
             println!("{summary}");
-            if well {
+            if passed {
                 Ok(())
             } else {
                 Err("not all held: see above".into())
             }
         }
-        Experiment::Limits(usual) => {
-            usual.run(|program, quick, seed| limits::run(&limits::Run { program, quick, seed }))
+        Experiment::Limits(common) => {
+            common.run(|program, quick, seed| limits::run(&limits::Run { program, quick, seed }))
         }
-        Experiment::Cold(usual) => usual.run(cold::run),
-        Experiment::Verdicts(usual) => {
-            usual.run(|program, quick, seed| verdicts::run(&verdicts::Run { program, quick, seed }))
+        Experiment::Cold(common) => common.run(cold::run),
+        Experiment::Health(common) => {
+            common.run(|program, quick, seed| health::run(&health::Run { program, quick, seed }))
         }
-        Experiment::Scale(usual) => {
-            usual.run(|program, quick, seed| scale::run(program, quick, seed).map_err(|e| e.to_string()))
+        Experiment::Scale(common) => {
+            common.run(|program, quick, seed| scale::run(program, quick, seed).map_err(|e| e.to_string()))
         }
         Experiment::HollowService => hollow::service::run().map_err(|e| e.to_string()),
         Experiment::HollowHost => hollow::host::run().map_err(|e| e.to_string()),
         Experiment::Capacity { measure, write, check, only, program } => {
-            let program = if measure { named_or_beside(program)? } else { PathBuf::new() };
+            let program = if measure { resolve_program(program)? } else { PathBuf::new() };
             capacity::run(&capacity::Run { program, measure, write, check, only })
         }
-        Experiment::Pacing { json } => write(json, &ways::run()),
-        Experiment::Disciplines { json, seed } => write(json, &disciplines::run(seed)),
+        Experiment::Pacing { json } => write_results(json, &pacing_strategies::run()),
+        Experiment::Disciplines { json, seed } => write_results(json, &disciplines::run(seed)),
     }
 }
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("marljunction-lab: {fault}");
+        Err(error) => {
+            eprintln!("marljunction-lab: {error}");
             ExitCode::FAILURE
         }
     }
