--- a/crates/lab/src/disciplines.rs
+++ b/crates/lab/src/disciplines.rs
@@ -10,55 +10,56 @@
 
 /// Weights of the flows that always have a backlog, and of the light one that comes and goes.
 const WEIGHTS: [f64; 5] = [8.0, 4.0, 2.0, 1.0, 1.0];
-const LIGHT: usize = 4;
-const TURNS: usize = 40_000;
+const LIGHT_FLOW: usize = 4;
+const PICKS: usize = 40_000;
 
 /// How a discipline did.
-fn measure(discipline: &mut dyn Discipline, estimates: f64, seed: u64) -> Value {
+fn measure(discipline: &mut dyn Discipline, estimate_sigma: f64, seed: u64) -> Value {
     let mut rng = StdRng::seed_from_u64(seed);
     let cost = LogNormal::new(0.0, 0.9).expect("a distribution");
-    let guess = LogNormal::new(0.0, estimates.max(1e-9)).expect("a distribution");
-    let mut got = [0.0; WEIGHTS.len()];
-    let (mut apart, mut served, mut waits, mut waiting) = (0.0_f64, 0.0, Vec::new(), None);
+    let estimate_error = LogNormal::new(0.0, estimate_sigma.max(1e-9)).expect("a distribution");
+    let mut served_cost = [0.0; WEIGHTS.len()];
+    let (mut max_gap, mut served, mut waits, mut waiting_since) = (0.0_f64, 0.0, Vec::new(), None);
     let draw = |rng: &mut StdRng| {
         let true_cost: f64 = cost.sample(rng);
-        (true_cost, true_cost * guess.sample(rng))
+        (true_cost, true_cost * estimate_error.sample(rng))
     };
     let mut next: Vec<(f64, f64)> = (0..WEIGHTS.len()).map(|_| draw(&mut rng)).collect();
-    (0..LIGHT).for_each(|flow| discipline.activate(flow, next[flow].1));
-    let begun = Instant::now();
-    for turn in 0..TURNS {
+    (0..LIGHT_FLOW).for_each(|flow| discipline.activate(flow, next[flow].1));
+    let started = Instant::now();
+    for pick_index in 0..PICKS {
         // The light flow comes with one request from time to time.
-        if waiting.is_none() && rng.gen::<f64>() < 0.02 {
-            waiting = Some(served);
-            discipline.activate(LIGHT, next[LIGHT].1);
+        if waiting_since.is_none() && rng.gen::<f64>() < 0.02 {
+            waiting_since = Some(served);
+            discipline.activate(LIGHT_FLOW, next[LIGHT_FLOW].1);
         }
         let Some(flow) = discipline.pick() else { break };
         let (true_cost, estimate) = next[flow];
         next[flow] = draw(&mut rng);
         discipline.charge(flow, estimate, next[flow].1);
         discipline.correct(flow, true_cost - estimate);
-        if flow == LIGHT {
-            waits.push(served - waiting.take().unwrap_or(served));
-            discipline.deactivate(LIGHT);
+        if flow == LIGHT_FLOW {
+            waits.push(served - waiting_since.take().unwrap_or(served));
+            discipline.deactivate(LIGHT_FLOW);
         }
         served += true_cost;
-        got[flow] += true_cost;
-        if turn > 100 {
-            let shares: Vec<f64> = (0..LIGHT).map(|f| got[f] / WEIGHTS[f]).collect();
-            let (least, most) = shares.iter().fold((f64::MAX, 0.0_f64), |(a, b), s| (a.min(*s), b.max(*s)));
-            apart = apart.max(most - least);
+        served_cost[flow] += true_cost;
+        if pick_index > 100 {
+            let shares: Vec<f64> = (0..LIGHT_FLOW).map(|f| served_cost[f] / WEIGHTS[f]).collect();
+            let (min_share, max_share) =
+                shares.iter().fold((f64::MAX, 0.0_f64), |(a, b), s| (a.min(*s), b.max(*s)));
+            max_gap = max_gap.max(max_share - min_share);
         }
     }
-    let ns = begun.elapsed().as_nanos() as f64 / TURNS as f64;
+    let ns = started.elapsed().as_nanos() as f64 / PICKS as f64;
     waits.sort_by(f64::total_cmp);
-    let at = |part: f64| waits.get((waits.len() as f64 * part) as usize).copied().unwrap_or(0.0);
-    json!({"furthest_apart": apart, "light_wait_mean": waits.iter().sum::<f64>() / waits.len().max(1) as f64,
+    let at = |quantile: f64| waits.get((waits.len() as f64 * quantile) as usize).copied().unwrap_or(0.0);
+    json!({"furthest_apart": max_gap, "light_wait_mean": waits.iter().sum::<f64>() / waits.len().max(1) as f64,
            "light_wait_p99": at(0.99), "ns_per_turn": ns})
 }
 
 /// A flow that had all to itself for a while, and what it gets in the time after another comes.
-fn after_idle(discipline: &mut dyn Discipline) -> f64 {
+fn share_after_idle(discipline: &mut dyn Discipline) -> f64 {
     discipline.activate(0, 1.0);
     for _ in 0..1_000 {
         if let Some(flow) = discipline.pick() {
@@ -66,37 +67,37 @@
         }
     }
     discipline.activate(1, 1.0);
-    let mut got = [0.0; 2];
+    let mut served_cost = [0.0; 2];
     for _ in 0..200 {
         if let Some(flow) = discipline.pick() {
             discipline.charge(flow, 1.0, 1.0);
-            got[flow.min(1)] += 1.0;
+            served_cost[flow.min(1)] += 1.0;
         }
     }
-    got[0] / 200.0
+    served_cost[0] / 200.0
 }
 
 /// A single server under lasting overload: part of its work that was done in time, by order of service.
-fn order(newest_first: bool, stale_ms: f64, load: f64, seed: u64) -> (f64, f64) {
+fn simulate_order(newest_first: bool, stale_ms: f64, load: f64, seed: u64) -> (f64, f64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let gap = Exp::new(load / 100.0).expect("a distribution");
-    let (mut now, mut free, mut queue) = (0.0, 0.0, std::collections::VecDeque::<f64>::new());
+    let (mut now, mut free_at, mut queue) = (0.0, 0.0, std::collections::VecDeque::<f64>::new());
     let (mut in_time, mut served, mut waits) = (0.0, 0.0, 0.0);
     while now < 600_000.0 {
         now += gap.sample(&mut rng);
-        while free <= now {
-            queue.retain(|came| free - came <= stale_ms);
+        while free_at <= now {
+            queue.retain(|arrived| free_at - arrived <= stale_ms);
             let next = if newest_first { queue.pop_back() } else { queue.pop_front() };
-            let Some(came) = next else {
-                free = now;
+            let Some(arrived) = next else {
+                free_at = now;
                 break;
             };
             // What ran takes from half to three times as long as usual, as engines share their cores.
-            let takes = 100.0 * rng.gen_range(0.5..1.5);
-            in_time += f64::from(u8::from(free + takes * 3.0 - came <= 1_200.0));
+            let service_ms = 100.0 * rng.gen_range(0.5..1.5);
+            in_time += f64::from(u8::from(free_at + service_ms * 3.0 - arrived <= 1_200.0));
             served += 1.0;
-            waits += free - came;
-            free += takes;
+            waits += free_at - arrived;
+            free_at += service_ms;
         }
         queue.push_back(now);
     }
@@ -104,11 +105,11 @@
 }
 
 /// Makes a discipline for flows of these weights.
-type Make = fn(&[f64]) -> Box<dyn Discipline>;
+type MakeDiscipline = fn(&[f64]) -> Box<dyn Discipline>;
 
 /// The figures.
 pub fn run(seed: u64) -> Value {
-    let make: [(&str, Make); 4] = [
+    let make: [(&str, MakeDiscipline); 4] = [
         ("start-time fair queueing", |w| Box::new(StartTime::new(w, f64::INFINITY))),
         ("deficit round robin", |w| Box::new(DeficitRoundRobin::new(w, 1.0))),
         ("WF2Q+", |w| Box::new(WorstCase::new(w))),
@@ -120,14 +121,14 @@
             let figures = json!({
                 "exact": measure(&mut *make(&WEIGHTS), 0.0, seed),
                 "rough": measure(&mut *make(&WEIGHTS), 1.0, seed),
-                "share_after_having_all": after_idle(&mut *make(&[1.0, 1.0])),
+                "share_after_having_all": share_after_idle(&mut *make(&[1.0, 1.0])),
             });
             ((*name).to_owned(), figures)
         })
         .collect();
     let orders = [("oldest first", false), ("newest first", true)].map(|(name, newest)| {
         let at = |stale: f64, load: f64| {
-            let (in_time, wait) = order(newest, stale, load, seed);
+            let (in_time, wait) = simulate_order(newest, stale, load, seed);
             json!({"in_time": in_time, "mean_wait_ms": wait})
         };
         (
--- a/crates/lab/src/pacing_strategies.rs
+++ b/crates/lab/src/pacing_strategies.rs
@@ -10,17 +10,17 @@
 const MS: u64 = 1_000_000;
 const S: u64 = 1_000 * MS;
 /// Shortest and longest wait of the ways that back off (ns).
-const BASE_NS: u64 = 100 * MS;
-const CAP_NS: u64 = 4_300 * MS;
+const MIN_WAIT_NS: u64 = 100 * MS;
+const MAX_WAIT_NS: u64 = 4_300 * MS;
 /// Callers, and calls a second that the service takes.
 const CALLERS: u32 = 200;
-const CAPACITY: f64 = 50.0;
+const CAPACITY_PER_S: f64 = 50.0;
 /// Seeds that each way is played with.
 const SEEDS: u64 = 50;
 
 /// How the next wait is drawn.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Rule {
+enum Strategy {
     /// Always the shortest: the program before.
     Fixed,
     /// Anything up to a limit that doubles.
@@ -34,51 +34,59 @@
 }
 
 /// A caller that waits by one rule alone. It obeys `Retry-After` where its rule backs off at all.
-struct Simple {
-    rule: Rule,
-    draws: StdRng,
+struct SimpleCaller {
+    strategy: Strategy,
+    rng: StdRng,
     due: Option<u64>,
-    last_ns: u64,
-    tries: u32,
-    place: f64,
+    last_wait_ns: u64,
+    attempts: u32,
+    slot_fraction: f64,
     period_ns: u64,
 }
 
-impl Simple {
-    fn new(rule: Rule, me: u32, told: Option<u32>, seed: u64) -> Simple {
-        let callers = f64::from(told.unwrap_or(1));
-        let period_ns = (callers / CAPACITY * 1e9) as u64;
-        let place = f64::from(me) / callers;
-        let draws = StdRng::seed_from_u64(seed);
-        let mut way = Simple { rule, draws, due: Some(0), last_ns: BASE_NS, tries: 0, place, period_ns };
-        if rule == Rule::Slot {
-            way.due = Some((place.fract() * period_ns as f64) as u64);
+impl SimpleCaller {
+    fn new(strategy: Strategy, me: u32, configured_callers: Option<u32>, seed: u64) -> SimpleCaller {
+        let callers = f64::from(configured_callers.unwrap_or(1));
+        let period_ns = (callers / CAPACITY_PER_S * 1e9) as u64;
+        let slot_fraction = f64::from(me) / callers;
+        let rng = StdRng::seed_from_u64(seed);
+        let mut caller = SimpleCaller {
+            strategy,
+            rng,
+            due: Some(0),
+            last_wait_ns: MIN_WAIT_NS,
+            attempts: 0,
+            slot_fraction,
+            period_ns,
+        };
+        if strategy == Strategy::Slot {
+            caller.due = Some((slot_fraction.fract() * period_ns as f64) as u64);
         }
-        way
+        caller
     }
 
-    fn next(&mut self) -> u64 {
-        self.tries += 1;
-        match self.rule {
-            Rule::Fixed => BASE_NS,
-            Rule::FullJitter => {
-                let high = (BASE_NS << self.tries.min(20)).min(CAP_NS);
-                self.draws.gen_range(0..=high)
+    fn next_wait_ns(&mut self) -> u64 {
+        self.attempts += 1;
+        match self.strategy {
+            Strategy::Fixed => MIN_WAIT_NS,
+            Strategy::FullJitter => {
+                let high = (MIN_WAIT_NS << self.attempts.min(20)).min(MAX_WAIT_NS);
+                self.rng.gen_range(0..=high)
             }
-            Rule::Decorrelated => {
-                self.last_ns = self.draws.gen_range(BASE_NS..=self.last_ns * 3).min(CAP_NS);
-                self.last_ns
+            Strategy::Decorrelated => {
+                self.last_wait_ns = self.rng.gen_range(MIN_WAIT_NS..=self.last_wait_ns * 3).min(MAX_WAIT_NS);
+                self.last_wait_ns
             }
-            Rule::Additive => {
-                let high = (BASE_NS * u64::from(self.tries)).min(CAP_NS);
-                self.draws.gen_range(high / 2..=high)
+            Strategy::Additive => {
+                let high = (MIN_WAIT_NS * u64::from(self.attempts)).min(MAX_WAIT_NS);
+                self.rng.gen_range(high / 2..=high)
             }
-            Rule::Slot => self.period_ns.max(BASE_NS),
+            Strategy::Slot => self.period_ns.max(MIN_WAIT_NS),
         }
     }
 }
 
-impl Way for Simple {
+impl Way for SimpleCaller {
     fn due_ns(&self) -> Option<u64> {
         self.due
     }
@@ -90,22 +98,22 @@
     }
 
     fn taken(&mut self, _: u64) {
-        (self.tries, self.last_ns) = (0, BASE_NS);
+        (self.attempts, self.last_wait_ns) = (0, MIN_WAIT_NS);
     }
 
     fn failed(&mut self, now: u64, failure: Failure) {
-        let wait = self.next();
-        let asked = match failure {
-            Failure::TurnedAway { after_ns: Some(after) } if self.rule != Rule::Fixed => after,
+        let wait = self.next_wait_ns();
+        let retry_after_ns = match failure {
+            Failure::TurnedAway { after_ns: Some(after) } if self.strategy != Strategy::Fixed => after,
             _ => 0,
         };
-        self.due = Some(now + wait + asked);
+        self.due = Some(now + wait + retry_after_ns);
     }
 
     fn ended(&mut self, now: u64) {
-        let wait = match self.rule {
-            Rule::Slot => (self.place.fract() * self.period_ns as f64) as u64,
-            _ => self.next(),
+        let wait = match self.strategy {
+            Strategy::Slot => (self.slot_fraction.fract() * self.period_ns as f64) as u64,
+            _ => self.next_wait_ns(),
         };
         self.due = Some(now + wait);
     }
@@ -113,91 +121,91 @@
 
 /// The figures of one way, each the worst or the mean over all seeds.
 #[derive(Default)]
-struct Figures {
-    start_calls: f64,
-    back_calls: f64,
-    away_calls_s: f64,
-    peak: f64,
+struct Metrics {
+    startup_calls: f64,
+    recovery_calls: f64,
+    outage_calls_per_s: f64,
+    peak_load: f64,
     peak_100ms: f64,
-    settled: f64,
-    unsettled: u64,
+    settle_ratio: f64,
+    unsettled_runs: u64,
 }
 
-fn play<W: Way>(make: impl Fn(u32, u64) -> W) -> Figures {
-    let mut figures = Figures::default();
+fn simulate<W: Way>(make: impl Fn(u32, u64) -> W) -> Metrics {
+    let mut metrics = Metrics::default();
     let n = f64::from(CALLERS);
-    let ideal = n / CAPACITY * 1e9;
+    let ideal = n / CAPACITY_PER_S * 1e9;
     for seed in 0..SEEDS {
         let callers = (0..CALLERS).map(|i| make(i, seed * 10_007 + u64::from(i))).collect();
-        let mut herd = Herd::new(callers, Service::new(CAPACITY));
+        let mut herd = Herd::new(callers, Service::new(CAPACITY_PER_S));
         let start = herd.pass(120 * S);
         herd.now += 20 * S;
         herd.drop_all();
         herd.service.away = true;
         let away = herd.pass(10 * S);
         herd.service.away = false;
-        let back = herd.pass(120 * S);
-        figures.start_calls += start.calls as f64 / n / SEEDS as f64;
-        figures.back_calls += back.calls as f64 / n / SEEDS as f64;
-        figures.away_calls_s += away.calls as f64 / n / 10.0 / SEEDS as f64;
-        for passed in [start, away, back] {
-            figures.peak = figures.peak.max(passed.worst_second as f64 / CAPACITY);
+        let recovery = herd.pass(120 * S);
+        metrics.startup_calls += start.calls as f64 / n / SEEDS as f64;
+        metrics.recovery_calls += recovery.calls as f64 / n / SEEDS as f64;
+        metrics.outage_calls_per_s += away.calls as f64 / n / 10.0 / SEEDS as f64;
+        for period in [start, away, recovery] {
+            metrics.peak_load = metrics.peak_load.max(period.worst_second as f64 / CAPACITY_PER_S);
         }
-        figures.peak_100ms = figures.peak_100ms.max(back.worst_100ms as f64 / n);
-        for passed in [start, back] {
-            match passed.settled_ns {
-                Some(ns) => figures.settled = figures.settled.max(ns as f64 / ideal),
-                None => figures.unsettled += 1,
+        metrics.peak_100ms = metrics.peak_100ms.max(recovery.worst_100ms as f64 / n);
+        for period in [start, recovery] {
+            match period.settled_ns {
+                Some(ns) => metrics.settle_ratio = metrics.settle_ratio.max(ns as f64 / ideal),
+                None => metrics.unsettled_runs += 1,
             }
         }
     }
-    figures
+    metrics
 }
 
-fn told(figures: &Figures) -> Value {
+fn to_json(metrics: &Metrics) -> Value {
     let round = |v: f64| (v * 1_000.0).round() / 1_000.0;
     json!({
-        "calls_per_router_start": round(figures.start_calls),
-        "calls_per_router_back": round(figures.back_calls),
-        "outage_calls_per_router_s": round(figures.away_calls_s),
-        "peak_over_capacity_worst": round(figures.peak),
-        "peak_100ms_share_worst": round(figures.peak_100ms),
-        "settled_over_ideal_worst": round(figures.settled),
-        "never_settled": figures.unsettled,
+        "calls_per_router_start": round(metrics.startup_calls),
+        "calls_per_router_back": round(metrics.recovery_calls),
+        "outage_calls_per_router_s": round(metrics.outage_calls_per_s),
+        "peak_over_capacity_worst": round(metrics.peak_load),
+        "peak_100ms_share_worst": round(metrics.peak_100ms),
+        "settled_over_ideal_worst": round(metrics.settle_ratio),
+        "never_settled": metrics.unsettled_runs,
     })
 }
 
 /// Plays all ways with the count of callers right, half, double and unknown, and with one number for all by mistake.
 pub fn run() -> Value {
-    let counts = [
+    let cases = [
         ("right", Some(CALLERS), false),
         ("half", Some(CALLERS / 2), false),
         ("double", Some(CALLERS * 2), false),
         ("unknown", None, false),
         ("one_number_for_all", Some(CALLERS), true),
     ];
-    let rules = [
-        ("fixed", Rule::Fixed),
-        ("exponential_full_jitter", Rule::FullJitter),
-        ("decorrelated_jitter", Rule::Decorrelated),
-        ("additive", Rule::Additive),
-        ("slot_by_number", Rule::Slot),
+    let strategies = [
+        ("fixed", Strategy::Fixed),
+        ("exponential_full_jitter", Strategy::FullJitter),
+        ("decorrelated_jitter", Strategy::Decorrelated),
+        ("additive", Strategy::Additive),
+        ("slot_by_number", Strategy::Slot),
     ];
-    let mut all = Map::new();
-    for (count, callers, same) in counts {
-        let number = |i: u32| if same { 0 } else { i };
-        let mut ways: Map<String, Value> = rules
+    let mut results = Map::new();
+    for (case, callers, same_number) in cases {
+        let number = |i: u32| if same_number { 0 } else { i };
+        let mut by_strategy: Map<String, Value> = strategies
             .iter()
-            .map(|(name, rule)| {
-                let figures = play(|i, seed| Simple::new(*rule, number(i), callers, seed));
-                ((*name).to_owned(), told(&figures))
+            .map(|(name, strategy)| {
+                let metrics = simulate(|i, seed| SimpleCaller::new(*strategy, number(i), callers, seed));
+                ((*name).to_owned(), to_json(&metrics))
             })
             .collect();
         let spread_ns = Pace::default().longest_ns;
-        let pace = Pace { callers, budget_per_s: CAPACITY, spread_ns, ..Pace::default() };
-        let figures = play(|i, seed| Pacer::new(Pace { me: number(i), ..pace }, seed, 0));
-        ways.insert("pacer".into(), told(&figures));
-        all.insert(count.into(), Value::Object(ways));
+        let pace = Pace { callers, budget_per_s: CAPACITY_PER_S, spread_ns, ..Pace::default() };
+        let metrics = simulate(|i, seed| Pacer::new(Pace { me: number(i), ..pace }, seed, 0));
+        by_strategy.insert("pacer".into(), to_json(&metrics));
+        results.insert(case.into(), Value::Object(by_strategy));
     }
-    json!({"callers": CALLERS, "capacity_per_s": CAPACITY, "seeds": SEEDS, "count_told": all})
+    json!({"callers": CALLERS, "capacity_per_s": CAPACITY_PER_S, "seeds": SEEDS, "count_told": results})
 }
