--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -8,7 +8,7 @@
 use marljunction_testkit::process::mean;
 use serde_json::{json, Map, Value};
 
-use crate::start::{together, Play};
+use crate::start::{run_concurrently, Task};
 
 /// Routers, small and large.
 const ROUTERS: [usize; 2] = [20, 200];
@@ -16,21 +16,27 @@
 /// Requests a second of all clients: about what the engines bear as they have just started.
 const RATE: f64 = 200.0;
 /// Part of the fleet that is replaced at once.
-const SETTLE: Duration = Duration::from_secs(40);
+const MAX_START_TIME: Duration = Duration::from_secs(40);
 const SECOND_NS: u64 = 1_000_000_000;
 /// Time over which worth is counted: engines are cold for longer.
-const COUNTED: Duration = Duration::from_secs(10);
+const MEASURED_TIME: Duration = Duration::from_secs(10);
 
 /// Engines start again under a fleet that has been up for a while, or with it.
 #[derive(Clone, Copy, PartialEq)]
-enum When {
-    Replaced,
-    Together,
+enum EngineStart {
+    InRunningFleet,
+    WithFleet,
 }
 
-fn play(program: &Path, routers: usize, shared: bool, when: When, seed: u64) -> Result<Value, String> {
+fn measure(
+    program: &Path,
+    routers: usize,
+    shared: bool,
+    engine_start: EngineStart,
+    seed: u64,
+) -> Result<Value, String> {
     let cold = if shared { "shared" } else { "own" };
-    let name = format!("cold-{routers}-{cold}-{}-{seed}", when == When::Replaced);
+    let name = format!("cold-{routers}-{cold}-{}-{seed}", engine_start == EngineStart::InRunningFleet);
     let mut fleet = Fleet::new(Setup {
         fleet: Some(format!("lease: 1s, cold: \"{cold}\", limits: {{}}")),
         engines: ENGINES,
@@ -44,16 +50,16 @@
     fleet.ask_at(&weights.iter().map(|w| RATE * w / sum).collect::<Vec<f64>>());
     let began = fleet.now();
     fleet.start_all()?;
-    if when == When::Replaced {
-        fleet.run_until(SETTLE, |f| f.ready() == routers)?;
+    if engine_start == EngineStart::InRunningFleet {
+        fleet.run_until(MAX_START_TIME, |f| f.ready() == routers)?;
         fleet.run(Duration::from_secs(16))?;
     }
     let tallies = |f: &Fleet| (f.sum(|t| t.worth), f.sum(|t| t.worth_asked));
     let before = tallies(&fleet);
-    if when == When::Replaced {
+    if engine_start == EngineStart::InRunningFleet {
         fleet.renew_engines();
     }
-    fleet.run(COUNTED)?;
+    fleet.run(MEASURED_TIME)?;
     let after = tallies(&fleet);
     let peak = fleet.engines.iter().filter_map(|e| Some(e.cold.as_ref()?.peak)).fold(0.0, f64::max);
     let down = fleet.engines.iter().filter(|e| !e.is_up()).count();
@@ -77,29 +83,31 @@
 /// # Errors
 /// Where a fleet can't be started.
 pub fn run(program: &Path, quick: bool, seed: u64) -> Result<Value, String> {
-    let mut told = Map::new();
+    let mut results = Map::new();
     for routers in ROUTERS.into_iter().take(if quick { 1 } else { 2 }) {
-        for (when_name, when) in [("replaced", When::Replaced), ("together", When::Together)] {
-            let plays: Vec<Play> = [("own", false), ("shared", true)]
-                .map(|(name, shared)| -> Play {
-                    (name.to_owned(), Box::new(move || play(program, routers, shared, when, seed)))
+        for (start_name, engine_start) in
+            [("replaced", EngineStart::InRunningFleet), ("together", EngineStart::WithFleet)]
+        {
+            let tasks: Vec<Task> = [("own", false), ("shared", true)]
+                .map(|(name, shared)| -> Task {
+                    (name.to_owned(), Box::new(move || measure(program, routers, shared, engine_start, seed)))
                 })
                 .into_iter()
                 .collect();
             // Hundreds of processes at once would measure the machine.
-            let plays = match routers <= ROUTERS[0] {
-                true => together(plays)?,
-                false => plays
+            let tasks = match routers <= ROUTERS[0] {
+                true => run_concurrently(tasks)?,
+                false => tasks
                     .into_iter()
-                    .map(|(name, play)| Ok((name, play()?)))
+                    .map(|(name, task)| Ok((name, task()?)))
                     .collect::<Result<_, String>>()?,
             };
-            told.insert(format!("{routers}_{when_name}"), Value::Object(plays));
+            results.insert(format!("{routers}_{start_name}"), Value::Object(tasks));
         }
     }
     let worst =
-        told.values().filter_map(|v| v["shared"]["cold_peak_over_limit"].as_f64()).fold(0.0, f64::max);
+        results.values().filter_map(|v| v["shared"]["cold_peak_over_limit"].as_f64()).fold(0.0, f64::max);
     let ratio = |v: &Value| Some(v["shared"]["worth_share"].as_f64()? / v["own"]["worth_share"].as_f64()?);
-    let gains: Map<String, Value> = told.iter().map(|(k, v)| (k.clone(), json!(ratio(v)))).collect();
-    Ok(json!({"cold_peak_over_limit": worst, "worth_over_own": gains, "plays": told}))
+    let gains: Map<String, Value> = results.iter().map(|(k, v)| (k.clone(), json!(ratio(v)))).collect();
+    Ok(json!({"cold_peak_over_limit": worst, "worth_over_own": gains, "plays": results}))
 }
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -14,22 +14,22 @@
 use marljunction_testkit::process::mean;
 use serde_json::{json, Map, Value};
 
-use crate::start::{together, Play};
+use crate::start::{run_concurrently, Task};
 
 /// Routers of the processes, quick and full, and units of the limit for each of them.
 const ROUTERS: [usize; 2] = [8, 40];
-const UNITS_EACH: usize = 2;
+const UNITS_PER_ROUTER: usize = 2;
 /// Routers of the stepped fleets.
-const STEPPED: [u32; 2] = [40, 500];
+const SIMULATED_ROUTERS: [u32; 2] = [40, 500];
 /// Routers whose idle cost is measured, quick and full.
-const IDLE: [usize; 2] = [20, 100];
+const IDLE_ROUTERS: [usize; 2] = [20, 100];
 /// Longest wait for something that must happen.
-const LIMIT: Duration = Duration::from_secs(40);
+const TIMEOUT: Duration = Duration::from_secs(40);
 /// Time over which use is averaged.
-const STEADY: Duration = Duration::from_secs(4);
+const AVERAGING_TIME: Duration = Duration::from_secs(4);
 const SECOND_NS: u64 = 1_000_000_000;
 /// The longest that a request of the plays is out: its deadline, and what is out behind it (ns).
-const LONGEST_NS: u64 = 4_500_000_000;
+const MAX_REQUEST_NS: u64 = 4_500_000_000;
 
 /// What is measured, and how large.
 pub struct Run<'a> {
@@ -41,204 +41,213 @@
     pub seed: u64,
 }
 
-fn class() -> Vec<Class> {
+fn request_classes() -> Vec<Class> {
     let usual = classes().swap_remove(0);
     vec![Class { work_ms: 500.0, spread: 0.4, share: 1.0, aim_ms: 1_500.0, deadline_ms: 2_000.0, ..usual }]
 }
 
 /// A way to break a fleet that uses its limit.
 #[derive(Clone, Copy, PartialEq)]
-enum Schedule {
-    OneAsks,
+enum Scenario {
+    SingleRouter,
     Zipf,
-    Static,
-    Halves,
-    OneWay,
-    Lossy,
-    HolderKilled,
-    HolderFrozen,
+    StaticShares,
+    TwoPartitions,
+    OneWayLoss,
+    LossyNetwork,
+    HolderCrashed,
+    HolderPaused,
     OwnersRestarted,
-    AllKilled,
-    BoundedCut,
+    AllRestarted,
+    BoundedPartition,
 }
 
-const SCHEDULES: [(&str, Schedule); 11] = [
-    ("one_asks", Schedule::OneAsks),
-    ("zipf", Schedule::Zipf),
-    ("static_shares", Schedule::Static),
-    ("cut_into_halves", Schedule::Halves),
-    ("one_way", Schedule::OneWay),
-    ("lossy", Schedule::Lossy),
-    ("holder_killed", Schedule::HolderKilled),
-    ("holder_frozen", Schedule::HolderFrozen),
-    ("owners_restarted", Schedule::OwnersRestarted),
-    ("all_killed", Schedule::AllKilled),
-    ("bounded_cut", Schedule::BoundedCut),
+const SCENARIOS: [(&str, Scenario); 11] = [
+    ("one_asks", Scenario::SingleRouter),
+    ("zipf", Scenario::Zipf),
+    ("static_shares", Scenario::StaticShares),
+    ("cut_into_halves", Scenario::TwoPartitions),
+    ("one_way", Scenario::OneWayLoss),
+    ("lossy", Scenario::LossyNetwork),
+    ("holder_killed", Scenario::HolderCrashed),
+    ("holder_frozen", Scenario::HolderPaused),
+    ("owners_restarted", Scenario::OwnersRestarted),
+    ("all_killed", Scenario::AllRestarted),
+    ("bounded_cut", Scenario::BoundedPartition),
 ];
 
 /// Mean of what engines hold over a while, over the limit (share).
-fn used(fleet: &mut Fleet, most: usize) -> Result<f64, String> {
-    let end = fleet.now() + STEADY.as_nanos() as u64;
+fn mean_used_share(fleet: &mut Fleet, total_units: usize) -> Result<f64, String> {
+    let end = fleet.now() + AVERAGING_TIME.as_nanos() as u64;
     let (mut sum, mut count) = (0, 0);
     while fleet.now() < end {
         fleet.run(Duration::from_millis(10))?;
         (sum, count) = (sum + fleet.held(), count + 1);
     }
-    Ok(sum as f64 / f64::from(count.max(1)) / most as f64)
+    Ok(sum as f64 / f64::from(count.max(1)) / total_units as f64)
 }
 
-fn play(run: &Run, name: &str, schedule: Schedule) -> Result<Value, String> {
+fn measure(run: &Run, name: &str, scenario: Scenario) -> Result<Value, String> {
     let routers = ROUTERS[usize::from(!run.quick)];
-    let most = routers * UNITS_EACH;
-    let bounded = schedule == Schedule::BoundedCut;
+    let total_units = routers * UNITS_PER_ROUTER;
+    let bounded = scenario == Scenario::BoundedPartition;
     let fail = if bounded { ", fail: { over: 0.5, for: 6s }" } else { "" };
-    let limits = format!("lease: 1s, limits: {{ all: {{ by: \"all\", at_once: {most}{fail} }} }}");
+    let limits = format!("lease: 1s, limits: {{ all: {{ by: \"all\", at_once: {total_units}{fail} }} }}");
     let mut fleet = Fleet::new(Setup {
         fleet: Some(limits),
-        classes: class(),
+        classes: request_classes(),
         engines: routers.div_ceil(2),
         seed: run.seed,
         ..Setup::new(run.program, &format!("limits-{name}-{}", run.seed), routers)
     })?;
     // Offered four times what the limit bears, as requests are out for half a second in the mean.
-    let all = most as f64 * 8.0;
-    let one = vec![all];
+    let offered_rate = total_units as f64 * 8.0;
+    let single_router = vec![offered_rate];
     fleet.start_all()?;
-    fleet.run_until(LIMIT, |f| f.ready() == routers)?;
-    fleet.run_until(LIMIT, |f| f.routers.iter().all(|r| r.talks.is_some()))?;
-    let nobody: Vec<usize> = (0..routers).collect();
-    let whole = vec![0; routers];
+    fleet.run_until(TIMEOUT, |f| f.ready() == routers)?;
+    fleet.run_until(TIMEOUT, |f| f.routers.iter().all(|r| r.talks.is_some()))?;
+    let isolated: Vec<usize> = (0..routers).collect();
+    let connected = vec![0; routers];
     let halves: Vec<usize> = (0..routers).map(|at| usize::from(at >= routers / 2)).collect();
     let params = LimitParams {
         routers: routers as u32,
         lease_ns: SECOND_NS,
-        max_request_ns: LONGEST_NS,
+        max_request_ns: MAX_REQUEST_NS,
         ..LimitParams::default()
     };
     let mode = if bounded { Mode::Bounded { over: 0.5, for_ns: 6 * SECOND_NS } } else { Mode::Strict };
     let limit = Limit {
         name: "all".into(),
         subject: String::new(),
-        kind: Kind::Concurrency { at_once: most as u32 },
+        kind: Kind::Concurrency { at_once: total_units as u32 },
         mode,
     };
-    if schedule == Schedule::Static {
-        fleet.cut_into(&nobody);
+    if scenario == Scenario::StaticShares {
+        fleet.cut_into(&isolated);
         // Nobody can say what it holds, so that all of it has to run out first.
         fleet.run(Duration::from_nanos(params.grace_ns(limit.kind)))?;
     }
-    match schedule {
-        Schedule::Zipf => {
+    match scenario {
+        Scenario::Zipf => {
             let sum: f64 = (1..=routers).map(|at| 1.0 / at as f64).sum();
-            fleet.ask_at(&(1..=routers).map(|at| all / sum / at as f64).collect::<Vec<f64>>());
+            fleet.ask_at(&(1..=routers).map(|at| offered_rate / sum / at as f64).collect::<Vec<f64>>());
         }
-        _ => fleet.ask_at(&one),
+        _ => fleet.ask_at(&single_router),
     }
-    let full = |f: &Fleet| f.held() + 1 >= most;
-    if schedule != Schedule::Static {
-        fleet.run_until(LIMIT, full)?;
+    let full = |f: &Fleet| f.held() + 1 >= total_units;
+    if scenario != Scenario::StaticShares {
+        fleet.run_until(TIMEOUT, full)?;
     }
     fleet.run(Duration::from_secs(3))?;
-    let mut told = Map::new();
+    let mut results = Map::new();
     // How long units lie idle after a fault, beside what is stated.
-    let regain = |fleet: &mut Fleet, told: &mut Map<String, Value>, units: usize, fault: Fault| {
-        let (began, stated) = (fleet.now(), bound(&limit, &params, fault).max_idle_ns);
-        // What others had out before is over then, and counts no more.
-        fleet.run(Duration::from_millis(2_500))?;
-        let most_wait = Duration::from_nanos(stated * 2) + LIMIT;
-        let back = fleet.run_until(most_wait, |f| f.held() + 1 >= units)?;
-        let took = fleet.now() - began;
-        told.insert("regain_s".into(), json!(took as f64 / 1e9));
-        told.insert("stale_ratio".into(), json!(if back { took as f64 / stated as f64 } else { f64::MAX }));
-        Ok::<(), String>(())
-    };
-    let other: Vec<f64> = (0..routers).map(|at| if at == 1 { all } else { 0.0 }).collect();
-    match schedule {
-        Schedule::OneAsks | Schedule::Zipf | Schedule::Static => {}
-        Schedule::Halves | Schedule::BoundedCut => {
+    let wait_for_recovery =
+        |fleet: &mut Fleet, results: &mut Map<String, Value>, units: usize, fault: Fault| {
+            let (began, bound_ns) = (fleet.now(), bound(&limit, &params, fault).max_idle_ns);
+            // What others had out before is over then, and counts no more.
+            fleet.run(Duration::from_millis(2_500))?;
+            let max_wait = Duration::from_nanos(bound_ns * 2) + TIMEOUT;
+            let back = fleet.run_until(max_wait, |f| f.held() + 1 >= units)?;
+            let elapsed_ns = fleet.now() - began;
+            results.insert("regain_s".into(), json!(elapsed_ns as f64 / 1e9));
+            results.insert(
+                "stale_ratio".into(),
+                json!(if back { elapsed_ns as f64 / bound_ns as f64 } else { f64::MAX }),
+            );
+            Ok::<(), String>(())
+        };
+    let other: Vec<f64> = (0..routers).map(|at| if at == 1 { offered_rate } else { 0.0 }).collect();
+    match scenario {
+        Scenario::SingleRouter | Scenario::Zipf | Scenario::StaticShares => {}
+        Scenario::TwoPartitions | Scenario::BoundedPartition => {
             fleet.cut_into(&halves);
             let mut both = vec![0.0; routers];
-            (both[0], both[routers - 1]) = (all, all);
-            fleet.ask_at(&if bounded { vec![all / 4.0; routers] } else { both });
+            (both[0], both[routers - 1]) = (offered_rate, offered_rate);
+            fleet.ask_at(&if bounded { vec![offered_rate / 4.0; routers] } else { both });
             fleet.run(Duration::from_nanos(bound(&limit, &params, Fault::Partition).max_idle_ns))?;
-            told.insert("used_share_cut".into(), json!(used(&mut fleet, most)?));
-            fleet.cut_into(&whole);
-            fleet.ask_at(&one);
-            regain(&mut fleet, &mut told, most, Fault::Partition)?;
+            results.insert("used_share_cut".into(), json!(mean_used_share(&mut fleet, total_units)?));
+            fleet.cut_into(&connected);
+            fleet.ask_at(&single_router);
+            wait_for_recovery(&mut fleet, &mut results, total_units, Fault::Partition)?;
         }
-        Schedule::OneWay => {
+        Scenario::OneWayLoss => {
             for to in 1..routers {
                 fleet.shape_between(Some(0), to, Shape { cut: true, ..Shape::default() });
             }
             fleet.run(Duration::from_secs(8))?;
-            told.insert("used_share_cut".into(), json!(used(&mut fleet, most)?));
+            results.insert("used_share_cut".into(), json!(mean_used_share(&mut fleet, total_units)?));
         }
-        Schedule::Lossy => {
-            let bad = Shape {
+        Scenario::LossyNetwork => {
+            let lossy = Shape {
                 loss: 0.3,
                 double: 0.2,
                 delay_ns: SECOND_NS / 50,
                 jitter_ns: SECOND_NS / 4,
                 ..Shape::default()
             };
-            (0..routers).for_each(|to| fleet.shape_between(None, to, bad));
+            (0..routers).for_each(|to| fleet.shape_between(None, to, lossy));
             fleet.run(Duration::from_secs(6))?;
         }
-        Schedule::HolderKilled => {
+        Scenario::HolderCrashed => {
             fleet.kill(0);
             fleet.ask_at(&other);
             // The dead one's own share is nobody else's.
-            regain(&mut fleet, &mut told, most - UNITS_EACH, Fault::HolderCrashed)?;
+            wait_for_recovery(
+                &mut fleet,
+                &mut results,
+                total_units - UNITS_PER_ROUTER,
+                Fault::HolderCrashed,
+            )?;
         }
-        Schedule::HolderFrozen => {
+        Scenario::HolderPaused => {
             fleet.freeze(0, true);
             fleet.ask_at(&other);
             fleet.run(Duration::from_secs(8))?;
-            fleet.ask_at(&one);
+            fleet.ask_at(&single_router);
             fleet.freeze(0, false);
             fleet.run(Duration::from_secs(4))?;
         }
-        Schedule::OwnersRestarted => {
+        Scenario::OwnersRestarted => {
             for owner in 1..routers / 2 {
                 fleet.kill(owner);
                 fleet.start(owner)?;
             }
             fleet.run(Duration::from_secs(2))?;
-            regain(&mut fleet, &mut told, most, Fault::OwnerRestarted)?;
+            wait_for_recovery(&mut fleet, &mut results, total_units, Fault::OwnerRestarted)?;
         }
-        Schedule::AllKilled => {
+        Scenario::AllRestarted => {
             (0..routers).for_each(|router| fleet.kill(router));
             fleet.start_all()?;
-            fleet.ask_at(&one);
-            regain(&mut fleet, &mut told, most, Fault::AllRestarted)?;
+            fleet.ask_at(&single_router);
+            wait_for_recovery(&mut fleet, &mut results, total_units, Fault::AllRestarted)?;
         }
     }
-    let share = used(&mut fleet, most)?;
+    let share = mean_used_share(&mut fleet, total_units)?;
     let allowed = bound(&limit, &params, Fault::Partition).max_overshoot;
-    let over = (fleet.held_most as f64 / most as f64 - 1.0).max(0.0);
+    let over = (fleet.held_most as f64 / total_units as f64 - 1.0).max(0.0);
     let counters = fleet.counters(Duration::from_secs(5))?;
     let seconds = (fleet.now() - fleet.routers[routers - 1].started_ns) as f64 / 1e9;
-    told.insert("used_share".into(), json!(share));
-    told.insert("over".into(), json!(over));
-    told.insert("over_ratio".into(), json!(if allowed > 0.0 { over / allowed } else { 0.0 }));
-    told.insert("most_at_once".into(), json!(fleet.held_most));
-    told.insert("limit".into(), json!(most));
-    told.insert("datagrams_a_router_s".into(), json!(mean(&counters, "fleet_datagrams") / seconds));
-    told.insert("bytes_a_router_s".into(), json!(mean(&counters, "fleet_bytes") / seconds));
-    told.insert("lost".into(), json!(fleet.sum(|t| t.unanswered as f64)));
-    told.insert("double_answers".into(), json!(fleet.sum(|t| t.twice as f64)));
-    Ok(Value::Object(told))
+    results.insert("used_share".into(), json!(share));
+    results.insert("over".into(), json!(over));
+    results.insert("over_ratio".into(), json!(if allowed > 0.0 { over / allowed } else { 0.0 }));
+    results.insert("most_at_once".into(), json!(fleet.held_most));
+    results.insert("limit".into(), json!(total_units));
+    results.insert("datagrams_a_router_s".into(), json!(mean(&counters, "fleet_datagrams") / seconds));
+    results.insert("bytes_a_router_s".into(), json!(mean(&counters, "fleet_bytes") / seconds));
+    results.insert("lost".into(), json!(fleet.sum(|t| t.unanswered as f64)));
+    results.insert("double_answers".into(), json!(fleet.sum(|t| t.twice as f64)));
+    Ok(Value::Object(results))
 }
 
 /// The same machines for many routers in stepped time.
-fn stepped(routers: u32, seed: u64) -> Value {
+fn simulate(routers: u32, seed: u64) -> Value {
     let params = LimitParams { routers, max_request_ns: 2 * SECOND_NS, ..LimitParams::default() };
-    let units = routers * UNITS_EACH as u32;
+    let units = routers * UNITS_PER_ROUTER as u32;
     let kinds = [
         ("concurrency", Kind::Concurrency { at_once: units }),
         ("rate", Kind::Rate { per_s: f64::from(units), burst: units }),
     ];
-    let told = kinds.map(|(name, kind)| {
+    let results = kinds.map(|(name, kind)| {
         let limit = Limit { name: name.into(), subject: String::new(), kind, mode: Mode::Strict };
         let mut fleet = lease_fleet::Fleet::new(limit, params, 0.01, seed);
         fleet.tell_reachable();
@@ -258,17 +267,17 @@
                 (fleet.admitted - admitted) as f64 / seconds / f64::from(units) * window_ns as f64 / 1e9
             }
         };
-        let each = (fleet.messages - messages) as f64 / seconds / f64::from(routers);
+        let messages_per_router = (fleet.messages - messages) as f64 / seconds / f64::from(routers);
         (
             name.to_owned(),
-            json!({"used_share": used, "messages_a_router_s": each, "worst_over_limit": fleet.worst}),
+            json!({"used_share": used, "messages_a_router_s": messages_per_router, "worst_over_limit": fleet.worst}),
         )
     });
-    Value::Object(told.into_iter().collect())
+    Value::Object(results.into_iter().collect())
 }
 
 /// Time for one request, and memory with a hundred thousand clients.
-fn alone() -> Value {
+fn measure_single_node() -> Value {
     let rate = |name: &str| Limit {
         name: name.into(),
         subject: String::new(),
@@ -306,15 +315,15 @@
 }
 
 /// Processor time of an idle router a second, with the fleet and without (us).
-fn idle(run: &Run, fleet_on: bool) -> Result<Value, String> {
-    let routers = IDLE[usize::from(!run.quick)];
+fn measure_idle(run: &Run, with_fleet: bool) -> Result<Value, String> {
+    let routers = IDLE_ROUTERS[usize::from(!run.quick)];
     let limits = "limits: { all: { by: \"all\", at_once: 100 } }".to_owned();
     let mut fleet = Fleet::new(Setup {
-        fleet: fleet_on.then_some(limits),
-        ..Setup::new(run.program, &format!("limits-idle-{fleet_on}-{}", run.seed), routers)
+        fleet: with_fleet.then_some(limits),
+        ..Setup::new(run.program, &format!("limits-idle-{with_fleet}-{}", run.seed), routers)
     })?;
     fleet.start_all()?;
-    fleet.run_until(LIMIT, |f| f.live() == routers)?;
+    fleet.run_until(TIMEOUT, |f| f.live() == routers)?;
     fleet.run(Duration::from_secs(8))?;
     let used = |fleet: &Fleet| -> u64 { fleet.used().iter().map(|(_, time)| time).sum() };
     let (began, before) = (fleet.now(), used(&fleet));
@@ -333,24 +342,24 @@
 /// # Errors
 /// Where a fleet can't be started.
 pub fn run(run: &Run) -> Result<Value, String> {
-    let own = alone();
-    let mut plays: Vec<Play> = Vec::new();
-    for (name, schedule) in SCHEDULES {
-        plays.push((name.to_owned(), Box::new(move || play(run, name, schedule))));
+    let single_node = measure_single_node();
+    let mut tasks: Vec<Task> = Vec::new();
+    for (name, scenario) in SCENARIOS {
+        tasks.push((name.to_owned(), Box::new(move || measure(run, name, scenario))));
     }
-    let schedules = together(plays)?;
-    let idles: Vec<Play> = [("fleet", true), ("alone", false)]
-        .map(|(name, on)| -> Play { (name.to_owned(), Box::new(move || idle(run, on))) })
+    let scenarios = run_concurrently(tasks)?;
+    let idle_tasks: Vec<Task> = [("fleet", true), ("alone", false)]
+        .map(|(name, on)| -> Task { (name.to_owned(), Box::new(move || measure_idle(run, on))) })
         .into_iter()
         .collect();
-    let idles = together(idles)?;
+    let idle_tasks = run_concurrently(idle_tasks)?;
     let steps: Map<String, Value> =
-        STEPPED.iter().map(|routers| (routers.to_string(), stepped(*routers, run.seed))).collect();
+        SIMULATED_ROUTERS.iter().map(|routers| (routers.to_string(), simulate(*routers, run.seed))).collect();
     let worst = |key: &str, strict: bool| {
-        let of = schedules.iter().filter(|(name, _)| (*name != "bounded_cut") == strict);
+        let of = scenarios.iter().filter(|(name, _)| (*name != "bounded_cut") == strict);
         of.filter_map(|(_, v)| v[key].as_f64()).fold(0.0, f64::max)
     };
-    let at = |name: &str, key: &str| schedules[name][key].clone();
+    let at = |name: &str, key: &str| scenarios[name][key].clone();
     Ok(json!({
         "over_strict": worst("over", true),
         "over_bounded_ratio": worst("over_ratio", false),
@@ -360,11 +369,11 @@
         "used_share_static": at("static_shares", "used_share"),
         "used_share_cut": at("cut_into_halves", "used_share_cut"),
         "regain_s": at("cut_into_halves", "regain_s"),
-        "check_ns": own["check_ns"],
-        "schedules": schedules,
-        "idle": idles,
+        "check_ns": single_node["check_ns"],
+        "schedules": scenarios,
+        "idle": idle_tasks,
         "stepped": steps,
-        "alone": own,
+        "alone": single_node,
         "quick": run.quick,
         "seed": run.seed,
     }))
--- a/crates/lab/src/start.rs
+++ b/crates/lab/src/start.rs
@@ -12,17 +12,17 @@
 /// Routers of a quick run and of a full one.
 const ROUTERS: [usize; 2] = [100, 300];
 /// Seconds that the service needs for the whole fleet: as 200 routers at 50 calls a second.
-const IDEAL_S: f64 = 4.0;
+const IDEAL_SETTLE_S: f64 = 4.0;
 /// Requests a second of all clients, and of those of a start onto cold engines.
-const RATE: f64 = 150.0;
-const COLD_RATE: f64 = 300.0;
+const REQUEST_RATE: f64 = 150.0;
+const COLD_REQUEST_RATE: f64 = 300.0;
 /// Time for which the service is away.
-const AWAY: Duration = Duration::from_secs(10);
+const OUTAGE: Duration = Duration::from_secs(10);
 /// Longest wait for a fleet to settle.
-const SETTLE: Duration = Duration::from_secs(30);
+const MAX_SETTLE_TIME: Duration = Duration::from_secs(30);
 /// Time over which an operator would start the routers by hand, and starts that the first answer is measured by.
-const BY_HAND: Duration = Duration::from_secs(5);
-const FIRST_STARTS: usize = 15;
+const MANUAL_START_TIME: Duration = Duration::from_secs(5);
+const FIRST_ANSWER_STARTS: usize = 15;
 const SECOND_NS: u64 = 1_000_000_000;
 
 /// The programs that a run compares, and how large it is.
@@ -47,11 +47,11 @@
     }
 
     fn capacity(&self) -> f64 {
-        self.capacity.unwrap_or(self.routers() as f64 / IDEAL_S)
+        self.capacity.unwrap_or(self.routers() as f64 / IDEAL_SETTLE_S)
     }
 }
 
-fn file(capacity: f64, routers: &str) -> String {
+fn operator_file(capacity: f64, routers: &str) -> String {
     format!("start: {{ budget: {capacity}{routers} }}\n")
 }
 
@@ -60,51 +60,56 @@
 }
 
 /// A start, an outage of the list service, its return, and a drain told meanwhile.
-fn herd(run: &Run, name: &str, program: &Path, operator: Option<String>) -> Result<Value, String> {
+fn start_and_outage(
+    run: &Run,
+    name: &str,
+    program: &Path,
+    operator: Option<String>,
+) -> Result<Value, String> {
     let (routers, capacity) = (run.routers(), run.capacity());
     let mut fleet = Fleet::new(Setup {
         capacity,
         operator,
         engines: 6,
-        rate: RATE / routers as f64,
+        rate: REQUEST_RATE / routers as f64,
         seed: run.seed,
         ..Setup::new(program, &format!("start-{name}-{}", run.seed), routers)
     })?;
     let count = routers as f64;
     let ideal_s = count / capacity;
     fleet.ask();
-    let began = fleet.now();
+    let start_ns = fleet.now();
     fleet.start_all()?;
     let all_live = |fleet: &Fleet| fleet.live() == routers;
-    let started = fleet.run_until(SETTLE, all_live)?;
+    let started = fleet.run_until(MAX_SETTLE_TIME, all_live)?;
     let settled = fleet.now();
     let used = fleet.used();
-    let (start_calls, _) = calls_within(&fleet.list.calls, began, settled, SECOND_NS);
+    let (start_calls, _) = calls_within(&fleet.list.calls, start_ns, settled, SECOND_NS);
 
-    let away = fleet.now();
+    let outage_start = fleet.now();
     fleet.set_list(Manner::Away);
     // An engine leaves while nobody can be told; the service has it on its list when it comes back.
-    fleet.run(AWAY - Duration::from_secs(2))?;
+    fleet.run(OUTAGE - Duration::from_secs(2))?;
     fleet.drain(0);
     fleet.run(Duration::from_secs(2))?;
-    let back = fleet.now();
+    let outage_end = fleet.now();
     fleet.set_list(Manner::Well);
-    let returned = fleet.run_until(SETTLE, all_live)?;
-    let settled_again = fleet.now();
+    let reconnected = fleet.run_until(MAX_SETTLE_TIME, all_live)?;
+    let settled_after_outage = fleet.now();
     // What goes out after the drain counted as told would be seen now.
-    let after_told = 8 * SECOND_NS;
-    let until = fleet.left_ns[0].unwrap_or(back) + after_told;
+    let after_update = 8 * SECOND_NS;
+    let until = fleet.left_ns[0].unwrap_or(outage_end) + after_update;
     fleet.run(Duration::from_nanos(until.saturating_sub(fleet.now())))?;
     let calls = std::mem::take(&mut fleet.list.calls);
-    let (away_calls, _) = calls_within(&calls, away, back, SECOND_NS);
-    let (back_calls, _) = calls_within(&calls, back, settled_again, SECOND_NS);
-    let (_, worst_second) = calls_within(&calls, began, settled_again, SECOND_NS);
-    let (_, worst_100ms) = calls_within(&calls, back, settled_again, SECOND_NS / 10);
-    let seconds_run = ((settled_again - began) / SECOND_NS) as usize + 1;
+    let (away_calls, _) = calls_within(&calls, outage_start, outage_end, SECOND_NS);
+    let (back_calls, _) = calls_within(&calls, outage_end, settled_after_outage, SECOND_NS);
+    let (_, worst_second) = calls_within(&calls, start_ns, settled_after_outage, SECOND_NS);
+    let (_, worst_100ms) = calls_within(&calls, outage_end, settled_after_outage, SECOND_NS / 10);
+    let seconds_run = ((settled_after_outage - start_ns) / SECOND_NS) as usize + 1;
     let by_second: Vec<usize> = (0..seconds_run as u64)
-        .map(|s| calls_within(&calls, began + s * SECOND_NS, began + (s + 1) * SECOND_NS, SECOND_NS).0)
+        .map(|s| calls_within(&calls, start_ns + s * SECOND_NS, start_ns + (s + 1) * SECOND_NS, SECOND_NS).0)
         .collect();
-    let blind = fleet.routers.iter().map(|r| r.blind_ns).max().unwrap_or(0);
+    let max_blind_ns = fleet.routers.iter().map(|r| r.blind_ns).max().unwrap_or(0);
     let answered = fleet.quiet(Duration::from_secs(8))?;
     let handshakes: u64 = fleet.engines.iter().map(|e| e.accepted).sum();
     let audit = fleet.audit();
@@ -119,14 +124,14 @@
         "calls_per_router_back": back_calls as f64 / count,
         "peak_over_capacity": worst_second as f64 / capacity,
         "peak_100ms_share": worst_100ms as f64 / count,
-        "outage_calls_per_router_s": away_calls as f64 / count / seconds(back - away),
-        "settled_over_ideal": seconds((settled - began).max(settled_again - back)) / ideal_s,
-        "settled_over_ideal_start": seconds(settled - began) / ideal_s,
-        "settled_over_ideal_back": seconds(settled_again - back) / ideal_s,
-        "all_settled": started && returned,
-        "longest_blind_s": seconds(blind),
+        "outage_calls_per_router_s": away_calls as f64 / count / seconds(outage_end - outage_start),
+        "settled_over_ideal": seconds((settled - start_ns).max(settled_after_outage - outage_end)) / ideal_s,
+        "settled_over_ideal_start": seconds(settled - start_ns) / ideal_s,
+        "settled_over_ideal_back": seconds(settled_after_outage - outage_end) / ideal_s,
+        "all_settled": started && reconnected,
+        "longest_blind_s": seconds(max_blind_ns),
         "calls_by_second": by_second,
-        "away_from_to_s": [seconds(away - began), seconds(back - began)],
+        "away_from_to_s": [seconds(outage_start - start_ns), seconds(outage_end - start_ns)],
         "late_sends": audit.late_sends,
         "double_runs": audit.double_runs,
         "double_answers": twice,
@@ -151,9 +156,9 @@
     let mut fleet = Fleet::new(setup)?;
     fleet.ask();
     let mut times = Vec::new();
-    for _ in 0..FIRST_STARTS {
+    for _ in 0..FIRST_ANSWER_STARTS {
         fleet.start(0)?;
-        fleet.run_until(SETTLE, |fleet| fleet.loads[0].first_answer_ns.is_some())?;
+        fleet.run_until(MAX_SETTLE_TIME, |fleet| fleet.loads[0].first_answer_ns.is_some())?;
         let first = fleet.loads[0].first_answer_ns.unwrap_or(u64::MAX);
         times.push(first.saturating_sub(fleet.routers[0].started_ns) as f64 / 1e6);
         fleet.kill(0);
@@ -164,28 +169,28 @@
 
 /// Routers start onto engines that have just started, told so many routers: all at once, or one after the other over
 /// `by_hand`.
-fn cold(
+fn measure_cold_start(
     run: &Run,
     name: &str,
     program: &Path,
-    told: Option<u32>,
+    configured_routers: Option<u32>,
     routers_key: &str,
-    by_hand: Option<Duration>,
+    stagger: Option<Duration>,
 ) -> Result<Value, String> {
     let (routers, capacity) = (run.routers(), run.capacity());
     let mut fleet = Fleet::new(Setup {
         capacity,
-        operator: (!name.starts_with("against")).then(|| file(capacity, routers_key)),
+        operator: (!name.starts_with("against")).then(|| operator_file(capacity, routers_key)),
         engines: 6,
         cold: true,
-        told_routers: told,
-        rate: COLD_RATE / routers as f64,
+        told_routers: configured_routers,
+        rate: COLD_REQUEST_RATE / routers as f64,
         seed: run.seed,
         ..Setup::new(program, &format!("cold-{name}-{}", run.seed), routers)
     })?;
     fleet.ask();
     let end = fleet.now() + 10 * SECOND_NS;
-    match by_hand {
+    match stagger {
         None => fleet.start_all()?,
         Some(over) => {
             for router in 0..routers {
@@ -210,12 +215,12 @@
 }
 
 /// Something that is measured, under its name.
-pub type Play<'a> = (String, Box<dyn FnOnce() -> Result<Value, String> + Send + 'a>);
+pub type Task<'a> = (String, Box<dyn FnOnce() -> Result<Value, String> + Send + 'a>);
 
 /// Runs several at once, each on a thread of its own: a router's process ends with the thread that started it.
-pub fn together(plays: Vec<Play>) -> Result<Map<String, Value>, String> {
+pub fn run_concurrently(tasks: Vec<Task>) -> Result<Map<String, Value>, String> {
     std::thread::scope(|scope| {
-        let runs: Vec<_> = plays.into_iter().map(|(name, play)| (name, scope.spawn(play))).collect();
+        let runs: Vec<_> = tasks.into_iter().map(|(name, task)| (name, scope.spawn(task))).collect();
         let ended = runs.into_iter().map(|(name, run)| {
             let value = run.join().map_err(|_| format!("{name} failed"))??;
             Ok((name, value))
@@ -230,48 +235,56 @@
 /// Where a fleet can't be started.
 pub fn run(run: &Run) -> Result<Value, String> {
     let (routers, capacity) = (run.routers(), run.capacity());
-    let herds = run.against.iter().map(|program| ("against", *program, None));
-    let own = ("program", run.program, Some(file(capacity, "")));
-    let unknown = ("unknown_count", run.program, Some(file(capacity, ", routers: \"unknown\"")));
-    let mut plays: Vec<Play> = Vec::new();
-    for (name, program, operator) in std::iter::once(own).chain(std::iter::once(unknown)).chain(herds) {
-        plays.push((name.to_owned(), Box::new(move || herd(run, name, program, operator))));
+    let outage_runs = run.against.iter().map(|program| ("against", *program, None));
+    let own = ("program", run.program, Some(operator_file(capacity, "")));
+    let unknown = ("unknown_count", run.program, Some(operator_file(capacity, ", routers: \"unknown\"")));
+    let mut tasks: Vec<Task> = Vec::new();
+    for (name, program, operator) in std::iter::once(own).chain(std::iter::once(unknown)).chain(outage_runs) {
+        tasks.push((name.to_owned(), Box::new(move || start_and_outage(run, name, program, operator))));
     }
-    let herds = together(plays)?;
+    let outage_runs = run_concurrently(tasks)?;
     let counts = [
         ("right", None, ""),
         ("half", Some(routers as u32 / 2), ""),
         ("double", Some(routers as u32 * 2), ""),
         ("unknown", Some(1), ", routers: \"unknown\""),
     ];
-    let mut plays: Vec<Play> = Vec::new();
-    for (name, told, key) in counts {
-        plays.push((name.to_owned(), Box::new(move || cold(run, name, run.program, told, key, None))));
+    let mut tasks: Vec<Task> = Vec::new();
+    for (name, configured, key) in counts {
+        tasks.push((
+            name.to_owned(),
+            Box::new(move || measure_cold_start(run, name, run.program, configured, key, None)),
+        ));
     }
-    let by_hand = move || cold(run, "by_hand", run.program, None, "", Some(BY_HAND));
-    plays.push(("by_hand".into(), Box::new(by_hand)));
+    let manual_start =
+        move || measure_cold_start(run, "by_hand", run.program, None, "", Some(MANUAL_START_TIME));
+    tasks.push(("by_hand".into(), Box::new(manual_start)));
     if let Some(program) = run.against {
-        plays.push(("against".into(), Box::new(move || cold(run, "against", program, None, "", None))));
+        tasks.push((
+            "against".into(),
+            Box::new(move || measure_cold_start(run, "against", program, None, "", None)),
+        ));
     }
-    let colds = together(plays)?;
-    let peak = |name: &str| colds[name]["engine_peak_over_limit"].as_f64().unwrap_or(f64::MAX);
-    let mut told = herds["program"].as_object().cloned().unwrap_or_default();
-    told.insert(
+    let cold_starts = run_concurrently(tasks)?;
+    let peak = |name: &str| cold_starts[name]["engine_peak_over_limit"].as_f64().unwrap_or(f64::MAX);
+    let mut results = outage_runs["program"].as_object().cloned().unwrap_or_default();
+    results.insert(
         "engine_peak_over_limit".into(),
         json!(["right", "half", "double", "unknown"].map(peak).into_iter().fold(0.0, f64::max)),
     );
-    let worth = |name: &str| colds[name]["worth_10s"].as_f64().unwrap_or(0.0);
-    told.insert("worth_10s_over_by_hand".into(), json!(worth("right") / worth("by_hand").max(1e-9)));
-    let firsts =
+    let worth = |name: &str| cold_starts[name]["worth_10s"].as_f64().unwrap_or(0.0);
+    results.insert("worth_10s_over_by_hand".into(), json!(worth("right") / worth("by_hand").max(1e-9)));
+    let first_answers =
         std::iter::once(("program", run.program)).chain(run.against.map(|program| ("against", program)));
-    let firsts: Result<Map<String, Value>, String> =
-        firsts.map(|(name, program)| Ok((name.to_owned(), first_answer(run, name, program)?))).collect();
-    told.insert("start_to_first_answer".into(), Value::Object(firsts?));
-    told.insert("routers".into(), json!(routers));
-    told.insert("capacity_per_s".into(), json!(capacity));
-    told.insert("quick".into(), json!(run.quick));
-    told.insert("seed".into(), json!(run.seed));
-    told.insert("herds".into(), Value::Object(herds));
-    told.insert("cold_starts".into(), Value::Object(colds));
-    Ok(Value::Object(told))
+    let first_answers: Result<Map<String, Value>, String> = first_answers
+        .map(|(name, program)| Ok((name.to_owned(), first_answer(run, name, program)?)))
+        .collect();
+    results.insert("start_to_first_answer".into(), Value::Object(first_answers?));
+    results.insert("routers".into(), json!(routers));
+    results.insert("capacity_per_s".into(), json!(capacity));
+    results.insert("quick".into(), json!(run.quick));
+    results.insert("seed".into(), json!(run.seed));
+    results.insert("herds".into(), Value::Object(outage_runs));
+    results.insert("cold_starts".into(), Value::Object(cold_starts));
+    Ok(Value::Object(results))
 }
