--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -15,7 +15,7 @@
 use rand::SeedableRng;
 
 /// What breaks where no file says so.
-const FAULTS: &str = "
+const DEFAULT_SCHEDULE: &str = "
 5s list away
 9s drain 0
 13s list well
@@ -31,10 +31,10 @@
 50s lose 1
 ";
 /// How often the picture is drawn.
-const DRAW: Duration = Duration::from_millis(500);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What is to be played.
-pub struct Play<'a> {
+pub struct Options<'a> {
     /// The router's program.
     pub program: &'a Path,
     /// Routers.
@@ -48,10 +48,10 @@
 }
 
 /// One line for each router: whether it is there, its stream, and what it says of itself.
-fn picture(fleet: &Fleet, now: u64, broken: &[String]) -> String {
+fn render(fleet: &Fleet, now: u64, applied_faults: &[String]) -> String {
     let mut text = String::new();
-    let line = |text: &mut String, what: std::fmt::Arguments| {
-        let _ = writeln!(text, "{what}");
+    let line = |text: &mut String, args: std::fmt::Arguments| {
+        let _ = writeln!(text, "{args}");
     };
     line(
         &mut text,
@@ -59,14 +59,14 @@
             "router  process  stream     news s  calls  taken served refused failed  engines told of"
         ),
     );
-    for (at, router) in fleet.routers.iter().enumerate() {
+    for (index, router) in fleet.routers.iter().enumerate() {
         let Some(process) = &router.process else {
-            line(&mut text, format_args!("r{at:<6} gone"));
+            line(&mut text, format_args!("r{index:<6} gone"));
             continue;
         };
         let counters = process.counters();
         let of = |name: &str| counter(&counters, name);
-        let stream = match fleet.list.live_since(at) {
+        let stream = match fleet.list.live_since(index) {
             Some(since) => format!("up {:>4.1} s", now.saturating_sub(since) as f64 / 1e9),
             None => "none".to_owned(),
         };
@@ -74,7 +74,7 @@
         line(
             &mut text,
             format_args!(
-                "r{at:<6} {state:<8} {stream:<10} {:>6.1} {:>6} {:>6} {:>6} {:>7} {:>6}  {}",
+                "r{index:<6} {state:<8} {stream:<10} {:>6.1} {:>6} {:>6} {:>6} {:>7} {:>6}  {}",
                 of("list_age_ms") as f64 / 1e3,
                 of("list_calls"),
                 of("taken"),
@@ -107,7 +107,7 @@
             all(|t| t.unanswered)
         ),
     );
-    broken.iter().rev().take(6).rev().for_each(|told| line(&mut text, format_args!("{told}")));
+    applied_faults.iter().rev().take(6).rev().for_each(|entry| line(&mut text, format_args!("{entry}")));
     text
 }
 
@@ -115,53 +115,54 @@
 ///
 /// # Errors
 /// Where the schedule can't be read or the fleet can't be started.
-pub fn run(play: &Play) -> Result<(String, bool), String> {
-    let events = match play.faults {
+pub fn run(options: &Options) -> Result<(String, bool), String> {
+    let events = match options.faults {
         Some(path) => {
             let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
             schedule::read(&text).map_err(|fault| format!("{}: {fault}", path.display()))?
         }
-        None => schedule::read(FAULTS)?,
+        None => schedule::read(DEFAULT_SCHEDULE)?,
     };
-    let stopped = Arc::new(AtomicBool::new(false));
+    let interrupted = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
-        signal_hook::flag::register(signal, stopped.clone()).map_err(|e| format!("signals: {e}"))?;
+        signal_hook::flag::register(signal, interrupted.clone()).map_err(|e| format!("signals: {e}"))?;
     }
-    let capacity = (play.routers as f64 / 2.0).max(2.0);
+    let capacity = (options.routers as f64 / 2.0).max(2.0);
     let mut fleet = Fleet::new(Setup {
         capacity,
         operator: Some(format!("start: {{ budget: {capacity} }}\n")),
-        rate: 40.0 / play.routers.max(1) as f64,
-        seed: play.seed,
-        ..Setup::new(play.program, "fleet", play.routers)
+        rate: 40.0 / options.routers.max(1) as f64,
+        seed: options.seed,
+        ..Setup::new(options.program, "fleet", options.routers)
     })?;
-    let mut draws = StdRng::seed_from_u64(play.seed);
+    let mut rng = StdRng::seed_from_u64(options.seed);
     let mut events = events.into_iter().peekable();
     let terminal = std::io::stdout().is_terminal();
-    let began = fleet.now();
-    let end = began + play.time.as_nanos() as u64;
-    let mut broken = Vec::new();
+    let start_ns = fleet.now();
+    let end = start_ns + options.time.as_nanos() as u64;
+    let mut applied_faults = Vec::new();
     fleet.ask();
     fleet.start_all()?;
-    while fleet.now() < end && !stopped.load(Ordering::Relaxed) {
+    while fleet.now() < end && !interrupted.load(Ordering::Relaxed) {
         fleet.ask_counters();
-        let until = fleet.now() + DRAW.as_nanos() as u64;
-        while fleet.now() < until && !stopped.load(Ordering::Relaxed) {
+        let until = fleet.now() + REFRESH_INTERVAL.as_nanos() as u64;
+        while fleet.now() < until && !interrupted.load(Ordering::Relaxed) {
             let now = fleet.now();
-            while let Some(Event { fault, text, .. }) = events.next_if(|event| began + event.at_ns <= now) {
-                let whom = fleet.apply(&fault, &mut draws)?;
-                let told = format!("{:>5.1} s  {text}{whom}", (now - began) as f64 / 1e9);
+            while let Some(Event { fault, text, .. }) = events.next_if(|event| start_ns + event.at_ns <= now)
+            {
+                let targets = fleet.apply(&fault, &mut rng)?;
+                let entry = format!("{:>5.1} s  {text}{targets}", (now - start_ns) as f64 / 1e9);
                 if !terminal {
-                    println!("{told}");
+                    println!("{entry}");
                 }
-                broken.push(told);
+                applied_faults.push(entry);
             }
-            let next = events.peek().map_or(until, |event| (began + event.at_ns).min(until));
+            let next = events.peek().map_or(until, |event| (start_ns + event.at_ns).min(until));
             fleet.run(Duration::from_nanos(next.saturating_sub(now).clamp(1, 50_000_000)))?;
         }
         if terminal {
             // To the top left, and everything below it anew.
-            print!("\x1b[H\x1b[J{}", picture(&fleet, fleet.now(), &broken));
+            print!("\x1b[H\x1b[J{}", render(&fleet, fleet.now(), &applied_faults));
             let _ = std::io::stdout().flush();
         }
     }
@@ -172,23 +173,23 @@
     fleet.mend_all()?;
     let answered = fleet.quiet(Duration::from_secs(8))?;
     let now = fleet.now();
-    let last = picture(&fleet, now, &[]);
+    let last = render(&fleet, now, &[]);
     let audit = fleet.audit();
     let (unanswered, twice) = (fleet.sum(|t| t.unanswered as f64), fleet.sum(|t| t.twice as f64));
     let excused: u64 = fleet.loads.iter().map(|load| load.excused).sum();
-    let blind = fleet.routers.iter().map(|r| r.blind_ns).max().unwrap_or(0);
+    let max_blind_ns = fleet.routers.iter().map(|r| r.blind_ns).max().unwrap_or(0);
     let calls = fleet.list.calls.len();
-    let (_, well) = fleet.stop(Duration::from_secs(8))?;
-    let kept = audit.late_sends == 0 && audit.double_runs == 0 && unanswered == 0.0 && twice == 0.0;
+    let (_, ended_well) = fleet.stop(Duration::from_secs(8))?;
+    let checks_passed = audit.late_sends == 0 && audit.double_runs == 0 && unanswered == 0.0 && twice == 0.0;
     let text = format!(
         "{last}\nsent to engines {}, after a drain was known {}, run twice {}, answered twice {twice}, unanswered {unanswered} \
          ({excused} more with routers that were killed or stood still)\ncalls to the list service {calls}; longest without a \
-         stream while it took calls {:.1} s\nall answered: {answered}; all routers ended well: {well}\n{}",
+         stream while it took calls {:.1} s\nall answered: {answered}; all routers ended well: {ended_well}\n{}",
         audit.sends,
         audit.late_sends,
         audit.double_runs,
-        blind as f64 / 1e9,
-        if kept { "all rules were kept" } else { "A RULE WAS BROKEN" },
+        max_blind_ns as f64 / 1e9,
+        if checks_passed { "all rules were kept" } else { "A RULE WAS BROKEN" },
     );
-    Ok((text, kept && answered && well))
+    Ok((text, checks_passed && answered && ended_well))
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -176,8 +176,9 @@
         }),
         Experiment::Fleet { routers, faults, seconds, program, seed } => {
             let (program, time) = (resolve_program(program)?, std::time::Duration::from_secs(seconds));
-            let play = fleet::Play { program: &program, routers, faults: faults.as_deref(), time, seed };
-            let (summary, passed) = fleet::run(&play)?;
+            let options =
+                fleet::Options { program: &program, routers, faults: faults.as_deref(), time, seed };
+            let (summary, passed) = fleet::run(&options)?;
             println!("{summary}");
             if passed {
                 Ok(())
