--- a/crates/lab/src/fair_queue.rs
+++ b/crates/lab/src/fair_queue.rs
@@ -11,14 +11,14 @@
 use crate::fair_queue_cost;
 
 /// Longest advice that the settings allow (ms).
-const LONGEST_MS: u64 = 2_000;
+const MAX_RETRY_AFTER_MS: u64 = 2_000;
 /// Engines, and cores of each.
 const ENGINES: usize = 8;
 const CORES: f64 = 8.0;
 /// Tenants and their shares.
 const TENANTS: [(&str, f64); 3] = [("heavy", 73.0), ("light-a", 16.0), ("light-b", 11.0)];
 /// Part of all that can be served that each tenant asks for when it asks for its share.
-const CALM: f64 = 0.6;
+const BASE_LOAD_SHARE: f64 = 0.6;
 
 fn classes() -> Vec<Class> {
     let lookup = Class {
@@ -63,30 +63,36 @@
 }
 
 /// Requests a second that the engines can serve.
-fn capacity() -> f64 {
+fn capacity_per_s() -> f64 {
     let mean_ms: f64 = classes().iter().map(|c| c.share * c.work_ms).sum();
     ENGINES as f64 * CORES * 1_000.0 / mean_ms
 }
 
 /// All three tenants ask for their shares, the heavy one so many times over.
-fn sources(heavy: f64) -> Vec<Source> {
+fn sources(heavy_factor: f64) -> Vec<Source> {
     let source = |(tenant, share): &(&'static str, f64), times: f64, clients| Source {
         tenant,
-        rate: capacity() * CALM * share / 100.0 * times,
+        rate: capacity_per_s() * BASE_LOAD_SHARE * share / 100.0 * times,
         clients,
         says: 1.0,
     };
-    vec![source(&TENANTS[0], heavy, 5_000), source(&TENANTS[1], 1.0, 40), source(&TENANTS[2], 1.0, 40)]
+    vec![source(&TENANTS[0], heavy_factor, 5_000), source(&TENANTS[1], 1.0, 40), source(&TENANTS[2], 1.0, 40)]
 }
 
 /// What one router made of it.
 struct Outcome {
     tallies: Vec<Vec<Tally>>,
-    told: Told,
+    exit_report: Told,
     double_runs: u64,
 }
 
-fn play(name: &str, door: Option<Value>, quick: bool, program: &Path, seed: u64) -> Result<Outcome, String> {
+fn measure(
+    name: &str,
+    door: Option<Value>,
+    quick: bool,
+    program: &Path,
+    seed: u64,
+) -> Result<Outcome, String> {
     let setup = Setup {
         program: program.to_owned(),
         name: format!("lab-{name}-{seed}"),
@@ -95,7 +101,7 @@
         tenants: TENANTS.to_vec(),
         classes: classes(),
         door,
-        longest_ms: LONGEST_MS,
+        longest_ms: MAX_RETRY_AFTER_MS,
         returning: 0.2,
         seed,
     };
@@ -113,14 +119,14 @@
     stage.drain(Duration::from_secs(5))?;
     stage.load.finish();
     let (tallies, double_runs) = (stage.load.tallies.clone(), stage.double_runs());
-    Ok(Outcome { tallies, told: stage.stop()?, double_runs })
+    Ok(Outcome { tallies, exit_report: stage.stop()?, double_runs })
 }
 
 /// The phases of [`play`].
-const CALM_PHASE: usize = 1;
-const ALONE: usize = 2;
-const FLOOD: usize = 4;
-const HALF_LOST: usize = 5;
+const BASE_PHASE: usize = 1;
+const LIGHT_ONLY_PHASE: usize = 2;
+const FLOOD_PHASE: usize = 4;
+const HALF_LOST_PHASE: usize = 5;
 
 fn ratio(a: f64, b: f64) -> f64 {
     if b > 0.0 {
@@ -132,14 +138,15 @@
 
 impl Outcome {
     /// Worth served over worth asked for.
-    fn kept(&self, phase: usize, source: usize) -> f64 {
+    fn worth_ratio(&self, phase: usize, source: usize) -> f64 {
         let tally = &self.tallies[phase][source];
         ratio(tally.worth, tally.worth_asked)
     }
 
     /// What each light tenant keeps of what it gets alone.
-    fn light_kept(&self, phase: usize) -> [f64; 2] {
-        [1, 2].map(|source| ratio(self.kept(phase, source), self.kept(ALONE, source)))
+    fn light_worth_ratio(&self, phase: usize) -> [f64; 2] {
+        [1, 2]
+            .map(|source| ratio(self.worth_ratio(phase, source), self.worth_ratio(LIGHT_ONLY_PHASE, source)))
     }
 
     fn sum(&self, phase: usize, of: fn(&Tally) -> f64) -> f64 {
@@ -147,7 +154,7 @@
     }
 
     /// Returns at a promised time that were served.
-    fn promise_kept(&self, phase: usize) -> f64 {
+    fn served_reservation_ratio(&self, phase: usize) -> f64 {
         ratio(self.sum(phase, |t| t.returned_served as f64), self.sum(phase, |t| t.returned as f64))
     }
 
@@ -155,7 +162,7 @@
         self.tallies.iter().flatten().map(of).sum()
     }
 
-    fn told(&self) -> Value {
+    fn to_json(&self) -> Value {
         let phases = ["learn", "calm", "alone", "surge", "flood", "half_lost"];
         let tallies: serde_json::Map<String, Value> = phases
             .iter()
@@ -167,31 +174,31 @@
             })
             .collect();
         let door: serde_json::Map<String, Value> = self
-            .told
+            .exit_report
             .door
             .iter()
             .map(|(name, fields)| {
                 (name.clone(), fields.iter().map(|(k, v)| (k.clone(), json!(v))).collect::<Value>())
             })
             .collect();
-        let [a, b] = self.light_kept(FLOOD);
-        let worth = |source: usize| self.tallies[FLOOD][source].worth;
+        let [a, b] = self.light_worth_ratio(FLOOD_PHASE);
+        let worth = |source: usize| self.tallies[FLOOD_PHASE][source].worth;
         let all: f64 = (0..3).map(worth).sum();
         json!({
             "light_worth_kept": {"light-a": a, "light-b": b},
-            "light_worth_kept_half_lost": self.light_kept(HALF_LOST),
+            "light_worth_kept_half_lost": self.light_worth_ratio(HALF_LOST_PHASE),
             "share_of_worth_in_flood": (0..3).map(|s| ratio(worth(s), all)).collect::<Vec<f64>>(),
             "worth_in_flood": all,
-            "worth_calm": self.sum(CALM_PHASE, |t| t.worth),
-            "promise_kept": self.promise_kept(FLOOD),
-            "promise_kept_half_lost": self.promise_kept(HALF_LOST),
-            "promised_returns": [self.sum(FLOOD, |t| t.returned as f64), self.sum(HALF_LOST, |t| t.returned as f64)],
-            "peak_memory_kb": self.told.peak_kb,
+            "worth_calm": self.sum(BASE_PHASE, |t| t.worth),
+            "promise_kept": self.served_reservation_ratio(FLOOD_PHASE),
+            "promise_kept_half_lost": self.served_reservation_ratio(HALF_LOST_PHASE),
+            "promised_returns": [self.sum(FLOOD_PHASE, |t| t.returned as f64), self.sum(HALF_LOST_PHASE, |t| t.returned as f64)],
+            "peak_memory_kb": self.exit_report.peak_kb,
             "double_runs": self.double_runs,
             "unanswered": self.all(|t| t.unanswered),
             "answered_twice": self.all(|t| t.twice),
-            "ended_well": self.told.ended_well,
-            "taken": self.told.counter("taken"),
+            "ended_well": self.exit_report.ended_well,
+            "taken": self.exit_report.counter("taken"),
             "phases": tallies,
             "door": door,
         })
@@ -201,37 +208,37 @@
 /// Runs the three side by side.
 pub fn run(quick: bool, program: &Path, seed: u64) -> Result<Value, String> {
     // Alone first: the draws of the router's runs would disturb its times.
-    let own = fair_queue_cost::run(seed);
-    let doors = [
+    let cost = fair_queue_cost::run(seed);
+    let queue_configs = [
         ("off", None),
         ("fifo", Some(json!({"order": "fifo"}))),
         ("fair", Some(json!({"order": "fair", "client": {"field": "who"}}))),
     ];
     let outcomes: Vec<Result<Outcome, String>> = std::thread::scope(|scope| {
-        let runs: Vec<_> = doors
+        let runs: Vec<_> = queue_configs
             .iter()
-            .map(|(name, door)| scope.spawn(move || play(name, door.clone(), quick, program, seed)))
+            .map(|(name, door)| scope.spawn(move || measure(name, door.clone(), quick, program, seed)))
             .collect();
         runs.into_iter().map(|run| run.join().unwrap_or_else(|_| Err("a run failed".into()))).collect()
     });
     let outcomes: Vec<Outcome> = outcomes.into_iter().collect::<Result<_, _>>()?;
     let [off, _, fair] = &outcomes[..] else { return Err("three runs".into()) };
-    let calm = |o: &Outcome| o.sum(CALM_PHASE, |t| t.worth);
-    let light = fair.light_kept(FLOOD);
+    let base_worth = |o: &Outcome| o.sum(BASE_PHASE, |t| t.worth);
+    let light = fair.light_worth_ratio(FLOOD_PHASE);
     let variants: serde_json::Map<String, Value> =
-        doors.iter().zip(&outcomes).map(|((name, _), o)| ((*name).to_owned(), o.told())).collect();
+        queue_configs.iter().zip(&outcomes).map(|((name, _), o)| ((*name).to_owned(), o.to_json())).collect();
     Ok(json!({
         "light_worth_kept": light[0].min(light[1]),
-        "promise_kept": fair.promise_kept(FLOOD),
-        "promise_kept_half_lost": fair.promise_kept(HALF_LOST),
-        "bytes_100k_over_100": own["bytes_100k_over_100"],
-        "idle_cost": ratio(calm(fair), calm(off)),
-        "ns_per_request": own["ns_per_request"],
+        "promise_kept": fair.served_reservation_ratio(FLOOD_PHASE),
+        "promise_kept_half_lost": fair.served_reservation_ratio(HALF_LOST_PHASE),
+        "bytes_100k_over_100": cost["bytes_100k_over_100"],
+        "idle_cost": ratio(base_worth(fair), base_worth(off)),
+        "ns_per_request": cost["ns_per_request"],
         "double_runs": outcomes.iter().map(|o| o.double_runs).sum::<u64>(),
         "unanswered": outcomes.iter().map(|o| o.all(|t| t.unanswered)).sum::<u64>(),
         "quick": quick,
         "seed": seed,
-        "door_alone": own,
+        "door_alone": cost,
         "variants": variants,
     }))
 }
--- a/crates/lab/src/fair_queue_cost.rs
+++ b/crates/lab/src/fair_queue_cost.rs
@@ -16,7 +16,7 @@
 
 /// Passes requests of so many identities through a door that is asked for twice what there is; gives the heap that it
 /// took at most (bytes), by the allocator, and the median time for a request (ns).
-fn pass(identities: u64, seed: u64) -> (usize, f64) {
+fn measure(identities: u64, seed: u64) -> (usize, f64) {
     let before = HEAP.current_usage();
     HEAP.reset_peak_usage();
     let site = Site {
@@ -28,10 +28,10 @@
     };
     let (mut now, mut rng) = (1 << 60, StdRng::seed_from_u64(seed));
     let mut door = Door::new(now, DoorSettings::default(), site);
-    let (mut shown, mut id) = (std::collections::VecDeque::new(), 0);
+    let (mut admitted, mut id) = (std::collections::VecDeque::new(), 0);
     let mut times = Vec::with_capacity(BATCHES);
     for _ in 0..BATCHES {
-        let begun = Instant::now();
+        let started = Instant::now();
         for _ in 0..BATCH {
             (now, id) = (now + 100_000, id + 1);
             let arrival = Arrival {
@@ -49,18 +49,18 @@
             door.arrive(now, arrival);
             while let Some(verdict) = door.open(now) {
                 let Verdict::Show(id) = verdict else { continue };
-                if shown.len() >= 50 {
+                if admitted.len() >= 50 {
                     door.refused(now, id, false);
                 } else {
                     door.accepted(now, id);
-                    shown.push_back(id);
+                    admitted.push_back(id);
                 }
             }
             if id % 2 == 0 {
-                shown.pop_front().into_iter().for_each(|first| door.over(now, first, Some(true)));
+                admitted.pop_front().into_iter().for_each(|first| door.over(now, first, Some(true)));
             }
         }
-        times.push(begun.elapsed().as_nanos() as f64 / BATCH as f64);
+        times.push(started.elapsed().as_nanos() as f64 / BATCH as f64);
     }
     times.sort_by(f64::total_cmp);
     (HEAP.peak_usage().saturating_sub(before), times[times.len() / 2])
@@ -68,11 +68,11 @@
 
 /// The figures.
 pub fn run(seed: u64) -> Value {
-    let (few, few_ns) = pass(100, seed);
-    let (many, many_ns) = pass(100_000, seed);
+    let (small, small_ns) = measure(100, seed);
+    let (large, large_ns) = measure(100_000, seed);
     json!({
-        "bytes_100": few, "bytes_100k": many, "bytes_100k_over_100": many as i64 - few as i64,
-        "ns_per_request_100": few_ns, "ns_per_request": many_ns,
+        "bytes_100": small, "bytes_100k": large, "bytes_100k_over_100": large as i64 - small as i64,
+        "ns_per_request_100": small_ns, "ns_per_request": large_ns,
         "stated_bound_bytes": Door::most_bytes(&DoorSettings::default(), 3, 1_000),
     })
 }
