--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -14,7 +14,7 @@
 const ROUTERS: [usize; 2] = [20, 200];
 const ENGINES: usize = 6;
 /// Requests a second of all clients: about what the engines bear as they have just started.
-const RATE: f64 = 200.0;
+const REQUEST_RATE: f64 = 200.0;
 /// Part of the fleet that is replaced at once.
 const MAX_START_TIME: Duration = Duration::from_secs(40);
 const SECOND_NS: u64 = 1_000_000_000;
@@ -47,8 +47,8 @@
     // Uneven: a few routers get several times the mean.
     let weights: Vec<f64> = (0..routers).map(|at| 1.0 / (at % 10 + 1) as f64).collect();
     let sum: f64 = weights.iter().sum();
-    fleet.ask_at(&weights.iter().map(|w| RATE * w / sum).collect::<Vec<f64>>());
-    let began = fleet.now();
+    fleet.ask_at(&weights.iter().map(|w| REQUEST_RATE * w / sum).collect::<Vec<f64>>());
+    let start_ns = fleet.now();
     fleet.start_all()?;
     if engine_start == EngineStart::InRunningFleet {
         fleet.run_until(MAX_START_TIME, |f| f.ready() == routers)?;
@@ -64,7 +64,7 @@
     let peak = fleet.engines.iter().filter_map(|e| Some(e.cold.as_ref()?.peak)).fold(0.0, f64::max);
     let down = fleet.engines.iter().filter(|e| !e.is_up()).count();
     let counters = fleet.counters(Duration::from_secs(8))?;
-    let seconds = (fleet.now() - began) as f64 / SECOND_NS as f64;
+    let seconds = (fleet.now() - start_ns) as f64 / SECOND_NS as f64;
     let used = fleet.used();
     Ok(json!({
         "cold_peak_over_limit": peak,
@@ -95,14 +95,14 @@
                 .into_iter()
                 .collect();
             // Hundreds of processes at once would measure the machine.
-            let tasks = match routers <= ROUTERS[0] {
+            let runs = match routers <= ROUTERS[0] {
                 true => run_concurrently(tasks)?,
                 false => tasks
                     .into_iter()
                     .map(|(name, task)| Ok((name, task()?)))
                     .collect::<Result<_, String>>()?,
             };
-            results.insert(format!("{routers}_{start_name}"), Value::Object(tasks));
+            results.insert(format!("{routers}_{start_name}"), Value::Object(runs));
         }
     }
     let worst =
--- a/crates/lab/src/disciplines.rs
+++ b/crates/lab/src/disciplines.rs
@@ -109,21 +109,21 @@
 
 /// The figures.
 pub fn run(seed: u64) -> Value {
-    let make: [(&str, MakeDiscipline); 4] = [
+    let constructors: [(&str, MakeDiscipline); 4] = [
         ("start-time fair queueing", |w| Box::new(StartTime::new(w, f64::INFINITY))),
         ("deficit round robin", |w| Box::new(DeficitRoundRobin::new(w, 1.0))),
         ("WF2Q+", |w| Box::new(WorstCase::new(w))),
         ("virtual deadlines", |w| Box::new(VirtualDeadline::new(w))),
     ];
-    let disciplines: serde_json::Map<String, Value> = make
+    let disciplines: serde_json::Map<String, Value> = constructors
         .iter()
         .map(|(name, make)| {
-            let figures = json!({
+            let metrics = json!({
                 "exact": measure(&mut *make(&WEIGHTS), 0.0, seed),
                 "rough": measure(&mut *make(&WEIGHTS), 1.0, seed),
                 "share_after_having_all": share_after_idle(&mut *make(&[1.0, 1.0])),
             });
-            ((*name).to_owned(), figures)
+            ((*name).to_owned(), metrics)
         })
         .collect();
     let orders = [("oldest first", false), ("newest first", true)].map(|(name, newest)| {
--- a/crates/lab/src/fair_queue.rs
+++ b/crates/lab/src/fair_queue.rs
@@ -183,12 +183,12 @@
             .collect();
         let [a, b] = self.light_worth_ratio(FLOOD_PHASE);
         let worth = |source: usize| self.tallies[FLOOD_PHASE][source].worth;
-        let all: f64 = (0..3).map(worth).sum();
+        let total: f64 = (0..3).map(worth).sum();
         json!({
             "light_worth_kept": {"light-a": a, "light-b": b},
             "light_worth_kept_half_lost": self.light_worth_ratio(HALF_LOST_PHASE),
-            "share_of_worth_in_flood": (0..3).map(|s| ratio(worth(s), all)).collect::<Vec<f64>>(),
-            "worth_in_flood": all,
+            "share_of_worth_in_flood": (0..3).map(|s| ratio(worth(s), total)).collect::<Vec<f64>>(),
+            "worth_in_flood": total,
             "worth_calm": self.sum(BASE_PHASE, |t| t.worth),
             "promise_kept": self.served_reservation_ratio(FLOOD_PHASE),
             "promise_kept_half_lost": self.served_reservation_ratio(HALF_LOST_PHASE),
--- a/crates/lab/src/health.rs
+++ b/crates/lab/src/health.rs
@@ -48,8 +48,8 @@
 }
 
 fn request_classes() -> Vec<Class> {
-    let usual = marljunction_testkit::fleet::classes().swap_remove(0);
-    vec![Class { work_ms: 30.0, spread: 0.4, share: 1.0, aim_ms: 1_000.0, deadline_ms: 2_500.0, ..usual }]
+    let base = marljunction_testkit::fleet::classes().swap_remove(0);
+    vec![Class { work_ms: 30.0, spread: 0.4, share: 1.0, aim_ms: 1_000.0, deadline_ms: 2_500.0, ..base }]
 }
 
 fn start_fleet(run: &Run, name: &str, shared: bool) -> Result<Fleet, String> {
@@ -141,14 +141,14 @@
 fn measure_override(run: &Run) -> Result<Value, String> {
     let mut fleet = start_fleet(run, "word", true)?;
     let routers = fleet.routers.len();
-    let bad = Shape {
+    let lossy = Shape {
         loss: 0.3,
         double: 0.2,
         delay_ns: SECOND_NS / 50,
         jitter_ns: SECOND_NS / 10,
         ..Shape::default()
     };
-    (0..routers).for_each(|to| fleet.shape_between(None, to, bad));
+    (0..routers).for_each(|to| fleet.shape_between(None, to, lossy));
     let set_ns = fleet.now();
     let answer = fleet.call(1, "POST", "/fleet/engines/disable", "e1")?;
     let has_override = |f: &Fleet| (0..routers).all(|r| f.said(r).contains("the whole fleet leaves out: e1"));
@@ -184,9 +184,9 @@
     let exclusion_ns = fleet.until(4 * bound, "out", |f| f.all(excluded));
     let busy_from = (fleet.messages, fleet.bytes);
     for second in 0..5 {
-        for at in 0..routers.min(40) {
+        for router in 0..routers.min(40) {
             fleet.ended(
-                at,
+                router,
                 6,
                 if second % 2 == 0 {
                     AttemptOutcome::Silent
@@ -223,12 +223,12 @@
         }
     }
     tasks.push(("word".into(), Box::new(move || measure_override(run))));
-    let tasks: Map<String, Value> = match run.quick {
+    let results: Map<String, Value> = match run.quick {
         true => run_concurrently(tasks)?,
         // Hundreds of processes at once would measure the machine.
         false => tasks.into_iter().map(|(name, task)| Ok((name, task()?))).collect::<Result<_, String>>()?,
     };
-    let of = |name: &str, key: &str| tasks[name][key].as_f64().unwrap_or(f64::MAX);
+    let of = |name: &str, key: &str| results[name][key].as_f64().unwrap_or(f64::MAX);
     Ok(json!({
         "silent_lost": of("silent_shared", "lost") / of("silent_alone", "lost").max(1.0),
         "slow_worth_over_alone": of("slow_shared", "worth_share") / of("slow_alone", "worth_share").max(1e-9),
@@ -237,7 +237,7 @@
         "back_s": of("silent_shared", "back_s"),
         "heard_ratio": of("word", "heard_ratio"),
         "operator_late_sends": of("word", "operator_late_sends"),
-        "plays": tasks,
+        "plays": results,
         "stepped": SIMULATED_ROUTERS.iter().map(|n| (n.to_string(), simulate(*n, run.seed))).collect::<Map<String, Value>>(),
         "quick": run.quick,
         "seed": run.seed,
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -42,8 +42,8 @@
 }
 
 fn request_classes() -> Vec<Class> {
-    let usual = classes().swap_remove(0);
-    vec![Class { work_ms: 500.0, spread: 0.4, share: 1.0, aim_ms: 1_500.0, deadline_ms: 2_000.0, ..usual }]
+    let base = classes().swap_remove(0);
+    vec![Class { work_ms: 500.0, spread: 0.4, share: 1.0, aim_ms: 1_500.0, deadline_ms: 2_000.0, ..base }]
 }
 
 /// A way to break a fleet that uses its limit.
@@ -143,20 +143,20 @@
     // How long units lie idle after a fault, beside what is stated.
     let wait_for_recovery =
         |fleet: &mut Fleet, results: &mut Map<String, Value>, units: usize, fault: Fault| {
-            let (began, bound_ns) = (fleet.now(), bound(&limit, &params, fault).max_idle_ns);
+            let (start_ns, bound_ns) = (fleet.now(), bound(&limit, &params, fault).max_idle_ns);
             // What others had out before is over then, and counts no more.
             fleet.run(Duration::from_millis(2_500))?;
             let max_wait = Duration::from_nanos(bound_ns * 2) + TIMEOUT;
-            let back = fleet.run_until(max_wait, |f| f.held() + 1 >= units)?;
-            let elapsed_ns = fleet.now() - began;
+            let recovered = fleet.run_until(max_wait, |f| f.held() + 1 >= units)?;
+            let elapsed_ns = fleet.now() - start_ns;
             results.insert("regain_s".into(), json!(elapsed_ns as f64 / 1e9));
             results.insert(
                 "stale_ratio".into(),
-                json!(if back { elapsed_ns as f64 / bound_ns as f64 } else { f64::MAX }),
+                json!(if recovered { elapsed_ns as f64 / bound_ns as f64 } else { f64::MAX }),
             );
             Ok::<(), String>(())
         };
-    let other: Vec<f64> = (0..routers).map(|at| if at == 1 { offered_rate } else { 0.0 }).collect();
+    let second_router: Vec<f64> = (0..routers).map(|at| if at == 1 { offered_rate } else { 0.0 }).collect();
     match scenario {
         Scenario::SingleRouter | Scenario::Zipf | Scenario::StaticShares => {}
         Scenario::TwoPartitions | Scenario::BoundedPartition => {
@@ -190,7 +190,7 @@
         }
         Scenario::HolderCrashed => {
             fleet.kill(0);
-            fleet.ask_at(&other);
+            fleet.ask_at(&second_router);
             // The dead one's own share is nobody else's.
             wait_for_recovery(
                 &mut fleet,
@@ -201,7 +201,7 @@
         }
         Scenario::HolderPaused => {
             fleet.freeze(0, true);
-            fleet.ask_at(&other);
+            fleet.ask_at(&second_router);
             fleet.run(Duration::from_secs(8))?;
             fleet.ask_at(&single_router);
             fleet.freeze(0, false);
@@ -224,12 +224,12 @@
     }
     let share = mean_used_share(&mut fleet, total_units)?;
     let allowed = bound(&limit, &params, Fault::Partition).max_overshoot;
-    let over = (fleet.held_most as f64 / total_units as f64 - 1.0).max(0.0);
+    let overshoot = (fleet.held_most as f64 / total_units as f64 - 1.0).max(0.0);
     let counters = fleet.counters(Duration::from_secs(5))?;
     let seconds = (fleet.now() - fleet.routers[routers - 1].started_ns) as f64 / 1e9;
     results.insert("used_share".into(), json!(share));
-    results.insert("over".into(), json!(over));
-    results.insert("over_ratio".into(), json!(if allowed > 0.0 { over / allowed } else { 0.0 }));
+    results.insert("over".into(), json!(overshoot));
+    results.insert("over_ratio".into(), json!(if allowed > 0.0 { overshoot / allowed } else { 0.0 }));
     results.insert("most_at_once".into(), json!(fleet.held_most));
     results.insert("limit".into(), json!(total_units));
     results.insert("datagrams_a_router_s".into(), json!(mean(&counters, "fleet_datagrams") / seconds));
@@ -288,7 +288,7 @@
     let params = LimitParams { routers: 1, ..LimitParams::default() };
     let mut node = Node::new(0, me, params, vec![rate("tenant")], 16_384);
     node.tick(SECOND_NS);
-    let (count, began) = (1_000_000u64, Instant::now());
+    let (count, started) = (1_000_000u64, Instant::now());
     let mut admitted = 0u64;
     for i in 0..count {
         if let Ok(permit) = node.admit(60 * SECOND_NS + i * 1_000, &[(0, i % 64)]) {
@@ -296,7 +296,7 @@
             node.release(permit);
         }
     }
-    let check_ns = began.elapsed().as_nanos() as f64 / count as f64;
+    let check_ns = started.elapsed().as_nanos() as f64 / count as f64;
     let before = crate::HEAP.current_usage();
     let client = Limit {
         name: "client".into(),
@@ -326,9 +326,9 @@
     fleet.run_until(TIMEOUT, |f| f.live() == routers)?;
     fleet.run(Duration::from_secs(8))?;
     let used = |fleet: &Fleet| -> u64 { fleet.used().iter().map(|(_, time)| time).sum() };
-    let (began, before) = (fleet.now(), used(&fleet));
+    let (start_ns, before) = (fleet.now(), used(&fleet));
     fleet.run(Duration::from_secs(5))?;
-    let seconds = (fleet.now() - began) as f64 / 1e9;
+    let seconds = (fleet.now() - start_ns) as f64 / 1e9;
     let peak = fleet.used().iter().map(|(memory, _)| *memory).max().unwrap_or(0);
     Ok(json!({
         "routers": routers,
--- a/crates/lab/src/start.rs
+++ b/crates/lab/src/start.rs
@@ -101,8 +101,8 @@
     let until = fleet.left_ns[0].unwrap_or(outage_end) + after_update;
     fleet.run(Duration::from_nanos(until.saturating_sub(fleet.now())))?;
     let calls = std::mem::take(&mut fleet.list.calls);
-    let (away_calls, _) = calls_within(&calls, outage_start, outage_end, SECOND_NS);
-    let (back_calls, _) = calls_within(&calls, outage_end, settled_after_outage, SECOND_NS);
+    let (outage_calls, _) = calls_within(&calls, outage_start, outage_end, SECOND_NS);
+    let (recovery_calls, _) = calls_within(&calls, outage_end, settled_after_outage, SECOND_NS);
     let (_, worst_second) = calls_within(&calls, start_ns, settled_after_outage, SECOND_NS);
     let (_, worst_100ms) = calls_within(&calls, outage_end, settled_after_outage, SECOND_NS / 10);
     let seconds_run = ((settled_after_outage - start_ns) / SECOND_NS) as usize + 1;
@@ -121,10 +121,10 @@
         |of: fn(&(u64, u64)) -> u64| used.iter().map(of).sum::<u64>() as f64 / used.len().max(1) as f64;
     Ok(json!({
         "calls_per_router_start": start_calls as f64 / count,
-        "calls_per_router_back": back_calls as f64 / count,
+        "calls_per_router_back": recovery_calls as f64 / count,
         "peak_over_capacity": worst_second as f64 / capacity,
         "peak_100ms_share": worst_100ms as f64 / count,
-        "outage_calls_per_router_s": away_calls as f64 / count / seconds(outage_end - outage_start),
+        "outage_calls_per_router_s": outage_calls as f64 / count / seconds(outage_end - outage_start),
         "settled_over_ideal": seconds((settled - start_ns).max(settled_after_outage - outage_end)) / ideal_s,
         "settled_over_ideal_start": seconds(settled - start_ns) / ideal_s,
         "settled_over_ideal_back": seconds(settled_after_outage - outage_end) / ideal_s,
@@ -192,10 +192,10 @@
     let end = fleet.now() + 10 * SECOND_NS;
     match stagger {
         None => fleet.start_all()?,
-        Some(over) => {
+        Some(stagger) => {
             for router in 0..routers {
                 fleet.start(router)?;
-                fleet.run(over / routers as u32)?;
+                fleet.run(stagger / routers as u32)?;
             }
         }
     }
@@ -235,11 +235,14 @@
 /// Where a fleet can't be started.
 pub fn run(run: &Run) -> Result<Value, String> {
     let (routers, capacity) = (run.routers(), run.capacity());
-    let outage_runs = run.against.iter().map(|program| ("against", *program, None));
-    let own = ("program", run.program, Some(operator_file(capacity, "")));
-    let unknown = ("unknown_count", run.program, Some(operator_file(capacity, ", routers: \"unknown\"")));
+    let against = run.against.iter().map(|program| ("against", *program, None));
+    let known_count = ("program", run.program, Some(operator_file(capacity, "")));
+    let unknown_count =
+        ("unknown_count", run.program, Some(operator_file(capacity, ", routers: \"unknown\"")));
     let mut tasks: Vec<Task> = Vec::new();
-    for (name, program, operator) in std::iter::once(own).chain(std::iter::once(unknown)).chain(outage_runs) {
+    for (name, program, operator) in
+        std::iter::once(known_count).chain(std::iter::once(unknown_count)).chain(against)
+    {
         tasks.push((name.to_owned(), Box::new(move || start_and_outage(run, name, program, operator))));
     }
     let outage_runs = run_concurrently(tasks)?;
