--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -1,5 +1,5 @@
-//! Engines that have just started, under the load of a whole fleet: each router's own part of their budgets beside budgets that
-//! the fleet shares.
+//! Measures cold engines under the load of a fleet: query budgets split statically among the
+//! routers compared with budgets that the fleet shares.
 
 use std::path::Path;
 use std::time::Duration;
@@ -10,21 +10,22 @@
 
 use crate::start::{run_concurrently, Task};
 
-/// Routers, small and large.
+/// Routers in a small and a large fleet.
 const ROUTERS: [usize; 2] = [20, 200];
 const ENGINES: usize = 6;
-/// Requests a second of all clients: about what the engines bear as they have just started.
+/// Requests per second of all clients together: about what the engines sustain while cold.
 const REQUEST_RATE: f64 = 200.0;
-/// Part of the fleet that is replaced at once.
 const MAX_START_TIME: Duration = Duration::from_secs(40);
 const SECOND_NS: u64 = 1_000_000_000;
-/// Time over which worth is counted: engines are cold for longer.
+/// Time over which worth is counted; engines stay cold for longer.
 const MEASURED_TIME: Duration = Duration::from_secs(10);
 
-/// Engines start again under a fleet that has been up for a while, or with it.
+/// When the engines start.
 #[derive(Clone, Copy, PartialEq)]
 enum EngineStart {
+    /// All are restarted after the fleet has been running for a while.
     InRunningFleet,
+    /// Together with the routers.
     WithFleet,
 }
 
@@ -44,7 +45,7 @@
         seed,
         ..Setup::new(program, &name, routers)
     })?;
-    // Uneven: a few routers get several times the mean.
+    // Uneven load: a few routers receive several times the mean.
     let weights: Vec<f64> = (0..routers).map(|at| 1.0 / (at % 10 + 1) as f64).collect();
     let sum: f64 = weights.iter().sum();
     fleet.ask_at(&weights.iter().map(|w| REQUEST_RATE * w / sum).collect::<Vec<f64>>());
@@ -78,10 +79,11 @@
     }))
 }
 
-/// Measures it all: by routers, by when the engines start, and by whether the fleet shares.
+/// Measures each combination of fleet size, time of the engines' start, and static or shared
+/// budgets.
 ///
 /// # Errors
-/// Where a fleet can't be started.
+/// If a fleet cannot be started.
 pub fn run(program: &Path, quick: bool, seed: u64) -> Result<Value, String> {
     let mut results = Map::new();
     for routers in ROUTERS.into_iter().take(if quick { 1 } else { 2 }) {
@@ -94,7 +96,7 @@
                 })
                 .into_iter()
                 .collect();
-            // Hundreds of processes at once would measure the machine.
+            // Large fleets run one after the other: together they would saturate the machine.
             let runs = match routers <= ROUTERS[0] {
                 true => run_concurrently(tasks)?,
                 false => tasks
--- a/crates/lab/src/disciplines.rs
+++ b/crates/lab/src/disciplines.rs
@@ -1,4 +1,4 @@
-//! Disciplines and orders of service side by side, in stepped time: what the design of the door rests on.
+//! Compares queueing disciplines and service orders of the fair queue in simulated time.
 
 use std::time::Instant;
 
@@ -8,16 +8,19 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use serde_json::{json, Value};
 
-/// Weights of the flows that always have a backlog, and of the light one that comes and goes.
+/// Weights of the flows. All are always backlogged but [`LIGHT_FLOW`], which has one request now
+/// and then.
 const WEIGHTS: [f64; 5] = [8.0, 4.0, 2.0, 1.0, 1.0];
 const LIGHT_FLOW: usize = 4;
 const PICKS: usize = 40_000;
 
-/// How a discipline did.
+/// Fairness, wait of the light flow (in units of served cost) and time per pick of a discipline.
+/// `estimate_sigma` is the deviation of the logarithm of estimated over true cost.
 fn measure(discipline: &mut dyn Discipline, estimate_sigma: f64, seed: u64) -> Value {
     let mut rng = StdRng::seed_from_u64(seed);
-    let cost = LogNormal::new(0.0, 0.9).expect("a distribution");
-    let estimate_error = LogNormal::new(0.0, estimate_sigma.max(1e-9)).expect("a distribution");
+    let cost = LogNormal::new(0.0, 0.9).expect("valid distribution parameters");
+    let estimate_error =
+        LogNormal::new(0.0, estimate_sigma.max(1e-9)).expect("valid distribution parameters");
     let mut served_cost = [0.0; WEIGHTS.len()];
     let (mut max_gap, mut served, mut waits, mut waiting_since) = (0.0_f64, 0.0, Vec::new(), None);
     let draw = |rng: &mut StdRng| {
@@ -28,7 +31,6 @@
     (0..LIGHT_FLOW).for_each(|flow| discipline.activate(flow, next[flow].1));
     let started = Instant::now();
     for pick_index in 0..PICKS {
-        // The light flow comes with one request from time to time.
         if waiting_since.is_none() && rng.gen::<f64>() < 0.02 {
             waiting_since = Some(served);
             discipline.activate(LIGHT_FLOW, next[LIGHT_FLOW].1);
@@ -58,7 +60,8 @@
            "light_wait_p99": at(0.99), "ns_per_turn": ns})
 }
 
-/// A flow that had all to itself for a while, and what it gets in the time after another comes.
+/// Share of the next 200 picks that a flow gets once a second flow of equal weight becomes active,
+/// after 1000 picks of its own.
 fn share_after_idle(discipline: &mut dyn Discipline) -> f64 {
     discipline.activate(0, 1.0);
     for _ in 0..1_000 {
@@ -77,10 +80,12 @@
     served_cost[0] / 200.0
 }
 
-/// A single server under lasting overload: part of its work that was done in time, by order of service.
+/// Simulates a single server for 600 s under `load` times its capacity. Returns the useful work as
+/// a share of its capacity, and the mean wait (ms). Requests that have waited `stale_ms` are
+/// dropped.
 fn simulate_order(newest_first: bool, stale_ms: f64, load: f64, seed: u64) -> (f64, f64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let gap = Exp::new(load / 100.0).expect("a distribution");
+    let gap = Exp::new(load / 100.0).expect("valid distribution parameters");
     let (mut now, mut free_at, mut queue) = (0.0, 0.0, std::collections::VecDeque::<f64>::new());
     let (mut in_time, mut served, mut waits) = (0.0, 0.0, 0.0);
     while now < 600_000.0 {
@@ -92,7 +97,8 @@
                 free_at = now;
                 break;
             };
-            // What ran takes from half to three times as long as usual, as engines share their cores.
+            // An answer takes three times the service time, as an engine shares its cores among
+            // queries.
             let service_ms = 100.0 * rng.gen_range(0.5..1.5);
             in_time += f64::from(u8::from(free_at + service_ms * 3.0 - arrived <= 1_200.0));
             served += 1.0;
@@ -104,10 +110,10 @@
     (in_time / 6_000.0, waits / f64::max(served, 1.0))
 }
 
-/// Makes a discipline for flows of these weights.
+/// Creates a discipline for flows of the given weights.
 type MakeDiscipline = fn(&[f64]) -> Box<dyn Discipline>;
 
-/// The figures.
+/// Runs all comparisons.
 pub fn run(seed: u64) -> Value {
     let constructors: [(&str, MakeDiscipline); 4] = [
         ("start-time fair queueing", |w| Box::new(StartTime::new(w, f64::INFINITY))),
--- a/crates/lab/src/fair_queue.rs
+++ b/crates/lab/src/fair_queue.rs
@@ -1,5 +1,6 @@
-//! A heavy tenant floods two light ones; half of the engines die. The same stand-ins and the same draws for three
-//! routers: one with no door, one with a plain queue, one with the fair door.
+//! One heavy tenant overloads a router that serves two light ones, then half of the engines fail.
+//! Runs the same load against three routers: without a queue, with a FIFO queue and with the fair
+//! queue.
 
 use std::path::Path;
 use std::time::Duration;
@@ -10,14 +11,13 @@
 
 use crate::fair_queue_cost;
 
-/// Longest advice that the settings allow (ms).
 const MAX_RETRY_AFTER_MS: u64 = 2_000;
-/// Engines, and cores of each.
 const ENGINES: usize = 8;
+/// Cores of each engine.
 const CORES: f64 = 8.0;
-/// Tenants and their shares.
+/// Tenants and their shares (%).
 const TENANTS: [(&str, f64); 3] = [("heavy", 73.0), ("light-a", 16.0), ("light-b", 11.0)];
-/// Part of all that can be served that each tenant asks for when it asks for its share.
+/// Load of all tenants at their shares, relative to the capacity.
 const BASE_LOAD_SHARE: f64 = 0.6;
 
 fn classes() -> Vec<Class> {
@@ -62,13 +62,13 @@
     vec![lookup, report, load]
 }
 
-/// Requests a second that the engines can serve.
+/// Requests per second that the engines can serve.
 fn capacity_per_s() -> f64 {
     let mean_ms: f64 = classes().iter().map(|c| c.share * c.work_ms).sum();
     ENGINES as f64 * CORES * 1_000.0 / mean_ms
 }
 
-/// All three tenants ask for their shares, the heavy one so many times over.
+/// All tenants send their shares of the base load, the heavy one `heavy_factor` times its share.
 fn sources(heavy_factor: f64) -> Vec<Source> {
     let source = |(tenant, share): &(&'static str, f64), times: f64, clients| Source {
         tenant,
@@ -79,7 +79,7 @@
     vec![source(&TENANTS[0], heavy_factor, 5_000), source(&TENANTS[1], 1.0, 40), source(&TENANTS[2], 1.0, 40)]
 }
 
-/// What one router made of it.
+/// Measurements of one router.
 struct Outcome {
     tallies: Vec<Vec<Tally>>,
     exit_report: Told,
@@ -107,7 +107,7 @@
     };
     let seconds = |s: f64| Duration::from_secs_f64(if quick { s } else { s * 5.0 });
     let mut stage = Stage::start(&setup)?;
-    // The router learns what its classes need before anything is compared.
+    // Warm up: the router learns the needs of its request classes.
     stage.play(sources(1.0), seconds(2.0))?;
     stage.play(sources(1.0), seconds(5.0))?;
     stage.drain(Duration::from_secs(3))?;
@@ -122,7 +122,7 @@
     Ok(Outcome { tallies, exit_report: stage.stop()?, double_runs })
 }
 
-/// The phases of [`play`].
+/// Phases of [`measure`] that are compared.
 const BASE_PHASE: usize = 1;
 const LIGHT_ONLY_PHASE: usize = 2;
 const FLOOD_PHASE: usize = 4;
@@ -137,13 +137,13 @@
 }
 
 impl Outcome {
-    /// Worth served over worth asked for.
+    /// Worth served over worth requested.
     fn worth_ratio(&self, phase: usize, source: usize) -> f64 {
         let tally = &self.tallies[phase][source];
         ratio(tally.worth, tally.worth_asked)
     }
 
-    /// What each light tenant keeps of what it gets alone.
+    /// Worth ratio of each light tenant, relative to the phase without the heavy tenant.
     fn light_worth_ratio(&self, phase: usize) -> [f64; 2] {
         [1, 2]
             .map(|source| ratio(self.worth_ratio(phase, source), self.worth_ratio(LIGHT_ONLY_PHASE, source)))
@@ -153,7 +153,7 @@
         self.tallies[phase].iter().map(of).sum()
     }
 
-    /// Returns at a promised time that were served.
+    /// Share of the clients returning at their reserved time that were served.
     fn served_reservation_ratio(&self, phase: usize) -> f64 {
         ratio(self.sum(phase, |t| t.returned_served as f64), self.sum(phase, |t| t.returned as f64))
     }
@@ -205,9 +205,12 @@
     }
 }
 
-/// Runs the three side by side.
+/// Runs the three routers concurrently.
+///
+/// # Errors
+/// If a router cannot be started or a run fails.
 pub fn run(quick: bool, program: &Path, seed: u64) -> Result<Value, String> {
-    // Alone first: the draws of the router's runs would disturb its times.
+    // First and on its own, as concurrent runs would distort its timing.
     let cost = fair_queue_cost::run(seed);
     let queue_configs = [
         ("off", None),
@@ -219,10 +222,10 @@
             .iter()
             .map(|(name, door)| scope.spawn(move || measure(name, door.clone(), quick, program, seed)))
             .collect();
-        runs.into_iter().map(|run| run.join().unwrap_or_else(|_| Err("a run failed".into()))).collect()
+        runs.into_iter().map(|run| run.join().unwrap_or_else(|_| Err("a run panicked".into()))).collect()
     });
     let outcomes: Vec<Outcome> = outcomes.into_iter().collect::<Result<_, _>>()?;
-    let [off, _, fair] = &outcomes[..] else { return Err("three runs".into()) };
+    let [off, _, fair] = &outcomes[..] else { return Err("expected three runs".into()) };
     let base_worth = |o: &Outcome| o.sum(BASE_PHASE, |t| t.worth);
     let light = fair.light_worth_ratio(FLOOD_PHASE);
     let variants: serde_json::Map<String, Value> =
--- a/crates/lab/src/fair_queue_cost.rs
+++ b/crates/lab/src/fair_queue_cost.rs
@@ -1,4 +1,4 @@
-//! The door's own cost: heap by number of identities, and time for a request.
+//! Measures the cost of the fair queue: heap by number of clients, and time per request.
 
 use std::time::Instant;
 
@@ -10,12 +10,12 @@
 
 use crate::HEAP;
 
-/// Requests in a batch that is timed as one, and batches.
+/// Requests per batch; each batch is timed as a whole.
 const BATCH: u64 = 1_000;
 const BATCHES: usize = 300;
 
-/// Passes requests of so many identities through a door that is asked for twice what there is; gives the heap that it
-/// took at most (bytes), by the allocator, and the median time for a request (ns).
+/// Sends requests of `identities` clients through a queue at twice its service rate. Returns the
+/// peak heap use (bytes) and the median time per request (ns).
 fn measure(identities: u64, seed: u64) -> (usize, f64) {
     let before = HEAP.current_usage();
     HEAP.reset_peak_usage();
@@ -66,7 +66,7 @@
     (HEAP.peak_usage().saturating_sub(before), times[times.len() / 2])
 }
 
-/// The figures.
+/// Runs the measurement with few and with many clients.
 pub fn run(seed: u64) -> Value {
     let (small, small_ns) = measure(100, seed);
     let (large, large_ns) = measure(100_000, seed);
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A whole small fleet on loopback, to be watched: routers, engines, a list service and clients, and what is broken between
-//! them.
+//! Runs a small fleet on loopback (routers, engines, a list service and clients), injects faults
+//! and shows its state.
 
 use std::fmt::Write as _;
 use std::io::{IsTerminal, Write as _};
@@ -14,7 +14,7 @@
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 
-/// What breaks where no file says so.
+/// Faults that are injected if no schedule is given.
 const DEFAULT_SCHEDULE: &str = "
 5s list away
 9s drain 0
@@ -30,24 +30,23 @@
 48s list well
 50s lose 1
 ";
-/// How often the picture is drawn.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What is to be played.
+/// Parameters of a run.
 pub struct Options<'a> {
-    /// The router's program.
+    /// Router executable.
     pub program: &'a Path,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// A schedule of faults; the usual one, if none.
+    /// File with a schedule of faults; [`DEFAULT_SCHEDULE`] if none.
     pub faults: Option<&'a Path>,
-    /// How long for.
+    /// Duration.
     pub time: Duration,
-    /// Seed of all draws.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
-/// One line for each router: whether it is there, its stream, and what it says of itself.
+/// The fleet's state as text: a line per router and engine, client totals and the latest faults.
 fn render(fleet: &Fleet, now: u64, applied_faults: &[String]) -> String {
     let mut text = String::new();
     let line = |text: &mut String, args: std::fmt::Arguments| {
@@ -56,7 +55,7 @@
     line(
         &mut text,
         format_args!(
-            "router  process  stream     news s  calls  taken served refused failed  engines told of"
+            "router  process  stream      age s  calls  taken served refused failed  listed engines"
         ),
     );
     for (index, router) in fleet.routers.iter().enumerate() {
@@ -111,10 +110,10 @@
     text
 }
 
-/// Plays it; gives the summary, and whether all rules were kept.
+/// Runs the fleet. Returns the summary and whether all checks passed.
 ///
 /// # Errors
-/// Where the schedule can't be read or the fleet can't be started.
+/// If the schedule cannot be read or the fleet cannot be started.
 pub fn run(options: &Options) -> Result<(String, bool), String> {
     let events = match options.faults {
         Some(path) => {
@@ -125,7 +124,8 @@
     };
     let interrupted = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
-        signal_hook::flag::register(signal, interrupted.clone()).map_err(|e| format!("signals: {e}"))?;
+        signal_hook::flag::register(signal, interrupted.clone())
+            .map_err(|e| format!("cannot install the signal handlers: {e}"))?;
     }
     let capacity = (options.routers as f64 / 2.0).max(2.0);
     let mut fleet = Fleet::new(Setup {
@@ -161,7 +161,7 @@
             fleet.run(Duration::from_nanos(next.saturating_sub(now).clamp(1, 50_000_000)))?;
         }
         if terminal {
-            // To the top left, and everything below it anew.
+            // Moves the cursor to the top left and clears the screen.
             print!("\x1b[H\x1b[J{}", render(&fleet, fleet.now(), &applied_faults));
             let _ = std::io::stdout().flush();
         }
@@ -183,13 +183,13 @@
     let checks_passed = audit.late_sends == 0 && audit.double_runs == 0 && unanswered == 0.0 && twice == 0.0;
     let text = format!(
         "{last}\nsent to engines {}, after a drain was known {}, run twice {}, answered twice {twice}, unanswered {unanswered} \
-         ({excused} more with routers that were killed or stood still)\ncalls to the list service {calls}; longest without a \
-         stream while it took calls {:.1} s\nall answered: {answered}; all routers ended well: {ended_well}\n{}",
+         ({excused} more at killed or paused routers)\ncalls to the list service {calls}; longest time without a stream \
+         while it was available {:.1} s\nall answered: {answered}; all routers exited cleanly: {ended_well}\n{}",
         audit.sends,
         audit.late_sends,
         audit.double_runs,
         max_blind_ns as f64 / 1e9,
-        if checks_passed { "all rules were kept" } else { "A RULE WAS BROKEN" },
+        if checks_passed { "all checks passed" } else { "A CHECK FAILED" },
     );
     Ok((text, checks_passed && answered && ended_well))
 }
--- a/crates/lab/src/health.rs
+++ b/crates/lab/src/health.rs
@@ -1,5 +1,5 @@
-//! What it costs a fleet to learn that an engine is silent or slow, where each router learns it alone and where they share what
-//! they see; and how soon an operator's word holds for all.
+//! Measures how a fleet detects an engine that is silent or slow, with and without shared health
+//! evidence, and how fast an operator's override reaches all routers.
 
 use std::path::Path;
 use std::time::Duration;
@@ -16,31 +16,30 @@
 
 use crate::start::{run_concurrently, Task};
 
-/// Routers, quick and full; engines and requests a second of each router.
+/// Routers in a quick and a full run.
 const ROUTERS: [usize; 2] = [8, 40];
 const ENGINES: usize = 8;
+/// Requests per second at each router.
 const REQUEST_RATE: f64 = 2.0;
-/// Routers of the stepped fleets.
+/// Fleet sizes that are simulated without processes.
 const SIMULATED_ROUTERS: [usize; 3] = [8, 40, 500];
-/// Longest wait for something that must happen.
 const TIMEOUT: Duration = Duration::from_secs(40);
-/// How long the engine is silent, or slow.
 const FAULT_DURATION: Duration = Duration::from_secs(12);
 const SECOND_NS: u64 = 1_000_000_000;
-/// A router that hears a word may still send what it has decided before (ns).
+/// Time for which a router may still send requests that it assigned before it received an override.
 const DRAIN_NS: u64 = 500_000_000;
 
-/// What is measured, and how large.
+/// Parameters of a run.
 pub struct Run<'a> {
-    /// The router's program.
+    /// Router executable.
     pub program: &'a Path,
-    /// Fewer routers.
+    /// Use fewer routers.
     pub quick: bool,
-    /// Seed of all draws.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
-/// What becomes of the engine.
+/// Fault of the engine.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     Silent,
@@ -67,19 +66,20 @@
     fleet.start_all()?;
     fleet.run_until(TIMEOUT, |f| f.ready() == routers)?;
     fleet.ask();
-    // Long enough for all to know each other and what their queries take.
+    // Warm up: routers discover each other and learn the usual query times.
     fleet.run(Duration::from_secs(12))?;
     Ok(fleet)
 }
 
-/// Attempts that came to nothing at an engine that gave no sign of life, over the whole fleet.
+/// Attempts that failed without a response from the engine, summed over the fleet.
 fn failed_attempts(counters: &[Counters]) -> f64 {
     let names = ["ended_given_up", "ended_timed_out", "ended_cut", "ended_unreachable", "ended_refused"];
     let of = |c: &Counters| names.iter().map(|name| counter(c, name)).sum::<u64>();
     counters.iter().map(of).sum::<u64>() as f64
 }
 
-/// An engine breaks for a while: what that costs, and when all of the routers know.
+/// Injects a fault into one engine for [`FAULT_DURATION`]; measures failed attempts, lost worth,
+/// and the time until the routers exclude the engine and readmit it.
 fn measure_fault(run: &Run, name: &str, fault: Fault, shared: bool) -> Result<Value, String> {
     let mut fleet = start_fleet(run, name, shared)?;
     let routers = fleet.routers.len();
@@ -137,7 +137,8 @@
     }))
 }
 
-/// An operator takes an engine out at one router, on links that lose a third.
+/// An operator excludes an engine at one router while links lose 30 % of the datagrams; measures
+/// how soon all routers apply the override.
 fn measure_override(run: &Run) -> Result<Value, String> {
     let mut fleet = start_fleet(run, "word", true)?;
     let routers = fleet.routers.len();
@@ -166,8 +167,8 @@
     }))
 }
 
-/// The same machines for hundreds of routers in stepped time: how soon a word is heard and an engine is out for all, and what
-/// is said, idle and with evidence that changes each second.
+/// Simulates the gossip of up to hundreds of routers: time until an override and an exclusion reach
+/// all of them, and traffic when idle and with evidence that changes each second.
 fn simulate(routers: usize, seed: u64) -> Value {
     let mut fleet = health_fleet::Fleet::new(routers, seed);
     fleet.bad_wire();
@@ -210,10 +211,10 @@
     })
 }
 
-/// Measures it all.
+/// Runs all measurements.
 ///
 /// # Errors
-/// Where a fleet can't be started.
+/// If a fleet cannot be started.
 pub fn run(run: &Run) -> Result<Value, String> {
     let mut tasks: Vec<Task> = Vec::new();
     for (name, fault) in [("silent", Fault::Silent), ("slow", Fault::Slow)] {
@@ -225,7 +226,7 @@
     tasks.push(("word".into(), Box::new(move || measure_override(run))));
     let results: Map<String, Value> = match run.quick {
         true => run_concurrently(tasks)?,
-        // Hundreds of processes at once would measure the machine.
+        // Large fleets run one after the other: together they would saturate the machine.
         false => tasks.into_iter().map(|(name, task)| Ok((name, task()?))).collect::<Result<_, String>>()?,
     };
     let of = |name: &str, key: &str| results[name][key].as_f64().unwrap_or(f64::MAX);
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -1,5 +1,5 @@
-//! Limits that hold for a whole fleet: real processes under cuts, deaths and freezes, and the same machines for hundreds of
-//! routers in stepped time. What is measured is held against the bound that operators are told.
+//! Measures fleet-wide limits with real processes under partitions, crashes and pauses, and with
+//! hundreds of simulated routers, and compares the results with the documented bounds.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -16,28 +16,26 @@
 
 use crate::start::{run_concurrently, Task};
 
-/// Routers of the processes, quick and full, and units of the limit for each of them.
+/// Routers in a quick and a full run.
 const ROUTERS: [usize; 2] = [8, 40];
 const UNITS_PER_ROUTER: usize = 2;
-/// Routers of the stepped fleets.
+/// Fleet sizes that are simulated without processes.
 const SIMULATED_ROUTERS: [u32; 2] = [40, 500];
-/// Routers whose idle cost is measured, quick and full.
+/// Routers whose idle cost is measured in a quick and a full run.
 const IDLE_ROUTERS: [usize; 2] = [20, 100];
-/// Longest wait for something that must happen.
 const TIMEOUT: Duration = Duration::from_secs(40);
-/// Time over which use is averaged.
 const AVERAGING_TIME: Duration = Duration::from_secs(4);
 const SECOND_NS: u64 = 1_000_000_000;
-/// The longest that a request of the plays is out: its deadline, and what is out behind it (ns).
+/// Longest time that a request occupies a unit: its deadline plus the attempts that outlast it.
 const MAX_REQUEST_NS: u64 = 4_500_000_000;
 
-/// What is measured, and how large.
+/// Parameters of a run.
 pub struct Run<'a> {
-    /// The router's program.
+    /// Router executable.
     pub program: &'a Path,
-    /// Fewer routers, shorter.
+    /// Use fewer routers.
     pub quick: bool,
-    /// Seed of all draws.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
@@ -46,7 +44,7 @@
     vec![Class { work_ms: 500.0, spread: 0.4, share: 1.0, aim_ms: 1_500.0, deadline_ms: 2_000.0, ..base }]
 }
 
-/// A way to break a fleet that uses its limit.
+/// Load and fault of a fleet that uses its whole limit.
 #[derive(Clone, Copy, PartialEq)]
 enum Scenario {
     SingleRouter,
@@ -76,7 +74,7 @@
     ("bounded_cut", Scenario::BoundedPartition),
 ];
 
-/// Mean of what engines hold over a while, over the limit (share).
+/// Queries running on all engines, averaged over [`AVERAGING_TIME`], as a share of the limit.
 fn mean_used_share(fleet: &mut Fleet, total_units: usize) -> Result<f64, String> {
     let end = fleet.now() + AVERAGING_TIME.as_nanos() as u64;
     let (mut sum, mut count) = (0, 0);
@@ -100,7 +98,7 @@
         seed: run.seed,
         ..Setup::new(run.program, &format!("limits-{name}-{}", run.seed), routers)
     })?;
-    // Offered four times what the limit bears, as requests are out for half a second in the mean.
+    // Four times what the limit admits, as requests run for 0.5 s on average.
     let offered_rate = total_units as f64 * 8.0;
     let single_router = vec![offered_rate];
     fleet.start_all()?;
@@ -124,7 +122,7 @@
     };
     if scenario == Scenario::StaticShares {
         fleet.cut_into(&isolated);
-        // Nobody can say what it holds, so that all of it has to run out first.
+        // The held units are unknown to the others, so all leases have to expire first.
         fleet.run(Duration::from_nanos(params.grace_ns(limit.kind)))?;
     }
     match scenario {
@@ -140,11 +138,11 @@
     }
     fleet.run(Duration::from_secs(3))?;
     let mut results = Map::new();
-    // How long units lie idle after a fault, beside what is stated.
+    // Measures how long units stay idle after a fault, and compares it with the bound.
     let wait_for_recovery =
         |fleet: &mut Fleet, results: &mut Map<String, Value>, units: usize, fault: Fault| {
             let (start_ns, bound_ns) = (fleet.now(), bound(&limit, &params, fault).max_idle_ns);
-            // What others had out before is over then, and counts no more.
+            // Requests that started before the fault have ended by then.
             fleet.run(Duration::from_millis(2_500))?;
             let max_wait = Duration::from_nanos(bound_ns * 2) + TIMEOUT;
             let recovered = fleet.run_until(max_wait, |f| f.held() + 1 >= units)?;
@@ -191,7 +189,7 @@
         Scenario::HolderCrashed => {
             fleet.kill(0);
             fleet.ask_at(&second_router);
-            // The dead one's own share is nobody else's.
+            // The share that the crashed router owns is not redistributed.
             wait_for_recovery(
                 &mut fleet,
                 &mut results,
@@ -239,7 +237,7 @@
     Ok(Value::Object(results))
 }
 
-/// The same machines for many routers in stepped time.
+/// Simulates one concurrency and one rate limit in a fleet whose demand comes from one router.
 fn simulate(routers: u32, seed: u64) -> Value {
     let params = LimitParams { routers, max_request_ns: 2 * SECOND_NS, ..LimitParams::default() };
     let units = routers * UNITS_PER_ROUTER as u32;
@@ -276,7 +274,7 @@
     Value::Object(results.into_iter().collect())
 }
 
-/// Time for one request, and memory with a hundred thousand clients.
+/// Time per admission check, and memory with 100 000 clients under a limit per client.
 fn measure_single_node() -> Value {
     let rate = |name: &str| Limit {
         name: name.into(),
@@ -314,7 +312,7 @@
     json!({"check_ns": check_ns, "admitted": admitted, "bytes_100k_keys": bytes, "tracked": node.tracked_keys()})
 }
 
-/// Processor time of an idle router a second, with the fleet and without (us).
+/// Processor time per second (µs) and memory (KB) of idle routers, with or without fleet messages.
 fn measure_idle(run: &Run, with_fleet: bool) -> Result<Value, String> {
     let routers = IDLE_ROUTERS[usize::from(!run.quick)];
     let limits = "limits: { all: { by: \"all\", at_once: 100 } }".to_owned();
@@ -337,10 +335,10 @@
     }))
 }
 
-/// Measures it all.
+/// Runs all measurements.
 ///
 /// # Errors
-/// Where a fleet can't be started.
+/// If a fleet cannot be started.
 pub fn run(run: &Run) -> Result<Value, String> {
     let single_node = measure_single_node();
     let mut tasks: Vec<Task> = Vec::new();
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `marljunction-lab`: experiments whose figures anyone can run again.
+//! `marljunction-lab`: reproducible experiments with the router and its parts.
 
 #![forbid(unsafe_code)]
 
@@ -21,11 +21,11 @@
 use marljunction_testkit::hollow;
 use peak_alloc::PeakAlloc;
 
-/// Counts what the experiments' own structures take from the heap.
+/// Counts heap use, for the experiments that measure memory in this process.
 #[global_allocator]
 static HEAP: PeakAlloc = PeakAlloc;
 
-/// Experiments with the router and its parts.
+/// Reproducible experiments with the router and its parts.
 #[derive(Parser)]
 #[command(name = "marljunction-lab", version, about)]
 struct Arguments {
@@ -33,25 +33,25 @@
     experiment: Experiment,
 }
 
-/// What most experiments are told.
+/// Arguments shared by most experiments.
 #[derive(clap::Args)]
 struct CommonArgs {
-    /// Fewer routers, shorter: under 45 s in all.
+    /// Run with fewer routers and for less time: under 45 s in all.
     #[arg(long)]
     quick: bool,
-    /// Where to write the figures.
+    /// Write the results to FILE; standard output if not given.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// The router's program; the one beside this one, if not given.
+    /// Router executable; the one next to this executable if not given.
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// Seed of all draws.
+    /// Seed of all random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
 impl CommonArgs {
-    /// Runs an experiment with it, and writes its figures.
+    /// Runs an experiment with these arguments and writes its results.
     fn run(
         self,
         experiment: impl FnOnce(&Path, bool, u64) -> Result<serde_json::Value, String>,
@@ -63,86 +63,92 @@
 
 #[derive(Subcommand)]
 enum Experiment {
-    /// A heavy tenant floods two light ones: the door beside no door and one plain queue.
+    /// One tenant overloads the router: compares the fair queue with a FIFO queue and with no
+    /// queue.
     #[command(name = "door")]
     FairQueue(CommonArgs),
-    /// A whole small fleet on loopback, to be watched while things break; ends by itself or at Ctrl-C, with a summary.
+    /// Run a small fleet on loopback under a schedule of faults; prints a summary at the end or on
+    /// Ctrl-C.
     Fleet {
-        /// Routers.
+        /// Number of routers.
         #[arg(long, default_value_t = 8)]
         routers: usize,
-        /// A schedule of faults (crates/testkit/src/schedule.rs tells its form); the usual one, if not given.
+        /// Schedule of faults, in the format of crates/testkit/src/schedule.rs; a built-in one if
+        /// not given.
         #[arg(long, value_name = "FILE")]
         faults: Option<PathBuf>,
-        /// How long it plays (s).
+        /// Duration (s).
         #[arg(long, default_value_t = 60)]
         seconds: u64,
-        /// The router's program; the one beside this one, if not given.
+        /// Router executable; the one next to this executable if not given.
         #[arg(long, value_name = "FILE")]
         program: Option<PathBuf>,
-        /// Seed of all draws.
+        /// Seed of all random numbers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// A whole fleet starts at once, loses its list service, and gets it back.
+    /// All routers start at once, then the list service fails and recovers.
     Start {
         #[command(flatten)]
         common: CommonArgs,
-        /// Another build of it, measured in the same run.
+        /// Another build of the router, measured in the same run.
         #[arg(long, value_name = "FILE")]
         against: Option<PathBuf>,
-        /// Routers; a hundred if quick, else three hundred.
+        /// Number of routers; 300 if not given, 100 with --quick.
         #[arg(long)]
         routers: Option<usize>,
-        /// Calls a second that the list service takes.
+        /// Calls per second that the list service accepts.
         #[arg(long)]
         capacity: Option<f64>,
     },
-    /// Limits that hold for a whole fleet, under cuts, deaths and freezes.
+    /// Fleet-wide limits under network partitions, crashes and paused routers.
     Limits(CommonArgs),
-    /// Engines that have just started, with each router's own part of their budgets and with shared ones.
+    /// Cold engines, with their query budgets split statically or shared by the fleet.
     Cold(CommonArgs),
-    /// What a fleet believes of its engines: each router alone beside routers that share what they see.
+    /// Detection of failed engines: each router alone compared with routers that share health
+    /// evidence.
     #[command(name = "verdicts")]
     Health(CommonArgs),
-    /// Thousands of hollow routers before tens of thousands of engines, with faults among them.
+    /// Thousands of hollow routers and tens of thousands of engines, with faults.
     Scale(CommonArgs),
-    /// A list service for hollow routers, told what to do on standard input.
+    /// Run a list service for hollow routers, controlled through standard input.
     #[command(hide = true)]
     HollowService,
-    /// Hollow routers, told what to do on standard input.
+    /// Run hollow routers, controlled through standard input.
     #[command(hide = true)]
     HollowHost,
-    /// What the program costs by routers, engines, clients and statements, for docs/CAPACITY.md.
+    /// Cost of the router by number of routers, engines, clients and statements, for
+    /// docs/CAPACITY.md.
     Capacity {
-        /// Measure; else the figures in the repository are read.
+        /// Measure; otherwise the measurements in the repository are used.
         #[arg(long)]
         measure: bool,
-        /// Write the figures, where measured, and the page.
+        /// Write the page, and the measurements if --measure is given.
         #[arg(long)]
         write: bool,
-        /// Fail where the page is not what the figures say.
+        /// Fail if the page does not match the measurements.
         #[arg(long)]
         check: bool,
-        /// One part only: decision, list, members, limits, verdicts, cells or configuration. Nothing is written then.
+        /// Measure one part only: decision, list, members, limits, verdicts, cells or
+        /// configuration. Writes nothing.
         #[arg(long, value_name = "PART")]
         only: Option<String>,
-        /// The router's program; the one beside this one, if not given.
+        /// Router executable; the one next to this executable if not given.
         #[arg(long, value_name = "FILE")]
         program: Option<PathBuf>,
     },
-    /// Ways to pace a fleet's calls compared in stepped time, without any socket.
+    /// Compare pacing strategies for a fleet's calls in simulated time, without sockets.
     Pacing {
-        /// Where to write the figures.
+        /// Write the results to FILE; standard output if not given.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
     },
-    /// Disciplines and orders of service compared in stepped time, without any socket.
+    /// Compare queueing disciplines and service orders in simulated time, without sockets.
     Disciplines {
-        /// Where to write the figures.
+        /// Write the results to FILE; standard output if not given.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// Seed of all draws.
+        /// Seed of all random numbers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
@@ -159,10 +165,12 @@
     }
 }
 
-/// The router's program that was named, or the one beside this one.
+/// The given router executable, or the one next to this executable.
 fn resolve_program(program: Option<PathBuf>) -> Result<PathBuf, String> {
     let beside = marljunction_testkit::stage::program_beside;
-    program.or_else(beside).ok_or_else(|| "no program beside this one: build it, or name it".into())
+    program
+        .or_else(beside)
+        .ok_or_else(|| "router executable not found next to this one: build it or pass --program".into())
 }
 
 fn run() -> Result<(), String> {
@@ -183,7 +191,7 @@
             if passed {
                 Ok(())
             } else {
-                Err("not all held: see above".into())
+                Err("a check failed: see the summary above".into())
             }
         }
         Experiment::Limits(common) => {
--- a/crates/lab/src/pacing_strategies.rs
+++ b/crates/lab/src/pacing_strategies.rs
@@ -1,5 +1,5 @@
-//! Ways to pace calls to a service that a whole fleet calls, against each other in stepped time: a start, an outage of ten
-//! seconds, and the return.
+//! Compares pacing strategies of a fleet that calls one service, in simulated time: startup, an
+//! outage of ten seconds, and recovery.
 
 use marljunction_pacing::{Failure, Pace, Pacer};
 use marljunction_testkit::herd::{Herd, Service, Way};
@@ -9,31 +9,32 @@
 
 const MS: u64 = 1_000_000;
 const S: u64 = 1_000 * MS;
-/// Shortest and longest wait of the ways that back off (ns).
+/// Bounds of the wait between calls.
 const MIN_WAIT_NS: u64 = 100 * MS;
 const MAX_WAIT_NS: u64 = 4_300 * MS;
-/// Callers, and calls a second that the service takes.
 const CALLERS: u32 = 200;
+/// Calls per second that the service accepts.
 const CAPACITY_PER_S: f64 = 50.0;
-/// Seeds that each way is played with.
+/// Number of seeds that each strategy is simulated with.
 const SEEDS: u64 = 50;
 
-/// How the next wait is drawn.
+/// How the next wait is chosen.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Strategy {
-    /// Always the shortest: the program before.
+    /// Always the minimum wait.
     Fixed,
-    /// Anything up to a limit that doubles.
+    /// Uniform up to a bound that doubles with each attempt.
     FullJitter,
-    /// Anything from the shortest to three times the last.
+    /// Uniform between the minimum and three times the previous wait.
     Decorrelated,
-    /// A limit that grows by the shortest each time, half of it by chance.
+    /// A bound that grows by the minimum wait with each attempt; uniform in its upper half.
     Additive,
-    /// By number alone: a place in a period that the budget gives.
+    /// A fixed slot per caller in a period in which the budget serves all callers once.
     Slot,
 }
 
-/// A caller that waits by one rule alone. It obeys `Retry-After` where its rule backs off at all.
+/// A caller that uses one strategy. It respects `Retry-After` unless its strategy is
+/// [`Strategy::Fixed`].
 struct SimpleCaller {
     strategy: Strategy,
     rng: StdRng,
@@ -119,7 +120,7 @@
     }
 }
 
-/// The figures of one way, each the worst or the mean over all seeds.
+/// Results of one strategy, each the mean or the worst over all seeds.
 #[derive(Default)]
 struct Metrics {
     startup_calls: f64,
@@ -175,7 +176,8 @@
     })
 }
 
-/// Plays all ways with the count of callers right, half, double and unknown, and with one number for all by mistake.
+/// Simulates all strategies with a configured number of callers that is right, half, double or
+/// unknown, and with the same caller number configured for all callers.
 pub fn run() -> Value {
     let cases = [
         ("right", Some(CALLERS), false),
--- a/crates/lab/src/start.rs
+++ b/crates/lab/src/start.rs
@@ -1,5 +1,5 @@
-//! A whole fleet starts at one moment, loses its list service, and gets it back: what that costs the service and the
-//! engines, beside another program where one is named.
+//! Measures what the simultaneous start of a fleet and an outage of its list service cost the
+//! service and the engines. Another build of the router may be measured for comparison.
 
 use std::path::Path;
 use std::time::Duration;
@@ -9,35 +9,35 @@
 use marljunction_testkit::list::Manner;
 use serde_json::{json, Map, Value};
 
-/// Routers of a quick run and of a full one.
+/// Routers in a quick and a full run.
 const ROUTERS: [usize; 2] = [100, 300];
-/// Seconds that the service needs for the whole fleet: as 200 routers at 50 calls a second.
+/// Time in which the list service can serve one call of every router.
 const IDEAL_SETTLE_S: f64 = 4.0;
-/// Requests a second of all clients, and of those of a start onto cold engines.
+/// Requests per second of all clients together.
 const REQUEST_RATE: f64 = 150.0;
+/// The same where engines are cold.
 const COLD_REQUEST_RATE: f64 = 300.0;
-/// Time for which the service is away.
+/// Duration of the list service's outage.
 const OUTAGE: Duration = Duration::from_secs(10);
-/// Longest wait for a fleet to settle.
 const MAX_SETTLE_TIME: Duration = Duration::from_secs(30);
-/// Time over which an operator would start the routers by hand, and starts that the first answer is measured by.
+/// Time over which the routers are started one by one, as an operator would by hand.
 const MANUAL_START_TIME: Duration = Duration::from_secs(5);
 const FIRST_ANSWER_STARTS: usize = 15;
 const SECOND_NS: u64 = 1_000_000_000;
 
-/// The programs that a run compares, and how large it is.
+/// Parameters of a run.
 pub struct Run<'a> {
-    /// The router's program.
+    /// Router executable.
     pub program: &'a Path,
-    /// Another build of it, to be measured in the same run.
+    /// Another build of the router, measured in the same run.
     pub against: Option<&'a Path>,
-    /// Fewer routers.
+    /// Use fewer routers.
     pub quick: bool,
-    /// Seed of all draws.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Routers in place of the usual count.
+    /// Overrides the number of routers.
     pub routers: Option<usize>,
-    /// Calls a second that the list service takes, in place of what serves the fleet in four seconds.
+    /// Overrides the calls per second that the list service accepts.
     pub capacity: Option<f64>,
 }
 
@@ -59,7 +59,8 @@
     ns as f64 / 1e9
 }
 
-/// A start, an outage of the list service, its return, and a drain told meanwhile.
+/// Starts the fleet, interrupts the list service, drains an engine during the outage and restores
+/// the service.
 fn start_and_outage(
     run: &Run,
     name: &str,
@@ -88,7 +89,8 @@
 
     let outage_start = fleet.now();
     fleet.set_list(Manner::Away);
-    // An engine leaves while nobody can be told; the service has it on its list when it comes back.
+    // The drain happens during the outage, so that routers learn of it only after the service
+    // returns.
     fleet.run(OUTAGE - Duration::from_secs(2))?;
     fleet.drain(0);
     fleet.run(Duration::from_secs(2))?;
@@ -96,7 +98,7 @@
     fleet.set_list(Manner::Well);
     let reconnected = fleet.run_until(MAX_SETTLE_TIME, all_live)?;
     let settled_after_outage = fleet.now();
-    // What goes out after the drain counted as told would be seen now.
+    // Run on until the drain counts as known, so that the audit sees sends after it.
     let after_update = 8 * SECOND_NS;
     let until = fleet.left_ns[0].unwrap_or(outage_end) + after_update;
     fleet.run(Duration::from_nanos(until.saturating_sub(fleet.now())))?;
@@ -146,7 +148,7 @@
     }))
 }
 
-/// Time from a start to the first answer, where a client asks as soon as it can (ms), over several starts.
+/// Time from process start to the first answer (ms), over several starts.
 fn first_answer(run: &Run, name: &str, program: &Path) -> Result<Value, String> {
     let setup = Setup {
         rate: 500.0,
@@ -167,8 +169,8 @@
     Ok(json!({"median_ms": times[times.len() / 2], "least_ms": times[0], "most_ms": times[times.len() - 1]}))
 }
 
-/// Routers start onto engines that have just started, told so many routers: all at once, or one after the other over
-/// `by_hand`.
+/// Starts the routers while the engines are cold, all at once or one by one over `stagger`.
+/// `configured_routers` is the router count in their settings; the true one if none.
 fn measure_cold_start(
     run: &Run,
     name: &str,
@@ -214,25 +216,28 @@
     }))
 }
 
-/// Something that is measured, under its name.
+/// A measurement and its name.
 pub type Task<'a> = (String, Box<dyn FnOnce() -> Result<Value, String> + Send + 'a>);
 
-/// Runs several at once, each on a thread of its own: a router's process ends with the thread that started it.
+/// Runs each task on its own thread. A router process ends with the thread that started it.
+///
+/// # Errors
+/// If a task fails or panics.
 pub fn run_concurrently(tasks: Vec<Task>) -> Result<Map<String, Value>, String> {
     std::thread::scope(|scope| {
         let runs: Vec<_> = tasks.into_iter().map(|(name, task)| (name, scope.spawn(task))).collect();
         let ended = runs.into_iter().map(|(name, run)| {
-            let value = run.join().map_err(|_| format!("{name} failed"))??;
+            let value = run.join().map_err(|_| format!("{name}: the measurement panicked"))??;
             Ok((name, value))
         });
         ended.collect()
     })
 }
 
-/// Measures it all.
+/// Runs all measurements.
 ///
 /// # Errors
-/// Where a fleet can't be started.
+/// If a fleet cannot be started.
 pub fn run(run: &Run) -> Result<Value, String> {
     let (routers, capacity) = (run.routers(), run.capacity());
     let against = run.against.iter().map(|program| ("against", *program, None));
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet to be watched: it plays its faults, ends by itself or when told to with a summary, and leaves no process behind,
-//! whatever ends it.
+//! The `fleet` command applies its faults, prints a summary at its end or on SIGINT, and leaves no
+//! process behind.
 
 use std::io::{BufRead, BufReader, Read};
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The router's program beside the lab's; built where only this crate was.
+/// The router executable next to the lab's, built if it is missing.
 fn router_program() -> PathBuf {
     let beside = Path::new(env!("CARGO_BIN_EXE_marljunction-lab")).with_file_name("marljunction");
     if !beside.exists() {
@@ -32,7 +32,7 @@
     (child, out, file)
 }
 
-/// Processes whose parent is this one.
+/// Ids of the direct children of process `id`.
 fn child_processes(id: u32) -> Vec<u32> {
     let all = std::fs::read_dir("/proc").unwrap().flatten();
     let ids = all.filter_map(|entry| entry.file_name().to_str()?.parse::<u32>().ok());
@@ -47,7 +47,7 @@
 fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let since = Instant::now();
     while !condition() {
-        assert!(since.elapsed() < TIMEOUT, "not within {TIMEOUT:?}: {what}");
+        assert!(since.elapsed() < TIMEOUT, "timed out after {TIMEOUT:?}: {what}");
         std::thread::yield_now();
     }
 }
@@ -65,9 +65,10 @@
     let (mut child, out, file) = start_fleet("plays", "4", faults);
     let output = read_to_end(out);
     assert!(child.wait().unwrap().success(), "{output}");
-    for line in ["list away", "kill 50%: r", "drain 1", "all routers ended well: true", "all rules were kept"]
+    for line in
+        ["list away", "kill 50%: r", "drain 1", "all routers exited cleanly: true", "all checks passed"]
     {
-        assert!(output.contains(line), "{line:?} is not in\n{output}");
+        assert!(output.contains(line), "missing {line:?} in\n{output}");
     }
     std::fs::remove_file(file).unwrap();
 }
@@ -81,8 +82,10 @@
     assert_eq!(routers.len(), 3, "{line}");
     kill(Pid::from_raw(child.id() as i32), Signal::SIGINT).unwrap();
     let output = read_to_end(out);
-    assert!(child.wait().unwrap().success() && output.contains("all rules were kept"), "{output}");
-    wait_until("no router is left", || routers.iter().all(|id| !Path::new(&format!("/proc/{id}")).exists()));
+    assert!(child.wait().unwrap().success() && output.contains("all checks passed"), "{output}");
+    wait_until("all routers have exited", || {
+        routers.iter().all(|id| !Path::new(&format!("/proc/{id}")).exists())
+    });
     std::fs::remove_file(file).unwrap();
 }
 
@@ -95,7 +98,9 @@
     assert_eq!(routers.len(), 3, "{line}");
     child.kill().unwrap();
     child.wait().unwrap();
-    wait_until("no router is left", || routers.iter().all(|id| !Path::new(&format!("/proc/{id}")).exists()));
+    wait_until("all routers have exited", || {
+        routers.iter().all(|id| !Path::new(&format!("/proc/{id}")).exists())
+    });
     std::fs::remove_file(file).unwrap();
 }
 
