--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -1,5 +1,5 @@
-//! Engines that have just started, under the load of a whole fleet: each router's own part of their budgets beside budgets that
-//! the fleet shares.
+//! Measures cold engines under the load of a fleet: query budgets split statically among the
+//! routers compared with budgets that the fleet shares.
 
 use std::path::Path;
 use std::time::Duration;
@@ -8,29 +8,36 @@
 use marljunction_testkit::process::mean;
 use serde_json::{json, Map, Value};
 
-use crate::start::{together, Play};
+use crate::start::{run_concurrently, Task};
 
-/// Routers, small and large.
+/// Routers in a small and a large fleet.
 const ROUTERS: [usize; 2] = [20, 200];
 const ENGINES: usize = 6;
-/// Requests a second of all clients: about what the engines bear as they have just started.
-const RATE: f64 = 200.0;
-/// Part of the fleet that is replaced at once.
-const SETTLE: Duration = Duration::from_secs(40);
+/// Requests per second of all clients together: about what the engines sustain while cold.
+const REQUEST_RATE: f64 = 200.0;
+const MAX_START_TIME: Duration = Duration::from_secs(40);
 const SECOND_NS: u64 = 1_000_000_000;
-/// Time over which worth is counted: engines are cold for longer.
-const COUNTED: Duration = Duration::from_secs(10);
+/// Time over which worth is counted; engines stay cold for longer.
+const MEASURED_TIME: Duration = Duration::from_secs(10);
 
-/// Engines start again under a fleet that has been up for a while, or with it.
+/// When the engines start.
 #[derive(Clone, Copy, PartialEq)]
-enum When {
-    Replaced,
-    Together,
+enum EngineStart {
+    /// All are restarted after the fleet has been running for a while.
+    InRunningFleet,
+    /// Together with the routers.
+    WithFleet,
 }
 
-fn play(program: &Path, routers: usize, shared: bool, when: When, seed: u64) -> Result<Value, String> {
+fn measure(
+    program: &Path,
+    routers: usize,
+    shared: bool,
+    engine_start: EngineStart,
+    seed: u64,
+) -> Result<Value, String> {
     let cold = if shared { "shared" } else { "own" };
-    let name = format!("cold-{routers}-{cold}-{}-{seed}", when == When::Replaced);
+    let name = format!("cold-{routers}-{cold}-{}-{seed}", engine_start == EngineStart::InRunningFleet);
     let mut fleet = Fleet::new(Setup {
         fleet: Some(format!("lease: 1s, cold: \"{cold}\", limits: {{}}")),
         engines: ENGINES,
@@ -38,27 +45,27 @@
         seed,
         ..Setup::new(program, &name, routers)
     })?;
-    // Uneven: a few routers get several times the mean.
+    // Uneven load: a few routers receive several times the mean.
     let weights: Vec<f64> = (0..routers).map(|at| 1.0 / (at % 10 + 1) as f64).collect();
     let sum: f64 = weights.iter().sum();
-    fleet.ask_at(&weights.iter().map(|w| RATE * w / sum).collect::<Vec<f64>>());
-    let began = fleet.now();
+    fleet.ask_at(&weights.iter().map(|w| REQUEST_RATE * w / sum).collect::<Vec<f64>>());
+    let start_ns = fleet.now();
     fleet.start_all()?;
-    if when == When::Replaced {
-        fleet.run_until(SETTLE, |f| f.ready() == routers)?;
+    if engine_start == EngineStart::InRunningFleet {
+        fleet.run_until(MAX_START_TIME, |f| f.ready() == routers)?;
         fleet.run(Duration::from_secs(16))?;
     }
     let tallies = |f: &Fleet| (f.sum(|t| t.worth), f.sum(|t| t.worth_asked));
     let before = tallies(&fleet);
-    if when == When::Replaced {
+    if engine_start == EngineStart::InRunningFleet {
         fleet.renew_engines();
     }
-    fleet.run(COUNTED)?;
+    fleet.run(MEASURED_TIME)?;
     let after = tallies(&fleet);
     let peak = fleet.engines.iter().filter_map(|e| Some(e.cold.as_ref()?.peak)).fold(0.0, f64::max);
     let down = fleet.engines.iter().filter(|e| !e.is_up()).count();
     let counters = fleet.counters(Duration::from_secs(8))?;
-    let seconds = (fleet.now() - began) as f64 / SECOND_NS as f64;
+    let seconds = (fleet.now() - start_ns) as f64 / SECOND_NS as f64;
     let used = fleet.used();
     Ok(json!({
         "cold_peak_over_limit": peak,
@@ -72,34 +79,37 @@
     }))
 }
 
-/// Measures it all: by routers, by when the engines start, and by whether the fleet shares.
+/// Measures each combination of fleet size, time of the engines' start, and static or shared
+/// budgets.
 ///
 /// # Errors
-/// Where a fleet can't be started.
+/// If a fleet cannot be started.
 pub fn run(program: &Path, quick: bool, seed: u64) -> Result<Value, String> {
-    let mut told = Map::new();
+    let mut results = Map::new();
     for routers in ROUTERS.into_iter().take(if quick { 1 } else { 2 }) {
-        for (when_name, when) in [("replaced", When::Replaced), ("together", When::Together)] {
-            let plays: Vec<Play> = [("own", false), ("shared", true)]
-                .map(|(name, shared)| -> Play {
-                    (name.to_owned(), Box::new(move || play(program, routers, shared, when, seed)))
+        for (start_name, engine_start) in
+            [("replaced", EngineStart::InRunningFleet), ("together", EngineStart::WithFleet)]
+        {
+            let tasks: Vec<Task> = [("own", false), ("shared", true)]
+                .map(|(name, shared)| -> Task {
+                    (name.to_owned(), Box::new(move || measure(program, routers, shared, engine_start, seed)))
                 })
                 .into_iter()
                 .collect();
-            // Hundreds of processes at once would measure the machine.
-            let plays = match routers <= ROUTERS[0] {
-                true => together(plays)?,
-                false => plays
+            // Large fleets run one after the other: together they would saturate the machine.
+            let runs = match routers <= ROUTERS[0] {
+                true => run_concurrently(tasks)?,
+                false => tasks
                     .into_iter()
-                    .map(|(name, play)| Ok((name, play()?)))
+                    .map(|(name, task)| Ok((name, task()?)))
                     .collect::<Result<_, String>>()?,
             };
-            told.insert(format!("{routers}_{when_name}"), Value::Object(plays));
+            results.insert(format!("{routers}_{start_name}"), Value::Object(runs));
         }
     }
     let worst =
-        told.values().filter_map(|v| v["shared"]["cold_peak_over_limit"].as_f64()).fold(0.0, f64::max);
+        results.values().filter_map(|v| v["shared"]["cold_peak_over_limit"].as_f64()).fold(0.0, f64::max);
     let ratio = |v: &Value| Some(v["shared"]["worth_share"].as_f64()? / v["own"]["worth_share"].as_f64()?);
-    let gains: Map<String, Value> = told.iter().map(|(k, v)| (k.clone(), json!(ratio(v)))).collect();
-    Ok(json!({"cold_peak_over_limit": worst, "worth_over_own": gains, "plays": told}))
+    let gains: Map<String, Value> = results.iter().map(|(k, v)| (k.clone(), json!(ratio(v)))).collect();
+    Ok(json!({"cold_peak_over_limit": worst, "worth_over_own": gains, "plays": results}))
 }
--- a/crates/lab/src/door.rs
+++ b/crates/lab/src/fair_queue.rs
@@ -1,5 +1,6 @@
-//! A heavy tenant floods two light ones; half of the engines die. The same stand-ins and the same draws for three
-//! routers: one with no door, one with a plain queue, one with the fair door.
+//! One heavy tenant overloads a router that serves two light ones, then half of the engines fail.
+//! Runs the same load against three routers: without a queue, with a FIFO queue and with the fair
+//! queue.
 
 use std::path::Path;
 use std::time::Duration;
@@ -8,17 +9,16 @@
 use marljunction_testkit::stage::{Setup, Stage, Told};
 use serde_json::{json, Value};
 
-use crate::memory;
+use crate::fair_queue_cost;
 
-/// Longest advice that the settings allow (ms).
-const LONGEST_MS: u64 = 2_000;
-/// Engines, and cores of each.
+const MAX_RETRY_AFTER_MS: u64 = 2_000;
 const ENGINES: usize = 8;
+/// Cores of each engine.
 const CORES: f64 = 8.0;
-/// Tenants and their shares.
+/// Tenants and their shares (%).
 const TENANTS: [(&str, f64); 3] = [("heavy", 73.0), ("light-a", 16.0), ("light-b", 11.0)];
-/// Part of all that can be served that each tenant asks for when it asks for its share.
-const CALM: f64 = 0.6;
+/// Load of all tenants at their shares, relative to the capacity.
+const BASE_LOAD_SHARE: f64 = 0.6;
 
 fn classes() -> Vec<Class> {
     let lookup = Class {
@@ -62,31 +62,37 @@
     vec![lookup, report, load]
 }
 
-/// Requests a second that the engines can serve.
-fn capacity() -> f64 {
+/// Requests per second that the engines can serve.
+fn capacity_per_s() -> f64 {
     let mean_ms: f64 = classes().iter().map(|c| c.share * c.work_ms).sum();
     ENGINES as f64 * CORES * 1_000.0 / mean_ms
 }
 
-/// All three tenants ask for their shares, the heavy one so many times over.
-fn sources(heavy: f64) -> Vec<Source> {
+/// All tenants send their shares of the base load, the heavy one `heavy_factor` times its share.
+fn sources(heavy_factor: f64) -> Vec<Source> {
     let source = |(tenant, share): &(&'static str, f64), times: f64, clients| Source {
         tenant,
-        rate: capacity() * CALM * share / 100.0 * times,
+        rate: capacity_per_s() * BASE_LOAD_SHARE * share / 100.0 * times,
         clients,
         says: 1.0,
     };
-    vec![source(&TENANTS[0], heavy, 5_000), source(&TENANTS[1], 1.0, 40), source(&TENANTS[2], 1.0, 40)]
+    vec![source(&TENANTS[0], heavy_factor, 5_000), source(&TENANTS[1], 1.0, 40), source(&TENANTS[2], 1.0, 40)]
 }
 
-/// What one router made of it.
+/// Measurements of one router.
 struct Outcome {
     tallies: Vec<Vec<Tally>>,
-    told: Told,
+    exit_report: Told,
     double_runs: u64,
 }
 
-fn play(name: &str, door: Option<Value>, quick: bool, program: &Path, seed: u64) -> Result<Outcome, String> {
+fn measure(
+    name: &str,
+    door: Option<Value>,
+    quick: bool,
+    program: &Path,
+    seed: u64,
+) -> Result<Outcome, String> {
     let setup = Setup {
         program: program.to_owned(),
         name: format!("lab-{name}-{seed}"),
@@ -95,13 +101,13 @@
         tenants: TENANTS.to_vec(),
         classes: classes(),
         door,
-        longest_ms: LONGEST_MS,
+        longest_ms: MAX_RETRY_AFTER_MS,
         returning: 0.2,
         seed,
     };
     let seconds = |s: f64| Duration::from_secs_f64(if quick { s } else { s * 5.0 });
     let mut stage = Stage::start(&setup)?;
-    // The router learns what its classes need before anything is compared.
+    // Warm up: the router learns the needs of its request classes.
     stage.play(sources(1.0), seconds(2.0))?;
     stage.play(sources(1.0), seconds(5.0))?;
     stage.drain(Duration::from_secs(3))?;
@@ -113,14 +119,14 @@
     stage.drain(Duration::from_secs(5))?;
     stage.load.finish();
     let (tallies, double_runs) = (stage.load.tallies.clone(), stage.double_runs());
-    Ok(Outcome { tallies, told: stage.stop()?, double_runs })
+    Ok(Outcome { tallies, exit_report: stage.stop()?, double_runs })
 }
 
-/// The phases of [`play`].
-const CALM_PHASE: usize = 1;
-const ALONE: usize = 2;
-const FLOOD: usize = 4;
-const HALF_LOST: usize = 5;
+/// Phases of [`measure`] that are compared.
+const BASE_PHASE: usize = 1;
+const LIGHT_ONLY_PHASE: usize = 2;
+const FLOOD_PHASE: usize = 4;
+const HALF_LOST_PHASE: usize = 5;
 
 fn ratio(a: f64, b: f64) -> f64 {
     if b > 0.0 {
@@ -131,23 +137,24 @@
 }
 
 impl Outcome {
-    /// Worth served over worth asked for.
-    fn kept(&self, phase: usize, source: usize) -> f64 {
+    /// Worth served over worth requested.
+    fn worth_ratio(&self, phase: usize, source: usize) -> f64 {
         let tally = &self.tallies[phase][source];
         ratio(tally.worth, tally.worth_asked)
     }
 
-    /// What each light tenant keeps of what it gets alone.
-    fn light_kept(&self, phase: usize) -> [f64; 2] {
-        [1, 2].map(|source| ratio(self.kept(phase, source), self.kept(ALONE, source)))
+    /// Worth ratio of each light tenant, relative to the phase without the heavy tenant.
+    fn light_worth_ratio(&self, phase: usize) -> [f64; 2] {
+        [1, 2]
+            .map(|source| ratio(self.worth_ratio(phase, source), self.worth_ratio(LIGHT_ONLY_PHASE, source)))
     }
 
     fn sum(&self, phase: usize, of: fn(&Tally) -> f64) -> f64 {
         self.tallies[phase].iter().map(of).sum()
     }
 
-    /// Returns at a promised time that were served.
-    fn promise_kept(&self, phase: usize) -> f64 {
+    /// Share of the clients returning at their reserved time that were served.
+    fn served_reservation_ratio(&self, phase: usize) -> f64 {
         ratio(self.sum(phase, |t| t.returned_served as f64), self.sum(phase, |t| t.returned as f64))
     }
 
@@ -155,7 +162,7 @@
         self.tallies.iter().flatten().map(of).sum()
     }
 
-    fn told(&self) -> Value {
+    fn to_json(&self) -> Value {
         let phases = ["learn", "calm", "alone", "surge", "flood", "half_lost"];
         let tallies: serde_json::Map<String, Value> = phases
             .iter()
@@ -167,71 +174,74 @@
             })
             .collect();
         let door: serde_json::Map<String, Value> = self
-            .told
+            .exit_report
             .door
             .iter()
             .map(|(name, fields)| {
                 (name.clone(), fields.iter().map(|(k, v)| (k.clone(), json!(v))).collect::<Value>())
             })
             .collect();
-        let [a, b] = self.light_kept(FLOOD);
-        let worth = |source: usize| self.tallies[FLOOD][source].worth;
-        let all: f64 = (0..3).map(worth).sum();
+        let [a, b] = self.light_worth_ratio(FLOOD_PHASE);
+        let worth = |source: usize| self.tallies[FLOOD_PHASE][source].worth;
+        let total: f64 = (0..3).map(worth).sum();
         json!({
             "light_worth_kept": {"light-a": a, "light-b": b},
-            "light_worth_kept_half_lost": self.light_kept(HALF_LOST),
-            "share_of_worth_in_flood": (0..3).map(|s| ratio(worth(s), all)).collect::<Vec<f64>>(),
-            "worth_in_flood": all,
-            "worth_calm": self.sum(CALM_PHASE, |t| t.worth),
-            "promise_kept": self.promise_kept(FLOOD),
-            "promise_kept_half_lost": self.promise_kept(HALF_LOST),
-            "promised_returns": [self.sum(FLOOD, |t| t.returned as f64), self.sum(HALF_LOST, |t| t.returned as f64)],
-            "peak_memory_kb": self.told.peak_kb,
+            "light_worth_kept_half_lost": self.light_worth_ratio(HALF_LOST_PHASE),
+            "share_of_worth_in_flood": (0..3).map(|s| ratio(worth(s), total)).collect::<Vec<f64>>(),
+            "worth_in_flood": total,
+            "worth_calm": self.sum(BASE_PHASE, |t| t.worth),
+            "promise_kept": self.served_reservation_ratio(FLOOD_PHASE),
+            "promise_kept_half_lost": self.served_reservation_ratio(HALF_LOST_PHASE),
+            "promised_returns": [self.sum(FLOOD_PHASE, |t| t.returned as f64), self.sum(HALF_LOST_PHASE, |t| t.returned as f64)],
+            "peak_memory_kb": self.exit_report.peak_kb,
             "double_runs": self.double_runs,
             "unanswered": self.all(|t| t.unanswered),
             "answered_twice": self.all(|t| t.twice),
-            "ended_well": self.told.ended_well,
-            "taken": self.told.counter("taken"),
+            "ended_well": self.exit_report.ended_well,
+            "taken": self.exit_report.counter("taken"),
             "phases": tallies,
             "door": door,
         })
     }
 }
 
-/// Runs the three side by side.
+/// Runs the three routers concurrently.
+///
+/// # Errors
+/// If a router cannot be started or a run fails.
 pub fn run(quick: bool, program: &Path, seed: u64) -> Result<Value, String> {
-    // Alone first: the draws of the router's runs would disturb its times.
-    let own = memory::run(seed);
-    let doors = [
+    // First and on its own, as concurrent runs would distort its timing.
+    let cost = fair_queue_cost::run(seed);
+    let queue_configs = [
         ("off", None),
         ("fifo", Some(json!({"order": "fifo"}))),
         ("fair", Some(json!({"order": "fair", "client": {"field": "who"}}))),
     ];
     let outcomes: Vec<Result<Outcome, String>> = std::thread::scope(|scope| {
-        let runs: Vec<_> = doors
+        let runs: Vec<_> = queue_configs
             .iter()
-            .map(|(name, door)| scope.spawn(move || play(name, door.clone(), quick, program, seed)))
+            .map(|(name, door)| scope.spawn(move || measure(name, door.clone(), quick, program, seed)))
             .collect();
-        runs.into_iter().map(|run| run.join().unwrap_or_else(|_| Err("a run failed".into()))).collect()
+        runs.into_iter().map(|run| run.join().unwrap_or_else(|_| Err("a run panicked".into()))).collect()
     });
     let outcomes: Vec<Outcome> = outcomes.into_iter().collect::<Result<_, _>>()?;
-    let [off, _, fair] = &outcomes[..] else { return Err("three runs".into()) };
-    let calm = |o: &Outcome| o.sum(CALM_PHASE, |t| t.worth);
-    let light = fair.light_kept(FLOOD);
+    let [off, _, fair] = &outcomes[..] else { return Err("expected three runs".into()) };
+    let base_worth = |o: &Outcome| o.sum(BASE_PHASE, |t| t.worth);
+    let light = fair.light_worth_ratio(FLOOD_PHASE);
     let variants: serde_json::Map<String, Value> =
-        doors.iter().zip(&outcomes).map(|((name, _), o)| ((*name).to_owned(), o.told())).collect();
+        queue_configs.iter().zip(&outcomes).map(|((name, _), o)| ((*name).to_owned(), o.to_json())).collect();
     Ok(json!({
         "light_worth_kept": light[0].min(light[1]),
-        "promise_kept": fair.promise_kept(FLOOD),
-        "promise_kept_half_lost": fair.promise_kept(HALF_LOST),
-        "bytes_100k_over_100": own["bytes_100k_over_100"],
-        "idle_cost": ratio(calm(fair), calm(off)),
-        "ns_per_request": own["ns_per_request"],
+        "promise_kept": fair.served_reservation_ratio(FLOOD_PHASE),
+        "promise_kept_half_lost": fair.served_reservation_ratio(HALF_LOST_PHASE),
+        "bytes_100k_over_100": cost["bytes_100k_over_100"],
+        "idle_cost": ratio(base_worth(fair), base_worth(off)),
+        "ns_per_request": cost["ns_per_request"],
         "double_runs": outcomes.iter().map(|o| o.double_runs).sum::<u64>(),
         "unanswered": outcomes.iter().map(|o| o.all(|t| t.unanswered)).sum::<u64>(),
         "quick": quick,
         "seed": seed,
-        "door_alone": own,
+        "door_alone": cost,
         "variants": variants,
     }))
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,18 +1,18 @@
-//! `marljunction-lab`: experiments whose figures anyone can run again.
+//! `marljunction-lab`: reproducible experiments with the router and its parts.
 
 #![forbid(unsafe_code)]
 
 mod capacity;
 mod cold;
 mod disciplines;
-mod door;
+mod fair_queue;
+mod fair_queue_cost;
 mod fleet;
+mod health;
 mod limits;
-mod memory;
+mod pacing_strategies;
 mod scale;
 mod start;
-mod verdicts;
-mod ways;
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -21,11 +21,11 @@
 use marljunction_testkit::hollow;
 use peak_alloc::PeakAlloc;
 
-/// Counts what the experiments' own structures take from the heap.
+/// Counts heap use, for the experiments that measure memory in this process.
 #[global_allocator]
 static HEAP: PeakAlloc = PeakAlloc;
 
-/// Experiments with the router and its parts.
+/// Reproducible experiments with the router and its parts.
 #[derive(Parser)]
 #[command(name = "marljunction-lab", version, about)]
 struct Arguments {
@@ -33,121 +33,129 @@
     experiment: Experiment,
 }
 
-/// What most experiments are told.
+/// Arguments shared by most experiments.
 #[derive(clap::Args)]
-struct Usual {
-    /// Fewer routers, shorter: under 45 s in all.
+struct CommonArgs {
+    /// Run with fewer routers and for less time: under 45 s in all.
     #[arg(long)]
     quick: bool,
-    /// Where to write the figures.
+    /// Write the results to FILE; standard output if not given.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// The router's program; the one beside this one, if not given.
+    /// Router executable; the one next to this executable if not given.
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// Seed of all draws.
+    /// Seed of all random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-impl Usual {
-    /// Runs an experiment with it, and writes its figures.
+impl CommonArgs {
+    /// Runs an experiment with these arguments and writes its results.
     fn run(
         self,
         experiment: impl FnOnce(&Path, bool, u64) -> Result<serde_json::Value, String>,
     ) -> Result<(), String> {
-        let program = named_or_beside(self.program)?;
-        write(self.json, &experiment(&program, self.quick, self.seed)?)
+        let program = resolve_program(self.program)?;
+        write_results(self.json, &experiment(&program, self.quick, self.seed)?)
     }
 }
 
 #[derive(Subcommand)]
 enum Experiment {
-    /// A heavy tenant floods two light ones: the door beside no door and one plain queue.
-    Door(Usual),
-    /// A whole small fleet on loopback, to be watched while things break; ends by itself or at Ctrl-C, with a summary.
+    /// One tenant overloads the router: compares the fair queue with a FIFO queue and with no
+    /// queue.
+    #[command(name = "door")]
+    FairQueue(CommonArgs),
+    /// Run a small fleet on loopback under a schedule of faults; prints a summary at the end or on
+    /// Ctrl-C.
     Fleet {
-        /// Routers.
+        /// Number of routers.
         #[arg(long, default_value_t = 8)]
         routers: usize,
-        /// A schedule of faults (crates/testkit/src/schedule.rs tells its form); the usual one, if not given.
+        /// Schedule of faults, in the format of crates/testkit/src/schedule.rs; a built-in one if
+        /// not given.
         #[arg(long, value_name = "FILE")]
         faults: Option<PathBuf>,
-        /// How long it plays (s).
+        /// Duration (s).
         #[arg(long, default_value_t = 60)]
         seconds: u64,
-        /// The router's program; the one beside this one, if not given.
+        /// Router executable; the one next to this executable if not given.
         #[arg(long, value_name = "FILE")]
         program: Option<PathBuf>,
-        /// Seed of all draws.
+        /// Seed of all random numbers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// A whole fleet starts at once, loses its list service, and gets it back.
+    /// All routers start at once, then the list service fails and recovers.
     Start {
         #[command(flatten)]
-        usual: Usual,
-        /// Another build of it, measured in the same run.
+        common: CommonArgs,
+        /// Another build of the router, measured in the same run.
         #[arg(long, value_name = "FILE")]
         against: Option<PathBuf>,
-        /// Routers; a hundred if quick, else three hundred.
+        /// Number of routers; 300 if not given, 100 with --quick.
         #[arg(long)]
         routers: Option<usize>,
-        /// Calls a second that the list service takes.
+        /// Calls per second that the list service accepts.
         #[arg(long)]
         capacity: Option<f64>,
     },
-    /// Limits that hold for a whole fleet, under cuts, deaths and freezes.
-    Limits(Usual),
-    /// Engines that have just started, with each router's own part of their budgets and with shared ones.
-    Cold(Usual),
-    /// What a fleet believes of its engines: each router alone beside routers that share what they see.
-    Verdicts(Usual),
-    /// Thousands of hollow routers before tens of thousands of engines, with faults among them.
-    Scale(Usual),
-    /// A list service for hollow routers, told what to do on standard input.
+    /// Fleet-wide limits under network partitions, crashes and paused routers.
+    Limits(CommonArgs),
+    /// Cold engines, with their query budgets split statically or shared by the fleet.
+    Cold(CommonArgs),
+    /// Detection of failed engines: each router alone compared with routers that share health
+    /// evidence.
+    #[command(name = "verdicts")]
+    Health(CommonArgs),
+    /// Thousands of hollow routers and tens of thousands of engines, with faults.
+    Scale(CommonArgs),
+    /// Run a list service for hollow routers, controlled through standard input.
     #[command(hide = true)]
     HollowService,
-    /// Hollow routers, told what to do on standard input.
+    /// Run hollow routers, controlled through standard input.
     #[command(hide = true)]
     HollowHost,
-    /// What the program costs by routers, engines, clients and statements, for docs/CAPACITY.md.
+    /// Cost of the router by number of routers, engines, clients and statements, for
+    /// docs/CAPACITY.md.
     Capacity {
-        /// Measure; else the figures in the repository are read.
+        /// Measure; otherwise the measurements in the repository are used.
         #[arg(long)]
         measure: bool,
-        /// Write the figures, where measured, and the page.
+        /// Write the page, and the measurements if --measure is given.
         #[arg(long)]
         write: bool,
-        /// Fail where the page is not what the figures say.
+        /// Fail if the page does not match the measurements.
         #[arg(long)]
         check: bool,
-        /// One part only: decision, list, members, limits, verdicts, cells or configuration. Nothing is written then.
+        /// Measure one part only: decision, list, members, limits, verdicts, cells or
+        /// configuration. Writes nothing.
         #[arg(long, value_name = "PART")]
         only: Option<String>,
-        /// The router's program; the one beside this one, if not given.
+        /// Router executable; the one next to this executable if not given.
         #[arg(long, value_name = "FILE")]
         program: Option<PathBuf>,
     },
-    /// Ways to pace a fleet's calls compared in stepped time, without any socket.
+    /// Compare pacing strategies for a fleet's calls in simulated time, without sockets.
     Pacing {
-        /// Where to write the figures.
+        /// Write the results to FILE; standard output if not given.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
     },
-    /// Disciplines and orders of service compared in stepped time, without any socket.
+    /// Compare queueing disciplines and service orders in simulated time, without sockets.
     Disciplines {
-        /// Where to write the figures.
+        /// Write the results to FILE; standard output if not given.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// Seed of all draws.
+        /// Seed of all random numbers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
 }
 
-fn write(json: Option<PathBuf>, figures: &serde_json::Value) -> Result<(), String> {
-    let text = serde_json::to_string_pretty(figures).map_err(|e| e.to_string())?;
+fn write_results(json: Option<PathBuf>, results: &serde_json::Value) -> Result<(), String> {
+    let text = serde_json::to_string_pretty(results).map_err(|e| e.to_string())?;
     match json {
         Some(path) => std::fs::write(&path, text + "\n").map_err(|e| format!("{}: {e}", path.display())),
         None => {
@@ -157,56 +165,61 @@
     }
 }
 
-/// The router's program that was named, or the one beside this one.
-fn named_or_beside(program: Option<PathBuf>) -> Result<PathBuf, String> {
+/// The given router executable, or the one next to this executable.
+fn resolve_program(program: Option<PathBuf>) -> Result<PathBuf, String> {
     let beside = marljunction_testkit::stage::program_beside;
-    program.or_else(beside).ok_or_else(|| "no program beside this one: build it, or name it".into())
+    program
+        .or_else(beside)
+        .ok_or_else(|| "router executable not found next to this one: build it or pass --program".into())
 }
 
 fn run() -> Result<(), String> {
     match Arguments::parse().experiment {
-        Experiment::Door(usual) => usual.run(|program, quick, seed| door::run(quick, program, seed)),
-        Experiment::Start { usual, against, routers, capacity } => usual.run(|program, quick, seed| {
+        Experiment::FairQueue(common) => {
+            common.run(|program, quick, seed| fair_queue::run(quick, program, seed))
+        }
+        Experiment::Start { common, against, routers, capacity } => common.run(|program, quick, seed| {
             let against = against.as_deref();
             start::run(&start::Run { program, against, quick, seed, routers, capacity })
         }),
         Experiment::Fleet { routers, faults, seconds, program, seed } => {
-            let (program, time) = (named_or_beside(program)?, std::time::Duration::from_secs(seconds));
-            let play = fleet::Play { program: &program, routers, faults: faults.as_deref(), time, seed };
-            let (summary, well) = fleet::run(&play)?;
+            let (program, time) = (resolve_program(program)?, std::time::Duration::from_secs(seconds));
+            let options =
+                fleet::Options { program: &program, routers, faults: faults.as_deref(), time, seed };
+            let (summary, passed) = fleet::run(&options)?;
             println!("{summary}");
-            if well {
+            if passed {
                 Ok(())
             } else {
-                Err("not all held: see above".into())
+                Err("a check failed: see the summary above".into())
             }
         }
-        Experiment::Limits(usual) => {
-            usual.run(|program, quick, seed| limits::run(&limits::Run { program, quick, seed }))
+        Experiment::Limits(common) => {
+            common.run(|program, quick, seed| limits::run(&limits::Run { program, quick, seed }))
         }
-        Experiment::Cold(usual) => usual.run(cold::run),
-        Experiment::Verdicts(usual) => {
-            usual.run(|program, quick, seed| verdicts::run(&verdicts::Run { program, quick, seed }))
+        Experiment::Cold(common) => common.run(cold::run),
+        Experiment::Health(common) => {
+            common.run(|program, quick, seed| health::run(&health::Run { program, quick, seed }))
         }
-        Experiment::Scale(usual) => {
-            usual.run(|program, quick, seed| scale::run(program, quick, seed).map_err(|e| e.to_string()))
+        Experiment::Scale(common) => {
+            common.run(|program, quick, seed| scale::run(program, quick, seed).map_err(|e| e.to_string()))
         }
         Experiment::HollowService => hollow::service::run().map_err(|e| e.to_string()),
         Experiment::HollowHost => hollow::host::run().map_err(|e| e.to_string()),
         Experiment::Capacity { measure, write, check, only, program } => {
-            let program = if measure { named_or_beside(program)? } else { PathBuf::new() };
+            let program = if measure { resolve_program(program)? } else { PathBuf::new() };
             capacity::run(&capacity::Run { program, measure, write, check, only })
         }
-        Experiment::Pacing { json } => write(json, &ways::run()),
-        Experiment::Disciplines { json, seed } => write(json, &disciplines::run(seed)),
+        Experiment::Pacing { json } => write_results(json, &pacing_strategies::run()),
+        Experiment::Disciplines { json, seed } => write_results(json, &disciplines::run(seed)),
     }
 }
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("marljunction-lab: {fault}");
+        Err(error) => {
+            eprintln!("marljunction-lab: {error}");
             ExitCode::FAILURE
         }
     }
