--- a/crates/lab/src/health.rs
+++ b/crates/lab/src/health.rs
@@ -152,7 +152,8 @@
     (0..routers).for_each(|to| fleet.shape_between(None, to, lossy));
     let set_ns = fleet.now();
     let answer = fleet.call(1, "POST", "/fleet/engines/disable", "e1")?;
-    let has_override = |f: &Fleet| (0..routers).all(|r| f.said(r).contains("engines excluded fleet-wide: e1"));
+    let has_override =
+        |f: &Fleet| (0..routers).all(|r| f.said(r).contains("engines excluded fleet-wide: e1"));
     let all = fleet.run_until(TIMEOUT, has_override)?;
     let elapsed_ns = fleet.now() - set_ns;
     let bound = propagation_bound_ns(&HealthParams { routers: routers as u32, ..HealthParams::default() });
