--- a/tests/common/harness.rs
+++ b/tests/common/harness.rs
@@ -326,23 +326,23 @@
                 self.signal("-STOP");
                 let stat = format!("/proc/{}/stat", self.child.id());
                 self.paused_at = Some(Instant::now());
-                self.until("stands still", |_| std::fs::read_to_string(&stat).unwrap().contains(") T "));
+                self.wait_until("stands still", |_| std::fs::read_to_string(&stat).unwrap().contains(") T "));
             }
             ["thaw"] => {
-                self.until("all has reached the program", |s| s.all_delivered());
+                self.wait_until("all has reached the program", |s| s.all_delivered());
                 self.signal("-CONT");
             }
             // So long after the program was told to end.
             ["past", ms] => {
                 let long = Duration::from_millis(ms.parse().unwrap());
-                self.until("time passes", |s| {
+                self.wait_until("time passes", |s| {
                     s.stop_requested_at.is_some_and(|since| since.elapsed() >= long)
                 });
             }
             // The program has stood still for so long.
             ["still", ms] => {
                 let long = Duration::from_millis(ms.parse().unwrap());
-                self.until("time passes", |s| s.paused_at.is_some_and(|since| since.elapsed() >= long));
+                self.wait_until("time passes", |s| s.paused_at.is_some_and(|since| since.elapsed() >= long));
             }
             // Ends a connection by a reset.
             ["reset", name] => {
@@ -397,7 +397,7 @@
             }
             [name, ">", ..] => {
                 let segments = segments(line.split_once("> ").unwrap().1);
-                let bytes = segments.iter().flat_map(|p| match p {
+                let bytes = segments.iter().flat_map(|segment| match segment {
                     Segment::Bytes(bytes) => bytes.clone(),
                     Segment::Captured(name) => self.captures[name].clone(),
                     Segment::Wildcard(..) => panic!("cannot send any bytes"),
@@ -438,9 +438,9 @@
     }
 
     /// All that a connection ever got, up to its end or to `until`.
-    pub fn received(&mut self, name: &str, until: &[u8]) -> Vec<u8> {
+    pub fn received(&mut self, name: &str, suffix: &[u8]) -> Vec<u8> {
         let peer = &mut self.peers.get_mut(name).unwrap();
-        while !peer.input.ends_with(until) && peer.read() {}
+        while !peer.input.ends_with(suffix) && peer.read() {}
         peer.all.clone()
     }
 
@@ -473,8 +473,8 @@
             let ends = (port(fields[1]).unwrap(), port(fields[2]).unwrap());
             rows.insert(ends, (fields[3].to_owned(), fields[4].starts_with("00000000:")));
         }
-        self.socket_pairs.iter().all(|((own, its), name)| {
-            let (ours, theirs) = (rows.get(&(*own, *its)), rows.get(&(*its, *own)));
+        self.socket_pairs.iter().all(|((local, remote), name)| {
+            let (ours, theirs) = (rows.get(&(*local, *remote)), rows.get(&(*remote, *local)));
             let established = theirs.is_some_and(|(state, _)| state == "01");
             let shut = ours.is_some_and(|(state, _)| state == "04" || state == "05");
             match self.peers.contains_key(name) && !shut {
@@ -485,7 +485,7 @@
     }
 
     /// Waits until something is so.
-    fn until(&mut self, what: &str, mut condition: impl FnMut(&mut Harness) -> bool) {
+    fn wait_until(&mut self, what: &str, mut condition: impl FnMut(&mut Harness) -> bool) {
         let since = Instant::now();
         while !condition(self) {
             assert!(since.elapsed() < TIMEOUT, "waited in vain: {what}");
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -56,15 +56,15 @@
 fn max_idle(fault: Fault) -> Duration {
     let fleet_config = fleet_config();
     // The deadline, and what a request may have out behind it.
-    let told = bound(&fleet_config.limits[0].limit, &fleet_config.limit_params(4_500_000_000), fault);
-    assert_eq!(told.max_overshoot, 0.0);
-    Duration::from_nanos(told.max_idle_ns + SCHEDULING_SLACK_NS)
+    let limit_bound = bound(&fleet_config.limits[0].limit, &fleet_config.limit_params(4_500_000_000), fault);
+    assert_eq!(limit_bound.max_overshoot, 0.0);
+    Duration::from_nanos(limit_bound.max_idle_ns + SCHEDULING_SLACK_NS)
 }
 
 #[track_caller]
 fn wait_until(fleet: &mut Fleet, limit: Duration, what: &str, condition: impl Fn(&Fleet) -> bool) {
-    let held = fleet.run_until(limit, condition).unwrap();
-    assert!(held, "not within {limit:?}: {what}; {} held, at most {}", fleet.held(), fleet.held_most);
+    let reached = fleet.run_until(limit, condition).unwrap();
+    assert!(reached, "not within {limit:?}: {what}; {} held, at most {}", fleet.held(), fleet.held_most);
     assert!(
         fleet.held_most <= MAX_CONCURRENT,
         "{} were out at once, {MAX_CONCURRENT} may be",
@@ -252,9 +252,9 @@
     fleet.start_all().unwrap();
     wait_until(&mut fleet, TIMEOUT, "all routers are there", |f| f.ready() == ROUTERS);
     fleet.ask_at(&[40.0; ROUTERS]);
-    let told =
+    let is_logged =
         |f: &Fleet| [0, ROUTERS - 1].iter().any(|r| f.said(*r).contains("another router has the same name"));
-    assert!(fleet.run_until(TIMEOUT, told).unwrap(), "neither is told of the other");
+    assert!(fleet.run_until(TIMEOUT, is_logged).unwrap(), "neither is told of the other");
     // Nobody has the last number, so that all that it may have borrowed has to run out before anything is used.
     assert!(
         fleet.run_until(TIMEOUT, |f| f.held() >= MAX_CONCURRENT - 3).unwrap(),
@@ -263,12 +263,12 @@
     );
     fleet.run(Duration::from_secs(4)).unwrap();
     let fleet_config = fleet_config();
-    let b = bound(
+    let limit_bound = bound(
         &fleet_config.limits[0].limit,
         &fleet_config.limit_params(4_500_000_000),
         Fault::DuplicateNumber,
     );
-    let max_allowed = MAX_CONCURRENT + (b.max_overshoot * MAX_CONCURRENT as f64).round() as usize;
+    let max_allowed = MAX_CONCURRENT + (limit_bound.max_overshoot * MAX_CONCURRENT as f64).round() as usize;
     assert!(fleet.held_most <= max_allowed, "{} were out, {max_allowed} may be", fleet.held_most);
     fleet.held_most = 0;
     finish(fleet);
@@ -277,9 +277,9 @@
 #[test]
 fn a_router_reports_its_peers_and_limits() {
     let mut fleet = fleet_with_one_busy_router("asked");
-    let told = fleet.ask_fleet(0).unwrap();
+    let status = fleet.ask_fleet(0).unwrap();
     for line in ["router 0 of 6", "peer r5 number 5", "limit all", "owned 2", "passed over: size 0"] {
-        assert!(told.contains(line), "{line:?} is not in\n{told}");
+        assert!(status.contains(line), "{line:?} is not in\n{status}");
     }
     finish(fleet);
 }
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -61,9 +61,9 @@
 fn wait_for_all_peers(fleet: &mut Fleet) {
     for router in 0..ROUTERS {
         let expected = format!("{} peers can be reached", ROUTERS - 1);
-        let finish = fleet.now() + TIMEOUT.as_nanos() as u64;
+        let deadline_ns = fleet.now() + TIMEOUT.as_nanos() as u64;
         while !fleet.call(router, "GET", "/fleet/verdicts", "").unwrap().1.starts_with(&expected) {
-            assert!(fleet.now() < finish, "router {router} does not know all others");
+            assert!(fleet.now() < deadline_ns, "router {router} does not know all others");
             fleet.run(Duration::from_millis(100)).unwrap();
         }
     }
@@ -74,7 +74,7 @@
     assert!(fleet.run_until(timeout, condition).unwrap(), "not within {timeout:?}: {what}");
 }
 
-fn heard() -> Duration {
+fn max_propagation() -> Duration {
     Duration::from_nanos(propagation_bound_ns(&params()) + SCHEDULING_SLACK_NS)
 }
 
@@ -114,7 +114,7 @@
     assert_eq!(fleet.call(0, "POST", "/fleet/engines/disable", "nobody").unwrap().0, 404);
     let (status, text) = fleet.call(0, "POST", "/fleet/engines/disable", "e1").unwrap();
     assert_eq!((status, text.as_str()), (200, "e1 is out; heard by 5 of 5 other routers"));
-    wait_until_excluded(&mut fleet, heard(), "e1");
+    wait_until_excluded(&mut fleet, max_propagation(), "e1");
     assert_receives_nothing(&mut fleet, 1);
     // The fleet's word stands above one router's own.
     assert_eq!(fleet.call(2, "POST", "/engines/disable", "e1").unwrap().0, 200);
@@ -132,7 +132,7 @@
 fn conflicting_overrides_in_a_partition_converge_to_the_latest() {
     let mut fleet = started_fleet("crossing");
     assert_eq!(fleet.call(0, "POST", "/fleet/engines/disable", "e1").unwrap().0, 200);
-    wait_until_excluded(&mut fleet, heard(), "e1");
+    wait_until_excluded(&mut fleet, max_propagation(), "e1");
     fleet.cut_into(&[0, 0, 0, 1, 1, 1]);
     let back = fleet.call(1, "POST", "/fleet/engines/enable", "e1").unwrap();
     assert!(back.1.starts_with("e1 is back; heard by 2 of "), "{}", back.1);
@@ -153,19 +153,19 @@
 fn an_override_survives_a_full_restart_and_loads_before_a_stateless_router_is_ready() {
     let mut fleet = started_fleet("all-killed");
     assert_eq!(fleet.call(3, "POST", "/fleet/engines/disable", "e4").unwrap().0, 200);
-    wait_until_excluded(&mut fleet, heard(), "e4");
+    wait_until_excluded(&mut fleet, max_propagation(), "e4");
     (0..ROUTERS).for_each(|router| fleet.kill(router));
     std::fs::remove_dir_all(fleet.kept(2)).unwrap();
     fleet.start_all().unwrap();
     wait_until(&mut fleet, TIMEOUT, "all routers are there", |f| f.ready() == ROUTERS);
     // The one that knows nothing may serve before it has heard its peers; it does not call itself ready.
-    let timeout = fleet.now() + TIMEOUT.as_nanos() as u64;
+    let deadline_ns = fleet.now() + TIMEOUT.as_nanos() as u64;
     while fleet.call(2, "GET", "/ready", "").unwrap().0 != 200 {
-        assert!(fleet.now() < timeout, "never ready");
+        assert!(fleet.now() < deadline_ns, "never ready");
     }
     let view = fleet.call(2, "GET", "/fleet/verdicts", "").unwrap().1;
     assert!(view.contains("engine e4 out by an operator at router 3"), "{view}");
-    wait_until_excluded(&mut fleet, heard(), "e4");
+    wait_until_excluded(&mut fleet, max_propagation(), "e4");
     assert_receives_nothing(&mut fleet, 4);
     finish(fleet);
 }
@@ -178,9 +178,9 @@
     assert_eq!(fleet.call(0, "POST", "/fleet/engines/enable", "e3").unwrap().0, 200);
     fleet.run(Duration::from_secs(8)).unwrap();
     fleet.freeze(1, false);
-    wait_until_excluded(&mut fleet, heard() + TIMEOUT, "");
+    wait_until_excluded(&mut fleet, max_propagation() + TIMEOUT, "");
     fleet.run(Duration::from_secs(2)).unwrap();
-    wait_until_excluded(&mut fleet, heard(), "");
+    wait_until_excluded(&mut fleet, max_propagation(), "");
     finish(fleet);
 }
 
@@ -225,10 +225,10 @@
                 overrides: Vec::new(),
                 evidence: (0..ENGINES).map(false_evidence).collect(),
             };
-            let said = rmp_serde::to_vec(&[update]).unwrap();
+            let payload = rmp_serde::to_vec(&[update]).unwrap();
             let peers: Vec<_> = members.up().map(|who| who.address).collect();
             for at in peers {
-                members.send_payload(at, Kind::Verdicts, &said);
+                members.send_payload(at, Kind::Verdicts, &payload);
             }
         }
         for (to, datagram) in members.take().0 {
@@ -244,10 +244,10 @@
     let stop = Arc::new(AtomicBool::new(false));
     let (stop_flag, seed) = (stop.clone(), fleet.between[0].address);
     let false_reporter = std::thread::spawn(move || false_reporter(seed, &stop_flag));
-    let heard = format!("router {ROUTERS} Silent");
-    let end_ns = fleet.now() + TIMEOUT.as_nanos() as u64;
-    while !(0..ROUTERS).all(|r| fleet.call(r, "GET", "/fleet/verdicts", "").unwrap().1.contains(&heard)) {
-        assert!(fleet.now() < end_ns, "its word is not heard by all");
+    let reported = format!("router {ROUTERS} Silent");
+    let deadline_ns = fleet.now() + TIMEOUT.as_nanos() as u64;
+    while !(0..ROUTERS).all(|r| fleet.call(r, "GET", "/fleet/verdicts", "").unwrap().1.contains(&reported)) {
+        assert!(fleet.now() < deadline_ns, "its word is not heard by all");
     }
     let from = fleet.now();
     fleet.run(Duration::from_secs(6)).unwrap();
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -18,7 +18,7 @@
 struct Process {
     child: Child,
     log: BufReader<ChildStderr>,
-    admin: String,
+    admin_address: String,
 }
 
 impl Process {
@@ -36,16 +36,17 @@
             .unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let line = wait_for(&mut log, "for the operators");
-        let admin = line.split("listens on ").nth(1).unwrap().split_whitespace().next().unwrap().into();
-        Process { child, log, admin }
+        let admin_address =
+            line.split("listens on ").nth(1).unwrap().split_whitespace().next().unwrap().into();
+        Process { child, log, admin_address }
     }
 
     fn request(&self, head: &str, body: &str) -> String {
-        let mut admin = TcpStream::connect(&self.admin).unwrap();
-        admin.set_read_timeout(Some(TIMEOUT)).unwrap();
-        write!(admin, "{head} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()).unwrap();
+        let mut connection = TcpStream::connect(&self.admin_address).unwrap();
+        connection.set_read_timeout(Some(TIMEOUT)).unwrap();
+        write!(connection, "{head} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()).unwrap();
         let mut response = String::new();
-        admin.read_to_string(&mut response).unwrap();
+        connection.read_to_string(&mut response).unwrap();
         response
     }
 
--- a/tests/large_list.rs
+++ b/tests/large_list.rs
@@ -51,16 +51,16 @@
 }
 
 /// The next call for the list, read.
-fn call(service: &TcpListener) -> TcpStream {
-    let (mut call, _) = service.accept().unwrap();
-    call.set_read_timeout(Some(TIMEOUT)).unwrap();
+fn accept_list_call(service: &TcpListener) -> TcpStream {
+    let (mut stream, _) = service.accept().unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut request = Vec::new();
     while !request.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
-        call.read_exact(&mut byte).unwrap();
+        stream.read_exact(&mut byte).unwrap();
         request.extend(byte);
     }
-    call
+    stream
 }
 
 /// Asks for counters until one has a value; gives those of that line. What stands behind it there may not be written yet.
@@ -85,7 +85,7 @@
     let environment = [("ROUTER_CONFIG", dir.join("config.json"))];
     let program = Path::new(env!("CARGO_BIN_EXE_marljunction"));
     let mut process = Process::start(program, &environment, &dir.join("log")).unwrap();
-    let mut stream = call(&service);
+    let mut stream = accept_list_call(&service);
     let (before_kb, _) = process.used();
     stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n").unwrap();
     stream.write_all(&event(2, ENGINES)).unwrap();
--- a/tests/setup.rs
+++ b/tests/setup.rs
@@ -86,8 +86,8 @@
     let fair_queue = Setup::of_file(&dir.join("main.conf")).unwrap().fair_queue.unwrap();
     assert_eq!((fair_queue.weights["gulf-coast-comfort"], fair_queue.weights["other"]), (73.0, 1.5));
     assert_eq!((fair_queue.client, fair_queue.stale_ms), (ClientKey::Field("who".into()), 200));
-    let fault = Setup::of_file(&dir.join("out.conf")).unwrap_err().to_string();
-    assert!(fault.contains("can't be included"), "{fault}");
+    let error = Setup::of_file(&dir.join("out.conf")).unwrap_err().to_string();
+    assert!(error.contains("can't be included"), "{error}");
     std::fs::remove_dir_all(dir).unwrap();
 }
 
@@ -99,8 +99,8 @@
         (dir.join("bad.conf").display().to_string(), dir.join("good.conf").display().to_string());
     let check = run_program(&["check", &good, &bad]);
     assert_eq!(check.status.code(), Some(1));
-    let told = String::from_utf8_lossy(&check.stderr).into_owned();
-    assert!(told.contains("bad.conf:1:16") && told.contains("write 400ms"), "{told}");
+    let stderr = String::from_utf8_lossy(&check.stderr).into_owned();
+    assert!(stderr.contains("bad.conf:1:16") && stderr.contains("write 400ms"), "{stderr}");
     assert_eq!(run_program(&["fmt", "--check", &good]).status.code(), Some(1));
     assert_eq!(
         std::fs::read_to_string(&good).unwrap(),
@@ -143,12 +143,12 @@
 
 #[test]
 fn each_change_is_reported_with_its_effect_and_timing() {
-    let told = changes(
+    let lines = changes(
         "effects",
         "door: { weights: { a: 2, b: 1 }, stale: 400ms }\n",
         "door: { weights: { a: 3, c: 1 }, stale: 250ms, order: \"fifo\" }\nlog: { level: \"debug\" }\n",
     );
-    let descriptions: Vec<&str> = told.iter().map(|line| line.rsplit_once(": ").unwrap().0).collect();
+    let descriptions: Vec<&str> = lines.iter().map(|line| line.rsplit_once(": ").unwrap().0).collect();
     assert_eq!(
         descriptions,
         [
@@ -182,7 +182,7 @@
         operator: None,
         kept: None,
     };
-    let fault = files.read().unwrap_err().to_string();
-    assert!(fault.contains("keep one"), "{fault}");
+    let error = files.read().unwrap_err().to_string();
+    assert!(error.contains("keep one"), "{error}");
     std::fs::remove_dir_all(config).unwrap();
 }
