--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -60,9 +60,9 @@
     #[values(0, 1, 2, 3, 4, 5, 6)] step: usize,
     #[values("", "with door\n")] fair_queue: &str,
 ) {
-    let path = format!("{}/tests/exchanges/cuts/{name}.txt", env!("CARGO_MANIFEST_DIR"));
+    let path = format!("{}/tests/exchanges/disconnects/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     let script = std::fs::read_to_string(path).unwrap();
-    let (before, after) = script.split_once("# cuts\n").unwrap();
+    let (before, after) = script.split_once("# disconnects\n").unwrap();
     let lines: Vec<&str> = after.lines().collect();
     let accept_step = lines.iter().position(|l| l.starts_with("accept e")).unwrap();
     // The engine's connection can be cut once it is there. Past the query there is a second engine, to which a
