--- a/tests/common/harness.rs
+++ b/tests/common/harness.rs
@@ -1,5 +1,5 @@
-//! Plays recorded exchanges against the program: its clients, engines, coordinator and Consul are stand-ins
-//! that send and expect the bytes of a text file. The format is told in `docs/architecture.md`.
+//! Runs recorded exchanges against the program: fake clients, engines, coordinator and Consul send
+//! and expect the bytes of a text file. `docs/architecture.md` describes the format.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -11,25 +11,26 @@
 use serde_json::json;
 
 const SETTINGS: &str = include_str!("../exchanges/settings.json");
-/// The door as it is shipped.
+/// The shipped fair queue configuration.
 const FAIR_QUEUE_FILE: &str = include_str!("../../deploy/door.conf");
-/// How long a byte that must come is waited for: a failure shows by it, a pass never waits so long.
+/// Longest wait for any expected byte, connection or condition.
 pub const TIMEOUT: Duration = Duration::from_secs(8);
 
 enum Segment {
     Bytes(Vec<u8>),
-    /// So many bytes, or any number of them, kept under a name.
+    /// That many bytes, or any number of them if `None`, captured under a name.
     Wildcard(Option<usize>, String),
     Captured(String),
 }
 
-/// Reads `\xHH`-style escapes, `[T|...]` for a PostgreSQL message with its length, `{*}`, `{8=name}`, `{name}`.
+/// Parses escapes such as `\xHH`, `[T|...]` (a PostgreSQL message with its length), and the
+/// wildcards `{*}`, `{8=name}` and captured `{name}`.
 fn segments(text: &str) -> Vec<Segment> {
     let (mut all, mut bytes, mut chars) = (Vec::new(), Vec::new(), text.chars().peekable());
     let mut frames: Vec<usize> = Vec::new();
     while let Some(c) = chars.next() {
         match c {
-            '\\' => match chars.next().expect("an escape") {
+            '\\' => match chars.next().expect("a character after the backslash") {
                 'r' => bytes.push(b'\r'),
                 'n' => bytes.push(b'\n'),
                 't' => bytes.push(b'\t'),
@@ -47,7 +48,7 @@
                 bytes.extend([0; 4]);
             }
             ']' => {
-                let at = frames.pop().expect("an open message");
+                let at = frames.pop().expect("a '[' before ']'");
                 let length = (bytes.len() - at) as u32;
                 bytes[at..at + 4].copy_from_slice(&length.to_be_bytes());
             }
@@ -68,7 +69,7 @@
     all
 }
 
-/// The length of the shortest match at the front of `input`.
+/// Length of the shortest match at the start of `input`. Captures are stored in `captures`.
 fn match_length(
     segments: &[Segment],
     input: &[u8],
@@ -107,7 +108,7 @@
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Peer { stream, input: Vec::new(), all: Vec::new() }
     }
-    /// Reads once; false where the connection is over.
+    /// Reads once; false when the peer has closed the connection.
     fn read(&mut self) -> bool {
         let mut buffer = [0; 16 << 10];
         match self.stream.read(&mut buffer) {
@@ -118,9 +119,11 @@
                 true
             }
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => false,
-            // A signal may interrupt a read that has a time limit; it says nothing of the connection.
+            // A signal may interrupt a read that has a timeout.
             Err(e) if e.kind() == std::io::ErrorKind::Interrupted => true,
-            Err(e) => panic!("nothing came: {e}; so far {:?}", String::from_utf8_lossy(&self.input)),
+            Err(e) => {
+                panic!("no more input: {e}; received so far: {:?}", String::from_utf8_lossy(&self.input))
+            }
         }
     }
     fn drain(&mut self) {
@@ -128,7 +131,7 @@
     }
 }
 
-/// Accepts the next connection; a failure shows by a connection that does not come.
+/// Accepts the next connection within `TIMEOUT`.
 fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let since = Instant::now();
@@ -138,13 +141,13 @@
                 stream.set_nonblocking(false).unwrap();
                 return stream;
             }
-            Err(_) => assert!(since.elapsed() < TIMEOUT, "no connection came"),
+            Err(_) => assert!(since.elapsed() < TIMEOUT, "no connection within {TIMEOUT:?}"),
         }
         std::thread::yield_now();
     }
 }
 
-/// The program and its stand-ins.
+/// The program under test and its fake peers.
 pub struct Harness {
     child: Child,
     log: BufReader<std::process::ChildStderr>,
@@ -156,18 +159,18 @@
     peers: BTreeMap<String, Peer>,
     captures: HashMap<String, Vec<u8>>,
     unaccepted: Vec<TcpStream>,
-    /// Connections by the ports of this end and the program's, but those with more on its way than fits.
+    /// Connections by local and remote port, without those flooded beyond the socket buffers.
     socket_pairs: HashMap<(u16, u16), String>,
-    /// When the program was told to end.
+    /// When SIGTERM was first sent.
     stop_requested_at: Option<Instant>,
-    /// When the program was last made to stand still.
+    /// When SIGSTOP was last sent.
     paused_at: Option<Instant>,
-    /// What must never have reached an engine.
+    /// Byte strings that no engine may have received by the end.
     forbidden: Vec<Vec<u8>>,
 }
 
 impl Harness {
-    /// Starts the program as the `with` lines of a script say.
+    /// Starts the program with the options of the script's `with` lines.
     pub fn start(name: &str, script: &str) -> Harness {
         let has_option = |word: &str| script.lines().any(|l| l.trim() == format!("with {word}"));
         let mut listeners = BTreeMap::new();
@@ -186,12 +189,12 @@
         let (coordinator, consul) = (listen("coordinator"), listen("consul"));
         listen("coordinator2");
         listen("consul2");
-        // The exchanges name the engine that is picked first, which this seed draws.
+        // The exchanges depend on the engine that this seed selects first.
         let mut config = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "00000000000000aa",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": if has_option("few sockets") { 64 } else { 1024 }},
             "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"all": true, "targets": engine_list[..count]}}]},
             "settings": serde_json::from_str::<serde_json::Value>(SETTINGS).unwrap()});
-        // Far longer than a handshake that comes late takes.
+        // Longer than any delayed handshake in the exchanges.
         if has_option("late connections") {
             config["settings"]["limits"]["connect_timeout_ns"] = json!(20_000_000_000_u64);
         }
@@ -230,7 +233,7 @@
         std::fs::write(dir.join("config.json"), config.to_string()).unwrap();
         std::fs::write(dir.join("postgres.json"), file.to_string()).unwrap();
         std::fs::write(dir.join("door.conf"), FAIR_QUEUE_FILE).unwrap();
-        // Of util-linux, as what `command` uses.
+        // From util-linux, as are the tools that `command` runs.
         let program = env!("CARGO_BIN_EXE_marljunction");
         let mut command = match has_option("short descriptors") {
             true => marljunction_testkit::process::command(Path::new("/usr/bin/prlimit")),
@@ -247,18 +250,18 @@
             .spawn()
             .unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        // By kind: MessagePack, PostgreSQL, the operators' door.
+        // By index: MessagePack, PostgreSQL, admin API.
         let mut front_addresses = vec![String::new(); 3];
         let expected =
             1 + usize::from(has_option("postgres front")) + usize::from(has_option("operators' door"));
         for _ in 0..expected {
             let mut line = String::new();
-            assert!(log.read_line(&mut line).unwrap() > 0, "the program ended at its start");
+            assert!(log.read_line(&mut line).unwrap() > 0, "the program exited during startup");
             let at = line.split("listens on ").nth(1).and_then(|l| l.split_whitespace().next());
             let kind =
                 usize::from(line.contains("for PostgreSQL")) + 2 * usize::from(line.contains("operators"));
             front_addresses[kind] =
-                at.expect("a line of where the program listens").trim_end_matches(',').to_owned();
+                at.expect("a log line with a listen address").trim_end_matches(',').to_owned();
         }
         let port = |l: &TcpListener| l.local_addr().unwrap().port().to_string().into_bytes();
         let captures = listeners.iter().map(|(name, l)| (format!("address of {name}"), port(l))).collect();
@@ -271,7 +274,7 @@
         harness
     }
 
-    /// Plays one line.
+    /// Executes one line of a script.
     pub fn step(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
@@ -285,7 +288,7 @@
                 }];
                 self.add_peer(name, TcpStream::connect(at).unwrap());
             }
-            // So many clients connect before any of them goes on.
+            // Opens several client connections before any of them sends.
             ["crowd", name, count] => {
                 let all: Vec<TcpStream> = (0..count.parse().unwrap())
                     .map(|_| TcpStream::connect(&self.front_addresses[0]).unwrap())
@@ -304,14 +307,14 @@
                 self.add_peer(name, stream);
             }
             ["close", name] => drop(self.peers.remove(name)),
-            // Connections that are never accepted fill the listener, so that no further one comes up.
+            // Fills the accept queue so that further connections are not established.
             ["fill", listener] => {
                 let at = self.listeners[listener].local_addr().unwrap();
                 let short = Duration::from_millis(100);
                 self.unaccepted
                     .extend(std::iter::from_fn(|| TcpStream::connect_timeout(&at, short).ok()).take(5_000));
             }
-            // Takes all that fills the listener, so that connections come up again, late.
+            // Empties the accept queue so that delayed connections are established.
             ["free", listener] => {
                 let unaccepted = std::mem::take(&mut self.unaccepted);
                 unaccepted.iter().for_each(|_| drop(accept(&self.listeners[listener])));
@@ -321,61 +324,63 @@
                 self.signal("-TERM");
             }
             ["hup"] => self.signal("-HUP"),
-            // The program stands still from here on, and what comes meanwhile waits for it; then one round finds all of it.
+            // Pauses the program: everything sent until `thaw` is read in one iteration afterwards.
             ["freeze"] => {
                 self.signal("-STOP");
                 let stat = format!("/proc/{}/stat", self.child.id());
                 self.paused_at = Some(Instant::now());
-                self.wait_until("stands still", |_| std::fs::read_to_string(&stat).unwrap().contains(") T "));
+                self.wait_until("the program is paused", |_| {
+                    std::fs::read_to_string(&stat).unwrap().contains(") T ")
+                });
             }
             ["thaw"] => {
-                self.wait_until("all has reached the program", |s| s.all_delivered());
+                self.wait_until("all data is delivered to the program", |s| s.all_delivered());
                 self.signal("-CONT");
             }
-            // So long after the program was told to end.
+            // Waits until that long after the first SIGTERM.
             ["past", ms] => {
                 let long = Duration::from_millis(ms.parse().unwrap());
                 self.wait_until("time passes", |s| {
                     s.stop_requested_at.is_some_and(|since| since.elapsed() >= long)
                 });
             }
-            // The program has stood still for so long.
+            // Waits until the program has been paused for that long.
             ["still", ms] => {
                 let long = Duration::from_millis(ms.parse().unwrap());
                 self.wait_until("time passes", |s| s.paused_at.is_some_and(|since| since.elapsed() >= long));
             }
-            // Ends a connection by a reset.
+            // Closes a connection with a TCP reset.
             ["reset", name] => {
                 let peer = self.peers.remove(name).unwrap();
                 socket2::SockRef::from(&peer.stream).set_linger(Some(Duration::ZERO)).unwrap();
             }
-            // Ends one side of a connection, and goes on reading from the other.
+            // Closes the write side of a connection.
             ["shut", name] => self.peers[name].stream.shutdown(std::net::Shutdown::Write).unwrap(),
-            // Sends so many bytes of simple queries that nobody reads yet, as far as they go.
+            // Sends that many bytes of simple queries, which the program does not read yet.
             ["flood", name, bytes] => {
                 self.socket_pairs.retain(|_, named| named != name);
                 let query = b"Q\0\0\0\x0dselect 2\0";
                 let many = query.repeat(bytes.parse::<usize>().unwrap() / query.len());
                 self.peers.get_mut(name).unwrap().stream.write_all(&many).unwrap();
             }
-            // Waits until the program counts so many.
+            // Waits until a counter has this value.
             ["await", count] => {
                 let (key, value) = count.split_once('=').unwrap();
                 let expected = format!(" {key}={value} ");
                 let since = Instant::now();
                 let mut line = String::new();
                 while !line.contains(&expected) {
-                    assert!(since.elapsed() < TIMEOUT, "waited in vain for {count}: {line}");
+                    assert!(since.elapsed() < TIMEOUT, "no {count} within {TIMEOUT:?}: {line}");
                     self.signal("-USR1");
                     line.clear();
                     while !line.contains(" rejected=") {
                         line.clear();
-                        assert!(self.log.read_line(&mut line).unwrap() > 0, "the program ended");
+                        assert!(self.log.read_line(&mut line).unwrap() > 0, "the program exited");
                     }
                 }
             }
             ["never", ..] => self.forbidden.push(line.split_once(' ').unwrap().1.as_bytes().to_vec()),
-            // The operator's file says something else; SIGHUP.
+            // Replaces the operator file and sends SIGHUP.
             ["setup", ..] => {
                 let text = line.split_once(' ').unwrap().1;
                 std::fs::write(self.dir.join("door.conf"), format!("{text}\n")).unwrap();
@@ -386,38 +391,41 @@
                 let (text, mut line) = (line.split_once(' ').unwrap().1, String::new());
                 while !line.contains(text) {
                     line.clear();
-                    assert!(self.log.read_line(&mut line).unwrap() > 0, "the program ended without {text:?}");
+                    assert!(
+                        self.log.read_line(&mut line).unwrap() > 0,
+                        "the program exited without logging {text:?}"
+                    );
                 }
             }
             ["gone", listener] => drop(self.listeners.remove(listener)),
             ["closed", name] => {
                 let peer = &mut self.peers.get_mut(name).unwrap();
                 peer.drain();
-                assert!(peer.input.is_empty(), "{name} got {:?}", String::from_utf8_lossy(&peer.input));
+                assert!(peer.input.is_empty(), "{name} received {:?}", String::from_utf8_lossy(&peer.input));
             }
             [name, ">", ..] => {
                 let segments = segments(line.split_once("> ").unwrap().1);
                 let bytes = segments.iter().flat_map(|segment| match segment {
                     Segment::Bytes(bytes) => bytes.clone(),
                     Segment::Captured(name) => self.captures[name].clone(),
-                    Segment::Wildcard(..) => panic!("cannot send any bytes"),
+                    Segment::Wildcard(..) => panic!("a sent line cannot contain a wildcard"),
                 });
                 let bytes: Vec<u8> = bytes.collect();
                 self.peers.get_mut(name).unwrap().stream.write_all(&bytes).unwrap();
             }
             [name, "<", ..] => {
                 let segments = segments(line.split_once("< ").unwrap().1);
-                let peer = &mut self.peers.get_mut(name).unwrap_or_else(|| panic!("no {name}"));
+                let peer = &mut self.peers.get_mut(name).unwrap_or_else(|| panic!("no connection {name}"));
                 loop {
                     if let Some(size) = match_length(&segments, &peer.input, &mut self.captures) {
                         peer.input.drain(..size);
                         return;
                     }
                     let closed = !peer.read();
-                    assert!(!closed, "{line}: the end came after {:?}", String::from_utf8_lossy(&peer.input));
+                    assert!(!closed, "{line}: closed after {:?}", String::from_utf8_lossy(&peer.input));
                 }
             }
-            _ => panic!("cannot read {line:?}"),
+            _ => panic!("invalid step {line:?}"),
         }
     }
 
@@ -427,17 +435,17 @@
         self.peers.insert(name.to_owned(), Peer::new(stream));
     }
 
-    /// One more handle on a connection.
+    /// Clones the stream of a connection.
     pub fn stream(&self, name: &str) -> TcpStream {
         self.peers[name].stream.try_clone().unwrap()
     }
 
-    /// How much a connection has got so far.
+    /// Bytes that a connection has received so far.
     pub fn received_len(&self, name: &str) -> usize {
         self.peers[name].all.len()
     }
 
-    /// All that a connection ever got, up to its end or to `until`.
+    /// Everything that a connection has received, after reading to its end or to `suffix`.
     pub fn received(&mut self, name: &str, suffix: &[u8]) -> Vec<u8> {
         let peer = &mut self.peers.get_mut(name).unwrap();
         while !peer.input.ends_with(suffix) && peer.read() {}
@@ -449,7 +457,8 @@
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
-    /// Replaces the configuration by one with another address, or by one that can't be read, and says so.
+    /// Sends SIGHUP after writing a configuration with another address, or an unreadable one if
+    /// there is no such listener.
     fn reload(&mut self, key: &str, listener: &str) {
         let at = self.listeners.get(listener).map(|l| l.local_addr().unwrap().to_string());
         match key {
@@ -462,8 +471,8 @@
         self.signal("-HUP");
     }
 
-    /// Whether the machine has carried all that was sent, closed and reset to the program's sockets, by the kernel's table: what
-    /// a frozen program finds is forced then, on a busy machine too.
+    /// Whether everything sent, closed and reset has reached the program's sockets, according to
+    /// the kernel's TCP table. It makes the input of a paused program deterministic.
     fn all_delivered(&self) -> bool {
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
         let port = |text: &str| text.rsplit(':').next().and_then(|hex| u16::from_str_radix(hex, 16).ok());
@@ -484,16 +493,17 @@
         })
     }
 
-    /// Waits until something is so.
+    /// Waits until a condition holds, for at most `TIMEOUT`.
     fn wait_until(&mut self, what: &str, mut condition: impl FnMut(&mut Harness) -> bool) {
         let since = Instant::now();
         while !condition(self) {
-            assert!(since.elapsed() < TIMEOUT, "waited in vain: {what}");
+            assert!(since.elapsed() < TIMEOUT, "not within {TIMEOUT:?}: {what}");
             std::thread::yield_now();
         }
     }
 
-    /// Ends the program as a planned restart does; gives its counters and all that reached any engine.
+    /// Stops the program with SIGTERM. Returns its counters and everything that any engine
+    /// received.
     pub fn stop(mut self) -> (BTreeMap<String, u64>, Vec<u8>) {
         self.signal("-TERM");
         self.unaccepted.clear();
@@ -520,7 +530,7 @@
         }
         for forbidden in &self.forbidden {
             let found = engines.windows(forbidden.len()).any(|w| w == forbidden);
-            assert!(!found, "engines got {:?}", String::from_utf8_lossy(forbidden));
+            assert!(!found, "engines received {:?}", String::from_utf8_lossy(forbidden));
         }
         (counters, engines)
     }
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,4 +1,4 @@
-//! Recorded exchanges with stand-in clients, engines, coordinator and Consul, played against the program.
+//! Recorded exchanges between the program and fake clients, engines, coordinator and Consul.
 
 #[path = "common/harness.rs"]
 mod harness;
@@ -19,7 +19,7 @@
     all.windows(part.len()).filter(|w| *w == part).count()
 }
 
-/// Each request taken has one end, whatever happened.
+/// Every accepted request has exactly one outcome.
 fn assert_each_request_ends_once(counters: &std::collections::BTreeMap<String, u64>) {
     let ends: u64 = ["served", "refused", "failed", "left"].iter().map(|k| counters[*k]).sum();
     assert_eq!(counters["taken"], ends, "{counters:?}");
@@ -40,7 +40,7 @@
     }
 }
 
-/// What a client has got so far of final answers: the first byte of each message that ends a statement.
+/// Number of PostgreSQL messages in `received` that end a statement.
 fn final_response_count(mut received: &[u8]) -> usize {
     let mut count = 0;
     while let [tag, a, b, c, d, ..] = received {
@@ -50,9 +50,8 @@
     count
 }
 
-/// A load is played up to each step of its protocol, and there the client's or the engine's connection is cut,
-/// with the engine's process gone or still there. Whatever the step, the load is sent once at most, and a
-/// client that is there gets one final answer.
+/// Closes the client's or the engine's connection, or ends the engine, after each protocol step of
+/// a load: the load is sent at most once, and a connected client gets one final response.
 #[rstest]
 fn a_disconnect_never_runs_a_load_twice(
     #[values("load_postgres", "load_http")] name: &str,
@@ -65,8 +64,8 @@
     let (before, after) = script.split_once("# disconnects\n").unwrap();
     let lines: Vec<&str> = after.lines().collect();
     let accept_step = lines.iter().position(|l| l.starts_with("accept e")).unwrap();
-    // The engine's connection can be cut once it is there. Past the query there is a second engine, to which a
-    // load that may have run must not go; before, a second one would rightly get it.
+    // An engine's connection can only close once established. After the query, a second engine is
+    // present that must not get the load; before it, a second engine could get the load correctly.
     let label = format!("{name}-{disconnect}-{step}-{}", fair_queue.len());
     let step = if disconnect == "client" { step } else { step.max(accept_step + 1) };
     let query_step = lines.iter().position(|l| l.starts_with("e < P") || l.starts_with("e < [P")).unwrap();
@@ -76,7 +75,8 @@
         lines.iter().map(|l| l.replace("accept e e1", &format!("accept e {engine}"))).collect();
     lines[..step.min(lines.len())].iter().for_each(|line| harness.step(line));
     let startup_len = harness.received_len("c");
-    // A connection that ends before its engine has read the call may have carried it or not: its other end tells.
+    // The connection may or may not have carried the request; what the engine received decides
+    // below.
     let unread = disconnect == "engine" && name == "load_http" && step <= query_step;
     match disconnect {
         "client" => harness.step("close c"),
@@ -85,7 +85,8 @@
         _ => [format!("gone {engine}"), "close e".into()].iter().for_each(|line| harness.step(line)),
     }
     if disconnect == "engine" && name == "load_http" && step < lines.len() {
-        // The query belongs to no connection: the engine is asked, and does not know it. One that never went out goes anew.
+        // The router polls for the query on a new connection, and the engine does not know it. A
+        // request that was never sent is sent again.
         harness.step(&format!("accept e2 {engine}"));
         if unread && count_matches(&harness.received("e", b"\0"), b"POST /o ") == 0 {
             harness.step(lines[query_step].replace("e < ", "e2 < ").as_str());
@@ -111,9 +112,9 @@
     assert!(runs <= 1, "{runs} runs");
 }
 
-/// A client's request waits for its engine, and the client leaves. Nothing of the request goes out any more: neither where the
-/// way to the engine opens afterwards, nor where one round brings both, in either order.
-/// It is a load: the module looks at none while it waits, so that nothing is left to time on a busy machine.
+/// A client leaves while its request waits for an engine connection: the request is not sent,
+/// whether the connection is established later or in the same iteration, in either order. Loads are
+/// used because the decision module does not revisit them while they wait.
 #[rstest]
 #[case::forget("msgpack", &[r"c > \x93\x02\xa6forget\x91\x01"])]
 #[case::close("msgpack", &["close c"])]
@@ -141,7 +142,7 @@
             r"c > [Q|select * from sales_17.orders\0]",
         ],
     };
-    // The connection comes up, or the session is ready, in a round that the program finds when it goes on.
+    // `connect_steps` establish the connection or complete the session startup.
     let (pending_steps, connect_steps): (&[&str], &[&str]) = match session {
         true => (
             &["accept e e1", r"e < [|\0\x03\0\0user\0u\0database\0d\0application_name\0marljunction\0\0]"],
@@ -177,11 +178,11 @@
     assert_each_request_ends_once(&counters);
     let key = if departure.len() == 2 && departure[0].starts_with("open") { "failed" } else { "left" };
     assert_eq!((counters[key], counters["sent"]), (1, 1), "{counters:?}");
-    // One that asked for its end is answered; of the others it is told that they waited.
+    // A cancelled statement is answered; a client that left is counted as left before sending.
     assert_eq!(counters["left_unsent"], u64::from(key == "left"), "{counters:?}");
 }
 
-/// Told to end, the program answers what it took and ends, though a client goes on sending as fast as it can.
+/// A stopping program answers its accepted requests and exits although a client keeps sending.
 #[test]
 fn a_planned_stop_completes_while_a_client_keeps_sending() {
     let mut harness = run_steps("endless", "open c msgpack\n", usize::MAX);
@@ -200,5 +201,5 @@
     });
     let (counters, _) = harness.stop();
     assert_each_request_ends_once(&counters);
-    assert!(sender.join().unwrap(), "the program ended only when its client stopped sending");
+    assert!(sender.join().unwrap(), "the program exited only after its client stopped sending");
 }
--- a/tests/fleet_cells.rs
+++ b/tests/fleet_cells.rs
@@ -1,4 +1,5 @@
-//! Relays and routers of cells as real processes: what must hold whatever breaks. Verdicts are on the bounds that the settings give.
+//! Relays and cell routers as real processes: engine list updates arrive within the configured
+//! bounds under faults.
 
 use std::path::Path;
 use std::time::Duration;
@@ -16,9 +17,9 @@
 const ROUTERS: usize = 4;
 const ENGINES: usize = 16;
 const CELLS: u32 = 2;
-/// What a loaded machine may add to any bound.
+/// Allowance for scheduling delays of a loaded machine.
 const SCHEDULING_SLACK: Duration = Duration::from_secs(2);
-/// Longer than anything that must happen takes.
+/// Longest wait for any expected event.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn setup(name: &str) -> Setup {
@@ -33,12 +34,12 @@
     }
 }
 
-/// What the operator's file of a router says of the list, where relays are at these addresses.
+/// The list settings of a router with relays at these addresses.
 fn cell_settings(relays: &[String]) -> String {
     format!("limits: {{}}, list: {{ relays: [{}], cells: {CELLS}, engines: {ENGINES} }}", relays.join(", "))
 }
 
-/// The longest until a change is known, with this fault.
+/// Bound on the delay of an engine list update under this fault.
 fn max_update_delay(fault: Fault) -> Duration {
     let path = std::env::temp_dir().join(format!("marljunction-cells-{}-{fault:?}.conf", std::process::id()));
     let relays: Vec<String> = (0..RELAYS).map(|at| format!("\"127.0.0.1:{}\"", at + 1)).collect();
@@ -54,7 +55,7 @@
     Duration::from_nanos(bound_ns(&bound_params, fault)) + SCHEDULING_SLACK
 }
 
-/// Engines of a cell.
+/// Indexes of the engines in a cell.
 fn cell_engines(cell: u32) -> Vec<usize> {
     let of = |uid: &str| Engine {
         id: engine_id(uid).0,
@@ -70,12 +71,12 @@
     (0..ENGINES).filter(is_in).collect()
 }
 
-/// The cell of a router, as its number says.
+/// The cell of a router, derived from its number.
 fn cell(router: usize) -> u32 {
     router as u32 % CELLS
 }
 
-/// A fleet whose first processes are relays and whose others are routers of cells, not started yet.
+/// A fleet of relays followed by cell routers, not started yet.
 fn fleet(name: &str) -> Fleet {
     let mut fleet = Fleet::new(setup(name)).unwrap();
     let relays: Vec<String> =
@@ -88,7 +89,7 @@
     fleet
 }
 
-/// What a router says of its part: its engines, and how many of them drain.
+/// The engine count and draining engine count that a router reports for its cell.
 fn part_counts(fleet: &mut Fleet, router: usize) -> Option<(usize, usize)> {
     let (_, text) = fleet.call(router, "GET", "/fleet", "").ok()?;
     let line = text.lines().find(|line| line.starts_with("cell "))?;
@@ -97,7 +98,7 @@
     Some((words[0].parse().ok()?, words[2].parse().ok()?))
 }
 
-/// Waits until all routers that are there and go on hold their cell's engines, with these draining; no longer than that.
+/// Waits until all cell routers report their cell's engines, with these draining.
 #[track_caller]
 fn wait_for_parts(fleet: &mut Fleet, draining: &[usize], timeout: Duration) {
     let end = fleet.now() + timeout.as_nanos() as u64;
@@ -119,7 +120,7 @@
     }
 }
 
-/// A fleet whose routers hold their parts, and whose clients ask.
+/// A started fleet whose routers have their cells' lists, under client load.
 fn started_fleet(name: &str) -> Fleet {
     let mut fleet = fleet(name);
     fleet.start_all().unwrap();
@@ -138,14 +139,14 @@
     }
 }
 
-/// An engine of each cell drains.
+/// Drains the nth engine of each cell.
 fn drain(fleet: &mut Fleet, nth: usize) -> Vec<usize> {
     let all: Vec<usize> = (0..CELLS).map(|cell| cell_engines(cell)[nth]).collect();
     all.iter().for_each(|engine| fleet.drain(*engine));
     all
 }
 
-/// The relay that most routers ask.
+/// The relay with the most routers.
 fn busiest_relay(fleet: &mut Fleet) -> usize {
     let mut router_count = |relay: usize| -> usize {
         let (_, text) = fleet.call(relay, "GET", "/fleet", "").unwrap();
@@ -170,11 +171,11 @@
     let from = fleet.now();
     fleet.run(Duration::from_secs(2)).unwrap();
     for engine in &drained {
-        assert_eq!(fleet.sent_within(*engine, from, fleet.now()), 0, "engine {engine} drains");
+        assert_eq!(fleet.sent_within(*engine, from, fleet.now()), 0, "engine {engine} is draining");
     }
     let served = fleet.sum(|tally| tally.served as f64);
-    assert!(served > 0.0, "nothing was served");
-    // No router of a cell calls the list service.
+    assert!(served > 0.0, "no request was served");
+    // Cell routers do not call the list service.
     assert!(fleet.list.calls.iter().all(|call| call.router < RELAYS), "{:?}", fleet.list.calls);
     fleet.end_well(TIMEOUT).unwrap();
 }
@@ -202,8 +203,11 @@
     fleet.start(relay).unwrap();
     drained.extend(drain(&mut fleet, 1));
     wait_for_parts(&mut fleet, &drained, max_update_delay(Fault::RelayReplaced));
-    // Now the one that was never killed: all depend on the new process.
-    assert!(fleet.run_until(TIMEOUT, |fleet| fleet.live() == RELAYS).unwrap(), "the new relay has no stream");
+    // Kill the other relay, so that all routers depend on the restarted one.
+    assert!(
+        fleet.run_until(TIMEOUT, |fleet| fleet.live() == RELAYS).unwrap(),
+        "the restarted relay has no stream"
+    );
     fleet.kill(1 - relay);
     drained.extend(drain(&mut fleet, 2));
     wait_for_parts(
@@ -237,7 +241,7 @@
     fleet.kill(RELAYS);
     fleet.start(RELAYS).unwrap();
     let ready = |fleet: &Fleet| fleet.ready() == RELAYS + ROUTERS;
-    assert!(fleet.run_until(TIMEOUT, ready).unwrap(), "the router is not there again");
+    assert!(fleet.run_until(TIMEOUT, ready).unwrap(), "the restarted router is not ready");
     wait_for_parts(&mut fleet, &[], TIMEOUT);
     fleet.set_list(Manner::Well);
     let drained = drain(&mut fleet, 0);
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -1,5 +1,5 @@
-//! Limits that hold for a fleet of real processes which talk over links that break. What engines hold at once is counted by the
-//! engines themselves.
+//! Fleet-wide limits across real processes with faulty links between them. Concurrent requests are
+//! counted at the engines.
 
 use std::path::Path;
 use std::sync::OnceLock;
@@ -14,16 +14,16 @@
 use marljunction_testkit::load::Class;
 
 const ROUTERS: usize = 6;
-/// Requests that may be out at once, over all routers: two to each by its own share.
+/// Fleet-wide concurrency limit; each router owns two units.
 const MAX_CONCURRENT: usize = 12;
 const SECOND_NS: u64 = 1_000_000_000;
 const LIMITS: &str = "lease: 1s, limits: { all: { by: \"all\", at_once: 12 } }";
-/// Longer than anything that must happen takes.
+/// Longest wait for any expected event.
 const TIMEOUT: Duration = Duration::from_secs(40);
-/// What a loaded machine may add to a bound.
+/// Allowance for scheduling delays of a loaded machine.
 const SCHEDULING_SLACK_NS: u64 = 3 * SECOND_NS;
 
-/// Requests that are out for half a second in the mean, and at most two.
+/// Requests that run for 0.5 s on average and at most 2 s.
 fn class() -> Vec<Class> {
     let usual = classes().swap_remove(0);
     vec![Class { work_ms: 500.0, spread: 0.4, share: 1.0, aim_ms: 1_500.0, deadline_ms: 2_000.0, ..usual }]
@@ -38,7 +38,8 @@
     }
 }
 
-/// What the operator's file of the plays says. Read once: plays run side by side, and one would read what another half wrote.
+/// The configuration from the tests' operator file. Loaded once, since tests that run in parallel
+/// share the file.
 fn fleet_config() -> FleetConfig {
     static CONFIG: OnceLock<FleetConfig> = OnceLock::new();
     let load_config = || {
@@ -52,10 +53,10 @@
     CONFIG.get_or_init(load_config).clone()
 }
 
-/// For how long units may lie idle once this happened.
+/// Bound on how long units may stay unused after this fault.
 fn max_idle(fault: Fault) -> Duration {
     let fleet_config = fleet_config();
-    // The deadline, and what a request may have out behind it.
+    // The maximum request time: the deadline plus the time that an attempt may run past it.
     let limit_bound = bound(&fleet_config.limits[0].limit, &fleet_config.limit_params(4_500_000_000), fault);
     assert_eq!(limit_bound.max_overshoot, 0.0);
     Duration::from_nanos(limit_bound.max_idle_ns + SCHEDULING_SLACK_NS)
@@ -64,22 +65,22 @@
 #[track_caller]
 fn wait_until(fleet: &mut Fleet, limit: Duration, what: &str, condition: impl Fn(&Fleet) -> bool) {
     let reached = fleet.run_until(limit, condition).unwrap();
-    assert!(reached, "not within {limit:?}: {what}; {} held, at most {}", fleet.held(), fleet.held_most);
+    assert!(reached, "not within {limit:?}: {what}; {} running, at most {}", fleet.held(), fleet.held_most);
     assert!(
         fleet.held_most <= MAX_CONCURRENT,
-        "{} were out at once, {MAX_CONCURRENT} may be",
+        "{} ran at once, {MAX_CONCURRENT} are allowed",
         fleet.held_most
     );
 }
 
-/// A fleet whose clients all ask at router 0, for far more than it owns.
+/// A fleet whose clients all use router 0, with far more load than its own units allow.
 fn fleet_with_one_busy_router(name: &str) -> Fleet {
     let mut fleet = Fleet::new(setup(name)).unwrap();
     fleet.start_all().unwrap();
-    wait_until(&mut fleet, TIMEOUT, "all routers are there", |f| f.ready() == ROUTERS);
+    wait_until(&mut fleet, TIMEOUT, "all routers are ready", |f| f.ready() == ROUTERS);
     fleet.ask_at(&[80.0]);
-    // Its own two, and others' that it borrows.
-    wait_until(&mut fleet, TIMEOUT, "the limit is used by one", |f| f.held() >= MAX_CONCURRENT - 1);
+    // Its own two units and those leased from others.
+    wait_until(&mut fleet, TIMEOUT, "one router uses the limit", |f| f.held() >= MAX_CONCURRENT - 1);
     fleet
 }
 
@@ -87,7 +88,7 @@
 fn finish(fleet: Fleet) {
     assert!(
         fleet.held_most <= MAX_CONCURRENT,
-        "{} were out at once, {MAX_CONCURRENT} may be",
+        "{} ran at once, {MAX_CONCURRENT} are allowed",
         fleet.held_most
     );
     fleet.end_well(TIMEOUT).unwrap();
@@ -97,12 +98,12 @@
 fn one_router_leases_unused_units_and_returns_them() {
     let mut fleet = fleet_with_one_busy_router("one");
     fleet.run(Duration::from_secs(2)).unwrap();
-    // Now all clients are at another one.
+    // All clients move to another router.
     let mut rates = [0.0; ROUTERS];
     rates[4] = 80.0;
     fleet.ask_at(&rates);
     let limit = max_idle(Fault::None) + Duration::from_secs(5);
-    wait_until(&mut fleet, limit, "the limit is used by another", |f| f.held() >= MAX_CONCURRENT - 1);
+    wait_until(&mut fleet, limit, "another router uses the limit", |f| f.held() >= MAX_CONCURRENT - 1);
     finish(fleet);
 }
 
@@ -110,17 +111,19 @@
 fn a_partition_leaves_each_half_its_share_within_the_limit() {
     let mut fleet = fleet_with_one_busy_router("halves");
     fleet.cut_into(&[0, 0, 0, 1, 1, 1]);
-    // The other half asks too.
+    // Both halves have load.
     fleet.ask_at(&[80.0, 0.0, 0.0, 80.0, 0.0, 0.0]);
     let limit = max_idle(Fault::Partition);
-    wait_until(&mut fleet, limit, "both halves use theirs", |f| {
+    wait_until(&mut fleet, limit, "both halves use their units", |f| {
         let open_requests = |router: usize| f.loads[router].open();
         open_requests(0) >= 4 && open_requests(3) >= 4 && f.held() >= MAX_CONCURRENT - 2
     });
     fleet.run(Duration::from_secs(3)).unwrap();
     fleet.cut_into(&[0; ROUTERS]);
     fleet.ask_at(&[80.0]);
-    wait_until(&mut fleet, limit + TIMEOUT, "one uses it all again", |f| f.held() >= MAX_CONCURRENT - 1);
+    wait_until(&mut fleet, limit + TIMEOUT, "one router uses the whole limit again", |f| {
+        f.held() >= MAX_CONCURRENT - 1
+    });
     finish(fleet);
 }
 
@@ -131,9 +134,12 @@
     let mut rates = [0.0; ROUTERS];
     rates[1] = 80.0;
     fleet.ask_at(&rates);
-    wait_until(&mut fleet, max_idle(Fault::HolderCrashed), "another uses all but the dead one's", |f| {
-        f.held() >= MAX_CONCURRENT - 3
-    });
+    wait_until(
+        &mut fleet,
+        max_idle(Fault::HolderCrashed),
+        "another router uses all but the killed router's units",
+        |f| f.held() >= MAX_CONCURRENT - 3,
+    );
     finish(fleet);
 }
 
@@ -144,7 +150,7 @@
     let mut rates = [0.0; ROUTERS];
     rates[2] = 80.0;
     fleet.ask_at(&rates);
-    wait_until(&mut fleet, max_idle(Fault::HolderCrashed), "another uses it", |f| {
+    wait_until(&mut fleet, max_idle(Fault::HolderCrashed), "another router uses the limit", |f| {
         f.held() >= MAX_CONCURRENT - 3
     });
     rates[0] = 80.0;
@@ -161,9 +167,9 @@
         fleet.kill(owner);
         fleet.start(owner).unwrap();
     }
-    // They want their own units as they are back.
+    // The restarted owners need their own units.
     fleet.ask_at(&[80.0, 20.0, 20.0, 20.0]);
-    wait_until(&mut fleet, TIMEOUT, "all are there", |f| f.ready() == ROUTERS);
+    wait_until(&mut fleet, TIMEOUT, "all routers are ready", |f| f.ready() == ROUTERS);
     fleet.run(Duration::from_secs(6)).unwrap();
     wait_until(&mut fleet, max_idle(Fault::OwnerRestarted), "the limit is used", |f| {
         f.held() >= MAX_CONCURRENT - 1
@@ -178,7 +184,7 @@
     fleet.start_all().unwrap();
     fleet.ask_at(&[80.0; 2]);
     let limit = max_idle(Fault::AllRestarted);
-    wait_until(&mut fleet, limit, "something is served again", |f| f.loads[0].first_answer_ns.is_some());
+    wait_until(&mut fleet, limit, "requests are served again", |f| f.loads[0].first_answer_ns.is_some());
     wait_until(&mut fleet, TIMEOUT, "the limit is used", |f| f.held() >= MAX_CONCURRENT - 1);
     finish(fleet);
 }
@@ -196,7 +202,7 @@
     (0..ROUTERS).for_each(|to| fleet.shape_between(None, to, lossy));
     fleet.ask_at(&[80.0, 0.0, 40.0, 0.0, 20.0, 0.0]);
     fleet.run(Duration::from_secs(6)).unwrap();
-    // One that hears and is not heard.
+    // A one-way partition: router 0 receives but cannot send.
     for to in 1..ROUTERS {
         fleet.shape_between(Some(0), to, Shape { cut: true, ..lossy });
     }
@@ -206,14 +212,14 @@
 
 #[test]
 fn a_per_client_limit_holds_across_routers() {
-    // All clients of the rig come from one address, which is what names a client where nothing else is set.
+    // All test clients have one address, which identifies a client by default.
     let limits = "lease: 1s, limits: { all: { by: \"client\", at_once: 12 } }";
     let mut fleet = Fleet::new(Setup { fleet: Some(limits.into()), ..setup("client") }).unwrap();
     fleet.start_all().unwrap();
-    wait_until(&mut fleet, TIMEOUT, "all routers are there", |f| f.ready() == ROUTERS);
+    wait_until(&mut fleet, TIMEOUT, "all routers are ready", |f| f.ready() == ROUTERS);
     fleet.ask_at(&[40.0; ROUTERS]);
     wait_until(&mut fleet, TIMEOUT, "the limit is used", |f| f.held() >= MAX_CONCURRENT - 1);
-    // Long enough for each router to borrow what the others would have of a key of their own.
+    // Long enough for each router to lease the others' units of the shared key.
     fleet.run(Duration::from_secs(4)).unwrap();
     finish(fleet);
 }
@@ -226,23 +232,30 @@
     for router in [0, 2, 4] {
         fleet.set_limits(router, &smaller).unwrap();
     }
-    wait_until(&mut fleet, TIMEOUT, "half of them know it", |f| [0, 2, 4].iter().all(|r| has_applied(f, *r)));
+    wait_until(&mut fleet, TIMEOUT, "half of the routers have applied it", |f| {
+        [0, 2, 4].iter().all(|r| has_applied(f, *r))
+    });
     fleet.ask_at(&[60.0; ROUTERS]);
     fleet.run(Duration::from_secs(4)).unwrap();
     for router in [1, 3, 5] {
         fleet.set_limits(router, &smaller).unwrap();
     }
-    wait_until(&mut fleet, TIMEOUT, "all of them know it", |f| (0..ROUTERS).all(|r| has_applied(f, r)));
-    // What was out and lent by the old size is over then.
+    wait_until(&mut fleet, TIMEOUT, "all routers have applied it", |f| {
+        (0..ROUTERS).all(|r| has_applied(f, r))
+    });
+    // Requests and leases under the old size have ended after this time.
     let fleet_config = fleet_config();
     let old = &fleet_config.limits[0].limit;
     let new = Limit { kind: Kind::Concurrency { at_once: 6 }, ..old.clone() };
     let resize = resize_bound(old, &new, &fleet_config.limit_params(4_500_000_000));
-    assert!((resize.max_overshoot - 1.0).abs() < 1e-9, "twelve are one time over six");
+    assert!(
+        (resize.max_overshoot - 1.0).abs() < 1e-9,
+        "the old limit of 12 exceeds the new limit of 6 by 100%"
+    );
     fleet.run(Duration::from_nanos(resize.overshoot_ns)).unwrap();
     fleet.held_most = 0;
     fleet.run(Duration::from_secs(3)).unwrap();
-    assert!((4..=6).contains(&fleet.held_most), "{} were out, six may be", fleet.held_most);
+    assert!((4..=6).contains(&fleet.held_most), "{} ran at once, 6 are allowed", fleet.held_most);
     finish(fleet);
 }
 
@@ -250,15 +263,16 @@
 fn duplicate_router_names_overshoot_by_at_most_one_share_and_are_logged() {
     let mut fleet = Fleet::new(Setup { doubled: true, ..setup("doubled") }).unwrap();
     fleet.start_all().unwrap();
-    wait_until(&mut fleet, TIMEOUT, "all routers are there", |f| f.ready() == ROUTERS);
+    wait_until(&mut fleet, TIMEOUT, "all routers are ready", |f| f.ready() == ROUTERS);
     fleet.ask_at(&[40.0; ROUTERS]);
     let is_logged =
         |f: &Fleet| [0, ROUTERS - 1].iter().any(|r| f.said(*r).contains("another router has the same name"));
-    assert!(fleet.run_until(TIMEOUT, is_logged).unwrap(), "neither is told of the other");
-    // Nobody has the last number, so that all that it may have borrowed has to run out before anything is used.
+    assert!(fleet.run_until(TIMEOUT, is_logged).unwrap(), "neither router logged the duplicate name");
+    // No router has the last number, so any lease it might hold must expire before its units are
+    // used.
     assert!(
         fleet.run_until(TIMEOUT, |f| f.held() >= MAX_CONCURRENT - 3).unwrap(),
-        "{} held at most",
+        "{} running at most",
         fleet.held_most
     );
     fleet.run(Duration::from_secs(4)).unwrap();
@@ -269,7 +283,7 @@
         Fault::DuplicateNumber,
     );
     let max_allowed = MAX_CONCURRENT + (limit_bound.max_overshoot * MAX_CONCURRENT as f64).round() as usize;
-    assert!(fleet.held_most <= max_allowed, "{} were out, {max_allowed} may be", fleet.held_most);
+    assert!(fleet.held_most <= max_allowed, "{} ran at once, {max_allowed} are allowed", fleet.held_most);
     fleet.held_most = 0;
     finish(fleet);
 }
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -1,5 +1,5 @@
-//! A fleet of real processes starts, loses its list service and comes back: what must hold whatever breaks. Verdicts are on
-//! rules and on bounds that the settings give.
+//! A fleet of real processes starts, loses its list service and reconnects. List calls and
+//! disconnects must stay within the bounds that follow from the settings.
 
 use std::path::Path;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 
 const ROUTERS: usize = 8;
 const SECOND_NS: u64 = 1_000_000_000;
-/// The coordinator's stream counts as silent after this (ns).
+/// A stream without input for this long counts as failed.
 const SILENT_NS: u64 = marljunction_discovery::stream::SILENT_NS;
-/// What a loaded machine may add to any bound (ns).
+/// Allowance for scheduling delays of a loaded machine.
 const SCHEDULING_SLACK_NS: u64 = 2 * SECOND_NS;
-/// Longer than anything that must happen takes.
+/// Longest wait for any expected event.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn setup(name: &str) -> Setup {
@@ -30,7 +30,7 @@
     }
 }
 
-/// The pace that follows from the operator's file above.
+/// The pacing parameters of the operator file above.
 fn pace() -> PacingParams {
     StartFile { budget_per_s: 40.0, spread_ns: SECOND_NS, longest_ns: SECOND_NS, ..StartFile::default() }
         .pace(ROUTERS as u32, 0)
@@ -40,7 +40,7 @@
     fleet.live() == ROUTERS
 }
 
-/// A fleet whose routers are all there and hear the list service.
+/// A started fleet, under client load, whose routers all have their list streams.
 fn started_fleet(setup: Setup) -> Fleet {
     let mut fleet = Fleet::new(setup).unwrap();
     fleet.ask();
@@ -58,7 +58,7 @@
     fleet.run(Duration::from_millis(ms)).unwrap();
 }
 
-/// Nobody may be blind for longer than the settings say while the service takes calls.
+/// No router was disconnected from an available list service for longer than the settings allow.
 #[track_caller]
 fn assert_disconnects_within_bound(fleet: &Fleet) {
     let bound = pace().max_reconnect_ns(SILENT_NS) + SCHEDULING_SLACK_NS;
@@ -66,7 +66,7 @@
     assert!(longest_disconnect <= bound, "{longest_disconnect} ns without a stream, {bound} at most");
 }
 
-/// Each router's calls since `from` are within what the settings allow while the service is away.
+/// Each router's calls since `from` are within what the settings allow during an outage.
 #[track_caller]
 fn assert_calls_within_bound(fleet: &Fleet, from: u64) {
     let span = fleet.now() - from;
@@ -78,7 +78,7 @@
     }
 }
 
-/// All streams end at once: each router calls once, and not all in one round.
+/// After all streams close at once, each router calls once, and not all in the same iteration.
 #[track_caller]
 fn assert_reconnects_are_spread(fleet: &mut Fleet) {
     let from = fleet.now();
@@ -87,11 +87,11 @@
     let (calls, _) = calls_within(&fleet.list.calls, from, fleet.now(), SECOND_NS);
     assert_eq!(calls, ROUTERS, "one call each");
     let (_, max_per_round) = calls_within(&fleet.list.calls, from, fleet.now(), 20_000_000);
-    assert!(max_per_round < ROUTERS, "all called within one round");
+    assert!(max_per_round < ROUTERS, "all routers called within 20 ms");
     assert_disconnects_within_bound(fleet);
 }
 
-/// What holds at the end of every play.
+/// Stops the fleet and runs the checks that hold for every test.
 #[track_caller]
 fn finish(fleet: Fleet) {
     assert_eq!(fleet.end_well(TIMEOUT).unwrap().len(), ROUTERS);
@@ -104,7 +104,9 @@
     fleet.ask();
     let from = fleet.now();
     fleet.start_all().unwrap();
-    wait_until(&mut fleet, "all serve", |f| f.loads.iter().all(|load| load.first_answer_ns.is_some()));
+    wait_until(&mut fleet, "all routers serve", |f| {
+        f.loads.iter().all(|load| load.first_answer_ns.is_some())
+    });
     run(&mut fleet, 2_000);
     assert_eq!(fleet.live(), 0);
     assert_calls_within_bound(&fleet, from);
@@ -150,7 +152,7 @@
 #[test]
 fn retry_after_is_honored_up_to_the_maximum_wait() {
     let mut fleet = started_fleet(setup("retry-after"));
-    // The last is a date an hour ahead: the clock of a service may be any.
+    // The last value is an HTTP date one hour ahead.
     let date = httpdate::fmt_http_date(std::time::SystemTime::now() + Duration::from_secs(3_600));
     for (retry_after, min_ms) in [("0", 100), ("1", 950), ("86400", 950), ("soon", 100), (date.as_str(), 950)]
     {
@@ -163,7 +165,7 @@
                 fleet.list.calls.iter().filter(|c| c.router == router).map(|c| c.at_ns).collect();
             let times: Vec<u64> = of_router.into_iter().filter(|at| *at >= from).collect();
             let waits: Vec<u64> = times.windows(2).map(|w| (w[1] - w[0]) / 1_000_000).collect();
-            assert!(!waits.is_empty(), "{retry_after}: it asks again");
+            assert!(!waits.is_empty(), "{retry_after}: router {router} did not call again");
             assert!(waits.iter().all(|ms| *ms + 25 >= min_ms), "{retry_after}: waits of {waits:?} ms");
         }
         fleet.set_list(Manner::Well);
@@ -179,7 +181,7 @@
     let from = fleet.now();
     fleet.set_list(Manner::ClosesAfter(SECOND_NS));
     run(&mut fleet, 6_000);
-    // Each call is up for a second: fewer than one of them a second, and ever longer waits between.
+    // Each stream lasts a second and the waits grow, so there is less than one call per second.
     for router in 0..ROUTERS {
         let calls = fleet.list.calls.iter().filter(|c| c.router == router && c.at_ns >= from).count();
         assert!((1..=5).contains(&calls), "router {router} made {calls} calls");
@@ -194,7 +196,7 @@
 #[test]
 fn routers_follow_a_list_service_that_restarts_its_event_numbers() {
     let mut fleet = started_fleet(setup("numbers"));
-    // Numbers that no router can fall behind by chance.
+    // Move the event numbers well past those of the restarted service.
     (0..5).for_each(|_| fleet.tell_again());
     fleet.drain(1);
     run(&mut fleet, 300);
@@ -205,11 +207,11 @@
     for router in 0..ROUTERS {
         assert!(
             fleet.said(router).contains("restarted its event numbering"),
-            "router {router} follows the new numbers"
+            "router {router} did not follow the new numbers"
         );
     }
     let late_sends = |f: &Fleet| f.audit().late_sends;
-    assert_eq!(late_sends(&fleet), 0, "a drain told under the new numbers binds");
+    assert_eq!(late_sends(&fleet), 0, "a drain under the new numbers was ignored");
     finish(fleet);
 }
 
@@ -219,10 +221,10 @@
     (0..ROUTERS / 2).for_each(|router| fleet.cut(router, true));
     run(&mut fleet, 500);
     fleet.drain(0);
-    // Till they have noticed the silence and wait or call in vain.
+    // Long enough for the partitioned routers to detect it and to retry.
     run(&mut fleet, 3_000);
     (0..ROUTERS / 2).for_each(|router| fleet.cut(router, false));
-    wait_until(&mut fleet, "all were told", |f| {
+    wait_until(&mut fleet, "all routers received the drain", |f| {
         (0..ROUTERS).all(|router| f.list.told.contains_key(&(router, "e0".to_owned())))
     });
     run(&mut fleet, 1_500);
@@ -234,9 +236,9 @@
 fn a_drain_during_reconnection_is_honored_by_all_routers() {
     let mut fleet = started_fleet(setup("drain-waiting"));
     fleet.drop_streams();
-    wait_until(&mut fleet, "half are back", |f| f.live() >= ROUTERS / 2);
+    wait_until(&mut fleet, "half of the routers have their streams", |f| f.live() >= ROUTERS / 2);
     fleet.drain(2);
-    wait_until(&mut fleet, "all were told", |f| {
+    wait_until(&mut fleet, "all routers received the drain", |f| {
         (0..ROUTERS).all(|router| f.list.told.contains_key(&(router, "e2".to_owned())))
     });
     run(&mut fleet, 1_500);
@@ -249,13 +251,15 @@
     let mut fleet = started_fleet(setup("killed"));
     for _ in 0..2 {
         (0..ROUTERS).for_each(|router| fleet.kill(router));
-        wait_until(&mut fleet, "the service has seen them go", |f| f.live() == 0);
+        wait_until(&mut fleet, "the service has noticed the disconnects", |f| f.live() == 0);
         let from = fleet.now();
         fleet.start_all().unwrap();
         wait_until(&mut fleet, "all have their streams", all_connected);
         let (calls, _) = calls_within(&fleet.list.calls, from, fleet.now(), SECOND_NS);
         assert_eq!(calls, ROUTERS);
-        wait_until(&mut fleet, "all serve", |f| f.loads.iter().all(|load| load.first_answer_ns.is_some()));
+        wait_until(&mut fleet, "all routers serve", |f| {
+            f.loads.iter().all(|load| load.first_answer_ns.is_some())
+        });
     }
     assert_disconnects_within_bound(&fleet);
     finish(fleet);
@@ -265,7 +269,7 @@
 fn a_resumed_router_makes_one_list_call() {
     let mut fleet = started_fleet(setup("frozen"));
     fleet.set_list(Manner::Away);
-    wait_until(&mut fleet, "it has tried in vain", |f| {
+    wait_until(&mut fleet, "the router has made failed calls", |f| {
         f.list.calls.iter().filter(|c| c.router == 3).count() >= 3
     });
     fleet.freeze(3, true);
@@ -276,7 +280,7 @@
     wait_until(&mut fleet, "all have their streams", all_connected);
     run(&mut fleet, 1_000);
     let calls = fleet.list.calls.iter().filter(|c| c.router == 3 && c.at_ns >= resumed_ns).count();
-    assert_eq!(calls, 1, "one call, not one for each that it missed");
+    assert_eq!(calls, 1, "one call, not one per missed timer");
     finish(fleet);
 }
 
@@ -284,7 +288,8 @@
 fn routers_with_the_same_seed_and_number_reconnect_spread_out() {
     let operator = Some("start: { budget: 8, longest: 1s }\n".into());
     let mut fleet = started_fleet(Setup { same_identity: true, operator, ..setup("same") });
-    // With one number all have the same place, which chance moves by an eighth of the window of 1 s.
+    // Equal numbers give all routers the same slot, which random jitter moves by up to 1/8 of the 1
+    // s window.
     assert_reconnects_are_spread(&mut fleet);
     finish(fleet);
 }
@@ -302,10 +307,12 @@
 fn a_start_without_the_list_service_uses_a_valid_cached_snapshot() {
     let operator = Some("start: { budget: 40, longest: 1s, keep: \"{own}\" }\n".into());
     let mut fleet = started_fleet(Setup { operator, ..setup("kept") });
-    wait_until(&mut fleet, "all have kept their list", |f| (0..ROUTERS).all(|router| f.own(router).exists()));
+    wait_until(&mut fleet, "all routers have saved a snapshot", |f| {
+        (0..ROUTERS).all(|router| f.own(router).exists())
+    });
     fleet.set_list(Manner::Away);
     (0..ROUTERS).for_each(|router| fleet.kill(router));
-    // One engine is gone by the next start, and some files are not what they were.
+    // One engine has crashed before the restart, and some snapshot files are invalid.
     fleet.lose(1);
     let original = std::fs::read(fleet.own(0)).unwrap();
     let too_large = ListBound::of(MEMORY_MB.into()).file_bytes + 1;
@@ -321,7 +328,7 @@
     }
     fleet.set_known(false);
     fleet.start_all().unwrap();
-    wait_until(&mut fleet, "those with a list serve", |f| {
+    wait_until(&mut fleet, "the routers with a valid snapshot serve", |f| {
         f.loads[invalid_files.len()..].iter().all(|load| load.first_answer_ns.is_some())
     });
     wait_until(&mut fleet, "work reaches the engines", |f| f.audit().sends > 0);
@@ -385,6 +392,6 @@
     drop(fleet);
     assert_eq!(ids.len(), ROUTERS);
     for id in ids {
-        assert!(!Path::new(&format!("/proc/{id}")).exists(), "process {id} is still there");
+        assert!(!Path::new(&format!("/proc/{id}")).exists(), "process {id} is still running");
     }
 }
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -1,5 +1,5 @@
-//! What a fleet of real processes believes of its engines, while links between them and to the engines break. Whether a router
-//! follows is seen at the engines, by what they are sent.
+//! Fleet-wide engine health and overrides across real processes with faulty links. Routers are
+//! checked by the requests that the engines receive.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -20,11 +20,11 @@
 const ENGINES: usize = 5;
 const SECOND_NS: u64 = 1_000_000_000;
 const FLEET_SETTINGS: &str = "lease: 1s, verdicts: { fade: 10s }, limits: {}";
-/// Longer than anything that must happen takes.
+/// Longest wait for any expected event.
 const TIMEOUT: Duration = Duration::from_secs(40);
-/// What a loaded machine may add to a bound.
+/// Allowance for scheduling delays of a loaded machine.
 const SCHEDULING_SLACK_NS: u64 = 3 * SECOND_NS;
-/// A router that hears that an engine is out sends it nothing from then on, but for what was decided before.
+/// Requests already assigned to an engine may still be sent this long after its exclusion.
 const DRAIN_NS: u64 = 500_000_000;
 
 fn params() -> HealthParams {
@@ -36,7 +36,7 @@
     vec![Class { work_ms: 30.0, spread: 0.4, share: 1.0, aim_ms: 1_000.0, deadline_ms: 2_500.0, ..usual }]
 }
 
-/// A fleet that serves, each router some requests a second.
+/// A started fleet under client load, with all routers connected and all engines used.
 fn started_fleet(name: &str) -> Fleet {
     let mut fleet = Fleet::new(Setup {
         fleet: Some(FLEET_SETTINGS.into()),
@@ -48,22 +48,22 @@
     })
     .unwrap();
     fleet.start_all().unwrap();
-    wait_until(&mut fleet, TIMEOUT, "all routers are there", |f| f.ready() == ROUTERS);
+    wait_until(&mut fleet, TIMEOUT, "all routers are ready", |f| f.ready() == ROUTERS);
     wait_for_all_peers(&mut fleet);
     fleet.ask();
-    wait_until(&mut fleet, TIMEOUT, "all engines are sent to", |f| {
+    wait_until(&mut fleet, TIMEOUT, "all engines receive requests", |f| {
         (0..ENGINES).all(|e| f.sent_within(e, 0, u64::MAX) > 5)
     });
     fleet
 }
 
-/// Waits until every router knows all others.
+/// Waits until every router reaches all others.
 fn wait_for_all_peers(fleet: &mut Fleet) {
     for router in 0..ROUTERS {
         let expected = format!("{} peers can be reached", ROUTERS - 1);
         let deadline_ns = fleet.now() + TIMEOUT.as_nanos() as u64;
         while !fleet.call(router, "GET", "/fleet/verdicts", "").unwrap().1.starts_with(&expected) {
-            assert!(fleet.now() < deadline_ns, "router {router} does not know all others");
+            assert!(fleet.now() < deadline_ns, "router {router} does not reach all others");
             fleet.run(Duration::from_millis(100)).unwrap();
         }
     }
@@ -78,7 +78,7 @@
     Duration::from_nanos(propagation_bound_ns(&params()) + SCHEDULING_SLACK_NS)
 }
 
-/// Waits until all routers that are there leave out these engines and no others, as their logs say it.
+/// Waits until the logs of all running routers show exactly these engines as excluded.
 #[track_caller]
 fn wait_until_excluded(fleet: &mut Fleet, timeout: Duration, engines: &str) {
     let last_excluded = |f: &Fleet, router: usize| {
@@ -89,18 +89,18 @@
             .find_map(|l| Some(l.split_once("the whole fleet leaves out:")?.1.trim().to_owned()));
         line.unwrap_or_default()
     };
-    wait_until(fleet, timeout, &format!("all leave out {engines:?}"), |f| {
+    wait_until(fleet, timeout, &format!("all routers exclude {engines:?}"), |f| {
         (0..ROUTERS).filter(|r| f.routers[*r].process.is_some()).all(|r| last_excluded(f, r) == engines)
     });
 }
 
-/// Nothing is sent to an engine from here on, but for what was decided before.
+/// From now on, an excluded engine receives only requests that were already assigned to it.
 #[track_caller]
 fn assert_receives_nothing(fleet: &mut Fleet, engine: usize) {
     let from = fleet.now() + DRAIN_NS;
     fleet.run(Duration::from_secs(3)).unwrap();
     let sent = fleet.sent_within(engine, from, u64::MAX);
-    assert_eq!(sent, 0, "sent to an engine that is out");
+    assert_eq!(sent, 0, "requests were sent to an excluded engine");
 }
 
 #[track_caller]
@@ -116,13 +116,15 @@
     assert_eq!((status, text.as_str()), (200, "e1 is out; heard by 5 of 5 other routers"));
     wait_until_excluded(&mut fleet, max_propagation(), "e1");
     assert_receives_nothing(&mut fleet, 1);
-    // The fleet's word stands above one router's own.
+    // A fleet-wide override takes precedence over a router's own.
     assert_eq!(fleet.call(2, "POST", "/engines/disable", "e1").unwrap().0, 200);
     assert_eq!(fleet.call(2, "POST", "/engines/enable", "e1").unwrap().0, 409);
     let (status, text) = fleet.call(5, "POST", "/fleet/engines/enable", "e1").unwrap();
     assert_eq!((status, text.as_str()), (200, "e1 is back; heard by 5 of 5 other routers"));
     let back = fleet.now();
-    wait_until(&mut fleet, TIMEOUT, "it is sent to again", |f| f.sent_within(1, back, u64::MAX) > 5);
+    wait_until(&mut fleet, TIMEOUT, "the engine receives requests again", |f| {
+        f.sent_within(1, back, u64::MAX) > 5
+    });
     let view = fleet.call(3, "GET", "/fleet/verdicts", "").unwrap().1;
     assert!(view.contains("engine e1 back by an operator at router 5"), "{view}");
     finish(fleet);
@@ -136,12 +138,12 @@
     fleet.cut_into(&[0, 0, 0, 1, 1, 1]);
     let back = fleet.call(1, "POST", "/fleet/engines/enable", "e1").unwrap();
     assert!(back.1.starts_with("e1 is back; heard by 2 of "), "{}", back.1);
-    // Later, on the other side: it stays out, and another goes out too.
+    // A later override on the other side excludes e1 again, and e2 too.
     assert_eq!(fleet.call(4, "POST", "/fleet/engines/disable", "e1").unwrap().0, 200);
     assert_eq!(fleet.call(4, "POST", "/fleet/engines/disable", "e2").unwrap().0, 200);
     fleet.run(Duration::from_secs(1)).unwrap();
     fleet.cut_into(&[0; ROUTERS]);
-    // Those who were cut off have to be found first.
+    // The partitioned routers must first rediscover each other.
     let convergence =
         Duration::from_nanos(convergence_bound_ns(&params(), 2) + SCHEDULING_SLACK_NS) + TIMEOUT;
     wait_until_excluded(&mut fleet, convergence, "e1 e2");
@@ -157,11 +159,12 @@
     (0..ROUTERS).for_each(|router| fleet.kill(router));
     std::fs::remove_dir_all(fleet.kept(2)).unwrap();
     fleet.start_all().unwrap();
-    wait_until(&mut fleet, TIMEOUT, "all routers are there", |f| f.ready() == ROUTERS);
-    // The one that knows nothing may serve before it has heard its peers; it does not call itself ready.
+    wait_until(&mut fleet, TIMEOUT, "all routers are ready", |f| f.ready() == ROUTERS);
+    // The router without state may serve before it has synced with its peers, but is not ready
+    // until then.
     let deadline_ns = fleet.now() + TIMEOUT.as_nanos() as u64;
     while fleet.call(2, "GET", "/ready", "").unwrap().0 != 200 {
-        assert!(fleet.now() < deadline_ns, "never ready");
+        assert!(fleet.now() < deadline_ns, "the router did not become ready");
     }
     let view = fleet.call(2, "GET", "/fleet/verdicts", "").unwrap().1;
     assert!(view.contains("engine e4 out by an operator at router 3"), "{view}");
@@ -184,7 +187,8 @@
     finish(fleet);
 }
 
-/// A router of the fleet that tells all others, as soon as it knows them, that it finds every engine silent.
+/// Joins the fleet as a router that reports every engine as unresponsive to all its peers. Returns
+/// the number of peers at the end.
 fn false_reporter(seed: std::net::SocketAddr, stop: &AtomicBool) -> usize {
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
@@ -247,16 +251,19 @@
     let reported = format!("router {ROUTERS} Silent");
     let deadline_ns = fleet.now() + TIMEOUT.as_nanos() as u64;
     while !(0..ROUTERS).all(|r| fleet.call(r, "GET", "/fleet/verdicts", "").unwrap().1.contains(&reported)) {
-        assert!(fleet.now() < deadline_ns, "its word is not heard by all");
+        assert!(fleet.now() < deadline_ns, "not all routers received the false evidence");
     }
     let from = fleet.now();
     fleet.run(Duration::from_secs(6)).unwrap();
     for router in 0..ROUTERS {
-        assert!(!fleet.said(router).contains("is out by what the fleet"), "router {router} believes it");
+        assert!(
+            !fleet.said(router).contains("is out by what the fleet"),
+            "router {router} acted on the false evidence"
+        );
     }
-    assert!((0..ENGINES).all(|e| fleet.sent_within(e, from, u64::MAX) > 10), "all engines are sent to");
+    assert!((0..ENGINES).all(|e| fleet.sent_within(e, from, u64::MAX) > 10), "all engines receive requests");
     stop.store(true, Ordering::Relaxed);
-    assert_eq!(false_reporter.join().unwrap(), ROUTERS, "it was one of them");
+    assert_eq!(false_reporter.join().unwrap(), ROUTERS, "the false reporter was not a member with all peers");
     finish(fleet);
 }
 
@@ -268,18 +275,22 @@
     let back = format!("engine {} is back by what the fleet", name(2));
     let cut = Shape { cut: true, ..Shape::default() };
     fleet.shape(2, cut, cut);
-    wait_until(&mut fleet, TIMEOUT, "all leave it out", |f| (0..ROUTERS).all(|r| f.said(r).contains(&out)));
+    wait_until(&mut fleet, TIMEOUT, "all routers exclude the engine", |f| {
+        (0..ROUTERS).all(|r| f.said(r).contains(&out))
+    });
     fleet.run(Duration::from_secs(4)).unwrap();
-    // Others are left in, whatever a router sees of them meanwhile.
+    // The other engines stay included.
     for engine in [0, 1, 3, 4] {
         let out = format!("engine {} is out by what the fleet", name(engine));
-        assert!((0..ROUTERS).all(|r| !fleet.said(r).contains(&out)), "engine {engine} is well");
+        assert!((0..ROUTERS).all(|r| !fleet.said(r).contains(&out)), "healthy engine {engine} was excluded");
     }
     fleet.shape(2, Shape::default(), Shape::default());
-    wait_until(&mut fleet, TIMEOUT, "it is back for all", |f| {
+    wait_until(&mut fleet, TIMEOUT, "all routers readmit the engine", |f| {
         (0..ROUTERS).all(|r| f.said(r).contains(&back))
     });
     let healed = fleet.now();
-    wait_until(&mut fleet, TIMEOUT, "all of them send to it", |f| f.sent_within(2, healed, u64::MAX) > 30);
+    wait_until(&mut fleet, TIMEOUT, "the engine receives requests again from the routers", |f| {
+        f.sent_within(2, healed, u64::MAX) > 30
+    });
     finish(fleet);
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,5 +1,6 @@
-//! A new version beside the running one, on the listening socket that the platform hands down as descriptor 3:
-//! both serve from it, bans pass over by `$TMPDIR`, and the old one leaves its clients to the new one at SIGTERM.
+//! Replacing a running process by a new one on a listening socket inherited as descriptor 3: both
+//! serve from it, excluded engines carry over through `$TMPDIR`, and the old process closes its
+//! idle clients at SIGTERM.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -22,7 +23,8 @@
 }
 
 impl Process {
-    /// Starts the program on a copy of `socket` as descriptor 3, with its door on a port of its own.
+    /// Starts the program with a copy of `socket` as descriptor 3 and its own port for the admin
+    /// API.
     fn start(dir: &std::path::Path, socket: &TcpListener) -> Process {
         let fd = OwnedFd::from(socket.try_clone().unwrap());
         let mut child = Command::new(env!("CARGO_BIN_EXE_marljunction"))
@@ -56,12 +58,12 @@
     }
 }
 
-/// Reads the log up to a line that holds `text`.
+/// Reads the log up to a line that contains `text`.
 fn wait_for(log: &mut impl BufRead, text: &str) -> String {
     let mut line = String::new();
     while !line.contains(text) {
         line.clear();
-        assert!(log.read_line(&mut line).unwrap() > 0, "the program ended without {text:?}");
+        assert!(log.read_line(&mut line).unwrap() > 0, "the program exited without logging {text:?}");
     }
     line
 }
@@ -79,7 +81,7 @@
     client
 }
 
-/// A configuration in a folder of its own, with one engine.
+/// Writes a configuration with one engine to a directory of its own.
 fn write_config(name: &str, engine: &TcpListener) -> std::path::PathBuf {
     let dir = std::env::temp_dir().join(format!("marljunction-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
@@ -97,7 +99,7 @@
 fn signal_handlers_are_installed_before_the_first_log_line() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
     let dir = write_config("signals", &engine);
-    // Its first word finds no room, so that it stands still just there.
+    // The full pipe blocks the process at its first log line.
     let (mut stderr_pipe, _reader) = UnixStream::pair().unwrap();
     stderr_pipe.set_nonblocking(true).unwrap();
     while stderr_pipe.write(&[0; 4_096]).is_ok() {}
@@ -107,7 +109,7 @@
         .stderr(Stdio::from(OwnedFd::from(stderr_pipe)))
         .spawn()
         .unwrap();
-    // SIGHUP is signal 1 and SIGTERM 15: the lowest bits of the mask stand for the first signals.
+    // Bit n - 1 of the mask is signal n: SIGHUP is 1 and SIGTERM is 15.
     let catches_signals = |id: u32| {
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
         let mask = status.lines().find_map(|line| line.strip_prefix("SigCgt:")).map(str::trim);
@@ -123,7 +125,7 @@
     child.kill().unwrap();
     child.wait().unwrap();
     let _ = std::fs::remove_dir_all(&dir);
-    assert!(ready, "it says that it is there while a signal would still end it");
+    assert!(ready, "the first log line is written before the signal handlers are installed");
 }
 
 #[test]
@@ -137,12 +139,22 @@
     assert!(old.request("GET /ready", "").starts_with("HTTP/1.1 200"));
     assert!(old.request("POST /engines/disable", "e1").ends_with("e1 is out\n"));
     let mut old_client = client(address);
-    assert_eq!(is_well(&mut old_client), b"\x94\x01\x01\xc0\x92\xc3\x80", "the old one serves on the socket");
+    assert_eq!(
+        is_well(&mut old_client),
+        b"\x94\x01\x01\xc0\x92\xc3\x80",
+        "the old process serves on the socket"
+    );
 
     let mut new = Process::start(&dir, &socket);
-    assert!(new.request("GET /ready", "").starts_with("HTTP/1.1 200"), "the new one is ready beside the old");
+    assert!(
+        new.request("GET /ready", "").starts_with("HTTP/1.1 200"),
+        "the new process is ready beside the old one"
+    );
     wait_for(&mut new.log, "bans read from");
-    assert!(new.request("POST /engines/enable", "e1").ends_with("e1 is back\n"), "the ban passed over");
+    assert!(
+        new.request("POST /engines/enable", "e1").ends_with("e1 is back\n"),
+        "the excluded engine carried over"
+    );
     assert!(new.request("POST /engines/enable", "e1").ends_with("e1 was not out\n"));
 
     old.signal("-TERM");
@@ -152,15 +164,15 @@
     assert_eq!(
         old_client.read_to_end(&mut rest).unwrap(),
         0,
-        "the old one closes a quiet client's connection"
+        "the old process closes an idle client's connection"
     );
     let mut new_client = client(address);
     assert_eq!(
         is_well(&mut new_client),
         b"\x94\x01\x01\xc0\x92\xc3\x80",
-        "a new client is served by the new one"
+        "a new client is served by the new process"
     );
-    assert!(old.child.wait().unwrap().success(), "the old one ends cleanly");
+    assert!(old.child.wait().unwrap().success(), "the old process exits cleanly");
 
     new.signal("-TERM");
     assert!(new.child.wait().unwrap().success());
--- a/tests/large_list.rs
+++ b/tests/large_list.rs
@@ -1,5 +1,5 @@
-//! The real program under a memory limit of 32 MB: it learns a list of 30,000 engines within it, and a list over its bound
-//! replaces nothing.
+//! The program with a memory limit of 32 MB loads a list of 30,000 engines, and rejects a list over
+//! its bound.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -12,16 +12,18 @@
 
 const SETTINGS: &str = include_str!("exchanges/settings.json");
 const ENGINES: usize = 30_000;
-/// The program's memory limit (MB), and the same as the machine counts it (KB of 1,024 bytes).
+/// The program's memory limit, in units of 10^6 bytes.
 const MEMORY_MB: u64 = 32;
+/// The same limit in units of 1,024 bytes.
 const MEMORY_KB: u64 = MEMORY_MB * 1_000_000 / 1_024;
-/// What the program reckons for one engine (bytes), and what it may use for the rest of its work meanwhile (KB).
+/// The program's memory estimate for one engine.
 const MAX_ENGINE_BYTES: u64 = 940;
+/// Allowance for other memory use while the list is loaded.
 const MAX_OTHER_MEMORY_KB: u64 = 1_024;
-/// Longer than anything that must happen takes.
+/// Longest wait for any expected event.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An event with a whole list of so many engines.
+/// An event with a full list of that many engines.
 fn event(index: usize, engines: usize) -> Vec<u8> {
     let target = |i: usize| {
         format!(
@@ -37,7 +39,7 @@
     format!("id: {index}\ndata: {list}\n\n").into_bytes()
 }
 
-/// A folder with the configuration of a router whose list service is at `service`.
+/// Writes the configuration of a router that uses the list service at `service`.
 fn write_config(service: &TcpListener) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("marljunction-large-list-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
@@ -50,7 +52,7 @@
     dir
 }
 
-/// The next call for the list, read.
+/// Accepts the next list call and reads its request head.
 fn accept_list_call(service: &TcpListener) -> TcpStream {
     let (mut stream, _) = service.accept().unwrap();
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -63,7 +65,8 @@
     stream
 }
 
-/// Asks for counters until one has a value; gives those of that line. What stands behind it there may not be written yet.
+/// Requests counters until one has a value, and returns that line's counters. Later counters of the
+/// line may be missing.
 #[track_caller]
 fn wait_for(process: &mut Process, name: &str, value: u64) -> Vec<(String, u64)> {
     let since = Instant::now();
@@ -91,15 +94,15 @@
     stream.write_all(&event(2, ENGINES)).unwrap();
     wait_for(&mut process, "list_engines", ENGINES as u64);
     let (peak_kb, cpu_us) = process.used();
-    println!("{before_kb} KB before, {peak_kb} KB at most, {cpu_us} us of processor time");
+    println!("{before_kb} KB before, {peak_kb} KB peak, {cpu_us} us of CPU time");
     let growth_kb = peak_kb - before_kb;
     assert!(
         growth_kb < ENGINES as u64 * MAX_ENGINE_BYTES / 1024 + MAX_OTHER_MEMORY_KB,
-        "grown by {growth_kb} KB"
+        "memory grew by {growth_kb} KB"
     );
-    // What is not optimized takes more from its start on.
+    // An unoptimized build uses more memory from the start.
     assert!(peak_kb < MEMORY_KB || cfg!(debug_assertions), "{peak_kb} KB");
-    // The program may have had enough of it before its end.
+    // The program may close the connection before the end of the list.
     let _ = stream.write_all(&event(3, 2 * ENGINES));
     let counters = wait_for(&mut process, "list_too_large", 1);
     assert_eq!(counter(&counters, "list_engines"), ENGINES as u64);
--- a/tests/setup.rs
+++ b/tests/setup.rs
@@ -1,4 +1,5 @@
-//! Operators' files: those that are shipped are right, wrong ones are told, and the command line says so.
+//! Operator files: shipped files are valid, invalid ones are reported, and the command line checks
+//! them.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -14,7 +15,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join(name)
 }
 
-/// A folder of its own with these files.
+/// Writes these files to a directory of their own.
 fn write_files(name: &str, files: &[(&str, &str)]) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("marljunction-setup-{}-{name}", std::process::id()));
     std::fs::create_dir_all(dir.join("below")).unwrap();
@@ -105,7 +106,7 @@
     assert_eq!(
         std::fs::read_to_string(&good).unwrap(),
         "door :{stale:400ms}\n",
-        "nothing is changed by that"
+        "--check does not write the file"
     );
     assert!(run_program(&["fmt", &good]).status.success());
     assert_eq!(std::fs::read_to_string(&good).unwrap(), "door: { stale: 400ms }\n");
@@ -114,12 +115,12 @@
     assert_eq!((diff_status(&good, &good), diff_status(&good, &bad)), (Some(0), Some(2)));
     assert_eq!(diff_status(&good, &repository_path("deploy/operator.conf").display().to_string()), Some(1));
     let run = run_program(&["run", "--setup", &bad]);
-    assert_eq!(run.status.code(), Some(1), "a wrong file or no configuration ends the start");
+    assert_eq!(run.status.code(), Some(1), "an invalid file or a missing configuration fails the start");
     assert!(String::from_utf8_lossy(&run_program(&["completions", "bash"]).stdout).contains("marljunction"));
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// What the second of two texts changes, a line each.
+/// The changes from one file to another, one line each.
 fn changes(name: &str, from: &str, to: &str) -> Vec<String> {
     let dir = write_files(name, &[("from.conf", from), ("to.conf", to), ("part.conf", "#w: { a: 2 }\n")]);
     let read = |file: &str| Setup::of_file(&dir.join(file)).unwrap().value.unwrap();
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -1,5 +1,5 @@
-//! Terms of the operators' standing page on clients, on real sockets: who has left is sent on no more, and who does nothing keeps
-//! nobody out.
+//! Operating requirements for clients: requests of clients that left are not sent, and idle clients
+//! do not block others.
 
 #[allow(dead_code)]
 #[path = "common/harness.rs"]
@@ -16,7 +16,8 @@
     harness
 }
 
-/// An attempt failed, and the next one waits for its connection as the client leaves: it never begins.
+/// A client leaves after a failed attempt, while the retry waits for its connection: the retry is
+/// not sent.
 #[rstest]
 #[case::forgets(r"c > \x93\x02\xa6forget\x91\x01", "later")]
 #[case::forgets_first(r"c > \x93\x02\xa6forget\x91\x01", "behind")]
@@ -47,8 +48,8 @@
     assert_eq!((posts, counters["sent"], counters["left"]), (1, 2, 1), "{counters:?}");
 }
 
-/// Clients that do nothing hold all descriptors while the list service is down: once it is back, the list is fetched, the engine
-/// that it names is reached, and a client that came meanwhile is served.
+/// Idle clients use all descriptors while the list service is down. Once it is back, the list is
+/// fetched, its engine is reached, and a client that connected meanwhile is served.
 #[test]
 fn idle_clients_at_the_descriptor_limit_block_no_list_engine_or_client_connection() {
     let list_event = r#"t > HTTP/1.1 200 OK\r\n\r\n:hi\nid: 2\ndata: \{"index":2,"endpoints":\{"rev":2,"all":true,"targets":\[\{"uid":"e2","endpoint":"127.0.0.1:{address of e2}","az":"bldg-a","model":"std-12","state":"in_service","capacity_hint":1,"boot_ms":0\}\]\}\}\n\n"#;
--- a/tests/terms_fleet.rs
+++ b/tests/terms_fleet.rs
@@ -1,5 +1,5 @@
-//! Terms of the operators' standing page on whole fleets of real processes: cold engines, and starts without the list service.
-//! Verdicts are on bounds that the settings give.
+//! Operating requirements for fleets of real processes: cold engines, and starts without the list
+//! service. The bounds follow from the settings.
 
 use std::path::Path;
 use std::time::Duration;
@@ -10,16 +10,17 @@
 use marljunction_testkit::load::Class;
 use marljunction_testkit::stage::COLD;
 
-/// Part of what the settings allow that the routers keep for light classes, as much for heavy ones: half of 0.8 of what 0.85 of
-/// the cores do (share).
+/// Share of an engine's budget that routers reserve for light classes, and again for heavy ones:
+/// half of 0.8 of what 0.85 of the cores can do.
 const CLASS_GROUP_SHARE: f64 = 0.8 * 0.85 / 2.0;
 const SECOND_NS: u64 = 1_000_000_000;
-/// Longer than anything that must happen takes.
+/// Longest wait for any expected event.
 const TIMEOUT: Duration = Duration::from_secs(40);
-/// Within this nine in ten restarted processes are ready (ns).
+/// 90% of restarted processes must be ready within this time.
 const MAX_READY_TIME_NS: u64 = 10 * SECOND_NS;
 
-/// Most calls of one engine within the settings' time over a part of what they allow then, chance of 2 roots and 2 included (ratio).
+/// Largest ratio of calls to an engine within the overload window to `budget_share` of what the
+/// settings allow at that time, with a statistical margin of 2 square roots plus 2 calls.
 fn max_budget_use(fleet: &Fleet, engine: usize, cold: &Cold, work_ns: f64, budget_share: f64) -> f64 {
     let times: Vec<u64> = fleet.engines[engine].sends.iter().flatten().map(|sent| sent.at_ns).collect();
     let allowed = |at: u64| {
@@ -47,32 +48,32 @@
     let mut fleet = Fleet::new(setup).unwrap();
     fleet.start_all().unwrap();
     assert!(fleet.run_until(TIMEOUT, |f| f.ready() == ROUTERS).unwrap(), "all routers are there");
-    // The engine starts again as the burst comes, and is cold for longer than the test takes. Each router alone would send it
-    // some calls in the first moment, as none has heard of the others' yet.
+    // The engine restarts as the burst begins and stays cold for the whole test. At first no router
+    // has received the others' reports, so each sends some calls on its own.
     fleet.ask_at(&[0.5; ROUTERS]);
     fleet.run(Duration::from_secs(4)).unwrap();
     fleet.renew_engines();
     fleet.ask_at(&[100.0; ROUTERS]);
     fleet.run(Duration::from_secs(4)).unwrap();
     let cold = fleet.engines[0].cold.clone().unwrap();
-    assert!(fleet.now() < cold.since_ns + COLD.1, "the engine is cold to the end");
+    assert!(fleet.now() < cold.since_ns + COLD.1, "the engine must stay cold to the end");
     let max_use = max_budget_use(&fleet, 0, &cold, work_ns, 1.0);
-    assert!(max_use > 0.0 && max_use <= 1.0, "the engine got {max_use} of what the settings allow");
+    assert!(max_use > 0.0 && max_use <= 1.0, "the engine got {max_use} of its budget");
     let max_use = max_budget_use(&fleet, 0, &cold, work_ns, CLASS_GROUP_SHARE);
-    println!("at most {max_use} of what the routers keep for one kind of classes");
-    assert!(max_use <= 1.0, "the engine got {max_use} of what the routers keep for one kind of classes");
+    println!("at most {max_use} of the budget share of one class group");
+    assert!(max_use <= 1.0, "the engine got {max_use} of the budget share of one class group");
     drop(fleet);
 }
 
 #[test]
 fn ninety_percent_of_routers_started_without_the_list_service_are_ready_in_time() {
-    // For a trial with more of them.
+    // The variable allows runs with more routers.
     let routers = std::env::var("TERMS_ROUTERS").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
     let program = Path::new(env!("CARGO_BIN_EXE_marljunction"));
     let mut fleet = Fleet::new(Setup::new(program, "terms-ready", routers)).unwrap();
     fleet.ask();
     fleet.start_all().unwrap();
-    assert!(fleet.run_until(TIMEOUT, |f| f.live() == routers).unwrap(), "all hear the list service");
+    assert!(fleet.run_until(TIMEOUT, |f| f.live() == routers).unwrap(), "all routers have their streams");
     fleet.set_list(Manner::Away);
     (0..routers).for_each(|router| fleet.kill(router));
     fleet.start_all().unwrap();
@@ -91,10 +92,10 @@
     ready_times_ns.sort_unstable();
     let (p90_ns, median_ns) = (ready_times_ns[routers * 9 / 10 - 1], ready_times_ns[routers / 2]);
     println!(
-        "{routers} processes: half after {} ms, nine in ten after {} ms",
+        "{routers} processes: 50% ready after {} ms, 90% after {} ms",
         median_ns / 1_000_000,
         p90_ns / 1_000_000
     );
-    assert!(p90_ns <= MAX_READY_TIME_NS, "nine in ten after {p90_ns} ns");
-    assert_eq!(fleet.live(), 0, "the list service was away");
+    assert!(p90_ns <= MAX_READY_TIME_NS, "90% ready after {p90_ns} ns");
+    assert_eq!(fleet.live(), 0, "the list service must stay unavailable");
 }
