--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -31,7 +31,7 @@
 }
 
 /// The pacing parameters of the operator file above.
-fn pace() -> PacingParams {
+fn pacing_params() -> PacingParams {
     StartFile { budget_per_s: 40.0, spread_ns: SECOND_NS, longest_ns: SECOND_NS, ..StartFile::default() }
         .pace(ROUTERS as u32, 0)
 }
@@ -61,7 +61,7 @@
 /// No router was disconnected from an available list service for longer than the settings allow.
 #[track_caller]
 fn assert_disconnects_within_bound(fleet: &Fleet) {
-    let bound = pace().max_reconnect_ns(SILENT_NS) + SCHEDULING_SLACK_NS;
+    let bound = pacing_params().max_reconnect_ns(SILENT_NS) + SCHEDULING_SLACK_NS;
     let longest_disconnect = fleet.routers.iter().map(|r| r.blind_ns).max().unwrap();
     assert!(longest_disconnect <= bound, "{longest_disconnect} ns without a stream, {bound} at most");
 }
@@ -70,7 +70,7 @@
 #[track_caller]
 fn assert_calls_within_bound(fleet: &Fleet, from: u64) {
     let span = fleet.now() - from;
-    let bound = pace().max_calls(span) as usize;
+    let bound = pacing_params().max_calls(span) as usize;
     for router in 0..ROUTERS {
         let of_router: Vec<_> = fleet.list.calls.iter().filter(|c| c.router == router).copied().collect();
         let (calls, _) = calls_within(&of_router, from, fleet.now(), SECOND_NS);
@@ -355,7 +355,7 @@
     fleet.lose(0);
     run(&mut fleet, 2_000);
     let start_config = StartFile { connections_per_s: Some(2.0), ..StartFile::default() };
-    let bound = start_config.openings(pace()).unwrap();
+    let bound = start_config.openings(pacing_params()).unwrap();
     let since = fleet.routers.iter().map(|r| r.started_ns).min().unwrap();
     let max_opened = bound.max_connections(fleet.now() - since);
     for engine in &fleet.engines {
