--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -75,8 +75,7 @@
         lines.iter().map(|l| l.replace("accept e e1", &format!("accept e {engine}"))).collect();
     lines[..step.min(lines.len())].iter().for_each(|line| harness.step(line));
     let startup_len = harness.received_len("c");
-    // The connection may or may not have carried the request; what the engine received decides
-    // below.
+    // The engine may or may not have received the request; its received bytes decide below.
     let unread = disconnect == "engine" && name == "load_http" && step <= query_step;
     match disconnect {
         "client" => harness.step("close c"),
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -288,8 +288,8 @@
 fn routers_with_the_same_seed_and_number_reconnect_spread_out() {
     let operator = Some("start: { budget: 8, longest: 1s }\n".into());
     let mut fleet = started_fleet(Setup { same_identity: true, operator, ..setup("same") });
-    // Equal numbers give all routers the same slot, which random jitter moves by up to 1/8 of the 1
-    // s window.
+    // Equal numbers give all routers the same slot, which random jitter moves by up to 1/8 of the
+    // window of 1 s.
     assert_reconnects_are_spread(&mut fleet);
     finish(fleet);
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -23,8 +23,7 @@
 }
 
 impl Process {
-    /// Starts the program with a copy of `socket` as descriptor 3 and its own port for the admin
-    /// API.
+    /// Starts the program with a copy of `socket` as descriptor 3 and its own admin API port.
     fn start(dir: &std::path::Path, socket: &TcpListener) -> Process {
         let fd = OwnedFd::from(socket.try_clone().unwrap());
         let mut child = Command::new(env!("CARGO_BIN_EXE_marljunction"))
