--- a/crates/lab/src/scale/cells.rs
+++ b/crates/lab/src/scale/cells.rs
@@ -6,10 +6,10 @@
 
 use marljunction_testkit::hollow::engine_table::ZONES;
 use marljunction_testkit::hollow::fleet::{CellsPlan, FleetPlan, HollowFleet};
-use marljunction_testkit::hollow::fleet_side::REGIONS;
+use marljunction_testkit::hollow::fleet_member::REGIONS;
 use marljunction_testkit::hollow::key_files::KeyFiles;
 use marljunction_testkit::hollow::protocol::{
-    Expected, FleetSetup, ListedState, RouterReport, ServiceCommand,
+    ExpectedLists, FleetSetup, ListedState, RouterReport, ServiceCommand,
 };
 use serde::Serialize;
 
@@ -156,7 +156,7 @@
         self.start_processor_ms = spent_ms / f64::from(self.routers);
         let reports = fleet.reports()?;
         let (routers, relays) = reports.split_at(self.routers as usize);
-        self.engines = list.whole.engines;
+        self.engines = list.full_list.engines;
         self.part_engines = mean(routers, |report| report.digest.engines);
         self.part_engines_most = most(routers, |report| report.digest.engines);
         self.list_bytes = mean(routers, |report| report.fleet_learned_bytes);
@@ -205,8 +205,8 @@
             };
             let reached = self.await_parts(fleet, &told.list, "a change is everywhere")?;
             // A router of another cell knew its part before; only those that had to learn count.
-            let late = reached.iter().filter(|(number, at)| *number < self.routers && *at >= told.at_ns);
-            delays.extend(late.map(|(_, at)| (at - told.at_ns) as f64 / 1e9));
+            let late = reached.iter().filter(|(number, at)| *number < self.routers && *at >= told.sent_ns);
+            delays.extend(late.map(|(_, at)| (at - told.sent_ns) as f64 / 1e9));
         }
         (self.change_everywhere_p50_s, self.change_everywhere_worst_s) = median_and_worst(&mut delays);
         Ok(())
@@ -229,18 +229,23 @@
     }
 
     /// A region hears no other and not the list service for a while, in which engines change.
-    fn region(&mut self, fleet: &mut HollowFleet, keys: &KeyFiles, cut: Duration) -> Result<(), ScaleError> {
+    fn region(
+        &mut self,
+        fleet: &mut HollowFleet,
+        keys: &KeyFiles,
+        partition_time: Duration,
+    ) -> Result<(), ScaleError> {
         const REGION: u32 = 1;
         let region: Vec<u32> =
-            fleet.there().iter().copied().filter(|number| number % REGIONS == REGION).collect();
-        keys.set_cut(REGION, true)?;
+            fleet.running().iter().copied().filter(|number| number % REGIONS == REGION).collect();
+        keys.set_partitioned(REGION, true)?;
         fleet.reload_keys(&region)?;
-        fleet.fault(&ServiceCommand::Cut { routers: region.clone(), cut: true })?;
+        fleet.inject_fault(&ServiceCommand::Partition { routers: region.clone(), partitioned: true })?;
         let list = self.change_some(fleet)?;
-        std::thread::sleep(cut);
-        keys.set_cut(REGION, false)?;
+        std::thread::sleep(partition_time);
+        keys.set_partitioned(REGION, false)?;
         fleet.reload_keys(&region)?;
-        fleet.fault(&ServiceCommand::Cut { routers: region, cut: false })?;
+        fleet.inject_fault(&ServiceCommand::Partition { routers: region, partitioned: false })?;
         let since = Instant::now();
         self.await_parts(fleet, &list, "all know their parts after a region was back")?;
         self.region_cut_s = since.elapsed().as_secs_f64();
@@ -261,10 +266,10 @@
     }
 
     fn service(&mut self, fleet: &mut HollowFleet, away: Duration) -> Result<(), ScaleError> {
-        fleet.fault(&ServiceCommand::Away(true))?;
+        fleet.inject_fault(&ServiceCommand::SetUnavailable(true))?;
         let list = self.change_some(fleet)?;
         std::thread::sleep(away);
-        fleet.fault(&ServiceCommand::Away(false))?;
+        fleet.inject_fault(&ServiceCommand::SetUnavailable(false))?;
         let since = Instant::now();
         self.await_parts(fleet, &list, "all know their parts after the list service was back")?;
         self.list_service_away_s = since.elapsed().as_secs_f64();
@@ -281,7 +286,7 @@
         Ok(())
     }
 
-    fn change_some(&self, fleet: &mut HollowFleet) -> Result<Expected, ScaleError> {
+    fn change_some(&self, fleet: &mut HollowFleet) -> Result<ExpectedLists, ScaleError> {
         let engines = engines_before(self.routers);
         let some = (0..ZONES).map(|change| change * 104_729 % engines).collect();
         Ok(fleet.replace(some)?.list)
@@ -290,10 +295,10 @@
     fn await_parts(
         &self,
         fleet: &mut HollowFleet,
-        list: &Expected,
+        list: &ExpectedLists,
         what: &'static str,
     ) -> Result<Vec<(u32, u64)>, ScaleError> {
-        let late = ScaleError::Late { routers: self.routers, what, seconds: LIMIT_S };
+        let late = ScaleError::Timeout { routers: self.routers, what, seconds: LIMIT_S };
         fleet.await_list(list, Duration::from_secs(LIMIT_S))?.ok_or(late)
     }
 }
--- a/crates/lab/src/scale/faults.rs
+++ b/crates/lab/src/scale/faults.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use marljunction_testkit::hollow::fleet::HollowFleet;
-use marljunction_testkit::hollow::protocol::{Expected, ListedState, ServiceCommand};
+use marljunction_testkit::hollow::protocol::{ExpectedLists, ListedState, ServiceCommand};
 use serde::Serialize;
 
 use super::engines_before;
@@ -110,10 +110,10 @@
     (0..all).filter(|number| number % count == of).collect()
 }
 
-fn await_all(fleet: &mut HollowFleet, list: &Expected) -> Result<(), ScaleError> {
+fn await_all(fleet: &mut HollowFleet, list: &ExpectedLists) -> Result<(), ScaleError> {
     let reached = fleet.await_list(list, Duration::from_secs(LIMIT_S))?;
     let routers = fleet.plan().routers;
-    let late = ScaleError::Late { routers, what: "all know the list after a fault", seconds: LIMIT_S };
+    let late = ScaleError::Timeout { routers, what: "all know the list after a fault", seconds: LIMIT_S };
     reached.map(drop).ok_or(late)
 }
 
@@ -140,10 +140,10 @@
 fn region(fleet: &mut HollowFleet, most: &Measured, cut_for: Duration) -> Result<FaultCost, ScaleError> {
     let routers = one_in(REGIONS, most.routers, 1);
     let watch = Watch::begin(fleet)?;
-    fleet.fault(&ServiceCommand::Cut { routers: routers.clone(), cut: true })?;
+    fleet.inject_fault(&ServiceCommand::Partition { routers: routers.clone(), partitioned: true })?;
     let list = change_some(fleet, most)?;
     std::thread::sleep(cut_for);
-    fleet.fault(&ServiceCommand::Cut { routers: routers.clone(), cut: false })?;
+    fleet.inject_fault(&ServiceCommand::Partition { routers: routers.clone(), partitioned: false })?;
     let since = Instant::now();
     await_all(fleet, &list)?;
     watch.end(fleet, most, ("region_cut", routers.len() as u32, since))
@@ -163,19 +163,19 @@
 /// The list service is away for a while, in which engines change.
 fn service(fleet: &mut HollowFleet, most: &Measured, away_for: Duration) -> Result<FaultCost, ScaleError> {
     let watch = Watch::begin(fleet)?;
-    fleet.fault(&ServiceCommand::Away(true))?;
+    fleet.inject_fault(&ServiceCommand::SetUnavailable(true))?;
     let list = change_some(fleet, most)?;
     std::thread::sleep(away_for);
-    fleet.fault(&ServiceCommand::Away(false))?;
+    fleet.inject_fault(&ServiceCommand::SetUnavailable(false))?;
     let since = Instant::now();
     await_all(fleet, &list)?;
     watch.end(fleet, most, ("list_service_away", most.routers, since))
 }
 
 /// Some engines are replaced; gives what the list is then.
-fn change_some(fleet: &mut HollowFleet, most: &Measured) -> Result<Expected, ScaleError> {
+fn change_some(fleet: &mut HollowFleet, most: &Measured) -> Result<ExpectedLists, ScaleError> {
     let engines = engines_before(most.routers);
-    let mut list = Expected::default();
+    let mut list = ExpectedLists::default();
     for change in 0..UNHEARD_CHANGES {
         list = fleet.replace(vec![(change * 104_729 + 17) % engines])?.list;
     }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -49,7 +49,7 @@
     Settings(String),
     /// Something did not come to be in time.
     #[error("{routers} routers: not within {seconds} s: {what}")]
-    Late {
+    Timeout {
         /// Routers of the size.
         routers: u32,
         /// What was waited for.
--- a/crates/lab/src/scale/peers.rs
+++ b/crates/lab/src/scale/peers.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use marljunction_testkit::hollow::fleet::{FleetPlan, HollowFleet};
-use marljunction_testkit::hollow::fleet_side::REGIONS;
+use marljunction_testkit::hollow::fleet_member::REGIONS;
 use marljunction_testkit::hollow::key_files::KeyFiles;
 use marljunction_testkit::hollow::protocol::FleetSetup;
 use serde::Serialize;
@@ -104,7 +104,7 @@
         let empty_kb = fleet.hosts_usage().resident_kb;
         let (began, before) = (Instant::now(), self.spent(fleet)?);
         fleet.start_seeds()?;
-        let others: Vec<u32> = (0..self.routers).filter(|number| !fleet.there().contains(number)).collect();
+        let others: Vec<u32> = (0..self.routers).filter(|number| !fleet.running().contains(number)).collect();
         fleet.start_routers(&others)?;
         let joined = fleet.await_peers(self.routers - 1, limit)?;
         self.join_s = joined.map(|_| began.elapsed().as_secs_f64());
@@ -154,10 +154,10 @@
         fleet.await_peers(self.routers - 1, limit)?;
 
         let region = one_in(REGIONS, 5);
-        keys.set_cut(5, true)?;
+        keys.set_partitioned(5, true)?;
         fleet.reload_keys(&region)?;
         std::thread::sleep(CUT);
-        keys.set_cut(5, false)?;
+        keys.set_partitioned(5, false)?;
         fleet.reload_keys(&region)?;
         let since = Instant::now();
         let back = fleet.await_peers(self.routers - 1, limit)?;
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -79,7 +79,7 @@
     }
 
     fn start_one(&self, number: u32, fleet: &HollowFleet) -> Result<Process, String> {
-        let list = fleet.list_address(number).ok_or("no listener of the list service")?;
+        let list = fleet.list_service_address(number).ok_or("no listener of the list service")?;
         let settings: serde_json::Value =
             serde_json::from_str(&module_settings(self.first)).map_err(|e| e.to_string())?;
         let config = json!({
--- a/crates/lab/src/scale/size.rs
+++ b/crates/lab/src/scale/size.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use marljunction_testkit::fleet::classes;
-use marljunction_testkit::hollow::engine_table::in_zones;
+use marljunction_testkit::hollow::engine_table::with_zones;
 use marljunction_testkit::hollow::fleet::{FleetPlan, HollowFleet};
 use marljunction_testkit::hollow::protocol::{ListedState, RouterReport};
 use marljunction_testkit::stage::{settings, Site};
@@ -168,7 +168,7 @@
         me: 0,
         cold: false,
     };
-    in_zones(settings(&site)).to_string()
+    with_zones(settings(&site)).to_string()
 }
 
 impl Measured {
@@ -204,7 +204,7 @@
         (self.list_learned_p50_s, self.list_learned_worst_s) = median_and_worst(&mut learned);
         let resident_kb = fleet.hollow.hosts_usage().resident_kb.saturating_sub(empty_kb);
         self.hollow_mb = resident_kb as f64 / 1024.0 / f64::from(self.routers);
-        fleet.real.await_list(list.whole.engines, &fleet.hollow)?;
+        fleet.real.await_list(list.full_list.engines, &fleet.hollow)?;
         Ok(())
     }
 
@@ -236,7 +236,7 @@
             };
             let reached = fleet.hollow.await_list(&told.list, Duration::from_secs(CHANGE_LIMIT_S))?;
             let reached = reached.ok_or(self.late("a change is everywhere", CHANGE_LIMIT_S))?;
-            delays.extend(reached.iter().map(|(_, at)| at.saturating_sub(told.at_ns) as f64 / 1e9));
+            delays.extend(reached.iter().map(|(_, at)| at.saturating_sub(told.sent_ns) as f64 / 1e9));
         }
         let (passed_s, after) = (began.elapsed().as_secs_f64(), self.spent(fleet)?);
         let beyond = |spent: f64, quiet: f64| (spent - quiet * passed_s).max(0.0) / f64::from(changes);
@@ -274,7 +274,7 @@
     }
 
     fn late(&self, what: &'static str, seconds: u64) -> ScaleError {
-        ScaleError::Late { routers: self.routers, what, seconds }
+        ScaleError::Timeout { routers: self.routers, what, seconds }
     }
 }
 
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 use marljunction_testkit::fleet::classes;
-use marljunction_testkit::hollow::engine_table::in_zones;
+use marljunction_testkit::hollow::engine_table::with_zones;
 use marljunction_testkit::hollow::fleet::{CellsPlan, FleetPlan, HollowFleet};
 use marljunction_testkit::hollow::key_files::KeyFiles;
-use marljunction_testkit::hollow::protocol::{FleetSetup, ListedState, ServiceCommand, ToldEvent};
+use marljunction_testkit::hollow::protocol::{FleetSetup, ListedState, SentChange, ServiceCommand};
 use marljunction_testkit::stage::{settings, Site};
 
 const ROUTERS: u32 = 40;
@@ -37,7 +37,7 @@
         hosts: 2,
         calls_per_s: 200.0,
         concurrent_snapshots: 8,
-        settings: in_zones(settings(&site)).to_string(),
+        settings: with_zones(settings(&site)).to_string(),
         module: true,
         list: true,
         cells: None,
@@ -51,19 +51,20 @@
     let mut fleet = HollowFleet::start(plan()).unwrap();
     fleet.start_routers(&(0..ROUTERS).collect::<Vec<_>>()).unwrap();
     let list = fleet.counters().unwrap().list;
-    assert_eq!(list.whole.engines, u64::from(ENGINES));
+    assert_eq!(list.full_list.engines, u64::from(ENGINES));
     assert!(fleet.await_list(&list, LIMIT).unwrap().is_some(), "not all learned the list");
     fleet
 }
 
 #[track_caller]
-fn assert_all_know(fleet: &mut HollowFleet, told: &ToldEvent, what: &str) {
+fn assert_all_know(fleet: &mut HollowFleet, told: &SentChange, what: &str) {
     let reached = fleet.await_list(&told.list, LIMIT).unwrap();
     assert!(reached.is_some(), "{what}: not all know the list");
     // The digests as the routers report them, not only as the hosts compare them.
     let reports = fleet.reports().unwrap();
-    assert_eq!(reports.len(), fleet.there().len(), "{what}");
-    let others: Vec<u32> = reports.iter().filter(|r| r.digest != told.list.whole).map(|r| r.number).collect();
+    assert_eq!(reports.len(), fleet.running().len(), "{what}");
+    let others: Vec<u32> =
+        reports.iter().filter(|r| r.digest != told.list.full_list).map(|r| r.number).collect();
     assert!(others.is_empty(), "{what}: {others:?} know another list");
     assert_eq!(fleet.counters().unwrap().list, told.list, "{what}");
 }
@@ -81,25 +82,25 @@
     let zone = every(25, ROUTERS);
     fleet.stop_routers(&zone).unwrap();
     let told = fleet.change(every(25, ENGINES), ListedState::Terminated).unwrap();
-    assert_eq!(told.list.whole.engines, u64::from(ENGINES - ENGINES / 25));
+    assert_eq!(told.list.full_list.engines, u64::from(ENGINES - ENGINES / 25));
     assert_all_know(&mut fleet, &told, "a zone gone");
     fleet.start_routers(&zone).unwrap();
     let told = fleet.replace(every(25, ENGINES)).unwrap();
     assert_all_know(&mut fleet, &told, "a zone back");
 
     let region = every(9, ROUTERS);
-    fleet.fault(&ServiceCommand::Cut { routers: region.clone(), cut: true }).unwrap();
+    fleet.inject_fault(&ServiceCommand::Partition { routers: region.clone(), partitioned: true }).unwrap();
     let told = fleet.replace(vec![11, 12]).unwrap();
     assert_eq!(fleet.await_list(&told.list, TOO_LONG).unwrap(), None, "a cut router was told");
-    fleet.fault(&ServiceCommand::Cut { routers: region, cut: false }).unwrap();
+    fleet.inject_fault(&ServiceCommand::Partition { routers: region, partitioned: false }).unwrap();
     assert_all_know(&mut fleet, &told, "a region back");
 
     fleet.start_routers(&every(10, ROUTERS)).unwrap();
     assert_all_know(&mut fleet, &told, "a tenth restarted");
 
-    fleet.fault(&ServiceCommand::Away(true)).unwrap();
+    fleet.inject_fault(&ServiceCommand::SetUnavailable(true)).unwrap();
     let told = fleet.replace(vec![13]).unwrap();
-    fleet.fault(&ServiceCommand::Away(false)).unwrap();
+    fleet.inject_fault(&ServiceCommand::SetUnavailable(false)).unwrap();
     assert_all_know(&mut fleet, &told, "the service back");
 }
 
@@ -123,7 +124,7 @@
 #[test]
 fn hollow_routers_have_sockets_of_their_own() {
     let fleet = started();
-    let sockets: usize = fleet.host_ids().into_iter().map(sockets_of).sum();
+    let sockets: usize = fleet.host_pids().into_iter().map(sockets_of).sum();
     // Each host has its own standard input and output too, which are pipes.
     assert!(sockets >= ROUTERS as usize, "{sockets} sockets for {ROUTERS} routers");
 }
@@ -139,11 +140,12 @@
 #[test]
 fn a_router_that_was_not_told_a_change_is_seen() {
     let mut fleet = started();
-    fleet.fault(&ServiceCommand::SkipNext { router: 5 }).unwrap();
+    fleet.inject_fault(&ServiceCommand::SkipNext { router: 5 }).unwrap();
     let told = fleet.change(vec![9], ListedState::Terminating).unwrap();
     assert_eq!(fleet.await_list(&told.list, TOO_LONG).unwrap(), None, "nobody missed it");
     let reports = fleet.reports().unwrap();
-    let others: Vec<u32> = reports.iter().filter(|r| r.digest != told.list.whole).map(|r| r.number).collect();
+    let others: Vec<u32> =
+        reports.iter().filter(|r| r.digest != told.list.full_list).map(|r| r.number).collect();
     assert_eq!(others, [5]);
 }
 
@@ -162,7 +164,7 @@
     assert!(fleet.await_list(&list, LIMIT).unwrap().is_some(), "not all learned their parts");
     let reports = fleet.reports().unwrap();
     let (routers, relays) = reports.split_at(ROUTERS as usize);
-    assert!(relays.iter().all(|relay| relay.digest == list.whole), "{relays:?}");
+    assert!(relays.iter().all(|relay| relay.digest == list.full_list), "{relays:?}");
     // A zone has 16 engines here, and none of the parts may be all of them, or none would be a part.
     assert!(routers.iter().all(|router| (1..16).contains(&router.digest.engines)), "{routers:?}");
     // Of the list service they took nothing.
@@ -173,10 +175,10 @@
     let told = fleet.replace(every(7, ENGINES)).unwrap();
     assert!(fleet.await_list(&told.list, LIMIT).unwrap().is_some(), "a relay gone");
 
-    fleet.fault(&ServiceCommand::Away(true)).unwrap();
+    fleet.inject_fault(&ServiceCommand::SetUnavailable(true)).unwrap();
     let told = fleet.replace(every(11, ENGINES)).unwrap();
     assert_eq!(fleet.await_list(&told.list, TOO_LONG).unwrap(), None, "nobody could know it");
-    fleet.fault(&ServiceCommand::Away(false)).unwrap();
+    fleet.inject_fault(&ServiceCommand::SetUnavailable(false)).unwrap();
     assert!(fleet.await_list(&told.list, LIMIT).unwrap().is_some(), "the service back");
 
     let restarted = every(10, ROUTERS);
--- a/crates/testkit/src/hollow/child.rs
+++ b/crates/testkit/src/hollow/child.rs
@@ -15,24 +15,28 @@
 
 /// A child that takes `C` and answers `R`. It ends with this value, and with its parent.
 #[derive(Debug)]
-pub struct Obedient<C, R> {
+pub struct ChildProcess<C, R> {
     name: String,
     child: Child,
     input: Option<ChildStdin>,
-    answers: Receiver<Result<R, serde_json::Error>>,
+    reports: Receiver<Result<R, serde_json::Error>>,
     commands: PhantomData<C>,
 }
 
-impl<C: Serialize, R: DeserializeOwned + Send + 'static> Obedient<C, R> {
+impl<C: Serialize, R: DeserializeOwned + Send + 'static> ChildProcess<C, R> {
     /// Starts `program` with these arguments.
     ///
     /// # Errors
     /// Where it can't be started.
-    pub fn start(program: &Path, arguments: &[&str], name: String) -> Result<Obedient<C, R>, HollowError> {
+    pub fn start(
+        program: &Path,
+        arguments: &[&str],
+        name: String,
+    ) -> Result<ChildProcess<C, R>, HollowError> {
         let mut command = Command::new(program);
         command.args(arguments).stdin(Stdio::piped()).stdout(Stdio::piped());
         let mut child = command.spawn().map_err(io("child"))?;
-        let (sender, answers) = channel();
+        let (sender, reports) = channel();
         let output = child.stdout.take();
         std::thread::spawn(move || {
             let lines = output.into_iter().flat_map(|output| BufReader::new(output).lines());
@@ -43,32 +47,32 @@
             }
         });
         let input = child.stdin.take();
-        Ok(Obedient { name, child, input, answers, commands: PhantomData })
+        Ok(ChildProcess { name, child, input, reports, commands: PhantomData })
     }
 
     /// Tells it something.
     ///
     /// # Errors
     /// Where it has ended.
-    pub fn tell(&mut self, command: &C) -> Result<(), HollowError> {
-        let ended = || HollowError::ChildEnded(self.name.clone());
+    pub fn send_command(&mut self, command: &C) -> Result<(), HollowError> {
+        let exited = || HollowError::ChildExited(self.name.clone());
         let mut text = serde_json::to_vec(command)
-            .map_err(|source| HollowError::Line { child: self.name.clone(), source })?;
+            .map_err(|source| HollowError::Json { child: self.name.clone(), source })?;
         text.push(b'\n');
-        let input = self.input.as_mut().ok_or_else(ended)?;
-        input.write_all(&text).and_then(|()| input.flush()).map_err(|_| ended())
+        let input = self.input.as_mut().ok_or_else(exited)?;
+        input.write_all(&text).and_then(|()| input.flush()).map_err(|_| exited())
     }
 
     /// Its next answer; none within the limit.
     ///
     /// # Errors
     /// Where it has ended, or its line can't be read.
-    pub fn hear(&mut self, limit: Duration) -> Result<Option<R>, HollowError> {
-        match self.answers.recv_timeout(limit) {
-            Ok(Ok(answer)) => Ok(Some(answer)),
-            Ok(Err(source)) => Err(HollowError::Line { child: self.name.clone(), source }),
+    pub fn receive(&mut self, timeout: Duration) -> Result<Option<R>, HollowError> {
+        match self.reports.recv_timeout(timeout) {
+            Ok(Ok(report)) => Ok(Some(report)),
+            Ok(Err(source)) => Err(HollowError::Json { child: self.name.clone(), source }),
             Err(RecvTimeoutError::Timeout) => Ok(None),
-            Err(RecvTimeoutError::Disconnected) => Err(HollowError::ChildEnded(self.name.clone())),
+            Err(RecvTimeoutError::Disconnected) => Err(HollowError::ChildExited(self.name.clone())),
         }
     }
 
@@ -76,17 +80,17 @@
     ///
     /// # Errors
     /// As [`Obedient::hear`], and where there is none within the limit.
-    pub fn ask(&mut self, command: &C, limit: Duration) -> Result<R, HollowError> {
-        self.tell(command)?;
-        let began = Instant::now();
-        self.hear(limit)?.ok_or_else(|| HollowError::NoAnswer {
+    pub fn request(&mut self, command: &C, timeout: Duration) -> Result<R, HollowError> {
+        self.send_command(command)?;
+        let started = Instant::now();
+        self.receive(timeout)?.ok_or_else(|| HollowError::Timeout {
             child: self.name.clone(),
-            seconds: began.elapsed().as_secs_f64(),
+            seconds: started.elapsed().as_secs_f64(),
         })
     }
 }
 
-impl<C, R> Obedient<C, R> {
+impl<C, R> ChildProcess<C, R> {
     /// What it is called.
     pub fn name(&self) -> &str {
         &self.name
@@ -103,7 +107,7 @@
     }
 }
 
-impl<C, R> Drop for Obedient<C, R> {
+impl<C, R> Drop for ChildProcess<C, R> {
     fn drop(&mut self) {
         self.input = None;
         let _ = self.child.kill();
--- a/crates/testkit/src/hollow/known_list.rs
+++ b/crates/testkit/src/hollow/engine_fingerprints.rs
@@ -13,29 +13,29 @@
 
 /// The list of one router.
 #[derive(Clone, Debug, Default)]
-pub struct KnownList {
+pub struct EngineFingerprints {
     /// Engine number and fingerprint, in order of the numbers.
     engines: Vec<(u64, u64)>,
     sum: u64,
 }
 
-impl KnownList {
+impl EngineFingerprints {
     /// Takes a change that the list service told.
     pub fn apply(&mut self, change: &Change) {
         match change.kind {
             MembershipKind::Full => self.replace(change.targets.iter().map(entry_of_target)),
             // Of a list that is not known to be whole nothing is taken away, and a call that failed names nothing.
-            _ => change.targets.iter().map(entry_of_target).for_each(|(id, entry)| self.put(id, entry)),
+            _ => change.targets.iter().map(entry_of_target).for_each(|(id, entry)| self.set(id, entry)),
         }
     }
 
     /// Takes news of a cell's part that a relay told.
-    pub fn apply_part(&mut self, news: &PartUpdate) {
-        match news {
+    pub fn apply_part(&mut self, update: &PartUpdate) {
+        match update {
             PartUpdate::Snapshot(engines) => self.replace(engines.iter().map(entry_of_engine)),
-            PartUpdate::Delta(engines, gone) => {
-                engines.iter().map(entry_of_engine).for_each(|(id, entry)| self.put(id, entry));
-                gone.iter().for_each(|id| self.put(*id, None));
+            PartUpdate::Delta(engines, removed) => {
+                engines.iter().map(entry_of_engine).for_each(|(id, entry)| self.set(id, entry));
+                removed.iter().for_each(|id| self.set(*id, None));
             }
         }
     }
@@ -52,14 +52,14 @@
     }
 
     /// An engine with its fingerprint; none for one that is gone.
-    fn put(&mut self, engine: u64, entry: Option<u64>) {
-        let at = self.engines.binary_search_by_key(&engine, |(known, _)| *known);
-        let before = at.ok().map_or(0, |at| self.engines[at].1);
-        self.sum = self.sum.wrapping_sub(before).wrapping_add(entry.unwrap_or(0));
-        match (at, entry) {
-            (Ok(at), Some(fingerprint)) => self.engines[at].1 = fingerprint,
-            (Ok(at), None) => drop(self.engines.remove(at)),
-            (Err(at), Some(fingerprint)) => self.engines.insert(at, (engine, fingerprint)),
+    fn set(&mut self, engine: u64, entry: Option<u64>) {
+        let index = self.engines.binary_search_by_key(&engine, |(listed, _)| *listed);
+        let previous = index.ok().map_or(0, |index| self.engines[index].1);
+        self.sum = self.sum.wrapping_sub(previous).wrapping_add(entry.unwrap_or(0));
+        match (index, entry) {
+            (Ok(index), Some(fingerprint)) => self.engines[index].1 = fingerprint,
+            (Ok(index), None) => drop(self.engines.remove(index)),
+            (Err(index), Some(fingerprint)) => self.engines.insert(index, (engine, fingerprint)),
             (Err(_), None) => {}
         }
     }
@@ -68,21 +68,21 @@
 fn entry_of_target(target: &Target) -> (u64, Option<u64>) {
     let entry = &target.entry;
     let (id, draining) = (entry.engine.0, entry.state == EngineState::Draining);
-    let one = fingerprint(id, target.address, draining, entry.started_ns.unwrap_or(0) / 1_000_000);
-    (id, (entry.state != EngineState::Gone).then_some(one))
+    let value = fingerprint(id, target.address, draining, entry.started_ns.unwrap_or(0) / 1_000_000);
+    (id, (entry.state != EngineState::Gone).then_some(value))
 }
 
 fn entry_of_engine(engine: &Engine) -> (u64, Option<u64>) {
     let draining = engine.state == CellEngineState::Draining;
-    let one = fingerprint(engine.id, engine.address, draining, engine.started_ms);
-    (engine.id, (engine.state != CellEngineState::Gone).then_some(one))
+    let value = fingerprint(engine.id, engine.address, draining, engine.started_ms);
+    (engine.id, (engine.state != CellEngineState::Gone).then_some(value))
 }
 
 /// A number that differs where an engine's name, address, state or start differs.
 pub fn fingerprint(engine: u64, address: SocketAddr, draining: bool, boot_ms: u64) -> u64 {
     let host = match address {
-        SocketAddr::V4(at) => u128::from(u32::from(*at.ip())),
-        SocketAddr::V6(at) => u128::from(*at.ip()),
+        SocketAddr::V4(v4) => u128::from(u32::from(*v4.ip())),
+        SocketAddr::V6(v6) => u128::from(*v6.ip()),
     };
     let parts =
         [engine, host as u64, (host >> 64) as u64, u64::from(address.port()), u64::from(draining), boot_ms];
--- a/crates/testkit/src/hollow/engine_table.rs
+++ b/crates/testkit/src/hollow/engine_table.rs
@@ -9,8 +9,8 @@
 
 use serde_json::Value;
 
-use super::known_list::fingerprint;
-use super::protocol::{Expected, ListedState};
+use super::engine_fingerprints::fingerprint;
+use super::protocol::{ExpectedLists, ListedState};
 
 /// Zones that engines and routers are in (count).
 pub const ZONES: u32 = 25;
@@ -22,7 +22,7 @@
 
 /// One engine.
 #[derive(Clone, Copy, Debug)]
-struct Row {
+struct EngineRow {
     state: ListedState,
     /// How often it was replaced: each time under a new name.
     generation: u32,
@@ -31,7 +31,7 @@
 /// All engines.
 #[derive(Clone, Debug)]
 pub struct EngineTable {
-    rows: Vec<Row>,
+    rows: Vec<EngineRow>,
 }
 
 /// The name of an engine's zone, or of a router's.
@@ -40,7 +40,7 @@
 }
 
 /// Settings with the names of all zones; their router is in the first.
-pub fn in_zones(mut settings: Value) -> Value {
+pub fn with_zones(mut settings: Value) -> Value {
     settings["azs"] = (0..ZONES).map(zone_name).collect();
     settings["zone"] = zone_name(0).into();
     settings
@@ -49,47 +49,51 @@
 impl EngineTable {
     /// So many engines, in service.
     pub fn new(engines: u32) -> EngineTable {
-        EngineTable { rows: vec![Row { state: ListedState::InService, generation: 0 }; engines as usize] }
+        EngineTable {
+            rows: vec![EngineRow { state: ListedState::InService, generation: 0 }; engines as usize],
+        }
     }
 
     /// Gives engines a state; numbers that there are not are passed over. Gives the event's targets as text.
     pub fn set(&mut self, engines: &[u32], state: ListedState) -> String {
-        let known: Vec<u32> = engines.iter().copied().filter(|e| (*e as usize) < self.rows.len()).collect();
-        known.iter().for_each(|engine| self.rows[*engine as usize].state = state);
-        self.targets(known.into_iter())
+        let valid: Vec<u32> = engines.iter().copied().filter(|e| (*e as usize) < self.rows.len()).collect();
+        valid.iter().for_each(|engine| self.rows[*engine as usize].state = state);
+        self.targets(valid.into_iter())
     }
 
     /// Starts engines anew: the old names are gone, new ones are in service. Gives the event's targets as text.
     pub fn replace(&mut self, engines: &[u32]) -> String {
-        let gone = self.set(engines, ListedState::Terminated);
+        let terminated = self.set(engines, ListedState::Terminated);
         for engine in engines {
             if let Some(row) = self.rows.get_mut(*engine as usize) {
                 row.generation += 1;
             }
         }
-        let there = self.set(engines, ListedState::InService);
-        [gone, there].into_iter().filter(|text| !text.is_empty()).collect::<Vec<_>>().join(",")
+        let listed = self.set(engines, ListedState::InService);
+        [terminated, listed].into_iter().filter(|text| !text.is_empty()).collect::<Vec<_>>().join(",")
     }
 
     /// The targets of the whole list as text.
-    pub fn whole(&self) -> String {
-        let there = |engine: &u32| self.rows[*engine as usize].state != ListedState::Terminated;
-        self.targets((0..self.rows.len() as u32).filter(there))
+    pub fn full_list(&self) -> String {
+        let listed = |engine: &u32| self.rows[*engine as usize].state != ListedState::Terminated;
+        self.targets((0..self.rows.len() as u32).filter(listed))
     }
 
     /// What the list is, and what the part of each of so many cells a zone is.
-    pub fn expected(&self, cells: u32) -> Expected {
-        let mut expected =
-            Expected { parts: vec![Default::default(); (ZONES * cells) as usize], ..Expected::default() };
+    pub fn expected(&self, cells: u32) -> ExpectedLists {
+        let mut expected = ExpectedLists {
+            parts: vec![Default::default(); (ZONES * cells) as usize],
+            ..ExpectedLists::default()
+        };
         for (number, row) in self.rows.iter().enumerate().filter(|(_, r)| r.state != ListedState::Terminated)
         {
-            let engine = as_told(number as u32, *row);
+            let engine = to_cell_engine(number as u32, *row);
             let draining = engine.state == EngineState::Draining;
-            let one = fingerprint(engine.id, engine.address, draining, engine.started_ms);
-            expected.whole.add(one);
+            let value = fingerprint(engine.id, engine.address, draining, engine.started_ms);
+            expected.full_list.add(value);
             if cells > 0 {
                 let cell = cell_of(&engine, cells, DivideBy::Engine);
-                expected.parts[part_of(number as u32, cells, cell)].add(one);
+                expected.parts[part_index(number as u32, cells, cell)].add(value);
             }
         }
         expected
@@ -98,7 +102,7 @@
     fn targets(&self, engines: impl Iterator<Item = u32>) -> String {
         let mut text = String::new();
         for engine in engines {
-            let Row { state, generation } = self.rows[engine as usize];
+            let EngineRow { state, generation } = self.rows[engine as usize];
             let state = match state {
                 ListedState::InService => "in_service",
                 ListedState::Terminating => "terminating",
@@ -120,12 +124,12 @@
 }
 
 /// The place of a cell's part among all parts, by the number of an engine or router of its zone.
-pub fn part_of(number: u32, cells: u32, cell: u32) -> usize {
+pub fn part_index(number: u32, cells: u32, cell: u32) -> usize {
     (number % ZONES * cells + cell) as usize
 }
 
 /// An engine as relays are to tell of it.
-fn as_told(number: u32, row: Row) -> Engine {
+fn to_cell_engine(number: u32, row: EngineRow) -> Engine {
     let draining = row.state == ListedState::Terminating;
     Engine {
         id: engine_id(&name(number, row.generation)).0,
--- a/crates/testkit/src/hollow/fleet.rs
+++ b/crates/testkit/src/hollow/fleet.rs
@@ -5,10 +5,11 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use super::child::Obedient;
+use super::child::ChildProcess;
 use super::protocol::{
-    CellsSetup, Expected, FleetSetup, HostCommand, HostReport, HostSetup, ListSource, ListedState, PaceSetup,
-    RouterReport, RouterStart, ServiceCommand, ServiceCounters, ServiceReport, ServiceSetup, ToldEvent,
+    CellsSetup, ExpectedLists, FleetSetup, HostCommand, HostReport, HostSetup, ListSource, ListedState,
+    PaceSetup, RouterReport, RouterStart, SentChange, ServiceCommand, ServiceCounters, ServiceReport,
+    ServiceSetup,
 };
 use super::usage::Usage;
 use super::HollowError;
@@ -16,7 +17,7 @@
 /// Routers that others join by (count).
 const SEEDS: u32 = 3;
 /// Longest wait for an answer that takes no waiting of its own.
-const ANSWER: Duration = Duration::from_secs(60);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How many of what.
 #[derive(Clone, Debug)]
@@ -67,17 +68,17 @@
 /// See [`SERVICE`].
 pub const HOST: &str = "hollow-host";
 
-type Host = Obedient<HostCommand, HostReport>;
+type Host = ChildProcess<HostCommand, HostReport>;
 
 /// The fleet.
 pub struct HollowFleet {
     plan: FleetPlan,
-    service: Obedient<ServiceCommand, ServiceReport>,
+    service: ChildProcess<ServiceCommand, ServiceReport>,
     /// Hosts of routers, then those of relays.
     hosts: Vec<Host>,
     relays: Vec<SocketAddr>,
-    lists: Vec<SocketAddr>,
-    there: BTreeSet<u32>,
+    list_service_addresses: Vec<SocketAddr>,
+    running: BTreeSet<u32>,
 }
 
 impl HollowFleet {
@@ -86,7 +87,7 @@
     /// # Errors
     /// Where a process can't be started.
     pub fn start(plan: FleetPlan) -> Result<HollowFleet, HollowError> {
-        let mut service = Obedient::start(&plan.program, &[SERVICE], "the list service".to_owned())?;
+        let mut service = ChildProcess::start(&plan.program, &[SERVICE], "the list service".to_owned())?;
         let setup = ServiceSetup {
             routers: plan.listeners(),
             engines: plan.engines,
@@ -94,15 +95,23 @@
             calls_per_s: plan.calls_per_s,
             concurrent_snapshots: plan.concurrent_snapshots,
         };
-        let ServiceReport::Started(lists) = service.ask(&ServiceCommand::Start(setup), ANSWER)? else {
-            return Err(other(service.name(), "Started"));
+        let ServiceReport::Started(list_service_addresses) =
+            service.request(&ServiceCommand::Start(setup), RESPONSE_TIMEOUT)?
+        else {
+            return Err(unexpected(service.name(), "Started"));
         };
         let mut hosts = Vec::new();
         for number in 0..plan.hosts + plan.cells.map_or(0, |cells| cells.hosts) {
             hosts.push(Host::start(&plan.program, &[HOST], format!("host {number}"))?);
         }
-        let mut fleet =
-            HollowFleet { plan, service, hosts, relays: Vec::new(), lists, there: BTreeSet::new() };
+        let mut fleet = HollowFleet {
+            plan,
+            service,
+            hosts,
+            relays: Vec::new(),
+            list_service_addresses,
+            running: BTreeSet::new(),
+        };
         fleet.set_up_hosts()?;
         Ok(fleet)
     }
@@ -118,7 +127,7 @@
             fleet: self.plan.fleet.clone(),
         };
         for host in &mut self.hosts {
-            host.tell(&HostCommand::Setup(Box::new(setup.clone())))?;
+            host.send_command(&HostCommand::Setup(Box::new(setup.clone())))?;
         }
         self.expect_done()
     }
@@ -141,13 +150,13 @@
     }
 
     /// Where a router finds the list service, by number: the real ones' come behind the hollow ones'.
-    pub fn list_address(&self, router: u32) -> Option<SocketAddr> {
-        self.lists.get(router as usize).copied()
+    pub fn list_service_address(&self, router: u32) -> Option<SocketAddr> {
+        self.list_service_addresses.get(router as usize).copied()
     }
 
     /// Numbers of the hollow routers that are there.
-    pub fn there(&self) -> &BTreeSet<u32> {
-        &self.there
+    pub fn running(&self) -> &BTreeSet<u32> {
+        &self.running
     }
 
     /// Starts routers, anew where they are there.
@@ -155,19 +164,20 @@
     /// # Errors
     /// Where one gets no sockets.
     pub fn start_routers(&mut self, numbers: &[u32]) -> Result<Vec<(u32, Option<SocketAddr>)>, HollowError> {
-        let of_host = self.by_host(numbers);
-        for (host, numbers) in self.hosts.iter_mut().zip(&of_host) {
-            let list = |number: &u32| self.lists.get(*number as usize).map(|list| (*number, *list));
+        let routers_by_host = self.by_host(numbers);
+        for (host, numbers) in self.hosts.iter_mut().zip(&routers_by_host) {
+            let list =
+                |number: &u32| self.list_service_addresses.get(*number as usize).map(|list| (*number, *list));
             let starts = numbers.iter().filter_map(list).map(|(number, list)| {
                 let relay = number >= self.plan.first_relay();
                 RouterStart { number, list, relay }
             });
-            host.tell(&HostCommand::Start(starts.collect()))?;
+            host.send_command(&HostCommand::Start(starts.collect()))?;
         }
-        self.there.extend(numbers);
+        self.running.extend(numbers);
         let mut started = Vec::new();
         for host in &mut self.hosts {
-            started.extend(expect(host, ANSWER, "Started", |report| match report {
+            started.extend(expect_report(host, RESPONSE_TIMEOUT, "Started", |report| match report {
                 HostReport::Started(routers) => Some(routers),
                 _ => None,
             })?);
@@ -189,7 +199,7 @@
     fn list_source(&self) -> ListSource {
         match self.plan.cells {
             None if self.plan.list => ListSource::Service,
-            None => ListSource::Nowhere,
+            None => ListSource::Disabled,
             Some(CellsPlan { cells, ask_ns, .. }) => {
                 ListSource::Relays(CellsSetup { cells, ask_ns, relays: self.relays.clone() })
             }
@@ -214,9 +224,9 @@
     /// # Errors
     /// Where a host has ended.
     pub fn reload_keys(&mut self, numbers: &[u32]) -> Result<(), HollowError> {
-        let of_host = self.by_host(numbers);
-        for (host, numbers) in self.hosts.iter_mut().zip(of_host) {
-            host.tell(&HostCommand::ReloadKeys(numbers))?;
+        let routers_by_host = self.by_host(numbers);
+        for (host, numbers) in self.hosts.iter_mut().zip(routers_by_host) {
+            host.send_command(&HostCommand::ReloadKeys(numbers))?;
         }
         self.expect_done()
     }
@@ -226,18 +236,20 @@
     /// # Errors
     /// Where a host has ended.
     pub fn stop_routers(&mut self, numbers: &[u32]) -> Result<(), HollowError> {
-        let of_host = self.by_host(numbers);
-        for (host, numbers) in self.hosts.iter_mut().zip(of_host) {
-            host.tell(&HostCommand::Stop(numbers))?;
+        let routers_by_host = self.by_host(numbers);
+        for (host, numbers) in self.hosts.iter_mut().zip(routers_by_host) {
+            host.send_command(&HostCommand::Stop(numbers))?;
         }
         self.expect_done()?;
-        self.there.retain(|number| !numbers.contains(number));
+        self.running.retain(|number| !numbers.contains(number));
         Ok(())
     }
 
     fn expect_done(&mut self) -> Result<(), HollowError> {
         for host in &mut self.hosts {
-            expect(host, ANSWER, "Done", |report| matches!(report, HostReport::Done).then_some(()))?;
+            expect_report(host, RESPONSE_TIMEOUT, "Done", |report| {
+                matches!(report, HostReport::Done).then_some(())
+            })?;
         }
         Ok(())
     }
@@ -258,22 +270,22 @@
     ///
     /// # Errors
     /// Where the service has ended.
-    pub fn change(&mut self, engines: Vec<u32>, state: ListedState) -> Result<ToldEvent, HollowError> {
-        self.told(&ServiceCommand::Change { engines, state })
+    pub fn change(&mut self, engines: Vec<u32>, state: ListedState) -> Result<SentChange, HollowError> {
+        self.send_change(&ServiceCommand::Change { engines, state })
     }
 
     /// Starts engines anew under other names, and tells all who follow.
     ///
     /// # Errors
     /// Where the service has ended.
-    pub fn replace(&mut self, engines: Vec<u32>) -> Result<ToldEvent, HollowError> {
-        self.told(&ServiceCommand::Replace { engines })
+    pub fn replace(&mut self, engines: Vec<u32>) -> Result<SentChange, HollowError> {
+        self.send_change(&ServiceCommand::Replace { engines })
     }
 
-    fn told(&mut self, command: &ServiceCommand) -> Result<ToldEvent, HollowError> {
-        match self.service.ask(command, ANSWER)? {
-            ServiceReport::Told(event) => Ok(event),
-            _ => Err(other(self.service.name(), "Told")),
+    fn send_change(&mut self, command: &ServiceCommand) -> Result<SentChange, HollowError> {
+        match self.service.request(command, RESPONSE_TIMEOUT)? {
+            ServiceReport::ChangeSent(event) => Ok(event),
+            _ => Err(unexpected(self.service.name(), "Told")),
         }
     }
 
@@ -281,10 +293,10 @@
     ///
     /// # Errors
     /// Where the service has ended.
-    pub fn fault(&mut self, command: &ServiceCommand) -> Result<(), HollowError> {
-        match self.service.ask(command, ANSWER)? {
+    pub fn inject_fault(&mut self, command: &ServiceCommand) -> Result<(), HollowError> {
+        match self.service.request(command, RESPONSE_TIMEOUT)? {
             ServiceReport::Done => Ok(()),
-            _ => Err(other(self.service.name(), "Done")),
+            _ => Err(unexpected(self.service.name(), "Done")),
         }
     }
 
@@ -293,9 +305,9 @@
     /// # Errors
     /// Where the service has ended.
     pub fn counters(&mut self) -> Result<ServiceCounters, HollowError> {
-        match self.service.ask(&ServiceCommand::Report, ANSWER)? {
+        match self.service.request(&ServiceCommand::Report, RESPONSE_TIMEOUT)? {
             ServiceReport::Counters(counters) => Ok(counters),
-            _ => Err(other(self.service.name(), "Counters")),
+            _ => Err(unexpected(self.service.name(), "Counters")),
         }
     }
 
@@ -306,14 +318,14 @@
     /// Where a host has ended.
     pub fn await_list(
         &mut self,
-        expected: &Expected,
+        expected: &ExpectedLists,
         limit: Duration,
     ) -> Result<Option<Vec<(u32, u64)>>, HollowError> {
-        let wanted = |report| match report {
-            HostReport::ListReached(reached, when) if reached == expected.whole => Some(when),
+        let awaited = |report| match report {
+            HostReport::ListReached(reached, reached_ns) if reached == expected.full_list => Some(reached_ns),
             _ => None,
         };
-        let all = self.await_all(&HostCommand::AwaitList(expected.clone()), limit, wanted)?;
+        let all = self.await_all(&HostCommand::AwaitList(expected.clone()), limit, awaited)?;
         Ok(all.map(|hosts| hosts.into_iter().flatten().collect()))
     }
 
@@ -322,11 +334,11 @@
     /// # Errors
     /// Where a host has ended.
     pub fn await_peers(&mut self, peers: u32, limit: Duration) -> Result<Option<u64>, HollowError> {
-        let wanted = |report| match report {
-            HostReport::PeersReached(reached, when) if reached == peers => Some(when),
+        let awaited = |report| match report {
+            HostReport::PeersReached(reached, reached_ns) if reached == peers => Some(reached_ns),
             _ => None,
         };
-        let all = self.await_all(&HostCommand::AwaitPeers(peers), limit, wanted)?;
+        let all = self.await_all(&HostCommand::AwaitPeers(peers), limit, awaited)?;
         Ok(all.and_then(|hosts| hosts.into_iter().max()))
     }
 
@@ -334,15 +346,15 @@
         &mut self,
         command: &HostCommand,
         limit: Duration,
-        wanted: impl Fn(HostReport) -> Option<T>,
+        awaited: impl Fn(HostReport) -> Option<T>,
     ) -> Result<Option<Vec<T>>, HollowError> {
-        let end = Instant::now() + limit;
+        let deadline = Instant::now() + limit;
         for host in &mut self.hosts {
-            host.tell(command)?;
+            host.send_command(command)?;
         }
         let mut all = Vec::new();
         for host in &mut self.hosts {
-            match hear_wanted(host, end, &wanted)? {
+            match await_report(host, deadline, &awaited)? {
                 Some(answer) => all.push(answer),
                 None => return Ok(None),
             }
@@ -356,11 +368,11 @@
     /// Where a host has ended.
     pub fn reports(&mut self) -> Result<Vec<RouterReport>, HollowError> {
         for host in &mut self.hosts {
-            host.tell(&HostCommand::Report)?;
+            host.send_command(&HostCommand::Report)?;
         }
         let mut all = Vec::new();
         for host in &mut self.hosts {
-            all.extend(expect(host, ANSWER, "Routers", |report| match report {
+            all.extend(expect_report(host, RESPONSE_TIMEOUT, "Routers", |report| match report {
                 HostReport::Routers(routers) => Some(routers),
                 _ => None,
             })?);
@@ -371,12 +383,12 @@
 
     /// What the routers' hosts used so far, together.
     pub fn hosts_usage(&self) -> Usage {
-        sum_of(&self.hosts[..self.plan.hosts as usize])
+        total_usage(&self.hosts[..self.plan.hosts as usize])
     }
 
     /// What the relays' hosts used so far, together.
     pub fn relays_usage(&self) -> Usage {
-        sum_of(&self.hosts[self.plan.hosts as usize..])
+        total_usage(&self.hosts[self.plan.hosts as usize..])
     }
 
     /// What the list service used so far.
@@ -385,8 +397,8 @@
     }
 
     /// Numbers of the hosts' processes.
-    pub fn host_ids(&self) -> Vec<u32> {
-        self.hosts.iter().map(Obedient::id).collect()
+    pub fn host_pids(&self) -> Vec<u32> {
+        self.hosts.iter().map(ChildProcess::id).collect()
     }
 
     /// Processes of the fleet (count).
@@ -411,37 +423,37 @@
     }
 }
 
-fn sum_of(hosts: &[Host]) -> Usage {
-    hosts.iter().map(Obedient::usage).fold(Usage::default(), |sum, one| Usage {
+fn total_usage(hosts: &[Host]) -> Usage {
+    hosts.iter().map(ChildProcess::usage).fold(Usage::default(), |sum, one| Usage {
         processor_ns: sum.processor_ns + one.processor_ns,
         resident_kb: sum.resident_kb + one.resident_kb,
         peak_kb: sum.peak_kb + one.peak_kb,
     })
 }
 
-fn other(child: &str, wanted: &'static str) -> HollowError {
-    HollowError::OtherAnswer { child: child.to_owned(), wanted }
+fn unexpected(child: &str, awaited: &'static str) -> HollowError {
+    HollowError::UnexpectedReport { child: child.to_owned(), awaited }
 }
 
 /// The next answer of a kind. What was waited for earlier, and given up, may come before it.
-fn expect<T>(
+fn expect_report<T>(
     host: &mut Host,
     limit: Duration,
     kind: &'static str,
-    wanted: impl Fn(HostReport) -> Option<T>,
+    awaited: impl Fn(HostReport) -> Option<T>,
 ) -> Result<T, HollowError> {
-    hear_wanted(host, Instant::now() + limit, &wanted)?.ok_or_else(|| other(host.name(), kind))
+    await_report(host, Instant::now() + limit, &awaited)?.ok_or_else(|| unexpected(host.name(), kind))
 }
 
-fn hear_wanted<T>(
+fn await_report<T>(
     host: &mut Host,
-    end: Instant,
-    wanted: &impl Fn(HostReport) -> Option<T>,
+    deadline: Instant,
+    awaited: &impl Fn(HostReport) -> Option<T>,
 ) -> Result<Option<T>, HollowError> {
     loop {
-        match host.hear(end.saturating_duration_since(Instant::now()))? {
+        match host.receive(deadline.saturating_duration_since(Instant::now()))? {
             Some(report) => {
-                if let Some(answer) = wanted(report) {
+                if let Some(answer) = awaited(report) {
                     return Ok(Some(answer));
                 }
             }
--- a/crates/testkit/src/hollow/fleet_side.rs
+++ b/crates/testkit/src/hollow/fleet_member.rs
@@ -33,8 +33,8 @@
 const OVERRIDE_MEMORY_NS: u64 = 86_400_000_000_000;
 
 /// The longest that a datagram takes, and engines of a cell, for which bounds are computed.
-const DELAY_NS: u64 = 100_000_000;
-const ENGINES_OF_A_CELL: u32 = 150;
+const MAX_DELAY_NS: u64 = 100_000_000;
+const ENGINES_PER_CELL: u32 = 150;
 /// How often the list service says something at least (ns).
 const COMMENT_NS: u64 = 1_000_000_000;
 
@@ -45,14 +45,14 @@
 
 /// What a router does about the list, by the fleet's word.
 #[derive(Clone, Copy, Debug)]
-pub struct ListRoleOf<'a> {
+pub struct ListRoleSetup<'a> {
     /// Where routers learn the list.
     pub source: &'a ListSource,
     /// Whether this one is a relay.
     pub relay: bool,
 }
 
-impl ListRoleOf<'_> {
+impl ListRoleSetup<'_> {
     fn config(self, engines: u32) -> Option<ListConfig> {
         let ListSource::Relays(setup) = self.source else { return None };
         let cell = ListRole::Cell {
@@ -67,14 +67,14 @@
         Some(ListConfig {
             role: if self.relay { ListRole::Relay } else { cell },
             ask_ns: setup.ask_ns,
-            delay_ns: DELAY_NS,
-            timing: timing(),
+            delay_ns: MAX_DELAY_NS,
+            timing: list_timing(),
         })
     }
 }
 
 /// As the program makes them of how the list service is called.
-fn timing() -> ListTiming {
+fn list_timing() -> ListTiming {
     let pace = PacingParams::default();
     ListTiming {
         silence_ns: SILENT_NS + COMMENT_NS,
@@ -85,11 +85,11 @@
 
 /// What a router's side is started with.
 #[derive(Clone, Copy)]
-pub struct SideStart<'a> {
+pub struct MemberStart<'a> {
     /// What the fleet's routers say to each other.
     pub setup: &'a FleetSetup,
     /// What this one does about the list.
-    pub list: ListRoleOf<'a>,
+    pub list: ListRoleSetup<'a>,
     /// Its number, of so many routers.
     pub number: u32,
     /// See `number`.
@@ -104,7 +104,7 @@
     pub names: &'a Names,
 }
 
-impl SideStart<'_> {
+impl MemberStart<'_> {
     fn config(&self) -> FleetConfig {
         let setup = self.setup;
         let listen = self.address.map_or_else(|| "127.0.0.1:0".to_owned(), |at| at.to_string());
@@ -136,19 +136,19 @@
             limits: setup.limit_per_s.map(limit).into_iter().collect(),
             cold: false,
             health: setup.health.then_some(health),
-            list: self.list.config(ENGINES_OF_A_CELL),
+            list: self.list.config(ENGINES_PER_CELL),
         }
     }
 }
 
 /// The fleet's side of one router.
-pub struct FleetSide {
+pub struct FleetMember {
     runtime: FleetRuntime,
     config: FleetConfig,
     cell: Option<u32>,
 }
 
-impl FleetSide {
+impl FleetMember {
     /// Opens its socket; gives the side, and the router with its limits and health.
     ///
     /// # Errors
@@ -156,10 +156,10 @@
     pub fn start(
         now: u64,
         (registry, token): (&Registry, Token),
-        start: SideStart,
+        start: MemberStart,
         router: Router,
-    ) -> Result<(FleetSide, Router), HollowError> {
-        let SideStart { number, routers, seed, settings, names, .. } = start;
+    ) -> Result<(FleetMember, Router), HollowError> {
+        let MemberStart { number, routers, seed, settings, names, .. } = start;
         let config = start.config();
         let name = format!("router-{number:04}");
         let identity = RouterIdentity { name, number, zone: Some(zone_name(number)), seed };
@@ -169,7 +169,7 @@
         let FleetStart { runtime, limits, health } =
             started.map_err(|fault| HollowError::Fleet { number, reason: fault.to_string() })?;
         let router = router.with_limits(Some(limits)).with_health(health);
-        Ok((FleetSide { runtime, config, cell: cell.map(|cell| cell.id.cell) }, router))
+        Ok((FleetMember { runtime, config, cell: cell.map(|cell| cell.id.cell) }, router))
     }
 
     /// The program's runtime.
--- a/crates/testkit/src/hollow/host.rs
+++ b/crates/testkit/src/hollow/host.rs
@@ -9,14 +9,14 @@
 use marljunction_net::clock::Clock;
 use mio::{Events, Poll};
 
-use super::protocol::{Expected, HostCommand, HostReport, RouterStart};
+use super::protocol::{ExpectedLists, HostCommand, HostReport, RouterStart};
 use super::router::{HollowRouter, Shared, TOKEN_BITS};
-use super::{answer, io, read_commands, HollowError, COMMAND_TOKEN};
+use super::{io, read_commands, write_report, HollowError, COMMAND_TOKEN};
 
 /// How often time is passed to each router (ns): as often as the program does.
 const TICK_NS: u64 = 20_000_000;
 /// Time for which sockets are served before new events are asked for (ns).
-const WORK_NS: u64 = 10_000_000;
+const MAX_SERVE_NS: u64 = 10_000_000;
 
 /// A host.
 struct Host {
@@ -32,9 +32,9 @@
     /// Sockets with something to take, in turn, and the same as a set.
     pending: VecDeque<u64>,
     is_pending: BTreeSet<u64>,
-    awaited_list: Option<Expected>,
+    awaited_list: Option<ExpectedLists>,
     awaited_peers: Option<u32>,
-    ticked_ns: u64,
+    last_tick_ns: u64,
 }
 
 /// Runs a host until its input ends.
@@ -56,17 +56,17 @@
         is_pending: BTreeSet::new(),
         awaited_list: None,
         awaited_peers: None,
-        ticked_ns: 0,
+        last_tick_ns: 0,
     };
     let mut events = Events::with_capacity(4_096);
     loop {
         host.run_iteration(&mut events)?;
         while let Ok(command) = commands.try_recv() {
-            if let Some(report) = host.obey(command)? {
-                answer(&report)?;
+            if let Some(report) = host.handle_command(command)? {
+                write_report(&report)?;
             }
         }
-        host.answer_awaited()?;
+        host.report_awaited()?;
     }
 }
 
@@ -74,24 +74,25 @@
     /// Takes what has come, up to a time, and passes time to routers that have nothing left to take: a router hears what waits for
     /// it before it judges how long it heard nothing, as one with a process of its own does.
     fn run_iteration(&mut self, events: &mut Events) -> Result<(), HollowError> {
-        let due = (self.ticked_ns + TICK_NS).saturating_sub(self.clock.now_ns());
-        let wait = if self.pending.is_empty() { Duration::from_nanos(due) } else { Duration::ZERO };
-        match self.poll.poll(events, Some(wait)) {
-            Err(fault) if fault.kind() != ErrorKind::Interrupted => return Err(io("poll")(fault)),
+        let until_tick_ns = (self.last_tick_ns + TICK_NS).saturating_sub(self.clock.now_ns());
+        let timeout =
+            if self.pending.is_empty() { Duration::from_nanos(until_tick_ns) } else { Duration::ZERO };
+        match self.poll.poll(events, Some(timeout)) {
+            Err(error) if error.kind() != ErrorKind::Interrupted => return Err(io("poll")(error)),
             _ => {}
         }
         for event in events.iter().filter(|event| event.token() != COMMAND_TOKEN) {
             self.add_pending(event.token().0 as u64);
         }
-        let end_ns = self.clock.now_ns() + WORK_NS;
+        let end_ns = self.clock.now_ns() + MAX_SERVE_NS;
         while self.clock.now_ns() < end_ns {
             let Some(token) = self.pending.pop_front() else { break };
             self.is_pending.remove(&token);
             self.ready(token);
         }
         let now = self.clock.now_ns();
-        if now >= self.ticked_ns + TICK_NS {
-            self.ticked_ns = now;
+        if now >= self.last_tick_ns + TICK_NS {
+            self.last_tick_ns = now;
             let busy: BTreeSet<usize> = self.is_pending.iter().map(|token| slot_of(*token)).collect();
             for (slot, router) in self.routers.iter_mut().enumerate() {
                 if let Some(router) = router.as_mut().filter(|_| !busy.contains(&slot)) {
@@ -111,11 +112,11 @@
     fn ready(&mut self, token: u64) {
         let now = self.clock.now_ns();
         let Some(router) = self.router_at(slot_of(token)) else { return };
-        let more = match is_datagrams(token) {
-            true => router.ready_fleet(now),
+        let has_more = match is_datagram_socket(token) {
+            true => router.ready_datagrams(now),
             false => router.ready(now, token),
         };
-        if more {
+        if has_more {
             self.add_pending(token);
         }
     }
@@ -124,7 +125,7 @@
         self.routers.get_mut(slot)?.as_mut()
     }
 
-    fn obey(&mut self, command: HostCommand) -> Result<Option<HostReport>, HollowError> {
+    fn handle_command(&mut self, command: HostCommand) -> Result<Option<HostReport>, HollowError> {
         match command {
             HostCommand::Setup(setup) => self.shared = Some(Shared::new(*setup)?),
             HostCommand::Start(starts) => return self.start(&starts).map(Some),
@@ -139,8 +140,8 @@
             }
             HostCommand::ReloadKeys(numbers) => {
                 let now = self.clock.now_ns();
-                let of_them = |router: &&mut HollowRouter| numbers.contains(&router.number());
-                self.routers.iter_mut().flatten().filter(of_them).for_each(|router| router.reload_keys(now));
+                let matching = |router: &&mut HollowRouter| numbers.contains(&router.number());
+                self.routers.iter_mut().flatten().filter(matching).for_each(|router| router.reload_keys(now));
             }
             HostCommand::Report => {
                 let reports = self.routers.iter().flatten().map(HollowRouter::report);
@@ -162,9 +163,16 @@
             // The life before goes first, with its sockets.
             self.routers[slot] = None;
             let now = self.clock.now_ns();
-            let place = (slot, self.incarnations % (1 << 12));
+            let slot_and_incarnation = (slot, self.incarnations % (1 << 12));
             let address = self.addresses.get(&start.number).copied();
-            let router = HollowRouter::start(now, self.poll.registry(), shared, *start, place, address)?;
+            let router = HollowRouter::start(
+                now,
+                self.poll.registry(),
+                shared,
+                *start,
+                slot_and_incarnation,
+                address,
+            )?;
             self.addresses.extend(router.fleet_address().map(|address| (start.number, address)));
             started.push((start.number, router.fleet_address()));
             self.routers[slot] = Some(router);
@@ -179,20 +187,20 @@
     }
 
     /// Answers what is waited for, once it is so.
-    fn answer_awaited(&mut self) -> Result<(), HollowError> {
+    fn report_awaited(&mut self) -> Result<(), HollowError> {
         if let Some(expected) = &self.awaited_list {
-            if self.routers.iter().flatten().all(|router| router.has(expected)) {
-                let digest = expected.whole;
+            if self.routers.iter().flatten().all(|router| router.has_list(expected)) {
+                let digest = expected.full_list;
                 self.awaited_list = None;
                 let routers = self.routers.iter().flatten();
-                let reached = routers.map(|router| (router.number(), router.list_since_ns())).collect();
-                answer(&HostReport::ListReached(digest, reached))?;
+                let reached = routers.map(|router| (router.number(), router.list_changed_ns())).collect();
+                write_report(&HostReport::ListReached(digest, reached))?;
             }
         }
         if let Some(peers) = self.awaited_peers {
             if self.routers.iter().flatten().all(|router| router.peers() == peers) {
                 self.awaited_peers = None;
-                answer(&HostReport::PeersReached(peers, self.clock.now_ns()))?;
+                write_report(&HostReport::PeersReached(peers, self.clock.now_ns()))?;
             }
         }
         Ok(())
@@ -202,10 +210,10 @@
 /// The place of the router that a token is of: sockets for datagrams have it as their token, connections have it, counted from one,
 /// above their own numbers.
 fn slot_of(token: u64) -> usize {
-    let above = (token >> TOKEN_BITS) as usize;
-    above.checked_sub(1).unwrap_or(token as usize)
+    let slot_plus_one = (token >> TOKEN_BITS) as usize;
+    slot_plus_one.checked_sub(1).unwrap_or(token as usize)
 }
 
-fn is_datagrams(token: u64) -> bool {
+fn is_datagram_socket(token: u64) -> bool {
     token >> TOKEN_BITS == 0
 }
--- a/crates/testkit/src/hollow/key_files.rs
+++ b/crates/testkit/src/hollow/key_files.rs
@@ -2,12 +2,12 @@
 
 use std::path::{Path, PathBuf};
 
-use super::fleet_side::{key_file, REGIONS};
+use super::fleet_member::{key_file, REGIONS};
 use super::{io, HollowError};
 use crate::fleet::KEY;
 
 /// Another key than all regions have at first.
-const OTHER_KEY: &str = "6f746865722d6b65792d6f662d612d726567696f6e2d746861742069732063ff";
+const PARTITION_KEY: &str = "6f746865722d6b65792d6f662d612d726567696f6e2d746861742069732063ff";
 
 /// The files, in a folder that goes with this value.
 #[derive(Debug)]
@@ -23,7 +23,7 @@
         std::fs::create_dir_all(&dir).map_err(io("keys"))?;
         let files = KeyFiles(dir);
         for region in 0..REGIONS {
-            files.set_cut(region, false)?;
+            files.set_partitioned(region, false)?;
         }
         Ok(files)
     }
@@ -32,8 +32,8 @@
     ///
     /// # Errors
     /// Where it can't be written.
-    pub fn set_cut(&self, region: u32, cut: bool) -> Result<(), HollowError> {
-        let key = if cut { OTHER_KEY } else { KEY };
+    pub fn set_partitioned(&self, region: u32, partitioned: bool) -> Result<(), HollowError> {
+        let key = if partitioned { PARTITION_KEY } else { KEY };
         std::fs::write(key_file(&self.0, region), key).map_err(io("keys"))
     }
 
--- a/crates/testkit/src/hollow/mod.rs
+++ b/crates/testkit/src/hollow/mod.rs
@@ -8,12 +8,12 @@
 //! - Bytes are counted by both sides: by the service as it writes, by the router's sockets as they read.
 
 pub mod child;
+pub mod engine_fingerprints;
 pub mod engine_table;
 pub mod fleet;
-pub mod fleet_side;
+pub mod fleet_member;
 pub mod host;
 pub mod key_files;
-pub mod known_list;
 pub mod protocol;
 pub mod relay_feed;
 pub mod router;
@@ -45,7 +45,7 @@
     },
     /// A child's line can't be read.
     #[error("a line of {child} can't be read: {source}")]
-    Line {
+    Json {
         /// The child.
         child: String,
         /// Why.
@@ -53,22 +53,22 @@
     },
     /// A child ended before it was told to.
     #[error("{0} has ended")]
-    ChildEnded(String),
+    ChildExited(String),
     /// A child did not answer in time.
     #[error("{child} did not answer within {seconds} s")]
-    NoAnswer {
+    Timeout {
         /// The child.
         child: String,
         /// How long it was waited for (s).
         seconds: f64,
     },
     /// Another answer was due.
-    #[error("{child} answered something else than {wanted}")]
-    OtherAnswer {
+    #[error("{child} answered something else than {awaited}")]
+    UnexpectedReport {
         /// The child.
         child: String,
         /// What was waited for.
-        wanted: &'static str,
+        awaited: &'static str,
     },
     /// Settings that the program's own reader refuses.
     #[error("settings: {0}")]
@@ -112,9 +112,9 @@
 }
 
 /// Answers on standard output.
-pub(crate) fn answer(report: &impl Serialize) -> Result<(), HollowError> {
+pub(crate) fn write_report(report: &impl Serialize) -> Result<(), HollowError> {
     let text = serde_json::to_string(report)
-        .map_err(|source| HollowError::Line { child: "this process".to_owned(), source })?;
+        .map_err(|source| HollowError::Json { child: "this process".to_owned(), source })?;
     let mut out = std::io::stdout().lock();
     writeln!(out, "{text}").and_then(|()| out.flush()).map_err(io("standard output"))
 }
--- a/crates/testkit/src/hollow/protocol.rs
+++ b/crates/testkit/src/hollow/protocol.rs
@@ -24,9 +24,10 @@
 
 /// What lists are to be: the whole one, and the part of each cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Expected {
+pub struct ExpectedLists {
     /// The whole list.
-    pub whole: ListDigest,
+    #[serde(rename = "whole")]
+    pub full_list: ListDigest,
     /// The parts, by zone and then by cell; none where the fleet is not divided.
     pub parts: Vec<ListDigest>,
 }
@@ -75,13 +76,16 @@
         engines: Vec<u32>,
     },
     /// Away: all streams end, and calls are reset; answered by `Done`.
-    Away(bool),
+    #[serde(rename = "Away")]
+    SetUnavailable(bool),
     /// Nothing passes to and from these routers, or does again; answered by `Done`.
-    Cut {
+    #[serde(rename = "Cut")]
+    Partition {
         /// The routers, by number.
         routers: Vec<u32>,
         /// Whether they are cut off.
-        cut: bool,
+        #[serde(rename = "cut")]
+        partitioned: bool,
     },
     /// Breaks the service: the router is not told the next change; answered by `Done`.
     SkipNext {
@@ -98,7 +102,8 @@
     /// Where each router finds it, by number.
     Started(Vec<SocketAddr>),
     /// An event was told.
-    Told(ToldEvent),
+    #[serde(rename = "Told")]
+    ChangeSent(SentChange),
     /// What needs no other answer.
     Done,
     /// Its counters.
@@ -107,13 +112,14 @@
 
 /// A change that the service told.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ToldEvent {
+pub struct SentChange {
     /// Number of the event.
     pub index: u64,
     /// When it was told (Unix ns).
-    pub at_ns: u64,
+    #[serde(rename = "at_ns")]
+    pub sent_ns: u64,
     /// What lists are by it.
-    pub list: Expected,
+    pub list: ExpectedLists,
     /// Size of the event (bytes).
     pub bytes: u64,
 }
@@ -126,11 +132,13 @@
     /// Whole lists written to the end, by router.
     pub snapshots: Vec<u32>,
     /// Calls that were taken, and those turned away.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub accepted_calls: u64,
     /// See `taken`.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected_calls: u64,
     /// What lists are to be.
-    pub list: Expected,
+    pub list: ExpectedLists,
     /// Size of the event that holds the whole list (bytes).
     pub snapshot_bytes: u64,
     /// Routers that follow.
@@ -154,7 +162,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ListSource {
     /// Nowhere.
-    Nowhere,
+    #[serde(rename = "Nowhere")]
+    Disabled,
     /// All of it, of the list service.
     Service,
     /// Their cell's part, of relays, which learn all of it of the list service.
@@ -225,7 +234,7 @@
     /// Ends routers at once, without a word to anybody; answered by `Done`.
     Stop(Vec<u32>),
     /// Answered by `ListReached` once all routers that are there have this list, or their part of it.
-    AwaitList(Expected),
+    AwaitList(ExpectedLists),
     /// Answered by `PeersReached` once all routers that are there know so many peers.
     AwaitPeers(u32),
     /// These routers read their files of keys again; answered by `Done`.
@@ -265,7 +274,8 @@
     /// Calls to the list service, and those that were turned away.
     pub calls: u64,
     /// See `calls`.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected_calls: u64,
     /// Peers that it knows.
     pub peers: u32,
     /// Datagrams sent to peers, and their bytes.
--- a/crates/testkit/src/hollow/relay_feed.rs
+++ b/crates/testkit/src/hollow/relay_feed.rs
@@ -12,7 +12,7 @@
 
 /// Time for which a stream must be open before what is heard on it tells that nothing was missed (ns), unless the whole list came on
 /// it.
-const CATCH_UP_NS: u64 = 1_000_000_000;
+const MIN_CATCH_UP_NS: u64 = 1_000_000_000;
 
 /// What a relay's stream has brought.
 #[derive(Clone, Copy, Debug, Default)]
@@ -20,12 +20,12 @@
     /// Since when the stream is open (ns).
     open_since_ns: Option<u64>,
     /// Whether the whole list has come on it.
-    whole: bool,
+    has_full_list: bool,
 }
 
 impl RelayFeed {
     /// Tells routers what the list service told.
-    pub fn tell(
+    pub fn publish(
         &mut self,
         now: u64,
         stream: &Stream,
@@ -33,20 +33,20 @@
         changes: &[Change],
         names: &Names,
     ) {
-        let is_whole = |change: &Change| change.kind == MembershipKind::Full;
-        self.whole |= changes.iter().any(is_whole);
-        let news = changes.iter().map(|change| (is_whole(change), engines_of(change, names))).collect();
-        fleet.update_list(now, stream.position().0, news);
+        let is_full = |change: &Change| change.kind == MembershipKind::Full;
+        self.has_full_list |= changes.iter().any(is_full);
+        let update = changes.iter().map(|change| (is_full(change), engines_of(change, names))).collect();
+        fleet.update_list(now, stream.position().0, update);
     }
 
     /// Tells a relay's routers how old its news is, once nothing of it can be missing.
-    pub fn pass_time(&mut self, now: u64, stream: &Stream, fleet: &mut FleetRuntime) {
+    pub fn tick(&mut self, now: u64, stream: &Stream, fleet: &mut FleetRuntime) {
         if !stream.position().1 {
             *self = RelayFeed::default();
             return;
         }
         let since_ns = *self.open_since_ns.get_or_insert(now);
-        if self.whole || now >= since_ns + CATCH_UP_NS {
+        if self.has_full_list || now >= since_ns + MIN_CATCH_UP_NS {
             fleet.record_list_service_contact(now, stream.stats().1.age_ns(now));
         }
     }
@@ -57,13 +57,13 @@
 }
 
 /// What the module is told of news of a part.
-pub fn membership_of(news: &PartUpdate, names: &Names) -> (MembershipKind, Vec<EngineEntry>) {
+pub fn to_membership(update: &PartUpdate, names: &Names) -> (MembershipKind, Vec<EngineEntry>) {
     let entries = |engines: &[Engine]| engines.iter().map(|engine| to_engine_entry(engine, names)).collect();
-    match news {
+    match update {
         PartUpdate::Snapshot(engines) => (MembershipKind::Full, entries(engines)),
-        PartUpdate::Delta(engines, gone) => {
+        PartUpdate::Delta(engines, removed) => {
             let mut entries: Vec<EngineEntry> = entries(engines);
-            entries.extend(gone.iter().map(|id| removed_entry(*id)));
+            entries.extend(removed.iter().map(|id| removed_entry(*id)));
             (MembershipKind::Delta, entries)
         }
     }
--- a/crates/testkit/src/hollow/router.rs
+++ b/crates/testkit/src/hollow/router.rs
@@ -13,11 +13,11 @@
 use marljunction_settings::{read_settings, Names};
 use mio::{Registry, Token};
 
-use super::engine_table::part_of;
-use super::fleet_side::{FleetSide, ListRoleOf, SideStart};
-use super::known_list::KnownList;
-use super::protocol::{Expected, HostSetup, ListSource, RouterReport, RouterStart};
-use super::relay_feed::{membership_of, RelayFeed};
+use super::engine_fingerprints::EngineFingerprints;
+use super::engine_table::part_index;
+use super::fleet_member::{FleetMember, ListRoleSetup, MemberStart};
+use super::protocol::{ExpectedLists, HostSetup, ListSource, RouterReport, RouterStart};
+use super::relay_feed::{to_membership, RelayFeed};
 use super::{io, HollowError};
 
 /// Part of a token that names the router; the rest numbers its connections.
@@ -75,11 +75,11 @@
 impl Role {
     fn of(start: &RouterStart, list: &ListSource, cell: Option<u32>) -> Role {
         match (list, cell) {
-            (ListSource::Nowhere, _) => Role::Idle,
+            (ListSource::Disabled, _) => Role::Idle,
             (ListSource::Service, _) => Role::Reader,
             (ListSource::Relays(_), _) if start.relay => Role::Relay(RelayFeed::default()),
             (ListSource::Relays(setup), Some(cell)) => {
-                Role::CellRouter(part_of(start.number, setup.cells, cell))
+                Role::CellRouter(part_index(start.number, setup.cells, cell))
             }
             (ListSource::Relays(_), None) => Role::Idle,
         }
@@ -95,17 +95,17 @@
     number: u32,
     net: Net,
     stream: Stream,
-    list: KnownList,
+    list: EngineFingerprints,
     /// When its list last changed (ns).
-    list_since_ns: u64,
+    list_changed_ns: u64,
     learned_ns: Option<u64>,
     /// Bytes of datagrams that had come then.
     fleet_learned_bytes: u64,
     started_ns: u64,
     module: Router,
-    tells_module: bool,
+    updates_module: bool,
     role: Role,
-    fleet: Option<FleetSide>,
+    fleet: Option<FleetMember>,
     shared: Rc<(Settings, Names)>,
     commands: Vec<Command>,
 }
@@ -124,9 +124,10 @@
         (slot, incarnation): (usize, u64),
         address: Option<SocketAddr>,
     ) -> Result<HollowRouter, HollowError> {
-        let own = registry.try_clone().map_err(io("poll"))?;
-        let first = (slot as u64 + 1) << TOKEN_BITS | incarnation << INCARNATION_BITS;
-        let net = Net::new(own, first, ConnectionLimits { engines: 0, output: 1 << 20 });
+        let registry_clone = registry.try_clone().map_err(io("poll"))?;
+        let first_connection = (slot as u64 + 1) << TOKEN_BITS | incarnation << INCARNATION_BITS;
+        let net =
+            Net::new(registry_clone, first_connection, ConnectionLimits { engines: 0, output: 1 << 20 });
         let seed = shared.setup.seed ^ u64::from(start.number) << 20 ^ incarnation;
         let pacing = SourceParams { pace: shared.pace(start.number), seed, stale_ns: STALE_NS };
         let (settings, names) = &*shared.settings;
@@ -135,9 +136,9 @@
         let mut module = Router::new(settings.clone(), seed, MEMORY_MB);
         let mut fleet = None;
         if let Some(setup) = &shared.setup.fleet {
-            let side = SideStart {
+            let member_start = MemberStart {
                 setup,
-                list: ListRoleOf { source: &shared.setup.list, relay: start.relay },
+                list: ListRoleSetup { source: &shared.setup.list, relay: start.relay },
                 number: start.number,
                 routers: shared.setup.fleet_routers,
                 seed,
@@ -145,24 +146,24 @@
                 settings: &settings,
                 names,
             };
-            let started = FleetSide::start(now, (registry, Token(slot)), side, module)?;
+            let started = FleetMember::start(now, (registry, Token(slot)), member_start, module)?;
             module = started.1;
             fleet = Some(started.0);
         }
-        let cell = fleet.as_ref().and_then(FleetSide::cell);
+        let cell = fleet.as_ref().and_then(FleetMember::cell);
         let role = Role::of(&start, &shared.setup.list, cell);
         Ok(HollowRouter {
             number: start.number,
             net,
             stream: Stream::new(now, start.list, names.clone(), 0, pacing)
                 .with_bound(ListBound::of(MEMORY_MB)),
-            list: KnownList::default(),
-            list_since_ns: now,
+            list: EngineFingerprints::default(),
+            list_changed_ns: now,
             learned_ns: None,
             fleet_learned_bytes: 0,
             started_ns: now,
             module,
-            tells_module: shared.setup.module,
+            updates_module: shared.setup.module,
             role,
             fleet,
             shared: shared.settings.clone(),
@@ -176,27 +177,27 @@
     }
 
     /// Whether it has the list that it should have: the whole one, or its cell's part.
-    pub fn has(&self, expected: &Expected) -> bool {
-        let wanted = match self.role {
+    pub fn has_list(&self, expected: &ExpectedLists) -> bool {
+        let expected_digest = match self.role {
             Role::CellRouter(part) => expected.parts.get(part),
-            _ => Some(&expected.whole),
+            _ => Some(&expected.full_list),
         };
-        wanted == Some(&self.list.digest())
+        expected_digest == Some(&self.list.digest())
     }
 
     /// When its list last changed (ns).
-    pub fn list_since_ns(&self) -> u64 {
-        self.list_since_ns
+    pub fn list_changed_ns(&self) -> u64 {
+        self.list_changed_ns
     }
 
     /// Where it takes datagrams, where it does.
     pub fn fleet_address(&self) -> Option<SocketAddr> {
-        self.fleet.as_ref().map(FleetSide::address)
+        self.fleet.as_ref().map(FleetMember::address)
     }
 
     /// Peers that it knows (count).
     pub fn peers(&self) -> u32 {
-        self.fleet.as_ref().map_or(0, FleetSide::peers)
+        self.fleet.as_ref().map_or(0, FleetMember::peers)
     }
 
     /// Passes time.
@@ -207,23 +208,23 @@
         if let Some(fleet) = &mut self.fleet {
             fleet.runtime().tick(now, &mut self.module);
             if let Role::Relay(feed) = &mut self.role {
-                feed.pass_time(now, &self.stream, fleet.runtime());
+                feed.tick(now, &self.stream, fleet.runtime());
             }
         }
-        self.follow_relays(now);
+        self.apply_part_updates(now);
         self.process_events(now);
     }
 
     /// Takes what relays told of its cell's part.
-    fn follow_relays(&mut self, now: u64) {
+    fn apply_part_updates(&mut self, now: u64) {
         let Some(fleet) = &mut self.fleet else { return };
-        for news in fleet.runtime().take_list_updates() {
-            self.list.apply_part(&news);
-            if self.tells_module {
-                let (kind, entries) = membership_of(&news, &self.shared.1);
+        for update in fleet.runtime().take_list_updates() {
+            self.list.apply_part(&update);
+            if self.updates_module {
+                let (kind, entries) = to_membership(&update, &self.shared.1);
                 self.module.membership(kind, entries);
             }
-            self.list_since_ns = now;
+            self.list_changed_ns = now;
             if self.learned_ns.is_none() {
                 self.learned_ns = Some(now);
                 self.fleet_learned_bytes = fleet.received_bytes();
@@ -232,11 +233,11 @@
     }
 
     /// Takes datagrams that have come; whether there are more to take.
-    pub fn ready_fleet(&mut self, now: u64) -> bool {
+    pub fn ready_datagrams(&mut self, now: u64) -> bool {
         let Some(fleet) = &mut self.fleet else { return false };
         fleet.runtime().ready(now, &mut self.module);
         let has_more = fleet.runtime().has_more();
-        self.follow_relays(now);
+        self.apply_part_updates(now);
         has_more
     }
 
@@ -251,23 +252,23 @@
     pub fn ready(&mut self, now: u64, connection: u64) -> bool {
         let changes = self.stream.ready(now, &mut self.net, connection);
         if !changes.is_empty() {
-            self.take(now, changes);
+            self.apply_changes(now, changes);
         }
         self.net.has_more(connection)
     }
 
-    fn take(&mut self, now: u64, changes: Vec<Change>) {
+    fn apply_changes(&mut self, now: u64, changes: Vec<Change>) {
         if let (Role::Relay(feed), Some(fleet)) = (&mut self.role, &mut self.fleet) {
-            feed.tell(now, &self.stream, fleet.runtime(), &changes, &self.shared.1);
+            feed.publish(now, &self.stream, fleet.runtime(), &changes, &self.shared.1);
         }
         for change in changes {
             self.list.apply(&change);
-            if self.tells_module {
+            if self.updates_module {
                 let entries = change.targets.iter().map(|target| target.entry).collect();
                 self.module.membership(change.kind, entries);
             }
         }
-        self.list_since_ns = now;
+        self.list_changed_ns = now;
         self.learned_ns = self.learned_ns.or(Some(now));
         self.process_events(now);
     }
@@ -280,9 +281,9 @@
 
     /// What it knows.
     pub fn report(&self) -> RouterReport {
-        let ((calls, turned_away), _) = self.stream.stats();
-        let (fleet_datagrams, fleet_bytes) = self.fleet.as_ref().map_or((0, 0), FleetSide::sent);
-        let fleet_received_bytes = self.fleet.as_ref().map_or(0, FleetSide::received_bytes);
+        let ((calls, rejected_calls), _) = self.stream.stats();
+        let (fleet_datagrams, fleet_bytes) = self.fleet.as_ref().map_or((0, 0), FleetMember::sent);
+        let fleet_received_bytes = self.fleet.as_ref().map_or(0, FleetMember::received_bytes);
         RouterReport {
             number: self.number,
             digest: self.list.digest(),
@@ -290,7 +291,7 @@
             learned_ns: self.learned_ns,
             received_bytes: self.net.received_bytes(),
             calls,
-            turned_away,
+            rejected_calls,
             peers: self.peers(),
             fleet_datagrams,
             fleet_bytes,
--- a/crates/testkit/src/hollow/service.rs
+++ b/crates/testkit/src/hollow/service.rs
@@ -14,8 +14,8 @@
 use mio::{Events, Interest, Poll, Registry, Token};
 
 use super::engine_table::{event, EngineTable};
-use super::protocol::{ServiceCommand, ServiceCounters, ServiceReport, ServiceSetup, ToldEvent};
-use super::{answer, io, read_commands, HollowError, COMMAND_TOKEN};
+use super::protocol::{SentChange, ServiceCommand, ServiceCounters, ServiceReport, ServiceSetup};
+use super::{io, read_commands, write_report, HollowError, COMMAND_TOKEN};
 use crate::server::{listen, read_call};
 
 /// Tokens of connections start here; those of listeners are the routers' numbers.
@@ -25,20 +25,20 @@
 /// Longest wait of the loop.
 const MAX_WAIT: Duration = Duration::from_millis(20);
 /// Events kept for routers that come back behind one of them (count).
-const MAX_KEPT_EVENTS: usize = 4_096;
+const MAX_BUFFERED_EVENTS: usize = 4_096;
 /// Bytes that the machine holds for a connection, about.
-const SEND_BUFFER: usize = 64 << 10;
+const SEND_BUFFER_BYTES: usize = 64 << 10;
 /// Bytes of a call that are read at most.
-const MAX_CALL_BYTES: usize = 8 << 10;
-const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:hi\n\n";
-const TURNED_AWAY: &[u8] =
+const MAX_REQUEST_BYTES: usize = 8 << 10;
+const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:hi\n\n";
+const REJECTED: &[u8] =
     b"HTTP/1.1 503 Busy\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
 /// What a connection is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// Its call has not come whole.
-    Calling,
+    ReadingRequest,
     /// It waits for its turn to be written the whole list.
     Waiting,
     /// It is written the whole list.
@@ -73,14 +73,14 @@
     /// The event that holds the whole list, with the number it was made at.
     snapshot: Option<(u64, Arc<[u8]>)>,
     waiting: VecDeque<usize>,
-    snapshots_out: usize,
-    away: bool,
-    cut: BTreeSet<u32>,
+    active_snapshots: usize,
+    unavailable: bool,
+    partitioned: BTreeSet<u32>,
     skipped: BTreeSet<u32>,
     /// Calls that may be taken now, and when that was last reckoned (count, ns).
     tokens: f64,
     refilled_ns: u64,
-    commented_ns: u64,
+    last_comment_ns: u64,
     counters: ServiceCounters,
 }
 
@@ -95,7 +95,7 @@
     let mut events = Events::with_capacity(4_096);
     loop {
         match poll.poll(&mut events, Some(MAX_WAIT)) {
-            Err(fault) if fault.kind() != ErrorKind::Interrupted => return Err(io("poll")(fault)),
+            Err(error) if error.kind() != ErrorKind::Interrupted => return Err(io("poll")(error)),
             _ => {}
         }
         while let Ok(command) = commands.try_recv() {
@@ -103,10 +103,10 @@
                 (_, ServiceCommand::Start(setup)) => {
                     let registry = poll.registry().try_clone().map_err(io("poll"))?;
                     let started = Service::start(setup, registry)?;
-                    answer(&ServiceReport::Started(started.addresses()?))?;
+                    write_report(&ServiceReport::Started(started.addresses()?))?;
                     service = Some(started);
                 }
-                (Some(service), command) => answer(&service.obey(command))?,
+                (Some(service), command) => write_report(&service.handle_command(command))?,
                 (None, _) => {}
             }
         }
@@ -145,11 +145,11 @@
             events: VecDeque::new(),
             snapshot: None,
             waiting: VecDeque::new(),
-            snapshots_out: 0,
-            away: false,
-            cut: BTreeSet::new(),
+            active_snapshots: 0,
+            unavailable: false,
+            partitioned: BTreeSet::new(),
             skipped: BTreeSet::new(),
-            commented_ns: 0,
+            last_comment_ns: 0,
             counters,
         })
     }
@@ -158,19 +158,19 @@
         self.listeners.iter().map(|l| l.local_addr().map_err(io("listener"))).collect()
     }
 
-    fn obey(&mut self, command: ServiceCommand) -> ServiceReport {
+    fn handle_command(&mut self, command: ServiceCommand) -> ServiceReport {
         match command {
             ServiceCommand::Change { engines, state } => {
                 let targets = self.table.set(&engines, state);
-                return ServiceReport::Told(self.tell(&targets));
+                return ServiceReport::ChangeSent(self.publish(&targets));
             }
             ServiceCommand::Replace { engines } => {
                 let targets = self.table.replace(&engines);
-                return ServiceReport::Told(self.tell(&targets));
+                return ServiceReport::ChangeSent(self.publish(&targets));
             }
             ServiceCommand::Report => return ServiceReport::Counters(self.report()),
-            ServiceCommand::Away(away) => self.set_away(away),
-            ServiceCommand::Cut { routers, cut } => self.set_cut(&routers, cut),
+            ServiceCommand::SetUnavailable(unavailable) => self.set_unavailable(unavailable),
+            ServiceCommand::Partition { routers, partitioned } => self.set_partitioned(&routers, partitioned),
             ServiceCommand::SkipNext { router } => {
                 self.skipped.insert(router);
             }
@@ -187,59 +187,59 @@
     }
 
     /// Tells all who follow an event of these targets.
-    fn tell(&mut self, targets: &str) -> ToldEvent {
+    fn publish(&mut self, targets: &str) -> SentChange {
         self.index += 1;
         let text: Arc<[u8]> = event(self.index, false, targets).into();
         self.events.push_back((self.index, text.clone()));
-        if self.events.len() > MAX_KEPT_EVENTS {
+        if self.events.len() > MAX_BUFFERED_EVENTS {
             self.events.pop_front();
         }
-        let at_ns = self.clock.now_ns();
+        let sent_ns = self.clock.now_ns();
         for token in self.connections.keys().copied().collect::<Vec<_>>() {
             let Some(connection) = self.connections.get_mut(&token) else { continue };
-            let told = matches!(connection.phase, Phase::Following | Phase::Snapshot);
-            if told && !self.skipped.remove(&connection.router) {
+            let receives = matches!(connection.phase, Phase::Following | Phase::Snapshot);
+            if receives && !self.skipped.remove(&connection.router) {
                 connection.queue.push_back(text.clone());
                 self.write(token);
             }
         }
         let list = self.table.expected(self.setup.cells);
-        ToldEvent { index: self.index, at_ns, list, bytes: text.len() as u64 }
+        SentChange { index: self.index, sent_ns, list, bytes: text.len() as u64 }
     }
 
     fn snapshot_event(&mut self) -> Arc<[u8]> {
         match &self.snapshot {
             Some((index, text)) if *index == self.index => text.clone(),
             _ => {
-                let text: Arc<[u8]> = event(self.index, true, &self.table.whole()).into();
+                let text: Arc<[u8]> = event(self.index, true, &self.table.full_list()).into();
                 self.snapshot = Some((self.index, text.clone()));
                 text
             }
         }
     }
 
-    fn set_away(&mut self, away: bool) {
-        self.away = away;
-        if away {
+    fn set_unavailable(&mut self, unavailable: bool) {
+        self.unavailable = unavailable;
+        if unavailable {
             let all: Vec<usize> = self.connections.keys().copied().collect();
             all.into_iter().for_each(|token| self.close(token));
             self.tokens = self.setup.calls_per_s;
         }
     }
 
-    fn set_cut(&mut self, routers: &[u32], cut: bool) {
+    fn set_partitioned(&mut self, routers: &[u32], partitioned: bool) {
         for router in routers {
-            if cut {
-                self.cut.insert(*router);
+            if partitioned {
+                self.partitioned.insert(*router);
             } else {
-                self.cut.remove(router);
+                self.partitioned.remove(router);
             }
         }
-        if cut {
+        if partitioned {
             return;
         }
-        let of_them = |(token, c): (&usize, &Connection)| routers.contains(&c.router).then_some(*token);
-        let tokens: Vec<usize> = self.connections.iter().filter_map(of_them).collect();
+        let matching = |(token, c): (&usize, &Connection)| routers.contains(&c.router).then_some(*token);
+        let tokens: Vec<usize> = self.connections.iter().filter_map(matching).collect();
         for token in tokens {
             self.serve(token);
         }
@@ -256,10 +256,10 @@
         while let Ok((mut stream, _)) = self.listeners[router].accept() {
             let _ = stream.set_nodelay(true);
             // Guards against a whole list that counts as written while it waits in the machine's buffers.
-            let _ = socket2::SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER);
+            let _ = socket2::SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES);
             let token = self.next_token;
             let interest = Interest::READABLE | Interest::WRITABLE;
-            if self.away || self.registry.register(&mut stream, Token(token), interest).is_err() {
+            if self.unavailable || self.registry.register(&mut stream, Token(token), interest).is_err() {
                 // Closed as it goes: nothing was read of it.
                 continue;
             }
@@ -267,7 +267,7 @@
             let connection = Connection {
                 stream,
                 router: router as u32,
-                phase: Phase::Calling,
+                phase: Phase::ReadingRequest,
                 input: Vec::new(),
                 queue: VecDeque::new(),
                 written: 0,
@@ -279,39 +279,40 @@
     /// Moves what can be moved on a connection, unless it is cut.
     fn serve(&mut self, token: usize) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        if self.cut.contains(&connection.router) {
+        if self.partitioned.contains(&connection.router) {
             return;
         }
         if !read_available(connection) {
             return self.close(token);
         }
-        if connection.phase == Phase::Calling {
-            self.take_call(token);
+        if connection.phase == Phase::ReadingRequest {
+            self.handle_request(token);
         }
         self.write(token);
     }
 
-    fn take_call(&mut self, token: usize) {
+    fn handle_request(&mut self, token: usize) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        let call = match read_call(&connection.input) {
-            Ok(Some(call)) => call,
+        let request = match read_call(&connection.input) {
+            Ok(Some(request)) => request,
             Ok(None) => return,
             Err(()) => return self.close(token),
         };
-        let last = call.fields.get("last-event-id").and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
+        let last_event_id =
+            request.fields.get("last-event-id").and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
         connection.input.clear();
-        let takes = self.takes_call();
+        let admitted = self.admit_call();
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        if !takes {
-            connection.queue.push_back(Arc::from(TURNED_AWAY));
+        if !admitted {
+            connection.queue.push_back(Arc::from(REJECTED));
             connection.phase = Phase::Closing;
             return;
         }
-        connection.queue.push_back(Arc::from(HEAD));
+        connection.queue.push_back(Arc::from(RESPONSE_HEAD));
         let oldest = self.events.front().map_or(self.index + 1, |(index, _)| *index);
-        if last > 0 && last <= self.index && last + 1 >= oldest {
+        if last_event_id > 0 && last_event_id <= self.index && last_event_id + 1 >= oldest {
             connection.phase = Phase::Following;
-            let later = self.events.iter().filter(|(index, _)| *index > last);
+            let later = self.events.iter().filter(|(index, _)| *index > last_event_id);
             connection.queue.extend(later.map(|(_, text)| text.clone()));
         } else {
             connection.phase = Phase::Waiting;
@@ -319,24 +320,27 @@
         }
     }
 
-    fn takes_call(&mut self) -> bool {
+    fn admit_call(&mut self) -> bool {
         let now = self.clock.now_ns();
-        let passed_s = now.saturating_sub(self.refilled_ns) as f64 / 1e9;
+        let elapsed_s = now.saturating_sub(self.refilled_ns) as f64 / 1e9;
         self.refilled_ns = now;
-        self.tokens = (self.tokens + passed_s * self.setup.calls_per_s).min(self.setup.calls_per_s.max(1.0));
-        let takes = self.tokens >= 1.0;
-        match takes {
-            true => (self.tokens, self.counters.taken) = (self.tokens - 1.0, self.counters.taken + 1),
-            false => self.counters.turned_away += 1,
+        self.tokens = (self.tokens + elapsed_s * self.setup.calls_per_s).min(self.setup.calls_per_s.max(1.0));
+        let admitted = self.tokens >= 1.0;
+        match admitted {
+            true => {
+                (self.tokens, self.counters.accepted_calls) =
+                    (self.tokens - 1.0, self.counters.accepted_calls + 1)
+            }
+            false => self.counters.rejected_calls += 1,
         }
-        takes
+        admitted
     }
 
     /// Writes what can be written, unless the connection is cut.
     fn write(&mut self, token: usize) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let router = connection.router as usize;
-        if self.cut.contains(&connection.router) {
+        if self.partitioned.contains(&connection.router) {
             return;
         }
         while let Some(text) = connection.queue.front() {
@@ -349,8 +353,8 @@
                         connection.written = 0;
                     }
                 }
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
-                Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
                     return
                 }
                 Err(_) => return self.close(token),
@@ -361,7 +365,7 @@
             Phase::Snapshot => {
                 connection.phase = Phase::Following;
                 self.counters.snapshots[router] += 1;
-                self.snapshots_out -= 1;
+                self.active_snapshots -= 1;
             }
             _ => {}
         }
@@ -370,32 +374,32 @@
     fn close(&mut self, token: usize) {
         let Some(mut connection) = self.connections.remove(&token) else { return };
         let _ = self.registry.deregister(&mut connection.stream);
-        self.snapshots_out -= usize::from(connection.phase == Phase::Snapshot);
+        self.active_snapshots -= usize::from(connection.phase == Phase::Snapshot);
     }
 
     /// Passes time: the next whole lists, and a comment each second.
     fn tick(&mut self) {
-        while self.snapshots_out < self.setup.concurrent_snapshots {
+        while self.active_snapshots < self.setup.concurrent_snapshots {
             let Some(token) = self.waiting.pop_front() else { break };
             if self.connections.contains_key(&token) {
                 let text = self.snapshot_event();
                 let Some(connection) = self.connections.get_mut(&token) else { continue };
                 connection.queue.push_back(text);
                 connection.phase = Phase::Snapshot;
-                self.snapshots_out += 1;
+                self.active_snapshots += 1;
                 self.write(token);
             }
         }
         let now = self.clock.now_ns();
-        if now < self.commented_ns + COMMENT_NS {
+        if now < self.last_comment_ns + COMMENT_NS {
             return;
         }
-        self.commented_ns = now;
+        self.last_comment_ns = now;
         let comment: Arc<[u8]> = Arc::from(b":\n\n".as_slice());
-        let kept_up =
+        let needs_comment =
             |c: &Connection| matches!(c.phase, Phase::Following | Phase::Waiting) && c.queue.is_empty();
         let tokens: Vec<usize> =
-            self.connections.iter().filter(|(_, c)| kept_up(c)).map(|(token, _)| *token).collect();
+            self.connections.iter().filter(|(_, c)| needs_comment(c)).map(|(token, _)| *token).collect();
         for token in tokens {
             if let Some(connection) = self.connections.get_mut(&token) {
                 connection.queue.push_back(comment.clone());
@@ -412,13 +416,13 @@
         match connection.stream.read(&mut buffer) {
             Ok(0) => return false,
             Ok(size) => connection.input.extend_from_slice(&buffer[..size]),
-            Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
-            Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
                 return true
             }
             Err(_) => return false,
         }
-        if connection.input.len() > MAX_CALL_BYTES {
+        if connection.input.len() > MAX_REQUEST_BYTES {
             return false;
         }
     }
