--- a/crates/lab/src/scale/cells.rs
+++ b/crates/lab/src/scale/cells.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 
 use super::size::{hosts, median_and_worst, module_settings, CALLS_PER_S, CONCURRENT_SNAPSHOTS};
-use super::{engines_before, Run, ScaleError};
+use super::{engines_for, Run, ScaleError};
 
 /// Cells of a zone at the size to design for: 120 engines and 13 routers each (count).
 const CELLS: u32 = 10;
@@ -26,13 +26,13 @@
 /// Time between a router's asks (ns): what the definitions of the operator's file give by default.
 const ASK_NS: u64 = 1_000_000_000;
 /// Quiet time that is measured, and changes that are told (full, quick).
-const QUIET: [Duration; 2] = [Duration::from_secs(10), Duration::from_millis(1_500)];
+const QUIET_TIME: [Duration; 2] = [Duration::from_secs(10), Duration::from_millis(1_500)];
 const CHANGES: [u32; 2] = [20, 6];
 /// Longest time for all to know their parts (s).
-const LIMIT_S: u64 = 60;
+const TIMEOUT_S: u64 = 60;
 /// How long a region is cut off, and the list service away (full, quick).
-const CUT: [Duration; 2] = [Duration::from_secs(10), Duration::from_secs(3)];
-const AWAY: [Duration; 2] = [Duration::from_secs(6), Duration::from_millis(1_500)];
+const PARTITION_TIME: [Duration; 2] = [Duration::from_secs(10), Duration::from_secs(3)];
+const OUTAGE_TIME: [Duration; 2] = [Duration::from_secs(6), Duration::from_millis(1_500)];
 
 /// What was measured, of one router where nothing else is said.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -48,7 +48,8 @@
     /// Engines of a part (count): mean and most.
     pub part_engines: f64,
     /// See `part_engines`.
-    pub part_engines_most: u64,
+    #[serde(rename = "part_engines_most")]
+    pub max_part_engines: u64,
     /// Time from a router's start to its knowing its part, relays started with it (s): median and worst.
     pub list_learned_p50_s: f64,
     /// See `list_learned_p50_s`.
@@ -56,11 +57,13 @@
     /// Bytes that a router took until it knew its part: mean and most.
     pub list_bytes: f64,
     /// See `list_bytes`.
-    pub list_bytes_most: u64,
+    #[serde(rename = "list_bytes_most")]
+    pub max_list_bytes: u64,
     /// Bytes that a router took until all knew their parts, its asks for what is new included: mean and most.
     pub start_bytes: f64,
     /// See `start_bytes`.
-    pub start_bytes_most: u64,
+    #[serde(rename = "start_bytes_most")]
+    pub max_start_bytes: u64,
     /// Bytes that routers did not take of those that relays sent (share).
     pub bytes_lost: f64,
     /// Processor time of a start (ms).
@@ -88,7 +91,8 @@
     /// See `zone_gone_s`.
     pub restart_a_tenth_s: f64,
     /// Most bytes that a router took in the restart.
-    pub restart_bytes_most: u64,
+    #[serde(rename = "restart_bytes_most")]
+    pub max_restart_bytes: u64,
     /// See `zone_gone_s`.
     pub list_service_away_s: f64,
     /// See `zone_gone_s`: a third of the relays is gone, and a change is told at that moment.
@@ -110,13 +114,13 @@
     let mut measured = CellsMeasured { routers, relays, cells: CELLS, ..CellsMeasured::default() };
     let quick = usize::from(run.quick);
     measured.start(&mut fleet)?;
-    measured.quiet(&mut fleet, QUIET[quick])?;
+    measured.quiet(&mut fleet, QUIET_TIME[quick])?;
     measured.changes(&mut fleet, CHANGES[quick])?;
     measured.zone(&mut fleet)?;
-    measured.region(&mut fleet, &keys, CUT[quick])?;
+    measured.region(&mut fleet, &keys, PARTITION_TIME[quick])?;
     measured.restart(&mut fleet)?;
-    measured.service(&mut fleet, AWAY[quick])?;
-    measured.relays_gone(&mut fleet)?;
+    measured.service(&mut fleet, OUTAGE_TIME[quick])?;
+    measured.stop_relays(&mut fleet)?;
     let kb = fleet.hosts_usage().peak_kb + fleet.relays_usage().peak_kb + fleet.service_usage().peak_kb;
     measured.memory_gib = kb as f64 / f64::from(1 << 20);
     measured.processes = fleet.processes() as u32 + 1;
@@ -130,7 +134,7 @@
         program: run.lab.clone(),
         routers,
         real_routers: 0,
-        engines: engines_before(routers),
+        engines: engines_for(routers),
         hosts: hosts(),
         calls_per_s: CALLS_PER_S,
         concurrent_snapshots: CONCURRENT_SNAPSHOTS,
@@ -158,11 +162,11 @@
         let (routers, relays) = reports.split_at(self.routers as usize);
         self.engines = list.full_list.engines;
         self.part_engines = mean(routers, |report| report.digest.engines);
-        self.part_engines_most = most(routers, |report| report.digest.engines);
+        self.max_part_engines = max_of(routers, |report| report.digest.engines);
         self.list_bytes = mean(routers, |report| report.fleet_learned_bytes);
-        self.list_bytes_most = most(routers, |report| report.fleet_learned_bytes);
+        self.max_list_bytes = max_of(routers, |report| report.fleet_learned_bytes);
         self.start_bytes = mean(routers, |report| report.fleet_received_bytes);
-        self.start_bytes_most = most(routers, |report| report.fleet_received_bytes);
+        self.max_start_bytes = max_of(routers, |report| report.fleet_received_bytes);
         let sent = relays.iter().map(|report| report.fleet_bytes).sum::<u64>() as f64;
         self.bytes_lost = 1.0 - self.start_bytes * f64::from(self.routers) / sent.max(1.0);
         let learned = |r: &RouterReport| Some(r.learned_ns?.saturating_sub(r.started_ns) as f64 / 1e9);
@@ -176,12 +180,12 @@
     }
 
     fn quiet(&mut self, fleet: &mut HollowFleet, time: Duration) -> Result<(), ScaleError> {
-        let (began, before) = (Instant::now(), self.spent(fleet)?);
+        let (started, before) = (Instant::now(), self.spent(fleet)?);
         std::thread::sleep(time);
-        let (passed_s, after) = (began.elapsed().as_secs_f64(), self.spent(fleet)?);
-        self.quiet_core_share = (after.0 - before.0) / passed_s;
-        self.quiet_bytes_per_s = (after.1 - before.1) / passed_s;
-        self.relay_quiet_core_share = (after.2 - before.2) / passed_s;
+        let (elapsed_s, after) = (started.elapsed().as_secs_f64(), self.spent(fleet)?);
+        self.quiet_core_share = (after.0 - before.0) / elapsed_s;
+        self.quiet_bytes_per_s = (after.1 - before.1) / elapsed_s;
+        self.relay_quiet_core_share = (after.2 - before.2) / elapsed_s;
         Ok(())
     }
 
@@ -195,35 +199,36 @@
     }
 
     fn changes(&mut self, fleet: &mut HollowFleet, changes: u32) -> Result<(), ScaleError> {
-        let engines = engines_before(self.routers);
+        let engines = engines_for(self.routers);
         let mut delays = Vec::new();
         for change in 0..changes {
             let engine = vec![change / 2 * 7_919 % engines];
-            let told = match change % 2 {
+            let sent_change = match change % 2 {
                 0 => fleet.change(engine, ListedState::Terminating)?,
                 _ => fleet.replace(engine)?,
             };
-            let reached = self.await_parts(fleet, &told.list, "a change is everywhere")?;
+            let reached = self.await_parts(fleet, &sent_change.list, "a change is everywhere")?;
             // A router of another cell knew its part before; only those that had to learn count.
-            let late = reached.iter().filter(|(number, at)| *number < self.routers && *at >= told.sent_ns);
-            delays.extend(late.map(|(_, at)| (at - told.sent_ns) as f64 / 1e9));
+            let delayed =
+                reached.iter().filter(|(number, at)| *number < self.routers && *at >= sent_change.sent_ns);
+            delays.extend(delayed.map(|(_, at)| (at - sent_change.sent_ns) as f64 / 1e9));
         }
         (self.change_everywhere_p50_s, self.change_everywhere_worst_s) = median_and_worst(&mut delays);
         Ok(())
     }
 
     fn zone(&mut self, fleet: &mut HollowFleet) -> Result<(), ScaleError> {
-        let routers = one_in(ZONES, self.routers, 3);
-        let engines = one_in(ZONES, engines_before(self.routers), 3);
+        let routers = every_nth(ZONES, self.routers, 3);
+        let engines = every_nth(ZONES, engines_for(self.routers), 3);
         let since = Instant::now();
         fleet.stop_routers(&routers)?;
-        let told = fleet.change(engines.clone(), ListedState::Terminated)?;
-        self.await_parts(fleet, &told.list, "all know their parts after a zone was gone")?;
+        let sent_change = fleet.change(engines.clone(), ListedState::Terminated)?;
+        self.await_parts(fleet, &sent_change.list, "all know their parts after a zone was gone")?;
         self.zone_gone_s = since.elapsed().as_secs_f64();
         let since = Instant::now();
         fleet.start_routers(&routers)?;
-        let told = fleet.replace(engines)?;
-        self.await_parts(fleet, &told.list, "all know their parts after a zone was back")?;
+        let sent_change = fleet.replace(engines)?;
+        self.await_parts(fleet, &sent_change.list, "all know their parts after a zone was back")?;
         self.zone_back_s = since.elapsed().as_secs_f64();
         Ok(())
     }
@@ -241,7 +246,7 @@
         keys.set_partitioned(REGION, true)?;
         fleet.reload_keys(&region)?;
         fleet.inject_fault(&ServiceCommand::Partition { routers: region.clone(), partitioned: true })?;
-        let list = self.change_some(fleet)?;
+        let list = self.replace_some_engines(fleet)?;
         std::thread::sleep(partition_time);
         keys.set_partitioned(REGION, false)?;
         fleet.reload_keys(&region)?;
@@ -253,7 +258,7 @@
     }
 
     fn restart(&mut self, fleet: &mut HollowFleet) -> Result<(), ScaleError> {
-        let restarted = one_in(10, self.routers, 0);
+        let restarted = every_nth(10, self.routers, 0);
         let list = fleet.counters()?.list;
         let since = Instant::now();
         fleet.start_routers(&restarted)?;
@@ -261,14 +266,14 @@
         self.restart_a_tenth_s = since.elapsed().as_secs_f64();
         let reports = fleet.reports()?;
         let of_them = reports.iter().filter(|report| restarted.contains(&report.number));
-        self.restart_bytes_most = of_them.map(|report| report.fleet_received_bytes).max().unwrap_or(0);
+        self.max_restart_bytes = of_them.map(|report| report.fleet_received_bytes).max().unwrap_or(0);
         Ok(())
     }
 
-    fn service(&mut self, fleet: &mut HollowFleet, away: Duration) -> Result<(), ScaleError> {
+    fn service(&mut self, fleet: &mut HollowFleet, outage_time: Duration) -> Result<(), ScaleError> {
         fleet.inject_fault(&ServiceCommand::SetUnavailable(true))?;
-        let list = self.change_some(fleet)?;
-        std::thread::sleep(away);
+        let list = self.replace_some_engines(fleet)?;
+        std::thread::sleep(outage_time);
         fleet.inject_fault(&ServiceCommand::SetUnavailable(false))?;
         let since = Instant::now();
         self.await_parts(fleet, &list, "all know their parts after the list service was back")?;
@@ -276,18 +281,18 @@
         Ok(())
     }
 
-    fn relays_gone(&mut self, fleet: &mut HollowFleet) -> Result<(), ScaleError> {
-        let gone: Vec<u32> = fleet.plan().relays().into_iter().step_by(3).collect();
+    fn stop_relays(&mut self, fleet: &mut HollowFleet) -> Result<(), ScaleError> {
+        let stopped: Vec<u32> = fleet.plan().relays().into_iter().step_by(3).collect();
         let since = Instant::now();
-        fleet.stop_routers(&gone)?;
-        let list = self.change_some(fleet)?;
+        fleet.stop_routers(&stopped)?;
+        let list = self.replace_some_engines(fleet)?;
         self.await_parts(fleet, &list, "all know their parts after relays were gone")?;
         self.relays_gone_s = since.elapsed().as_secs_f64();
         Ok(())
     }
 
-    fn change_some(&self, fleet: &mut HollowFleet) -> Result<ExpectedLists, ScaleError> {
-        let engines = engines_before(self.routers);
+    fn replace_some_engines(&self, fleet: &mut HollowFleet) -> Result<ExpectedLists, ScaleError> {
+        let engines = engines_for(self.routers);
         let some = (0..ZONES).map(|change| change * 104_729 % engines).collect();
         Ok(fleet.replace(some)?.list)
     }
@@ -298,12 +303,12 @@
         list: &ExpectedLists,
         what: &'static str,
     ) -> Result<Vec<(u32, u64)>, ScaleError> {
-        let late = ScaleError::Timeout { routers: self.routers, what, seconds: LIMIT_S };
-        fleet.await_list(list, Duration::from_secs(LIMIT_S))?.ok_or(late)
+        let timeout = ScaleError::Timeout { routers: self.routers, what, seconds: TIMEOUT_S };
+        fleet.await_list(list, Duration::from_secs(TIMEOUT_S))?.ok_or(timeout)
     }
 }
 
-fn one_in(count: u32, all: u32, of: u32) -> Vec<u32> {
+fn every_nth(count: u32, all: u32, of: u32) -> Vec<u32> {
     (0..all).filter(|number| number % count == of).collect()
 }
 
@@ -311,6 +316,6 @@
     reports.iter().map(of).sum::<u64>() as f64 / reports.len().max(1) as f64
 }
 
-fn most(reports: &[RouterReport], of: impl Fn(&RouterReport) -> u64) -> u64 {
+fn max_of(reports: &[RouterReport], of: impl Fn(&RouterReport) -> u64) -> u64 {
     reports.iter().map(of).max().unwrap_or(0)
 }
--- a/crates/lab/src/scale/decide.rs
+++ b/crates/lab/src/scale/decide.rs
@@ -20,8 +20,8 @@
 /// Requests before the ones that count.
 const WARM_UP: u64 = 10;
 /// Time between requests (ns): as often as a router of the fleet to design for is asked.
-const BETWEEN_NS: u64 = 1_000_000_000 / 1_094;
-const FIRST_NS: u64 = 1 << 60;
+const REQUEST_INTERVAL_NS: u64 = 1_000_000_000 / 1_094;
+const START_NS: u64 = 1 << 60;
 const MEMORY_MB: f64 = 512.0;
 
 /// Processor time of a request in the module, from its arrival to its sending (us): the median; and to the end of its attempt: the
@@ -63,21 +63,21 @@
         ..EngineEntry::default()
     };
     router.membership(MembershipKind::Full, (1..=engines).map(entry).collect());
-    router.process_events(FIRST_NS, &mut commands);
+    router.process_events(START_NS, &mut commands);
     commands.clear();
     let mut decisions = Vec::new();
     let mut spent_us = 0.0;
     for request in 0..requests + WARM_UP {
-        let now = FIRST_NS + (request + 1) * BETWEEN_NS;
+        let now = START_NS + (request + 1) * REQUEST_INTERVAL_NS;
         let began_us = processor_us();
         router.accept_request(now, Client { conn: 1, call: request }, client_request(request));
         router.process_events(now, &mut commands);
         let decided_us = processor_us();
-        let attempts: Vec<Attempt> = commands.drain(..).filter_map(started).collect();
+        let attempts: Vec<Attempt> = commands.drain(..).filter_map(started_attempt).collect();
         for attempt in attempts {
             router.ended(attempt, EndReason::Served, None, None);
         }
-        router.process_events(now + BETWEEN_NS / 2, &mut commands);
+        router.process_events(now + REQUEST_INTERVAL_NS / 2, &mut commands);
         commands.clear();
         if request >= WARM_UP {
             decisions.push(decided_us - began_us);
@@ -94,7 +94,7 @@
     time.as_nanos() as f64 / 1e3
 }
 
-fn started(command: Command) -> Option<Attempt> {
+fn started_attempt(command: Command) -> Option<Attempt> {
     match command {
         Command::Start { attempt, .. } => Some(attempt),
         _ => None,
--- a/crates/lab/src/scale/figures.rs
+++ b/crates/lab/src/scale/figures.rs
@@ -14,83 +14,89 @@
 const MEMORY_MB: f64 = size::CONTROL_MB.value;
 const BYTES_PER_S: f64 = size::CONTROL_BYTES.value;
 /// Time in which a router is to be ready (s), and the bytes that the budget allows in it.
-const READY_S: f64 = size::MAX_READY_TIME.value;
-const READY_BYTES: f64 = BYTES_PER_S * READY_S;
+const MAX_READY_S: f64 = size::MAX_READY_TIME.value;
+const MAX_READY_BYTES: f64 = BYTES_PER_S * MAX_READY_S;
 /// Statements a second of a router, and the cores that it has for them.
 const STATEMENTS_PER_S: f64 = size::STATEMENTS.value / size::ROUTERS.value;
 const STATEMENT_CORES: f64 = size::ROUTER_CORES.value;
 /// Longest time for a change of an engine to be in force (s).
-const CHANGE_S: f64 = size::MAX_PRIMARY_CHANGE_TIME.value;
+const MAX_CHANGE_S: f64 = size::MAX_PRIMARY_CHANGE_TIME.value;
 
 /// One figure of what was measured at a size.
 type Figure = fn(&Measured) -> f64;
 
 /// All figures.
-pub fn tell(
+pub fn to_json(
     smaller: &[Measured],
-    most: &Measured,
+    largest_measured: &Measured,
     faults: &[FaultCost],
     cells: &CellsMeasured,
     peers: &[PeersMeasured],
     decisions: &Decisions,
 ) -> Value {
-    let errors = prediction_errors(smaller, most);
+    let errors = prediction_errors(smaller, largest_measured);
     let worst_error = errors.values().filter_map(Value::as_f64).fold(0.0, f64::max);
     let worst = |of: fn(&FaultCost) -> f64| faults.iter().map(of).fold(0.0, f64::max);
     let worst_core = worst(|fault| fault.minute_core_share)
-        .max(most.control_core_share + most.start_processor_ms / 1e3 / 60.0);
-    let worst_bytes = worst(|fault| fault.minute_bytes_per_s).max(most.list_bytes / 60.0);
-    let all_sizes: Vec<&Measured> = smaller.iter().chain([most]).collect();
-    let control_mb = control_mb(&all_sizes, most);
-    let talking = Talking::of(peers);
-    let control_core = most.control_core_share + talking.core_share;
-    let control_bytes = most.control_bytes_per_s + talking.bytes_per_s;
-    let worst_core = worst_core + talking.core_share;
-    let worst_bytes = worst_bytes + talking.bytes_per_s;
-    let rows = rows(most, decisions, (control_core, control_bytes), (worst_core, worst_bytes), control_mb);
-    let over = rows.iter().max_by(|a, b| a.1.total_cmp(&b.1));
+        .max(largest_measured.control_core_share + largest_measured.start_processor_ms / 1e3 / 60.0);
+    let worst_bytes = worst(|fault| fault.minute_bytes_per_s).max(largest_measured.list_bytes / 60.0);
+    let all_sizes: Vec<&Measured> = smaller.iter().chain([largest_measured]).collect();
+    let control_mb = control_mb(&all_sizes, largest_measured);
+    let peer_costs = PeerCosts::of(peers);
+    let control_core = largest_measured.control_core_share + peer_costs.core_share;
+    let control_bytes = largest_measured.control_bytes_per_s + peer_costs.bytes_per_s;
+    let worst_core = worst_core + peer_costs.core_share;
+    let worst_bytes = worst_bytes + peer_costs.bytes_per_s;
+    let rows = rows(
+        largest_measured,
+        decisions,
+        (control_core, control_bytes),
+        (worst_core, worst_bytes),
+        control_mb,
+    );
+    let largest_ratio = rows.iter().max_by(|a, b| a.1.total_cmp(&b.1));
     let mut all = json!({
-        "routers": most.routers,
-        "engines": most.engines,
+        "routers": largest_measured.routers,
+        "engines": largest_measured.engines,
         "prediction_error": worst_error,
         "prediction_errors": errors,
         "control_core_share": control_core,
-        "control_core_share_of_list": most.control_core_share,
+        "control_core_share_of_list": largest_measured.control_core_share,
         "control_mb": control_mb,
         "control_bytes_per_s": control_bytes,
-        "control_bytes_per_s_of_list": most.control_bytes_per_s,
-        "peers_routers": talking.routers,
-        "peers_core_share": talking.core_share,
-        "peers_bytes_per_s": talking.bytes_per_s,
-        "peers_join_predicted_for_largest": talking.predicted(peers, f64::from(most.routers)),
-        "real_peak_mb": most.real.map(|real| real.peak_mb),
+        "control_bytes_per_s_of_list": largest_measured.control_bytes_per_s,
+        "peers_routers": peer_costs.routers,
+        "peers_core_share": peer_costs.core_share,
+        "peers_bytes_per_s": peer_costs.bytes_per_s,
+        "peers_join_predicted_for_largest": peer_costs.predicted(peers, f64::from(largest_measured.routers)),
+        "real_peak_mb": largest_measured.real.map(|real| real.peak_mb),
         "worst_control_core_share": worst_core,
         "worst_control_bytes_per_s": worst_bytes,
-        "list_learned_s": most.list_learned_worst_s,
-        "list_learned_p50_s": most.list_learned_p50_s,
-        "list_bytes": most.list_bytes,
-        "change_everywhere_p50_s": most.change_everywhere_p50_s,
-        "change_everywhere_worst_s": most.change_everywhere_worst_s,
+        "list_learned_s": largest_measured.list_learned_worst_s,
+        "list_learned_p50_s": largest_measured.list_learned_p50_s,
+        "list_bytes": largest_measured.list_bytes,
+        "change_everywhere_p50_s": largest_measured.change_everywhere_p50_s,
+        "change_everywhere_worst_s": largest_measured.change_everywhere_worst_s,
         "config_everywhere_s": null,
         "config_everywhere_reason": "nothing carries a change of configuration to another machine",
         "decision_us_8": decisions.with_8.decide_us,
         "decision_us_30000": decisions.with_30000.decide_us,
         "request_us_8": decisions.with_8.request_us,
         "request_us_30000": decisions.with_30000.request_us,
-        "largest_over_budget": over.map(|(name, ratio)| json!({"row": name, "ratio": ratio})),
-        "mechanism_before": most.list_bytes / READY_BYTES,
-        "mechanism_after": cells.list_bytes / READY_BYTES,
-        "mechanism_after_until_all_know": cells.start_bytes / READY_BYTES,
-        "mechanism_after_worst": cells.list_bytes_most as f64 / READY_BYTES,
-        "processes": most.processes.max(cells.processes),
-        "memory_gib": most.memory_gib.max(cells.memory_gib),
-        "real_quiet_core_share": most.real.map(|real| real.quiet_core_share),
-        "real_start_processor_ms": most.real.map(|real| real.start_processor_ms),
-        "bytes_disagreement": most.bytes_disagreement,
+        "largest_over_budget": largest_ratio.map(|(name, ratio)| json!({"row": name, "ratio": ratio})),
+        "mechanism_before": largest_measured.list_bytes / MAX_READY_BYTES,
+        "mechanism_after": cells.list_bytes / MAX_READY_BYTES,
+        "mechanism_after_until_all_know": cells.start_bytes / MAX_READY_BYTES,
+        "mechanism_after_worst": cells.max_list_bytes as f64 / MAX_READY_BYTES,
+        "processes": largest_measured.processes.max(cells.processes),
+        "memory_gib": largest_measured.memory_gib.max(cells.memory_gib),
+        "real_quiet_core_share": largest_measured.real.map(|real| real.quiet_core_share),
+        "real_start_processor_ms": largest_measured.real.map(|real| real.start_processor_ms),
+        "bytes_disagreement": largest_measured.bytes_disagreement,
     });
     if let Value::Object(all) = &mut all {
         all.extend(
-            faults.iter().map(|fault| (format!("{}_all_know_s", fault.fault), json!(fault.all_know_s))),
+            faults.iter().map(|fault| (format!("{}_all_know_s", fault.fault), json!(fault.converged_s))),
         );
         all.insert("over_budget".into(), rows.iter().map(|(n, r)| ((*n).to_owned(), json!(r))).collect());
         all.insert("faults".into(), json!(faults));
@@ -102,19 +108,19 @@
 }
 
 /// What talking to peers costs a router in quiet time, at the largest fleet that was measured so.
-struct Talking {
+struct PeerCosts {
     routers: u32,
     core_share: f64,
     bytes_per_s: f64,
 }
 
-impl Talking {
-    fn of(peers: &[PeersMeasured]) -> Talking {
-        let most = peers.last().cloned().unwrap_or_default();
-        Talking {
-            routers: most.routers,
-            core_share: most.quiet_core_share,
-            bytes_per_s: most.quiet_bytes_per_s,
+impl PeerCosts {
+    fn of(peers: &[PeersMeasured]) -> PeerCosts {
+        let largest_measured = peers.last().cloned().unwrap_or_default();
+        PeerCosts {
+            routers: largest_measured.routers,
+            core_share: largest_measured.quiet_core_share,
+            bytes_per_s: largest_measured.quiet_bytes_per_s,
         }
     }
 
@@ -137,19 +143,19 @@
 }
 
 /// What the list takes of a real router's memory (MB): the most that one had, less what one would have without any engine.
-fn control_mb(sizes: &[&Measured], most: &Measured) -> Option<f64> {
+fn control_mb(sizes: &[&Measured], largest_measured: &Measured) -> Option<f64> {
     let point = |m: &&Measured| {
-        let real = m.real.filter(|real| real.know_the_list == real.routers)?;
+        let real = m.real.filter(|real| real.with_full_list == real.routers)?;
         Some(Point { count: m.engines as f64, value: real.peak_mb })
     };
     let points: Vec<Point> = sizes.iter().filter_map(point).collect();
-    let largest = points.iter().find(|point| point.count == most.engines as f64)?;
+    let largest = points.iter().find(|point| point.count == largest_measured.engines as f64)?;
     Some(largest.value - fit(&points).ok()?.constant)
 }
 
 /// Rows that have a budget, with their ratios to it.
 fn rows(
-    most: &Measured,
+    largest_measured: &Measured,
     decisions: &Decisions,
     (control_core, control_bytes): (f64, f64),
     (worst_core, worst_bytes): (f64, f64),
@@ -157,14 +163,14 @@
 ) -> Vec<(&'static str, f64)> {
     let decide_core = decisions.with_30000.decide_us / 1e6 * STATEMENTS_PER_S;
     let mut rows = vec![
-        ("list at a start, bytes", most.list_bytes / READY_BYTES),
-        ("list at a start, time", most.list_learned_worst_s / READY_S),
+        ("list at a start, bytes", largest_measured.list_bytes / MAX_READY_BYTES),
+        ("list at a start, time", largest_measured.list_learned_worst_s / MAX_READY_S),
         ("deciding with 30,000 engines, processor", decide_core / STATEMENT_CORES),
         ("ordinary day, processor", control_core / CORE_SHARE),
         ("ordinary day, bytes", control_bytes / BYTES_PER_S),
         ("worst minute, processor", worst_core / CORE_SHARE),
         ("worst minute, bytes", worst_bytes / BYTES_PER_S),
-        ("change of an engine, time", most.change_everywhere_worst_s / CHANGE_S),
+        ("change of an engine, time", largest_measured.change_everywhere_worst_s / MAX_CHANGE_S),
     ];
     rows.extend(control_mb.map(|mb| ("memory", mb / MEMORY_MB)));
     rows
@@ -172,7 +178,7 @@
 
 /// By how much the smaller sizes miss the largest, by figure that grows with the size (share). Processor time in quiet time is left
 /// out: it is within what the hosts' own loops vary by.
-fn prediction_errors(smaller: &[Measured], most: &Measured) -> Map<String, Value> {
+fn prediction_errors(smaller: &[Measured], largest_measured: &Measured) -> Map<String, Value> {
     let figures: [(&str, Figure); 4] = [
         ("list_bytes", |m| m.list_bytes),
         ("start_processor_ms", |m| m.start_processor_ms),
@@ -181,7 +187,7 @@
     ];
     let error = |of: Figure| {
         let point = |m: &Measured| Point { count: f64::from(m.routers), value: of(m) };
-        prediction_error(&smaller.iter().map(point).collect::<Vec<_>>(), point(most))
+        prediction_error(&smaller.iter().map(point).collect::<Vec<_>>(), point(largest_measured))
     };
     figures.into_iter().map(|(name, of)| (name.to_owned(), json!(error(of)))).collect()
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -25,12 +25,12 @@
 /// Engines before each router of the fleet to design for (ratio).
 const ENGINES_PER_ROUTER: f64 = 30_000.0 / 3_200.0;
 /// Routers of the sizes of a quick run and of a full one; the last is the one that the others predict.
-const QUICK: [u32; 4] = [200, 300, 500, 800];
-const FULL: [u32; 4] = [200, 400, 800, 1_600];
+const QUICK_SIZES: [u32; 4] = [200, 300, 500, 800];
+const FULL_SIZES: [u32; 4] = [200, 400, 800, 1_600];
 const FULL_LARGEST: u32 = 3_200;
 
 /// Routers that talk to each other, of a full run and of a quick one.
-const PEERS: [&[u32]; 2] = [&[50, 100, 200, 400], &[20, 40, 80]];
+const PEER_SIZES: [&[u32]; 2] = [&[50, 100, 200, 400], &[20, 40, 80]];
 
 /// Why a run came to nothing.
 #[derive(Debug, Error)]
@@ -79,8 +79,8 @@
     let lab = std::env::current_exe().map_err(ScaleError::Program)?;
     let run = Run { lab, router: program.to_owned(), quick, seed };
     let sizes: Vec<u32> = match quick {
-        true => QUICK.to_vec(),
-        false => FULL.iter().copied().chain([FULL_LARGEST]).collect(),
+        true => QUICK_SIZES.to_vec(),
+        false => FULL_SIZES.iter().copied().chain([FULL_LARGEST]).collect(),
     };
     let (largest, smaller) = sizes.split_last().map_or((FULL_LARGEST, &[][..]), |(last, rest)| (*last, rest));
     let mut measured = Vec::new();
@@ -89,16 +89,16 @@
         measured.push(Size::new(*routers).measure(&run)?.0);
     }
     eprintln!("{largest} routers");
-    let (mut most, mut fleet) = Size::new(largest).measure(&run)?;
+    let (mut largest_measured, mut fleet) = Size::new(largest).measure(&run)?;
     eprintln!("{largest} routers: faults");
-    let faults = faults::run(&mut fleet, &most, quick)?;
-    most.note_memory(&fleet);
+    let faults = faults::run(&mut fleet, &largest_measured, quick)?;
+    largest_measured.record_memory(&fleet);
     drop(fleet);
     let cells = measure_cells(&run, largest)?;
     let peers = measure_peers(&run)?;
     eprintln!("decisions");
     let decisions = decide::run(quick)?;
-    Ok(figures::tell(&measured, &most, &faults, &cells, &peers, &decisions))
+    Ok(figures::to_json(&measured, &largest_measured, &faults, &cells, &peers, &decisions))
 }
 
 /// The largest fleet with relays, each router with its cell's part only.
@@ -109,7 +109,7 @@
 
 /// What routers say to each other, at each size; in a full run the largest goes through faults.
 fn measure_peers(run: &Run) -> Result<Vec<PeersMeasured>, ScaleError> {
-    let sizes = PEERS[usize::from(run.quick)];
+    let sizes = PEER_SIZES[usize::from(run.quick)];
     let largest = sizes[sizes.len() - 1];
     let mut measured = Vec::new();
     for routers in sizes {
@@ -120,6 +120,6 @@
 }
 
 /// Engines before so many routers, in the proportion of the fleet to design for.
-pub fn engines_before(routers: u32) -> u32 {
+pub fn engines_for(routers: u32) -> u32 {
     (f64::from(routers) * ENGINES_PER_ROUTER) as u32
 }
--- a/crates/lab/src/scale/peers.rs
+++ b/crates/lab/src/scale/peers.rs
@@ -18,13 +18,13 @@
 /// Units a second of the one limit.
 const LIMIT_PER_S: f64 = 50_000.0;
 /// Quiet time that is measured (full, quick).
-const QUIET: [Duration; 2] = [Duration::from_secs(10), Duration::from_secs(2)];
+const QUIET_TIME: [Duration; 2] = [Duration::from_secs(10), Duration::from_secs(2)];
 /// Time between the join and quiet time (full, quick).
-const SETTLE: [Duration; 2] = [Duration::from_secs(8), Duration::from_secs(3)];
+const SETTLE_TIME: [Duration; 2] = [Duration::from_secs(8), Duration::from_secs(3)];
 /// Longest time for all to know all (full, quick; s).
-const JOIN_LIMIT_S: [u64; 2] = [45, 15];
+const JOIN_TIMEOUT_S: [u64; 2] = [45, 15];
 /// How long a region is cut off: longer than peers are suspected.
-const CUT: Duration = Duration::from_secs(6);
+const PARTITION_TIME: Duration = Duration::from_secs(6);
 
 /// What was measured at a size, of one router where nothing else is said.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -34,7 +34,8 @@
     /// Time until each knew all others (s); none where that was not so in time.
     pub join_s: Option<f64>,
     /// Fewest peers that a router knew at the end of the join (count).
-    pub fewest_peers: u32,
+    #[serde(rename = "fewest_peers")]
+    pub min_peers: u32,
     /// Bytes sent in the join: mean.
     pub join_bytes: f64,
     /// Processor time of the join (ms).
@@ -64,12 +65,12 @@
     let keys = KeyFiles::new(&format!("peers-{routers}"))?;
     let mut fleet = HollowFleet::start(plan(run, routers, keys.path()))?;
     let mut measured = PeersMeasured { routers, ..PeersMeasured::default() };
-    let limit = Duration::from_secs(JOIN_LIMIT_S[usize::from(run.quick)]);
+    let limit = Duration::from_secs(JOIN_TIMEOUT_S[usize::from(run.quick)]);
     measured.join(&mut fleet, limit)?;
     // What was learned in a join is told on for a while.
     if largest || !run.quick {
-        std::thread::sleep(SETTLE[usize::from(run.quick)]);
-        measured.quiet(&mut fleet, QUIET[usize::from(run.quick)])?;
+        std::thread::sleep(SETTLE_TIME[usize::from(run.quick)]);
+        measured.quiet(&mut fleet, QUIET_TIME[usize::from(run.quick)])?;
     }
     if largest && !run.quick && measured.join_s.is_some() {
         measured.faults(&mut fleet, &keys, limit)?;
@@ -102,28 +103,28 @@
 impl PeersMeasured {
     fn join(&mut self, fleet: &mut HollowFleet, limit: Duration) -> Result<(), ScaleError> {
         let empty_kb = fleet.hosts_usage().resident_kb;
-        let (began, before) = (Instant::now(), self.spent(fleet)?);
+        let (started, before) = (Instant::now(), self.spent(fleet)?);
         fleet.start_seeds()?;
         let others: Vec<u32> = (0..self.routers).filter(|number| !fleet.running().contains(number)).collect();
         fleet.start_routers(&others)?;
         let joined = fleet.await_peers(self.routers - 1, limit)?;
-        self.join_s = joined.map(|_| began.elapsed().as_secs_f64());
+        self.join_s = joined.map(|_| started.elapsed().as_secs_f64());
         let after = self.spent(fleet)?;
         self.join_processor_ms = (after.0 - before.0) * 1e3;
         self.join_bytes = after.1;
         let peers = fleet.reports()?.into_iter().map(|report| report.peers);
-        self.fewest_peers = peers.min().unwrap_or(0);
+        self.min_peers = peers.min().unwrap_or(0);
         let kb = fleet.hosts_usage().resident_kb.saturating_sub(empty_kb);
         self.hollow_mb = kb as f64 / 1024.0 / f64::from(self.routers);
         Ok(())
     }
 
     fn quiet(&mut self, fleet: &mut HollowFleet, time: Duration) -> Result<(), ScaleError> {
-        let (began, before) = (Instant::now(), self.spent(fleet)?);
+        let (started, before) = (Instant::now(), self.spent(fleet)?);
         std::thread::sleep(time);
-        let (passed_s, after) = (began.elapsed().as_secs_f64(), self.spent(fleet)?);
-        self.quiet_core_share = (after.0 - before.0) / passed_s;
-        self.quiet_bytes_per_s = (after.1 - before.1) / passed_s;
+        let (elapsed_s, after) = (started.elapsed().as_secs_f64(), self.spent(fleet)?);
+        self.quiet_core_share = (after.0 - before.0) / elapsed_s;
+        self.quiet_bytes_per_s = (after.1 - before.1) / elapsed_s;
         Ok(())
     }
 
@@ -142,21 +143,21 @@
         limit: Duration,
     ) -> Result<(), ScaleError> {
         let all: Vec<u32> = (0..self.routers).collect();
-        let one_in = |count: u32, of: u32| -> Vec<u32> {
+        let every_nth = |count: u32, of: u32| -> Vec<u32> {
             all.iter().copied().filter(|number| number % count == of).collect()
         };
-        let zone = one_in(25, 4);
+        let zone = every_nth(25, 4);
         let since = Instant::now();
         fleet.stop_routers(&zone)?;
-        let gone = fleet.await_peers(self.routers - zone.len() as u32 - 1, limit)?;
-        self.zone_gone_s = gone.map(|_| since.elapsed().as_secs_f64());
+        let stopped = fleet.await_peers(self.routers - zone.len() as u32 - 1, limit)?;
+        self.zone_gone_s = stopped.map(|_| since.elapsed().as_secs_f64());
         fleet.start_routers(&zone)?;
         fleet.await_peers(self.routers - 1, limit)?;
 
-        let region = one_in(REGIONS, 5);
+        let region = every_nth(REGIONS, 5);
         keys.set_partitioned(5, true)?;
         fleet.reload_keys(&region)?;
-        std::thread::sleep(CUT);
+        std::thread::sleep(PARTITION_TIME);
         keys.set_partitioned(5, false)?;
         fleet.reload_keys(&region)?;
         let since = Instant::now();
@@ -164,7 +165,7 @@
         self.region_back_s = back.map(|_| since.elapsed().as_secs_f64());
 
         let since = Instant::now();
-        fleet.start_routers(&one_in(10, 0))?;
+        fleet.start_routers(&every_nth(10, 0))?;
         let known = fleet.await_peers(self.routers - 1, limit)?;
         self.restart_a_tenth_s = known.map(|_| since.elapsed().as_secs_f64());
         Ok(())
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -14,12 +14,12 @@
 use super::{Run, ScaleError};
 
 /// Longest time for all of them to know the list (s).
-const LIST_LIMIT_S: u64 = 60;
+const LIST_TIMEOUT_S: u64 = 60;
 /// Limits that the real routers are told.
 const MEMORY_MB: u32 = 512;
 const SOCKETS: u32 = 256;
 /// How often their counters are asked for while the list is waited for.
-const ASK_EVERY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What a real router used.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
@@ -27,7 +27,8 @@
     /// Real routers (count), and those that knew the whole list.
     pub routers: u32,
     /// See `routers`.
-    pub know_the_list: u32,
+    #[serde(rename = "know_the_list")]
+    pub with_full_list: u32,
     /// Processor time from its start until the list was known (ms): mean, its own start included.
     pub start_processor_ms: f64,
     /// Share of a core in quiet time: mean.
@@ -111,34 +112,34 @@
     /// # Errors
     /// None yet: routers that do not know it are counted.
     pub fn await_list(&mut self, engines: u64, _fleet: &HollowFleet) -> Result<(), ScaleError> {
-        let end = Instant::now() + Duration::from_secs(LIST_LIMIT_S);
+        let end = Instant::now() + Duration::from_secs(LIST_TIMEOUT_S);
         loop {
             self.processes.iter_mut().for_each(|process| process.signal(Signal::SIGUSR1));
-            std::thread::sleep(ASK_EVERY);
-            let knows = |process: &&Process| counter(&process.counters(), "list_engines") == engines;
-            self.usage.know_the_list = self.processes.iter().filter(knows).count() as u32;
-            if self.usage.know_the_list == self.count || Instant::now() >= end {
+            std::thread::sleep(POLL_INTERVAL);
+            let has_list = |process: &&Process| counter(&process.counters(), "list_engines") == engines;
+            self.usage.with_full_list = self.processes.iter().filter(has_list).count() as u32;
+            if self.usage.with_full_list == self.count || Instant::now() >= end {
                 break;
             }
         }
-        let processor_ns = self.sum(|used| used.processor_ns);
+        let processor_ns = self.mean(|used| used.processor_ns);
         self.usage.start_processor_ms = processor_ns / 1e6;
         Ok(())
     }
 
     /// Lets time pass; notes what they use in it.
     pub fn measure_quiet(&mut self, time: Duration) {
-        let before = self.sum(|used| used.processor_ns);
-        let began = Instant::now();
+        let before = self.mean(|used| used.processor_ns);
+        let started = Instant::now();
         std::thread::sleep(time);
-        let spent = self.sum(|used| used.processor_ns) - before;
-        self.usage.quiet_core_share = spent / 1e9 / began.elapsed().as_secs_f64();
+        let spent = self.mean(|used| used.processor_ns) - before;
+        self.usage.quiet_core_share = spent / 1e9 / started.elapsed().as_secs_f64();
     }
 
     /// What one of them used.
     pub fn usage(&mut self) -> RealUsage {
-        self.usage.resident_mb = self.sum(|used| used.resident_kb) / 1024.0;
-        self.usage.peak_mb = self.sum(|used| used.peak_kb) / 1024.0;
+        self.usage.resident_mb = self.mean(|used| used.resident_kb) / 1024.0;
+        self.usage.peak_mb = self.mean(|used| used.peak_kb) / 1024.0;
         self.usage
     }
 
@@ -148,7 +149,7 @@
     }
 
     /// The mean over them.
-    fn sum(&self, of: impl Fn(usage::Usage) -> u64) -> f64 {
+    fn mean(&self, of: impl Fn(usage::Usage) -> u64) -> f64 {
         let all = self.processes.iter().map(|process| of(usage::of_process(process.id()))).sum::<u64>();
         all as f64 / self.processes.len().max(1) as f64
     }
--- a/crates/lab/src/scale/size.rs
+++ b/crates/lab/src/scale/size.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use super::real::{RealRouters, RealUsage};
-use super::{engines_before, Run, ScaleError};
+use super::{engines_for, Run, ScaleError};
 
 /// Calls a second that the list service takes from the fleet.
 pub const CALLS_PER_S: f64 = 400.0;
@@ -21,21 +21,21 @@
 const COMMENT_MARGIN: Duration = Duration::from_millis(400);
 const COMMENT_POLL: Duration = Duration::from_millis(20);
 /// Longest time for all routers to know the list after a start (s).
-const START_LIMIT_S: u64 = 180;
+const START_TIMEOUT_S: u64 = 180;
 /// Longest time for a change to be everywhere (s).
-const CHANGE_LIMIT_S: u64 = 30;
+const CHANGE_TIMEOUT_S: u64 = 30;
 /// Machines that fail, are restarted or replaced on an ordinary day of the fleet to design for, and its engines (count).
-const MACHINES_A_DAY: f64 = 62.0 + 7_800.0;
+const MACHINES_PER_DAY: f64 = 62.0 + 7_800.0;
 const ENGINES: f64 = 30_000.0;
 const DAY_S: f64 = 86_400.0;
 /// Events that tell of one such machine: that it drains, and that another is there in its place.
-const EVENTS_A_MACHINE: f64 = 2.0;
+const EVENTS_PER_MACHINE: f64 = 2.0;
 /// Real routers beside the hollow ones, in a full run and in a quick one (count).
 const REAL_ROUTERS: [u32; 2] = [24, 6];
 /// Time for which the hosts are watched with no router in them.
-const EMPTY: Duration = Duration::from_millis(500);
+const EMPTY_HOSTS_TIME: Duration = Duration::from_millis(500);
 /// Quiet time that is measured, and changes that are told (full, quick).
-const QUIET: [Duration; 2] = [Duration::from_secs(10), Duration::from_secs(2)];
+const QUIET_TIME: [Duration; 2] = [Duration::from_secs(10), Duration::from_secs(2)];
 const CHANGES: [u32; 2] = [24, 10];
 
 /// A size.
@@ -124,11 +124,11 @@
         let mut measured = Measured { routers: self.routers, ..Measured::default() };
         measured.empty(&fleet);
         measured.start(&mut fleet)?;
-        measured.quiet(&mut fleet, QUIET[usize::from(run.quick)])?;
+        measured.quiet(&mut fleet, QUIET_TIME[usize::from(run.quick)])?;
         measured.changes(&mut fleet, CHANGES[usize::from(run.quick)])?;
-        measured.sum_up();
+        measured.compute_totals();
         measured.real = Some(fleet.real.usage());
-        measured.note_memory(&fleet);
+        measured.record_memory(&fleet);
         Ok((measured, fleet))
     }
 
@@ -137,7 +137,7 @@
             program: run.lab.clone(),
             routers: self.routers,
             real_routers,
-            engines: engines_before(self.routers),
+            engines: engines_for(self.routers),
             hosts: hosts(),
             calls_per_s: CALLS_PER_S,
             concurrent_snapshots: CONCURRENT_SNAPSHOTS,
@@ -174,10 +174,10 @@
 impl Measured {
     /// The hosts' own loops, with no router in them.
     fn empty(&mut self, fleet: &ScaleFleet) {
-        let (began, before) = (Instant::now(), fleet.hollow.hosts_usage().processor_ns);
-        std::thread::sleep(EMPTY);
+        let (started, before) = (Instant::now(), fleet.hollow.hosts_usage().processor_ns);
+        std::thread::sleep(EMPTY_HOSTS_TIME);
         let spent_s = (fleet.hollow.hosts_usage().processor_ns - before) as f64 / 1e9;
-        self.empty_hosts_core_share = spent_s / began.elapsed().as_secs_f64();
+        self.empty_hosts_core_share = spent_s / started.elapsed().as_secs_f64();
     }
 
     /// All routers at once, cold.
@@ -185,13 +185,13 @@
         let empty_kb = fleet.hollow.hosts_usage().resident_kb;
         let numbers: Vec<u32> = (0..self.routers).collect();
         let list = fleet.hollow.counters()?.list;
-        let (began, used) = (Instant::now(), fleet.hollow.hosts_usage().processor_ns);
+        let (started, used) = (Instant::now(), fleet.hollow.hosts_usage().processor_ns);
         fleet.hollow.start_routers(&numbers)?;
         fleet.real.start(&fleet.hollow)?;
-        let limit = Duration::from_secs(START_LIMIT_S);
+        let limit = Duration::from_secs(START_TIMEOUT_S);
         let reached = fleet.hollow.await_list(&list, limit)?;
-        reached.ok_or(self.late("all know the list after a start", START_LIMIT_S))?;
-        self.start_all_s = began.elapsed().as_secs_f64();
+        reached.ok_or(self.timeout("all know the list after a start", START_TIMEOUT_S))?;
+        self.start_all_s = started.elapsed().as_secs_f64();
         let used = fleet.hollow.hosts_usage().processor_ns - used;
         self.start_processor_ms = used as f64 / 1e6 / f64::from(self.routers);
         let (counters, reports) = (fleet.hollow.counters()?, fleet.hollow.reports()?);
@@ -211,40 +211,41 @@
     /// Nothing happens but the service's comments: from one of them to another, so that none is counted by half.
     fn quiet(&mut self, fleet: &mut ScaleFleet, time: Duration) -> Result<(), ScaleError> {
         await_comment(&mut fleet.hollow)?;
-        let (began, before) = (Instant::now(), self.spent(fleet)?);
+        let (started, before) = (Instant::now(), self.spent(fleet)?);
         fleet.real.measure_quiet(time.saturating_sub(COMMENT_MARGIN));
         await_comment(&mut fleet.hollow)?;
-        let (passed_s, after) = (began.elapsed().as_secs_f64(), self.spent(fleet)?);
+        let (elapsed_s, after) = (started.elapsed().as_secs_f64(), self.spent(fleet)?);
         let empty_share = self.empty_hosts_core_share / f64::from(self.routers);
-        let share = (after.0 - before.0) / passed_s;
+        let share = (after.0 - before.0) / elapsed_s;
         self.quiet_hosts_core_share = share * f64::from(self.routers);
         self.quiet_core_share = (share - empty_share).max(0.0);
-        self.quiet_bytes_per_s = (after.1 - before.1) / passed_s;
+        self.quiet_bytes_per_s = (after.1 - before.1) / elapsed_s;
         Ok(())
     }
 
     /// Changes one after the other, each awaited everywhere; what they cost is what goes beyond quiet time.
     fn changes(&mut self, fleet: &mut ScaleFleet, changes: u32) -> Result<(), ScaleError> {
-        let (began, before) = (Instant::now(), self.spent(fleet)?);
+        let (started, before) = (Instant::now(), self.spent(fleet)?);
         let mut delays = Vec::new();
-        let engines = engines_before(self.routers);
+        let engines = engines_for(self.routers);
         for change in 0..changes {
             let engine = vec![change / 2 * 7_919 % engines];
-            let told = match change % 2 {
+            let sent_change = match change % 2 {
                 0 => fleet.hollow.change(engine, ListedState::Terminating)?,
                 _ => fleet.hollow.replace(engine)?,
             };
-            let reached = fleet.hollow.await_list(&told.list, Duration::from_secs(CHANGE_LIMIT_S))?;
-            let reached = reached.ok_or(self.late("a change is everywhere", CHANGE_LIMIT_S))?;
-            delays.extend(reached.iter().map(|(_, at)| at.saturating_sub(told.sent_ns) as f64 / 1e9));
+            let reached =
+                fleet.hollow.await_list(&sent_change.list, Duration::from_secs(CHANGE_TIMEOUT_S))?;
+            let reached = reached.ok_or(self.timeout("a change is everywhere", CHANGE_TIMEOUT_S))?;
+            delays.extend(reached.iter().map(|(_, at)| at.saturating_sub(sent_change.sent_ns) as f64 / 1e9));
         }
-        let (passed_s, after) = (began.elapsed().as_secs_f64(), self.spent(fleet)?);
-        let beyond = |spent: f64, quiet: f64| (spent - quiet * passed_s).max(0.0) / f64::from(changes);
-        self.change_processor_us = beyond(
+        let (elapsed_s, after) = (started.elapsed().as_secs_f64(), self.spent(fleet)?);
+        let excess = |spent: f64, quiet: f64| (spent - quiet * elapsed_s).max(0.0) / f64::from(changes);
+        self.change_processor_us = excess(
             after.0 - before.0,
             self.quiet_core_share + self.empty_hosts_core_share / f64::from(self.routers),
         ) * 1e6;
-        self.change_bytes = beyond(after.1 - before.1, self.quiet_bytes_per_s);
+        self.change_bytes = excess(after.1 - before.1, self.quiet_bytes_per_s);
         (self.change_everywhere_p50_s, self.change_everywhere_worst_s) = median_and_worst(&mut delays);
         Ok(())
     }
@@ -258,22 +259,22 @@
         Ok((processor_s / routers, bytes / routers))
     }
 
-    fn sum_up(&mut self) {
+    fn compute_totals(&mut self) {
         let engines = self.engines as f64;
-        self.changes_per_s = MACHINES_A_DAY * EVENTS_A_MACHINE / DAY_S * engines / ENGINES;
+        self.changes_per_s = MACHINES_PER_DAY * EVENTS_PER_MACHINE / DAY_S * engines / ENGINES;
         self.control_core_share = self.quiet_core_share + self.change_processor_us / 1e6 * self.changes_per_s;
         self.control_bytes_per_s = self.quiet_bytes_per_s + self.change_bytes * self.changes_per_s;
     }
 
     /// Notes how many processes there are and what they held at most.
-    pub fn note_memory(&mut self, fleet: &ScaleFleet) {
+    pub fn record_memory(&mut self, fleet: &ScaleFleet) {
         let real = fleet.real.peak_kb();
         let hollow = fleet.hollow.hosts_usage().peak_kb + fleet.hollow.service_usage().peak_kb;
         self.processes = (fleet.hollow.processes() + fleet.real.count()) as u32 + 1;
         self.memory_gib = self.memory_gib.max((real + hollow) as f64 / f64::from(1 << 20));
     }
 
-    fn late(&self, what: &'static str, seconds: u64) -> ScaleError {
+    fn timeout(&self, what: &'static str, seconds: u64) -> ScaleError {
         ScaleError::Timeout { routers: self.routers, what, seconds }
     }
 }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -14,9 +14,9 @@
 
 const ROUTERS: u32 = 40;
 const ENGINES: u32 = 400;
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Longer than any change takes here, shorter than a stream that is dropped for silence.
-const TOO_LONG: Duration = Duration::from_millis(1_500);
+const CHANGE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 fn plan() -> FleetPlan {
     let classes = classes();
@@ -47,68 +47,68 @@
 }
 
 /// A fleet whose routers all know the list.
-fn started() -> HollowFleet {
+fn started_fleet() -> HollowFleet {
     let mut fleet = HollowFleet::start(plan()).unwrap();
     fleet.start_routers(&(0..ROUTERS).collect::<Vec<_>>()).unwrap();
     let list = fleet.counters().unwrap().list;
     assert_eq!(list.full_list.engines, u64::from(ENGINES));
-    assert!(fleet.await_list(&list, LIMIT).unwrap().is_some(), "not all learned the list");
+    assert!(fleet.await_list(&list, TIMEOUT).unwrap().is_some(), "not all learned the list");
     fleet
 }
 
 #[track_caller]
-fn assert_all_know(fleet: &mut HollowFleet, told: &SentChange, what: &str) {
-    let reached = fleet.await_list(&told.list, LIMIT).unwrap();
+fn assert_all_have_list(fleet: &mut HollowFleet, sent_change: &SentChange, what: &str) {
+    let reached = fleet.await_list(&sent_change.list, TIMEOUT).unwrap();
     assert!(reached.is_some(), "{what}: not all know the list");
     // The digests as the routers report them, not only as the hosts compare them.
     let reports = fleet.reports().unwrap();
     assert_eq!(reports.len(), fleet.running().len(), "{what}");
-    let others: Vec<u32> =
-        reports.iter().filter(|r| r.digest != told.list.full_list).map(|r| r.number).collect();
-    assert!(others.is_empty(), "{what}: {others:?} know another list");
-    assert_eq!(fleet.counters().unwrap().list, told.list, "{what}");
+    let mismatching: Vec<u32> =
+        reports.iter().filter(|r| r.digest != sent_change.list.full_list).map(|r| r.number).collect();
+    assert!(mismatching.is_empty(), "{what}: {mismatching:?} know another list");
+    assert_eq!(fleet.counters().unwrap().list, sent_change.list, "{what}");
 }
 
-fn every(count: u32, all: u32) -> Vec<u32> {
+fn every_nth(count: u32, all: u32) -> Vec<u32> {
     (0..all).step_by(count as usize).collect()
 }
 
 #[test]
-fn all_hollow_routers_know_the_services_list_after_each_fault() {
-    let mut fleet = started();
-    let told = fleet.change(vec![7], ListedState::Terminating).unwrap();
-    assert_all_know(&mut fleet, &told, "a drain");
+fn all_routers_have_the_service_list_after_each_fault() {
+    let mut fleet = started_fleet();
+    let sent_change = fleet.change(vec![7], ListedState::Terminating).unwrap();
+    assert_all_have_list(&mut fleet, &sent_change, "a drain");
 
-    let zone = every(25, ROUTERS);
+    let zone = every_nth(25, ROUTERS);
     fleet.stop_routers(&zone).unwrap();
-    let told = fleet.change(every(25, ENGINES), ListedState::Terminated).unwrap();
-    assert_eq!(told.list.full_list.engines, u64::from(ENGINES - ENGINES / 25));
-    assert_all_know(&mut fleet, &told, "a zone gone");
+    let sent_change = fleet.change(every_nth(25, ENGINES), ListedState::Terminated).unwrap();
+    assert_eq!(sent_change.list.full_list.engines, u64::from(ENGINES - ENGINES / 25));
+    assert_all_have_list(&mut fleet, &sent_change, "a zone gone");
     fleet.start_routers(&zone).unwrap();
-    let told = fleet.replace(every(25, ENGINES)).unwrap();
-    assert_all_know(&mut fleet, &told, "a zone back");
+    let sent_change = fleet.replace(every_nth(25, ENGINES)).unwrap();
+    assert_all_have_list(&mut fleet, &sent_change, "a zone back");
 
-    let region = every(9, ROUTERS);
+    let region = every_nth(9, ROUTERS);
     fleet.inject_fault(&ServiceCommand::Partition { routers: region.clone(), partitioned: true }).unwrap();
-    let told = fleet.replace(vec![11, 12]).unwrap();
-    assert_eq!(fleet.await_list(&told.list, TOO_LONG).unwrap(), None, "a cut router was told");
+    let sent_change = fleet.replace(vec![11, 12]).unwrap();
+    assert_eq!(fleet.await_list(&sent_change.list, CHANGE_TIMEOUT).unwrap(), None, "a cut router was told");
     fleet.inject_fault(&ServiceCommand::Partition { routers: region, partitioned: false }).unwrap();
-    assert_all_know(&mut fleet, &told, "a region back");
+    assert_all_have_list(&mut fleet, &sent_change, "a region back");
 
-    fleet.start_routers(&every(10, ROUTERS)).unwrap();
-    assert_all_know(&mut fleet, &told, "a tenth restarted");
+    fleet.start_routers(&every_nth(10, ROUTERS)).unwrap();
+    assert_all_have_list(&mut fleet, &sent_change, "a tenth restarted");
 
     fleet.inject_fault(&ServiceCommand::SetUnavailable(true)).unwrap();
-    let told = fleet.replace(vec![13]).unwrap();
+    let sent_change = fleet.replace(vec![13]).unwrap();
     fleet.inject_fault(&ServiceCommand::SetUnavailable(false)).unwrap();
-    assert_all_know(&mut fleet, &told, "the service back");
+    assert_all_have_list(&mut fleet, &sent_change, "the service back");
 }
 
 #[test]
-fn both_sides_count_the_same_bytes() {
-    let mut fleet = started();
+fn service_and_routers_count_the_same_bytes() {
+    let mut fleet = started_fleet();
     let list = fleet.counters().unwrap().snapshot_bytes;
-    let end = Instant::now() + LIMIT;
+    let end = Instant::now() + TIMEOUT;
     loop {
         // A comment may be on its way between the two.
         let (written, reports) = (fleet.counters().unwrap().written, fleet.reports().unwrap());
@@ -122,15 +122,15 @@
 }
 
 #[test]
-fn hollow_routers_have_sockets_of_their_own() {
-    let fleet = started();
-    let sockets: usize = fleet.host_pids().into_iter().map(sockets_of).sum();
+fn each_hollow_router_has_its_own_sockets() {
+    let fleet = started_fleet();
+    let sockets: usize = fleet.host_pids().into_iter().map(socket_count).sum();
     // Each host has its own standard input and output too, which are pipes.
     assert!(sockets >= ROUTERS as usize, "{sockets} sockets for {ROUTERS} routers");
 }
 
 /// Sockets that a process holds (count), each once.
-fn sockets_of(process: u32) -> usize {
+fn socket_count(process: u32) -> usize {
     let descriptors = std::fs::read_dir(format!("/proc/{process}/fd")).unwrap().flatten();
     let links = descriptors.filter_map(|entry| std::fs::read_link(entry.path()).ok());
     let sockets = links.map(|link| link.display().to_string()).filter(|link| link.starts_with("socket:"));
@@ -138,19 +138,19 @@
 }
 
 #[test]
-fn a_router_that_was_not_told_a_change_is_seen() {
-    let mut fleet = started();
+fn a_router_that_missed_a_change_is_detected() {
+    let mut fleet = started_fleet();
     fleet.inject_fault(&ServiceCommand::SkipNext { router: 5 }).unwrap();
-    let told = fleet.change(vec![9], ListedState::Terminating).unwrap();
-    assert_eq!(fleet.await_list(&told.list, TOO_LONG).unwrap(), None, "nobody missed it");
+    let sent_change = fleet.change(vec![9], ListedState::Terminating).unwrap();
+    assert_eq!(fleet.await_list(&sent_change.list, CHANGE_TIMEOUT).unwrap(), None, "nobody missed it");
     let reports = fleet.reports().unwrap();
-    let others: Vec<u32> =
-        reports.iter().filter(|r| r.digest != told.list.full_list).map(|r| r.number).collect();
-    assert_eq!(others, [5]);
+    let mismatching: Vec<u32> =
+        reports.iter().filter(|r| r.digest != sent_change.list.full_list).map(|r| r.number).collect();
+    assert_eq!(mismatching, [5]);
 }
 
 #[test]
-fn routers_of_cells_know_their_parts_after_each_fault() {
+fn cell_routers_have_their_parts_after_each_fault() {
     let keys = KeyFiles::new("cells").unwrap();
     let fleet =
         FleetSetup { keys: keys.path().to_owned(), seeds: Vec::new(), limit_per_s: None, health: false };
@@ -161,7 +161,7 @@
     let list = fleet.counters().unwrap().list;
     fleet.start_relays().unwrap();
     fleet.start_routers(&(0..ROUTERS).collect::<Vec<_>>()).unwrap();
-    assert!(fleet.await_list(&list, LIMIT).unwrap().is_some(), "not all learned their parts");
+    assert!(fleet.await_list(&list, TIMEOUT).unwrap().is_some(), "not all learned their parts");
     let reports = fleet.reports().unwrap();
     let (routers, relays) = reports.split_at(ROUTERS as usize);
     assert!(relays.iter().all(|relay| relay.digest == list.full_list), "{relays:?}");
@@ -170,18 +170,18 @@
     // Of the list service they took nothing.
     assert!(routers.iter().all(|router| router.received_bytes == 0), "{routers:?}");
 
-    let gone = fleet.plan().relays()[0];
-    fleet.stop_routers(&[gone]).unwrap();
-    let told = fleet.replace(every(7, ENGINES)).unwrap();
-    assert!(fleet.await_list(&told.list, LIMIT).unwrap().is_some(), "a relay gone");
+    let stopped = fleet.plan().relays()[0];
+    fleet.stop_routers(&[stopped]).unwrap();
+    let sent_change = fleet.replace(every_nth(7, ENGINES)).unwrap();
+    assert!(fleet.await_list(&sent_change.list, TIMEOUT).unwrap().is_some(), "a relay gone");
 
     fleet.inject_fault(&ServiceCommand::SetUnavailable(true)).unwrap();
-    let told = fleet.replace(every(11, ENGINES)).unwrap();
-    assert_eq!(fleet.await_list(&told.list, TOO_LONG).unwrap(), None, "nobody could know it");
+    let sent_change = fleet.replace(every_nth(11, ENGINES)).unwrap();
+    assert_eq!(fleet.await_list(&sent_change.list, CHANGE_TIMEOUT).unwrap(), None, "nobody could know it");
     fleet.inject_fault(&ServiceCommand::SetUnavailable(false)).unwrap();
-    assert!(fleet.await_list(&told.list, LIMIT).unwrap().is_some(), "the service back");
+    assert!(fleet.await_list(&sent_change.list, TIMEOUT).unwrap().is_some(), "the service back");
 
-    let restarted = every(10, ROUTERS);
+    let restarted = every_nth(10, ROUTERS);
     fleet.start_routers(&restarted).unwrap();
-    assert!(fleet.await_list(&told.list, LIMIT).unwrap().is_some(), "a tenth restarted");
+    assert!(fleet.await_list(&sent_change.list, TIMEOUT).unwrap().is_some(), "a tenth restarted");
 }
