--- a/crates/lab/src/capacity/cells.rs
+++ b/crates/lab/src/capacity/cells.rs
@@ -30,14 +30,14 @@
 /// Time between looks at what is due, as the program's.
 const STEP_NS: u64 = 20_000_000;
 /// Longest time until a part must have been learned, and for which a fleet at rest is measured.
-const LIMIT_S: u64 = 30;
+const TIMEOUT_S: u64 = 30;
 const MEASURED_S: u64 = 10;
-const DATAGRAM: usize = 2_048;
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 /// Relays and routers of the fleet to design for: asks are spread by them.
-const FLEET: (u32, u32) = (3_200, 39);
+const FLEET_SIZE: (u32, u32) = (3_200, 39);
 
 /// A process's socket, its seal and its processor time.
-struct Port {
+struct Endpoint {
     socket: UdpSocket,
     members: Members,
     address: SocketAddr,
@@ -46,25 +46,25 @@
     cpu_ns: u64,
 }
 
-impl Port {
-    fn new(number: usize) -> Result<Port, String> {
-        let fault = |e: std::io::Error| format!("cells: {e}");
-        let socket = UdpSocket::bind("127.0.0.1:0").map_err(fault)?;
-        socket.set_nonblocking(true).map_err(fault)?;
-        let address = socket.local_addr().map_err(fault)?;
-        let who = PeerIdentity {
+impl Endpoint {
+    fn new(number: usize) -> Result<Endpoint, String> {
+        let to_message = |e: std::io::Error| format!("cells: {e}");
+        let socket = UdpSocket::bind("127.0.0.1:0").map_err(to_message)?;
+        socket.set_nonblocking(true).map_err(to_message)?;
+        let address = socket.local_addr().map_err(to_message)?;
+        let identity = PeerIdentity {
             name: format!("router-{number:05}"),
             number: number as u32,
             address,
             incarnation: START_NS,
             renewal: 0,
         };
-        let members = Members::new(who, Keys::read(KEY)?, &Settings::default(), 1);
-        Ok(Port { socket, members, address, read: 0, cpu_ns: 0 })
+        let members = Members::new(identity, Keys::read(KEY)?, &Settings::default(), 1);
+        Ok(Endpoint { socket, members, address, read: 0, cpu_ns: 0 })
     }
 
     fn send(&mut self, messages: Vec<(SocketAddr, Message)>) {
-        let begun = thread_ns();
+        let before = thread_ns();
         for (to, message) in messages {
             self.members.send_payload(to, Kind::List, &message.encode());
         }
@@ -72,42 +72,44 @@
             // A datagram that finds no room is lost, as any may be.
             let _ = self.socket.send_to(&datagram, to);
         }
-        self.cpu_ns += thread_ns() - begun;
+        self.cpu_ns += thread_ns() - before;
     }
 
     /// What has come in.
     fn receive(&mut self, now: u64) -> Vec<(SocketAddr, Message)> {
-        let begun = thread_ns();
-        let mut buffer = [0; DATAGRAM];
+        let before = thread_ns();
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         while let Ok((size, _)) = self.socket.recv_from(&mut buffer) {
             self.read += size as u64;
             self.members.receive(now, &buffer[..size]);
         }
         let (_, events) = self.members.take();
         let messages = events.into_iter().filter_map(|event| match event {
-            Event::Payload(who, Kind::List, said) => Some((who.address, Message::decode(&said).ok()?)),
+            Event::Payload(sender, Kind::List, payload) => {
+                Some((sender.address, Message::decode(&payload).ok()?))
+            }
             _ => None,
         });
         let messages = messages.collect();
-        self.cpu_ns += thread_ns() - begun;
+        self.cpu_ns += thread_ns() - before;
         messages
     }
 }
 
 /// Does work whose processor time is a port's.
 fn timed_at<T>(cpu_ns: &mut u64, work: impl FnOnce() -> T) -> T {
-    let begun = thread_ns();
-    let came_to = work();
-    *cpu_ns += thread_ns() - begun;
-    came_to
+    let before = thread_ns();
+    let result = work();
+    *cpu_ns += thread_ns() - before;
+    result
 }
 
 /// One relay and its routers.
 struct Fleet {
     now: u64,
     relay: Relay,
-    at: Port,
-    routers: Vec<(Subscriber, Port)>,
+    relay_endpoint: Endpoint,
+    routers: Vec<(Subscriber, Endpoint)>,
     version: u64,
 }
 
@@ -127,9 +129,10 @@
 impl Fleet {
     /// A relay that knows `zones` cells of `part` engines each, a zone to a cell; routers of the first of them start.
     fn new(routers: usize, part: usize, zones: usize) -> Result<Fleet, String> {
-        let bound_params = BoundParams { routers: FLEET.0, relays: FLEET.1, ..BoundParams::default() };
+        let bound_params =
+            BoundParams { routers: FLEET_SIZE.0, relays: FLEET_SIZE.1, ..BoundParams::default() };
         let settings = RelaySettings {
-            routers: FLEET.0,
+            routers: FLEET_SIZE.0,
             ask_ns: bound_params.ask_ns,
             silence_ns: bound_params.silence_ns,
         };
@@ -137,14 +140,14 @@
         let all = (0..part * zones).map(|number| engine(number, zones, EngineState::Ready)).collect();
         relay.apply_update(1, true, all);
         relay.heard(START_NS, 0);
-        let at = Port::new(60_000)?;
-        let mut fleet = Fleet { now: START_NS, relay, at, routers: Vec::new(), version: 1 };
+        let relay_endpoint = Endpoint::new(60_000)?;
+        let mut fleet = Fleet { now: START_NS, relay, relay_endpoint, routers: Vec::new(), version: 1 };
         for number in 0..routers {
             let settings = SubscriberSettings {
                 cell: CellId { zone: Some("zone-00".into()), cells: 1, cell: 0, by: DivideBy::Engine },
                 router: number as u64,
                 incarnation: START_NS,
-                relays: vec![fleet.at.address],
+                relays: vec![fleet.relay_endpoint.address],
                 ask_ns: bound_params.ask_ns,
                 silence_ns: bound_params.silence_ns,
                 settle_ns: bound_params.settle_ns,
@@ -152,7 +155,7 @@
                 stale_ns: 7 * SECOND_NS,
                 seed: number as u64 + 1,
             };
-            fleet.routers.push((Subscriber::new(START_NS, settings), Port::new(number)?));
+            fleet.routers.push((Subscriber::new(START_NS, settings), Endpoint::new(number)?));
         }
         Ok(fleet)
     }
@@ -161,21 +164,21 @@
         self.now += STEP_NS;
         let now = self.now;
         self.relay.heard(now, 0);
-        for (subscriber, port) in &mut self.routers {
-            let said = timed_at(&mut port.cpu_ns, || subscriber.tick(now));
-            port.send(said);
+        for (subscriber, endpoint) in &mut self.routers {
+            let outgoing = timed_at(&mut endpoint.cpu_ns, || subscriber.tick(now));
+            endpoint.send(outgoing);
         }
-        let heard = self.at.receive(now);
+        let received = self.relay_endpoint.receive(now);
         let relay = &mut self.relay;
-        let said = timed_at(&mut self.at.cpu_ns, || {
-            heard.into_iter().for_each(|(from, message)| relay.receive(now, from, message));
+        let outgoing = timed_at(&mut self.relay_endpoint.cpu_ns, || {
+            received.into_iter().for_each(|(from, message)| relay.receive(now, from, message));
             relay.tick(now)
         });
-        self.at.send(said);
-        for (subscriber, port) in &mut self.routers {
-            let heard = port.receive(now);
-            timed_at(&mut port.cpu_ns, || {
-                for (from, message) in heard {
+        self.relay_endpoint.send(outgoing);
+        for (subscriber, endpoint) in &mut self.routers {
+            let received = endpoint.receive(now);
+            timed_at(&mut endpoint.cpu_ns, || {
+                for (from, message) in received {
                     // What becomes known is asked of the subscriber.
                     let _ = subscriber.receive(now, from, message);
                 }
@@ -189,14 +192,14 @@
 
     /// Steps until all routers have this version; how long that took (s).
     fn until_all_at(&mut self, version: u64) -> Result<f64, String> {
-        let began = self.now;
+        let started_ns = self.now;
         while !self.all_at(version) {
-            if self.now > began + LIMIT_S * SECOND_NS {
+            if self.now > started_ns + TIMEOUT_S * SECOND_NS {
                 return Err(format!("{} routers had not all learned version {version}", self.routers.len()));
             }
             self.step();
         }
-        Ok((self.now - began) as f64 / 1e9)
+        Ok((self.now - started_ns) as f64 / 1e9)
     }
 
     fn run(&mut self, seconds: u64) {
@@ -207,22 +210,24 @@
     /// router and of the relay (ns); a router's are means.
     fn counts(&self) -> [f64; 5] {
         let routers = self.routers.len() as f64;
-        let each = |of: &dyn Fn(&Port) -> u64| {
-            self.routers.iter().map(|(_, port)| of(port)).sum::<u64>() as f64 / routers
+        let each = |of: &dyn Fn(&Endpoint) -> u64| {
+            self.routers.iter().map(|(_, endpoint)| of(endpoint)).sum::<u64>() as f64 / routers
         };
-        let (sent, said) =
-            (self.at.members.sent().1 as f64 / routers, self.at.members.sent().0 as f64 / routers);
+        let (sent_bytes, sent_messages) = (
+            self.relay_endpoint.members.sent().1 as f64 / routers,
+            self.relay_endpoint.members.sent().0 as f64 / routers,
+        );
         [
-            sent + each(&|port| port.members.sent().1),
-            self.at.read as f64 / routers + each(&|port| port.read),
-            said + each(&|port| port.members.sent().0),
-            each(&|port| port.cpu_ns),
-            self.at.cpu_ns as f64,
+            sent_bytes + each(&|endpoint| endpoint.members.sent().1),
+            self.relay_endpoint.read as f64 / routers + each(&|endpoint| endpoint.read),
+            sent_messages + each(&|endpoint| endpoint.members.sent().0),
+            each(&|endpoint| endpoint.cpu_ns),
+            self.relay_endpoint.cpu_ns as f64,
         ]
     }
 }
 
-fn less(after: [f64; 5], before: [f64; 5]) -> [f64; 5] {
+fn difference(after: [f64; 5], before: [f64; 5]) -> [f64; 5] {
     std::array::from_fn(|at| after[at] - before[at])
 }
 
@@ -230,12 +235,12 @@
 /// second at rest; time until all have theirs (s); processor time of the relay for all starts (ms) and a second at rest (ms).
 fn start_and_rest(routers: usize, part: usize) -> Result<[f64; 9], String> {
     let mut fleet = Fleet::new(routers, part, 2)?;
-    let took_s = fleet.until_all_at(1)?;
+    let start_s = fleet.until_all_at(1)?;
     let start = fleet.counts();
     fleet.run(2);
     let before = fleet.counts();
     fleet.run(MEASURED_S);
-    let rest = less(fleet.counts(), before).map(|n| n / MEASURED_S as f64);
+    let rest = difference(fleet.counts(), before).map(|n| n / MEASURED_S as f64);
     Ok([
         start[0],
         start[1],
@@ -243,7 +248,7 @@
         rest[0],
         rest[2],
         rest[3] / 1e6,
-        took_s,
+        start_s,
         start[4] / 1e6,
         rest[4] / 1e6,
     ])
@@ -257,23 +262,23 @@
     // Asks at rest are not the change's.
     let rest_from = fleet.counts();
     fleet.run(2);
-    let rest = less(fleet.counts(), rest_from);
+    let rest = difference(fleet.counts(), rest_from);
     let before = fleet.counts();
     fleet.version += 1;
     // Engines with even numbers are of the first zone.
-    let news = (0..changed).map(|n| engine(2 * n, 2, EngineState::Draining)).collect();
-    fleet.relay.apply_update(fleet.version, false, news);
+    let changed_engines = (0..changed).map(|n| engine(2 * n, 2, EngineState::Draining)).collect();
+    fleet.relay.apply_update(fleet.version, false, changed_engines);
     fleet.run(2);
     if !fleet.all_at(fleet.version) {
         return Err(format!("{changed} changes were not told within 2 s"));
     }
-    let cost = less(less(fleet.counts(), before), rest);
+    let cost = difference(difference(fleet.counts(), before), rest);
     Ok([cost[0].max(1.0), (cost[3] / 1e6).max(1e-4)])
 }
 
 /// Heap that a relay's list holds (KB), and processor time to learn it (ms).
-fn relay_holds(engines: usize) -> Result<[f64; 2], String> {
-    let settings = RelaySettings { routers: FLEET.0, ask_ns: SECOND_NS, silence_ns: 3 * SECOND_NS };
+fn relay_list_cost(engines: usize) -> Result<[f64; 2], String> {
+    let settings = RelaySettings { routers: FLEET_SIZE.0, ask_ns: SECOND_NS, silence_ns: 3 * SECOND_NS };
     let all: Vec<Engine> = (0..engines).map(|number| engine(number, 25, EngineState::Ready)).collect();
     let before = HEAP.current_usage();
     let mut relay = Relay::new(START_NS, settings);
@@ -281,9 +286,9 @@
     // The list itself is handed over, so that its own heap counts.
     relay.apply_update(1, true, all.clone());
     let cpu = thread_ns() - cpu;
-    let held = HEAP.current_usage().saturating_sub(before);
+    let heap_bytes = HEAP.current_usage().saturating_sub(before);
     drop(relay);
-    Ok([held as f64 / 1e3, cpu as f64 / 1e6])
+    Ok([heap_bytes as f64 / 1e3, cpu as f64 / 1e6])
 }
 
 /// Puts parts of a cost into the figures, each by its name.
@@ -337,7 +342,7 @@
         (1, "cells_change_ms", "cells, processor time of a router for a change, sockets included", "ms"),
     ];
     add(figures, "engines of the part that change at once", &changes, &names);
-    let relays = repeated(&ENGINES, relay_holds)?;
+    let relays = repeated(&ENGINES, relay_list_cost)?;
     let names = [
         (0, "relay_held_kb", "relay, heap of the list", "KB"),
         (1, "relay_learn_ms", "relay, processor time to take a whole list, once read", "ms"),
--- a/crates/lab/src/capacity/clock.rs
+++ b/crates/lab/src/capacity/clock.rs
@@ -11,6 +11,6 @@
 /// Processor time that a piece of work took (ns), and what it came to.
 pub fn timed<T>(work: impl FnOnce() -> T) -> (u64, T) {
     let before = thread_ns();
-    let came_to = work();
-    (thread_ns() - before, came_to)
+    let result = work();
+    (thread_ns() - before, result)
 }
--- a/crates/lab/src/capacity/configuration.rs
+++ b/crates/lab/src/capacity/configuration.rs
@@ -33,7 +33,7 @@
     let text = file(entries);
     let (ns, outcome) = timed(|| read("operator.conf", &text, &mut NoFiles, DEFINITIONS, "#Main"));
     match outcome.diagnostics.first() {
-        Some(fault) => Err(format!("the file of {entries} entries can't be read: {fault:?}")),
+        Some(diagnostic) => Err(format!("the file of {entries} entries can't be read: {diagnostic:?}")),
         None => Ok([text.len() as f64, ns as f64 / 1e6]),
     }
 }
@@ -49,8 +49,8 @@
         ("configuration_ms", "operator's file, processor time to read and check it", "ms"),
     ];
     for (at, (name, what, unit)) in names.into_iter().enumerate() {
-        let of = costs.iter().map(|(n, values)| (*n, values.iter().map(|v| v[at]).collect())).collect();
-        figures.insert(name.into(), series(what, unit, "entries", of));
+        let values = costs.iter().map(|(n, values)| (*n, values.iter().map(|v| v[at]).collect())).collect();
+        figures.insert(name.into(), series(what, unit, "entries", values));
     }
     Ok(())
 }
--- a/crates/lab/src/capacity/decision.rs
+++ b/crates/lab/src/capacity/decision.rs
@@ -14,14 +14,14 @@
 /// Engines that the module is told of.
 const ENGINES: [usize; 8] = [8, 64, 512, 2_048, 4_096, 8_192, 16_384, 30_000];
 /// Statements a second, and the time that an engine takes for one (ns): those of one router at the size to design for.
-const GAP_NS: u64 = 1_000_000_000 / 1_094;
-const SERVED_NS: u64 = 10_000_000;
+const STATEMENT_INTERVAL_NS: u64 = 1_000_000_000 / 1_094;
+const SERVICE_TIME_NS: u64 = 10_000_000;
 /// Statements that are passed unmeasured, and measured at least and at most (count).
 const WARM_UP: u64 = 30;
 const MIN_STATEMENTS: u64 = 60;
 const MAX_STATEMENTS: u64 = 6_000;
 /// Statements times engines of one measurement, about (count).
-const WORK: u64 = 1_000_000;
+const STATEMENTS_TIMES_ENGINES: u64 = 1_000_000;
 /// Engines of each zone's share of the list (count of zones).
 const ZONES: usize = 25;
 const START_NS: u64 = 1_700_000_000_000_000_000;
@@ -30,8 +30,8 @@
 struct Bench {
     controller: Controller,
     now: u64,
-    next: u64,
-    out: BTreeMap<u64, (RequestId, EngineId)>,
+    next_request: u64,
+    in_flight: BTreeMap<u64, (RequestId, EngineId)>,
     timers: BTreeMap<(u64, u64), TimerToken>,
     serial: u64,
     sent: u64,
@@ -72,17 +72,17 @@
         let mut bench = Bench {
             controller: Controller::new(settings, 7),
             now: START_NS,
-            next: 0,
-            out: BTreeMap::new(),
+            next_request: 0,
+            in_flight: BTreeMap::new(),
             timers: BTreeMap::new(),
             serial: 0,
             sent: 0,
         };
-        bench.hear(Event::Membership(MembershipKind::Full, list(engines)));
+        bench.handle_event(Event::Membership(MembershipKind::Full, list(engines)));
         bench
     }
 
-    fn hear(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.controller.handle(self.now, event, &mut actions);
         for action in actions {
@@ -90,7 +90,8 @@
             match action {
                 Action::Send { request, engine, .. } => {
                     self.sent += 1;
-                    self.out.insert(self.now + SERVED_NS + self.serial % 1_000, (request, engine));
+                    self.in_flight
+                        .insert(self.now + SERVICE_TIME_NS + self.serial % 1_000, (request, engine));
                 }
                 Action::SetTimer { after_ns, token } => {
                     self.timers.insert((self.now + after_ns, self.serial), token);
@@ -100,20 +101,20 @@
         }
     }
 
-    fn pass_to(&mut self, end: u64) {
+    fn advance_to(&mut self, end: u64) {
         loop {
-            let served = self.out.keys().next().copied().unwrap_or(u64::MAX);
-            let due = self.timers.keys().next().copied().unwrap_or((u64::MAX, 0));
-            if served.min(due.0) > end {
+            let completion_ns = self.in_flight.keys().next().copied().unwrap_or(u64::MAX);
+            let timer = self.timers.keys().next().copied().unwrap_or((u64::MAX, 0));
+            if completion_ns.min(timer.0) > end {
                 break;
             }
-            self.now = self.now.max(served.min(due.0));
-            if due.0 < served {
-                if let Some(token) = self.timers.remove(&due) {
-                    self.hear(Event::Timer(token));
+            self.now = self.now.max(completion_ns.min(timer.0));
+            if timer.0 < completion_ns {
+                if let Some(token) = self.timers.remove(&timer) {
+                    self.handle_event(Event::Timer(token));
                 }
-            } else if let Some((request, engine)) = self.out.remove(&served) {
-                self.hear(Event::Outcome(outcome(request, engine)));
+            } else if let Some((request, engine)) = self.in_flight.remove(&completion_ns) {
+                self.handle_event(Event::Outcome(outcome(request, engine)));
             }
         }
         self.now = end;
@@ -122,16 +123,16 @@
     /// Statements arrive and end at the design's rate.
     fn statements(&mut self, count: u64) {
         for _ in 0..count {
-            self.pass_to(self.now + GAP_NS);
-            self.next += 1;
+            self.advance_to(self.now + STATEMENT_INTERVAL_NS);
+            self.next_request += 1;
             let request = Request {
-                id: RequestId(self.next),
+                id: RequestId(self.next_request),
                 class: ClassId(0),
                 time_left_ns: 4_000_000_000,
                 work_estimate_ns: Some(60_000_000),
                 ..Request::default()
             };
-            self.hear(Event::Arrival(request));
+            self.handle_event(Event::Arrival(request));
         }
     }
 }
@@ -142,7 +143,7 @@
         attempt: 0,
         engine,
         status: Status::Done,
-        latency_ns: SERVED_NS,
+        latency_ns: SERVICE_TIME_NS,
         concluded: true,
         may_run_until_ns: 0,
         work_ns: None,
@@ -155,7 +156,7 @@
 fn statement_us(settings: &Settings, engines: usize) -> Result<f64, String> {
     let mut bench = Bench::new(settings.clone(), engines);
     bench.statements(WARM_UP);
-    let count = (WORK / engines as u64).clamp(MIN_STATEMENTS, MAX_STATEMENTS);
+    let count = (STATEMENTS_TIMES_ENGINES / engines as u64).clamp(MIN_STATEMENTS, MAX_STATEMENTS);
     let sent_before = bench.sent;
     let (ns, ()) = timed(|| bench.statements(count));
     match bench.sent - sent_before {
@@ -166,8 +167,8 @@
 
 fn whole_list_us(settings: &Settings, engines: usize) -> f64 {
     let mut bench = Bench::new(settings.clone(), engines);
-    let again = list(engines);
-    let (ns, ()) = timed(|| bench.hear(Event::Membership(MembershipKind::Full, again)));
+    let full_list = list(engines);
+    let (ns, ()) = timed(|| bench.handle_event(Event::Membership(MembershipKind::Full, full_list)));
     ns as f64 / 1e3
 }
 
@@ -177,8 +178,8 @@
     let mut bench = Bench::new(settings.clone(), engines);
     let (ns, ()) = timed(|| {
         for engine in 0..CHANGES {
-            let news = vec![entry(engine, EngineState::Draining)];
-            bench.hear(Event::Membership(MembershipKind::Delta, news));
+            let entries = vec![entry(engine, EngineState::Draining)];
+            bench.handle_event(Event::Membership(MembershipKind::Delta, entries));
         }
     });
     ns as f64 / 1e3 / CHANGES as f64
--- a/crates/lab/src/capacity/verdicts.rs
+++ b/crates/lab/src/capacity/health.rs
@@ -14,14 +14,14 @@
 const CHANGES_ROUTERS: usize = 100;
 const MEASURED_S: u64 = 4;
 /// Bytes of a sealed datagram beside its message: seal, sender (bytes); as [`super::limits`] seals one.
-const SEALED_BYTES: f64 = 70.0;
+const SIGNATURE_BYTES: f64 = 70.0;
 
 fn each(n: u64, routers: usize) -> f64 {
     n as f64 / MEASURED_S as f64 / routers as f64
 }
 
 /// Bytes and processor time (ms) a second of one router at rest, and the time until an operator's word is heard by all (s).
-fn rest(routers: usize) -> [f64; 3] {
+fn cost_at_rest(routers: usize) -> [f64; 3] {
     let mut fleet = Fleet::new(routers, 1);
     // What is said at a start has gone round.
     fleet.run(15 * S);
@@ -29,37 +29,40 @@
     fleet.run(MEASURED_S * S);
     let cpu = thread_ns() - cpu;
     let bytes =
-        each(fleet.bytes - before.1, routers) + each(fleet.messages - before.0, routers) * SEALED_BYTES;
+        each(fleet.bytes - before.1, routers) + each(fleet.messages - before.0, routers) * SIGNATURE_BYTES;
     let now = fleet.now;
     fleet.node(0).set_override(now, "e1", true);
-    let heard = fleet.until(20 * S, "heard", |f| f.all(|n| n.overrides().get("e1").is_some()));
-    [bytes, each(cpu, routers) / 1e6, heard as f64 / 1e9]
+    let propagation_ns = fleet.until(20 * S, "heard", |f| f.all(|n| n.overrides().get("e1").is_some()));
+    [bytes, each(cpu, routers) / 1e6, propagation_ns as f64 / 1e9]
 }
 
 /// Bytes, messages and processor time (ms) a second of one router where so many pieces of evidence change in each second.
-fn changing(routers: usize, changes: f64) -> [f64; 3] {
+fn cost_at_change_rate(routers: usize, changes: f64) -> [f64; 3] {
     const WARM_UP_NS: u64 = 4 * S;
     let mut fleet = Fleet::new(routers, 1);
     fleet.run(10 * S);
-    let (began, mut made) = (fleet.now, 0);
+    let (started_ns, mut change_count) = (fleet.now, 0);
     let mut before = ((0, 0), 0);
-    while fleet.now < began + WARM_UP_NS + MEASURED_S * S {
-        let passed = fleet.now - began;
-        if passed == WARM_UP_NS {
+    while fleet.now < started_ns + WARM_UP_NS + MEASURED_S * S {
+        let elapsed_ns = fleet.now - started_ns;
+        if elapsed_ns == WARM_UP_NS {
             before = ((fleet.messages, fleet.bytes), thread_ns());
         }
-        while (made as f64) < changes * passed as f64 / 1e9 {
+        while (change_count as f64) < changes * elapsed_ns as f64 / 1e9 {
             // Each router in turn changes its mind of one engine.
-            let went =
-                if made / routers % 2 == 0 { AttemptOutcome::Silent } else { AttemptOutcome::Served(MS) };
-            fleet.ended(made % routers, (made % 20) as u64, went);
-            made += 1;
+            let outcome = if change_count / routers % 2 == 0 {
+                AttemptOutcome::Silent
+            } else {
+                AttemptOutcome::Served(MS)
+            };
+            fleet.ended(change_count % routers, (change_count % 20) as u64, outcome);
+            change_count += 1;
         }
         fleet.run(100 * MS);
     }
     let cpu = thread_ns() - before.1;
     let messages = each(fleet.messages - before.0 .0, routers);
-    let bytes = each(fleet.bytes - before.0 .1, routers) + messages * SEALED_BYTES;
+    let bytes = each(fleet.bytes - before.0 .1, routers) + messages * SIGNATURE_BYTES;
     [bytes, messages, each(cpu, routers) / 1e6]
 }
 
@@ -84,7 +87,7 @@
         ),
         ("verdicts_heard_s", "verdicts, time until an operator's word is heard by all", "s"),
     ];
-    add(names, "routers", ROUTERS.iter().map(|n| (*n as f64, rest(*n))).collect());
+    add(names, "routers", ROUTERS.iter().map(|n| (*n as f64, cost_at_rest(*n))).collect());
     let names = [
         (
             "verdicts_bytes_s",
@@ -94,7 +97,7 @@
         ("verdicts_messages_s", "verdicts, messages a second of one of 100 routers", "1/s"),
         ("verdicts_ms_s", "verdicts, processor time a second of one of 100 routers, without sockets", "ms/s"),
     ];
-    let changing_by = CHANGES.iter().map(|n| (*n, changing(CHANGES_ROUTERS, *n))).collect();
+    let changing_by = CHANGES.iter().map(|n| (*n, cost_at_change_rate(CHANGES_ROUTERS, *n))).collect();
     add(names, "pieces of evidence that change a second", changing_by);
     let names = [
         (
@@ -109,5 +112,5 @@
             "ms/s",
         ),
     ];
-    add(names, "routers", ROUTERS.iter().map(|n| (*n as f64, changing(*n, FULL))).collect());
+    add(names, "routers", ROUTERS.iter().map(|n| (*n as f64, cost_at_change_rate(*n, FULL))).collect());
 }
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -4,7 +4,7 @@
 
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::{Kind, Limit, LimitParams, Message, Mode, Node};
-use marljunction_peers::datagram::Kind as Sealed;
+use marljunction_peers::datagram::Kind as DatagramKind;
 use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
 use marljunction_testkit::fleet::KEY;
 
@@ -19,7 +19,7 @@
 const SECOND_NS: u64 = 1_000_000_000;
 const START_NS: u64 = 1_700_000_000 * SECOND_NS;
 const STEP_NS: u64 = 20_000_000;
-const KEYS_MOST: usize = 16_384;
+const MAX_KEYS: usize = 16_384;
 
 /// Messages, and sealed bytes of them, one datagram for each peer and time.
 #[derive(Clone, Copy, Default)]
@@ -29,29 +29,29 @@
 }
 
 /// Seals what is said as the program does, to count its bytes.
-struct Sealer {
+struct DatagramSizer {
     members: Members,
     to: SocketAddr,
 }
 
-impl Sealer {
-    fn new() -> Result<Sealer, String> {
+impl DatagramSizer {
+    fn new() -> Result<DatagramSizer, String> {
         let to = SocketAddr::from(([10, 0, 0, 1], 4_200));
-        let who = PeerIdentity {
+        let identity = PeerIdentity {
             name: "router-00000".into(),
             number: 0,
             address: to,
             incarnation: START_NS,
             renewal: 0,
         };
-        Ok(Sealer { members: Members::new(who, Keys::read(KEY)?, &Settings::default(), 1), to })
+        Ok(DatagramSizer { members: Members::new(identity, Keys::read(KEY)?, &Settings::default(), 1), to })
     }
 
     fn bytes(&mut self, messages: &[&Message]) -> u64 {
-        let said = rmp_serde::to_vec(messages).unwrap_or_default();
-        self.members.send_payload(self.to, Sealed::Limits, &said);
-        let (out, _) = self.members.take();
-        out.iter().map(|(_, datagram)| datagram.len() as u64).sum()
+        let encoded = rmp_serde::to_vec(messages).unwrap_or_default();
+        self.members.send_payload(self.to, DatagramKind::Limits, &encoded);
+        let (datagrams, _) = self.members.take();
+        datagrams.iter().map(|(_, datagram)| datagram.len() as u64).sum()
     }
 }
 
@@ -64,9 +64,9 @@
 struct Fleet {
     now: u64,
     nodes: Vec<Node>,
-    wire: Vec<(usize, Peer, Message)>,
+    in_transit: Vec<(usize, Peer, Message)>,
     sent: Sent,
-    sealer: Sealer,
+    datagram_sizer: DatagramSizer,
     routers: usize,
 }
 
@@ -76,40 +76,40 @@
         let mut fleet = Fleet {
             now: START_NS,
             nodes: Vec::new(),
-            wire: Vec::new(),
+            in_transit: Vec::new(),
             sent: Sent::default(),
-            sealer: Sealer::new()?,
+            datagram_sizer: DatagramSizer::new()?,
             routers,
         };
         for at in 0..routers {
-            let me = Peer { number: at as u32, incarnation: START_NS };
-            fleet.nodes.push(Node::new(START_NS, me, params, vec![limit(routers)], KEYS_MOST));
+            let this_peer = Peer { number: at as u32, incarnation: START_NS };
+            fleet.nodes.push(Node::new(START_NS, this_peer, params, vec![limit(routers)], MAX_KEYS));
         }
-        (0..routers).for_each(|at| fleet.see_all(at));
+        (0..routers).for_each(|at| fleet.set_all_reachable(at));
         Ok(fleet)
     }
 
-    fn see_all(&mut self, at: usize) {
+    fn set_all_reachable(&mut self, at: usize) {
         let others = (0..self.routers as u32).filter(|other| *other != at as u32).collect();
         self.nodes[at].set_reachable(self.now, others);
     }
 
-    fn send_payload(&mut self, from: usize, said: Vec<(u32, Message)>) {
+    fn send_payload(&mut self, from: usize, messages: Vec<(u32, Message)>) {
         let peer = Peer { number: from as u32, incarnation: START_NS };
-        for (to, message) in said {
+        for (to, message) in messages {
             self.sent.messages += 1;
-            self.sent.bytes += self.sealer.bytes(&[&message]);
-            self.wire.push((to as usize, peer, message));
+            self.sent.bytes += self.datagram_sizer.bytes(&[&message]);
+            self.in_transit.push((to as usize, peer, message));
         }
     }
 
     /// Hands over what was said, answers included.
     fn deliver(&mut self) {
-        while !self.wire.is_empty() {
-            for (to, from, message) in std::mem::take(&mut self.wire) {
-                let answers = self.nodes[to].receive(self.now, from, message);
-                let answers = answers.into_iter().map(|answer| (from.number, answer)).collect();
-                self.send_payload(to, answers);
+        while !self.in_transit.is_empty() {
+            for (to, from, message) in std::mem::take(&mut self.in_transit) {
+                let responses = self.nodes[to].receive(self.now, from, message);
+                let responses = responses.into_iter().map(|response| (from.number, response)).collect();
+                self.send_payload(to, responses);
             }
         }
     }
@@ -117,8 +117,8 @@
     fn step(&mut self) {
         self.now += STEP_NS;
         for at in 0..self.routers {
-            let said = self.nodes[at].tick(self.now);
-            self.send_payload(at, said);
+            let messages = self.nodes[at].tick(self.now);
+            self.send_payload(at, messages);
         }
         self.deliver();
     }
@@ -134,8 +134,8 @@
     // The others have been there for long: they ask nobody.
     let cpu = thread_ns();
     fleet.now += STEP_NS;
-    let asked = fleet.nodes[0].tick(fleet.now);
-    fleet.send_payload(0, asked);
+    let requests = fleet.nodes[0].tick(fleet.now);
+    fleet.send_payload(0, requests);
     fleet.deliver();
     let cpu = thread_ns() - cpu;
     Ok([fleet.sent.messages as f64, fleet.sent.bytes as f64, cpu as f64 / 1e6])
--- a/crates/lab/src/capacity/list.rs
+++ b/crates/lab/src/capacity/list.rs
@@ -24,7 +24,7 @@
 /// Engines of the lists. The largest list is as large as the one to design for.
 const ENGINES: [usize; 6] = [75, 300, 1_200, 5_000, 12_000, 30_000];
 /// Longest wait for a list.
-const LIMIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 const FIRST_CONN: u64 = 1_000;
 /// Memory limit of the program that reads them (MB).
 pub const MEMORY_MB: f64 = 192.0;
@@ -52,9 +52,9 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Bytes that the machine took of it, answers' heads included.
-    written: Arc<AtomicU64>,
+    written_bytes: Arc<AtomicU64>,
     /// Bytes that were read on their way to the caller.
-    passed: Arc<AtomicU64>,
+    relayed_bytes: Arc<AtomicU64>,
 }
 
 impl Service {
@@ -63,35 +63,40 @@
     /// # Errors
     /// Where no port is to be had.
     pub fn start(text: String) -> Result<Service, String> {
-        let fault = |e: std::io::Error| format!("list service: {e}");
-        let inner = TcpListener::bind("127.0.0.1:0").map_err(fault)?;
-        let outer = TcpListener::bind("127.0.0.1:0").map_err(fault)?;
-        let (behind, address) = (inner.local_addr().map_err(fault)?, outer.local_addr().map_err(fault)?);
-        let (written, passed) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-        let counts = Arc::clone(&written);
+        let to_message = |e: std::io::Error| format!("list service: {e}");
+        let service_listener = TcpListener::bind("127.0.0.1:0").map_err(to_message)?;
+        let relay_listener = TcpListener::bind("127.0.0.1:0").map_err(to_message)?;
+        let (inner_address, address) = (
+            service_listener.local_addr().map_err(to_message)?,
+            relay_listener.local_addr().map_err(to_message)?,
+        );
+        let (written_bytes, relayed_bytes) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
+        let counts = Arc::clone(&written_bytes);
         std::thread::spawn(move || {
-            for conn in inner.incoming().flatten() {
+            for conn in service_listener.incoming().flatten() {
                 let (text, counts) = (text.clone(), Arc::clone(&counts));
                 std::thread::spawn(move || serve(conn, &text, &counts));
             }
         });
-        let counts = Arc::clone(&passed);
+        let counts = Arc::clone(&relayed_bytes);
         std::thread::spawn(move || {
-            for conn in outer.incoming().flatten() {
+            for conn in relay_listener.incoming().flatten() {
                 let counts = Arc::clone(&counts);
-                std::thread::spawn(move || relay(conn, behind, &counts));
+                std::thread::spawn(move || relay(conn, inner_address, &counts));
             }
         });
-        Ok(Service { address, written, passed })
+        Ok(Service { address, written_bytes, relayed_bytes })
     }
 
     /// The same, once the service has counted all that was read: it counts behind its writing.
-    fn counted(&self) -> Result<(u64, u64), String> {
-        let began = Instant::now();
+    fn settled_bytes(&self) -> Result<(u64, u64), String> {
+        let started = Instant::now();
         loop {
             match self.bytes() {
-                (written, passed) if written >= passed => return Ok((written, passed)),
-                _ if began.elapsed() > LIMIT => return Err("the list service lost count".into()),
+                (written_bytes, relayed_bytes) if written_bytes >= relayed_bytes => {
+                    return Ok((written_bytes, relayed_bytes))
+                }
+                _ if started.elapsed() > TIMEOUT => return Err("the list service lost count".into()),
                 _ => std::thread::yield_now(),
             }
         }
@@ -99,68 +104,70 @@
 
     /// Bytes written by the service, and read by the relay.
     pub fn bytes(&self) -> (u64, u64) {
-        (self.written.load(Ordering::Relaxed), self.passed.load(Ordering::Relaxed))
+        (self.written_bytes.load(Ordering::Relaxed), self.relayed_bytes.load(Ordering::Relaxed))
     }
 }
 
-fn serve(mut conn: TcpStream, text: &str, written: &AtomicU64) {
-    let mut call = [0; 4_096];
-    let mut seen = Vec::new();
-    while !seen.windows(4).any(|w| w == b"\r\n\r\n") {
-        match conn.read(&mut call) {
-            Ok(n) if n > 0 => seen.extend_from_slice(&call[..n]),
+fn serve(mut conn: TcpStream, text: &str, written_bytes: &AtomicU64) {
+    let mut buffer = [0; 4_096];
+    let mut request = Vec::new();
+    while !request.windows(4).any(|w| w == b"\r\n\r\n") {
+        match conn.read(&mut buffer) {
+            Ok(n) if n > 0 => request.extend_from_slice(&buffer[..n]),
             _ => return,
         }
     }
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:hi\n\n";
-    let mut left: &[u8] = &[head.as_bytes(), text.as_bytes()].concat();
-    while !left.is_empty() {
-        match conn.write(left) {
+    let mut remaining: &[u8] = &[head.as_bytes(), text.as_bytes()].concat();
+    while !remaining.is_empty() {
+        match conn.write(remaining) {
             Ok(n) if n > 0 => {
-                written.fetch_add(n as u64, Ordering::Relaxed);
-                left = &left[n..];
+                written_bytes.fetch_add(n as u64, Ordering::Relaxed);
+                remaining = &remaining[n..];
             }
             _ => return,
         }
     }
     // A comment each second until the caller goes: silence would end the stream.
     while conn.write_all(b":\n\n").is_ok() {
-        written.fetch_add(3, Ordering::Relaxed);
+        written_bytes.fetch_add(3, Ordering::Relaxed);
         std::thread::park_timeout(Duration::from_secs(1));
     }
 }
 
-fn relay(mut caller: TcpStream, to: SocketAddr, passed: &AtomicU64) {
+fn relay(mut client: TcpStream, to: SocketAddr, relayed_bytes: &AtomicU64) {
     let Ok(mut service) = TcpStream::connect(to) else { return };
-    let (Ok(mut calls), Ok(mut asks)) = (caller.try_clone(), service.try_clone()) else { return };
+    let (Ok(mut client_reader), Ok(mut service_writer)) = (client.try_clone(), service.try_clone()) else {
+        return;
+    };
     let forward: JoinHandle<()> = std::thread::spawn(move || {
         // The end of either side ends both.
-        let _ = std::io::copy(&mut calls, &mut asks);
-        let _ = asks.shutdown(std::net::Shutdown::Both);
+        let _ = std::io::copy(&mut client_reader, &mut service_writer);
+        let _ = service_writer.shutdown(std::net::Shutdown::Both);
     });
     let mut buffer = vec![0; 64 << 10];
     while let Ok(n) = service.read(&mut buffer) {
         // Counted before it is passed on: who has read all of it finds all of it counted.
-        passed.fetch_add(n as u64, Ordering::Relaxed);
-        if n == 0 || caller.write_all(&buffer[..n]).is_err() {
+        relayed_bytes.fetch_add(n as u64, Ordering::Relaxed);
+        if n == 0 || client.write_all(&buffer[..n]).is_err() {
             break;
         }
     }
-    let _ = caller.shutdown(std::net::Shutdown::Both);
+    let _ = client.shutdown(std::net::Shutdown::Both);
     let _ = forward.join();
 }
 
 /// What learning one text took.
-struct Learned {
+struct LearnedList {
     cpu_ns: u64,
     changes: Vec<Change>,
 }
 
 /// Learns what a service tells, over a subscription and sockets of the program's own.
-fn learn(service: &Service, engines: usize) -> Result<Learned, String> {
-    let fault = |e: std::io::Error| format!("sockets: {e}");
-    let mut poll = Poll::new().map_err(fault)?;
-    let registry = poll.registry().try_clone().map_err(fault)?;
+fn learn(service: &Service, engines: usize) -> Result<LearnedList, String> {
+    let to_message = |e: std::io::Error| format!("sockets: {e}");
+    let mut poll = Poll::new().map_err(to_message)?;
+    let registry = poll.registry().try_clone().map_err(to_message)?;
     let mut net = Net::new(registry, FIRST_CONN, ConnectionLimits::of(1_024, MEMORY_MB));
     let clock = Clock::start();
     let names = Names {
@@ -177,14 +184,14 @@
     let mut stream =
         Stream::new(clock.now_ns(), service.address, names, 0, pacing).with_bound(ListBound::of(MEMORY_MB));
     let mut events = Events::with_capacity(16);
-    let (began, before) = (Instant::now(), thread_ns());
+    let (started, before) = (Instant::now(), thread_ns());
     let mut changes: Vec<Change> = Vec::new();
     while changes.iter().map(|change| change.targets.len()).sum::<usize>() < engines {
-        if began.elapsed() > LIMIT {
-            return Err(format!("a list of {engines} engines was not learned within {LIMIT:?}"));
+        if started.elapsed() > TIMEOUT {
+            return Err(format!("a list of {engines} engines was not learned within {TIMEOUT:?}"));
         }
         stream.tick(clock.now_ns(), &mut net);
-        poll.poll(&mut events, Some(Duration::from_millis(5))).map_err(fault)?;
+        poll.poll(&mut events, Some(Duration::from_millis(5))).map_err(to_message)?;
         for event in &events {
             let conn = event.token().0 as u64;
             changes.extend(stream.ready(clock.now_ns(), &mut net, conn));
@@ -193,7 +200,7 @@
             }
         }
     }
-    Ok(Learned { cpu_ns: thread_ns() - before, changes })
+    Ok(LearnedList { cpu_ns: thread_ns() - before, changes })
 }
 
 /// Bytes written, bytes read on the way, processor time (ms), memory of what was learned (KB).
@@ -202,17 +209,17 @@
 fn cost(engines: usize) -> Result<Cost, String> {
     let service = Service::start(whole_list(engines))?;
     let learned = learn(&service, engines)?;
-    let (written, passed) = service.counted()?;
-    let held = HEAP.current_usage();
+    let (written_bytes, relayed_bytes) = service.settled_bytes()?;
+    let heap_bytes = HEAP.current_usage();
     drop(learned.changes);
-    let held = held.saturating_sub(HEAP.current_usage());
-    Ok([written as f64, passed as f64, learned.cpu_ns as f64 / 1e6, held as f64 / 1e3])
+    let heap_bytes = heap_bytes.saturating_sub(HEAP.current_usage());
+    Ok([written_bytes as f64, relayed_bytes as f64, learned.cpu_ns as f64 / 1e6, heap_bytes as f64 / 1e3])
 }
 
 /// The lists that the program learns at all, up to the largest that it does.
 fn learnable() -> Vec<usize> {
-    let learns = |engines: &usize| cost(*engines).is_ok();
-    ENGINES.iter().copied().take_while(learns).collect()
+    let can_learn = |engines: &usize| cost(*engines).is_ok();
+    ENGINES.iter().copied().take_while(can_learn).collect()
 }
 
 /// Measures it all. Gives the sizes of the lists that were learned (engines).
@@ -221,7 +228,7 @@
 /// Where fewer than three sizes can be learned, or sockets can't be had.
 pub fn measure(figures: &mut Figures) -> Result<Vec<usize>, String> {
     let sizes = learnable();
-    let whats = [
+    let descriptions = [
         ("list_bytes", "whole list, bytes that the service wrote to one caller", "bytes"),
         (
             "list_bytes_read",
@@ -232,7 +239,7 @@
         ("list_held_kb", "whole list, heap that what was read holds", "KB"),
     ];
     let costs = repeated(&sizes, cost)?;
-    for (at, (name, what, unit)) in whats.iter().enumerate() {
+    for (at, (name, what, unit)) in descriptions.iter().enumerate() {
         let of = costs.iter().map(|(n, values)| (*n, values.iter().map(|v| v[at]).collect())).collect();
         figures.insert((*name).into(), series(what, unit, "engines", of));
     }
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -18,7 +18,7 @@
 const JOIN_S: u64 = 300;
 const MEASURED_S: u64 = 10;
 /// Largest datagram that is read (bytes).
-const DATAGRAM: usize = 2_048;
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 /// Bytes and datagrams over all routers, as the senders count them and as sockets gave them out.
 #[derive(Clone, Copy, Default)]
@@ -38,22 +38,22 @@
     by_address: HashMap<SocketAddr, usize>,
     due: BinaryHeap<std::cmp::Reverse<(u64, usize)>>,
     /// What earlier lives sent (datagrams, bytes).
-    ended: (u64, u64),
+    previous_sent: (u64, u64),
     read_bytes: u64,
     serial: u64,
 }
 
 impl Fleet {
     fn new(routers: usize) -> Result<Fleet, String> {
-        let fault = |e: std::io::Error| format!("members: {e}");
+        let to_message = |e: std::io::Error| format!("members: {e}");
         let mut sockets = Vec::new();
         for _ in 0..routers {
-            let socket = UdpSocket::bind("127.0.0.1:0").map_err(fault)?;
-            socket.set_nonblocking(true).map_err(fault)?;
+            let socket = UdpSocket::bind("127.0.0.1:0").map_err(to_message)?;
+            socket.set_nonblocking(true).map_err(to_message)?;
             sockets.push(socket);
         }
         let addresses: Vec<SocketAddr> =
-            sockets.iter().map(|s| s.local_addr().map_err(fault)).collect::<Result<_, _>>()?;
+            sockets.iter().map(|s| s.local_addr().map_err(to_message)).collect::<Result<_, _>>()?;
         let settings = Settings {
             routers: routers as u32,
             seeds: addresses.iter().take(2).copied().collect(),
@@ -67,7 +67,7 @@
             sockets,
             by_address: addresses.iter().copied().zip(0..).collect(),
             due: BinaryHeap::new(),
-            ended: (0, 0),
+            previous_sent: (0, 0),
             read_bytes: 0,
             serial: 0,
         };
@@ -83,31 +83,31 @@
     fn member(&mut self, at: usize) -> Members {
         self.serial += 1;
         let address = self.sockets[at].local_addr().unwrap_or(SocketAddr::from(([127, 0, 0, 1], 9)));
-        let who = PeerIdentity {
+        let identity = PeerIdentity {
             name: format!("router-{at:05}"),
             number: at as u32,
             address,
             incarnation: self.now,
             renewal: 0,
         };
-        Members::new(who, self.keys.clone(), &self.settings, self.serial)
+        Members::new(identity, self.keys.clone(), &self.settings, self.serial)
     }
 
     /// Sends what a router has to say, and lets all who hear it answer, until nobody has anything to say.
-    fn settle(&mut self, at: usize) {
-        let mut speak = vec![at];
-        let mut buffer = [0; DATAGRAM];
-        while let Some(at) = speak.pop() {
+    fn exchange_all(&mut self, at: usize) {
+        let mut senders = vec![at];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        while let Some(at) = senders.pop() {
             // What became known is of no interest here.
-            let (out, _) = self.members[at].take();
-            for (to, datagram) in out {
+            let (outgoing, _) = self.members[at].take();
+            for (to, datagram) in outgoing {
                 let sent = self.sockets[at].send_to(&datagram, to).is_ok();
                 let Some(to) = self.by_address.get(&to).copied().filter(|_| sent) else { continue };
                 while let Ok((size, _)) = self.sockets[to].recv_from(&mut buffer) {
                     self.read_bytes += size as u64;
                     self.members[to].receive(self.now, &buffer[..size]);
                 }
-                speak.push(to);
+                senders.push(to);
             }
             self.due.push(std::cmp::Reverse((self.members[at].next_due_ns(), at)));
         }
@@ -125,25 +125,26 @@
             }
             self.now = self.now.max(due);
             self.members[at].tick(self.now);
-            self.settle(at);
+            self.exchange_all(at);
         }
         self.now = end;
     }
 
     fn counts(&self) -> Counts {
-        let sent = self.members.iter().map(Members::sent).fold(self.ended, |a, b| (a.0 + b.0, a.1 + b.1));
+        let sent =
+            self.members.iter().map(Members::sent).fold(self.previous_sent, |a, b| (a.0 + b.0, a.1 + b.1));
         Counts { sent_bytes: sent.1, read_bytes: self.read_bytes, datagrams: sent.0 }
     }
 
     fn restart(&mut self, at: usize) {
         let sent = self.members[at].sent();
-        self.ended = (self.ended.0 + sent.0, self.ended.1 + sent.1);
+        self.previous_sent = (self.previous_sent.0 + sent.0, self.previous_sent.1 + sent.1);
         self.members[at] = self.member(at);
         self.due.push(std::cmp::Reverse((self.now, at)));
     }
 
     /// The least number of peers that any router knows.
-    fn fewest_peers(&self) -> usize {
+    fn min_peers(&self) -> usize {
         self.members.iter().map(|m| m.up().count()).min().unwrap_or(0)
     }
 }
@@ -156,7 +157,7 @@
     cpu_ms_s: f64,
     restart_bytes_s: f64,
     restart_datagrams_s: f64,
-    held_kb: f64,
+    heap_kb: f64,
     join_s: f64,
 }
 
@@ -164,7 +165,7 @@
     let heap = HEAP.current_usage();
     let mut fleet = Fleet::new(routers)?;
     let joined_by = START_NS + JOIN_S * SECOND_NS;
-    while fleet.fewest_peers() + 1 < routers {
+    while fleet.min_peers() + 1 < routers {
         if fleet.now >= joined_by {
             return Err(format!("{routers} routers did not find each other within {JOIN_S} s"));
         }
@@ -173,7 +174,7 @@
     let join_s = (fleet.now - START_NS) as f64 / 1e9;
     // News of the start has gone round.
     fleet.run_until(fleet.now + 10 * SECOND_NS);
-    let held = HEAP.current_usage().saturating_sub(heap) as f64 / 1e3 / routers as f64;
+    let heap_kb = HEAP.current_usage().saturating_sub(heap) as f64 / 1e3 / routers as f64;
     let each = |n: u64| n as f64 / MEASURED_S as f64 / routers as f64;
     let (before, cpu) = (fleet.counts(), thread_ns());
     fleet.run_until(fleet.now + MEASURED_S * SECOND_NS);
@@ -189,7 +190,7 @@
         cpu_ms_s: each(cpu) / 1e6,
         restart_bytes_s: each(restarted.sent_bytes - after.sent_bytes),
         restart_datagrams_s: each(restarted.datagrams - after.datagrams),
-        held_kb: held,
+        heap_kb,
         join_s,
     })
 }
@@ -199,9 +200,9 @@
 /// # Errors
 /// Where routers do not find each other.
 pub fn measure(figures: &mut Figures) -> Result<(), String> {
-    let mut of: BTreeMap<usize, Cost> = BTreeMap::new();
+    let mut costs: BTreeMap<usize, Cost> = BTreeMap::new();
     for routers in ROUTERS {
-        of.insert(routers, cost(routers)?);
+        costs.insert(routers, cost(routers)?);
     }
     type Part = (&'static str, &'static str, &'static str, fn(&Cost) -> f64);
     let parts: [Part; 8] = [
@@ -235,16 +236,17 @@
         ("members_join_s", "membership, time until all know all after a start within one second", "s", |c| {
             c.join_s
         }),
-        ("members_held_kb", "membership, heap of one router", "KB", |c| c.held_kb),
+        ("members_held_kb", "membership, heap of one router", "KB", |c| c.heap_kb),
     ];
-    let kept = [800, 1_600, 3_200, 6_400].map(|routers: u32| {
+    let max_peers_by_routers = [800, 1_600, 3_200, 6_400].map(|routers: u32| {
         let settings = Settings { routers, ..Settings::default() };
         (f64::from(routers), vec![settings.max_peers() as f64])
     });
     let what = "membership, peers that one router keeps at most, by its settings";
-    figures.insert("members_max_peers".into(), series(what, "count", "routers", kept.to_vec()));
+    figures
+        .insert("members_max_peers".into(), series(what, "count", "routers", max_peers_by_routers.to_vec()));
     for (name, what, unit, part) in parts {
-        let values = of.iter().map(|(n, cost)| (*n as f64, vec![part(cost)])).collect();
+        let values = costs.iter().map(|(n, cost)| (*n as f64, vec![part(cost)])).collect();
         figures.insert(name.into(), series(what, unit, "routers", values));
     }
     Ok(())
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -8,11 +8,11 @@
 mod configuration;
 mod decision;
 mod files;
+mod health;
 mod limits;
 mod list;
 mod members;
 mod process;
-mod verdicts;
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -78,39 +78,39 @@
 /// Measures all costs, or those of one part.
 fn measure(program: &Path, only: Option<&str>) -> Result<Measured, String> {
     let mut figures = Figures::new();
-    let wanted = |part: &str| only.is_none_or(|only| only == part);
-    let began = std::time::Instant::now();
-    let told =
-        |part: &str| eprintln!("{part}: measured, {:.1} s since the start", began.elapsed().as_secs_f64());
-    if wanted("decision") {
+    let selected = |part: &str| only.is_none_or(|only| only == part);
+    let started = std::time::Instant::now();
+    let log_progress =
+        |part: &str| eprintln!("{part}: measured, {:.1} s since the start", started.elapsed().as_secs_f64());
+    if selected("decision") {
         decision::measure(&mut figures)?;
-        told("decision");
+        log_progress("decision");
     }
-    if wanted("list") || wanted("process") {
+    if selected("list") || selected("process") {
         let sizes = list::measure(&mut figures)?;
-        told("list");
+        log_progress("list");
         process::measure(&mut figures, program, &sizes)?;
-        told("process");
+        log_progress("process");
     }
-    if wanted("members") {
+    if selected("members") {
         members::measure(&mut figures)?;
-        told("members");
+        log_progress("members");
     }
-    if wanted("limits") {
+    if selected("limits") {
         limits::measure(&mut figures)?;
-        told("limits");
+        log_progress("limits");
     }
-    if wanted("verdicts") {
-        verdicts::measure(&mut figures);
-        told("verdicts");
+    if selected("verdicts") {
+        health::measure(&mut figures);
+        log_progress("verdicts");
     }
-    if wanted("cells") {
+    if selected("cells") {
         cells::measure(&mut figures)?;
-        told("cells");
+        log_progress("cells");
     }
-    if wanted("configuration") {
+    if selected("configuration") {
         configuration::measure(&mut figures)?;
-        told("configuration");
+        log_progress("configuration");
     }
     Ok(Measured { command: COMMAND.into(), series: figures })
 }
@@ -123,7 +123,7 @@
     let repository = files::Repository::find()?;
     if let Some(part) = &run.only {
         let measured = measure(&run.program, Some(part))?;
-        measured.series.iter().for_each(|(name, series)| tell(name, series));
+        measured.series.iter().for_each(|(name, series)| print_series(name, series));
         return Ok(());
     }
     let measured = if run.measure { measure(&run.program, None)? } else { repository.measured()? };
@@ -132,7 +132,7 @@
     }
     // What the file says, not what was in memory: the page is held against the file.
     let measured = if run.write { repository.measured()? } else { measured };
-    let page = page::page(&measured, &repository.scale()?).map_err(|fault| fault.to_string())?;
+    let page = page::page(&measured, &repository.scale()?).map_err(|error| error.to_string())?;
     if run.write {
         repository.write_page(&page)?;
     }
@@ -147,7 +147,7 @@
     Ok(())
 }
 
-fn tell(name: &str, series: &Series) {
+fn print_series(name: &str, series: &Series) {
     let points: Vec<String> =
         series.points().iter().map(|p| format!("{}: {:.4}", p.count, p.value)).collect();
     println!("{name} ({}): {}", series.unit, points.join(", "));
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -15,29 +15,29 @@
 use super::{repeated_times, series, Figures, Repeated};
 
 /// Connections of clients that did one call and then nothing.
-const IDLE: [usize; 4] = [500, 1_000, 2_000, 4_000];
+const IDLE_CLIENTS: [usize; 4] = [500, 1_000, 2_000, 4_000];
 /// Measurements at each count.
 const REPEATS: usize = 2;
 /// Sizes of lists: those of the list's own measurement, without the smallest, whose memory is lost in the program's own.
 const MIN_ENGINES: usize = 300;
 /// Statements a second that one router is asked for.
 const RATES: [usize; 4] = [100, 200, 400, 800];
-const MEASURED_FOR: Duration = Duration::from_secs(2);
+const MEASURED_TIME: Duration = Duration::from_secs(2);
 /// Longest wait for something that must happen, and how long a program that does nothing more is watched.
-const LIMIT: Duration = Duration::from_secs(15);
-const QUIET: Duration = Duration::from_millis(400);
+const TIMEOUT: Duration = Duration::from_secs(15);
+const IDLE_TIME: Duration = Duration::from_millis(400);
 /// Descriptors that the machine gives a program.
 const SOCKETS: usize = 16_384;
 
 /// A program with a folder of its own.
-struct Lone {
+struct RouterProcess {
     process: Process,
     dir: PathBuf,
     listens: SocketAddr,
 }
 
-impl Lone {
-    fn start(program: &Path, name: &str, coordinator: SocketAddr) -> Result<Lone, String> {
+impl RouterProcess {
+    fn start(program: &Path, name: &str, coordinator: SocketAddr) -> Result<RouterProcess, String> {
         let classes = classes();
         let site = Site {
             classes: &classes,
@@ -54,20 +54,22 @@
             "coordinator": coordinator.to_string(), "known": {"index": 0, "updates": []}, "settings": settings(&site),
         });
         let dir = std::env::temp_dir().join(format!("marljunction-{}-capacity-{name}", std::process::id()));
-        let fault = |e: std::io::Error| format!("{}: {e}", dir.display());
-        std::fs::create_dir_all(&dir).map_err(fault)?;
+        let to_message = |e: std::io::Error| format!("{}: {e}", dir.display());
+        std::fs::create_dir_all(&dir).map_err(to_message)?;
         let path = dir.join("config.json");
-        std::fs::write(&path, config.to_string()).map_err(fault)?;
+        std::fs::write(&path, config.to_string()).map_err(to_message)?;
         let mut process = Process::start(program, &[("ROUTER_CONFIG", path)], &dir.join("log"))?;
-        let began = Instant::now();
+        let started = Instant::now();
         let listens = loop {
             match process.listens() {
                 Some(at) => break at,
-                None if began.elapsed() > LIMIT => return Err(format!("the program {name} did not start")),
+                None if started.elapsed() > TIMEOUT => {
+                    return Err(format!("the program {name} did not start"))
+                }
                 None => std::thread::park_timeout(Duration::from_millis(2)),
             }
         };
-        Ok(Lone { process, dir, listens })
+        Ok(RouterProcess { process, dir, listens })
     }
 
     /// Memory in use now (KB).
@@ -78,27 +80,27 @@
     }
 
     /// Waits until a condition holds and the program has then used nearly no processor time for a while.
-    fn settle(&mut self, what: &str, condition: impl Fn() -> bool) -> Result<(), String> {
-        let began = Instant::now();
-        let mut seen = (Instant::now(), self.process.used().1);
+    fn wait_until_idle(&mut self, what: &str, condition: impl Fn() -> bool) -> Result<(), String> {
+        let started = Instant::now();
+        let mut last_activity = (Instant::now(), self.process.used().1);
         loop {
             let used = self.process.used().1;
             // A program at rest wakes for its timers only.
-            if used > seen.1 + 20_000 || !condition() {
-                seen = (Instant::now(), used);
+            if used > last_activity.1 + 20_000 || !condition() {
+                last_activity = (Instant::now(), used);
             }
-            if seen.0.elapsed() > QUIET {
+            if last_activity.0.elapsed() > IDLE_TIME {
                 return Ok(());
             }
-            if began.elapsed() > LIMIT {
-                return Err(format!("not within {LIMIT:?}: {what}"));
+            if started.elapsed() > TIMEOUT {
+                return Err(format!("not within {TIMEOUT:?}: {what}"));
             }
             std::thread::park_timeout(Duration::from_millis(10));
         }
     }
 }
 
-impl Drop for Lone {
+impl Drop for RouterProcess {
     fn drop(&mut self) {
         self.process.kill();
         let _ = std::fs::remove_dir_all(&self.dir);
@@ -106,36 +108,36 @@
 }
 
 /// Memory of the program that knows so many engines, now and at most so far (KB).
-fn knowing(program: &Path, engines: usize) -> Result<[f64; 2], String> {
+fn memory_with_list(program: &Path, engines: usize) -> Result<[f64; 2], String> {
     let text = whole_list(engines);
     let size = text.len() as u64;
     let service = Service::start(text)?;
-    let mut router = Lone::start(program, &format!("knows-{engines}"), service.address)?;
-    router.settle("the list is learned", || service.bytes().1 > size)?;
+    let mut router = RouterProcess::start(program, &format!("knows-{engines}"), service.address)?;
+    router.wait_until_idle("the list is learned", || service.bytes().1 > size)?;
     Ok([router.resident_kb(), router.process.used().0 as f64])
 }
 
 /// A client that made one call.
 fn idle_client(to: SocketAddr) -> Result<TcpStream, String> {
-    let fault = |e: std::io::Error| format!("client: {e}");
-    let mut conn = TcpStream::connect(to).map_err(fault)?;
-    conn.set_read_timeout(Some(LIMIT)).map_err(fault)?;
+    let to_message = |e: std::io::Error| format!("client: {e}");
+    let mut conn = TcpStream::connect(to).map_err(to_message)?;
+    conn.set_read_timeout(Some(TIMEOUT)).map_err(to_message)?;
     // A call in MessagePack: kind 0, number 1, the method, no parameters.
-    conn.write_all(b"\x94\x00\x01\xa6isWell\x90").map_err(fault)?;
+    conn.write_all(b"\x94\x00\x01\xa6isWell\x90").map_err(to_message)?;
     let mut answer = [0; 64];
     match conn.read(&mut answer) {
         Ok(n) if n > 0 => Ok(conn),
         Ok(_) => Err("a client was turned away".into()),
-        Err(e) => Err(fault(e)),
+        Err(e) => Err(to_message(e)),
     }
 }
 
 /// Memory of the program with so many idle clients (KB), and its processor time a second then (ms).
-fn holding(program: &Path, clients: usize) -> Result<[f64; 2], String> {
+fn idle_client_cost(program: &Path, clients: usize) -> Result<[f64; 2], String> {
     let service = Service::start(whole_list(8))?;
-    let mut router = Lone::start(program, &format!("holds-{clients}"), service.address)?;
+    let mut router = RouterProcess::start(program, &format!("holds-{clients}"), service.address)?;
     let conns = (0..clients).map(|_| idle_client(router.listens)).collect::<Result<Vec<_>, _>>()?;
-    router.settle("clients are quiet", || true)?;
+    router.wait_until_idle("clients are quiet", || true)?;
     let (from, before) = (Instant::now(), router.process.used().1);
     while from.elapsed() < Duration::from_secs(1) {
         std::thread::park_timeout(Duration::from_millis(20));
@@ -147,27 +149,27 @@
 }
 
 /// Processor time a second of the program that is asked for so many short statements (ms).
-fn serving(program: &Path, rate: usize) -> Result<f64, String> {
-    let usual = classes().swap_remove(0);
+fn statement_cost(program: &Path, rate: usize) -> Result<f64, String> {
+    let base_class = classes().swap_remove(0);
     let setup = Setup {
         engines: 8,
-        classes: vec![Class { work_ms: 10.0, spread: 0.3, share: 1.0, ..usual }],
+        classes: vec![Class { work_ms: 10.0, spread: 0.3, share: 1.0, ..base_class }],
         rate: rate as f64,
         ..Setup::new(program, &format!("capacity-{rate}"), 1)
     };
     let mut fleet = Fleet::new(setup)?;
     fleet.start_all()?;
-    if !fleet.run_until(LIMIT, |fleet| fleet.live() == 1)? {
+    if !fleet.run_until(TIMEOUT, |fleet| fleet.live() == 1)? {
         return Err("the router of the statements did not start".into());
     }
     fleet.ask();
     fleet.run(Duration::from_secs(1))?;
     let (from, before) = (fleet.now(), fleet.used()[0].1);
-    let asked_before = fleet.sum(|tally| tally.asked as f64);
-    fleet.run(MEASURED_FOR)?;
+    let requested_before = fleet.sum(|tally| tally.asked as f64);
+    fleet.run(MEASURED_TIME)?;
     let seconds = (fleet.now() - from) as f64 / 1e9;
     let used_ms = (fleet.used()[0].1 - before) as f64 / 1e3 / seconds;
-    let asked = (fleet.sum(|tally| tally.asked as f64) - asked_before) / seconds;
+    let asked = (fleet.sum(|tally| tally.asked as f64) - requested_before) / seconds;
     // Arrivals are drawn: the processor time is scaled to the rate that was wanted.
     Ok(used_ms * rate as f64 / asked.max(1.0))
 }
@@ -184,18 +186,18 @@
     let sizes: Vec<usize> = sizes.iter().copied().filter(|n| *n >= MIN_ENGINES).collect();
     // Two points are a line whatever they are: the smallest list is measured too where few can be learned.
     let sizes = if sizes.len() < 3 { vec![75, 300, 600, 1_200] } else { sizes };
-    let known = repeated_times(REPEATS, &sizes, |engines| knowing(program, engines))?;
+    let list_costs = repeated_times(REPEATS, &sizes, |engines| memory_with_list(program, engines))?;
     let what = "program, resident memory when it knows a list";
-    figures.insert("program_kb".into(), series(what, "KB", "engines", split(&known, 0)));
+    figures.insert("program_kb".into(), series(what, "KB", "engines", split(&list_costs, 0)));
     let what = "program, largest resident memory while it learned a list";
-    figures.insert("program_peak_kb".into(), series(what, "KB", "engines", split(&known, 1)));
-    let held = repeated_times(REPEATS, &IDLE, |clients| holding(program, clients))?;
+    figures.insert("program_peak_kb".into(), series(what, "KB", "engines", split(&list_costs, 1)));
+    let idle_costs = repeated_times(REPEATS, &IDLE_CLIENTS, |clients| idle_client_cost(program, clients))?;
     let what = "program, resident memory with connections of clients that made one call each";
-    figures.insert("idle_kb".into(), series(what, "KB", "connections", split(&held, 0)));
+    figures.insert("idle_kb".into(), series(what, "KB", "connections", split(&idle_costs, 0)));
     let what = "program, processor time a second with such connections";
-    figures.insert("idle_ms_s".into(), series(what, "ms/s", "connections", split(&held, 1)));
-    let served = repeated_times(REPEATS, &RATES, |rate| serving(program, rate))?;
+    figures.insert("idle_ms_s".into(), series(what, "ms/s", "connections", split(&idle_costs, 1)));
+    let statement_costs = repeated_times(REPEATS, &RATES, |rate| statement_cost(program, rate))?;
     let what = "program, processor time a second by statements a second, 8 engines, the decision included";
-    figures.insert("statement_ms_s".into(), series(what, "ms/s", "statements a second", served));
+    figures.insert("statement_ms_s".into(), series(what, "ms/s", "statements a second", statement_costs));
     Ok(())
 }
