--- a/crates/testkit/src/hollow/child.rs
+++ b/crates/testkit/src/hollow/child.rs
@@ -1,4 +1,4 @@
-//! A child process that obeys lines of JSON, seen from its parent.
+//! Control of a child process by lines of JSON on its standard input and output.
 
 use std::io::{BufRead, BufReader, Write};
 use std::marker::PhantomData;
@@ -13,7 +13,7 @@
 use super::usage::{self, Usage};
 use super::{io, HollowError};
 
-/// A child that takes `C` and answers `R`. It ends with this value, and with its parent.
+/// A child process that accepts commands `C` and sends reports `R`. Dropping it kills the child.
 #[derive(Debug)]
 pub struct ChildProcess<C, R> {
     name: String,
@@ -27,7 +27,7 @@
     /// Starts `program` with these arguments.
     ///
     /// # Errors
-    /// Where it can't be started.
+    /// If the process can't be started.
     pub fn start(
         program: &Path,
         arguments: &[&str],
@@ -50,10 +50,10 @@
         Ok(ChildProcess { name, child, input, reports, commands: PhantomData })
     }
 
-    /// Tells it something.
+    /// Sends a command without waiting for its report.
     ///
     /// # Errors
-    /// Where it has ended.
+    /// If the child has exited.
     pub fn send_command(&mut self, command: &C) -> Result<(), HollowError> {
         let exited = || HollowError::ChildExited(self.name.clone());
         let mut text = serde_json::to_vec(command)
@@ -63,10 +63,10 @@
         input.write_all(&text).and_then(|()| input.flush()).map_err(|_| exited())
     }
 
-    /// Its next answer; none within the limit.
+    /// Waits for the next report; none if the timeout expires.
     ///
     /// # Errors
-    /// Where it has ended, or its line can't be read.
+    /// If the child has exited or its report is invalid.
     pub fn receive(&mut self, timeout: Duration) -> Result<Option<R>, HollowError> {
         match self.reports.recv_timeout(timeout) {
             Ok(Ok(report)) => Ok(Some(report)),
@@ -76,10 +76,10 @@
         }
     }
 
-    /// Its answer to a command.
+    /// Sends a command and waits for its report.
     ///
     /// # Errors
-    /// As [`Obedient::hear`], and where there is none within the limit.
+    /// As [`ChildProcess::receive`], and if the timeout expires.
     pub fn request(&mut self, command: &C, timeout: Duration) -> Result<R, HollowError> {
         self.send_command(command)?;
         let started = Instant::now();
@@ -91,17 +91,17 @@
 }
 
 impl<C, R> ChildProcess<C, R> {
-    /// What it is called.
+    /// Name for error messages.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its process's number.
+    /// Process ID.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// What it used so far.
+    /// Resource usage so far.
     pub fn usage(&self) -> Usage {
         usage::of_process(self.child.id())
     }
--- a/crates/testkit/src/hollow/engine_fingerprints.rs
+++ b/crates/testkit/src/hollow/engine_fingerprints.rs
@@ -1,7 +1,6 @@
-//! The list of engines as a hollow router holds it: a fingerprint of each engine, and their sum.
+//! A hollow router's engine list, reduced to a fingerprint of each engine and their sum.
 //!
-//! Sixteen bytes an engine, so that thousands of routers with a whole list each fit one machine. What a list costs a whole router
-//! is measured with the decision module.
+//! It uses 16 bytes per engine, so that thousands of routers with full lists fit on one machine.
 
 use std::net::SocketAddr;
 
@@ -11,25 +10,25 @@
 
 use super::protocol::ListDigest;
 
-/// The list of one router.
+/// The fingerprints of a router's engine list.
 #[derive(Clone, Debug, Default)]
 pub struct EngineFingerprints {
-    /// Engine number and fingerprint, in order of the numbers.
+    /// Engine ID and fingerprint, sorted by ID.
     engines: Vec<(u64, u64)>,
     sum: u64,
 }
 
 impl EngineFingerprints {
-    /// Takes a change that the list service told.
+    /// Applies a change from the list service.
     pub fn apply(&mut self, change: &Change) {
         match change.kind {
             MembershipKind::Full => self.replace(change.targets.iter().map(entry_of_target)),
-            // Of a list that is not known to be whole nothing is taken away, and a call that failed names nothing.
+            // Other kinds are not authoritative for engines that they do not contain.
             _ => change.targets.iter().map(entry_of_target).for_each(|(id, entry)| self.set(id, entry)),
         }
     }
 
-    /// Takes news of a cell's part that a relay told.
+    /// Applies an update of a cell's part from a relay.
     pub fn apply_part(&mut self, update: &PartUpdate) {
         match update {
             PartUpdate::Snapshot(engines) => self.replace(engines.iter().map(entry_of_engine)),
@@ -40,7 +39,7 @@
         }
     }
 
-    /// What sums it up.
+    /// Digest of the list.
     pub fn digest(&self) -> ListDigest {
         ListDigest { engines: self.engines.len() as u64, sum: self.sum }
     }
@@ -51,7 +50,7 @@
         self.sum = self.engines.iter().fold(0, |sum, (_, fingerprint)| sum.wrapping_add(*fingerprint));
     }
 
-    /// An engine with its fingerprint; none for one that is gone.
+    /// Sets the fingerprint of an engine; none removes the engine.
     fn set(&mut self, engine: u64, entry: Option<u64>) {
         let index = self.engines.binary_search_by_key(&engine, |(listed, _)| *listed);
         let previous = index.ok().map_or(0, |index| self.engines[index].1);
@@ -78,7 +77,7 @@
     (engine.id, (engine.state != CellEngineState::Gone).then_some(value))
 }
 
-/// A number that differs where an engine's name, address, state or start differs.
+/// Hash of an engine's ID, address, state and start time.
 pub fn fingerprint(engine: u64, address: SocketAddr, draining: bool, boot_ms: u64) -> u64 {
     let host = match address {
         SocketAddr::V4(v4) => u128::from(u32::from(*v4.ip())),
@@ -89,7 +88,7 @@
     parts.into_iter().fold(0x9e37_79b9_7f4a_7c15, |hash, part| mix_hash(hash ^ part))
 }
 
-/// Spreads each bit over all: splitmix64's last step.
+/// The finalizer of splitmix64.
 fn mix_hash(value: u64) -> u64 {
     let value = (value ^ value >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ value >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/testkit/src/hollow/engine_table.rs
+++ b/crates/testkit/src/hollow/engine_table.rs
@@ -1,4 +1,4 @@
-//! The engines of a stand-in list service, and its events as text.
+//! The engines of the simulated list service, and the encoding of its events.
 
 use std::fmt::Write as _;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -12,34 +12,34 @@
 use super::engine_fingerprints::fingerprint;
 use super::protocol::{ExpectedLists, ListedState};
 
-/// Zones that engines and routers are in (count).
+/// Number of zones.
 pub const ZONES: u32 = 25;
-/// First address that engines are given, and their port: nobody listens there.
+/// Address of engine 0; the others follow it. Nothing listens on these addresses.
 const FIRST_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 128, 0, 0);
 const PORT: u16 = 5_432;
-/// When the first engines started (Unix ms).
+/// Start time of engine 0 (Unix ms).
 const BOOT_MS: u64 = 1_790_000_000_000;
 
-/// One engine.
+/// An engine.
 #[derive(Clone, Copy, Debug)]
 struct EngineRow {
     state: ListedState,
-    /// How often it was replaced: each time under a new name.
+    /// Number of replacements; each gives the engine a new name.
     generation: u32,
 }
 
-/// All engines.
+/// All engines of the list service.
 #[derive(Clone, Debug)]
 pub struct EngineTable {
     rows: Vec<EngineRow>,
 }
 
-/// The name of an engine's zone, or of a router's.
+/// Name of the zone of an engine or a router.
 pub fn zone_name(number: u32) -> String {
     format!("zone-{:02}", number % ZONES)
 }
 
-/// Settings with the names of all zones; their router is in the first.
+/// Adds the names of all zones to the settings and puts their router into the first.
 pub fn with_zones(mut settings: Value) -> Value {
     settings["azs"] = (0..ZONES).map(zone_name).collect();
     settings["zone"] = zone_name(0).into();
@@ -47,21 +47,22 @@
 }
 
 impl EngineTable {
-    /// So many engines, in service.
+    /// Creates a table of engines that are all in service.
     pub fn new(engines: u32) -> EngineTable {
         EngineTable {
             rows: vec![EngineRow { state: ListedState::InService, generation: 0 }; engines as usize],
         }
     }
 
-    /// Gives engines a state; numbers that there are not are passed over. Gives the event's targets as text.
+    /// Sets the state of engines and returns the encoded targets. Unknown numbers are ignored.
     pub fn set(&mut self, engines: &[u32], state: ListedState) -> String {
         let valid: Vec<u32> = engines.iter().copied().filter(|e| (*e as usize) < self.rows.len()).collect();
         valid.iter().for_each(|engine| self.rows[*engine as usize].state = state);
         self.targets(valid.into_iter())
     }
 
-    /// Starts engines anew: the old names are gone, new ones are in service. Gives the event's targets as text.
+    /// Replaces engines by ones with new names and returns the encoded targets: the old engines as
+    /// terminated, the new ones in service.
     pub fn replace(&mut self, engines: &[u32]) -> String {
         let terminated = self.set(engines, ListedState::Terminated);
         for engine in engines {
@@ -73,13 +74,13 @@
         [terminated, listed].into_iter().filter(|text| !text.is_empty()).collect::<Vec<_>>().join(",")
     }
 
-    /// The targets of the whole list as text.
+    /// Encoded targets of the full list.
     pub fn full_list(&self) -> String {
         let listed = |engine: &u32| self.rows[*engine as usize].state != ListedState::Terminated;
         self.targets((0..self.rows.len() as u32).filter(listed))
     }
 
-    /// What the list is, and what the part of each of so many cells a zone is.
+    /// Digests of the full list and, with cells, of the part of each cell.
     pub fn expected(&self, cells: u32) -> ExpectedLists {
         let mut expected = ExpectedLists {
             parts: vec![Default::default(); (ZONES * cells) as usize],
@@ -109,7 +110,7 @@
                 ListedState::Terminated => "terminated",
             };
             text.push_str(if text.is_empty() { "" } else { "," });
-            // Writing into a string does not fail.
+            // Writing to a string can't fail.
             let _ = write!(
                 text,
                 r#"{{"uid":"{}","endpoint":"{}","az":"{}","model":"std","state":"{state}","capacity_hint":1.0,"boot_ms":{}}}"#,
@@ -123,12 +124,12 @@
     }
 }
 
-/// The place of a cell's part among all parts, by the number of an engine or router of its zone.
+/// Index of a cell's part among all parts; `number` is that of an engine or router of its zone.
 pub fn part_index(number: u32, cells: u32, cell: u32) -> usize {
     (number % ZONES * cells + cell) as usize
 }
 
-/// An engine as relays are to tell of it.
+/// The engine as relays report it.
 fn to_cell_engine(number: u32, row: EngineRow) -> Engine {
     let draining = row.state == ListedState::Terminating;
     Engine {
@@ -143,7 +144,7 @@
     }
 }
 
-/// An event of the stream.
+/// Encodes an event of the stream.
 pub fn event(index: u64, all: bool, targets: &str) -> Vec<u8> {
     format!(
         "id: {index}\ndata: {{\"index\":{index},\"endpoints\":{{\"rev\":1,\"all\":{all},\"targets\":[{targets}]}}}}\n\n"
--- a/crates/testkit/src/hollow/fleet.rs
+++ b/crates/testkit/src/hollow/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of hollow routers seen from its owner: a list service and hosts, each a process of its own.
+//! Control of a fleet of hollow routers: a list service and hosts, each a separate process.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,67 +14,67 @@
 use super::usage::Usage;
 use super::HollowError;
 
-/// Routers that others join by (count).
+/// Number of seed routers.
 const SEEDS: u32 = 3;
-/// Longest wait for an answer that takes no waiting of its own.
+/// Timeout of a report that does not await a condition.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How many of what.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// The program that becomes the service and the hosts, with [`SERVICE`] and [`HOST`].
+    /// The program that runs the service and the hosts, by [`SERVICE`] and [`HOST`].
     pub program: PathBuf,
-    /// Hollow routers (count).
+    /// Number of hollow routers.
     pub routers: u32,
-    /// Further routers that the service has a listener for: real ones (count).
+    /// Number of real routers; the service has a listener for each of them too.
     pub real_routers: u32,
-    /// Engines on the list (count).
+    /// Number of engines on the list.
     pub engines: u32,
-    /// Hosts of hollow routers (count).
+    /// Number of hosts of hollow routers.
     pub hosts: u32,
-    /// Calls a second that the list service takes, which is the fleet's budget too.
+    /// Calls per second that the list service accepts, which is also the fleet's call budget.
     pub calls_per_s: f64,
-    /// Whole lists that the service writes at a time (count).
+    /// Maximum number of full lists that the service writes at the same time.
     pub concurrent_snapshots: usize,
-    /// The module's settings.
+    /// Settings of the decision module.
     pub settings: String,
-    /// Whether each router's module is told the list.
+    /// Whether each router passes its list to its decision module.
     pub module: bool,
-    /// Whether routers follow the list service, where no relays do.
+    /// Whether routers follow the list service, if the fleet has no cells.
     pub list: bool,
-    /// How the fleet is divided, with relays; each router reads the whole list if none.
+    /// Division into cells with relays; none if routers do not learn parts from relays.
     pub cells: Option<CellsPlan>,
-    /// What routers say to each other; nothing if none.
+    /// Communication between routers; none if they do not communicate.
     pub fleet: Option<FleetSetup>,
-    /// Seed of all draws.
+    /// Random seed.
     pub seed: u64,
 }
 
-/// Cells, and relays that tell them their parts.
+/// Division of a fleet into cells, served by relays.
 #[derive(Clone, Copy, Debug)]
 pub struct CellsPlan {
-    /// Cells of a zone (count).
+    /// Cells per zone.
     pub cells: u32,
-    /// Relays (count), and hosts of them: others than the routers'.
+    /// Number of relays.
     pub relays: u32,
-    /// See `relays`.
+    /// Number of hosts of relays, beside those of routers.
     pub hosts: u32,
-    /// Time between a router's asks (ns).
+    /// Interval between a router's requests to a relay (ns).
     pub ask_ns: u64,
 }
 
-/// The argument that makes the lab a list service, and the one that makes it a host.
+/// Command of the lab that runs a list service.
 pub const SERVICE: &str = "hollow-service";
-/// See [`SERVICE`].
+/// Command of the lab that runs a host.
 pub const HOST: &str = "hollow-host";
 
 type Host = ChildProcess<HostCommand, HostReport>;
 
-/// The fleet.
+/// A running fleet.
 pub struct HollowFleet {
     plan: FleetPlan,
     service: ChildProcess<ServiceCommand, ServiceReport>,
-    /// Hosts of routers, then those of relays.
+    /// Hosts of routers, followed by hosts of relays.
     hosts: Vec<Host>,
     relays: Vec<SocketAddr>,
     list_service_addresses: Vec<SocketAddr>,
@@ -82,10 +82,10 @@
 }
 
 impl HollowFleet {
-    /// Starts the service and the hosts; no router yet.
+    /// Starts the service and the hosts, without any routers.
     ///
     /// # Errors
-    /// Where a process can't be started.
+    /// If a process can't be started.
     pub fn start(plan: FleetPlan) -> Result<HollowFleet, HollowError> {
         let mut service = ChildProcess::start(&plan.program, &[SERVICE], "the list service".to_owned())?;
         let setup = ServiceSetup {
@@ -132,7 +132,7 @@
         self.expect_done()
     }
 
-    /// How the fleet's calls are paced: over the time that the service needs for all.
+    /// Pacing of the fleet's calls: spread over the time that the service needs for all of them.
     pub fn pace(&self) -> PaceSetup {
         let routers = self.plan.routers + self.plan.real_routers;
         let window_ns = (f64::from(routers) / self.plan.calls_per_s * 1e9) as u64;
@@ -144,25 +144,25 @@
         }
     }
 
-    /// What it was planned as.
+    /// The configuration, with the seeds that were started.
     pub fn plan(&self) -> &FleetPlan {
         &self.plan
     }
 
-    /// Where a router finds the list service, by number: the real ones' come behind the hollow ones'.
+    /// Address of the list service for a router. Real routers are numbered after hollow ones.
     pub fn list_service_address(&self, router: u32) -> Option<SocketAddr> {
         self.list_service_addresses.get(router as usize).copied()
     }
 
-    /// Numbers of the hollow routers that are there.
+    /// Numbers of the running hollow routers and relays.
     pub fn running(&self) -> &BTreeSet<u32> {
         &self.running
     }
 
-    /// Starts routers, anew where they are there.
+    /// Starts routers and restarts those that are running; returns their datagram addresses.
     ///
     /// # Errors
-    /// Where one gets no sockets.
+    /// If a host does not report.
     pub fn start_routers(&mut self, numbers: &[u32]) -> Result<Vec<(u32, Option<SocketAddr>)>, HollowError> {
         let routers_by_host = self.by_host(numbers);
         for (host, numbers) in self.hosts.iter_mut().zip(&routers_by_host) {
@@ -185,12 +185,12 @@
         Ok(started)
     }
 
-    /// Starts the relays, and tells the hosts where they are.
+    /// Starts the relays and configures the hosts with their addresses.
     ///
     /// # Errors
-    /// Where one gets no sockets.
+    /// If a host does not report.
     pub fn start_relays(&mut self) -> Result<(), HollowError> {
-        // Those that start know where no relay is, and need not.
+        // Relays do not need the addresses of relays.
         let started = self.start_routers(&self.plan.relays())?;
         self.relays = started.into_iter().filter_map(|(_, address)| address).collect();
         self.set_up_hosts()
@@ -206,10 +206,10 @@
         }
     }
 
-    /// Starts the routers that others join by, and tells the hosts where they are.
+    /// Starts the seed routers and configures the hosts with their addresses.
     ///
     /// # Errors
-    /// Where one gets no sockets.
+    /// If a host does not report.
     pub fn start_seeds(&mut self) -> Result<(), HollowError> {
         let numbers: Vec<u32> = (0..SEEDS.min(self.plan.routers)).collect();
         let started = self.start_routers(&numbers)?;
@@ -219,10 +219,10 @@
         self.set_up_hosts()
     }
 
-    /// Has routers read their files of keys again.
+    /// Reloads the key files of routers.
     ///
     /// # Errors
-    /// Where a host has ended.
+    /// If a host has exited.
     pub fn reload_keys(&mut self, numbers: &[u32]) -> Result<(), HollowError> {
         let routers_by_host = self.by_host(numbers);
         for (host, numbers) in self.hosts.iter_mut().zip(routers_by_host) {
@@ -231,10 +231,10 @@
         self.expect_done()
     }
 
-    /// Ends routers at once.
+    /// Stops routers abruptly.
     ///
     /// # Errors
-    /// Where a host has ended.
+    /// If a host has exited.
     pub fn stop_routers(&mut self, numbers: &[u32]) -> Result<(), HollowError> {
         let routers_by_host = self.by_host(numbers);
         for (host, numbers) in self.hosts.iter_mut().zip(routers_by_host) {
@@ -266,18 +266,18 @@
         all
     }
 
-    /// Gives engines a state, and tells all who follow.
+    /// Publishes a state of engines to all followers.
     ///
     /// # Errors
-    /// Where the service has ended.
+    /// If the service has exited.
     pub fn change(&mut self, engines: Vec<u32>, state: ListedState) -> Result<SentChange, HollowError> {
         self.send_change(&ServiceCommand::Change { engines, state })
     }
 
-    /// Starts engines anew under other names, and tells all who follow.
+    /// Replaces engines by ones with other names and publishes the change.
     ///
     /// # Errors
-    /// Where the service has ended.
+    /// If the service has exited.
     pub fn replace(&mut self, engines: Vec<u32>) -> Result<SentChange, HollowError> {
         self.send_change(&ServiceCommand::Replace { engines })
     }
@@ -285,14 +285,14 @@
     fn send_change(&mut self, command: &ServiceCommand) -> Result<SentChange, HollowError> {
         match self.service.request(command, RESPONSE_TIMEOUT)? {
             ServiceReport::ChangeSent(event) => Ok(event),
-            _ => Err(unexpected(self.service.name(), "Told")),
+            _ => Err(unexpected(self.service.name(), "ChangeSent")),
         }
     }
 
-    /// Sends the list service away, or brings it back; cuts routers off; breaks it for one router.
+    /// Injects a fault into the list service, or ends it.
     ///
     /// # Errors
-    /// Where the service has ended.
+    /// If the service has exited.
     pub fn inject_fault(&mut self, command: &ServiceCommand) -> Result<(), HollowError> {
         match self.service.request(command, RESPONSE_TIMEOUT)? {
             ServiceReport::Done => Ok(()),
@@ -300,10 +300,10 @@
         }
     }
 
-    /// The list service's counters.
+    /// Counters of the list service.
     ///
     /// # Errors
-    /// Where the service has ended.
+    /// If the service has exited.
     pub fn counters(&mut self) -> Result<ServiceCounters, HollowError> {
         match self.service.request(&ServiceCommand::Report, RESPONSE_TIMEOUT)? {
             ServiceReport::Counters(counters) => Ok(counters),
@@ -311,11 +311,11 @@
         }
     }
 
-    /// Waits until all hollow routers that are there have this list, or their part of it; gives when each came to it (Unix ns), or none where that took
-    /// longer than the limit.
+    /// Waits until all running routers have this list, or their part of it. Returns the number and
+    /// the time of the last list change (Unix ns) of each; none if the limit expires.
     ///
     /// # Errors
-    /// Where a host has ended.
+    /// If a host has exited.
     pub fn await_list(
         &mut self,
         expected: &ExpectedLists,
@@ -329,10 +329,11 @@
         Ok(all.map(|hosts| hosts.into_iter().flatten().collect()))
     }
 
-    /// Waits until all hollow routers that are there know so many peers; gives since when, at the latest (Unix ns).
+    /// Waits until every running router has this number of peers. Returns the time at which the
+    /// last host observed it (Unix ns); none if the limit expires.
     ///
     /// # Errors
-    /// Where a host has ended.
+    /// If a host has exited.
     pub fn await_peers(&mut self, peers: u32, limit: Duration) -> Result<Option<u64>, HollowError> {
         let awaited = |report| match report {
             HostReport::PeersReached(reached, reached_ns) if reached == peers => Some(reached_ns),
@@ -362,10 +363,10 @@
         Ok(Some(all))
     }
 
-    /// What each hollow router knows, by number.
+    /// State of each hollow router, sorted by number.
     ///
     /// # Errors
-    /// Where a host has ended.
+    /// If a host has exited.
     pub fn reports(&mut self) -> Result<Vec<RouterReport>, HollowError> {
         for host in &mut self.hosts {
             host.send_command(&HostCommand::Report)?;
@@ -381,39 +382,39 @@
         Ok(all)
     }
 
-    /// What the routers' hosts used so far, together.
+    /// Total resource usage of the routers' hosts so far.
     pub fn hosts_usage(&self) -> Usage {
         total_usage(&self.hosts[..self.plan.hosts as usize])
     }
 
-    /// What the relays' hosts used so far, together.
+    /// Total resource usage of the relays' hosts so far.
     pub fn relays_usage(&self) -> Usage {
         total_usage(&self.hosts[self.plan.hosts as usize..])
     }
 
-    /// What the list service used so far.
+    /// Resource usage of the list service so far.
     pub fn service_usage(&self) -> Usage {
         self.service.usage()
     }
 
-    /// Numbers of the hosts' processes.
+    /// Process IDs of the hosts.
     pub fn host_pids(&self) -> Vec<u32> {
         self.hosts.iter().map(ChildProcess::id).collect()
     }
 
-    /// Processes of the fleet (count).
+    /// Number of processes of the fleet.
     pub fn processes(&self) -> usize {
         self.hosts.len() + 1
     }
 }
 
 impl FleetPlan {
-    /// The number of the first relay: behind the hollow routers and the real ones.
+    /// Number of the first relay. Relays are numbered after hollow and real routers.
     pub fn first_relay(&self) -> u32 {
         self.routers + self.real_routers
     }
 
-    /// The relays' numbers.
+    /// Numbers of the relays.
     pub fn relays(&self) -> Vec<u32> {
         (self.first_relay()..self.listeners()).collect()
     }
@@ -435,7 +436,7 @@
     HollowError::UnexpectedReport { child: child.to_owned(), awaited }
 }
 
-/// The next answer of a kind. What was waited for earlier, and given up, may come before it.
+/// Waits for a report of a kind. Late reports of earlier commands may precede it and are skipped.
 fn expect_report<T>(
     host: &mut Host,
     limit: Duration,
--- a/crates/testkit/src/hollow/fleet_member.rs
+++ b/crates/testkit/src/hollow/fleet_member.rs
@@ -1,4 +1,5 @@
-//! What a hollow router says to its peers: the program's own fleet runtime, with limits and engines' health.
+//! A hollow router as a member of the fleet: the program's own fleet runtime, with membership,
+//! limits, engine health and lists by cells.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -22,9 +23,9 @@
 use super::protocol::{FleetSetup, ListSource};
 use super::HollowError;
 
-/// Regions of the fleet: each has a file of keys of its own, so that one can be cut off by other keys (count).
+/// Number of regions. Each has its own key file, so that another key partitions it from the fleet.
 pub const REGIONS: u32 = 9;
-/// What the definitions of the operator's file give by default.
+/// Defaults of the operator's configuration file.
 const LEASE_NS: u64 = 2_000_000_000;
 const DRIFT: f64 = 0.01;
 const MIN_OBSERVERS: u32 = 3;
@@ -32,21 +33,21 @@
 const EVIDENCE_LIFETIME_NS: u64 = 30_000_000_000;
 const OVERRIDE_MEMORY_NS: u64 = 86_400_000_000_000;
 
-/// The longest that a datagram takes, and engines of a cell, for which bounds are computed.
+/// Maximum datagram delay (ns) and engines per cell for which bounds are computed.
 const MAX_DELAY_NS: u64 = 100_000_000;
 const ENGINES_PER_CELL: u32 = 150;
-/// How often the list service says something at least (ns).
+/// Interval between the list service's comments (ns).
 const COMMENT_NS: u64 = 1_000_000_000;
 
-/// The file of keys of a router's region.
+/// Path of the key file of a router's region.
 pub fn key_file(directory: &Path, router: u32) -> PathBuf {
     directory.join(format!("key-{}", router % REGIONS))
 }
 
-/// What a router does about the list, by the fleet's word.
+/// A router's role in list distribution.
 #[derive(Clone, Copy, Debug)]
 pub struct ListRoleSetup<'a> {
-    /// Where routers learn the list.
+    /// Source of the engine list.
     pub source: &'a ListSource,
     /// Whether this one is a relay.
     pub relay: bool,
@@ -73,7 +74,7 @@
     }
 }
 
-/// As the program makes them of how the list service is called.
+/// Timing derived from the pacing of calls to the list service, as in the program.
 fn list_timing() -> ListTiming {
     let pace = PacingParams::default();
     ListTiming {
@@ -83,24 +84,24 @@
     }
 }
 
-/// What a router's side is started with.
+/// Parameters for starting a fleet member.
 #[derive(Clone, Copy)]
 pub struct MemberStart<'a> {
-    /// What the fleet's routers say to each other.
+    /// Fleet configuration.
     pub setup: &'a FleetSetup,
-    /// What this one does about the list.
+    /// The router's role in list distribution.
     pub list: ListRoleSetup<'a>,
-    /// Its number, of so many routers.
+    /// Router number.
     pub number: u32,
-    /// See `number`.
+    /// Number of routers in the fleet.
     pub routers: u32,
-    /// Seed of its draws.
+    /// Random seed.
     pub seed: u64,
-    /// Where its last life listened.
+    /// Datagram address of the previous incarnation, to be reused.
     pub address: Option<SocketAddr>,
-    /// The module's settings.
+    /// Settings of the decision module.
     pub settings: &'a Settings,
-    /// The names behind their numbers.
+    /// Names that the settings refer to by index.
     pub names: &'a Names,
 }
 
@@ -141,7 +142,7 @@
     }
 }
 
-/// The fleet's side of one router.
+/// The fleet runtime of one router.
 pub struct FleetMember {
     runtime: FleetRuntime,
     config: FleetConfig,
@@ -149,10 +150,10 @@
 }
 
 impl FleetMember {
-    /// Opens its socket; gives the side, and the router with its limits and health.
+    /// Opens the socket and adds limits and health to the router's decision module.
     ///
     /// # Errors
-    /// Where the socket can't be opened or the keys can't be read.
+    /// If the socket can't be opened or the keys can't be read.
     pub fn start(
         now: u64,
         (registry, token): (&Registry, Token),
@@ -172,37 +173,37 @@
         Ok((FleetMember { runtime, config, cell: cell.map(|cell| cell.id.cell) }, router))
     }
 
-    /// The program's runtime.
+    /// The fleet runtime of the program.
     pub fn runtime(&mut self) -> &mut FleetRuntime {
         &mut self.runtime
     }
 
-    /// Where it takes datagrams.
+    /// Datagram address.
     pub fn address(&self) -> SocketAddr {
         self.runtime.address()
     }
 
-    /// Peers that it knows (count).
+    /// Number of known peers.
     pub fn peers(&self) -> u32 {
         self.runtime.peers().count() as u32
     }
 
-    /// Its cell among those of its zone, where it is of one.
+    /// Index of its cell within its zone, if it belongs to one.
     pub fn cell(&self) -> Option<u32> {
         self.cell
     }
 
-    /// Bytes of datagrams that came.
+    /// Bytes of received datagrams.
     pub fn received_bytes(&self) -> u64 {
         self.runtime.received_bytes()
     }
 
-    /// Datagrams that it sent, and their bytes.
+    /// Number and bytes of sent datagrams.
     pub fn sent(&self) -> (u64, u64) {
         (self.runtime.sent_datagrams(), self.runtime.sent_bytes())
     }
 
-    /// Reads its file of keys again.
+    /// Reloads the key file.
     pub fn reload_keys(&mut self, now: u64, settings: &Settings, names: &Names, router: &mut Router) {
         if let Some(limits) = router.limits() {
             self.runtime.reload(now, Some(&self.config), settings, names, limits);
--- a/crates/testkit/src/hollow/host.rs
+++ b/crates/testkit/src/hollow/host.rs
@@ -1,4 +1,4 @@
-//! The loop of a process that runs many hollow routers.
+//! Event loop of a process that runs many hollow routers.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::ErrorKind;
@@ -13,23 +13,23 @@
 use super::router::{HollowRouter, Shared, TOKEN_BITS};
 use super::{io, read_commands, write_report, HollowError, COMMAND_TOKEN};
 
-/// How often time is passed to each router (ns): as often as the program does.
+/// Interval between ticks of each router (ns), as in the program.
 const TICK_NS: u64 = 20_000_000;
-/// Time for which sockets are served before new events are asked for (ns).
+/// Maximum time spent on pending sockets before polling again (ns).
 const MAX_SERVE_NS: u64 = 10_000_000;
 
-/// A host.
+/// A process that hosts hollow routers.
 struct Host {
     poll: Poll,
     clock: Clock,
     shared: Option<Shared>,
     routers: Vec<Option<HollowRouter>>,
-    /// Places of the routers by their numbers, kept over restarts.
+    /// Slots of the routers by number; a restart reuses the slot.
     slots: BTreeMap<u32, usize>,
     incarnations: u64,
-    /// Where routers took datagrams last, by number: a restart listens there again.
+    /// Last datagram address by router number; a restart reuses it.
     addresses: BTreeMap<u32, SocketAddr>,
-    /// Sockets with something to take, in turn, and the same as a set.
+    /// Tokens of sockets with unread data in order of service; `is_pending` is the same as a set.
     pending: VecDeque<u64>,
     is_pending: BTreeSet<u64>,
     awaited_list: Option<ExpectedLists>,
@@ -37,10 +37,10 @@
     last_tick_ns: u64,
 }
 
-/// Runs a host until its input ends.
+/// Runs a host until the end of its input.
 ///
 /// # Errors
-/// Where sockets can't be had or standard output is gone.
+/// If a socket or standard output fails.
 pub fn run() -> Result<(), HollowError> {
     let poll = Poll::new().map_err(io("poll"))?;
     let commands: Receiver<HostCommand> = read_commands(poll.registry())?;
@@ -71,8 +71,9 @@
 }
 
 impl Host {
-    /// Takes what has come, up to a time, and passes time to routers that have nothing left to take: a router hears what waits for
-    /// it before it judges how long it heard nothing, as one with a process of its own does.
+    /// Serves pending sockets for a limited time, then ticks the routers without pending sockets.
+    ///
+    /// A router reads its pending data before its timeouts are checked, as in a separate process.
     fn run_iteration(&mut self, events: &mut Events) -> Result<(), HollowError> {
         let until_tick_ns = (self.last_tick_ns + TICK_NS).saturating_sub(self.clock.now_ns());
         let timeout =
@@ -160,7 +161,7 @@
                 self.routers.push(None);
             }
             self.incarnations += 1;
-            // The life before goes first, with its sockets.
+            // Drop the previous incarnation first, to release its sockets.
             self.routers[slot] = None;
             let now = self.clock.now_ns();
             let slot_and_incarnation = (slot, self.incarnations % (1 << 12));
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Answers what is waited for, once it is so.
+    /// Reports the awaited conditions that now hold.
     fn report_awaited(&mut self) -> Result<(), HollowError> {
         if let Some(expected) = &self.awaited_list {
             if self.routers.iter().flatten().all(|router| router.has_list(expected)) {
@@ -207,8 +208,8 @@
     }
 }
 
-/// The place of the router that a token is of: sockets for datagrams have it as their token, connections have it, counted from one,
-/// above their own numbers.
+/// Slot of the router that a token belongs to. The token of a datagram socket is the slot; that of
+/// a connection has slot + 1 in the bits above [`TOKEN_BITS`].
 fn slot_of(token: u64) -> usize {
     let slot_plus_one = (token >> TOKEN_BITS) as usize;
     slot_plus_one.checked_sub(1).unwrap_or(token as usize)
--- a/crates/testkit/src/hollow/key_files.rs
+++ b/crates/testkit/src/hollow/key_files.rs
@@ -1,4 +1,4 @@
-//! Files of the fleet's keys, one a region: other keys in one cut the region off.
+//! Key files of the fleet, one per region: another key partitions the region from the fleet.
 
 use std::path::{Path, PathBuf};
 
@@ -6,18 +6,18 @@
 use super::{io, HollowError};
 use crate::fleet::KEY;
 
-/// Another key than all regions have at first.
+/// Key of a partitioned region.
 const PARTITION_KEY: &str = "6f746865722d6b65792d6f662d612d726567696f6e2d746861742069732063ff";
 
-/// The files, in a folder that goes with this value.
+/// The key files, in a directory that is removed on drop.
 #[derive(Debug)]
 pub struct KeyFiles(PathBuf);
 
 impl KeyFiles {
-    /// The same key for all regions, in a folder named by `name`, which no other of this process has now.
+    /// Writes the same key for all regions. `name` must be unique within the process.
     ///
     /// # Errors
-    /// Where the files can't be written.
+    /// If the files can't be written.
     pub fn new(name: &str) -> Result<KeyFiles, HollowError> {
         let dir = std::env::temp_dir().join(format!("marljunction-keys-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&dir).map_err(io("keys"))?;
@@ -28,16 +28,16 @@
         Ok(files)
     }
 
-    /// Writes a region's file: another key than the others have, or the same again.
+    /// Writes the key file of a region, with a different key if it is to be partitioned.
     ///
     /// # Errors
-    /// Where it can't be written.
+    /// If the file can't be written.
     pub fn set_partitioned(&self, region: u32, partitioned: bool) -> Result<(), HollowError> {
         let key = if partitioned { PARTITION_KEY } else { KEY };
         std::fs::write(key_file(&self.0, region), key).map_err(io("keys"))
     }
 
-    /// The folder.
+    /// Path of the directory.
     pub fn path(&self) -> &Path {
         &self.0
     }
--- a/crates/testkit/src/hollow/mod.rs
+++ b/crates/testkit/src/hollow/mod.rs
@@ -1,11 +1,13 @@
-//! Hollow routers: many routers' control sides in one process, made of the program's own parts over real loopback sockets.
+//! Hollow routers: simulated routers that run only the control plane, many in one process, over
+//! real loopback sockets.
 //!
-//! A hollow router has the program's stream reader with its pacing, its connections, its membership and its decision module; what
-//! it lacks are clients and engines. Invariants:
+//! A hollow router consists of the program's own list subscription with its pacing, network layer,
+//! membership and decision module. It has no clients and no engines. Invariants:
 //!
-//! - The list service and the hosts of hollow routers are processes of their own, told what to do by lines of JSON and ended with
-//!   whoever started them, so that the processor time and memory of one are never counted as another's.
-//! - Bytes are counted by both sides: by the service as it writes, by the router's sockets as they read.
+//! - The list service and each host of hollow routers are separate processes, so that processor
+//!   time and memory are accounted separately. They are controlled by lines of JSON and exit with
+//!   their parent.
+//! - Bytes are counted on both sides: by the service on write, by the router's sockets on read.
 
 pub mod child;
 pub mod engine_fingerprints;
@@ -29,66 +31,68 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// The token by which a loop is woken for a command.
+/// Poll token that signals a pending command.
 pub(crate) const COMMAND_TOKEN: Token = Token(usize::MAX);
 
-/// What can go wrong with hollow routers and their processes.
+/// An error of a hollow router or of its process.
 #[derive(Debug, Error)]
 pub enum HollowError {
-    /// A socket, a file or a process could not be had.
+    /// An operation on a socket, a file or a process failed.
     #[error("{what}: {source}")]
     Io {
-        /// What was to be done.
+        /// The operation.
         what: &'static str,
-        /// Why it was not.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A child's line can't be read.
-    #[error("a line of {child} can't be read: {source}")]
+    /// A message could not be encoded or decoded.
+    #[error("invalid message of {child}: {source}")]
     Json {
-        /// The child.
+        /// Name of the child.
         child: String,
-        /// Why.
+        /// The cause.
         source: serde_json::Error,
     },
-    /// A child ended before it was told to.
-    #[error("{0} has ended")]
+    /// A child exited unexpectedly.
+    #[error("{0} exited unexpectedly")]
     ChildExited(String),
-    /// A child did not answer in time.
-    #[error("{child} did not answer within {seconds} s")]
+    /// A child did not report in time.
+    #[error("{child} did not report within {seconds} s")]
     Timeout {
-        /// The child.
+        /// Name of the child.
         child: String,
-        /// How long it was waited for (s).
+        /// Time waited (s).
         seconds: f64,
     },
-    /// Another answer was due.
-    #[error("{child} answered something else than {awaited}")]
+    /// A child sent another kind of report than expected, or none in time.
+    #[error("{child} did not report {awaited}")]
     UnexpectedReport {
-        /// The child.
+        /// Name of the child.
         child: String,
-        /// What was waited for.
+        /// The expected kind of report.
         awaited: &'static str,
     },
-    /// Settings that the program's own reader refuses.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(String),
-    /// The fleet's side of a router could not be started.
-    #[error("the fleet's side of router {number}: {reason}")]
+    /// The fleet runtime of a router could not be started.
+    #[error("fleet runtime of router {number}: {reason}")]
     Fleet {
-        /// The router.
+        /// Number of the router.
         number: u32,
-        /// Why.
+        /// The cause.
         reason: String,
     },
 }
 
-/// Names what was to be done where it failed.
+/// Adds the name of the failed operation to an I/O error.
 pub(crate) fn io(what: &'static str) -> impl FnOnce(std::io::Error) -> HollowError {
     move |source| HollowError::Io { what, source }
 }
 
-/// Reads commands from standard input on a thread of its own, which wakes the loop; the process ends with its input.
+/// Reads commands from standard input on a separate thread and wakes the loop for each.
+///
+/// The process exits at the end of its input.
 pub(crate) fn read_commands<C>(registry: &Registry) -> Result<Receiver<C>, HollowError>
 where
     C: DeserializeOwned + Send + 'static,
@@ -102,16 +106,16 @@
                     let _ = sender.send(command);
                     let _ = waker.wake();
                 }
-                Err(fault) => eprintln!("a command can't be read: {fault}"),
+                Err(error) => eprintln!("invalid command: {error}"),
             }
         }
-        // Guards against a child that outlives whoever started it.
+        // A child must not outlive its parent.
         std::process::exit(0);
     });
     Ok(receiver)
 }
 
-/// Answers on standard output.
+/// Writes a report to standard output, as one line of JSON.
 pub(crate) fn write_report(report: &impl Serialize) -> Result<(), HollowError> {
     let text = serde_json::to_string(report)
         .map_err(|source| HollowError::Json { child: "this process".to_owned(), source })?;
--- a/crates/testkit/src/hollow/protocol.rs
+++ b/crates/testkit/src/hollow/protocol.rs
@@ -1,16 +1,16 @@
-//! What hollow processes are told and what they answer: one JSON value a line.
+//! Commands to hollow processes and their reports, one JSON value per line.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use serde::{Deserialize, Serialize};
 
-/// What sums up a list: equal lists have equal sums, whatever order they came in.
+/// A digest of an engine list, independent of the order of its entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListDigest {
-    /// Engines on the list (count).
+    /// Number of engines.
     pub engines: u64,
-    /// Sum of the engines' fingerprints.
+    /// Wrapping sum of the engines' fingerprints.
     pub sum: u64,
 }
 
@@ -22,268 +22,269 @@
     }
 }
 
-/// What lists are to be: the whole one, and the part of each cell.
+/// The expected digests of the full list and of each cell's part.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpectedLists {
-    /// The whole list.
+    /// Digest of the full list.
     #[serde(rename = "whole")]
     pub full_list: ListDigest,
-    /// The parts, by zone and then by cell; none where the fleet is not divided.
+    /// Digests of the parts, ordered by zone and then by cell; empty if the fleet has no cells.
     pub parts: Vec<ListDigest>,
 }
 
-/// States of engines, as the list names them.
+/// State of an engine on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListedState {
-    /// It takes work.
+    /// It accepts work.
     InService,
-    /// It ends what it has and takes nothing new.
+    /// It completes running work and accepts no more.
     Terminating,
-    /// It is gone: whole lists do not hold it any more.
+    /// It has been removed: full lists no longer contain it.
     Terminated,
 }
 
-/// How the list service is set up.
+/// Configuration of the list service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ServiceSetup {
-    /// Routers, each with a listener of its own (count).
+    /// Number of routers; each has its own listener.
     pub routers: u32,
-    /// Engines on the list (count).
+    /// Number of engines on the list.
     pub engines: u32,
-    /// Cells that the engines of a zone are divided into, where routers hold parts (count); 0 where they do not.
+    /// Cells per zone; 0 if the fleet has no cells.
     pub cells: u32,
-    /// Calls a second that it takes.
+    /// Calls accepted per second.
     pub calls_per_s: f64,
-    /// Whole lists that it writes at the same time at most (count); the next call's waits, kept up by comments.
+    /// Maximum number of full lists written at the same time. Further calls wait and receive
+    /// comments meanwhile.
     pub concurrent_snapshots: usize,
 }
 
-/// What the list service is told.
+/// A command to the list service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ServiceCommand {
-    /// Sets it up; answered by `Started`.
+    /// Configures and starts it; reports `Started`.
     Start(ServiceSetup),
-    /// Tells all who follow that these engines have this state; answered by `Told`.
+    /// Publishes a state of these engines to all followers; reports `ChangeSent`.
     Change {
-        /// The engines, by number.
+        /// Numbers of the engines.
         engines: Vec<u32>,
-        /// Their state.
+        /// Their new state.
         state: ListedState,
     },
-    /// Engines start anew under their addresses, with new names; answered by `Told`.
+    /// Replaces engines by new ones with the same addresses and other names; reports `ChangeSent`.
     Replace {
-        /// The engines, by number.
+        /// Numbers of the engines.
         engines: Vec<u32>,
     },
-    /// Away: all streams end, and calls are reset; answered by `Done`.
+    /// Starts or ends an outage: streams end and new calls are reset; reports `Done`.
     #[serde(rename = "Away")]
     SetUnavailable(bool),
-    /// Nothing passes to and from these routers, or does again; answered by `Done`.
+    /// Cuts these routers off from the service, or reconnects them; reports `Done`.
     #[serde(rename = "Cut")]
     Partition {
-        /// The routers, by number.
+        /// Numbers of the routers.
         routers: Vec<u32>,
-        /// Whether they are cut off.
+        /// Whether they are partitioned from the service.
         #[serde(rename = "cut")]
         partitioned: bool,
     },
-    /// Breaks the service: the router is not told the next change; answered by `Done`.
+    /// Omits the next change on the router's stream, to simulate a faulty service; reports `Done`.
     SkipNext {
-        /// The router.
+        /// Number of the router.
         router: u32,
     },
-    /// Answered by `Counters`.
+    /// Reports `Counters`.
     Report,
 }
 
-/// What the list service answers.
+/// A report of the list service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ServiceReport {
-    /// Where each router finds it, by number.
+    /// The service's address for each router, by router number.
     Started(Vec<SocketAddr>),
-    /// An event was told.
+    /// A change was published.
     #[serde(rename = "Told")]
     ChangeSent(SentChange),
-    /// What needs no other answer.
+    /// The command was carried out.
     Done,
-    /// Its counters.
+    /// The service's counters.
     Counters(ServiceCounters),
 }
 
-/// A change that the service told.
+/// A published change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SentChange {
-    /// Number of the event.
+    /// Index of the event.
     pub index: u64,
-    /// When it was told (Unix ns).
+    /// Time of publication (Unix ns).
     #[serde(rename = "at_ns")]
     pub sent_ns: u64,
-    /// What lists are by it.
+    /// The expected lists after the change.
     pub list: ExpectedLists,
     /// Size of the event (bytes).
     pub bytes: u64,
 }
 
-/// Counters of the list service.
+/// Counters of the list service, per router where they are vectors.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ServiceCounters {
-    /// Bytes written to each router, by number.
+    /// Bytes written, by router number.
     pub written: Vec<u64>,
-    /// Whole lists written to the end, by router.
+    /// Full lists written completely, by router number.
     pub snapshots: Vec<u32>,
-    /// Calls that were taken, and those turned away.
+    /// Calls accepted.
     #[serde(rename = "taken")]
     pub accepted_calls: u64,
-    /// See `taken`.
+    /// Calls rejected by the rate limit.
     #[serde(rename = "turned_away")]
     pub rejected_calls: u64,
-    /// What lists are to be.
+    /// The expected lists now.
     pub list: ExpectedLists,
-    /// Size of the event that holds the whole list (bytes).
+    /// Size of the event with the full list (bytes).
     pub snapshot_bytes: u64,
-    /// Routers that follow.
+    /// Connections that have received the full list or resumed, and follow changes.
     pub followers: u32,
 }
 
-/// How calls to the list service are paced.
+/// Pacing of calls to the list service.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct PaceSetup {
-    /// Calls a second of all routers together.
+    /// Calls per second of all routers together.
     pub budget_per_s: f64,
-    /// Routers that share the budget (count).
+    /// Number of routers that share the budget.
     pub routers: u32,
-    /// Longest wait before a first call (ns).
+    /// Maximum delay of a first call (ns).
     pub spread_ns: u64,
-    /// Longest wait between calls (ns).
+    /// Maximum delay between calls (ns).
     pub longest_ns: u64,
 }
 
-/// Where routers learn the list.
+/// Source of the routers' engine list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ListSource {
-    /// Nowhere.
+    /// None: routers have no list.
     #[serde(rename = "Nowhere")]
     Disabled,
-    /// All of it, of the list service.
+    /// The full list, from the list service.
     Service,
-    /// Their cell's part, of relays, which learn all of it of the list service.
+    /// The part of the router's cell, from relays that read the full list from the service.
     Relays(CellsSetup),
 }
 
-/// How a fleet is divided into cells.
+/// Division of a fleet into cells.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CellsSetup {
-    /// Cells of a zone (count).
+    /// Cells per zone.
     pub cells: u32,
-    /// Time between a router's asks (ns).
+    /// Interval between a router's requests to a relay (ns).
     pub ask_ns: u64,
-    /// Where relays take datagrams.
+    /// Datagram addresses of the relays.
     pub relays: Vec<SocketAddr>,
 }
 
-/// The fleet's side of hollow routers.
+/// Fleet configuration of hollow routers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FleetSetup {
-    /// The folder of the files of keys, one a region.
+    /// Directory of the key files, one per region.
     pub keys: PathBuf,
-    /// Routers that others join by.
+    /// Addresses of the seed routers.
     pub seeds: Vec<SocketAddr>,
-    /// The limits' units a second; none for no limit.
+    /// Rate of the shared limit (units per second); no limit if none.
     pub limit_per_s: Option<f64>,
-    /// Whether engines' health is shared.
+    /// Whether routers share engine health.
     pub health: bool,
 }
 
-/// How a host of hollow routers is set up.
+/// Configuration of a host of hollow routers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HostSetup {
-    /// Routers of the whole fleet (count).
+    /// Number of routers in the whole fleet.
     pub fleet_routers: u32,
-    /// The module's settings, as the program reads them.
+    /// Settings of the decision module, in the program's format.
     pub settings: String,
     /// Pacing of calls to the list service.
     pub pace: PaceSetup,
-    /// Seed of all draws.
+    /// Random seed.
     pub seed: u64,
-    /// Whether the decision module of each router is told the list.
+    /// Whether each router passes its list to its decision module.
     pub module: bool,
-    /// Where routers learn the list.
+    /// Source of the engine list.
     pub list: ListSource,
-    /// Membership, limits and health; none where routers do not talk to each other.
+    /// Membership, limits and health; none if routers do not communicate with each other.
     pub fleet: Option<FleetSetup>,
 }
 
-/// One router that a host is to run.
+/// A router to be started by a host.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct RouterStart {
-    /// Its number.
+    /// Router number.
     pub number: u32,
-    /// Where it finds the list service.
+    /// Address of the list service.
     pub list: SocketAddr,
     /// Whether it is a relay.
     pub relay: bool,
 }
 
-/// What a host is told.
+/// A command to a host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum HostCommand {
-    /// Sets it up; answered by `Done`.
+    /// Configures the host; reports `Done`.
     Setup(Box<HostSetup>),
-    /// Starts routers, knowing nothing; answered by `Started`.
+    /// Starts routers without any state; reports `Started`.
     Start(Vec<RouterStart>),
-    /// Ends routers at once, without a word to anybody; answered by `Done`.
+    /// Stops routers abruptly, without notifying peers; reports `Done`.
     Stop(Vec<u32>),
-    /// Answered by `ListReached` once all routers that are there have this list, or their part of it.
+    /// Reports `ListReached` once all running routers have this list, or their part of it.
     AwaitList(ExpectedLists),
-    /// Answered by `PeersReached` once all routers that are there know so many peers.
+    /// Reports `PeersReached` once every running router has this number of peers.
     AwaitPeers(u32),
-    /// These routers read their files of keys again; answered by `Done`.
+    /// Reloads the key files of these routers; reports `Done`.
     ReloadKeys(Vec<u32>),
-    /// Answered by `Routers`.
+    /// Reports `Routers`.
     Report,
 }
 
-/// What a host answers.
+/// A report of a host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum HostReport {
-    /// What needs no other answer.
+    /// The command was carried out.
     Done,
-    /// Routers are started; where each takes datagrams, where it does.
+    /// The routers were started: number and datagram address, if any.
     Started(Vec<(u32, Option<SocketAddr>)>),
-    /// All routers have the list that was waited for; when each came to it (number, Unix ns).
+    /// All routers have the awaited list: number and time of the last list change (Unix ns).
     ListReached(ListDigest, Vec<(u32, u64)>),
-    /// All routers know so many peers, since then at the latest (Unix ns).
+    /// All routers have the awaited number of peers; time of the check (Unix ns).
     PeersReached(u32, u64),
-    /// What each router knows.
+    /// State of each router.
     Routers(Vec<RouterReport>),
 }
 
-/// One hollow router, as it sees itself.
+/// State of a hollow router.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RouterReport {
-    /// Its number.
+    /// Router number.
     pub number: u32,
-    /// What its list is.
+    /// Digest of its list.
     pub digest: ListDigest,
-    /// When it was started, and when it first knew a list (Unix ns).
+    /// Start time (Unix ns).
     pub started_ns: u64,
-    /// See `started_ns`.
+    /// Time at which it first had a list (Unix ns).
     pub learned_ns: Option<u64>,
-    /// Bytes that came from the list service in this life.
+    /// Bytes received from the list service since the start.
     pub received_bytes: u64,
-    /// Calls to the list service, and those that were turned away.
+    /// Calls to the list service.
     pub calls: u64,
-    /// See `calls`.
+    /// Calls rejected by the list service.
     #[serde(rename = "turned_away")]
     pub rejected_calls: u64,
-    /// Peers that it knows.
+    /// Number of known peers.
     pub peers: u32,
-    /// Datagrams sent to peers, and their bytes.
+    /// Datagrams sent to peers.
     pub fleet_datagrams: u64,
-    /// See `fleet_datagrams`.
+    /// Bytes sent to peers.
     pub fleet_bytes: u64,
-    /// Bytes of datagrams that came, and those that had come when it first knew its list.
+    /// Bytes received from peers.
     pub fleet_received_bytes: u64,
-    /// See `fleet_received_bytes`.
+    /// Bytes received from peers until it first had a list.
     pub fleet_learned_bytes: u64,
 }
--- a/crates/testkit/src/hollow/relay_feed.rs
+++ b/crates/testkit/src/hollow/relay_feed.rs
@@ -1,6 +1,6 @@
-//! What a hollow relay does with the list service's news, as the program does it in its loop.
+//! Forwards the list service's changes from a hollow relay's stream to its fleet runtime.
 //!
-//! The program's own functions are part of its loop; these few lines follow them, over the same runtime.
+//! It mirrors the program's main loop, whose own functions can't be called from here.
 
 use marljunction_cells::{Engine, PartUpdate};
 use marljunction_control::interface::{EngineEntry, MembershipKind};
@@ -10,21 +10,21 @@
 use marljunction_fleet::FleetRuntime;
 use marljunction_settings::Names;
 
-/// Time for which a stream must be open before what is heard on it tells that nothing was missed (ns), unless the whole list came on
-/// it.
+/// Time for which a stream must be open before it counts as complete (ns), unless it has delivered
+/// the full list.
 const MIN_CATCH_UP_NS: u64 = 1_000_000_000;
 
-/// What a relay's stream has brought.
+/// State of a relay's stream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RelayFeed {
-    /// Since when the stream is open (ns).
+    /// Time at which the stream was opened (ns).
     open_since_ns: Option<u64>,
-    /// Whether the whole list has come on it.
+    /// Whether the stream has delivered the full list.
     has_full_list: bool,
 }
 
 impl RelayFeed {
-    /// Tells routers what the list service told.
+    /// Passes changes from the list service to the fleet runtime.
     pub fn publish(
         &mut self,
         now: u64,
@@ -39,7 +39,7 @@
         fleet.update_list(now, stream.position().0, update);
     }
 
-    /// Tells a relay's routers how old its news is, once nothing of it can be missing.
+    /// Reports the age of the relay's list to the fleet runtime, once the list is complete.
     pub fn tick(&mut self, now: u64, stream: &Stream, fleet: &mut FleetRuntime) {
         if !stream.position().1 {
             *self = RelayFeed::default();
@@ -56,7 +56,7 @@
     change.targets.iter().map(|target| to_cell_engine(&target.entry, target.address, names)).collect()
 }
 
-/// What the module is told of news of a part.
+/// Converts an update of a cell's part for the decision module.
 pub fn to_membership(update: &PartUpdate, names: &Names) -> (MembershipKind, Vec<EngineEntry>) {
     let entries = |engines: &[Engine]| engines.iter().map(|engine| to_engine_entry(engine, names)).collect();
     match update {
--- a/crates/testkit/src/hollow/router.rs
+++ b/crates/testkit/src/hollow/router.rs
@@ -1,4 +1,4 @@
-//! One hollow router: the program's own parts that control costs, with its own sockets.
+//! A hollow router: the program's control-plane components with their own sockets.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,28 +20,28 @@
 use super::relay_feed::{to_membership, RelayFeed};
 use super::{io, HollowError};
 
-/// Part of a token that names the router; the rest numbers its connections.
+/// Bits of a token that number a router's connections; the bits above identify the router.
 pub(crate) const TOKEN_BITS: u32 = 32;
-/// Connections that one life of a router may open before the next life's numbers begin (count).
+/// Bits of a token that number the connections of one incarnation.
 const INCARNATION_BITS: u32 = 20;
-/// Age from which news counts as too old (ns).
+/// Age from which the list counts as stale (ns).
 const STALE_NS: u64 = 7_000_000_000;
-/// Memory that the module's bounds follow from (MB).
+/// Memory limit from which bounds are derived (MB).
 const MEMORY_MB: f64 = 512.0;
 
-/// What all routers of a host share.
+/// State shared by all routers of a host.
 pub struct Shared {
-    /// How the host is set up.
+    /// Configuration of the host.
     pub setup: HostSetup,
-    /// The module's settings, with the names behind their numbers.
+    /// Settings of the decision module, with the names that they refer to by index.
     pub settings: Rc<(Settings, Names)>,
 }
 
 impl Shared {
-    /// Reads the settings as the program does.
+    /// Parses the settings.
     ///
     /// # Errors
-    /// Where the program's reader refuses them.
+    /// If the settings are invalid.
     pub fn new(setup: HostSetup) -> Result<Shared, HollowError> {
         let settings = read_settings(&setup.settings).map_err(HollowError::Settings)?;
         Ok(Shared { setup, settings: Rc::new(settings) })
@@ -60,15 +60,15 @@
     }
 }
 
-/// What a router does about the list.
+/// A router's role in list distribution.
 enum Role {
-    /// Nothing.
+    /// It has no list.
     Idle,
     /// It follows the list service.
     Reader,
-    /// It follows the list service, and tells routers of cells their parts.
+    /// It follows the list service and serves parts to the routers of cells.
     Relay(RelayFeed),
-    /// It learns the part of its cell, which has this place among all parts.
+    /// It receives the part of its cell from relays; holds the index of the part.
     CellRouter(usize),
 }
 
@@ -90,16 +90,16 @@
     }
 }
 
-/// One router.
+/// A hollow router.
 pub struct HollowRouter {
     number: u32,
     net: Net,
     stream: Stream,
     list: EngineFingerprints,
-    /// When its list last changed (ns).
+    /// Time of the last change of its list (ns).
     list_changed_ns: u64,
     learned_ns: Option<u64>,
-    /// Bytes of datagrams that had come then.
+    /// Bytes of datagrams received until `learned_ns`.
     fleet_learned_bytes: u64,
     started_ns: u64,
     module: Router,
@@ -111,11 +111,13 @@
 }
 
 impl HollowRouter {
-    /// Starts it, knowing nothing; `slot` is its place in the host, `incarnation` counts its starts there, and `address` is where its
-    /// life before took datagrams.
+    /// Starts a router without any state.
+    ///
+    /// `slot` is its index in the host, `incarnation` numbers the starts in the host, and `address`
+    /// is the datagram address of its previous incarnation.
     ///
     /// # Errors
-    /// Where it gets no sockets.
+    /// If its sockets or its fleet runtime can't be set up.
     pub fn start(
         now: u64,
         registry: &Registry,
@@ -171,12 +173,12 @@
         })
     }
 
-    /// Its number.
+    /// Router number.
     pub fn number(&self) -> u32 {
         self.number
     }
 
-    /// Whether it has the list that it should have: the whole one, or its cell's part.
+    /// Whether its list is as expected: the full list, or the part of its cell.
     pub fn has_list(&self, expected: &ExpectedLists) -> bool {
         let expected_digest = match self.role {
             Role::CellRouter(part) => expected.parts.get(part),
@@ -185,22 +187,22 @@
         expected_digest == Some(&self.list.digest())
     }
 
-    /// When its list last changed (ns).
+    /// Time of the last change of its list (ns).
     pub fn list_changed_ns(&self) -> u64 {
         self.list_changed_ns
     }
 
-    /// Where it takes datagrams, where it does.
+    /// Datagram address, if it is a member of the fleet.
     pub fn fleet_address(&self) -> Option<SocketAddr> {
         self.fleet.as_ref().map(FleetMember::address)
     }
 
-    /// Peers that it knows (count).
+    /// Number of known peers.
     pub fn peers(&self) -> u32 {
         self.fleet.as_ref().map_or(0, FleetMember::peers)
     }
 
-    /// Passes time.
+    /// Processes timers.
     pub fn tick(&mut self, now: u64) {
         if self.role.follows_service() {
             self.stream.tick(now, &mut self.net);
@@ -215,7 +217,7 @@
         self.process_events(now);
     }
 
-    /// Takes what relays told of its cell's part.
+    /// Applies updates of its cell's part from relays.
     fn apply_part_updates(&mut self, now: u64) {
         let Some(fleet) = &mut self.fleet else { return };
         for update in fleet.runtime().take_list_updates() {
@@ -232,7 +234,7 @@
         }
     }
 
-    /// Takes datagrams that have come; whether there are more to take.
+    /// Reads received datagrams; returns whether more are pending.
     pub fn ready_datagrams(&mut self, now: u64) -> bool {
         let Some(fleet) = &mut self.fleet else { return false };
         fleet.runtime().ready(now, &mut self.module);
@@ -241,14 +243,14 @@
         has_more
     }
 
-    /// Reads its file of keys again.
+    /// Reloads its key file.
     pub fn reload_keys(&mut self, now: u64) {
         if let Some(fleet) = &mut self.fleet {
             fleet.reload_keys(now, &self.shared.0, &self.shared.1, &mut self.module);
         }
     }
 
-    /// Takes what has come in on a connection; whether there is more to take.
+    /// Reads from a connection; returns whether more data is pending.
     pub fn ready(&mut self, now: u64, connection: u64) -> bool {
         let changes = self.stream.ready(now, &mut self.net, connection);
         if !changes.is_empty() {
@@ -275,11 +277,11 @@
 
     fn process_events(&mut self, now: u64) {
         self.module.process_events(now, &mut self.commands);
-        // Without clients there is nothing to carry out.
+        // There are no clients, so no command needs to be carried out.
         self.commands.clear();
     }
 
-    /// What it knows.
+    /// Current state.
     pub fn report(&self) -> RouterReport {
         let ((calls, rejected_calls), _) = self.stream.stats();
         let (fleet_datagrams, fleet_bytes) = self.fleet.as_ref().map_or((0, 0), FleetMember::sent);
--- a/crates/testkit/src/hollow/service.rs
+++ b/crates/testkit/src/hollow/service.rs
@@ -1,7 +1,12 @@
-//! A stand-in list service for a large fleet, as a process of its own: the stream of numbered events, one listener a router.
+//! A simulated list service for a large fleet, run as a separate process. It serves a stream of
+//! numbered events and has one listener per router.
 //!
-//! Invariants: the text of an event is held once, whoever it is written to; at most so many whole lists are written at a time, and
-//! who waits for one is kept up by comments; what a router is told never depends on another's reading.
+//! Invariants:
+//!
+//! - The encoded event is shared between connections.
+//! - The number of full lists written at the same time is limited. Connections that wait for one
+//!   receive comments.
+//! - A slow router does not delay the stream of another.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::io::{ErrorKind, Read, Write};
@@ -18,34 +23,34 @@
 use super::{io, read_commands, write_report, HollowError, COMMAND_TOKEN};
 use crate::server::{listen, read_call};
 
-/// Tokens of connections start here; those of listeners are the routers' numbers.
+/// First token of connections. The token of a listener is the number of its router.
 const FIRST_CONNECTION: usize = 1 << 24;
-/// How often a comment is written to all who follow or wait (ns).
+/// Interval between comments on idle streams (ns).
 const COMMENT_NS: u64 = 1_000_000_000;
-/// Longest wait of the loop.
+/// Poll timeout of the loop.
 const MAX_WAIT: Duration = Duration::from_millis(20);
-/// Events kept for routers that come back behind one of them (count).
+/// Events buffered for routers that resume their stream.
 const MAX_BUFFERED_EVENTS: usize = 4_096;
-/// Bytes that the machine holds for a connection, about.
+/// Send buffer size of a connection in the kernel.
 const SEND_BUFFER_BYTES: usize = 64 << 10;
-/// Bytes of a call that are read at most.
+/// Maximum size of a request.
 const MAX_REQUEST_BYTES: usize = 8 << 10;
 const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:hi\n\n";
 const REJECTED: &[u8] =
     b"HTTP/1.1 503 Busy\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-/// What a connection is in.
+/// Phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Its call has not come whole.
+    /// Its request is incomplete.
     ReadingRequest,
-    /// It waits for its turn to be written the whole list.
+    /// It waits to receive the full list.
     Waiting,
-    /// It is written the whole list.
+    /// It is receiving the full list.
     Snapshot,
-    /// It has all events so far, written or queued.
+    /// All events so far are written or queued.
     Following,
-    /// It is closed once what is queued was written.
+    /// It is closed once its queue is written.
     Closing,
 }
 
@@ -55,11 +60,11 @@
     phase: Phase,
     input: Vec<u8>,
     queue: VecDeque<Arc<[u8]>>,
-    /// Bytes of the queue's first entry that were written.
+    /// Bytes of the first queue entry already written.
     written: usize,
 }
 
-/// The service.
+/// The list service.
 struct Service {
     setup: ServiceSetup,
     registry: Registry,
@@ -70,24 +75,24 @@
     table: EngineTable,
     index: u64,
     events: VecDeque<(u64, Arc<[u8]>)>,
-    /// The event that holds the whole list, with the number it was made at.
+    /// Cached event with the full list, with the index of its last change.
     snapshot: Option<(u64, Arc<[u8]>)>,
     waiting: VecDeque<usize>,
     active_snapshots: usize,
     unavailable: bool,
     partitioned: BTreeSet<u32>,
     skipped: BTreeSet<u32>,
-    /// Calls that may be taken now, and when that was last reckoned (count, ns).
+    /// Token bucket for calls: available tokens, and time of the last refill (ns).
     tokens: f64,
     refilled_ns: u64,
     last_comment_ns: u64,
     counters: ServiceCounters,
 }
 
-/// Runs the service until its input ends.
+/// Runs the service until the end of its input.
 ///
 /// # Errors
-/// Where sockets can't be had or standard output is gone.
+/// If a socket or standard output fails.
 pub fn run() -> Result<(), HollowError> {
     let mut poll = Poll::new().map_err(io("poll"))?;
     let commands: Receiver<ServiceCommand> = read_commands(poll.registry())?;
@@ -186,7 +191,7 @@
         ServiceCounters { followers: followers as u32, snapshot_bytes, list, ..self.counters.clone() }
     }
 
-    /// Tells all who follow an event of these targets.
+    /// Publishes an event with these targets to all followers.
     fn publish(&mut self, targets: &str) -> SentChange {
         self.index += 1;
         let text: Arc<[u8]> = event(self.index, false, targets).into();
@@ -255,12 +260,12 @@
     fn accept(&mut self, router: usize) {
         while let Ok((mut stream, _)) = self.listeners[router].accept() {
             let _ = stream.set_nodelay(true);
-            // Guards against a whole list that counts as written while it waits in the machine's buffers.
+            // Otherwise a full list would count as written while it is in the kernel's buffers.
             let _ = socket2::SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES);
             let token = self.next_token;
             let interest = Interest::READABLE | Interest::WRITABLE;
             if self.unavailable || self.registry.register(&mut stream, Token(token), interest).is_err() {
-                // Closed as it goes: nothing was read of it.
+                // Dropping the connection closes it.
                 continue;
             }
             self.next_token += 1;
@@ -276,7 +281,7 @@
         }
     }
 
-    /// Moves what can be moved on a connection, unless it is cut.
+    /// Reads from and writes to a connection, unless its router is partitioned.
     fn serve(&mut self, token: usize) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         if self.partitioned.contains(&connection.router) {
@@ -336,7 +341,7 @@
         admitted
     }
 
-    /// Writes what can be written, unless the connection is cut.
+    /// Writes queued events, unless the connection's router is partitioned.
     fn write(&mut self, token: usize) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let router = connection.router as usize;
@@ -377,7 +382,7 @@
         self.active_snapshots -= usize::from(connection.phase == Phase::Snapshot);
     }
 
-    /// Passes time: the next whole lists, and a comment each second.
+    /// Starts to write waiting full lists and sends a comment each second.
     fn tick(&mut self) {
         while self.active_snapshots < self.setup.concurrent_snapshots {
             let Some(token) = self.waiting.pop_front() else { break };
@@ -409,7 +414,7 @@
     }
 }
 
-/// Reads what has come; false where the peer has gone or says more than a call.
+/// Reads received data; false if the peer has closed the connection or the request is too large.
 fn read_available(connection: &mut Connection) -> bool {
     let mut buffer = [0; 2_048];
     loop {
--- a/crates/testkit/src/hollow/usage.rs
+++ b/crates/testkit/src/hollow/usage.rs
@@ -1,20 +1,20 @@
-//! What a process uses, as the machine counts it.
+//! Resource usage of a process, from `/proc`.
 
 use std::fs::read_to_string;
 use std::path::Path;
 
-/// What one process used.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Processor time of all its threads (ns).
+    /// Processor time of all threads (ns).
     pub processor_ns: u64,
-    /// Memory that it holds now, and held at most (KB).
+    /// Resident memory now (KB).
     pub resident_kb: u64,
-    /// See `resident_kb`.
+    /// Peak resident memory (KB).
     pub peak_kb: u64,
 }
 
-/// What a process used so far; nothing where it is not there.
+/// Resource usage of a process so far; zero if it does not exist.
 pub fn of_process(id: u32) -> Usage {
     let status = read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let kilobytes = |name: &str| {
@@ -29,7 +29,7 @@
     threads.flatten().filter_map(|thread| scheduled_ns(thread.path().join("schedstat"))).sum()
 }
 
-/// The first field of the scheduler's figures: the time on a core.
+/// The first field of `schedstat`: time spent on a core (ns).
 fn scheduled_ns(path: impl AsRef<Path>) -> Option<u64> {
     read_to_string(path).ok()?.split_whitespace().next()?.parse().ok()
 }
