--- a/crates/lab/src/scale/cells.rs
+++ b/crates/lab/src/scale/cells.rs
@@ -1,6 +1,7 @@
-//! The list by cells: relays read the whole list, each router learns its cell's part of them by sealed datagrams.
+//! Measures list distribution by cells: relays read the full list, and each router receives the
+//! part of its cell from them in signed datagrams.
 //!
-//! Bytes are counted by both sides: by the relays as they send, by the routers as they take.
+//! Bytes are counted on both sides: by the relays on send, by the routers on receipt.
 
 use std::time::{Duration, Instant};
 
@@ -16,97 +17,99 @@
 use super::size::{hosts, median_and_worst, module_settings, CALLS_PER_S, CONCURRENT_SNAPSHOTS};
 use super::{engines_for, Run, ScaleError};
 
-/// Cells of a zone at the size to design for: 120 engines and 13 routers each (count).
+/// Cells per zone at the design size, which has 120 engines and 13 routers per cell.
 const CELLS: u32 = 10;
-/// Relays at the size to design for, and that size (count).
+/// Relays and routers of the design fleet.
 const RELAYS: u32 = 39;
 const ROUTERS: u32 = 3_200;
-/// Hosts of relays (count).
+/// Number of hosts of relays.
 const RELAY_HOSTS: u32 = 2;
-/// Time between a router's asks (ns): what the definitions of the operator's file give by default.
+/// Interval between a router's requests (ns), as by default in the operator's configuration file.
 const ASK_NS: u64 = 1_000_000_000;
-/// Quiet time that is measured, and changes that are told (full, quick).
+/// Measured quiet time, and number of published changes (full, quick).
 const QUIET_TIME: [Duration; 2] = [Duration::from_secs(10), Duration::from_millis(1_500)];
 const CHANGES: [u32; 2] = [20, 6];
-/// Longest time for all to know their parts (s).
+/// Timeout until all routers have their parts (s).
 const TIMEOUT_S: u64 = 60;
-/// How long a region is cut off, and the list service away (full, quick).
+/// Duration of a region's partition and of the list service's outage (full, quick).
 const PARTITION_TIME: [Duration; 2] = [Duration::from_secs(10), Duration::from_secs(3)];
 const OUTAGE_TIME: [Duration; 2] = [Duration::from_secs(6), Duration::from_millis(1_500)];
 
-/// What was measured, of one router where nothing else is said.
+/// Measurements, per router unless stated otherwise.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct CellsMeasured {
-    /// Routers, relays, cells of a zone and engines on the list (count).
+    /// Number of routers.
     pub routers: u32,
-    /// See `routers`.
+    /// Number of relays.
     pub relays: u32,
-    /// See `routers`.
+    /// Cells per zone.
     pub cells: u32,
-    /// See `routers`.
+    /// Number of engines on the list.
     pub engines: u64,
-    /// Engines of a part (count): mean and most.
+    /// Mean number of engines of a part.
     pub part_engines: f64,
-    /// See `part_engines`.
+    /// Largest number of engines of a part.
     #[serde(rename = "part_engines_most")]
     pub max_part_engines: u64,
-    /// Time from a router's start to its knowing its part, relays started with it (s): median and worst.
+    /// Time from a router's start until it has its part, with relays started at the same time (s):
+    /// median.
     pub list_learned_p50_s: f64,
-    /// See `list_learned_p50_s`.
+    /// The same: maximum.
     pub list_learned_worst_s: f64,
-    /// Bytes that a router took until it knew its part: mean and most.
+    /// Bytes received by a router until it has its part: mean.
     pub list_bytes: f64,
-    /// See `list_bytes`.
+    /// The same: maximum.
     #[serde(rename = "list_bytes_most")]
     pub max_list_bytes: u64,
-    /// Bytes that a router took until all knew their parts, its asks for what is new included: mean and most.
+    /// Bytes received by a router until all have their parts, including responses without changes:
+    /// mean.
     pub start_bytes: f64,
-    /// See `start_bytes`.
+    /// The same: maximum.
     #[serde(rename = "start_bytes_most")]
     pub max_start_bytes: u64,
-    /// Bytes that routers did not take of those that relays sent (share).
+    /// Share of the bytes sent by relays that routers did not receive.
     pub bytes_lost: f64,
-    /// Processor time of a start (ms).
+    /// Processor time until all routers have their parts (ms).
     pub start_processor_ms: f64,
-    /// Share of a core in quiet time, with the part of the host's own loop.
+    /// Share of a core in quiet time, including the host's event loop.
     pub quiet_core_share: f64,
-    /// Bytes that a router took and sent a second in quiet time.
+    /// Bytes sent and received per second in quiet time.
     pub quiet_bytes_per_s: f64,
-    /// Time until a change was everywhere (s): median over routers and changes, and worst.
+    /// Time until a router has a change (s): median over routers and changes.
     pub change_everywhere_p50_s: f64,
-    /// See `change_everywhere_p50_s`.
+    /// The same: maximum.
     pub change_everywhere_worst_s: f64,
-    /// Memory of a router (MB), with its part in its module.
+    /// Memory (MB), with the part passed to the decision module.
     pub hollow_mb: f64,
-    /// Share of a core that a relay takes in quiet time, and its memory (MB).
+    /// Share of a core used by a relay in quiet time.
     pub relay_quiet_core_share: f64,
-    /// See `relay_quiet_core_share`.
+    /// Memory of a relay (MB).
     pub relay_mb: f64,
-    /// Time until all routers that are there knew their parts again, by fault (s).
+    /// Time until all running routers have their parts after a zone was stopped (s).
     pub zone_gone_s: f64,
-    /// See `zone_gone_s`.
+    /// The same after the zone was started again (s).
     pub zone_back_s: f64,
-    /// See `zone_gone_s`.
+    /// The same after the partition of a region ended (s).
     pub region_cut_s: f64,
-    /// See `zone_gone_s`.
+    /// The same after a tenth of the routers was restarted (s).
     pub restart_a_tenth_s: f64,
-    /// Most bytes that a router took in the restart.
+    /// Maximum number of bytes received by a restarted router.
     #[serde(rename = "restart_bytes_most")]
     pub max_restart_bytes: u64,
-    /// See `zone_gone_s`.
+    /// The same after an outage of the list service ended (s).
     pub list_service_away_s: f64,
-    /// See `zone_gone_s`: a third of the relays is gone, and a change is told at that moment.
+    /// The same after a third of the relays was stopped and a change was published (s).
     pub relays_gone_s: f64,
-    /// Processes, and their memory (GiB).
+    /// Number of processes.
     pub processes: u32,
-    /// See `processes`.
+    /// Peak memory of all processes (GiB).
     pub memory_gib: f64,
 }
 
-/// Measures a fleet of so many routers; relays in proportion.
+/// Measures a fleet with a proportional number of relays.
 ///
 /// # Errors
-/// Where a process can't be had, or routers do not come to know their parts in time.
+/// If a process fails or routers do not receive their parts in time.
 pub fn measure(run: &Run, routers: u32) -> Result<CellsMeasured, ScaleError> {
     let keys = KeyFiles::new(&format!("cells-{routers}"))?;
     let relays = (RELAYS * routers).div_ceil(ROUTERS).max(3);
@@ -148,14 +151,14 @@
 }
 
 impl CellsMeasured {
-    /// Relays and routers at once, cold.
+    /// Starts all relays and routers at once.
     fn start(&mut self, fleet: &mut HollowFleet) -> Result<(), ScaleError> {
         let list = fleet.counters()?.list;
         let empty_kb = (fleet.hosts_usage().resident_kb, fleet.relays_usage().resident_kb);
         let before_ns = fleet.hosts_usage().processor_ns;
         fleet.start_relays()?;
         fleet.start_routers(&(0..self.routers).collect::<Vec<_>>())?;
-        self.await_parts(fleet, &list, "all know their parts after a start")?;
+        self.await_parts(fleet, &list, "all routers have their parts after a start")?;
         let spent_ms = (fleet.hosts_usage().processor_ns - before_ns) as f64 / 1e6;
         self.start_processor_ms = spent_ms / f64::from(self.routers);
         let reports = fleet.reports()?;
@@ -189,7 +192,8 @@
         Ok(())
     }
 
-    /// Processor time (s) and bytes, taken and sent, of a router; processor time of a relay (s).
+    /// Means so far: processor time (s) and bytes sent and received of a router, and processor time
+    /// of a relay (s).
     fn spent(&self, fleet: &mut HollowFleet) -> Result<(f64, f64, f64), ScaleError> {
         let reports = fleet.reports()?;
         let bytes = mean(&reports[..self.routers as usize], |r| r.fleet_bytes + r.fleet_received_bytes);
@@ -207,8 +211,8 @@
                 0 => fleet.change(engine, ListedState::Terminating)?,
                 _ => fleet.replace(engine)?,
             };
-            let reached = self.await_parts(fleet, &sent_change.list, "a change is everywhere")?;
-            // A router of another cell knew its part before; only those that had to learn count.
+            let reached = self.await_parts(fleet, &sent_change.list, "all routers have a change")?;
+            // Routers of other cells already had their parts and do not count.
             let delayed =
                 reached.iter().filter(|(number, at)| *number < self.routers && *at >= sent_change.sent_ns);
             delays.extend(delayed.map(|(_, at)| (at - sent_change.sent_ns) as f64 / 1e9));
@@ -223,17 +227,17 @@
         let since = Instant::now();
         fleet.stop_routers(&routers)?;
         let sent_change = fleet.change(engines.clone(), ListedState::Terminated)?;
-        self.await_parts(fleet, &sent_change.list, "all know their parts after a zone was gone")?;
+        self.await_parts(fleet, &sent_change.list, "all routers have their parts after a zone was stopped")?;
         self.zone_gone_s = since.elapsed().as_secs_f64();
         let since = Instant::now();
         fleet.start_routers(&routers)?;
         let sent_change = fleet.replace(engines)?;
-        self.await_parts(fleet, &sent_change.list, "all know their parts after a zone was back")?;
+        self.await_parts(fleet, &sent_change.list, "all routers have their parts after a zone was started")?;
         self.zone_back_s = since.elapsed().as_secs_f64();
         Ok(())
     }
 
-    /// A region hears no other and not the list service for a while, in which engines change.
+    /// Partitions a region from the other regions and the list service while engines change.
     fn region(
         &mut self,
         fleet: &mut HollowFleet,
@@ -252,7 +256,7 @@
         fleet.reload_keys(&region)?;
         fleet.inject_fault(&ServiceCommand::Partition { routers: region, partitioned: false })?;
         let since = Instant::now();
-        self.await_parts(fleet, &list, "all know their parts after a region was back")?;
+        self.await_parts(fleet, &list, "all routers have their parts after a partition")?;
         self.region_cut_s = since.elapsed().as_secs_f64();
         Ok(())
     }
@@ -262,7 +266,7 @@
         let list = fleet.counters()?.list;
         let since = Instant::now();
         fleet.start_routers(&restarted)?;
-        self.await_parts(fleet, &list, "all know their parts after a tenth was restarted")?;
+        self.await_parts(fleet, &list, "all routers have their parts after a tenth was restarted")?;
         self.restart_a_tenth_s = since.elapsed().as_secs_f64();
         let reports = fleet.reports()?;
         let of_them = reports.iter().filter(|report| restarted.contains(&report.number));
@@ -276,7 +280,7 @@
         std::thread::sleep(outage_time);
         fleet.inject_fault(&ServiceCommand::SetUnavailable(false))?;
         let since = Instant::now();
-        self.await_parts(fleet, &list, "all know their parts after the list service was back")?;
+        self.await_parts(fleet, &list, "all routers have their parts after an outage of the list service")?;
         self.list_service_away_s = since.elapsed().as_secs_f64();
         Ok(())
     }
@@ -286,7 +290,7 @@
         let since = Instant::now();
         fleet.stop_routers(&stopped)?;
         let list = self.replace_some_engines(fleet)?;
-        self.await_parts(fleet, &list, "all know their parts after relays were gone")?;
+        self.await_parts(fleet, &list, "all routers have their parts after relays were stopped")?;
         self.relays_gone_s = since.elapsed().as_secs_f64();
         Ok(())
     }
--- a/crates/lab/src/scale/decide.rs
+++ b/crates/lab/src/scale/decide.rs
@@ -1,4 +1,5 @@
-//! What the decision module costs a request, by the count of engines: processor time of its decision, and of its whole life.
+//! Measures the decision module's processor time per request by the number of engines: for the
+//! routing decision, and until the end of the attempt.
 
 use std::time::Duration;
 
@@ -14,39 +15,38 @@
 use super::size::{median_and_worst, module_settings};
 use super::ScaleError;
 
-/// Engines that decisions are measured with, and requests with so many (full, quick; count).
+/// Number of engines, and number of requests measured with them (full, quick).
 const FEW: (u64, [u64; 2]) = (8, [50_000, 20_000]);
 const MANY: (u64, [u64; 2]) = (30_000, [300, 60]);
-/// Requests before the ones that count.
+/// Requests that precede the measurement.
 const WARM_UP: u64 = 10;
-/// Time between requests (ns): as often as a router of the fleet to design for is asked.
+/// Interval between requests (ns), as for a router of the design fleet.
 const REQUEST_INTERVAL_NS: u64 = 1_000_000_000 / 1_094;
 const START_NS: u64 = 1 << 60;
 const MEMORY_MB: f64 = 512.0;
 
-/// Processor time of a request in the module, from its arrival to its sending (us): the median; and to the end of its attempt: the
-/// mean.
+/// Processor time of a request in the decision module.
 #[derive(Clone, Copy, Debug)]
 pub struct Decision {
-    /// From arrival to sending (us).
+    /// From arrival to the start of an attempt (us): median.
     pub decide_us: f64,
-    /// From arrival to the end of the attempt (us).
+    /// From arrival to the end of the attempt (us): mean.
     pub request_us: f64,
 }
 
-/// The same with eight engines and with thirty thousand.
+/// Processor time of requests by the number of engines.
 #[derive(Clone, Copy, Debug)]
 pub struct Decisions {
-    /// With eight engines.
+    /// With 8 engines.
     pub with_8: Decision,
-    /// With thirty thousand.
+    /// With 30,000 engines.
     pub with_30000: Decision,
 }
 
-/// Measures both.
+/// Measures requests with few and with many engines.
 ///
 /// # Errors
-/// Where the settings are refused.
+/// If the settings are invalid.
 pub fn run(quick: bool) -> Result<Decisions, ScaleError> {
     let of = |(engines, requests): (u64, [u64; 2])| measure(engines, requests[usize::from(quick)]);
     Ok(Decisions { with_8: of(FEW)?, with_30000: of(MANY)? })
--- a/crates/lab/src/scale/faults.rs
+++ b/crates/lab/src/scale/faults.rs
@@ -1,4 +1,5 @@
-//! Faults at the largest size: a zone gone and back, a region cut off and back, a tenth restarted, the list service away.
+//! Faults at the largest size: a zone stopped and started again, a partitioned region, a restart of
+//! a tenth of the routers, and an outage of the list service.
 
 use std::time::{Duration, Instant};
 
@@ -10,47 +11,47 @@
 use super::size::{Measured, ScaleFleet};
 use super::ScaleError;
 
-/// Zones and regions of the fleet: one in so many routers and engines is in each (count).
+/// Number of zones and of regions; routers and engines are distributed over them by number.
 const ZONES: u32 = 25;
 const REGIONS: u32 = 9;
-/// One in so many routers is restarted.
+/// One in this many routers is restarted.
 const RESTARTED: u32 = 10;
-/// How long a region is cut off: longer than a silent stream is believed; and the list service
-/// away (full, quick).
+/// Duration of a region's partition and of the list service's outage (full, quick). In a full run
+/// the partition is longer than the stream's silence timeout.
 const PARTITION_TIME: [Duration; 2] = [Duration::from_secs(10), Duration::from_secs(3)];
 const OUTAGE_TIME: [Duration; 2] = [Duration::from_secs(6), Duration::from_millis(1_500)];
-/// Changes while a part of the fleet can't hear them (count).
+/// Number of changes while a part of the fleet can't receive them.
 const CHANGES_DURING_FAULT: u32 = 4;
-/// Longest time for all to know the right list again (s).
+/// Timeout until all routers have the current list (s).
 const TIMEOUT_S: u64 = 120;
-/// A minute (s).
 const MINUTE_S: f64 = 60.0;
 
-/// What one fault cost.
+/// Cost of a fault.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct FaultCost {
-    /// The fault.
+    /// Name of the fault.
     pub fault: &'static str,
-    /// Routers that it struck (count).
+    /// Number of affected routers.
     #[serde(rename = "struck")]
     pub affected_routers: u32,
-    /// Time from its end, or from its moment, until all routers that are there knew the right list (s).
+    /// Time until all running routers have the current list (s), from the end of an outage or
+    /// partition, else from the fault.
     #[serde(rename = "all_know_s")]
     pub converged_s: f64,
-    /// Time that was watched (s).
+    /// Measured time (s).
     #[serde(rename = "watched_s")]
     pub measured_s: f64,
-    /// Processor time of a router that it struck, beyond quiet time (ms).
+    /// Processor time of an affected router in excess of quiet time (ms).
     pub processor_ms: f64,
-    /// Most bytes that one router took, beyond quiet time.
+    /// Maximum number of bytes written to a router, in excess of quiet time.
     pub bytes: f64,
-    /// Share of a core, and bytes a second, of a struck router in the minute of the fault.
+    /// Share of a core used by an affected router in the minute of the fault.
     pub minute_core_share: f64,
-    /// See `minute_core_share`.
+    /// Bytes per second of the router with the most bytes in the minute of the fault.
     pub minute_bytes_per_s: f64,
 }
 
-/// One fault that is watched.
+/// Measurement of a fault: the counters at its start.
 struct FaultMeasurement {
     started: Instant,
     processor_ns: u64,
@@ -64,7 +65,7 @@
         Ok(FaultMeasurement { started: Instant::now(), processor_ns, written })
     }
 
-    /// What it cost; `since` is when all could begin to know better.
+    /// Computes the cost; `since` is the time from which all routers can receive the current list.
     fn end(
         self,
         fleet: &mut HollowFleet,
@@ -96,10 +97,10 @@
     }
 }
 
-/// The faults one after the other; gives what each cost.
+/// Injects the faults one after the other and returns the cost of each.
 ///
 /// # Errors
-/// Where a process has ended, or routers do not come to know the list in time.
+/// If a process has exited or routers do not receive the list in time.
 pub fn run(
     fleet: &mut ScaleFleet,
     largest_measured: &Measured,
@@ -122,11 +123,11 @@
     let reached = fleet.await_list(list, Duration::from_secs(TIMEOUT_S))?;
     let routers = fleet.plan().routers;
     let timeout =
-        ScaleError::Timeout { routers, what: "all know the list after a fault", seconds: TIMEOUT_S };
+        ScaleError::Timeout { routers, what: "all routers have the list after a fault", seconds: TIMEOUT_S };
     reached.map(drop).ok_or(timeout)
 }
 
-/// A zone is gone with its routers and engines; then all of it is back.
+/// Stops the routers and engines of a zone, then starts them again.
 fn zone(fleet: &mut HollowFleet, largest_measured: &Measured) -> Result<[FaultCost; 2], ScaleError> {
     let routers = every_nth(ZONES, largest_measured.routers, 3);
     let engines = every_nth(ZONES, engines_for(largest_measured.routers), 3);
@@ -149,7 +150,7 @@
     Ok([stopped, back])
 }
 
-/// A region hears nothing and is not heard for a while, in which engines change.
+/// Partitions a region from the list service while engines change.
 fn region(
     fleet: &mut HollowFleet,
     largest_measured: &Measured,
@@ -166,7 +167,7 @@
     measurement.end(fleet, largest_measured, ("region_cut", routers.len() as u32, since))
 }
 
-/// A tenth of the routers starts anew, knowing nothing.
+/// Restarts a tenth of the routers without any state.
 fn restart(fleet: &mut HollowFleet, largest_measured: &Measured) -> Result<FaultCost, ScaleError> {
     let routers = every_nth(RESTARTED, largest_measured.routers, 0);
     let list = fleet.counters()?.list;
@@ -177,7 +178,7 @@
     measurement.end(fleet, largest_measured, ("restart_a_tenth", routers.len() as u32, since))
 }
 
-/// The list service is away for a while, in which engines change.
+/// Stops the list service while engines change.
 fn service(
     fleet: &mut HollowFleet,
     largest_measured: &Measured,
@@ -193,7 +194,7 @@
     measurement.end(fleet, largest_measured, ("list_service_away", largest_measured.routers, since))
 }
 
-/// Some engines are replaced; gives what the list is then.
+/// Replaces some engines and returns the expected list.
 fn replace_some_engines(
     fleet: &mut HollowFleet,
     largest_measured: &Measured,
--- a/crates/lab/src/scale/figures.rs
+++ b/crates/lab/src/scale/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of a run as one flat JSON object, with the points of each size beside them.
+//! Figures of a run as one JSON object, with the measurements of each size.
 
 use marljunction_capacity::{fit, prediction_error, size, Point};
 use serde_json::{json, Map, Value};
@@ -9,23 +9,24 @@
 use super::peers::PeersMeasured;
 use super::size::Measured;
 
-/// Budgets of a router for control: share of a core, memory (MB), bytes a second. As on the capacity page.
+/// Control-plane budgets of a router, as on the capacity page: share of a core, memory (MB), bytes
+/// per second.
 const CORE_SHARE: f64 = size::CONTROL_CORE.value;
 const MEMORY_MB: f64 = size::CONTROL_MB.value;
 const BYTES_PER_S: f64 = size::CONTROL_BYTES.value;
-/// Time in which a router is to be ready (s), and the bytes that the budget allows in it.
+/// Maximum time until a router is ready (s), and the bytes that the budget allows in it.
 const MAX_READY_S: f64 = size::MAX_READY_TIME.value;
 const MAX_READY_BYTES: f64 = BYTES_PER_S * MAX_READY_S;
-/// Statements a second of a router, and the cores that it has for them.
+/// Statements per second of a router, and its cores for them.
 const STATEMENTS_PER_S: f64 = size::STATEMENTS.value / size::ROUTERS.value;
 const STATEMENT_CORES: f64 = size::ROUTER_CORES.value;
-/// Longest time for a change of an engine to be in force (s).
+/// Maximum time until a change of an engine takes effect (s).
 const MAX_CHANGE_S: f64 = size::MAX_PRIMARY_CHANGE_TIME.value;
 
-/// One figure of what was measured at a size.
+/// A figure taken from the measurements of a size.
 type Figure = fn(&Measured) -> f64;
 
-/// All figures.
+/// Returns all figures of a run.
 pub fn to_json(
     smaller: &[Measured],
     largest_measured: &Measured,
@@ -107,7 +108,7 @@
     all
 }
 
-/// What talking to peers costs a router in quiet time, at the largest fleet that was measured so.
+/// Cost of communication with peers in quiet time, at the largest size measured with peers.
 struct PeerCosts {
     routers: u32,
     core_share: f64,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// What the join would cost a router of so many, by the sizes that were measured: predicted, not measured.
+    /// Predicts the cost of joining a fleet of this number of routers from the measured sizes.
     fn predicted(&self, peers: &[PeersMeasured], routers: f64) -> Value {
         let predict = |of: fn(&PeersMeasured) -> f64| {
             let points = peers.iter().filter(|p| p.join_s.is_some());
@@ -142,7 +143,7 @@
     }
 }
 
-/// What the list takes of a real router's memory (MB): the most that one had, less what one would have without any engine.
+/// Memory of a real router for the list (MB): its peak less the fitted value for no engines.
 fn control_mb(sizes: &[&Measured], largest_measured: &Measured) -> Option<f64> {
     let point = |m: &&Measured| {
         let real = m.real.filter(|real| real.with_full_list == real.routers)?;
@@ -153,7 +154,7 @@
     Some(largest.value - fit(&points).ok()?.constant)
 }
 
-/// Rows that have a budget, with their ratios to it.
+/// Rows with a budget, and their ratios to it.
 fn rows(
     largest_measured: &Measured,
     decisions: &Decisions,
@@ -176,8 +177,9 @@
     rows
 }
 
-/// By how much the smaller sizes miss the largest, by figure that grows with the size (share). Processor time in quiet time is left
-/// out: it is within what the hosts' own loops vary by.
+/// Relative error of predicting the largest size from the smaller ones, by figure that grows with
+/// the size. Processor time in quiet time is omitted: it is within the variation of the hosts'
+/// event loops.
 fn prediction_errors(smaller: &[Measured], largest_measured: &Measured) -> Map<String, Value> {
     let figures: [(&str, Figure); 4] = [
         ("list_bytes", |m| m.list_bytes),
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,8 +1,12 @@
-//! Measures what control costs a router of a fleet of thousands before tens of thousands of engines.
+//! Measures the control-plane cost of a router in a fleet of thousands of routers and tens of
+//! thousands of engines.
 //!
-//! Hollow routers, a list service and some real routers run as processes of their own at four sizes; the smaller sizes predict the
-//! largest, which then goes through faults. Invariants: processor time is read from the hosts' own clocks, bytes are counted by
-//! the list service as it writes and by the routers as they read, and a figure that was not measured is null, with its reason.
+//! Hollow routers, a list service and some real routers run as separate processes at several sizes.
+//! The smaller sizes predict the largest, at which faults are injected. Invariants:
+//!
+//! - Processor time is that of the host processes.
+//! - Bytes are counted by the list service on write and by the routers on read.
+//! - A figure that was not measured is null, with its reason.
 
 mod cells;
 mod decide;
@@ -22,59 +26,59 @@
 use peers::PeersMeasured;
 use size::Size;
 
-/// Engines before each router of the fleet to design for (ratio).
+/// Engines per router of the design fleet.
 const ENGINES_PER_ROUTER: f64 = 30_000.0 / 3_200.0;
-/// Routers of the sizes of a quick run and of a full one; the last is the one that the others predict.
+/// Fleet sizes (routers) of a quick and a full run. The largest is predicted from the others.
 const QUICK_SIZES: [u32; 4] = [200, 300, 500, 800];
 const FULL_SIZES: [u32; 4] = [200, 400, 800, 1_600];
 const FULL_LARGEST: u32 = 3_200;
 
-/// Routers that talk to each other, of a full run and of a quick one.
+/// Sizes of fleets whose routers exchange messages (full, quick).
 const PEER_SIZES: [&[u32]; 2] = [&[50, 100, 200, 400], &[20, 40, 80]];
 
-/// Why a run came to nothing.
+/// An error that ends a run.
 #[derive(Debug, Error)]
 pub enum ScaleError {
-    /// A hollow process.
+    /// A hollow process failed.
     #[error(transparent)]
     Hollow(#[from] HollowError),
-    /// A real router.
-    #[error("a real router: {0}")]
+    /// A real router failed.
+    #[error("real router: {0}")]
     Real(String),
-    /// The lab does not know where its own program is.
-    #[error("this program: {0}")]
+    /// The path of the lab's own program is unknown.
+    #[error("path of this program: {0}")]
     Program(std::io::Error),
-    /// The settings are refused by the program's reader.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(String),
-    /// Something did not come to be in time.
-    #[error("{routers} routers: not within {seconds} s: {what}")]
+    /// A condition did not hold in time.
+    #[error("{routers} routers: timed out after {seconds} s waiting until {what}")]
     Timeout {
-        /// Routers of the size.
+        /// Number of routers.
         routers: u32,
-        /// What was waited for.
+        /// The awaited condition.
         what: &'static str,
-        /// How long (s).
+        /// Timeout (s).
         seconds: u64,
     },
 }
 
-/// What a run is told.
+/// Options of a run.
 pub struct Run {
-    /// The lab's own program, which becomes the hollow processes.
+    /// Path of the lab's own program, which runs the hollow processes.
     pub lab: PathBuf,
-    /// The router's program.
+    /// Path of the router's program.
     pub router: PathBuf,
-    /// Smaller, and under a minute.
+    /// Whether to run smaller sizes, in less than a minute.
     pub quick: bool,
-    /// Seed of all draws.
+    /// Random seed.
     pub seed: u64,
 }
 
-/// Runs all sizes; gives the figures.
+/// Runs all sizes and returns the figures.
 ///
 /// # Errors
-/// Where a process can't be had, or a phase does not end in time.
+/// If a process fails or a phase does not complete in time.
 pub fn run(program: &Path, quick: bool, seed: u64) -> Result<Value, ScaleError> {
     let lab = std::env::current_exe().map_err(ScaleError::Program)?;
     let run = Run { lab, router: program.to_owned(), quick, seed };
@@ -101,25 +105,25 @@
     Ok(figures::to_json(&measured, &largest_measured, &faults, &cells, &peers, &decisions))
 }
 
-/// The largest fleet with relays, each router with its cell's part only.
+/// Measures the largest fleet with cells and relays.
 fn measure_cells(run: &Run, routers: u32) -> Result<CellsMeasured, ScaleError> {
-    eprintln!("{routers} routers of cells, with relays");
+    eprintln!("{routers} routers with cells and relays");
     cells::measure(run, routers)
 }
 
-/// What routers say to each other, at each size; in a full run the largest goes through faults.
+/// Measures communication between routers at each size, in a full run with faults at the largest.
 fn measure_peers(run: &Run) -> Result<Vec<PeersMeasured>, ScaleError> {
     let sizes = PEER_SIZES[usize::from(run.quick)];
     let largest = sizes[sizes.len() - 1];
     let mut measured = Vec::new();
     for routers in sizes {
-        eprintln!("{routers} routers that talk to each other");
+        eprintln!("{routers} routers that exchange messages");
         measured.push(peers::measure(run, *routers, *routers == largest)?);
     }
     Ok(measured)
 }
 
-/// Engines before so many routers, in the proportion of the fleet to design for.
+/// Number of engines for a number of routers, in the proportion of the design fleet.
 pub fn engines_for(routers: u32) -> u32 {
     (f64::from(routers) * ENGINES_PER_ROUTER) as u32
 }
--- a/crates/lab/src/scale/peers.rs
+++ b/crates/lab/src/scale/peers.rs
@@ -1,7 +1,8 @@
-//! What routers say to each other, by the size of the fleet: membership, limits and engines' health over real datagrams.
+//! Measures communication between routers by fleet size: membership, limits and engine health over
+//! real datagrams, without an engine list.
 //!
-//! The list is left out, so that each cost is its own. A size at which not all know all in time is told with the fewest peers that a
-//! router knew; its figures are of a fleet that still joins.
+//! If the join does not complete in time, the smallest number of known peers is reported, and the
+//! figures are those of a fleet that is still joining.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -15,59 +16,60 @@
 use super::size::{hosts, module_settings};
 use super::{Run, ScaleError};
 
-/// Units a second of the one limit.
+/// Rate of the shared limit (units per second).
 const LIMIT_PER_S: f64 = 50_000.0;
-/// Quiet time that is measured (full, quick).
+/// Measured quiet time (full, quick).
 const QUIET_TIME: [Duration; 2] = [Duration::from_secs(10), Duration::from_secs(2)];
-/// Time between the join and quiet time (full, quick).
+/// Time between the join and the measured quiet time (full, quick).
 const SETTLE_TIME: [Duration; 2] = [Duration::from_secs(8), Duration::from_secs(3)];
-/// Longest time for all to know all (full, quick; s).
+/// Timeout of the join (full, quick; s).
 const JOIN_TIMEOUT_S: [u64; 2] = [45, 15];
-/// How long a region is cut off: longer than peers are suspected.
+/// Duration of a region's partition: longer than the suspicion timeout of peers.
 const PARTITION_TIME: Duration = Duration::from_secs(6);
 
-/// What was measured at a size, of one router where nothing else is said.
+/// Measurements at a size, per router unless stated otherwise.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct PeersMeasured {
-    /// Hollow routers (count).
+    /// Number of hollow routers.
     pub routers: u32,
-    /// Time until each knew all others (s); none where that was not so in time.
+    /// Time until every router knows all others (s); none if the join timed out.
     pub join_s: Option<f64>,
-    /// Fewest peers that a router knew at the end of the join (count).
+    /// Smallest number of peers that a router knows at the end of the join.
     #[serde(rename = "fewest_peers")]
     pub min_peers: u32,
-    /// Bytes sent in the join: mean.
+    /// Mean number of bytes sent in the join.
     pub join_bytes: f64,
     /// Processor time of the join (ms).
     pub join_processor_ms: f64,
-    /// Share of a core in quiet time; 0 where that was not measured.
+    /// Share of a core in quiet time; 0 if not measured.
     pub quiet_core_share: f64,
-    /// Bytes sent a second in quiet time: mean; 0 where that was not measured.
+    /// Mean number of bytes sent per second in quiet time; 0 if not measured.
     pub quiet_bytes_per_s: f64,
     /// Memory (MB).
     pub hollow_mb: f64,
-    /// Time until all knew who was there after a zone was gone, a region was back and a tenth was restarted (s); none where that
-    /// was not measured or not so in time.
+    /// Time until every running router knows all others after a zone was stopped (s); none if not
+    /// measured or timed out.
     pub zone_gone_s: Option<f64>,
-    /// See `zone_gone_s`.
+    /// The same after the partition of a region ended (s).
     pub region_back_s: Option<f64>,
-    /// See `zone_gone_s`.
+    /// The same after a tenth of the routers was restarted (s).
     pub restart_a_tenth_s: Option<f64>,
-    /// Memory of all processes (GiB).
+    /// Peak memory of all processes (GiB).
     pub memory_gib: f64,
 }
 
-/// Measures a fleet of a size. A quick run measures quiet time at its largest size only, and no faults.
+/// Measures a fleet of a size. A quick run measures quiet time at its largest size only, and no
+/// faults.
 ///
 /// # Errors
-/// Where a process can't be had or has ended.
+/// If a process can't be started or has exited.
 pub fn measure(run: &Run, routers: u32, largest: bool) -> Result<PeersMeasured, ScaleError> {
     let keys = KeyFiles::new(&format!("peers-{routers}"))?;
     let mut fleet = HollowFleet::start(plan(run, routers, keys.path()))?;
     let mut measured = PeersMeasured { routers, ..PeersMeasured::default() };
     let limit = Duration::from_secs(JOIN_TIMEOUT_S[usize::from(run.quick)]);
     measured.join(&mut fleet, limit)?;
-    // What was learned in a join is told on for a while.
+    // Gossip about the join continues for a while.
     if largest || !run.quick {
         std::thread::sleep(SETTLE_TIME[usize::from(run.quick)]);
         measured.quiet(&mut fleet, QUIET_TIME[usize::from(run.quick)])?;
@@ -128,7 +130,7 @@
         Ok(())
     }
 
-    /// Processor time (s) and bytes sent of a router so far.
+    /// Means so far: processor time (s) and bytes sent of a router.
     fn spent(&self, fleet: &mut HollowFleet) -> Result<(f64, f64), ScaleError> {
         let routers = f64::from(self.routers);
         let processor_s = fleet.hosts_usage().processor_ns as f64 / 1e9;
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -1,4 +1,4 @@
-//! Real routers beside the hollow ones: whole programs on the same list service, to hold the hollow ones' figures against.
+//! Real routers on the list service of the hollow ones, to compare their figures.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -13,29 +13,29 @@
 use super::size::module_settings;
 use super::{Run, ScaleError};
 
-/// Longest time for all of them to know the list (s).
+/// Timeout until all real routers have the list (s).
 const LIST_TIMEOUT_S: u64 = 60;
-/// Limits that the real routers are told.
+/// Memory limit (MB) and socket limit in the configuration of a real router.
 const MEMORY_MB: u32 = 512;
 const SOCKETS: u32 = 256;
-/// How often their counters are asked for while the list is waited for.
+/// Interval between requests for counters while waiting for the list.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a real router used.
+/// Resource usage of a real router.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct RealUsage {
-    /// Real routers (count), and those that knew the whole list.
+    /// Number of real routers.
     pub routers: u32,
-    /// See `routers`.
+    /// Number of real routers with the full list.
     #[serde(rename = "know_the_list")]
     pub with_full_list: u32,
-    /// Processor time from its start until the list was known (ms): mean, its own start included.
+    /// Mean processor time from the start of the process until all have the list (ms).
     pub start_processor_ms: f64,
-    /// Share of a core in quiet time: mean.
+    /// Mean share of a core in quiet time.
     pub quiet_core_share: f64,
-    /// Memory with the list, and at most (MB): mean.
+    /// Mean resident memory with the list (MB).
     pub resident_mb: f64,
-    /// See `resident_mb`.
+    /// Mean peak memory (MB).
     pub peak_mb: f64,
 }
 
@@ -50,10 +50,10 @@
 }
 
 impl RealRouters {
-    /// Room for `count` routers, numbered behind `first` hollow ones.
+    /// Prepares `count` routers, numbered from `first`, without starting them.
     ///
     /// # Errors
-    /// Where there is no folder for their files.
+    /// If the directory for their files can't be created.
     pub fn new(run: &Run, first: u32, count: u32) -> Result<RealRouters, ScaleError> {
         let name = format!("marljunction-scale-{}-{first}", std::process::id());
         let dir = std::env::temp_dir().join(name);
@@ -62,15 +62,15 @@
         Ok(RealRouters { program: run.router.clone(), dir, first, count, processes: Vec::new(), usage })
     }
 
-    /// Routers (count).
+    /// Number of running real routers.
     pub fn count(&self) -> usize {
         self.processes.len()
     }
 
-    /// Starts them all, knowing nothing.
+    /// Starts all real routers without any state.
     ///
     /// # Errors
-    /// Where one can't be started.
+    /// If one can't be started.
     pub fn start(&mut self, fleet: &HollowFleet) -> Result<(), ScaleError> {
         for number in self.first..self.first + self.count {
             let process = self.start_one(number, fleet).map_err(ScaleError::Real)?;
@@ -80,7 +80,8 @@
     }
 
     fn start_one(&self, number: u32, fleet: &HollowFleet) -> Result<Process, String> {
-        let list = fleet.list_service_address(number).ok_or("no listener of the list service")?;
+        let list =
+            fleet.list_service_address(number).ok_or("the list service has no listener for the router")?;
         let settings: serde_json::Value =
             serde_json::from_str(&module_settings(self.first)).map_err(|e| e.to_string())?;
         let config = json!({
@@ -107,10 +108,10 @@
         Process::start(&self.program, &environment, &self.dir.join(format!("log-{number}")))
     }
 
-    /// Waits until all of them know so many engines; notes how many do.
+    /// Waits until all have a list of this many engines, and records how many have it.
     ///
     /// # Errors
-    /// None yet: routers that do not know it are counted.
+    /// None: routers without the list at the timeout are only counted.
     pub fn await_list(&mut self, engines: u64, _fleet: &HollowFleet) -> Result<(), ScaleError> {
         let end = Instant::now() + Duration::from_secs(LIST_TIMEOUT_S);
         loop {
@@ -127,7 +128,7 @@
         Ok(())
     }
 
-    /// Lets time pass; notes what they use in it.
+    /// Waits for a time and records the processor time used in it.
     pub fn measure_quiet(&mut self, time: Duration) {
         let before = self.mean(|used| used.processor_ns);
         let started = Instant::now();
@@ -136,19 +137,19 @@
         self.usage.quiet_core_share = spent / 1e9 / started.elapsed().as_secs_f64();
     }
 
-    /// What one of them used.
+    /// Mean resource usage of a real router.
     pub fn usage(&mut self) -> RealUsage {
         self.usage.resident_mb = self.mean(|used| used.resident_kb) / 1024.0;
         self.usage.peak_mb = self.mean(|used| used.peak_kb) / 1024.0;
         self.usage
     }
 
-    /// Memory of all at most (KB).
+    /// Sum of the peak memory of all real routers (KB).
     pub fn peak_kb(&self) -> u64 {
         self.processes.iter().map(|process| usage::of_process(process.id()).peak_kb).sum()
     }
 
-    /// The mean over them.
+    /// Mean of a value over all real routers.
     fn mean(&self, of: impl Fn(usage::Usage) -> u64) -> f64 {
         let all = self.processes.iter().map(|process| of(usage::of_process(process.id()))).sum::<u64>();
         all as f64 / self.processes.len().max(1) as f64
--- a/crates/lab/src/scale/size.rs
+++ b/crates/lab/src/scale/size.rs
@@ -1,4 +1,5 @@
-//! One size of the fleet: a cold start of all routers at once, quiet time, and ordinary changes.
+//! Measures a fleet of one size: a simultaneous start of all routers, quiet time, and changes of
+//! engines.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -13,108 +14,110 @@
 use super::real::{RealRouters, RealUsage};
 use super::{engines_for, Run, ScaleError};
 
-/// Calls a second that the list service takes from the fleet.
+/// Calls per second that the list service accepts.
 pub const CALLS_PER_S: f64 = 400.0;
-/// Whole lists that the service writes at a time: what is on its way is memory on both sides.
+/// Maximum number of full lists that the service writes at the same time; bounds the memory used on
+/// both sides.
 pub const CONCURRENT_SNAPSHOTS: usize = 16;
-/// The service comments each second: what is left of that at the end of quiet time, and how often it is looked for.
+/// The service sends a comment each second: part of quiet time reserved to wait for one, and
+/// interval between checks for it.
 const COMMENT_MARGIN: Duration = Duration::from_millis(400);
 const COMMENT_POLL: Duration = Duration::from_millis(20);
-/// Longest time for all routers to know the list after a start (s).
+/// Timeout until all routers have the list after a start (s).
 const START_TIMEOUT_S: u64 = 180;
-/// Longest time for a change to be everywhere (s).
+/// Timeout until all routers have a change (s).
 const CHANGE_TIMEOUT_S: u64 = 30;
-/// Machines that fail, are restarted or replaced on an ordinary day of the fleet to design for, and its engines (count).
+/// Machines that fail, restart or are replaced per day in the design fleet, and its engines.
 const MACHINES_PER_DAY: f64 = 62.0 + 7_800.0;
 const ENGINES: f64 = 30_000.0;
 const DAY_S: f64 = 86_400.0;
-/// Events that tell of one such machine: that it drains, and that another is there in its place.
+/// Events per such machine: one when it drains, one when it is replaced.
 const EVENTS_PER_MACHINE: f64 = 2.0;
-/// Real routers beside the hollow ones, in a full run and in a quick one (count).
+/// Number of real routers (full, quick).
 const REAL_ROUTERS: [u32; 2] = [24, 6];
-/// Time for which the hosts are watched with no router in them.
+/// Measured time of hosts without routers.
 const EMPTY_HOSTS_TIME: Duration = Duration::from_millis(500);
-/// Quiet time that is measured, and changes that are told (full, quick).
+/// Measured quiet time, and number of published changes (full, quick).
 const QUIET_TIME: [Duration; 2] = [Duration::from_secs(10), Duration::from_secs(2)];
 const CHANGES: [u32; 2] = [24, 10];
 
-/// A size.
+/// A fleet size.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     routers: u32,
 }
 
-/// What was measured at a size, of one router where nothing else is said.
+/// Measurements at a size, per router unless stated otherwise.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Measured {
-    /// Hollow routers (count).
+    /// Number of hollow routers.
     pub routers: u32,
-    /// Engines on the list that every router came to know (count).
+    /// Smallest number of engines on a router's list.
     pub engines: u64,
-    /// Time from a router's start to its knowing the list (s): median and worst.
+    /// Time from a router's start until it has the list (s): median.
     pub list_learned_p50_s: f64,
-    /// See `list_learned_p50_s`.
+    /// The same: maximum.
     pub list_learned_worst_s: f64,
-    /// Time from the first router's start until all knew the list (s).
+    /// Time from the first router's start until all have the list (s).
     pub start_all_s: f64,
-    /// Bytes that a router took to know the list: mean, by the service's count.
+    /// Mean number of bytes that the service wrote to a router until all have the list.
     pub list_bytes: f64,
-    /// Largest difference between the service's count and a router's own (share).
+    /// Maximum relative difference between the service's and a router's count of bytes.
     pub bytes_disagreement: f64,
-    /// Bytes that the list service wrote in the start of all (count).
+    /// Bytes that the list service wrote in total until all have the list.
     pub service_start_bytes: u64,
-    /// Processor time of a start (ms).
+    /// Processor time until all have the list (ms).
     pub start_processor_ms: f64,
-    /// Share of a core that the hosts' own loops take together, with no router in them.
+    /// Share of a core used by all hosts without routers.
     pub empty_hosts_core_share: f64,
-    /// Share of a core that they take together in quiet time, with the routers.
+    /// Share of a core used by all hosts in quiet time.
     pub quiet_hosts_core_share: f64,
-    /// Share of a core in quiet time, without the hosts' own loops.
+    /// Share of a core in quiet time, without the hosts' event loops.
     pub quiet_core_share: f64,
-    /// Bytes a second in quiet time.
+    /// Bytes per second in quiet time.
     pub quiet_bytes_per_s: f64,
     /// Processor time of one change (us).
     pub change_processor_us: f64,
     /// Bytes of one change.
     pub change_bytes: f64,
-    /// Time until a change was everywhere (s): median over routers and changes, and worst.
+    /// Time until a router has a change (s): median over routers and changes.
     pub change_everywhere_p50_s: f64,
-    /// See `change_everywhere_p50_s`.
+    /// The same: maximum.
     pub change_everywhere_worst_s: f64,
-    /// Changes a second on the ordinary day of a fleet with so many engines.
+    /// Changes per second on an ordinary day, in proportion to the number of engines.
     pub changes_per_s: f64,
-    /// Share of a core on the ordinary day.
+    /// Share of a core on an ordinary day.
     pub control_core_share: f64,
-    /// Bytes a second on the ordinary day.
+    /// Bytes per second on an ordinary day.
     pub control_bytes_per_s: f64,
-    /// Memory of a hollow router (MB): the hosts', less what they had before any router.
+    /// Memory of a hollow router (MB): growth of the hosts' memory, divided by the routers.
     pub hollow_mb: f64,
-    /// Processes, and their memory (GiB) at most so far.
+    /// Number of processes.
     pub processes: u32,
-    /// See `processes`.
+    /// Peak memory of all processes so far (GiB).
     pub memory_gib: f64,
-    /// The real routers beside them.
+    /// Mean resource usage of the real routers.
     pub real: Option<RealUsage>,
 }
 
-/// A fleet of a size, with its real routers.
+/// A fleet of hollow and real routers.
 pub struct ScaleFleet {
-    /// The hollow part.
+    /// The hollow routers.
     pub hollow: HollowFleet,
     /// The real routers.
     pub real: RealRouters,
 }
 
 impl Size {
-    /// So many hollow routers, and engines in proportion.
+    /// A size with this number of hollow routers, and engines in proportion.
     pub fn new(routers: u32) -> Size {
         Size { routers }
     }
 
-    /// Starts a fleet of this size and measures it; gives the fleet too.
+    /// Starts a fleet of this size and measures it; returns the fleet for further use.
     ///
     /// # Errors
-    /// Where a process can't be had, or a phase does not end in time.
+    /// If a process fails or a phase does not complete in time.
     pub fn measure(self, run: &Run) -> Result<(Measured, ScaleFleet), ScaleError> {
         let real_routers = REAL_ROUTERS[usize::from(run.quick)];
         let plan = self.plan(run, real_routers);
@@ -151,12 +154,12 @@
     }
 }
 
-/// Hosts of hollow routers: one a core, within bounds (count).
+/// Number of hosts of hollow routers: one per core, within bounds.
 pub fn hosts() -> u32 {
     std::thread::available_parallelism().map_or(4, |n| n.get() as u32).clamp(2, 8)
 }
 
-/// The module's settings of a fleet with so many routers.
+/// Settings of the decision module for a fleet of this number of routers.
 pub fn module_settings(routers: u32) -> String {
     let classes = classes();
     let site = Site {
@@ -172,7 +175,7 @@
 }
 
 impl Measured {
-    /// The hosts' own loops, with no router in them.
+    /// Measures the hosts' event loops without routers.
     fn empty(&mut self, fleet: &ScaleFleet) {
         let (started, before) = (Instant::now(), fleet.hollow.hosts_usage().processor_ns);
         std::thread::sleep(EMPTY_HOSTS_TIME);
@@ -180,7 +183,7 @@
         self.empty_hosts_core_share = spent_s / started.elapsed().as_secs_f64();
     }
 
-    /// All routers at once, cold.
+    /// Starts all routers at once.
     fn start(&mut self, fleet: &mut ScaleFleet) -> Result<(), ScaleError> {
         let empty_kb = fleet.hollow.hosts_usage().resident_kb;
         let numbers: Vec<u32> = (0..self.routers).collect();
@@ -190,7 +193,7 @@
         fleet.real.start(&fleet.hollow)?;
         let limit = Duration::from_secs(START_TIMEOUT_S);
         let reached = fleet.hollow.await_list(&list, limit)?;
-        reached.ok_or(self.timeout("all know the list after a start", START_TIMEOUT_S))?;
+        reached.ok_or(self.timeout("all routers have the list after a start", START_TIMEOUT_S))?;
         self.start_all_s = started.elapsed().as_secs_f64();
         let used = fleet.hollow.hosts_usage().processor_ns - used;
         self.start_processor_ms = used as f64 / 1e6 / f64::from(self.routers);
@@ -208,7 +211,8 @@
         Ok(())
     }
 
-    /// Nothing happens but the service's comments: from one of them to another, so that none is counted by half.
+    /// Measures quiet time, in which the service only sends comments. It starts and ends right after
+    /// a comment, so that a whole number of them is counted.
     fn quiet(&mut self, fleet: &mut ScaleFleet, time: Duration) -> Result<(), ScaleError> {
         await_comment(&mut fleet.hollow)?;
         let (started, before) = (Instant::now(), self.spent(fleet)?);
@@ -223,7 +227,8 @@
         Ok(())
     }
 
-    /// Changes one after the other, each awaited everywhere; what they cost is what goes beyond quiet time.
+    /// Publishes changes, each once all routers have the previous one; their cost is the excess
+    /// over quiet time.
     fn changes(&mut self, fleet: &mut ScaleFleet, changes: u32) -> Result<(), ScaleError> {
         let (started, before) = (Instant::now(), self.spent(fleet)?);
         let mut delays = Vec::new();
@@ -236,7 +241,7 @@
             };
             let reached =
                 fleet.hollow.await_list(&sent_change.list, Duration::from_secs(CHANGE_TIMEOUT_S))?;
-            let reached = reached.ok_or(self.timeout("a change is everywhere", CHANGE_TIMEOUT_S))?;
+            let reached = reached.ok_or(self.timeout("all routers have a change", CHANGE_TIMEOUT_S))?;
             delays.extend(reached.iter().map(|(_, at)| at.saturating_sub(sent_change.sent_ns) as f64 / 1e9));
         }
         let (elapsed_s, after) = (started.elapsed().as_secs_f64(), self.spent(fleet)?);
@@ -250,7 +255,7 @@
         Ok(())
     }
 
-    /// Processor time (s) and bytes of a router so far.
+    /// Means so far: processor time (s) and bytes of a router.
     fn spent(&self, fleet: &mut ScaleFleet) -> Result<(f64, f64), ScaleError> {
         let routers = f64::from(self.routers);
         let processor_s = fleet.hollow.hosts_usage().processor_ns as f64 / 1e9;
@@ -266,7 +271,7 @@
         self.control_bytes_per_s = self.quiet_bytes_per_s + self.change_bytes * self.changes_per_s;
     }
 
-    /// Notes how many processes there are and what they held at most.
+    /// Records the number of processes and their peak memory.
     pub fn record_memory(&mut self, fleet: &ScaleFleet) {
         let real = fleet.real.peak_kb();
         let hollow = fleet.hollow.hosts_usage().peak_kb + fleet.hollow.service_usage().peak_kb;
@@ -279,7 +284,7 @@
     }
 }
 
-/// Waits until the service has written its next comment to all.
+/// Waits for the service's next comment.
 fn await_comment(fleet: &mut HollowFleet) -> Result<(), ScaleError> {
     let before = fleet.counters()?.written;
     let end = Instant::now() + 5 * COMMENT_MARGIN;
@@ -293,7 +298,7 @@
     Some(report.learned_ns?.saturating_sub(report.started_ns) as f64 / 1e9)
 }
 
-/// Largest difference between what the service wrote to a router and what that read (share).
+/// Maximum relative difference between the bytes written to a router and those that it read.
 fn disagreement(written: &[u64], reports: &[RouterReport]) -> f64 {
     let read: BTreeMap<u32, u64> =
         reports.iter().map(|report| (report.number, report.received_bytes)).collect();
@@ -304,7 +309,7 @@
     written.iter().enumerate().map(share).fold(0.0, f64::max)
 }
 
-/// The median and the largest; nothing of nothing.
+/// Median and maximum; zeros if there are no values.
 pub fn median_and_worst(values: &mut [f64]) -> (f64, f64) {
     values.sort_by(f64::total_cmp);
     let median = values.get(values.len() / 2).copied().unwrap_or(0.0);
