--- a/crates/lab/src/capacity/cells.rs
+++ b/crates/lab/src/capacity/cells.rs
@@ -1,5 +1,5 @@
-//! What cells and relays cost: a router that learns its cell's part and keeps it, and a relay, over real loopback sockets in stepped
-//! time, with messages sealed as the program does.
+//! Measures list distribution by cells: the cost of a router that subscribes to its cell's part,
+//! and of a relay, with signed messages over real loopback sockets in simulated time.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -16,32 +16,32 @@
 use super::{repeated, series, Figures};
 use crate::HEAP;
 
-/// Engines of a router's part, with so many routers of it.
+/// Engines of a part, and number of routers that subscribe to it.
 const PARTS: [usize; 4] = [30, 60, 120, 240];
 const PART_ROUTERS: usize = 4;
-/// Routers that ask one relay, each with a part as large as the one to design for.
+/// Routers that subscribe to one relay, and engines of each of their parts at the design size.
 const ROUTERS: [usize; 4] = [20, 41, 82, 164];
 const DESIGN_PART: usize = 120;
-/// Engines of a relay's list, and those of a cell that change at once.
+/// Engines of a relay's list, and engines of a part that change at once.
 const ENGINES: [usize; 4] = [1_200, 5_000, 12_000, 30_000];
 const CHANGED: [usize; 4] = [1, 4, 8, 16];
 const SECOND_NS: u64 = 1_000_000_000;
 const START_NS: u64 = 1_700_000_000 * SECOND_NS;
-/// Time between looks at what is due, as the program's.
+/// Time step (ns): the program's tick interval.
 const STEP_NS: u64 = 20_000_000;
-/// Longest time until a part must have been learned, and for which a fleet at rest is measured.
+/// Timeout until parts are received, and measured time at rest (s).
 const TIMEOUT_S: u64 = 30;
 const MEASURED_S: u64 = 10;
 const MAX_DATAGRAM_BYTES: usize = 2_048;
-/// Relays and routers of the fleet to design for: asks are spread by them.
+/// Routers and relays of the design fleet; requests are spread accordingly.
 const FLEET_SIZE: (u32, u32) = (3_200, 39);
 
-/// A process's socket, its seal and its processor time.
+/// A socket that signs and verifies datagrams, with the processor time of its owner.
 struct Endpoint {
     socket: UdpSocket,
     members: Members,
     address: SocketAddr,
-    /// Bytes that the socket gave out.
+    /// Bytes read from the socket.
     read: u64,
     cpu_ns: u64,
 }
@@ -69,13 +69,13 @@
             self.members.send_payload(to, Kind::List, &message.encode());
         }
         for (to, datagram) in self.members.take().0 {
-            // A datagram that finds no room is lost, as any may be.
+            // A datagram that the socket does not accept is lost.
             let _ = self.socket.send_to(&datagram, to);
         }
         self.cpu_ns += thread_ns() - before;
     }
 
-    /// What has come in.
+    /// Reads and decodes received messages.
     fn receive(&mut self, now: u64) -> Vec<(SocketAddr, Message)> {
         let before = thread_ns();
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
@@ -96,7 +96,7 @@
     }
 }
 
-/// Does work whose processor time is a port's.
+/// Runs work and adds its processor time.
 fn timed_at<T>(cpu_ns: &mut u64, work: impl FnOnce() -> T) -> T {
     let before = thread_ns();
     let result = work();
@@ -104,7 +104,7 @@
     result
 }
 
-/// One relay and its routers.
+/// A relay and its routers.
 struct Fleet {
     now: u64,
     relay: Relay,
@@ -127,7 +127,8 @@
 }
 
 impl Fleet {
-    /// A relay that knows `zones` cells of `part` engines each, a zone to a cell; routers of the first of them start.
+    /// Starts a relay with a list of `zones` zones of `part` engines, one cell per zone, and
+    /// routers of the first cell.
     fn new(routers: usize, part: usize, zones: usize) -> Result<Fleet, String> {
         let bound_params =
             BoundParams { routers: FLEET_SIZE.0, relays: FLEET_SIZE.1, ..BoundParams::default() };
@@ -179,7 +180,7 @@
             let received = endpoint.receive(now);
             timed_at(&mut endpoint.cpu_ns, || {
                 for (from, message) in received {
-                    // What becomes known is asked of the subscriber.
+                    // Updates are read from the subscriber's state.
                     let _ = subscriber.receive(now, from, message);
                 }
             });
@@ -190,12 +191,12 @@
         self.routers.iter().all(|(subscriber, _)| subscriber.version() == Some(version))
     }
 
-    /// Steps until all routers have this version; how long that took (s).
+    /// Steps until all routers have this version; returns the time taken (s).
     fn until_all_at(&mut self, version: u64) -> Result<f64, String> {
         let started_ns = self.now;
         while !self.all_at(version) {
             if self.now > started_ns + TIMEOUT_S * SECOND_NS {
-                return Err(format!("{} routers had not all learned version {version}", self.routers.len()));
+                return Err(format!("{} routers had not all received version {version}", self.routers.len()));
             }
             self.step();
         }
@@ -206,8 +207,8 @@
         (0..seconds * SECOND_NS / STEP_NS).for_each(|_| self.step());
     }
 
-    /// Bytes that went to and from a router by the senders' counts, bytes that sockets gave out on both ways, messages, processor time of a
-    /// router and of the relay (ns); a router's are means.
+    /// Bytes sent to and from a router, bytes read from sockets in both directions, messages,
+    /// processor time of a router (ns) as means per router, and processor time of the relay (ns).
     fn counts(&self) -> [f64; 5] {
         let routers = self.routers.len() as f64;
         let each = |of: &dyn Fn(&Endpoint) -> u64| {
@@ -231,8 +232,9 @@
     std::array::from_fn(|at| after[at] - before[at])
 }
 
-/// A start and rest: bytes, bytes read, processor time (ms) of a router until it has its part; bytes, messages and processor time (ms) a
-/// second at rest; time until all have theirs (s); processor time of the relay for all starts (ms) and a second at rest (ms).
+/// Measures a start and rest: a router's bytes, bytes read and processor time (ms) until it has its
+/// part; its bytes, messages and processor time (ms) per second at rest; time until all have their
+/// parts (s); processor time of the relay for all starts (ms) and per second at rest (ms).
 fn start_and_rest(routers: usize, part: usize) -> Result<[f64; 9], String> {
     let mut fleet = Fleet::new(routers, part, 2)?;
     let start_s = fleet.until_all_at(1)?;
@@ -254,36 +256,37 @@
     ])
 }
 
-/// Bytes to a router for so many engines of its cell that change at once, and processor time of the router (ms).
+/// Measures a change of several engines of a part: bytes to and from a router, and its processor
+/// time (ms).
 fn change(changed: usize) -> Result<[f64; 2], String> {
     let mut fleet = Fleet::new(PART_ROUTERS, DESIGN_PART, 2)?;
     fleet.until_all_at(1)?;
     fleet.run(2);
-    // Asks at rest are not the change's.
+    // Subtract the requests that are made without a change.
     let rest_from = fleet.counts();
     fleet.run(2);
     let rest = difference(fleet.counts(), rest_from);
     let before = fleet.counts();
     fleet.version += 1;
-    // Engines with even numbers are of the first zone.
+    // Even engine numbers belong to the first zone.
     let changed_engines = (0..changed).map(|n| engine(2 * n, 2, EngineState::Draining)).collect();
     fleet.relay.apply_update(fleet.version, false, changed_engines);
     fleet.run(2);
     if !fleet.all_at(fleet.version) {
-        return Err(format!("{changed} changes were not told within 2 s"));
+        return Err(format!("{changed} changes were not received within 2 s"));
     }
     let cost = difference(difference(fleet.counts(), before), rest);
     Ok([cost[0].max(1.0), (cost[3] / 1e6).max(1e-4)])
 }
 
-/// Heap that a relay's list holds (KB), and processor time to learn it (ms).
+/// Heap of a relay's list (KB), and processor time to apply it (ms).
 fn relay_list_cost(engines: usize) -> Result<[f64; 2], String> {
     let settings = RelaySettings { routers: FLEET_SIZE.0, ask_ns: SECOND_NS, silence_ns: 3 * SECOND_NS };
     let all: Vec<Engine> = (0..engines).map(|number| engine(number, 25, EngineState::Ready)).collect();
     let before = HEAP.current_usage();
     let mut relay = Relay::new(START_NS, settings);
     let cpu = thread_ns();
-    // The list itself is handed over, so that its own heap counts.
+    // Pass a copy, so that its heap is included.
     relay.apply_update(1, true, all.clone());
     let cpu = thread_ns() - cpu;
     let heap_bytes = HEAP.current_usage().saturating_sub(before);
@@ -291,7 +294,7 @@
     Ok([heap_bytes as f64 / 1e3, cpu as f64 / 1e6])
 }
 
-/// Puts parts of a cost into the figures, each by its name.
+/// Adds the components of a cost to the figures by name.
 fn add<const N: usize>(
     figures: &mut Figures,
     by: &str,
@@ -304,10 +307,10 @@
     }
 }
 
-/// Measures it all.
+/// Measures the costs of routers and relays.
 ///
 /// # Errors
-/// Where sockets can't be had, or parts are not learned in time.
+/// If sockets can't be opened or parts are not received in time.
 pub fn measure(figures: &mut Figures) -> Result<(), String> {
     let parts = repeated(&PARTS, |part| start_and_rest(PART_ROUTERS, part))?;
     let names = [
--- a/crates/lab/src/capacity/configuration.rs
+++ b/crates/lab/src/capacity/configuration.rs
@@ -1,4 +1,5 @@
-//! What it takes to read the operator's file, by its entries: a change is a whole file read anew.
+//! Measures reading the operator's configuration file by the number of its entries. A reload reads
+//! the whole file.
 
 use marljunction_language::eval::Loader;
 use marljunction_language::read;
@@ -7,7 +8,7 @@
 use super::{repeated, series, Figures};
 
 const ENTRIES: [usize; 4] = [30, 100, 300, 1_000];
-/// What an operator's file may say, as the program holds it against.
+/// The schema of the operator's file.
 const DEFINITIONS: &str = include_str!("../../../../src/definitions.conf");
 
 struct NoFiles;
@@ -18,7 +19,7 @@
     }
 }
 
-/// A file with so many limits, as operators write them.
+/// A configuration file with this number of limits.
 fn file(entries: usize) -> String {
     let limits =
         (0..entries).map(|n| format!("    limit-{n:05}: {{ at_once: {}, by: \"all\" }}\n", n % 90 + 10));
@@ -28,20 +29,20 @@
     )
 }
 
-/// Bytes of the file, and processor time to read it (ms).
+/// Size of the file (bytes), and processor time to read it (ms).
 fn cost(entries: usize) -> Result<[f64; 2], String> {
     let text = file(entries);
     let (ns, outcome) = timed(|| read("operator.conf", &text, &mut NoFiles, DEFINITIONS, "#Main"));
     match outcome.diagnostics.first() {
-        Some(diagnostic) => Err(format!("the file of {entries} entries can't be read: {diagnostic:?}")),
+        Some(diagnostic) => Err(format!("invalid file of {entries} entries: {diagnostic:?}")),
         None => Ok([text.len() as f64, ns as f64 / 1e6]),
     }
 }
 
-/// Measures it all.
+/// Measures the cost by the number of entries.
 ///
 /// # Errors
-/// Where a file can't be read.
+/// If a file is invalid.
 pub fn measure(figures: &mut Figures) -> Result<(), String> {
     let costs = repeated(&ENTRIES, cost)?;
     let names = [
--- a/crates/lab/src/capacity/decision.rs
+++ b/crates/lab/src/capacity/decision.rs
@@ -1,4 +1,5 @@
-//! What the decision module takes for a statement, and for news of the engines, by the engines it knows.
+//! Measures the decision module's processor time for a statement and for membership updates, by the
+//! number of engines.
 
 use std::collections::BTreeMap;
 
@@ -11,22 +12,23 @@
 use super::clock::timed;
 use super::{repeated, series, Figures};
 
-/// Engines that the module is told of.
+/// Number of engines on the list.
 const ENGINES: [usize; 8] = [8, 64, 512, 2_048, 4_096, 8_192, 16_384, 30_000];
-/// Statements a second, and the time that an engine takes for one (ns): those of one router at the size to design for.
+/// Interval between statements, and execution time of a statement (ns), for one router at the
+/// design size.
 const STATEMENT_INTERVAL_NS: u64 = 1_000_000_000 / 1_094;
 const SERVICE_TIME_NS: u64 = 10_000_000;
-/// Statements that are passed unmeasured, and measured at least and at most (count).
+/// Statements before the measurement, and bounds of the number of measured statements.
 const WARM_UP: u64 = 30;
 const MIN_STATEMENTS: u64 = 60;
 const MAX_STATEMENTS: u64 = 6_000;
-/// Statements times engines of one measurement, about (count).
+/// Approximate product of statements and engines in one measurement.
 const STATEMENTS_TIMES_ENGINES: u64 = 1_000_000;
-/// Engines of each zone's share of the list (count of zones).
+/// Number of zones.
 const ZONES: usize = 25;
 const START_NS: u64 = 1_700_000_000_000_000_000;
 
-/// The module with its statements that are out and its timers.
+/// A decision module with simulated engines and timers.
 struct Bench {
     controller: Controller,
     now: u64,
@@ -52,7 +54,7 @@
     (0..engines).map(|engine| entry(engine, EngineState::Ready)).collect()
 }
 
-/// The settings of one router of the fleet to design for.
+/// Settings of a router of the design fleet.
 fn fleet_settings() -> Result<Settings, String> {
     let classes = classes();
     let site = Site {
@@ -120,7 +122,7 @@
         self.now = end;
     }
 
-    /// Statements arrive and end at the design's rate.
+    /// Runs statements at the rate of the design size.
     fn statements(&mut self, count: u64) {
         for _ in 0..count {
             self.advance_to(self.now + STATEMENT_INTERVAL_NS);
@@ -152,7 +154,7 @@
     }
 }
 
-/// Microseconds a statement, with its end and the module's timers.
+/// Processor time per statement (us), including its completion and timers.
 fn statement_us(settings: &Settings, engines: usize) -> Result<f64, String> {
     let mut bench = Bench::new(settings.clone(), engines);
     bench.statements(WARM_UP);
@@ -172,7 +174,7 @@
     ns as f64 / 1e3
 }
 
-/// Microseconds for news of one engine that drains.
+/// Processor time per update of one draining engine (us).
 fn change_us(settings: &Settings, engines: usize) -> f64 {
     const CHANGES: usize = 20;
     let mut bench = Bench::new(settings.clone(), engines);
@@ -185,10 +187,10 @@
     ns as f64 / 1e3 / CHANGES as f64
 }
 
-/// Measures it all.
+/// Measures the costs by the number of engines.
 ///
 /// # Errors
-/// Where the module does not send what it should.
+/// If the module does not send enough statements, or the settings are invalid.
 pub fn measure(figures: &mut Figures) -> Result<(), String> {
     let settings = fleet_settings()?;
     let statement = repeated(&ENGINES, |engines| statement_us(&settings, engines))?;
--- a/crates/lab/src/capacity/files.rs
+++ b/crates/lab/src/capacity/files.rs
@@ -10,7 +10,7 @@
 const MEASURED: &str = "docs/capacity/measured.json";
 const SCALE: &str = "docs/capacity/scale.json";
 
-/// The folder that holds them.
+/// The root directory of the repository.
 pub struct Repository(PathBuf);
 
 fn read(path: &Path) -> Result<String, String> {
@@ -22,37 +22,37 @@
 }
 
 impl Repository {
-    /// The repository that the working folder lies in.
+    /// Finds the repository that contains the working directory.
     ///
     /// # Errors
-    /// Where it lies in none.
+    /// If there is none.
     pub fn find() -> Result<Repository, String> {
         let here = std::env::current_dir().map_err(|e| e.to_string())?;
         let root = here.ancestors().find(|folder| folder.join("docs/architecture.md").exists());
         root.map(|root| Repository(root.to_owned())).ok_or_else(|| "run it inside the repository".into())
     }
 
-    /// What was measured.
+    /// Reads the measurements.
     ///
     /// # Errors
-    /// Where the file can't be read.
+    /// If the file can't be read or is invalid.
     pub fn measured(&self) -> Result<Measured, String> {
         serde_json::from_str(&read(&self.0.join(MEASURED))?).map_err(|e| format!("{MEASURED}: {e}"))
     }
 
-    /// Writes what was measured.
+    /// Writes the measurements.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// If the file can't be written.
     pub fn write_measured(&self, measured: &Measured) -> Result<(), String> {
         let text = serde_json::to_string_pretty(measured).map_err(|e| e.to_string())?;
         write(&self.0.join(MEASURED), &(text + "\n"))
     }
 
-    /// The flat figures of the scale test; none where it has not been run.
+    /// Reads the scalar figures of the scale experiment; empty if the file does not exist.
     ///
     /// # Errors
-    /// Where the file is there and can't be read.
+    /// If the file exists but can't be read or is invalid.
     pub fn scale(&self) -> Result<Vec<ScaleFigure>, String> {
         let path = self.0.join(SCALE);
         if !path.exists() {
@@ -64,18 +64,18 @@
         Ok(flat.map(|(name, value)| (name.clone(), value.to_string())).collect())
     }
 
-    /// The page as it is.
+    /// Reads the capacity page.
     ///
     /// # Errors
-    /// Where it can't be read.
+    /// If it can't be read.
     pub fn page(&self) -> Result<String, String> {
         read(&self.0.join(PAGE))
     }
 
-    /// Writes the page.
+    /// Writes the capacity page.
     ///
     /// # Errors
-    /// Where it can't be written.
+    /// If it can't be written.
     pub fn write_page(&self, page: &str) -> Result<(), String> {
         write(&self.0.join(PAGE), page)
     }
--- a/crates/lab/src/capacity/health.rs
+++ b/crates/lab/src/capacity/health.rs
@@ -1,4 +1,5 @@
-//! What it costs a router to share what it believes of engines: at rest by routers, and by evidence that changes.
+//! Measures the cost of sharing engine health: at rest by the number of routers, and by the rate of
+//! changing evidence.
 
 use marljunction_health::observer::AttemptOutcome;
 use marljunction_testkit::health_fleet::{Fleet, MS, S};
@@ -7,23 +8,25 @@
 use super::{series, Figures};
 
 const ROUTERS: [usize; 4] = [40, 100, 200, 400];
-/// Pieces of evidence that change in each second, over the whole fleet, and the fleet's size for that.
+/// Changes of evidence per second in the whole fleet.
 const CHANGES: [f64; 5] = [0.5, 1.0, 2.0, 4.0, 8.0];
-/// Changes a second that fill all that a router says (count), and the sizes at which that is measured.
+/// Changes of evidence per second that use a router's whole message budget.
 const FULL: f64 = 100.0;
+/// Number of routers for the measurement by changes of evidence.
 const CHANGES_ROUTERS: usize = 100;
 const MEASURED_S: u64 = 4;
-/// Bytes of a sealed datagram beside its message: seal, sender (bytes); as [`super::limits`] seals one.
+/// Bytes of a signed datagram beside its message: signature and sender, as in [`super::limits`].
 const SIGNATURE_BYTES: f64 = 70.0;
 
 fn each(n: u64, routers: usize) -> f64 {
     n as f64 / MEASURED_S as f64 / routers as f64
 }
 
-/// Bytes and processor time (ms) a second of one router at rest, and the time until an operator's word is heard by all (s).
+/// Bytes and processor time (ms) per second of one router at rest, and time until an operator's
+/// override has reached all routers (s).
 fn cost_at_rest(routers: usize) -> [f64; 3] {
     let mut fleet = Fleet::new(routers, 1);
-    // What is said at a start has gone round.
+    // Wait until gossip of the start has ended.
     fleet.run(15 * S);
     let (before, cpu) = ((fleet.messages, fleet.bytes), thread_ns());
     fleet.run(MEASURED_S * S);
@@ -32,11 +35,13 @@
         each(fleet.bytes - before.1, routers) + each(fleet.messages - before.0, routers) * SIGNATURE_BYTES;
     let now = fleet.now;
     fleet.node(0).set_override(now, "e1", true);
-    let propagation_ns = fleet.until(20 * S, "heard", |f| f.all(|n| n.overrides().get("e1").is_some()));
+    let propagation_ns =
+        fleet.until(20 * S, "override received", |f| f.all(|n| n.overrides().get("e1").is_some()));
     [bytes, each(cpu, routers) / 1e6, propagation_ns as f64 / 1e9]
 }
 
-/// Bytes, messages and processor time (ms) a second of one router where so many pieces of evidence change in each second.
+/// Bytes, messages and processor time (ms) per second of one router with this number of changes of
+/// evidence per second.
 fn cost_at_change_rate(routers: usize, changes: f64) -> [f64; 3] {
     const WARM_UP_NS: u64 = 4 * S;
     let mut fleet = Fleet::new(routers, 1);
@@ -49,7 +54,7 @@
             before = ((fleet.messages, fleet.bytes), thread_ns());
         }
         while (change_count as f64) < changes * elapsed_ns as f64 / 1e9 {
-            // Each router in turn changes its mind of one engine.
+            // The routers take turns to change their evidence on one engine.
             let outcome = if change_count / routers % 2 == 0 {
                 AttemptOutcome::Silent
             } else {
@@ -66,7 +71,7 @@
     [bytes, messages, each(cpu, routers) / 1e6]
 }
 
-/// Measures it all.
+/// Measures the costs by the number of routers and by the rate of changes.
 pub fn measure(figures: &mut Figures) {
     let mut add = |names: [(&str, &str, &str); 3], by: &str, of: Vec<(f64, [f64; 3])>| {
         for (at, (name, what, unit)) in names.into_iter().enumerate() {
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -1,4 +1,5 @@
-//! What shared limits cost a router: at its start, when it asks every peer what it lent, and a second, by limits in use.
+//! Measures the cost of shared limits for a router: at its start, when it requests the held leases
+//! from every peer, and per second by the keys in use.
 
 use std::net::SocketAddr;
 
@@ -12,7 +13,7 @@
 use super::{series, Figures};
 
 const ROUTERS: [usize; 4] = [50, 200, 800, 3_200];
-/// Routers of a steady fleet, and keys that are in use.
+/// Routers of a fleet in steady state, and keys in use.
 const STEADY: [usize; 4] = [25, 50, 100, 200];
 const KEYS: [usize; 4] = [1, 4, 16, 64];
 const KEYS_ROUTERS: usize = 50;
@@ -21,14 +22,14 @@
 const STEP_NS: u64 = 20_000_000;
 const MAX_KEYS: usize = 16_384;
 
-/// Messages, and sealed bytes of them, one datagram for each peer and time.
+/// Number of messages, and their bytes as signed datagrams.
 #[derive(Clone, Copy, Default)]
 struct Sent {
     messages: u64,
     bytes: u64,
 }
 
-/// Seals what is said as the program does, to count its bytes.
+/// Encodes and signs messages as the program does, to determine their size.
 struct DatagramSizer {
     members: Members,
     to: SocketAddr,
@@ -56,7 +57,7 @@
 }
 
 fn limit(routers: usize) -> Limit {
-    // Each router owns two units of each key.
+    // Two units per router.
     let kind = Kind::Concurrency { at_once: 2 * routers as u32 };
     Limit { name: "limit".into(), subject: "tenant".into(), kind, mode: Mode::Strict }
 }
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Hands over what was said, answers included.
+    /// Delivers all messages in transit, and the responses to them.
     fn deliver(&mut self) {
         while !self.in_transit.is_empty() {
             for (to, from, message) in std::mem::take(&mut self.in_transit) {
@@ -128,10 +129,10 @@
     }
 }
 
-/// Messages, bytes and processor time (ms) of one router's start, its peers' answers included.
+/// Messages, bytes and processor time (ms) of one router's start, including its peers' responses.
 fn start(routers: usize) -> Result<[f64; 3], String> {
     let mut fleet = Fleet::new(routers)?;
-    // The others have been there for long: they ask nobody.
+    // Only the first router starts; the others send no requests.
     let cpu = thread_ns();
     fleet.now += STEP_NS;
     let requests = fleet.nodes[0].tick(fleet.now);
@@ -141,12 +142,12 @@
     Ok([fleet.sent.messages as f64, fleet.sent.bytes as f64, cpu as f64 / 1e6])
 }
 
-/// Messages, bytes and processor time (ms) a second of one router where a tenth of the routers want more than their own units of each
-/// of `keys`.
+/// Messages, bytes and processor time (ms) per second of one router if a tenth of the routers
+/// demand more than their own units of each of `keys`.
 fn steady(routers: usize, keys: usize) -> Result<[f64; 3], String> {
     const MEASURED_NS: u64 = 4 * SECOND_NS;
     let mut fleet = Fleet::new(routers)?;
-    // All know what they lent, and may lend again.
+    // Wait until the routers have recovered their leases and may grant new ones.
     fleet.run(SECOND_NS);
     fleet.run(30 * SECOND_NS);
     let mut permits = Vec::new();
@@ -163,7 +164,7 @@
     for _ in 0..steps {
         for at in (0..routers).step_by(10) {
             for key in 0..keys as u64 {
-                // Demand stays: what can't be admitted is asked for.
+                // Demand persists: units that can't be admitted are requested.
                 permits.extend(fleet.nodes[at].admit(fleet.now, &[(0, key)]).ok());
             }
         }
@@ -176,10 +177,10 @@
     Ok([each(sent.messages), each(sent.bytes), each(thread_ns() - cpu) / 1e6])
 }
 
-/// Measures it all.
+/// Measures the costs by the number of routers and keys.
 ///
 /// # Errors
-/// Where the fleet's key can't be read.
+/// If the fleet's key is invalid.
 pub fn measure(figures: &mut Figures) -> Result<(), String> {
     let mut add = |names: [(&str, &str, &str); 3], by: &str, of: Vec<(usize, [f64; 3])>| {
         for (at, (name, what, unit)) in names.into_iter().enumerate() {
--- a/crates/lab/src/capacity/list.rs
+++ b/crates/lab/src/capacity/list.rs
@@ -1,4 +1,5 @@
-//! What it takes to learn a list of engines over the program's own subscription: bytes, processor time, memory held.
+//! Measures reading an engine list with the program's own subscription: bytes, processor time and
+//! memory.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -21,16 +22,16 @@
 use super::{repeated, series, Figures};
 use crate::HEAP;
 
-/// Engines of the lists. The largest list is as large as the one to design for.
+/// Numbers of engines; the largest is that of the design fleet.
 const ENGINES: [usize; 6] = [75, 300, 1_200, 5_000, 12_000, 30_000];
-/// Longest wait for a list.
+/// Timeout of reading a list.
 const TIMEOUT: Duration = Duration::from_secs(5);
 const FIRST_CONN: u64 = 1_000;
-/// Memory limit of the program that reads them (MB).
+/// Memory limit of the program that reads the list (MB).
 pub const MEMORY_MB: f64 = 192.0;
 const STALE_NS: u64 = 7_000_000_000;
 
-/// The whole list as an event, as the coordinator writes it.
+/// An event with the full list, as encoded by the coordinator.
 pub fn whole_list(engines: usize) -> String {
     let targets: Vec<_> = (0..engines).map(|engine| target(engine, "in_service")).collect();
     event(1, true, targets)
@@ -47,21 +48,21 @@
     format!("id: {index}\ndata: {data}\n\n")
 }
 
-/// A list service that tells one text to whoever calls, and a count of the bytes that were taken from it.
+/// A list service that serves one event to each client and counts the bytes.
 pub struct Service {
-    /// Where it listens.
+    /// Address for clients.
     pub address: SocketAddr,
-    /// Bytes that the machine took of it, answers' heads included.
+    /// Bytes written by the service, including response heads.
     written_bytes: Arc<AtomicU64>,
-    /// Bytes that were read on their way to the caller.
+    /// Bytes read by the relay.
     relayed_bytes: Arc<AtomicU64>,
 }
 
 impl Service {
-    /// A service, and before it a relay that counts what it reads: its count is not the sender's own.
+    /// Starts a service behind a relay, which counts bytes independently of the sender.
     ///
     /// # Errors
-    /// Where no port is to be had.
+    /// If a listener can't be opened.
     pub fn start(text: String) -> Result<Service, String> {
         let to_message = |e: std::io::Error| format!("list service: {e}");
         let service_listener = TcpListener::bind("127.0.0.1:0").map_err(to_message)?;
@@ -88,7 +89,8 @@
         Ok(Service { address, written_bytes, relayed_bytes })
     }
 
-    /// The same, once the service has counted all that was read: it counts behind its writing.
+    /// As [`Service::bytes`], once the service, which counts after each write, has counted all
+    /// bytes read by the relay.
     fn settled_bytes(&self) -> Result<(u64, u64), String> {
         let started = Instant::now();
         loop {
@@ -96,7 +98,9 @@
                 (written_bytes, relayed_bytes) if written_bytes >= relayed_bytes => {
                     return Ok((written_bytes, relayed_bytes))
                 }
-                _ if started.elapsed() > TIMEOUT => return Err("the list service lost count".into()),
+                _ if started.elapsed() > TIMEOUT => {
+                    return Err("the list service did not count all bytes read".into())
+                }
                 _ => std::thread::yield_now(),
             }
         }
@@ -128,7 +132,7 @@
             _ => return,
         }
     }
-    // A comment each second until the caller goes: silence would end the stream.
+    // A comment each second keeps the stream alive until the client disconnects.
     while conn.write_all(b":\n\n").is_ok() {
         written_bytes.fetch_add(3, Ordering::Relaxed);
         std::thread::park_timeout(Duration::from_secs(1));
@@ -141,13 +145,13 @@
         return;
     };
     let forward: JoinHandle<()> = std::thread::spawn(move || {
-        // The end of either side ends both.
+        // The end of one direction ends both.
         let _ = std::io::copy(&mut client_reader, &mut service_writer);
         let _ = service_writer.shutdown(std::net::Shutdown::Both);
     });
     let mut buffer = vec![0; 64 << 10];
     while let Ok(n) = service.read(&mut buffer) {
-        // Counted before it is passed on: who has read all of it finds all of it counted.
+        // Count before forwarding, so that a client that has read all bytes finds them counted.
         relayed_bytes.fetch_add(n as u64, Ordering::Relaxed);
         if n == 0 || client.write_all(&buffer[..n]).is_err() {
             break;
@@ -157,13 +161,13 @@
     let _ = forward.join();
 }
 
-/// What learning one text took.
+/// The changes read from a service, and the processor time for it.
 struct LearnedList {
     cpu_ns: u64,
     changes: Vec<Change>,
 }
 
-/// Learns what a service tells, over a subscription and sockets of the program's own.
+/// Reads a list with the program's own subscription and sockets.
 fn learn(service: &Service, engines: usize) -> Result<LearnedList, String> {
     let to_message = |e: std::io::Error| format!("sockets: {e}");
     let mut poll = Poll::new().map_err(to_message)?;
@@ -188,7 +192,7 @@
     let mut changes: Vec<Change> = Vec::new();
     while changes.iter().map(|change| change.targets.len()).sum::<usize>() < engines {
         if started.elapsed() > TIMEOUT {
-            return Err(format!("a list of {engines} engines was not learned within {TIMEOUT:?}"));
+            return Err(format!("a list of {engines} engines was not read within {TIMEOUT:?}"));
         }
         stream.tick(clock.now_ns(), &mut net);
         poll.poll(&mut events, Some(Duration::from_millis(5))).map_err(to_message)?;
@@ -203,7 +207,7 @@
     Ok(LearnedList { cpu_ns: thread_ns() - before, changes })
 }
 
-/// Bytes written, bytes read on the way, processor time (ms), memory of what was learned (KB).
+/// Bytes written, bytes read by the relay, processor time (ms), heap of the changes (KB).
 type Cost = [f64; 4];
 
 fn cost(engines: usize) -> Result<Cost, String> {
@@ -216,16 +220,16 @@
     Ok([written_bytes as f64, relayed_bytes as f64, learned.cpu_ns as f64 / 1e6, heap_bytes as f64 / 1e3])
 }
 
-/// The lists that the program learns at all, up to the largest that it does.
+/// The sizes up to the largest that can be read.
 fn learnable() -> Vec<usize> {
     let can_learn = |engines: &usize| cost(*engines).is_ok();
     ENGINES.iter().copied().take_while(can_learn).collect()
 }
 
-/// Measures it all. Gives the sizes of the lists that were learned (engines).
+/// Measures the costs by the number of engines; returns the numbers of engines that could be read.
 ///
 /// # Errors
-/// Where fewer than three sizes can be learned, or sockets can't be had.
+/// If a list that could be read before can't be read again.
 pub fn measure(figures: &mut Figures) -> Result<Vec<usize>, String> {
     let sizes = learnable();
     let descriptions = [
@@ -243,7 +247,7 @@
         let of = costs.iter().map(|(n, values)| (*n, values.iter().map(|v| v[at]).collect())).collect();
         figures.insert((*name).into(), series(what, unit, "engines", of));
     }
-    // An event's size by the engines that it tells of, without the list before it.
+    // Size of an event by the number of changed engines, without a preceding list.
     let events = [1_usize, 4, 16, 64].map(|count| {
         let targets: Vec<_> = (0..count).map(|engine| target(engine, "terminating")).collect();
         (count as f64, vec![event(2, false, targets).len() as f64])
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -1,4 +1,5 @@
-//! What membership of the fleet costs a router, by routers: many instances in stepped time, over real loopback sockets.
+//! Measures the cost of fleet membership by the number of routers: many instances in simulated
+//! time, over real loopback sockets.
 
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::{SocketAddr, UdpSocket};
@@ -10,17 +11,17 @@
 use super::{series, Figures};
 use crate::HEAP;
 
-/// Routers.
+/// Number of routers.
 const ROUTERS: [usize; 5] = [25, 50, 100, 200, 300];
 const SECOND_NS: u64 = 1_000_000_000;
 const START_NS: u64 = 1_700_000_000 * SECOND_NS;
-/// Seconds in which all must have found each other, in which an ordinary stretch is measured, and a restart of a tenth.
+/// Timeout of the join, and measured time at rest and after a restart of a tenth of the
+/// routers (s).
 const JOIN_S: u64 = 300;
 const MEASURED_S: u64 = 10;
-/// Largest datagram that is read (bytes).
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// Bytes and datagrams over all routers, as the senders count them and as sockets gave them out.
+/// Totals of all routers: bytes and datagrams sent, and bytes read from sockets.
 #[derive(Clone, Copy, Default)]
 struct Counts {
     sent_bytes: u64,
@@ -37,7 +38,7 @@
     sockets: Vec<UdpSocket>,
     by_address: HashMap<SocketAddr, usize>,
     due: BinaryHeap<std::cmp::Reverse<(u64, usize)>>,
-    /// What earlier lives sent (datagrams, bytes).
+    /// Datagrams and bytes sent by previous incarnations.
     previous_sent: (u64, u64),
     read_bytes: u64,
     serial: u64,
@@ -74,7 +75,7 @@
         for at in 0..routers {
             let member = fleet.member(at);
             fleet.members.push(member);
-            // Starts are spread over a second, as processes' are.
+            // Starts are spread over one second.
             fleet.due.push(std::cmp::Reverse((START_NS + at as u64 * SECOND_NS / routers as u64, at)));
         }
         Ok(fleet)
@@ -93,12 +94,12 @@
         Members::new(identity, self.keys.clone(), &self.settings, self.serial)
     }
 
-    /// Sends what a router has to say, and lets all who hear it answer, until nobody has anything to say.
+    /// Delivers the datagrams of a router and all that are sent in response.
     fn exchange_all(&mut self, at: usize) {
         let mut senders = vec![at];
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         while let Some(at) = senders.pop() {
-            // What became known is of no interest here.
+            // Events are not needed here.
             let (outgoing, _) = self.members[at].take();
             for (to, datagram) in outgoing {
                 let sent = self.sockets[at].send_to(&datagram, to).is_ok();
@@ -119,7 +120,7 @@
                 self.due.push(std::cmp::Reverse((due, at)));
                 break;
             }
-            // An entry of before the last change of its timers says nothing.
+            // Skip entries that a later change of the timers has superseded.
             if due > START_NS + SECOND_NS && due < self.members[at].next_due_ns() {
                 continue;
             }
@@ -143,13 +144,13 @@
         self.due.push(std::cmp::Reverse((self.now, at)));
     }
 
-    /// The least number of peers that any router knows.
+    /// The smallest number of peers known by a router.
     fn min_peers(&self) -> usize {
         self.members.iter().map(|m| m.up().count()).min().unwrap_or(0)
     }
 }
 
-/// What one fleet's size came to, a router.
+/// Cost per router at one fleet size.
 struct Cost {
     bytes_s: f64,
     bytes_read_s: f64,
@@ -167,19 +168,19 @@
     let joined_by = START_NS + JOIN_S * SECOND_NS;
     while fleet.min_peers() + 1 < routers {
         if fleet.now >= joined_by {
-            return Err(format!("{routers} routers did not find each other within {JOIN_S} s"));
+            return Err(format!("{routers} routers did not all join within {JOIN_S} s"));
         }
         fleet.run_until(fleet.now + SECOND_NS);
     }
     let join_s = (fleet.now - START_NS) as f64 / 1e9;
-    // News of the start has gone round.
+    // Wait until gossip of the start has ended.
     fleet.run_until(fleet.now + 10 * SECOND_NS);
     let heap_kb = HEAP.current_usage().saturating_sub(heap) as f64 / 1e3 / routers as f64;
     let each = |n: u64| n as f64 / MEASURED_S as f64 / routers as f64;
     let (before, cpu) = (fleet.counts(), thread_ns());
     fleet.run_until(fleet.now + MEASURED_S * SECOND_NS);
     let (after, cpu) = (fleet.counts(), thread_ns() - cpu);
-    // A release restarts a tenth of the fleet.
+    // Restart a tenth of the fleet, as in a rollout.
     (0..routers).step_by(10).for_each(|at| fleet.restart(at));
     fleet.run_until(fleet.now + MEASURED_S * SECOND_NS);
     let restarted = fleet.counts();
@@ -195,10 +196,10 @@
     })
 }
 
-/// Measures it all.
+/// Measures the costs by the number of routers.
 ///
 /// # Errors
-/// Where routers do not find each other.
+/// If sockets can't be opened or the routers do not all join.
 pub fn measure(figures: &mut Figures) -> Result<(), String> {
     let mut costs: BTreeMap<usize, Cost> = BTreeMap::new();
     for routers in ROUTERS {
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,7 +1,9 @@
-//! Measures what the program costs by routers, engines, clients and statements, for `docs/CAPACITY.md`.
+//! Measures the program's costs by routers, engines, clients and statements, for
+//! `docs/CAPACITY.md`.
 //!
-//! Each cost is measured at three counts or more, by the program's own modules with their real encoding, and processor time by the
-//! clock of the thread or process that did the work. Figures are kept as measured; fits and rows are the capacity crate's.
+//! Each cost is measured at three counts or more with the program's own modules and encoding.
+//! Processor time is that of the thread or process that does the work. This module only stores
+//! measurements; the capacity crate computes fits and rows.
 
 mod cells;
 mod clock;
@@ -20,29 +22,29 @@
 use marljunction_capacity::measured::{Measured, Sample, Series};
 use marljunction_capacity::page;
 
-/// Measurements of each cost at each count.
+/// Number of measurements of each cost at each count.
 const REPEATS: usize = 3;
-/// The command that measures all again.
+/// The command that repeats all measurements.
 const COMMAND: &str = "cargo run --release -p marljunction-lab -- capacity --measure --write";
 
-/// Costs by name.
+/// Measured series by name.
 pub type Figures = BTreeMap<String, Series>;
 
-/// A cost at some counts, each measured several times.
+/// Counts, each with the values of several measurements.
 pub type Repeated<T> = Vec<(f64, Vec<T>)>;
 
-/// What is to be done.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The router's program.
+    /// Path of the router's program.
     pub program: PathBuf,
-    /// Measure; else the file in the repository is read.
+    /// Measure; otherwise the file in the repository is read.
     pub measure: bool,
-    /// Write what was measured, and the page.
+    /// Write the measurements, if new, and the page.
     pub write: bool,
-    /// Fail where the page is not what the file says.
+    /// Fail if the page does not match the measurements.
     pub check: bool,
-    /// One part only, told and never written; all, if none.
+    /// The only part to measure; it is printed, not written. All if none.
     pub only: Option<String>,
 }
 
@@ -54,7 +56,7 @@
     repeated_times(REPEATS, counts, measure)
 }
 
-/// Measures a cost so often at each count.
+/// Measures a cost this number of times at each count.
 fn repeated_times<T>(
     times: usize,
     counts: &[usize],
@@ -64,7 +66,7 @@
     counts.iter().map(|count| Ok((*count as f64, at(*count)?))).collect()
 }
 
-/// A value with as many digits as a text holds without loss (six that matter).
+/// Rounds to six significant digits.
 fn rounded(value: f64) -> f64 {
     format!("{value:.5e}").parse().unwrap_or(value)
 }
@@ -75,13 +77,13 @@
     Series { what: what.into(), unit: unit.into(), by: by.into(), samples: samples.collect() }
 }
 
-/// Measures all costs, or those of one part.
+/// Measures the costs of all parts, or of one.
 fn measure(program: &Path, only: Option<&str>) -> Result<Measured, String> {
     let mut figures = Figures::new();
     let selected = |part: &str| only.is_none_or(|only| only == part);
     let started = std::time::Instant::now();
     let log_progress =
-        |part: &str| eprintln!("{part}: measured, {:.1} s since the start", started.elapsed().as_secs_f64());
+        |part: &str| eprintln!("{part}: measured after {:.1} s", started.elapsed().as_secs_f64());
     if selected("decision") {
         decision::measure(&mut figures)?;
         log_progress("decision");
@@ -115,10 +117,11 @@
     Ok(Measured { command: COMMAND.into(), series: figures })
 }
 
-/// Does what is to be done.
+/// Measures, writes or checks as the options say.
 ///
 /// # Errors
-/// Where something can't be measured, a file can't be read or written, or the page is not what the file says.
+/// If a measurement fails, a file can't be read or written, or the page does not match the
+/// measurements.
 pub fn run(run: &Run) -> Result<(), String> {
     let repository = files::Repository::find()?;
     if let Some(part) = &run.only {
@@ -130,7 +133,7 @@
     if run.write && run.measure {
         repository.write_measured(&measured)?;
     }
-    // What the file says, not what was in memory: the page is held against the file.
+    // Read the file back, so that the page is made from what is stored.
     let measured = if run.write { repository.measured()? } else { measured };
     let page = page::page(&measured, &repository.scale()?).map_err(|error| error.to_string())?;
     if run.write {
@@ -138,7 +141,8 @@
     }
     if run.check && repository.page()? != page {
         return Err(
-            "docs/CAPACITY.md is not what docs/capacity/ says: marljunction-lab capacity --write".into()
+            "docs/CAPACITY.md does not match docs/capacity/; update it by marljunction-lab capacity --write"
+                .into(),
         );
     }
     if !run.write && !run.check {
@@ -152,7 +156,7 @@
         series.points().iter().map(|p| format!("{}: {:.4}", p.count, p.value)).collect();
     println!("{name} ({}): {}", series.unit, points.join(", "));
     println!(
-        "  {:?}; missed by {:.3}, spread {:.2}",
+        "  {:?}; prediction error {:.3}, spread {:.2}",
         series.fit(),
         series.prediction_error(),
         series.spread()
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -1,4 +1,5 @@
-//! Memory and processor time of the real program: by the list it knows, by clients that hold a connection, by statements.
+//! Measures memory and processor time of the real program by the size of its list, by idle client
+//! connections, and by statements.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,22 +15,22 @@
 use super::list::{whole_list, Service, MEMORY_MB};
 use super::{repeated_times, series, Figures, Repeated};
 
-/// Connections of clients that did one call and then nothing.
+/// Numbers of idle client connections.
 const IDLE_CLIENTS: [usize; 4] = [500, 1_000, 2_000, 4_000];
-/// Measurements at each count.
+/// Number of measurements at each count.
 const REPEATS: usize = 2;
-/// Sizes of lists: those of the list's own measurement, without the smallest, whose memory is lost in the program's own.
+/// Smallest list measured: the memory of smaller ones is negligible beside the program's own.
 const MIN_ENGINES: usize = 300;
-/// Statements a second that one router is asked for.
+/// Statements per second.
 const RATES: [usize; 4] = [100, 200, 400, 800];
 const MEASURED_TIME: Duration = Duration::from_secs(2);
-/// Longest wait for something that must happen, and how long a program that does nothing more is watched.
+/// Timeout of a condition, and time without activity after which the program counts as idle.
 const TIMEOUT: Duration = Duration::from_secs(15);
 const IDLE_TIME: Duration = Duration::from_millis(400);
-/// Descriptors that the machine gives a program.
+/// Socket limit in the program's configuration.
 const SOCKETS: usize = 16_384;
 
-/// A program with a folder of its own.
+/// A router process with its own directory.
 struct RouterProcess {
     process: Process,
     dir: PathBuf,
@@ -72,20 +73,20 @@
         Ok(RouterProcess { process, dir, listens })
     }
 
-    /// Memory in use now (KB).
+    /// Resident memory (KB).
     fn resident_kb(&self) -> f64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.process.id())).unwrap_or_default();
         let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0.0)
     }
 
-    /// Waits until a condition holds and the program has then used nearly no processor time for a while.
+    /// Waits until a condition holds and the program has been idle for [`IDLE_TIME`].
     fn wait_until_idle(&mut self, what: &str, condition: impl Fn() -> bool) -> Result<(), String> {
         let started = Instant::now();
         let mut last_activity = (Instant::now(), self.process.used().1);
         loop {
             let used = self.process.used().1;
-            // A program at rest wakes for its timers only.
+            // An idle program only wakes for its timers.
             if used > last_activity.1 + 20_000 || !condition() {
                 last_activity = (Instant::now(), used);
             }
@@ -93,7 +94,7 @@
                 return Ok(());
             }
             if started.elapsed() > TIMEOUT {
-                return Err(format!("not within {TIMEOUT:?}: {what}"));
+                return Err(format!("timed out after {TIMEOUT:?} waiting until {what}"));
             }
             std::thread::park_timeout(Duration::from_millis(10));
         }
@@ -107,37 +108,37 @@
     }
 }
 
-/// Memory of the program that knows so many engines, now and at most so far (KB).
+/// Resident and peak memory of the program with a list of this number of engines (KB).
 fn memory_with_list(program: &Path, engines: usize) -> Result<[f64; 2], String> {
     let text = whole_list(engines);
     let size = text.len() as u64;
     let service = Service::start(text)?;
     let mut router = RouterProcess::start(program, &format!("knows-{engines}"), service.address)?;
-    router.wait_until_idle("the list is learned", || service.bytes().1 > size)?;
+    router.wait_until_idle("the list is read", || service.bytes().1 > size)?;
     Ok([router.resident_kb(), router.process.used().0 as f64])
 }
 
-/// A client that made one call.
+/// Connects a client that makes one call.
 fn idle_client(to: SocketAddr) -> Result<TcpStream, String> {
     let to_message = |e: std::io::Error| format!("client: {e}");
     let mut conn = TcpStream::connect(to).map_err(to_message)?;
     conn.set_read_timeout(Some(TIMEOUT)).map_err(to_message)?;
-    // A call in MessagePack: kind 0, number 1, the method, no parameters.
+    // A MessagePack call: kind 0, ID 1, method, no parameters.
     conn.write_all(b"\x94\x00\x01\xa6isWell\x90").map_err(to_message)?;
     let mut answer = [0; 64];
     match conn.read(&mut answer) {
         Ok(n) if n > 0 => Ok(conn),
-        Ok(_) => Err("a client was turned away".into()),
+        Ok(_) => Err("a client was rejected".into()),
         Err(e) => Err(to_message(e)),
     }
 }
 
-/// Memory of the program with so many idle clients (KB), and its processor time a second then (ms).
+/// Resident memory (KB) and processor time per second (ms) of the program with idle clients.
 fn idle_client_cost(program: &Path, clients: usize) -> Result<[f64; 2], String> {
     let service = Service::start(whole_list(8))?;
     let mut router = RouterProcess::start(program, &format!("holds-{clients}"), service.address)?;
     let conns = (0..clients).map(|_| idle_client(router.listens)).collect::<Result<Vec<_>, _>>()?;
-    router.wait_until_idle("clients are quiet", || true)?;
+    router.wait_until_idle("clients are idle", || true)?;
     let (from, before) = (Instant::now(), router.process.used().1);
     while from.elapsed() < Duration::from_secs(1) {
         std::thread::park_timeout(Duration::from_millis(20));
@@ -148,7 +149,7 @@
     Ok([resident, used_ms])
 }
 
-/// Processor time a second of the program that is asked for so many short statements (ms).
+/// Processor time per second (ms) of the program at a rate of short statements.
 fn statement_cost(program: &Path, rate: usize) -> Result<f64, String> {
     let base_class = classes().swap_remove(0);
     let setup = Setup {
@@ -160,7 +161,7 @@
     let mut fleet = Fleet::new(setup)?;
     fleet.start_all()?;
     if !fleet.run_until(TIMEOUT, |fleet| fleet.live() == 1)? {
-        return Err("the router of the statements did not start".into());
+        return Err("the router did not start".into());
     }
     fleet.ask();
     fleet.run(Duration::from_secs(1))?;
@@ -170,7 +171,7 @@
     let seconds = (fleet.now() - from) as f64 / 1e9;
     let used_ms = (fleet.used()[0].1 - before) as f64 / 1e3 / seconds;
     let asked = (fleet.sum(|tally| tally.asked as f64) - requested_before) / seconds;
-    // Arrivals are drawn: the processor time is scaled to the rate that was wanted.
+    // Arrivals are random: scale the processor time to the nominal rate.
     Ok(used_ms * rate as f64 / asked.max(1.0))
 }
 
@@ -178,13 +179,13 @@
     costs.iter().map(|(n, values)| (*n, values.iter().map(|v| v[at]).collect())).collect()
 }
 
-/// Measures it all, with lists of at most `most` engines.
+/// Measures the costs, with lists of these numbers of engines.
 ///
 /// # Errors
-/// Where a program can't be started or does not come to rest.
+/// If a program can't be started or does not become idle.
 pub fn measure(figures: &mut Figures, program: &Path, sizes: &[usize]) -> Result<(), String> {
     let sizes: Vec<usize> = sizes.iter().copied().filter(|n| *n >= MIN_ENGINES).collect();
-    // Two points are a line whatever they are: the smallest list is measured too where few can be learned.
+    // A fit needs more than two points: use small lists if few large ones can be read.
     let sizes = if sizes.len() < 3 { vec![75, 300, 600, 1_200] } else { sizes };
     let list_costs = repeated_times(REPEATS, &sizes, |engines| memory_with_list(program, engines))?;
     let what = "program, resident memory when it knows a list";
--- a/crates/lab/src/scale/size.rs
+++ b/crates/lab/src/scale/size.rs
@@ -211,8 +211,8 @@
         Ok(())
     }
 
-    /// Measures quiet time, in which the service only sends comments. It starts and ends right after
-    /// a comment, so that a whole number of them is counted.
+    /// Measures quiet time, in which the service only sends comments. It starts and ends
+    /// right after a comment, so that a whole number of them is counted.
     fn quiet(&mut self, fleet: &mut ScaleFleet, time: Duration) -> Result<(), ScaleError> {
         await_comment(&mut fleet.hollow)?;
         let (started, before) = (Instant::now(), self.spent(fleet)?);
