--- a/crates/lab/src/capacity/decision.rs
+++ b/crates/lab/src/capacity/decision.rs
@@ -167,7 +167,7 @@
     }
 }
 
-fn whole_list_us(settings: &Settings, engines: usize) -> f64 {
+fn full_list_us(settings: &Settings, engines: usize) -> f64 {
     let mut bench = Bench::new(settings.clone(), engines);
     let full_list = list(engines);
     let (ns, ()) = timed(|| bench.handle_event(Event::Membership(MembershipKind::Full, full_list)));
@@ -196,9 +196,9 @@
     let statement = repeated(&ENGINES, |engines| statement_us(&settings, engines))?;
     let what = "decision module, processor time of one statement with its end and timers, at 1,094 a second";
     figures.insert("decision_us".into(), series(what, "us", "engines", statement));
-    let whole = repeated(&ENGINES, |engines| Ok(whole_list_us(&settings, engines)))?;
+    let full_lists = repeated(&ENGINES, |engines| Ok(full_list_us(&settings, engines)))?;
     let what = "decision module, processor time of the whole list told again";
-    figures.insert("decision_list_us".into(), series(what, "us", "engines", whole));
+    figures.insert("decision_list_us".into(), series(what, "us", "engines", full_lists));
     let change = repeated(&ENGINES, |engines| Ok(change_us(&settings, engines)))?;
     let what = "decision module, processor time of news of one engine";
     figures.insert("decision_change_us".into(), series(what, "us", "engines", change));
--- a/crates/lab/src/capacity/list.rs
+++ b/crates/lab/src/capacity/list.rs
@@ -32,7 +32,7 @@
 const STALE_NS: u64 = 7_000_000_000;
 
 /// An event with the full list, as encoded by the coordinator.
-pub fn whole_list(engines: usize) -> String {
+pub fn full_list_event(engines: usize) -> String {
     let targets: Vec<_> = (0..engines).map(|engine| target(engine, "in_service")).collect();
     event(1, true, targets)
 }
@@ -162,13 +162,13 @@
 }
 
 /// The changes read from a service, and the processor time for it.
-struct LearnedList {
+struct LoadedList {
     cpu_ns: u64,
     changes: Vec<Change>,
 }
 
 /// Reads a list with the program's own subscription and sockets.
-fn learn(service: &Service, engines: usize) -> Result<LearnedList, String> {
+fn load_list(service: &Service, engines: usize) -> Result<LoadedList, String> {
     let to_message = |e: std::io::Error| format!("sockets: {e}");
     let mut poll = Poll::new().map_err(to_message)?;
     let registry = poll.registry().try_clone().map_err(to_message)?;
@@ -204,26 +204,26 @@
             }
         }
     }
-    Ok(LearnedList { cpu_ns: thread_ns() - before, changes })
+    Ok(LoadedList { cpu_ns: thread_ns() - before, changes })
 }
 
 /// Bytes written, bytes read by the relay, processor time (ms), heap of the changes (KB).
 type Cost = [f64; 4];
 
 fn cost(engines: usize) -> Result<Cost, String> {
-    let service = Service::start(whole_list(engines))?;
-    let learned = learn(&service, engines)?;
+    let service = Service::start(full_list_event(engines))?;
+    let loaded = load_list(&service, engines)?;
     let (written_bytes, relayed_bytes) = service.settled_bytes()?;
     let heap_bytes = HEAP.current_usage();
-    drop(learned.changes);
+    drop(loaded.changes);
     let heap_bytes = heap_bytes.saturating_sub(HEAP.current_usage());
-    Ok([written_bytes as f64, relayed_bytes as f64, learned.cpu_ns as f64 / 1e6, heap_bytes as f64 / 1e3])
+    Ok([written_bytes as f64, relayed_bytes as f64, loaded.cpu_ns as f64 / 1e6, heap_bytes as f64 / 1e3])
 }
 
 /// The sizes up to the largest that can be read.
-fn learnable() -> Vec<usize> {
-    let can_learn = |engines: &usize| cost(*engines).is_ok();
-    ENGINES.iter().copied().take_while(can_learn).collect()
+fn loadable() -> Vec<usize> {
+    let can_load = |engines: &usize| cost(*engines).is_ok();
+    ENGINES.iter().copied().take_while(can_load).collect()
 }
 
 /// Measures the costs by the number of engines; returns the numbers of engines that could be read.
@@ -231,7 +231,7 @@
 /// # Errors
 /// If a list that could be read before can't be read again.
 pub fn measure(figures: &mut Figures) -> Result<Vec<usize>, String> {
-    let sizes = learnable();
+    let sizes = loadable();
     let descriptions = [
         ("list_bytes", "whole list, bytes that the service wrote to one caller", "bytes"),
         (
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -12,7 +12,7 @@
 use marljunction_testkit::stage::{settings, Site};
 use serde_json::json;
 
-use super::list::{whole_list, Service, MEMORY_MB};
+use super::list::{full_list_event, Service, MEMORY_MB};
 use super::{repeated_times, series, Figures, Repeated};
 
 /// Numbers of idle client connections.
@@ -110,7 +110,7 @@
 
 /// Resident and peak memory of the program with a list of this number of engines (KB).
 fn memory_with_list(program: &Path, engines: usize) -> Result<[f64; 2], String> {
-    let text = whole_list(engines);
+    let text = full_list_event(engines);
     let size = text.len() as u64;
     let service = Service::start(text)?;
     let mut router = RouterProcess::start(program, &format!("knows-{engines}"), service.address)?;
@@ -135,7 +135,7 @@
 
 /// Resident memory (KB) and processor time per second (ms) of the program with idle clients.
 fn idle_client_cost(program: &Path, clients: usize) -> Result<[f64; 2], String> {
-    let service = Service::start(whole_list(8))?;
+    let service = Service::start(full_list_event(8))?;
     let mut router = RouterProcess::start(program, &format!("holds-{clients}"), service.address)?;
     let conns = (0..clients).map(|_| idle_client(router.listens)).collect::<Result<Vec<_>, _>>()?;
     router.wait_until_idle("clients are idle", || true)?;
