--- a/crates/lab/src/capacity/decision.rs
+++ b/crates/lab/src/capacity/decision.rs
@@ -1,4 +1,5 @@
-//! What the decision module takes for a statement, and for news of the engines, by the engines it knows.
+//! Measures the decision module's processor time for a statement and for membership updates, by the
+//! number of engines.
 
 use std::collections::BTreeMap;
 
@@ -11,27 +12,28 @@
 use super::clock::timed;
 use super::{repeated, series, Figures};
 
-/// Engines that the module is told of.
+/// Number of engines on the list.
 const ENGINES: [usize; 8] = [8, 64, 512, 2_048, 4_096, 8_192, 16_384, 30_000];
-/// Statements a second, and the time that an engine takes for one (ns): those of one router at the size to design for.
-const GAP_NS: u64 = 1_000_000_000 / 1_094;
-const SERVED_NS: u64 = 10_000_000;
-/// Statements that are passed unmeasured, and measured at least and at most (count).
+/// Interval between statements, and execution time of a statement (ns), for one router at the
+/// design size.
+const STATEMENT_INTERVAL_NS: u64 = 1_000_000_000 / 1_094;
+const SERVICE_TIME_NS: u64 = 10_000_000;
+/// Statements before the measurement, and bounds of the number of measured statements.
 const WARM_UP: u64 = 30;
 const MIN_STATEMENTS: u64 = 60;
 const MAX_STATEMENTS: u64 = 6_000;
-/// Statements times engines of one measurement, about (count).
-const WORK: u64 = 1_000_000;
-/// Engines of each zone's share of the list (count of zones).
+/// Approximate product of statements and engines in one measurement.
+const STATEMENTS_TIMES_ENGINES: u64 = 1_000_000;
+/// Number of zones.
 const ZONES: usize = 25;
 const START_NS: u64 = 1_700_000_000_000_000_000;
 
-/// The module with its statements that are out and its timers.
+/// A decision module with simulated engines and timers.
 struct Bench {
     controller: Controller,
     now: u64,
-    next: u64,
-    out: BTreeMap<u64, (RequestId, EngineId)>,
+    next_request: u64,
+    in_flight: BTreeMap<u64, (RequestId, EngineId)>,
     timers: BTreeMap<(u64, u64), TimerToken>,
     serial: u64,
     sent: u64,
@@ -52,7 +54,7 @@
     (0..engines).map(|engine| entry(engine, EngineState::Ready)).collect()
 }
 
-/// The settings of one router of the fleet to design for.
+/// Settings of a router of the design fleet.
 fn fleet_settings() -> Result<Settings, String> {
     let classes = classes();
     let site = Site {
@@ -72,17 +74,17 @@
         let mut bench = Bench {
             controller: Controller::new(settings, 7),
             now: START_NS,
-            next: 0,
-            out: BTreeMap::new(),
+            next_request: 0,
+            in_flight: BTreeMap::new(),
             timers: BTreeMap::new(),
             serial: 0,
             sent: 0,
         };
-        bench.hear(Event::Membership(MembershipKind::Full, list(engines)));
+        bench.handle_event(Event::Membership(MembershipKind::Full, list(engines)));
         bench
     }
 
-    fn hear(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.controller.handle(self.now, event, &mut actions);
         for action in actions {
@@ -90,7 +92,8 @@
             match action {
                 Action::Send { request, engine, .. } => {
                     self.sent += 1;
-                    self.out.insert(self.now + SERVED_NS + self.serial % 1_000, (request, engine));
+                    self.in_flight
+                        .insert(self.now + SERVICE_TIME_NS + self.serial % 1_000, (request, engine));
                 }
                 Action::SetTimer { after_ns, token } => {
                     self.timers.insert((self.now + after_ns, self.serial), token);
@@ -100,38 +103,38 @@
         }
     }
 
-    fn pass_to(&mut self, end: u64) {
+    fn advance_to(&mut self, end: u64) {
         loop {
-            let served = self.out.keys().next().copied().unwrap_or(u64::MAX);
-            let due = self.timers.keys().next().copied().unwrap_or((u64::MAX, 0));
-            if served.min(due.0) > end {
+            let completion_ns = self.in_flight.keys().next().copied().unwrap_or(u64::MAX);
+            let timer = self.timers.keys().next().copied().unwrap_or((u64::MAX, 0));
+            if completion_ns.min(timer.0) > end {
                 break;
             }
-            self.now = self.now.max(served.min(due.0));
-            if due.0 < served {
-                if let Some(token) = self.timers.remove(&due) {
-                    self.hear(Event::Timer(token));
+            self.now = self.now.max(completion_ns.min(timer.0));
+            if timer.0 < completion_ns {
+                if let Some(token) = self.timers.remove(&timer) {
+                    self.handle_event(Event::Timer(token));
                 }
-            } else if let Some((request, engine)) = self.out.remove(&served) {
-                self.hear(Event::Outcome(outcome(request, engine)));
+            } else if let Some((request, engine)) = self.in_flight.remove(&completion_ns) {
+                self.handle_event(Event::Outcome(outcome(request, engine)));
             }
         }
         self.now = end;
     }
 
-    /// Statements arrive and end at the design's rate.
+    /// Runs statements at the rate of the design size.
     fn statements(&mut self, count: u64) {
         for _ in 0..count {
-            self.pass_to(self.now + GAP_NS);
-            self.next += 1;
+            self.advance_to(self.now + STATEMENT_INTERVAL_NS);
+            self.next_request += 1;
             let request = Request {
-                id: RequestId(self.next),
+                id: RequestId(self.next_request),
                 class: ClassId(0),
                 time_left_ns: 4_000_000_000,
                 work_estimate_ns: Some(60_000_000),
                 ..Request::default()
             };
-            self.hear(Event::Arrival(request));
+            self.handle_event(Event::Arrival(request));
         }
     }
 }
@@ -142,7 +145,7 @@
         attempt: 0,
         engine,
         status: Status::Done,
-        latency_ns: SERVED_NS,
+        latency_ns: SERVICE_TIME_NS,
         concluded: true,
         may_run_until_ns: 0,
         work_ns: None,
@@ -151,11 +154,11 @@
     }
 }
 
-/// Microseconds a statement, with its end and the module's timers.
+/// Processor time per statement (us), including its completion and timers.
 fn statement_us(settings: &Settings, engines: usize) -> Result<f64, String> {
     let mut bench = Bench::new(settings.clone(), engines);
     bench.statements(WARM_UP);
-    let count = (WORK / engines as u64).clamp(MIN_STATEMENTS, MAX_STATEMENTS);
+    let count = (STATEMENTS_TIMES_ENGINES / engines as u64).clamp(MIN_STATEMENTS, MAX_STATEMENTS);
     let sent_before = bench.sent;
     let (ns, ()) = timed(|| bench.statements(count));
     match bench.sent - sent_before {
@@ -164,38 +167,38 @@
     }
 }
 
-fn whole_list_us(settings: &Settings, engines: usize) -> f64 {
+fn full_list_us(settings: &Settings, engines: usize) -> f64 {
     let mut bench = Bench::new(settings.clone(), engines);
-    let again = list(engines);
-    let (ns, ()) = timed(|| bench.hear(Event::Membership(MembershipKind::Full, again)));
+    let full_list = list(engines);
+    let (ns, ()) = timed(|| bench.handle_event(Event::Membership(MembershipKind::Full, full_list)));
     ns as f64 / 1e3
 }
 
-/// Microseconds for news of one engine that drains.
+/// Processor time per update of one draining engine (us).
 fn change_us(settings: &Settings, engines: usize) -> f64 {
     const CHANGES: usize = 20;
     let mut bench = Bench::new(settings.clone(), engines);
     let (ns, ()) = timed(|| {
         for engine in 0..CHANGES {
-            let news = vec![entry(engine, EngineState::Draining)];
-            bench.hear(Event::Membership(MembershipKind::Delta, news));
+            let entries = vec![entry(engine, EngineState::Draining)];
+            bench.handle_event(Event::Membership(MembershipKind::Delta, entries));
         }
     });
     ns as f64 / 1e3 / CHANGES as f64
 }
 
-/// Measures it all.
+/// Measures the costs by the number of engines.
 ///
 /// # Errors
-/// Where the module does not send what it should.
+/// If the module does not send enough statements, or the settings are invalid.
 pub fn measure(figures: &mut Figures) -> Result<(), String> {
     let settings = fleet_settings()?;
     let statement = repeated(&ENGINES, |engines| statement_us(&settings, engines))?;
     let what = "decision module, processor time of one statement with its end and timers, at 1,094 a second";
     figures.insert("decision_us".into(), series(what, "us", "engines", statement));
-    let whole = repeated(&ENGINES, |engines| Ok(whole_list_us(&settings, engines)))?;
+    let full_lists = repeated(&ENGINES, |engines| Ok(full_list_us(&settings, engines)))?;
     let what = "decision module, processor time of the whole list told again";
-    figures.insert("decision_list_us".into(), series(what, "us", "engines", whole));
+    figures.insert("decision_list_us".into(), series(what, "us", "engines", full_lists));
     let change = repeated(&ENGINES, |engines| Ok(change_us(&settings, engines)))?;
     let what = "decision module, processor time of news of one engine";
     figures.insert("decision_change_us".into(), series(what, "us", "engines", change));
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -1,10 +1,11 @@
-//! What shared limits cost a router: at its start, when it asks every peer what it lent, and a second, by limits in use.
+//! Measures the cost of shared limits for a router: at its start, when it requests the held leases
+//! from every peer, and per second by the keys in use.
 
 use std::net::SocketAddr;
 
 use marljunction_limits::escrow::Peer;
 use marljunction_limits::{Kind, Limit, LimitParams, Message, Mode, Node};
-use marljunction_peers::datagram::Kind as Sealed;
+use marljunction_peers::datagram::Kind as DatagramKind;
 use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
 use marljunction_testkit::fleet::KEY;
 
@@ -12,51 +13,51 @@
 use super::{series, Figures};
 
 const ROUTERS: [usize; 4] = [50, 200, 800, 3_200];
-/// Routers of a steady fleet, and keys that are in use.
+/// Routers of a fleet in steady state, and keys in use.
 const STEADY: [usize; 4] = [25, 50, 100, 200];
 const KEYS: [usize; 4] = [1, 4, 16, 64];
 const KEYS_ROUTERS: usize = 50;
 const SECOND_NS: u64 = 1_000_000_000;
 const START_NS: u64 = 1_700_000_000 * SECOND_NS;
 const STEP_NS: u64 = 20_000_000;
-const KEYS_MOST: usize = 16_384;
+const MAX_KEYS: usize = 16_384;
 
-/// Messages, and sealed bytes of them, one datagram for each peer and time.
+/// Number of messages, and their bytes as signed datagrams.
 #[derive(Clone, Copy, Default)]
 struct Sent {
     messages: u64,
     bytes: u64,
 }
 
-/// Seals what is said as the program does, to count its bytes.
-struct Sealer {
+/// Encodes and signs messages as the program does, to determine their size.
+struct DatagramSizer {
     members: Members,
     to: SocketAddr,
 }
 
-impl Sealer {
-    fn new() -> Result<Sealer, String> {
+impl DatagramSizer {
+    fn new() -> Result<DatagramSizer, String> {
         let to = SocketAddr::from(([10, 0, 0, 1], 4_200));
-        let who = PeerIdentity {
+        let identity = PeerIdentity {
             name: "router-00000".into(),
             number: 0,
             address: to,
             incarnation: START_NS,
             renewal: 0,
         };
-        Ok(Sealer { members: Members::new(who, Keys::read(KEY)?, &Settings::default(), 1), to })
+        Ok(DatagramSizer { members: Members::new(identity, Keys::read(KEY)?, &Settings::default(), 1), to })
     }
 
     fn bytes(&mut self, messages: &[&Message]) -> u64 {
-        let said = rmp_serde::to_vec(messages).unwrap_or_default();
-        self.members.send_payload(self.to, Sealed::Limits, &said);
-        let (out, _) = self.members.take();
-        out.iter().map(|(_, datagram)| datagram.len() as u64).sum()
+        let encoded = rmp_serde::to_vec(messages).unwrap_or_default();
+        self.members.send_payload(self.to, DatagramKind::Limits, &encoded);
+        let (datagrams, _) = self.members.take();
+        datagrams.iter().map(|(_, datagram)| datagram.len() as u64).sum()
     }
 }
 
 fn limit(routers: usize) -> Limit {
-    // Each router owns two units of each key.
+    // Two units per router.
     let kind = Kind::Concurrency { at_once: 2 * routers as u32 };
     Limit { name: "limit".into(), subject: "tenant".into(), kind, mode: Mode::Strict }
 }
@@ -64,9 +65,9 @@
 struct Fleet {
     now: u64,
     nodes: Vec<Node>,
-    wire: Vec<(usize, Peer, Message)>,
+    in_transit: Vec<(usize, Peer, Message)>,
     sent: Sent,
-    sealer: Sealer,
+    datagram_sizer: DatagramSizer,
     routers: usize,
 }
 
@@ -76,40 +77,40 @@
         let mut fleet = Fleet {
             now: START_NS,
             nodes: Vec::new(),
-            wire: Vec::new(),
+            in_transit: Vec::new(),
             sent: Sent::default(),
-            sealer: Sealer::new()?,
+            datagram_sizer: DatagramSizer::new()?,
             routers,
         };
         for at in 0..routers {
-            let me = Peer { number: at as u32, incarnation: START_NS };
-            fleet.nodes.push(Node::new(START_NS, me, params, vec![limit(routers)], KEYS_MOST));
+            let this_peer = Peer { number: at as u32, incarnation: START_NS };
+            fleet.nodes.push(Node::new(START_NS, this_peer, params, vec![limit(routers)], MAX_KEYS));
         }
-        (0..routers).for_each(|at| fleet.see_all(at));
+        (0..routers).for_each(|at| fleet.set_all_reachable(at));
         Ok(fleet)
     }
 
-    fn see_all(&mut self, at: usize) {
+    fn set_all_reachable(&mut self, at: usize) {
         let others = (0..self.routers as u32).filter(|other| *other != at as u32).collect();
         self.nodes[at].set_reachable(self.now, others);
     }
 
-    fn send_payload(&mut self, from: usize, said: Vec<(u32, Message)>) {
+    fn send_payload(&mut self, from: usize, messages: Vec<(u32, Message)>) {
         let peer = Peer { number: from as u32, incarnation: START_NS };
-        for (to, message) in said {
+        for (to, message) in messages {
             self.sent.messages += 1;
-            self.sent.bytes += self.sealer.bytes(&[&message]);
-            self.wire.push((to as usize, peer, message));
+            self.sent.bytes += self.datagram_sizer.bytes(&[&message]);
+            self.in_transit.push((to as usize, peer, message));
         }
     }
 
-    /// Hands over what was said, answers included.
+    /// Delivers all messages in transit, and the responses to them.
     fn deliver(&mut self) {
-        while !self.wire.is_empty() {
-            for (to, from, message) in std::mem::take(&mut self.wire) {
-                let answers = self.nodes[to].receive(self.now, from, message);
-                let answers = answers.into_iter().map(|answer| (from.number, answer)).collect();
-                self.send_payload(to, answers);
+        while !self.in_transit.is_empty() {
+            for (to, from, message) in std::mem::take(&mut self.in_transit) {
+                let responses = self.nodes[to].receive(self.now, from, message);
+                let responses = responses.into_iter().map(|response| (from.number, response)).collect();
+                self.send_payload(to, responses);
             }
         }
     }
@@ -117,8 +118,8 @@
     fn step(&mut self) {
         self.now += STEP_NS;
         for at in 0..self.routers {
-            let said = self.nodes[at].tick(self.now);
-            self.send_payload(at, said);
+            let messages = self.nodes[at].tick(self.now);
+            self.send_payload(at, messages);
         }
         self.deliver();
     }
@@ -128,25 +129,25 @@
     }
 }
 
-/// Messages, bytes and processor time (ms) of one router's start, its peers' answers included.
+/// Messages, bytes and processor time (ms) of one router's start, including its peers' responses.
 fn start(routers: usize) -> Result<[f64; 3], String> {
     let mut fleet = Fleet::new(routers)?;
-    // The others have been there for long: they ask nobody.
+    // Only the first router starts; the others send no requests.
     let cpu = thread_ns();
     fleet.now += STEP_NS;
-    let asked = fleet.nodes[0].tick(fleet.now);
-    fleet.send_payload(0, asked);
+    let requests = fleet.nodes[0].tick(fleet.now);
+    fleet.send_payload(0, requests);
     fleet.deliver();
     let cpu = thread_ns() - cpu;
     Ok([fleet.sent.messages as f64, fleet.sent.bytes as f64, cpu as f64 / 1e6])
 }
 
-/// Messages, bytes and processor time (ms) a second of one router where a tenth of the routers want more than their own units of each
-/// of `keys`.
+/// Messages, bytes and processor time (ms) per second of one router if a tenth of the routers
+/// demand more than their own units of each of `keys`.
 fn steady(routers: usize, keys: usize) -> Result<[f64; 3], String> {
     const MEASURED_NS: u64 = 4 * SECOND_NS;
     let mut fleet = Fleet::new(routers)?;
-    // All know what they lent, and may lend again.
+    // Wait until the routers have recovered their leases and may grant new ones.
     fleet.run(SECOND_NS);
     fleet.run(30 * SECOND_NS);
     let mut permits = Vec::new();
@@ -163,7 +164,7 @@
     for _ in 0..steps {
         for at in (0..routers).step_by(10) {
             for key in 0..keys as u64 {
-                // Demand stays: what can't be admitted is asked for.
+                // Demand persists: units that can't be admitted are requested.
                 permits.extend(fleet.nodes[at].admit(fleet.now, &[(0, key)]).ok());
             }
         }
@@ -176,10 +177,10 @@
     Ok([each(sent.messages), each(sent.bytes), each(thread_ns() - cpu) / 1e6])
 }
 
-/// Measures it all.
+/// Measures the costs by the number of routers and keys.
 ///
 /// # Errors
-/// Where the fleet's key can't be read.
+/// If the fleet's key is invalid.
 pub fn measure(figures: &mut Figures) -> Result<(), String> {
     let mut add = |names: [(&str, &str, &str); 3], by: &str, of: Vec<(usize, [f64; 3])>| {
         for (at, (name, what, unit)) in names.into_iter().enumerate() {
--- a/crates/lab/src/scale/peers.rs
+++ b/crates/lab/src/scale/peers.rs
@@ -1,13 +1,14 @@
-//! What routers say to each other, by the size of the fleet: membership, limits and engines' health over real datagrams.
+//! Measures communication between routers by fleet size: membership, limits and engine health over
+//! real datagrams, without an engine list.
 //!
-//! The list is left out, so that each cost is its own. A size at which not all know all in time is told with the fewest peers that a
-//! router knew; its figures are of a fleet that still joins.
+//! If the join does not complete in time, the smallest number of known peers is reported, and the
+//! figures are those of a fleet that is still joining.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
 
 use marljunction_testkit::hollow::fleet::{FleetPlan, HollowFleet};
-use marljunction_testkit::hollow::fleet_side::REGIONS;
+use marljunction_testkit::hollow::fleet_member::REGIONS;
 use marljunction_testkit::hollow::key_files::KeyFiles;
 use marljunction_testkit::hollow::protocol::FleetSetup;
 use serde::Serialize;
@@ -15,61 +16,63 @@
 use super::size::{hosts, module_settings};
 use super::{Run, ScaleError};
 
-/// Units a second of the one limit.
+/// Rate of the shared limit (units per second).
 const LIMIT_PER_S: f64 = 50_000.0;
-/// Quiet time that is measured (full, quick).
-const QUIET: [Duration; 2] = [Duration::from_secs(10), Duration::from_secs(2)];
-/// Time between the join and quiet time (full, quick).
-const SETTLE: [Duration; 2] = [Duration::from_secs(8), Duration::from_secs(3)];
-/// Longest time for all to know all (full, quick; s).
-const JOIN_LIMIT_S: [u64; 2] = [45, 15];
-/// How long a region is cut off: longer than peers are suspected.
-const CUT: Duration = Duration::from_secs(6);
+/// Measured quiet time (full, quick).
+const QUIET_TIME: [Duration; 2] = [Duration::from_secs(10), Duration::from_secs(2)];
+/// Time between the join and the measured quiet time (full, quick).
+const SETTLE_TIME: [Duration; 2] = [Duration::from_secs(8), Duration::from_secs(3)];
+/// Timeout of the join (full, quick; s).
+const JOIN_TIMEOUT_S: [u64; 2] = [45, 15];
+/// Duration of a region's partition: longer than the suspicion timeout of peers.
+const PARTITION_TIME: Duration = Duration::from_secs(6);
 
-/// What was measured at a size, of one router where nothing else is said.
+/// Measurements at a size, per router unless stated otherwise.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct PeersMeasured {
-    /// Hollow routers (count).
+    /// Number of hollow routers.
     pub routers: u32,
-    /// Time until each knew all others (s); none where that was not so in time.
+    /// Time until every router knows all others (s); none if the join timed out.
     pub join_s: Option<f64>,
-    /// Fewest peers that a router knew at the end of the join (count).
-    pub fewest_peers: u32,
-    /// Bytes sent in the join: mean.
+    /// Smallest number of peers that a router knows at the end of the join.
+    #[serde(rename = "fewest_peers")]
+    pub min_peers: u32,
+    /// Mean number of bytes sent in the join.
     pub join_bytes: f64,
     /// Processor time of the join (ms).
     pub join_processor_ms: f64,
-    /// Share of a core in quiet time; 0 where that was not measured.
+    /// Share of a core in quiet time; 0 if not measured.
     pub quiet_core_share: f64,
-    /// Bytes sent a second in quiet time: mean; 0 where that was not measured.
+    /// Mean number of bytes sent per second in quiet time; 0 if not measured.
     pub quiet_bytes_per_s: f64,
     /// Memory (MB).
     pub hollow_mb: f64,
-    /// Time until all knew who was there after a zone was gone, a region was back and a tenth was restarted (s); none where that
-    /// was not measured or not so in time.
+    /// Time until every running router knows all others after a zone was stopped (s); none if not
+    /// measured or timed out.
     pub zone_gone_s: Option<f64>,
-    /// See `zone_gone_s`.
+    /// The same after the partition of a region ended (s).
     pub region_back_s: Option<f64>,
-    /// See `zone_gone_s`.
+    /// The same after a tenth of the routers was restarted (s).
     pub restart_a_tenth_s: Option<f64>,
-    /// Memory of all processes (GiB).
+    /// Peak memory of all processes (GiB).
     pub memory_gib: f64,
 }
 
-/// Measures a fleet of a size. A quick run measures quiet time at its largest size only, and no faults.
+/// Measures a fleet of a size. A quick run measures quiet time at its largest size only, and no
+/// faults.
 ///
 /// # Errors
-/// Where a process can't be had or has ended.
+/// If a process can't be started or has exited.
 pub fn measure(run: &Run, routers: u32, largest: bool) -> Result<PeersMeasured, ScaleError> {
     let keys = KeyFiles::new(&format!("peers-{routers}"))?;
     let mut fleet = HollowFleet::start(plan(run, routers, keys.path()))?;
     let mut measured = PeersMeasured { routers, ..PeersMeasured::default() };
-    let limit = Duration::from_secs(JOIN_LIMIT_S[usize::from(run.quick)]);
+    let limit = Duration::from_secs(JOIN_TIMEOUT_S[usize::from(run.quick)]);
     measured.join(&mut fleet, limit)?;
-    // What was learned in a join is told on for a while.
+    // Gossip about the join continues for a while.
     if largest || !run.quick {
-        std::thread::sleep(SETTLE[usize::from(run.quick)]);
-        measured.quiet(&mut fleet, QUIET[usize::from(run.quick)])?;
+        std::thread::sleep(SETTLE_TIME[usize::from(run.quick)]);
+        measured.quiet(&mut fleet, QUIET_TIME[usize::from(run.quick)])?;
     }
     if largest && !run.quick && measured.join_s.is_some() {
         measured.faults(&mut fleet, &keys, limit)?;
@@ -102,32 +105,32 @@
 impl PeersMeasured {
     fn join(&mut self, fleet: &mut HollowFleet, limit: Duration) -> Result<(), ScaleError> {
         let empty_kb = fleet.hosts_usage().resident_kb;
-        let (began, before) = (Instant::now(), self.spent(fleet)?);
+        let (started, before) = (Instant::now(), self.spent(fleet)?);
         fleet.start_seeds()?;
-        let others: Vec<u32> = (0..self.routers).filter(|number| !fleet.there().contains(number)).collect();
+        let others: Vec<u32> = (0..self.routers).filter(|number| !fleet.running().contains(number)).collect();
         fleet.start_routers(&others)?;
         let joined = fleet.await_peers(self.routers - 1, limit)?;
-        self.join_s = joined.map(|_| began.elapsed().as_secs_f64());
+        self.join_s = joined.map(|_| started.elapsed().as_secs_f64());
         let after = self.spent(fleet)?;
         self.join_processor_ms = (after.0 - before.0) * 1e3;
         self.join_bytes = after.1;
         let peers = fleet.reports()?.into_iter().map(|report| report.peers);
-        self.fewest_peers = peers.min().unwrap_or(0);
+        self.min_peers = peers.min().unwrap_or(0);
         let kb = fleet.hosts_usage().resident_kb.saturating_sub(empty_kb);
         self.hollow_mb = kb as f64 / 1024.0 / f64::from(self.routers);
         Ok(())
     }
 
     fn quiet(&mut self, fleet: &mut HollowFleet, time: Duration) -> Result<(), ScaleError> {
-        let (began, before) = (Instant::now(), self.spent(fleet)?);
+        let (started, before) = (Instant::now(), self.spent(fleet)?);
         std::thread::sleep(time);
-        let (passed_s, after) = (began.elapsed().as_secs_f64(), self.spent(fleet)?);
-        self.quiet_core_share = (after.0 - before.0) / passed_s;
-        self.quiet_bytes_per_s = (after.1 - before.1) / passed_s;
+        let (elapsed_s, after) = (started.elapsed().as_secs_f64(), self.spent(fleet)?);
+        self.quiet_core_share = (after.0 - before.0) / elapsed_s;
+        self.quiet_bytes_per_s = (after.1 - before.1) / elapsed_s;
         Ok(())
     }
 
-    /// Processor time (s) and bytes sent of a router so far.
+    /// Means so far: processor time (s) and bytes sent of a router.
     fn spent(&self, fleet: &mut HollowFleet) -> Result<(f64, f64), ScaleError> {
         let routers = f64::from(self.routers);
         let processor_s = fleet.hosts_usage().processor_ns as f64 / 1e9;
@@ -142,29 +145,29 @@
         limit: Duration,
     ) -> Result<(), ScaleError> {
         let all: Vec<u32> = (0..self.routers).collect();
-        let one_in = |count: u32, of: u32| -> Vec<u32> {
+        let every_nth = |count: u32, of: u32| -> Vec<u32> {
             all.iter().copied().filter(|number| number % count == of).collect()
         };
-        let zone = one_in(25, 4);
+        let zone = every_nth(25, 4);
         let since = Instant::now();
         fleet.stop_routers(&zone)?;
-        let gone = fleet.await_peers(self.routers - zone.len() as u32 - 1, limit)?;
-        self.zone_gone_s = gone.map(|_| since.elapsed().as_secs_f64());
+        let stopped = fleet.await_peers(self.routers - zone.len() as u32 - 1, limit)?;
+        self.zone_gone_s = stopped.map(|_| since.elapsed().as_secs_f64());
         fleet.start_routers(&zone)?;
         fleet.await_peers(self.routers - 1, limit)?;
 
-        let region = one_in(REGIONS, 5);
-        keys.set_cut(5, true)?;
+        let region = every_nth(REGIONS, 5);
+        keys.set_partitioned(5, true)?;
         fleet.reload_keys(&region)?;
-        std::thread::sleep(CUT);
-        keys.set_cut(5, false)?;
+        std::thread::sleep(PARTITION_TIME);
+        keys.set_partitioned(5, false)?;
         fleet.reload_keys(&region)?;
         let since = Instant::now();
         let back = fleet.await_peers(self.routers - 1, limit)?;
         self.region_back_s = back.map(|_| since.elapsed().as_secs_f64());
 
         let since = Instant::now();
-        fleet.start_routers(&one_in(10, 0))?;
+        fleet.start_routers(&every_nth(10, 0))?;
         let known = fleet.await_peers(self.routers - 1, limit)?;
         self.restart_a_tenth_s = known.map(|_| since.elapsed().as_secs_f64());
         Ok(())
--- a/crates/testkit/src/hollow/known_list.rs
+++ b/crates/testkit/src/hollow/engine_fingerprints.rs
@@ -1,7 +1,6 @@
-//! The list of engines as a hollow router holds it: a fingerprint of each engine, and their sum.
+//! A hollow router's engine list, reduced to a fingerprint of each engine and their sum.
 //!
-//! Sixteen bytes an engine, so that thousands of routers with a whole list each fit one machine. What a list costs a whole router
-//! is measured with the decision module.
+//! It uses 16 bytes per engine, so that thousands of routers with full lists fit on one machine.
 
 use std::net::SocketAddr;
 
@@ -11,36 +10,36 @@
 
 use super::protocol::ListDigest;
 
-/// The list of one router.
+/// The fingerprints of a router's engine list.
 #[derive(Clone, Debug, Default)]
-pub struct KnownList {
-    /// Engine number and fingerprint, in order of the numbers.
+pub struct EngineFingerprints {
+    /// Engine ID and fingerprint, sorted by ID.
     engines: Vec<(u64, u64)>,
     sum: u64,
 }
 
-impl KnownList {
-    /// Takes a change that the list service told.
+impl EngineFingerprints {
+    /// Applies a change from the list service.
     pub fn apply(&mut self, change: &Change) {
         match change.kind {
             MembershipKind::Full => self.replace(change.targets.iter().map(entry_of_target)),
-            // Of a list that is not known to be whole nothing is taken away, and a call that failed names nothing.
-            _ => change.targets.iter().map(entry_of_target).for_each(|(id, entry)| self.put(id, entry)),
+            // Other kinds are not authoritative for engines that they do not contain.
+            _ => change.targets.iter().map(entry_of_target).for_each(|(id, entry)| self.set(id, entry)),
         }
     }
 
-    /// Takes news of a cell's part that a relay told.
-    pub fn apply_part(&mut self, news: &PartUpdate) {
-        match news {
+    /// Applies an update of a cell's part from a relay.
+    pub fn apply_part(&mut self, update: &PartUpdate) {
+        match update {
             PartUpdate::Snapshot(engines) => self.replace(engines.iter().map(entry_of_engine)),
-            PartUpdate::Delta(engines, gone) => {
-                engines.iter().map(entry_of_engine).for_each(|(id, entry)| self.put(id, entry));
-                gone.iter().for_each(|id| self.put(*id, None));
+            PartUpdate::Delta(engines, removed) => {
+                engines.iter().map(entry_of_engine).for_each(|(id, entry)| self.set(id, entry));
+                removed.iter().for_each(|id| self.set(*id, None));
             }
         }
     }
 
-    /// What sums it up.
+    /// Digest of the list.
     pub fn digest(&self) -> ListDigest {
         ListDigest { engines: self.engines.len() as u64, sum: self.sum }
     }
@@ -51,15 +50,15 @@
         self.sum = self.engines.iter().fold(0, |sum, (_, fingerprint)| sum.wrapping_add(*fingerprint));
     }
 
-    /// An engine with its fingerprint; none for one that is gone.
-    fn put(&mut self, engine: u64, entry: Option<u64>) {
-        let at = self.engines.binary_search_by_key(&engine, |(known, _)| *known);
-        let before = at.ok().map_or(0, |at| self.engines[at].1);
-        self.sum = self.sum.wrapping_sub(before).wrapping_add(entry.unwrap_or(0));
-        match (at, entry) {
-            (Ok(at), Some(fingerprint)) => self.engines[at].1 = fingerprint,
-            (Ok(at), None) => drop(self.engines.remove(at)),
-            (Err(at), Some(fingerprint)) => self.engines.insert(at, (engine, fingerprint)),
+    /// Sets the fingerprint of an engine; none removes the engine.
+    fn set(&mut self, engine: u64, entry: Option<u64>) {
+        let index = self.engines.binary_search_by_key(&engine, |(listed, _)| *listed);
+        let previous = index.ok().map_or(0, |index| self.engines[index].1);
+        self.sum = self.sum.wrapping_sub(previous).wrapping_add(entry.unwrap_or(0));
+        match (index, entry) {
+            (Ok(index), Some(fingerprint)) => self.engines[index].1 = fingerprint,
+            (Ok(index), None) => drop(self.engines.remove(index)),
+            (Err(index), Some(fingerprint)) => self.engines.insert(index, (engine, fingerprint)),
             (Err(_), None) => {}
         }
     }
@@ -68,28 +67,28 @@
 fn entry_of_target(target: &Target) -> (u64, Option<u64>) {
     let entry = &target.entry;
     let (id, draining) = (entry.engine.0, entry.state == EngineState::Draining);
-    let one = fingerprint(id, target.address, draining, entry.started_ns.unwrap_or(0) / 1_000_000);
-    (id, (entry.state != EngineState::Gone).then_some(one))
+    let value = fingerprint(id, target.address, draining, entry.started_ns.unwrap_or(0) / 1_000_000);
+    (id, (entry.state != EngineState::Gone).then_some(value))
 }
 
 fn entry_of_engine(engine: &Engine) -> (u64, Option<u64>) {
     let draining = engine.state == CellEngineState::Draining;
-    let one = fingerprint(engine.id, engine.address, draining, engine.started_ms);
-    (engine.id, (engine.state != CellEngineState::Gone).then_some(one))
+    let value = fingerprint(engine.id, engine.address, draining, engine.started_ms);
+    (engine.id, (engine.state != CellEngineState::Gone).then_some(value))
 }
 
-/// A number that differs where an engine's name, address, state or start differs.
+/// Hash of an engine's ID, address, state and start time.
 pub fn fingerprint(engine: u64, address: SocketAddr, draining: bool, boot_ms: u64) -> u64 {
     let host = match address {
-        SocketAddr::V4(at) => u128::from(u32::from(*at.ip())),
-        SocketAddr::V6(at) => u128::from(*at.ip()),
+        SocketAddr::V4(v4) => u128::from(u32::from(*v4.ip())),
+        SocketAddr::V6(v6) => u128::from(*v6.ip()),
     };
     let parts =
         [engine, host as u64, (host >> 64) as u64, u64::from(address.port()), u64::from(draining), boot_ms];
     parts.into_iter().fold(0x9e37_79b9_7f4a_7c15, |hash, part| mix_hash(hash ^ part))
 }
 
-/// Spreads each bit over all: splitmix64's last step.
+/// The finalizer of splitmix64.
 fn mix_hash(value: u64) -> u64 {
     let value = (value ^ value >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ value >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/testkit/src/hollow/fleet.rs
+++ b/crates/testkit/src/hollow/fleet.rs
@@ -1,92 +1,93 @@
-//! A fleet of hollow routers seen from its owner: a list service and hosts, each a process of its own.
+//! Control of a fleet of hollow routers: a list service and hosts, each a separate process.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use super::child::Obedient;
+use super::child::ChildProcess;
 use super::protocol::{
-    CellsSetup, Expected, FleetSetup, HostCommand, HostReport, HostSetup, ListSource, ListedState, PaceSetup,
-    RouterReport, RouterStart, ServiceCommand, ServiceCounters, ServiceReport, ServiceSetup, ToldEvent,
+    CellsSetup, ExpectedLists, FleetSetup, HostCommand, HostReport, HostSetup, ListSource, ListedState,
+    PaceSetup, RouterReport, RouterStart, SentChange, ServiceCommand, ServiceCounters, ServiceReport,
+    ServiceSetup,
 };
 use super::usage::Usage;
 use super::HollowError;
 
-/// Routers that others join by (count).
+/// Number of seed routers.
 const SEEDS: u32 = 3;
-/// Longest wait for an answer that takes no waiting of its own.
-const ANSWER: Duration = Duration::from_secs(60);
+/// Timeout of a report that does not await a condition.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How many of what.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// The program that becomes the service and the hosts, with [`SERVICE`] and [`HOST`].
+    /// The program that runs the service and the hosts, by [`SERVICE`] and [`HOST`].
     pub program: PathBuf,
-    /// Hollow routers (count).
+    /// Number of hollow routers.
     pub routers: u32,
-    /// Further routers that the service has a listener for: real ones (count).
+    /// Number of real routers; the service has a listener for each of them too.
     pub real_routers: u32,
-    /// Engines on the list (count).
+    /// Number of engines on the list.
     pub engines: u32,
-    /// Hosts of hollow routers (count).
+    /// Number of hosts of hollow routers.
     pub hosts: u32,
-    /// Calls a second that the list service takes, which is the fleet's budget too.
+    /// Calls per second that the list service accepts, which is also the fleet's call budget.
     pub calls_per_s: f64,
-    /// Whole lists that the service writes at a time (count).
+    /// Maximum number of full lists that the service writes at the same time.
     pub concurrent_snapshots: usize,
-    /// The module's settings.
+    /// Settings of the decision module.
     pub settings: String,
-    /// Whether each router's module is told the list.
+    /// Whether each router passes its list to its decision module.
     pub module: bool,
-    /// Whether routers follow the list service, where no relays do.
+    /// Whether routers follow the list service, if the fleet has no cells.
     pub list: bool,
-    /// How the fleet is divided, with relays; each router reads the whole list if none.
+    /// Division into cells with relays; none if routers do not learn parts from relays.
     pub cells: Option<CellsPlan>,
-    /// What routers say to each other; nothing if none.
+    /// Communication between routers; none if they do not communicate.
     pub fleet: Option<FleetSetup>,
-    /// Seed of all draws.
+    /// Random seed.
     pub seed: u64,
 }
 
-/// Cells, and relays that tell them their parts.
+/// Division of a fleet into cells, served by relays.
 #[derive(Clone, Copy, Debug)]
 pub struct CellsPlan {
-    /// Cells of a zone (count).
+    /// Cells per zone.
     pub cells: u32,
-    /// Relays (count), and hosts of them: others than the routers'.
+    /// Number of relays.
     pub relays: u32,
-    /// See `relays`.
+    /// Number of hosts of relays, beside those of routers.
     pub hosts: u32,
-    /// Time between a router's asks (ns).
+    /// Interval between a router's requests to a relay (ns).
     pub ask_ns: u64,
 }
 
-/// The argument that makes the lab a list service, and the one that makes it a host.
+/// Command of the lab that runs a list service.
 pub const SERVICE: &str = "hollow-service";
-/// See [`SERVICE`].
+/// Command of the lab that runs a host.
 pub const HOST: &str = "hollow-host";
 
-type Host = Obedient<HostCommand, HostReport>;
+type Host = ChildProcess<HostCommand, HostReport>;
 
-/// The fleet.
+/// A running fleet.
 pub struct HollowFleet {
     plan: FleetPlan,
-    service: Obedient<ServiceCommand, ServiceReport>,
-    /// Hosts of routers, then those of relays.
+    service: ChildProcess<ServiceCommand, ServiceReport>,
+    /// Hosts of routers, followed by hosts of relays.
     hosts: Vec<Host>,
     relays: Vec<SocketAddr>,
-    lists: Vec<SocketAddr>,
-    there: BTreeSet<u32>,
+    list_service_addresses: Vec<SocketAddr>,
+    running: BTreeSet<u32>,
 }
 
 impl HollowFleet {
-    /// Starts the service and the hosts; no router yet.
+    /// Starts the service and the hosts, without any routers.
     ///
     /// # Errors
-    /// Where a process can't be started.
+    /// If a process can't be started.
     pub fn start(plan: FleetPlan) -> Result<HollowFleet, HollowError> {
-        let mut service = Obedient::start(&plan.program, &[SERVICE], "the list service".to_owned())?;
+        let mut service = ChildProcess::start(&plan.program, &[SERVICE], "the list service".to_owned())?;
         let setup = ServiceSetup {
             routers: plan.listeners(),
             engines: plan.engines,
@@ -94,15 +95,23 @@
             calls_per_s: plan.calls_per_s,
             concurrent_snapshots: plan.concurrent_snapshots,
         };
-        let ServiceReport::Started(lists) = service.ask(&ServiceCommand::Start(setup), ANSWER)? else {
-            return Err(other(service.name(), "Started"));
+        let ServiceReport::Started(list_service_addresses) =
+            service.request(&ServiceCommand::Start(setup), RESPONSE_TIMEOUT)?
+        else {
+            return Err(unexpected(service.name(), "Started"));
         };
         let mut hosts = Vec::new();
         for number in 0..plan.hosts + plan.cells.map_or(0, |cells| cells.hosts) {
             hosts.push(Host::start(&plan.program, &[HOST], format!("host {number}"))?);
         }
-        let mut fleet =
-            HollowFleet { plan, service, hosts, relays: Vec::new(), lists, there: BTreeSet::new() };
+        let mut fleet = HollowFleet {
+            plan,
+            service,
+            hosts,
+            relays: Vec::new(),
+            list_service_addresses,
+            running: BTreeSet::new(),
+        };
         fleet.set_up_hosts()?;
         Ok(fleet)
     }
@@ -118,12 +127,12 @@
             fleet: self.plan.fleet.clone(),
         };
         for host in &mut self.hosts {
-            host.tell(&HostCommand::Setup(Box::new(setup.clone())))?;
+            host.send_command(&HostCommand::Setup(Box::new(setup.clone())))?;
         }
         self.expect_done()
     }
 
-    /// How the fleet's calls are paced: over the time that the service needs for all.
+    /// Pacing of the fleet's calls: spread over the time that the service needs for all of them.
     pub fn pace(&self) -> PaceSetup {
         let routers = self.plan.routers + self.plan.real_routers;
         let window_ns = (f64::from(routers) / self.plan.calls_per_s * 1e9) as u64;
@@ -135,39 +144,40 @@
         }
     }
 
-    /// What it was planned as.
+    /// The configuration, with the seeds that were started.
     pub fn plan(&self) -> &FleetPlan {
         &self.plan
     }
 
-    /// Where a router finds the list service, by number: the real ones' come behind the hollow ones'.
-    pub fn list_address(&self, router: u32) -> Option<SocketAddr> {
-        self.lists.get(router as usize).copied()
+    /// Address of the list service for a router. Real routers are numbered after hollow ones.
+    pub fn list_service_address(&self, router: u32) -> Option<SocketAddr> {
+        self.list_service_addresses.get(router as usize).copied()
     }
 
-    /// Numbers of the hollow routers that are there.
-    pub fn there(&self) -> &BTreeSet<u32> {
-        &self.there
+    /// Numbers of the running hollow routers and relays.
+    pub fn running(&self) -> &BTreeSet<u32> {
+        &self.running
     }
 
-    /// Starts routers, anew where they are there.
+    /// Starts routers and restarts those that are running; returns their datagram addresses.
     ///
     /// # Errors
-    /// Where one gets no sockets.
+    /// If a host does not report.
     pub fn start_routers(&mut self, numbers: &[u32]) -> Result<Vec<(u32, Option<SocketAddr>)>, HollowError> {
-        let of_host = self.by_host(numbers);
-        for (host, numbers) in self.hosts.iter_mut().zip(&of_host) {
-            let list = |number: &u32| self.lists.get(*number as usize).map(|list| (*number, *list));
+        let routers_by_host = self.by_host(numbers);
+        for (host, numbers) in self.hosts.iter_mut().zip(&routers_by_host) {
+            let list =
+                |number: &u32| self.list_service_addresses.get(*number as usize).map(|list| (*number, *list));
             let starts = numbers.iter().filter_map(list).map(|(number, list)| {
                 let relay = number >= self.plan.first_relay();
                 RouterStart { number, list, relay }
             });
-            host.tell(&HostCommand::Start(starts.collect()))?;
+            host.send_command(&HostCommand::Start(starts.collect()))?;
         }
-        self.there.extend(numbers);
+        self.running.extend(numbers);
         let mut started = Vec::new();
         for host in &mut self.hosts {
-            started.extend(expect(host, ANSWER, "Started", |report| match report {
+            started.extend(expect_report(host, RESPONSE_TIMEOUT, "Started", |report| match report {
                 HostReport::Started(routers) => Some(routers),
                 _ => None,
             })?);
@@ -175,12 +185,12 @@
         Ok(started)
     }
 
-    /// Starts the relays, and tells the hosts where they are.
+    /// Starts the relays and configures the hosts with their addresses.
     ///
     /// # Errors
-    /// Where one gets no sockets.
+    /// If a host does not report.
     pub fn start_relays(&mut self) -> Result<(), HollowError> {
-        // Those that start know where no relay is, and need not.
+        // Relays do not need the addresses of relays.
         let started = self.start_routers(&self.plan.relays())?;
         self.relays = started.into_iter().filter_map(|(_, address)| address).collect();
         self.set_up_hosts()
@@ -189,17 +199,17 @@
     fn list_source(&self) -> ListSource {
         match self.plan.cells {
             None if self.plan.list => ListSource::Service,
-            None => ListSource::Nowhere,
+            None => ListSource::Disabled,
             Some(CellsPlan { cells, ask_ns, .. }) => {
                 ListSource::Relays(CellsSetup { cells, ask_ns, relays: self.relays.clone() })
             }
         }
     }
 
-    /// Starts the routers that others join by, and tells the hosts where they are.
+    /// Starts the seed routers and configures the hosts with their addresses.
     ///
     /// # Errors
-    /// Where one gets no sockets.
+    /// If a host does not report.
     pub fn start_seeds(&mut self) -> Result<(), HollowError> {
         let numbers: Vec<u32> = (0..SEEDS.min(self.plan.routers)).collect();
         let started = self.start_routers(&numbers)?;
@@ -209,35 +219,37 @@
         self.set_up_hosts()
     }
 
-    /// Has routers read their files of keys again.
+    /// Reloads the key files of routers.
     ///
     /// # Errors
-    /// Where a host has ended.
+    /// If a host has exited.
     pub fn reload_keys(&mut self, numbers: &[u32]) -> Result<(), HollowError> {
-        let of_host = self.by_host(numbers);
-        for (host, numbers) in self.hosts.iter_mut().zip(of_host) {
-            host.tell(&HostCommand::ReloadKeys(numbers))?;
+        let routers_by_host = self.by_host(numbers);
+        for (host, numbers) in self.hosts.iter_mut().zip(routers_by_host) {
+            host.send_command(&HostCommand::ReloadKeys(numbers))?;
         }
         self.expect_done()
     }
 
-    /// Ends routers at once.
+    /// Stops routers abruptly.
     ///
     /// # Errors
-    /// Where a host has ended.
+    /// If a host has exited.
     pub fn stop_routers(&mut self, numbers: &[u32]) -> Result<(), HollowError> {
-        let of_host = self.by_host(numbers);
-        for (host, numbers) in self.hosts.iter_mut().zip(of_host) {
-            host.tell(&HostCommand::Stop(numbers))?;
+        let routers_by_host = self.by_host(numbers);
+        for (host, numbers) in self.hosts.iter_mut().zip(routers_by_host) {
+            host.send_command(&HostCommand::Stop(numbers))?;
         }
         self.expect_done()?;
-        self.there.retain(|number| !numbers.contains(number));
+        self.running.retain(|number| !numbers.contains(number));
         Ok(())
     }
 
     fn expect_done(&mut self) -> Result<(), HollowError> {
         for host in &mut self.hosts {
-            expect(host, ANSWER, "Done", |report| matches!(report, HostReport::Done).then_some(()))?;
+            expect_report(host, RESPONSE_TIMEOUT, "Done", |report| {
+                matches!(report, HostReport::Done).then_some(())
+            })?;
         }
         Ok(())
     }
@@ -254,79 +266,80 @@
         all
     }
 
-    /// Gives engines a state, and tells all who follow.
+    /// Publishes a state of engines to all followers.
     ///
     /// # Errors
-    /// Where the service has ended.
-    pub fn change(&mut self, engines: Vec<u32>, state: ListedState) -> Result<ToldEvent, HollowError> {
-        self.told(&ServiceCommand::Change { engines, state })
+    /// If the service has exited.
+    pub fn change(&mut self, engines: Vec<u32>, state: ListedState) -> Result<SentChange, HollowError> {
+        self.send_change(&ServiceCommand::Change { engines, state })
     }
 
-    /// Starts engines anew under other names, and tells all who follow.
+    /// Replaces engines by ones with other names and publishes the change.
     ///
     /// # Errors
-    /// Where the service has ended.
-    pub fn replace(&mut self, engines: Vec<u32>) -> Result<ToldEvent, HollowError> {
-        self.told(&ServiceCommand::Replace { engines })
+    /// If the service has exited.
+    pub fn replace(&mut self, engines: Vec<u32>) -> Result<SentChange, HollowError> {
+        self.send_change(&ServiceCommand::Replace { engines })
     }
 
-    fn told(&mut self, command: &ServiceCommand) -> Result<ToldEvent, HollowError> {
-        match self.service.ask(command, ANSWER)? {
-            ServiceReport::Told(event) => Ok(event),
-            _ => Err(other(self.service.name(), "Told")),
+    fn send_change(&mut self, command: &ServiceCommand) -> Result<SentChange, HollowError> {
+        match self.service.request(command, RESPONSE_TIMEOUT)? {
+            ServiceReport::ChangeSent(event) => Ok(event),
+            _ => Err(unexpected(self.service.name(), "ChangeSent")),
         }
     }
 
-    /// Sends the list service away, or brings it back; cuts routers off; breaks it for one router.
+    /// Injects a fault into the list service, or ends it.
     ///
     /// # Errors
-    /// Where the service has ended.
-    pub fn fault(&mut self, command: &ServiceCommand) -> Result<(), HollowError> {
-        match self.service.ask(command, ANSWER)? {
+    /// If the service has exited.
+    pub fn inject_fault(&mut self, command: &ServiceCommand) -> Result<(), HollowError> {
+        match self.service.request(command, RESPONSE_TIMEOUT)? {
             ServiceReport::Done => Ok(()),
-            _ => Err(other(self.service.name(), "Done")),
+            _ => Err(unexpected(self.service.name(), "Done")),
         }
     }
 
-    /// The list service's counters.
+    /// Counters of the list service.
     ///
     /// # Errors
-    /// Where the service has ended.
+    /// If the service has exited.
     pub fn counters(&mut self) -> Result<ServiceCounters, HollowError> {
-        match self.service.ask(&ServiceCommand::Report, ANSWER)? {
+        match self.service.request(&ServiceCommand::Report, RESPONSE_TIMEOUT)? {
             ServiceReport::Counters(counters) => Ok(counters),
-            _ => Err(other(self.service.name(), "Counters")),
+            _ => Err(unexpected(self.service.name(), "Counters")),
         }
     }
 
-    /// Waits until all hollow routers that are there have this list, or their part of it; gives when each came to it (Unix ns), or none where that took
-    /// longer than the limit.
+    /// Waits until all running routers have this list, or their part of it. Returns the number and
+    /// the time of the last list change (Unix ns) of each; none if the limit expires.
     ///
     /// # Errors
-    /// Where a host has ended.
+    /// If a host has exited.
     pub fn await_list(
         &mut self,
-        expected: &Expected,
+        expected: &ExpectedLists,
         limit: Duration,
     ) -> Result<Option<Vec<(u32, u64)>>, HollowError> {
-        let wanted = |report| match report {
-            HostReport::ListReached(reached, when) if reached == expected.whole => Some(when),
+        let awaited = |report| match report {
+            HostReport::ListReached(reached, reached_ns) if reached == expected.full_list => Some(reached_ns),
             _ => None,
         };
-        let all = self.await_all(&HostCommand::AwaitList(expected.clone()), limit, wanted)?;
+        let all = self.await_all(&HostCommand::AwaitList(expected.clone()), limit, awaited)?;
         Ok(all.map(|hosts| hosts.into_iter().flatten().collect()))
     }
 
-    /// Waits until all hollow routers that are there know so many peers; gives since when, at the latest (Unix ns).
+    /// Waits until every running router has this number of peers. Returns the time at which the
+    /// last host observed it (Unix ns); none if the limit expires.
     ///
     /// # Errors
-    /// Where a host has ended.
+    /// If a host has exited.
     pub fn await_peers(&mut self, peers: u32, limit: Duration) -> Result<Option<u64>, HollowError> {
-        let wanted = |report| match report {
-            HostReport::PeersReached(reached, when) if reached == peers => Some(when),
+        let awaited = |report| match report {
+            HostReport::PeersReached(reached, reached_ns) if reached == peers => Some(reached_ns),
             _ => None,
         };
-        let all = self.await_all(&HostCommand::AwaitPeers(peers), limit, wanted)?;
+        let all = self.await_all(&HostCommand::AwaitPeers(peers), limit, awaited)?;
         Ok(all.and_then(|hosts| hosts.into_iter().max()))
     }
 
@@ -334,15 +347,15 @@
         &mut self,
         command: &HostCommand,
         limit: Duration,
-        wanted: impl Fn(HostReport) -> Option<T>,
+        awaited: impl Fn(HostReport) -> Option<T>,
     ) -> Result<Option<Vec<T>>, HollowError> {
-        let end = Instant::now() + limit;
+        let deadline = Instant::now() + limit;
         for host in &mut self.hosts {
-            host.tell(command)?;
+            host.send_command(command)?;
         }
         let mut all = Vec::new();
         for host in &mut self.hosts {
-            match hear_wanted(host, end, &wanted)? {
+            match await_report(host, deadline, &awaited)? {
                 Some(answer) => all.push(answer),
                 None => return Ok(None),
             }
@@ -350,17 +363,17 @@
         Ok(Some(all))
     }
 
-    /// What each hollow router knows, by number.
+    /// State of each hollow router, sorted by number.
     ///
     /// # Errors
-    /// Where a host has ended.
+    /// If a host has exited.
     pub fn reports(&mut self) -> Result<Vec<RouterReport>, HollowError> {
         for host in &mut self.hosts {
-            host.tell(&HostCommand::Report)?;
+            host.send_command(&HostCommand::Report)?;
         }
         let mut all = Vec::new();
         for host in &mut self.hosts {
-            all.extend(expect(host, ANSWER, "Routers", |report| match report {
+            all.extend(expect_report(host, RESPONSE_TIMEOUT, "Routers", |report| match report {
                 HostReport::Routers(routers) => Some(routers),
                 _ => None,
             })?);
@@ -369,39 +382,39 @@
         Ok(all)
     }
 
-    /// What the routers' hosts used so far, together.
+    /// Total resource usage of the routers' hosts so far.
     pub fn hosts_usage(&self) -> Usage {
-        sum_of(&self.hosts[..self.plan.hosts as usize])
+        total_usage(&self.hosts[..self.plan.hosts as usize])
     }
 
-    /// What the relays' hosts used so far, together.
+    /// Total resource usage of the relays' hosts so far.
     pub fn relays_usage(&self) -> Usage {
-        sum_of(&self.hosts[self.plan.hosts as usize..])
+        total_usage(&self.hosts[self.plan.hosts as usize..])
     }
 
-    /// What the list service used so far.
+    /// Resource usage of the list service so far.
     pub fn service_usage(&self) -> Usage {
         self.service.usage()
     }
 
-    /// Numbers of the hosts' processes.
-    pub fn host_ids(&self) -> Vec<u32> {
-        self.hosts.iter().map(Obedient::id).collect()
+    /// Process IDs of the hosts.
+    pub fn host_pids(&self) -> Vec<u32> {
+        self.hosts.iter().map(ChildProcess::id).collect()
     }
 
-    /// Processes of the fleet (count).
+    /// Number of processes of the fleet.
     pub fn processes(&self) -> usize {
         self.hosts.len() + 1
     }
 }
 
 impl FleetPlan {
-    /// The number of the first relay: behind the hollow routers and the real ones.
+    /// Number of the first relay. Relays are numbered after hollow and real routers.
     pub fn first_relay(&self) -> u32 {
         self.routers + self.real_routers
     }
 
-    /// The relays' numbers.
+    /// Numbers of the relays.
     pub fn relays(&self) -> Vec<u32> {
         (self.first_relay()..self.listeners()).collect()
     }
@@ -411,37 +424,37 @@
     }
 }
 
-fn sum_of(hosts: &[Host]) -> Usage {
-    hosts.iter().map(Obedient::usage).fold(Usage::default(), |sum, one| Usage {
+fn total_usage(hosts: &[Host]) -> Usage {
+    hosts.iter().map(ChildProcess::usage).fold(Usage::default(), |sum, one| Usage {
         processor_ns: sum.processor_ns + one.processor_ns,
         resident_kb: sum.resident_kb + one.resident_kb,
         peak_kb: sum.peak_kb + one.peak_kb,
     })
 }
 
-fn other(child: &str, wanted: &'static str) -> HollowError {
-    HollowError::OtherAnswer { child: child.to_owned(), wanted }
+fn unexpected(child: &str, awaited: &'static str) -> HollowError {
+    HollowError::UnexpectedReport { child: child.to_owned(), awaited }
 }
 
-/// The next answer of a kind. What was waited for earlier, and given up, may come before it.
-fn expect<T>(
+/// Waits for a report of a kind. Late reports of earlier commands may precede it and are skipped.
+fn expect_report<T>(
     host: &mut Host,
     limit: Duration,
     kind: &'static str,
-    wanted: impl Fn(HostReport) -> Option<T>,
+    awaited: impl Fn(HostReport) -> Option<T>,
 ) -> Result<T, HollowError> {
-    hear_wanted(host, Instant::now() + limit, &wanted)?.ok_or_else(|| other(host.name(), kind))
+    await_report(host, Instant::now() + limit, &awaited)?.ok_or_else(|| unexpected(host.name(), kind))
 }
 
-fn hear_wanted<T>(
+fn await_report<T>(
     host: &mut Host,
-    end: Instant,
-    wanted: &impl Fn(HostReport) -> Option<T>,
+    deadline: Instant,
+    awaited: &impl Fn(HostReport) -> Option<T>,
 ) -> Result<Option<T>, HollowError> {
     loop {
-        match host.hear(end.saturating_duration_since(Instant::now()))? {
+        match host.receive(deadline.saturating_duration_since(Instant::now()))? {
             Some(report) => {
-                if let Some(answer) = wanted(report) {
+                if let Some(answer) = awaited(report) {
                     return Ok(Some(answer));
                 }
             }
--- a/crates/testkit/src/hollow/relay_feed.rs
+++ b/crates/testkit/src/hollow/relay_feed.rs
@@ -1,6 +1,6 @@
-//! What a hollow relay does with the list service's news, as the program does it in its loop.
+//! Forwards the list service's changes from a hollow relay's stream to its fleet runtime.
 //!
-//! The program's own functions are part of its loop; these few lines follow them, over the same runtime.
+//! It mirrors the program's main loop, whose own functions can't be called from here.
 
 use marljunction_cells::{Engine, PartUpdate};
 use marljunction_control::interface::{EngineEntry, MembershipKind};
@@ -10,22 +10,22 @@
 use marljunction_fleet::FleetRuntime;
 use marljunction_settings::Names;
 
-/// Time for which a stream must be open before what is heard on it tells that nothing was missed (ns), unless the whole list came on
-/// it.
-const CATCH_UP_NS: u64 = 1_000_000_000;
+/// Time for which a stream must be open before it counts as complete (ns), unless it has delivered
+/// the full list.
+const MIN_CATCH_UP_NS: u64 = 1_000_000_000;
 
-/// What a relay's stream has brought.
+/// State of a relay's stream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RelayFeed {
-    /// Since when the stream is open (ns).
+    /// Time at which the stream was opened (ns).
     open_since_ns: Option<u64>,
-    /// Whether the whole list has come on it.
-    whole: bool,
+    /// Whether the stream has delivered the full list.
+    has_full_list: bool,
 }
 
 impl RelayFeed {
-    /// Tells routers what the list service told.
-    pub fn tell(
+    /// Passes changes from the list service to the fleet runtime.
+    pub fn publish(
         &mut self,
         now: u64,
         stream: &Stream,
@@ -33,20 +33,20 @@
         changes: &[Change],
         names: &Names,
     ) {
-        let is_whole = |change: &Change| change.kind == MembershipKind::Full;
-        self.whole |= changes.iter().any(is_whole);
-        let news = changes.iter().map(|change| (is_whole(change), engines_of(change, names))).collect();
-        fleet.update_list(now, stream.position().0, news);
+        let is_full = |change: &Change| change.kind == MembershipKind::Full;
+        self.has_full_list |= changes.iter().any(is_full);
+        let update = changes.iter().map(|change| (is_full(change), engines_of(change, names))).collect();
+        fleet.update_list(now, stream.position().0, update);
     }
 
-    /// Tells a relay's routers how old its news is, once nothing of it can be missing.
-    pub fn pass_time(&mut self, now: u64, stream: &Stream, fleet: &mut FleetRuntime) {
+    /// Reports the age of the relay's list to the fleet runtime, once the list is complete.
+    pub fn tick(&mut self, now: u64, stream: &Stream, fleet: &mut FleetRuntime) {
         if !stream.position().1 {
             *self = RelayFeed::default();
             return;
         }
         let since_ns = *self.open_since_ns.get_or_insert(now);
-        if self.whole || now >= since_ns + CATCH_UP_NS {
+        if self.has_full_list || now >= since_ns + MIN_CATCH_UP_NS {
             fleet.record_list_service_contact(now, stream.stats().1.age_ns(now));
         }
     }
@@ -56,14 +56,14 @@
     change.targets.iter().map(|target| to_cell_engine(&target.entry, target.address, names)).collect()
 }
 
-/// What the module is told of news of a part.
-pub fn membership_of(news: &PartUpdate, names: &Names) -> (MembershipKind, Vec<EngineEntry>) {
+/// Converts an update of a cell's part for the decision module.
+pub fn to_membership(update: &PartUpdate, names: &Names) -> (MembershipKind, Vec<EngineEntry>) {
     let entries = |engines: &[Engine]| engines.iter().map(|engine| to_engine_entry(engine, names)).collect();
-    match news {
+    match update {
         PartUpdate::Snapshot(engines) => (MembershipKind::Full, entries(engines)),
-        PartUpdate::Delta(engines, gone) => {
+        PartUpdate::Delta(engines, removed) => {
             let mut entries: Vec<EngineEntry> = entries(engines);
-            entries.extend(gone.iter().map(|id| removed_entry(*id)));
+            entries.extend(removed.iter().map(|id| removed_entry(*id)));
             (MembershipKind::Delta, entries)
         }
     }
