--- a/crates/net/tests/close.rs
+++ b/crates/net/tests/close.rs
@@ -5,13 +5,31 @@
 use marljunction_core::end_reason::EndReason;
 use marljunction_net::{ConnectionLimits, Net, Owner};
 
+/// Buffer size of sockets whose peer does not read. A fixed size stops the kernel from enlarging the
+/// buffers between two checks, which would shrink the queued output.
+const NON_READER_BUFFER_BYTES: usize = 8 << 10;
+
 /// Connects a client. Returns its socket and the id of its accepted connection.
 fn client(net: &mut Net, owner: Owner) -> (std::net::TcpStream, u64) {
+    let (client, stream) = connect();
+    (client, net.add_accepted(mio::net::TcpStream::from_std(stream), owner).unwrap())
+}
+
+/// As [`client`], with fixed socket buffers on the path to the client.
+fn non_reading_client(net: &mut Net, owner: Owner) -> (std::net::TcpStream, u64) {
+    let (client, stream) = connect();
+    socket2::SockRef::from(&stream).set_send_buffer_size(NON_READER_BUFFER_BYTES).unwrap();
+    socket2::SockRef::from(&client).set_recv_buffer_size(NON_READER_BUFFER_BYTES).unwrap();
+    (client, net.add_accepted(mio::net::TcpStream::from_std(stream), owner).unwrap())
+}
+
+/// Connects two sockets: the client's and the accepted one.
+fn connect() -> (std::net::TcpStream, std::net::TcpStream) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (stream, _) = listener.accept().unwrap();
     stream.set_nonblocking(true).unwrap();
-    (client, net.add_accepted(mio::net::TcpStream::from_std(stream), owner).unwrap())
+    (client, stream)
 }
 
 #[test]
@@ -79,7 +97,7 @@
     let limits = ConnectionLimits { engines: 8, output: 4 << 20 };
     let mut net = Net::new(poll.registry().try_clone().unwrap(), 1, limits);
     let add_non_reader = |net: &mut Net, kilobytes: usize| {
-        let (stream, id) = client(net, Owner::Msgpack);
+        let (stream, id) = non_reading_client(net, Owner::Msgpack);
         queue_output(net, id, kilobytes << 10);
         (stream, id)
     };
