--- a/tests/common/harness.rs
+++ b/tests/common/harness.rs
@@ -397,7 +397,12 @@
                     );
                 }
             }
-            ["gone", listener] => drop(self.listeners.remove(listener)),
+            ["gone", listener] => {
+                let listener = self.listeners.remove(listener).unwrap();
+                // A child process that another test is starting holds a copy of the descriptor until
+                // its exec, so closing this one may leave the socket listening for a moment.
+                socket2::SockRef::from(&listener).shutdown(std::net::Shutdown::Both).unwrap();
+            }
             ["closed", name] => {
                 let peer = &mut self.peers.get_mut(name).unwrap();
                 peer.drain();
