--- a/crates/health/tests/fleet.rs
+++ b/crates/health/tests/fleet.rs
@@ -27,7 +27,7 @@
         for seed in 0..seeds {
             let mut fleet = Fleet::new(routers, seed);
             if seed % 2 == 1 {
-                fleet.bad_wire();
+                fleet.degrade_network();
             }
             let now = fleet.now;
             let version = fleet.node(0).set_override(now, "e3", true).unwrap();
@@ -50,7 +50,7 @@
         let now = fleet.now;
         fleet.node(0).set_override(now, "e1", true);
         fleet.run(3 * S);
-        fleet.cut_into(|at| at / 3);
+        fleet.partition_into(|at| at / 3);
         // Conflicting changes: each side reverts what the other sets.
         let now = fleet.now;
         fleet.node(0).set_override(now, "e1", false);
@@ -83,7 +83,7 @@
     }
     fleet.until(600 * S, "all routers have all overrides", |f| f.all(|n| n.overrides().len() == 2_000));
     fleet.run(20 * S);
-    fleet.cut_into(|at| at / 3);
+    fleet.partition_into(|at| at / 3);
     for n in 0..50 {
         fleet.node(1).set_override(now + 10 * S, &format!("left-{n}"), true);
         fleet.node(4).set_override(now + 10 * S, &format!("right-{n}"), true);
@@ -101,7 +101,7 @@
     for seed in 0..50 {
         let mut fleet = Fleet::new(12, seed);
         if seed % 2 == 1 {
-            fleet.bad_wire();
+            fleet.degrade_network();
         }
         (0..2).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
         fleet.run(propagation_bound_ns(&fleet.params));
@@ -133,7 +133,7 @@
 fn one_faulty_or_lying_router_excludes_no_engine() {
     for seed in 0..50 {
         let mut fleet = Fleet::new(10, seed);
-        fleet.bad_wire();
+        fleet.degrade_network();
         // Other routers are served by every engine, and report it where a fault was reported.
         for _ in 0..20 {
             for engine in 0..20 {
@@ -235,14 +235,14 @@
 #[test]
 fn in_a_partition_evidence_expires_and_overrides_persist() {
     let mut fleet = Fleet::new(8, 6);
-    fleet.cut_into(|at| usize::from(at >= 4));
+    fleet.partition_into(|at| usize::from(at >= 4));
     fleet.cut.clear();
     let now = fleet.now;
     fleet.node(0).set_override(now, "e1", true);
     (0..3).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
     fleet.run(5 * S);
     assert!(fleet.all(|n| excluded_by_evidence(n, 4)));
-    fleet.cut_into(|at| usize::from(at >= 4));
+    fleet.partition_into(|at| usize::from(at >= 4));
     fleet.run(evidence_expiry_bound_ns(&fleet.params) + S);
     assert!((4..8).all(|at| !excluded_by_evidence(fleet.node(at), 4)), "no observer on this side renews it");
     assert!((0..4).all(|at| excluded_by_evidence(fleet.node(at), 4)), "the observers on this side renew it");
@@ -253,7 +253,7 @@
 fn an_override_survives_a_restart_of_all_routers_and_precedes_readiness() {
     for seed in 0..50 {
         let mut fleet = Fleet::new(6, seed);
-        fleet.bad_wire();
+        fleet.degrade_network();
         let now = fleet.now;
         fleet.node(2).set_override(now, "e9", true);
         fleet.run(6 * S);
@@ -286,7 +286,7 @@
     fleet.kill(1);
     fleet.start(1);
     fleet.run(5 * S);
-    fleet.bad_wire();
+    fleet.degrade_network();
     fleet.kept[2] = Default::default();
     fleet.start(2);
     let took = fleet.until(20 * S, "the joining router is ready", |f| {
@@ -307,7 +307,7 @@
         // Router 5 is partitioned and misses the reversal; router 4 then joins on its side.
         fleet.kill(4);
         fleet.kept[4] = (Overrides::default(), fleet.now);
-        fleet.cut_into(|at| usize::from(at >= 4));
+        fleet.partition_into(|at| usize::from(at >= 4));
         let now = fleet.now;
         fleet.node(0).set_override(now, "e1", false);
         fleet.run(3 * S);
@@ -328,7 +328,7 @@
         let now = fleet.now;
         fleet.node(0).set_override(now, "e1", true);
         fleet.run(3 * S);
-        fleet.cut_into(|at| usize::from(at == 4));
+        fleet.partition_into(|at| usize::from(at == 4));
         let now = fleet.now;
         fleet.node(0).set_override(now, "e1", false);
         fleet.run(3 * S);
@@ -394,7 +394,7 @@
 fn stale_overrides_of_a_resumed_router_change_nothing() {
     for seed in 0..50 {
         let mut fleet = Fleet::new(6, seed);
-        fleet.bad_wire();
+        fleet.degrade_network();
         let now = fleet.now;
         fleet.node(3).set_override(now, "e1", true);
         // The router is frozen with queued gossip while another reverts the override.
@@ -424,11 +424,11 @@
             match fleet.draws.gen_range(0..9) {
                 0 => {
                     let split = fleet.draws.gen_range(1..6);
-                    fleet.cut_into(|at| usize::from(at >= split));
+                    fleet.partition_into(|at| usize::from(at >= split));
                 }
                 1 => fleet.cut.clear(),
-                2 => fleet.bad_wire(),
-                3 => (fleet.loss, fleet.double, fleet.jitter) = (0.0, 0.0, 3 * MS),
+                2 => fleet.degrade_network(),
+                3 => (fleet.loss, fleet.duplication, fleet.jitter) = (0.0, 0.0, 3 * MS),
                 4 => fleet.kill(at),
                 5 => (0..6).for_each(|at| fleet.start(at)),
                 6 => drop(fleet.frozen.insert(at)),
@@ -445,7 +445,7 @@
             let ns = fleet.draws.gen_range(50 * MS..2 * S);
             fleet.run(ns);
         }
-        (fleet.loss, fleet.double, fleet.jitter) = (0.0, 0.0, 3 * MS);
+        (fleet.loss, fleet.duplication, fleet.jitter) = (0.0, 0.0, 3 * MS);
         fleet.cut.clear();
         fleet.frozen.clear();
         (0..6).for_each(|at| fleet.start(at));
--- a/crates/lab/src/capacity/decision.rs
+++ b/crates/lab/src/capacity/decision.rs
@@ -59,7 +59,7 @@
         classes: &classes,
         tenants: &[],
         cores: 8.0,
-        longest_ms: 1_000,
+        max_retry_after_ms: 1_000,
         routers: 3_200,
         me: 7,
         cold: false,
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -43,7 +43,7 @@
             classes: &classes,
             tenants: &[],
             cores: 8.0,
-            longest_ms: 1_000,
+            max_retry_after_ms: 1_000,
             routers: 1,
             me: 0,
             cold: false,
--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -41,7 +41,7 @@
     // Uneven: a few routers get several times the mean.
     let weights: Vec<f64> = (0..routers).map(|at| 1.0 / (at % 10 + 1) as f64).collect();
     let sum: f64 = weights.iter().sum();
-    fleet.ask_at(&weights.iter().map(|w| RATE * w / sum).collect::<Vec<f64>>());
+    fleet.start_clients_at(&weights.iter().map(|w| RATE * w / sum).collect::<Vec<f64>>());
     let began = fleet.now();
     fleet.start_all()?;
     if when == When::Replaced {
@@ -51,7 +51,7 @@
     let tallies = |f: &Fleet| (f.sum(|t| t.worth), f.sum(|t| t.worth_asked));
     let before = tallies(&fleet);
     if when == When::Replaced {
-        fleet.renew_engines();
+        fleet.restart_engines_cold();
     }
     fleet.run(COUNTED)?;
     let after = tallies(&fleet);
@@ -68,7 +68,7 @@
         "datagrams_a_router_s": mean(&counters, "fleet_datagrams") / seconds,
         "bytes_a_router_s": mean(&counters, "fleet_bytes") / seconds,
         "cpu_ms_a_router_s": used.iter().map(|u| u.1).sum::<u64>() as f64 / 1e3 / seconds / routers as f64,
-        "double_runs": fleet.audit().double_runs,
+        "double_runs": fleet.audit().duplicate_runs,
     }))
 }
 
--- a/crates/lab/src/door.rs
+++ b/crates/lab/src/door.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use marljunction_testkit::load::{Class, Source, Tally};
+use marljunction_testkit::load::{Class, RequestStats, Source};
 use marljunction_testkit::stage::{Setup, Stage, Told};
 use serde_json::{json, Value};
 
@@ -81,9 +81,9 @@
 
 /// What one router made of it.
 struct Outcome {
-    tallies: Vec<Vec<Tally>>,
+    tallies: Vec<Vec<RequestStats>>,
     told: Told,
-    double_runs: u64,
+    duplicate_runs: u64,
 }
 
 fn play(name: &str, door: Option<Value>, quick: bool, program: &Path, seed: u64) -> Result<Outcome, String> {
@@ -95,8 +95,8 @@
         tenants: TENANTS.to_vec(),
         classes: classes(),
         door,
-        longest_ms: LONGEST_MS,
-        returning: 0.2,
+        max_retry_after_ms: LONGEST_MS,
+        return_share: 0.2,
         seed,
     };
     let seconds = |s: f64| Duration::from_secs_f64(if quick { s } else { s * 5.0 });
@@ -112,8 +112,8 @@
     stage.play(sources(10.0), seconds(5.0))?;
     stage.drain(Duration::from_secs(5))?;
     stage.load.finish();
-    let (tallies, double_runs) = (stage.load.tallies.clone(), stage.double_runs());
-    Ok(Outcome { tallies, told: stage.stop()?, double_runs })
+    let (tallies, duplicate_runs) = (stage.load.tallies.clone(), stage.duplicate_runs());
+    Ok(Outcome { tallies, told: stage.stop()?, duplicate_runs })
 }
 
 /// The phases of [`play`].
@@ -142,7 +142,7 @@
         [1, 2].map(|source| ratio(self.kept(phase, source), self.kept(ALONE, source)))
     }
 
-    fn sum(&self, phase: usize, of: fn(&Tally) -> f64) -> f64 {
+    fn sum(&self, phase: usize, of: fn(&RequestStats) -> f64) -> f64 {
         self.tallies[phase].iter().map(of).sum()
     }
 
@@ -151,7 +151,7 @@
         ratio(self.sum(phase, |t| t.returned_served as f64), self.sum(phase, |t| t.returned as f64))
     }
 
-    fn all(&self, of: fn(&Tally) -> u64) -> u64 {
+    fn all(&self, of: fn(&RequestStats) -> u64) -> u64 {
         self.tallies.iter().flatten().map(of).sum()
     }
 
@@ -187,7 +187,7 @@
             "promise_kept_half_lost": self.promise_kept(HALF_LOST),
             "promised_returns": [self.sum(FLOOD, |t| t.returned as f64), self.sum(HALF_LOST, |t| t.returned as f64)],
             "peak_memory_kb": self.told.peak_kb,
-            "double_runs": self.double_runs,
+            "double_runs": self.duplicate_runs,
             "unanswered": self.all(|t| t.unanswered),
             "answered_twice": self.all(|t| t.twice),
             "ended_well": self.told.ended_well,
@@ -227,7 +227,7 @@
         "bytes_100k_over_100": own["bytes_100k_over_100"],
         "idle_cost": ratio(calm(fair), calm(off)),
         "ns_per_request": own["ns_per_request"],
-        "double_runs": outcomes.iter().map(|o| o.double_runs).sum::<u64>(),
+        "double_runs": outcomes.iter().map(|o| o.duplicate_runs).sum::<u64>(),
         "unanswered": outcomes.iter().map(|o| o.all(|t| t.unanswered)).sum::<u64>(),
         "quick": quick,
         "seed": seed,
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -66,7 +66,7 @@
         };
         let counters = process.counters();
         let of = |name: &str| counter(&counters, name);
-        let stream = match fleet.list.live_since(at) {
+        let stream = match fleet.list.connected_since(at) {
             Some(since) => format!("up {:>4.1} s", now.saturating_sub(since) as f64 / 1e9),
             None => "none".to_owned(),
         };
@@ -95,7 +95,7 @@
             ),
         );
     }
-    let all = |of: fn(&marljunction_testkit::load::Tally) -> u64| fleet.sum(|t| of(t) as f64);
+    let all = |of: fn(&marljunction_testkit::load::RequestStats) -> u64| fleet.sum(|t| of(t) as f64);
     line(
         &mut text,
         format_args!(
@@ -144,7 +144,7 @@
     fleet.ask();
     fleet.start_all()?;
     while fleet.now() < end && !stopped.load(Ordering::Relaxed) {
-        fleet.ask_counters();
+        fleet.request_counters();
         let until = fleet.now() + DRAW.as_nanos() as u64;
         while fleet.now() < until && !stopped.load(Ordering::Relaxed) {
             let now = fleet.now();
@@ -169,24 +169,24 @@
 }
 
 fn summary(mut fleet: Fleet) -> Result<(String, bool), String> {
-    fleet.mend_all()?;
+    fleet.heal_all()?;
     let answered = fleet.quiet(Duration::from_secs(8))?;
     let now = fleet.now();
     let last = picture(&fleet, now, &[]);
     let audit = fleet.audit();
     let (unanswered, twice) = (fleet.sum(|t| t.unanswered as f64), fleet.sum(|t| t.twice as f64));
-    let excused: u64 = fleet.loads.iter().map(|load| load.excused).sum();
-    let blind = fleet.routers.iter().map(|r| r.blind_ns).max().unwrap_or(0);
+    let excluded_calls: u64 = fleet.loads.iter().map(|load| load.excluded_calls).sum();
+    let blind = fleet.routers.iter().map(|r| r.longest_disconnect_ns).max().unwrap_or(0);
     let calls = fleet.list.calls.len();
     let (_, well) = fleet.stop(Duration::from_secs(8))?;
-    let kept = audit.late_sends == 0 && audit.double_runs == 0 && unanswered == 0.0 && twice == 0.0;
+    let kept = audit.late_sends == 0 && audit.duplicate_runs == 0 && unanswered == 0.0 && twice == 0.0;
     let text = format!(
         "{last}\nsent to engines {}, after a drain was known {}, run twice {}, answered twice {twice}, unanswered {unanswered} \
-         ({excused} more with routers that were killed or stood still)\ncalls to the list service {calls}; longest without a \
+         ({excluded_calls} more with routers that were killed or stood still)\ncalls to the list service {calls}; longest without a \
          stream while it took calls {:.1} s\nall answered: {answered}; all routers ended well: {well}\n{}",
         audit.sends,
         audit.late_sends,
-        audit.double_runs,
+        audit.duplicate_runs,
         blind as f64 / 1e9,
         if kept { "all rules were kept" } else { "A RULE WAS BROKEN" },
     );
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -105,7 +105,7 @@
     let one = vec![all];
     fleet.start_all()?;
     fleet.run_until(LIMIT, |f| f.ready() == routers)?;
-    fleet.run_until(LIMIT, |f| f.routers.iter().all(|r| r.talks.is_some()))?;
+    fleet.run_until(LIMIT, |f| f.routers.iter().all(|r| r.peer_address.is_some()))?;
     let nobody: Vec<usize> = (0..routers).collect();
     let whole = vec![0; routers];
     let halves: Vec<usize> = (0..routers).map(|at| usize::from(at >= routers / 2)).collect();
@@ -123,16 +123,16 @@
         mode,
     };
     if schedule == Schedule::Static {
-        fleet.cut_into(&nobody);
+        fleet.partition_into(&nobody);
         // Nobody can say what it holds, so that all of it has to run out first.
         fleet.run(Duration::from_nanos(params.grace_ns(limit.kind)))?;
     }
     match schedule {
         Schedule::Zipf => {
             let sum: f64 = (1..=routers).map(|at| 1.0 / at as f64).sum();
-            fleet.ask_at(&(1..=routers).map(|at| all / sum / at as f64).collect::<Vec<f64>>());
+            fleet.start_clients_at(&(1..=routers).map(|at| all / sum / at as f64).collect::<Vec<f64>>());
         }
-        _ => fleet.ask_at(&one),
+        _ => fleet.start_clients_at(&one),
     }
     let full = |f: &Fleet| f.held() + 1 >= most;
     if schedule != Schedule::Static {
@@ -156,19 +156,19 @@
     match schedule {
         Schedule::OneAsks | Schedule::Zipf | Schedule::Static => {}
         Schedule::Halves | Schedule::BoundedCut => {
-            fleet.cut_into(&halves);
+            fleet.partition_into(&halves);
             let mut both = vec![0.0; routers];
             (both[0], both[routers - 1]) = (all, all);
-            fleet.ask_at(&if bounded { vec![all / 4.0; routers] } else { both });
+            fleet.start_clients_at(&if bounded { vec![all / 4.0; routers] } else { both });
             fleet.run(Duration::from_nanos(bound(&limit, &params, Fault::Partition).max_idle_ns))?;
             told.insert("used_share_cut".into(), json!(used(&mut fleet, most)?));
-            fleet.cut_into(&whole);
-            fleet.ask_at(&one);
+            fleet.partition_into(&whole);
+            fleet.start_clients_at(&one);
             regain(&mut fleet, &mut told, most, Fault::Partition)?;
         }
         Schedule::OneWay => {
             for to in 1..routers {
-                fleet.shape_between(Some(0), to, Shape { cut: true, ..Shape::default() });
+                fleet.shape_peer_link(Some(0), to, Shape { cut: true, ..Shape::default() });
             }
             fleet.run(Duration::from_secs(8))?;
             told.insert("used_share_cut".into(), json!(used(&mut fleet, most)?));
@@ -176,26 +176,26 @@
         Schedule::Lossy => {
             let bad = Shape {
                 loss: 0.3,
-                double: 0.2,
+                duplication: 0.2,
                 delay_ns: SECOND_NS / 50,
                 jitter_ns: SECOND_NS / 4,
                 ..Shape::default()
             };
-            (0..routers).for_each(|to| fleet.shape_between(None, to, bad));
+            (0..routers).for_each(|to| fleet.shape_peer_link(None, to, bad));
             fleet.run(Duration::from_secs(6))?;
         }
         Schedule::HolderKilled => {
             fleet.kill(0);
-            fleet.ask_at(&other);
+            fleet.start_clients_at(&other);
             // The dead one's own share is nobody else's.
             regain(&mut fleet, &mut told, most - UNITS_EACH, Fault::HolderCrashed)?;
         }
         Schedule::HolderFrozen => {
-            fleet.freeze(0, true);
-            fleet.ask_at(&other);
+            fleet.set_paused(0, true);
+            fleet.start_clients_at(&other);
             fleet.run(Duration::from_secs(8))?;
-            fleet.ask_at(&one);
-            fleet.freeze(0, false);
+            fleet.start_clients_at(&one);
+            fleet.set_paused(0, false);
             fleet.run(Duration::from_secs(4))?;
         }
         Schedule::OwnersRestarted => {
@@ -209,19 +209,19 @@
         Schedule::AllKilled => {
             (0..routers).for_each(|router| fleet.kill(router));
             fleet.start_all()?;
-            fleet.ask_at(&one);
+            fleet.start_clients_at(&one);
             regain(&mut fleet, &mut told, most, Fault::AllRestarted)?;
         }
     }
     let share = used(&mut fleet, most)?;
     let allowed = bound(&limit, &params, Fault::Partition).max_overshoot;
-    let over = (fleet.held_most as f64 / most as f64 - 1.0).max(0.0);
+    let over = (fleet.max_held as f64 / most as f64 - 1.0).max(0.0);
     let counters = fleet.counters(Duration::from_secs(5))?;
     let seconds = (fleet.now() - fleet.routers[routers - 1].started_ns) as f64 / 1e9;
     told.insert("used_share".into(), json!(share));
     told.insert("over".into(), json!(over));
     told.insert("over_ratio".into(), json!(if allowed > 0.0 { over / allowed } else { 0.0 }));
-    told.insert("most_at_once".into(), json!(fleet.held_most));
+    told.insert("most_at_once".into(), json!(fleet.max_held));
     told.insert("limit".into(), json!(most));
     told.insert("datagrams_a_router_s".into(), json!(mean(&counters, "fleet_datagrams") / seconds));
     told.insert("bytes_a_router_s".into(), json!(mean(&counters, "fleet_bytes") / seconds));
@@ -241,7 +241,7 @@
     let told = kinds.map(|(name, kind)| {
         let limit = Limit { name: name.into(), subject: String::new(), kind, mode: Mode::Strict };
         let mut fleet = lease_fleet::Fleet::new(limit, params, 0.01, seed);
-        fleet.tell_reachable();
+        fleet.update_reachable_peers();
         fleet.routers[3].demand = f64::from(units) * 2.0;
         fleet.run(8_000);
         let (admitted, messages, mut out) = (fleet.admitted, fleet.messages, 0);
--- a/crates/lab/src/scale/size.rs
+++ b/crates/lab/src/scale/size.rs
@@ -163,7 +163,7 @@
         classes: &classes,
         tenants: &[("all", 100.0)],
         cores: 8.0,
-        longest_ms: 1_000,
+        max_retry_after_ms: 1_000,
         routers,
         me: 0,
         cold: false,
--- a/crates/lab/src/start.rs
+++ b/crates/lab/src/start.rs
@@ -6,7 +6,7 @@
 
 use marljunction_testkit::audit::calls_within;
 use marljunction_testkit::fleet::{Fleet, Setup};
-use marljunction_testkit::list::Manner;
+use marljunction_testkit::list::Behavior;
 use serde_json::{json, Map, Value};
 
 /// Routers of a quick run and of a full one.
@@ -82,13 +82,13 @@
     let (start_calls, _) = calls_within(&fleet.list.calls, began, settled, SECOND_NS);
 
     let away = fleet.now();
-    fleet.set_list(Manner::Away);
+    fleet.set_list_behavior(Behavior::Away);
     // An engine leaves while nobody can be told; the service has it on its list when it comes back.
     fleet.run(AWAY - Duration::from_secs(2))?;
     fleet.drain(0);
     fleet.run(Duration::from_secs(2))?;
     let back = fleet.now();
-    fleet.set_list(Manner::Well);
+    fleet.set_list_behavior(Behavior::Well);
     let returned = fleet.run_until(SETTLE, all_live)?;
     let settled_again = fleet.now();
     // What goes out after the drain counted as told would be seen now.
@@ -98,13 +98,13 @@
     let calls = std::mem::take(&mut fleet.list.calls);
     let (away_calls, _) = calls_within(&calls, away, back, SECOND_NS);
     let (back_calls, _) = calls_within(&calls, back, settled_again, SECOND_NS);
-    let (_, worst_second) = calls_within(&calls, began, settled_again, SECOND_NS);
-    let (_, worst_100ms) = calls_within(&calls, back, settled_again, SECOND_NS / 10);
+    let (_, max_calls_per_s) = calls_within(&calls, began, settled_again, SECOND_NS);
+    let (_, max_calls_per_100ms) = calls_within(&calls, back, settled_again, SECOND_NS / 10);
     let seconds_run = ((settled_again - began) / SECOND_NS) as usize + 1;
     let by_second: Vec<usize> = (0..seconds_run as u64)
         .map(|s| calls_within(&calls, began + s * SECOND_NS, began + (s + 1) * SECOND_NS, SECOND_NS).0)
         .collect();
-    let blind = fleet.routers.iter().map(|r| r.blind_ns).max().unwrap_or(0);
+    let blind = fleet.routers.iter().map(|r| r.longest_disconnect_ns).max().unwrap_or(0);
     let answered = fleet.quiet(Duration::from_secs(8))?;
     let handshakes: u64 = fleet.engines.iter().map(|e| e.accepted).sum();
     let audit = fleet.audit();
@@ -117,8 +117,8 @@
     Ok(json!({
         "calls_per_router_start": start_calls as f64 / count,
         "calls_per_router_back": back_calls as f64 / count,
-        "peak_over_capacity": worst_second as f64 / capacity,
-        "peak_100ms_share": worst_100ms as f64 / count,
+        "peak_over_capacity": max_calls_per_s as f64 / capacity,
+        "peak_100ms_share": max_calls_per_100ms as f64 / count,
         "outage_calls_per_router_s": away_calls as f64 / count / seconds(back - away),
         "settled_over_ideal": seconds((settled - began).max(settled_again - back)) / ideal_s,
         "settled_over_ideal_start": seconds(settled - began) / ideal_s,
@@ -128,7 +128,7 @@
         "calls_by_second": by_second,
         "away_from_to_s": [seconds(away - began), seconds(back - began)],
         "late_sends": audit.late_sends,
-        "double_runs": audit.double_runs,
+        "double_runs": audit.duplicate_runs,
         "double_answers": twice,
         "lost": unanswered,
         "all_answered": answered,
@@ -178,7 +178,7 @@
         operator: (!name.starts_with("against")).then(|| file(capacity, routers_key)),
         engines: 6,
         cold: true,
-        told_routers: told,
+        configured_routers: told,
         rate: COLD_RATE / routers as f64,
         seed: run.seed,
         ..Setup::new(program, &format!("cold-{name}-{}", run.seed), routers)
@@ -205,7 +205,7 @@
         "worth_10s": worth,
         "worth_share_10s": worth / asked.max(1e-9),
         "handshakes_a_request": handshakes as f64 / fleet.sum(|t| t.asked as f64).max(1.0),
-        "double_runs": fleet.audit().double_runs,
+        "double_runs": fleet.audit().duplicate_runs,
     }))
 }
 
--- a/crates/lab/src/verdicts.rs
+++ b/crates/lab/src/verdicts.rs
@@ -143,12 +143,12 @@
     let routers = fleet.routers.len();
     let bad = Shape {
         loss: 0.3,
-        double: 0.2,
+        duplication: 0.2,
         delay_ns: SECOND_NS / 50,
         jitter_ns: SECOND_NS / 10,
         ..Shape::default()
     };
-    (0..routers).for_each(|to| fleet.shape_between(None, to, bad));
+    (0..routers).for_each(|to| fleet.shape_peer_link(None, to, bad));
     let said = fleet.now();
     let answer = fleet.call(1, "POST", "/fleet/engines/disable", "e1")?;
     let heard = |f: &Fleet| (0..routers).all(|r| f.said(r).contains("the whole fleet leaves out: e1"));
@@ -170,7 +170,7 @@
 /// is said, idle and with evidence that changes each second.
 fn stepped(routers: usize, seed: u64) -> Value {
     let mut fleet = health_fleet::Fleet::new(routers, seed);
-    fleet.bad_wire();
+    fleet.degrade_network();
     let bound = propagation_bound_ns(&fleet.params);
     let idle_from = (fleet.messages, fleet.bytes);
     fleet.run(5 * health_fleet::S);
--- a/crates/lab/src/ways.rs
+++ b/crates/lab/src/ways.rs
@@ -2,7 +2,7 @@
 //! seconds, and the return.
 
 use marljunction_pacing::{Failure, Pace, Pacer};
-use marljunction_testkit::herd::{Herd, Service, Way};
+use marljunction_testkit::herd::{ClientSwarm, PacingPolicy, Service};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Map, Value};
@@ -78,7 +78,7 @@
     }
 }
 
-impl Way for Simple {
+impl PacingPolicy for Simple {
     fn due_ns(&self) -> Option<u64> {
         self.due
     }
@@ -123,13 +123,13 @@
     unsettled: u64,
 }
 
-fn play<W: Way>(make: impl Fn(u32, u64) -> W) -> Figures {
+fn play<W: PacingPolicy>(make: impl Fn(u32, u64) -> W) -> Figures {
     let mut figures = Figures::default();
     let n = f64::from(CALLERS);
     let ideal = n / CAPACITY * 1e9;
     for seed in 0..SEEDS {
         let callers = (0..CALLERS).map(|i| make(i, seed * 10_007 + u64::from(i))).collect();
-        let mut herd = Herd::new(callers, Service::new(CAPACITY));
+        let mut herd = ClientSwarm::new(callers, Service::new(CAPACITY));
         let start = herd.pass(120 * S);
         herd.now += 20 * S;
         herd.drop_all();
@@ -141,9 +141,9 @@
         figures.back_calls += back.calls as f64 / n / SEEDS as f64;
         figures.away_calls_s += away.calls as f64 / n / 10.0 / SEEDS as f64;
         for passed in [start, away, back] {
-            figures.peak = figures.peak.max(passed.worst_second as f64 / CAPACITY);
+            figures.peak = figures.peak.max(passed.max_calls_per_s as f64 / CAPACITY);
         }
-        figures.peak_100ms = figures.peak_100ms.max(back.worst_100ms as f64 / n);
+        figures.peak_100ms = figures.peak_100ms.max(back.max_calls_per_100ms as f64 / n);
         for passed in [start, back] {
             match passed.settled_ns {
                 Some(ns) => figures.settled = figures.settled.max(ns as f64 / ideal),
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -24,7 +24,7 @@
         classes: &classes,
         tenants: &[("all", 100.0)],
         cores: 8.0,
-        longest_ms: 1_000,
+        max_retry_after_ms: 1_000,
         routers: ROUTERS,
         me: 0,
         cold: false,
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -36,7 +36,7 @@
     for _ in 0..40 {
         let ms = fleet.draws.gen_range(50..1_500);
         fleet.run(ms);
-        fleet.break_something();
+        fleet.inject_random_fault();
     }
     (fleet.worst, kind)
 }
@@ -79,7 +79,7 @@
         for _ in 0..4 {
             let ms = fleet.draws.gen_range(50..800);
             fleet.run(ms);
-            fleet.break_something();
+            fleet.inject_random_fault();
         }
     }
     let during_resize = fleet.worst;
@@ -89,7 +89,7 @@
     fleet.worst = 0.0;
     for _ in 0..10 {
         fleet.run(400);
-        fleet.break_something();
+        fleet.inject_random_fault();
     }
     (during_resize, fleet.worst, before, after)
 }
@@ -116,7 +116,7 @@
     for (old, new) in [(10, 100), (100, 2)] {
         for changed in [0, 1] {
             let mut fleet = Fleet::new(of(old), params(2), 0.0, 1);
-            fleet.tell_reachable();
+            fleet.update_reachable_peers();
             fleet.routers[1].demand = 400.0;
             fleet.run(4_000);
             let key_status = |fleet: &mut Fleet, at: usize| {
@@ -187,7 +187,7 @@
 ) -> (f64, Fleet) {
     let mut fleet = Fleet::new(limit(kind, Mode::Strict), params(routers), 0.01, 7);
     (0..routers).for_each(|at| fleet.routers[at as usize].demand = demand(at));
-    fleet.tell_reachable();
+    fleet.update_reachable_peers();
     fleet.run(6_000);
     prepare(&mut fleet);
     let (before, mut out, mut steps) = (fleet.admitted, 0, 0);
@@ -233,7 +233,7 @@
     let request = |at| if at == 0 { 400.0 } else { 0.0 };
     let halves: Vec<usize> = (0..8).map(|at| usize::from(at >= 4)).collect();
     let (cut, mut fleet) = utilization(kind, 8, request, |fleet| {
-        fleet.cut_between(&halves);
+        fleet.partition_into(&halves);
         fleet.run(8_000);
     });
     println!("used while partitioned into halves: {cut:.3}");
--- a/crates/pacing/tests/pacer.rs
+++ b/crates/pacing/tests/pacer.rs
@@ -2,7 +2,7 @@
 
 use marljunction_pacing::pacer::MAX_USELESS_WAIT_NS;
 use marljunction_pacing::{Failure, Pace, Pacer, Unfit};
-use marljunction_testkit::herd::{Herd, Service};
+use marljunction_testkit::herd::{ClientSwarm, Service};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
@@ -13,9 +13,9 @@
     Pace { callers: Some(callers), budget_per_s, spread_ns, ..Pace::default() }
 }
 
-fn herd(count: u32, pace: Pace, capacity: f64, seed: u64) -> Herd<Pacer> {
+fn herd(count: u32, pace: Pace, capacity: f64, seed: u64) -> ClientSwarm<Pacer> {
     let one = |i: u32| Pacer::new(Pace { me: i, ..pace }, seed * 1_000 + u64::from(i), 0);
-    Herd::new((0..count).map(one).collect(), Service::new(capacity))
+    ClientSwarm::new((0..count).map(one).collect(), Service::new(capacity))
 }
 
 #[derive(Clone, Debug)]
@@ -146,14 +146,14 @@
             let start = herd.pass(60 * S);
             assert!(start.calls * 2 <= n * 3, "{}", told("start", start));
             assert!(start.settled_ns.is_some_and(|ns| ns as f64 <= settled), "{}", told("start", start));
-            assert!(start.worst_second as f64 <= capacity * 1.5, "{}", told("start", start));
+            assert!(start.max_calls_per_s as f64 <= capacity * 1.5, "{}", told("start", start));
             herd.now += 30 * S;
             herd.drop_all();
             herd.service.away = true;
             let away = herd.pass(10 * S);
             assert!(away.calls <= 10 * n, "{}", told("away", away));
             assert!(count < 100 || away.calls <= 5 * n, "{}", told("away", away));
-            assert!(away.worst_second as f64 <= capacity * 1.5, "{}", told("away", away));
+            assert!(away.max_calls_per_s as f64 <= capacity * 1.5, "{}", told("away", away));
             herd.service.away = false;
             let back = herd.pass(60 * S);
             assert!(back.calls * 2 <= n * 3, "{}", told("back", back));
@@ -162,7 +162,11 @@
                 "{}",
                 told("back", back)
             );
-            assert!(count < 100 || back.worst_100ms * 100 <= 15 * count as usize, "{}", told("back", back));
+            assert!(
+                count < 100 || back.max_calls_per_100ms * 100 <= 15 * count as usize,
+                "{}",
+                told("back", back)
+            );
         }
     }
 }
@@ -190,7 +194,7 @@
     let pace = Pace { me: 0, ..fleet(200, 50.0) };
     // Their seeds differ by name and address only, which is what the program sees to.
     let callers = (0..200).map(|i| Pacer::new(pace, i, 0)).collect();
-    let mut herd = Herd::new(callers, Service::new(50.0));
+    let mut herd = ClientSwarm::new(callers, Service::new(50.0));
     let start = herd.pass(60 * S);
     assert!(start.calls <= 600 && start.settled_ns.is_some_and(|ns| ns <= 12 * S), "{start:?}");
 }
--- a/crates/testkit/src/audit.rs
+++ b/crates/testkit/src/audit.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::list::Seen;
+use crate::list::CallRecord;
 use crate::server::Sent;
 
 /// No new work goes to an engine so long after its router was told that it leaves (ns).
@@ -20,7 +20,7 @@
     /// Calls sent to an engine that was known to leave.
     pub late_sends: u64,
     /// Starts of a query that must not run twice, beyond the first of each.
-    pub double_runs: u64,
+    pub duplicate_runs: u64,
 }
 
 impl Audit {
@@ -45,13 +45,13 @@
                 audit.late_sends += u64::from(sent.at_ns > told + DRAIN_NS + SLACK_NS);
             }
         }
-        audit.double_runs = starts.values().map(|n| n - 1).sum();
+        audit.duplicate_runs = starts.values().map(|n| n - 1).sum();
         audit
     }
 }
 
 /// Calls between two times (ns): how many, and the most within a window of `span_ns`.
-pub fn calls_within(calls: &[Seen], from: u64, to: u64, span_ns: u64) -> (usize, usize) {
+pub fn calls_within(calls: &[CallRecord], from: u64, to: u64, span_ns: u64) -> (usize, usize) {
     let times: Vec<u64> = calls.iter().map(|c| c.at_ns).filter(|at| (from..to).contains(at)).collect();
     let most = times
         .iter()
--- a/crates/testkit/src/engine.rs
+++ b/crates/testkit/src/engine.rs
@@ -13,7 +13,7 @@
 
 /// A query that runs.
 #[derive(Clone, Debug)]
-struct Job {
+struct RunningQuery {
     threads: f64,
     /// Work that is left (core-nanoseconds).
     left: f64,
@@ -38,18 +38,18 @@
 
 /// The queries of one engine.
 #[derive(Debug, Default)]
-pub struct Cores {
+pub struct CpuModel {
     cores: f64,
-    jobs: BTreeMap<String, Job>,
+    jobs: BTreeMap<String, RunningQuery>,
     done: BTreeMap<String, u64>,
     now: u64,
     busy: f64,
 }
 
-impl Cores {
+impl CpuModel {
     /// An idle engine.
     pub fn new(now: u64, cores: f64) -> Self {
-        Cores { cores, now, ..Cores::default() }
+        CpuModel { cores, now, ..CpuModel::default() }
     }
 
     /// It has so many cores from here on.
@@ -77,7 +77,7 @@
         self.pass(now);
         let waits = holds.is_some() && self.jobs.values().any(|j| j.holds == holds);
         let rank = rank.min(3);
-        let job = Job { threads, left: work, work, rank, holds, waits, asked_ns: now };
+        let job = RunningQuery { threads, left: work, work, rank, holds, waits, asked_ns: now };
         self.jobs.insert(name.to_owned(), job);
     }
 
@@ -173,7 +173,7 @@
 
     /// Cores that each query has: by priority, no more than its threads, what one can't use going to others.
     fn rates(&self) -> Vec<f64> {
-        let jobs: Vec<&Job> = self.jobs.values().collect();
+        let jobs: Vec<&RunningQuery> = self.jobs.values().collect();
         let wanted: Vec<f64> = jobs.iter().map(|j| if j.waits { 0.0 } else { j.threads }).collect();
         let threads: f64 = wanted.iter().sum();
         let beyond = (threads / self.cores.max(1e-9) - KNEE).max(0.0);
@@ -212,7 +212,7 @@
     /// Part of its capacity that it starts with (share), and when it has all of it (ns).
     pub start: f64,
     /// Time until it is warm (ns).
-    pub warm_ns: u64,
+    pub warmup_ns: u64,
     /// The multiple of its capacity that tips it over (ratio), sent within this time (ns).
     pub tip: f64,
     /// Window of that (ns).
@@ -229,23 +229,23 @@
         since_ns: u64,
         cores: f64,
         start: f64,
-        warm_ns: u64,
+        warmup_ns: u64,
         tip: f64,
         overload_window_ns: u64,
     ) -> Cold {
         let window = VecDeque::new();
-        Cold { since_ns, cores, start, warm_ns, tip, overload_window_ns, window, sum: 0.0, peak: 0.0 }
+        Cold { since_ns, cores, start, warmup_ns, tip, overload_window_ns, window, sum: 0.0, peak: 0.0 }
     }
 
     /// Cores that it is worth now.
     pub fn capacity(&self, now: u64) -> f64 {
-        let age = now.saturating_sub(self.since_ns) as f64 / self.warm_ns as f64;
+        let age = now.saturating_sub(self.since_ns) as f64 / self.warmup_ns as f64;
         self.cores * (self.start + (1.0 - self.start) * age.min(1.0))
     }
 
     /// Takes work (core-ns); false where it falls over by it.
     pub fn push(&mut self, now: u64, work: f64) -> bool {
-        if now >= self.since_ns + self.warm_ns {
+        if now >= self.since_ns + self.warmup_ns {
             return true;
         }
         self.window.push_back((now, work));
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -17,12 +17,12 @@
 use crate::audit::Audit;
 use crate::engine::Cold;
 use crate::link::{Shape, TcpLink, UdpLink};
-use crate::list::{ListService, Manner};
-use crate::load::{Class, Load, Source, Tally};
+use crate::list::{Behavior, ListService};
+use crate::load::{Class, Load, RequestStats, Source};
 use crate::process::Process;
-use crate::schedule::{Fault, Whom};
+use crate::schedule::{Fault, RouterSelector};
 use crate::server::Engine;
-use crate::stage::{settings, target, Site, COLD};
+use crate::stage::{settings, target, Site, COLD_START};
 
 /// Listeners of engines have the first numbers, then those of the list service; connections follow.
 const LIST_TOKEN: usize = 10_000;
@@ -54,7 +54,7 @@
     /// Routers.
     pub routers: usize,
     /// The count of routers that their settings say; the true one, if none.
-    pub told_routers: Option<u32>,
+    pub configured_routers: Option<u32>,
     /// All routers have the first one's seed and number.
     pub same_identity: bool,
     /// The last router has the first one's name and number, by mistake.
@@ -90,7 +90,7 @@
             program: program.to_owned(),
             name: name.to_owned(),
             routers,
-            told_routers: None,
+            configured_routers: None,
             same_identity: false,
             doubled: false,
             engines: 4,
@@ -160,11 +160,11 @@
     /// Where its clients connect, once it has said so.
     pub listens: Option<SocketAddr>,
     /// Where it takes datagrams, once it has said so.
-    pub talks: Option<SocketAddr>,
+    pub peer_address: Option<SocketAddr>,
     /// Since when it has no stream though the service takes calls, and the longest such time so far (ns).
-    blind_since_ns: Option<u64>,
+    disconnected_since_ns: Option<u64>,
     /// The longest time without a stream while the service took calls (ns).
-    pub blind_ns: u64,
+    pub longest_disconnect_ns: u64,
     frozen: bool,
 }
 
@@ -198,7 +198,7 @@
     /// When each engine was told to leave, as the service had it (ns).
     pub left_ns: Vec<Option<u64>>,
     /// Most queries that all engines held at once, since this was last set back.
-    pub held_most: usize,
+    pub max_held: usize,
     dir: PathBuf,
     again: Vec<u64>,
     /// What a router's operator's file says of limits, where that is not what all have.
@@ -246,9 +246,9 @@
             process: None,
             started_ns: 0,
             listens: None,
-            talks: None,
-            blind_since_ns: None,
-            blind_ns: 0,
+            peer_address: None,
+            disconnected_since_ns: None,
+            longest_disconnect_ns: 0,
             frozen: false,
         };
         let load = |i: usize| {
@@ -276,17 +276,17 @@
             between,
             list,
             serving: true,
-            held_most: 0,
+            max_held: 0,
             dir,
             again: Vec::new(),
             limits: vec![None; setup.routers],
             setup,
         };
         if fleet.setup.cold {
-            let (start, warm_ns, tip, overload_window_ns) = COLD;
+            let (start, warmup_ns, tip, overload_window_ns) = COLD_START;
             for engine in &mut fleet.engines {
                 engine.cold =
-                    Some(Cold::new(now, fleet.setup.cores, start, warm_ns, tip, overload_window_ns));
+                    Some(Cold::new(now, fleet.setup.cores, start, warmup_ns, tip, overload_window_ns));
             }
         }
         let whole = fleet.whole_list();
@@ -315,12 +315,12 @@
     }
 
     /// Whether routers know the list as they start from here on.
-    pub fn set_known(&mut self, known: bool) {
+    pub fn set_initial_list(&mut self, known: bool) {
         self.setup.known = known;
     }
 
     /// An engine's process is gone, and nobody is told.
-    pub fn lose(&mut self, engine: usize) {
+    pub fn crash_engine(&mut self, engine: usize) {
         self.engines[engine].die(&mut self.net);
     }
 
@@ -343,9 +343,9 @@
     }
 
     /// Shapes what passes from one router to another, or from all where none is named.
-    pub fn shape_between(&mut self, from: Option<usize>, to: usize, shape: Shape) {
+    pub fn shape_peer_link(&mut self, from: Option<usize>, to: usize, shape: Shape) {
         let now = self.clock.now_ns();
-        let sender = match from.map(|from| self.routers[from].talks) {
+        let sender = match from.map(|from| self.routers[from].peer_address) {
             // One that does not talk needs no shape.
             Some(None) => return,
             Some(sender) => sender,
@@ -355,11 +355,11 @@
     }
 
     /// Cuts the routers into parts that do not hear each other; nobody is cut off where all are in one.
-    pub fn cut_into(&mut self, parts: &[usize]) {
+    pub fn partition_into(&mut self, parts: &[usize]) {
         for to in 0..parts.len() {
             for from in (0..parts.len()).filter(|from| *from != to) {
                 let cut = parts[from] != parts[to];
-                self.shape_between(Some(from), to, Shape { cut, ..Shape::default() });
+                self.shape_peer_link(Some(from), to, Shape { cut, ..Shape::default() });
             }
         }
     }
@@ -391,8 +391,8 @@
             classes: &setup.classes,
             tenants: &[("all", 100.0)],
             cores: setup.cores,
-            longest_ms: LONGEST_MS,
-            routers: setup.told_routers.unwrap_or(setup.routers as u32),
+            max_retry_after_ms: LONGEST_MS,
+            routers: setup.configured_routers.unwrap_or(setup.routers as u32),
             me: me as u32,
             cold: setup.cold,
         };
@@ -429,9 +429,9 @@
         }
         let process = Process::start(&setup.program, &environment, &path("log"))?;
         let to = &mut self.routers[router];
-        (to.process, to.started_ns, to.listens, to.talks) = (Some(process), now, None, None);
+        (to.process, to.started_ns, to.listens, to.peer_address) = (Some(process), now, None, None);
         to.frozen = false;
-        to.blind_since_ns = Some(now);
+        to.disconnected_since_ns = Some(now);
         Ok(())
     }
 
@@ -454,13 +454,13 @@
     pub fn kill(&mut self, router: usize) {
         let to = &mut self.routers[router];
         to.process = None;
-        (to.listens, to.blind_since_ns) = (None, None);
+        (to.listens, to.disconnected_since_ns) = (None, None);
         self.loads[router].gone(&mut self.net);
     }
 
     /// Stops a router's process where it stands (SIGSTOP), or lets it go on (SIGCONT). What its clients had open as it was
     /// stopped is excused.
-    pub fn freeze(&mut self, router: usize, frozen: bool) {
+    pub fn set_paused(&mut self, router: usize, frozen: bool) {
         let now = self.clock.now_ns();
         let to = &mut self.routers[router];
         if let Some(process) = &mut to.process {
@@ -468,7 +468,7 @@
         }
         to.frozen = frozen;
         // Time for which it stood still is not time for which it waited.
-        to.blind_since_ns = to.blind_since_ns.map(|_| now);
+        to.disconnected_since_ns = to.disconnected_since_ns.map(|_| now);
         match (frozen, to.listens) {
             (true, _) => self.loads[router].gone(&mut self.net),
             (false, Some(at)) => self.loads[router].back(now, at),
@@ -477,17 +477,17 @@
     }
 
     /// How the list service behaves from here on.
-    pub fn set_list(&mut self, manner: Manner) {
+    pub fn set_list_behavior(&mut self, manner: Behavior) {
         let now = self.clock.now_ns();
-        self.serving = manner == Manner::Well;
+        self.serving = manner == Behavior::Well;
         for router in &mut self.routers {
-            router.blind_since_ns = self.serving.then_some(now).filter(|_| router.process.is_some());
+            router.disconnected_since_ns = self.serving.then_some(now).filter(|_| router.process.is_some());
         }
         self.list.set_manner(&mut self.net, manner);
     }
 
     /// Closes all streams at once.
-    pub fn drop_streams(&mut self) {
+    pub fn close_list_streams(&mut self) {
         self.list.drop_all(&mut self.net);
     }
 
@@ -501,9 +501,9 @@
     pub fn cut(&mut self, router: usize, cut: bool) {
         let now = self.clock.now_ns();
         self.list.cut(router, cut);
-        self.routers[router].blind_since_ns = Some(now).filter(|_| !cut);
+        self.routers[router].disconnected_since_ns = Some(now).filter(|_| !cut);
         if !cut {
-            self.list.mended(now, &mut self.net, router);
+            self.list.deliver_delayed(now, &mut self.net, router);
         }
     }
 
@@ -524,27 +524,27 @@
     pub fn apply(&mut self, fault: &Fault, draws: &mut StdRng) -> Result<String, String> {
         let count = self.routers.len();
         let mut named = Vec::new();
-        let mut drawn = |whom: &Whom| {
+        let mut drawn = |whom: &RouterSelector| {
             named = whom.of(count, draws);
             named.clone()
         };
         match fault {
-            Fault::List(manner) => self.set_list(manner.clone()),
+            Fault::List(manner) => self.set_list_behavior(manner.clone()),
             Fault::Capacity(calls) => self.list.set_capacity(*calls),
             Fault::Anew => self.restart_list(),
-            Fault::Close => self.drop_streams(),
+            Fault::Close => self.close_list_streams(),
             Fault::Kill(whom) => drawn(whom).into_iter().for_each(|router| self.kill(router)),
             Fault::Start => self.start_all()?,
-            Fault::Freeze(whom) => drawn(whom).into_iter().for_each(|router| self.freeze(router, true)),
+            Fault::Freeze(whom) => drawn(whom).into_iter().for_each(|router| self.set_paused(router, true)),
             Fault::Wake => (0..count)
                 .filter(|r| self.routers[*r].frozen)
                 .collect::<Vec<_>>()
                 .into_iter()
-                .for_each(|r| self.freeze(r, false)),
+                .for_each(|r| self.set_paused(r, false)),
             Fault::Cut(whom) => drawn(whom).into_iter().for_each(|router| self.cut(router, true)),
             Fault::Mend => (0..count).for_each(|router| self.cut(router, false)),
             Fault::Drain(engine) if *engine < self.engines.len() => self.drain(*engine),
-            Fault::Lose(engine) if *engine < self.engines.len() => self.lose(*engine),
+            Fault::Lose(engine) if *engine < self.engines.len() => self.crash_engine(*engine),
             Fault::Link(engine, there, back) => self.shape(*engine, *there, *back),
             Fault::Reset(engine) => {
                 let link = self.links.get_mut(*engine);
@@ -560,19 +560,19 @@
     ///
     /// # Errors
     /// Where a router can't be started.
-    pub fn mend_all(&mut self) -> Result<(), String> {
+    pub fn heal_all(&mut self) -> Result<(), String> {
         let mut draws = StdRng::seed_from_u64(0);
         for engine in 0..self.links.len() {
             self.shape(engine, Shape::default(), Shape::default());
         }
-        for fault in [Fault::Wake, Fault::Mend, Fault::List(Manner::Well), Fault::Start] {
+        for fault in [Fault::Wake, Fault::Mend, Fault::List(Behavior::Well), Fault::Start] {
             self.apply(&fault, &mut draws)?;
         }
         Ok(())
     }
 
     /// Asks all routers to say their counters in their logs (SIGUSR1).
-    pub fn ask_counters(&mut self) {
+    pub fn request_counters(&mut self) {
         for router in self.routers.iter_mut().filter(|r| r.listens.is_some() && !r.frozen) {
             if let Some(process) = &mut router.process {
                 process.signal(Signal::SIGUSR1);
@@ -590,7 +590,7 @@
             processes.map(|p| p.said().matches(" taken=").count()).sum()
         };
         let before = said(self);
-        self.ask_counters();
+        self.request_counters();
         let asked = self.routers.iter().filter(|r| r.listens.is_some() && !r.frozen).count();
         self.run_until(limit, |fleet| said(fleet) >= before + asked)?;
         Ok(self.routers.iter().filter_map(|r| r.process.as_ref()).map(Process::counters).collect())
@@ -602,17 +602,17 @@
     }
 
     /// All engines start again, cold, and the list says so; what they hold runs on.
-    pub fn renew_engines(&mut self) {
+    pub fn restart_engines_cold(&mut self) {
         let now = self.clock.now_ns();
-        let (start, warm_ns, tip, overload_window_ns) = COLD;
+        let (start, warmup_ns, tip, overload_window_ns) = COLD_START;
         for engine in &mut self.engines {
-            engine.cold = Some(Cold::new(now, self.setup.cores, start, warm_ns, tip, overload_window_ns));
+            engine.cold = Some(Cold::new(now, self.setup.cores, start, warmup_ns, tip, overload_window_ns));
         }
-        self.tell_again();
+        self.republish_list();
     }
 
     /// Tells the list as it is once more, under a number of its own.
-    pub fn tell_again(&mut self) {
+    pub fn republish_list(&mut self) {
         let (now, whole) = (self.clock.now_ns(), self.whole_list());
         self.list.tell(now, &mut self.net, &whole, &[]);
     }
@@ -634,7 +634,7 @@
     }
 
     /// Clients ask from here on, so often at each router.
-    pub fn ask_at(&mut self, rates: &[f64]) {
+    pub fn start_clients_at(&mut self, rates: &[f64]) {
         let now = self.clock.now_ns();
         for (load, rate) in self.loads.iter_mut().zip(rates) {
             load.begin(now, vec![Source { tenant: "all", rate: *rate, clients: 8, says: 1.0 }]);
@@ -732,7 +732,7 @@
         self.engines.iter_mut().for_each(|e| e.tick(now, &mut self.net));
         self.links.iter_mut().for_each(|link| link.tick(now, &mut self.net));
         self.between.iter_mut().for_each(|link| link.tick(now));
-        self.held_most = self.held_most.max(self.held());
+        self.max_held = self.max_held.max(self.held());
         self.list.tick(now, &mut self.net);
         for (router, load) in self.routers.iter_mut().zip(&mut self.loads) {
             if router.listens.is_none() {
@@ -744,21 +744,25 @@
             load.tick(now, &mut self.net);
         }
         for (router, link) in self.routers.iter_mut().zip(&mut self.between) {
-            if router.talks.is_none() {
-                router.talks = router.process.as_ref().and_then(Process::talks);
-                link.to = router.talks;
+            if router.peer_address.is_none() {
+                router.peer_address = router.process.as_ref().and_then(Process::peer_address);
+                link.to = router.peer_address;
             }
         }
         for (at, router) in self.routers.iter_mut().enumerate() {
-            match (router.blind_since_ns, self.list.live_since(at)) {
+            match (router.disconnected_since_ns, self.list.connected_since(at)) {
                 (Some(since), Some(live)) => {
-                    router.blind_ns = router.blind_ns.max(live.saturating_sub(since));
-                    router.blind_since_ns = None;
+                    router.longest_disconnect_ns =
+                        router.longest_disconnect_ns.max(live.saturating_sub(since));
+                    router.disconnected_since_ns = None;
                 }
                 (Some(since), None) if !router.frozen => {
-                    router.blind_ns = router.blind_ns.max(now.saturating_sub(since));
+                    router.longest_disconnect_ns =
+                        router.longest_disconnect_ns.max(now.saturating_sub(since));
+                }
+                (None, None) if self.serving && router.process.is_some() => {
+                    router.disconnected_since_ns = Some(now)
                 }
-                (None, None) if self.serving && router.process.is_some() => router.blind_since_ns = Some(now),
                 _ => {}
             }
         }
@@ -830,7 +834,7 @@
     }
 
     /// The sum over all clients.
-    pub fn sum(&self, of: impl Fn(&Tally) -> f64) -> f64 {
+    pub fn sum(&self, of: impl Fn(&RequestStats) -> f64) -> f64 {
         self.loads.iter().flat_map(|load| load.tallies.iter().flatten()).map(of).sum()
     }
 
@@ -844,13 +848,13 @@
     ///
     /// # Errors
     /// Says what is not so.
-    pub fn end_well(mut self, limit: Duration) -> Result<Vec<Counters>, String> {
+    pub fn stop_and_verify(mut self, limit: Duration) -> Result<Vec<Counters>, String> {
         if !self.quiet(limit)? {
             return Err("something that was asked is not answered".into());
         }
         let audit = self.audit();
         let (unanswered, twice) = (self.sum(|t| t.unanswered as f64), self.sum(|t| t.twice as f64));
-        if audit.sends == 0 || audit.late_sends + audit.double_runs > 0 || unanswered + twice > 0.0 {
+        if audit.sends == 0 || audit.late_sends + audit.duplicate_runs > 0 || unanswered + twice > 0.0 {
             return Err(format!("{audit:?}, {unanswered} unanswered, {twice} answered twice"));
         }
         match self.stop(limit)? {
--- a/crates/testkit/src/health_fleet.rs
+++ b/crates/testkit/src/health_fleet.rs
@@ -36,7 +36,7 @@
     /// Part of the messages that is lost (share).
     pub loss: f64,
     /// Part that comes twice (share).
-    pub double: f64,
+    pub duplication: f64,
     /// Chance's part of the delay (ns).
     pub jitter: u64,
     wire: BTreeMap<(u64, u64), (usize, u32, Message)>,
@@ -64,7 +64,7 @@
             inbox: vec![Vec::new(); routers],
             cut: BTreeSet::new(),
             loss: 0.0,
-            double: 0.0,
+            duplication: 0.0,
             jitter: 3 * MS,
             wire: BTreeMap::new(),
             serial: 0,
@@ -79,8 +79,8 @@
     }
 
     /// A third is lost, a fifth doubled, and the rest out of order.
-    pub fn bad_wire(&mut self) {
-        (self.loss, self.double, self.jitter) = (0.3, 0.2, 150 * MS);
+    pub fn degrade_network(&mut self) {
+        (self.loss, self.duplication, self.jitter) = (0.3, 0.2, 150 * MS);
     }
 
     /// Starts a router that is not there.
@@ -111,7 +111,7 @@
         if self.cut.contains(&(from, to)) || self.draws.gen_bool(self.loss) {
             return;
         }
-        for _ in 0..=u32::from(self.draws.gen_bool(self.double)) {
+        for _ in 0..=u32::from(self.draws.gen_bool(self.duplication)) {
             self.serial += 1;
             let due = self.now + self.draws.gen_range(0..=self.jitter);
             self.wire.insert((due, self.serial), (to, from as u32, message.clone()));
@@ -191,7 +191,7 @@
     }
 
     /// Cuts the routers into parts.
-    pub fn cut_into(&mut self, part: impl Fn(usize) -> usize) {
+    pub fn partition_into(&mut self, part: impl Fn(usize) -> usize) {
         let n = self.nodes.len();
         self.cut.clear();
         for (a, b) in (0..n).flat_map(|a| (0..n).map(move |b| (a, b))).filter(|(a, b)| part(*a) != part(*b)) {
--- a/crates/testkit/src/herd.rs
+++ b/crates/testkit/src/herd.rs
@@ -6,7 +6,7 @@
 use marljunction_pacing::{Failure, Pacer};
 
 /// A way to pace calls, as one caller uses it.
-pub trait Way {
+pub trait PacingPolicy {
     /// When the next call may be made (ns); none while one is out or up.
     fn due_ns(&self) -> Option<u64>;
     /// Makes the call that is due; whether it may be made.
@@ -19,7 +19,7 @@
     fn ended(&mut self, now: u64);
 }
 
-impl Way for Pacer {
+impl PacingPolicy for Pacer {
     fn due_ns(&self) -> Option<u64> {
         Pacer::due_ns(self)
     }
@@ -76,7 +76,7 @@
 }
 
 /// Callers and their service.
-pub struct Herd<W> {
+pub struct ClientSwarm<W> {
     /// The callers.
     pub callers: Vec<W>,
     /// The service.
@@ -92,21 +92,21 @@
     /// Calls.
     pub calls: u64,
     /// Most calls within a second, and within 100 ms.
-    pub worst_second: usize,
+    pub max_calls_per_s: usize,
     /// Most calls within 100 ms.
-    pub worst_100ms: usize,
+    pub max_calls_per_100ms: usize,
     /// When the last caller that came up did so, since the while began (ns); nothing where some are not up.
     pub settled_ns: Option<u64>,
 }
 
 /// Counts the most calls within a window that moves on.
 #[derive(Default)]
-struct Worst {
+struct SlidingMax {
     window: VecDeque<u64>,
     most: usize,
 }
 
-impl Worst {
+impl SlidingMax {
     fn add(&mut self, at: u64, span_ns: u64) {
         while self.window.front().is_some_and(|first| first + span_ns <= at) {
             self.window.pop_front();
@@ -116,17 +116,17 @@
     }
 }
 
-impl<W: Way> Herd<W> {
+impl<W: PacingPolicy> ClientSwarm<W> {
     /// Callers that all start now.
-    pub fn new(callers: Vec<W>, service: Service) -> Herd<W> {
-        Herd { up: vec![false; callers.len()], callers, service, now: 0 }
+    pub fn new(callers: Vec<W>, service: Service) -> ClientSwarm<W> {
+        ClientSwarm { up: vec![false; callers.len()], callers, service, now: 0 }
     }
 
     /// Passes time until all callers are up or `limit_ns` has passed. An answer takes a millisecond.
     pub fn pass(&mut self, limit_ns: u64) -> Passed {
         let (began, end) = (self.now, self.now + limit_ns);
         let mut passed = Passed::default();
-        let (mut second, mut tenth) = (Worst::default(), Worst::default());
+        let (mut second, mut tenth) = (SlidingMax::default(), SlidingMax::default());
         let due = |at: usize, way: &W| way.due_ns().map(|due| Reverse((due, at)));
         let mut queue: BinaryHeap<Reverse<(u64, usize)>> =
             self.callers.iter().enumerate().filter_map(|(at, way)| due(at, way)).collect();
@@ -156,7 +156,7 @@
         } else {
             self.now = end;
         }
-        (passed.worst_second, passed.worst_100ms) = (second.most, tenth.most);
+        (passed.max_calls_per_s, passed.max_calls_per_100ms) = (second.most, tenth.most);
         passed
     }
 
--- a/crates/testkit/src/lease_fleet.rs
+++ b/crates/testkit/src/lease_fleet.rs
@@ -22,7 +22,7 @@
     /// Part that is lost.
     pub loss: f64,
     /// Part that comes twice.
-    pub double: f64,
+    pub duplication: f64,
     /// Delay at least (ns), and chance's part on top (ns).
     pub delay: u64,
     /// Chance's part of the delay (ns).
@@ -30,9 +30,9 @@
 }
 
 /// A wire that is well.
-pub const WELL: Net = Net { loss: 0.0, double: 0.0, delay: MS, jitter: 2 * MS };
+pub const WELL: Net = Net { loss: 0.0, duplication: 0.0, delay: MS, jitter: 2 * MS };
 /// One that loses a third, doubles a fifth, and puts the rest out of order.
-pub const BAD: Net = Net { loss: 0.3, double: 0.2, delay: 20 * MS, jitter: 900 * MS };
+pub const BAD: Net = Net { loss: 0.3, duplication: 0.2, delay: 20 * MS, jitter: 900 * MS };
 
 /// One router.
 pub struct Router {
@@ -161,7 +161,7 @@
             return;
         }
         let peer = Peer { number: from as u32, incarnation: self.routers[from].incarnation };
-        for _ in 0..=u32::from(self.draws.gen_bool(self.net.double)) {
+        for _ in 0..=u32::from(self.draws.gen_bool(self.net.duplication)) {
             self.serial += 1;
             let due = self.now + self.net.delay + self.draws.gen_range(0..=self.net.jitter);
             self.wire.insert((due, self.serial), (to, peer, message.clone()));
@@ -178,7 +178,7 @@
     }
 
     /// Tells all who can be reached, as a membership would after a while.
-    pub fn tell_reachable(&mut self) {
+    pub fn update_reachable_peers(&mut self) {
         for at in 0..self.routers.len() {
             let now = self.clock(at);
             let both = |other: &usize| !self.cut.contains(&(at, *other)) && !self.cut.contains(&(*other, at));
@@ -202,7 +202,7 @@
             }
         }
         if self.now % (500 * MS) == 0 {
-            self.tell_reachable();
+            self.update_reachable_peers();
         }
         self.lingering.retain(|end| *end > self.now);
         if let Kind::Rate { per_s, .. } = self.limit.kind {
@@ -280,7 +280,7 @@
     }
 
     /// Cuts the routers into parts.
-    pub fn cut_between(&mut self, parts: &[usize]) {
+    pub fn partition_into(&mut self, parts: &[usize]) {
         for a in 0..parts.len() {
             for b in (0..parts.len()).filter(|b| parts[a] != parts[*b]) {
                 self.cut.insert((a, b));
@@ -289,17 +289,17 @@
     }
 
     /// Something breaks, or is mended, by chance.
-    pub fn break_something(&mut self) {
+    pub fn inject_random_fault(&mut self) {
         let n = self.routers.len();
         let at = self.draws.gen_range(0..n);
         match self.draws.gen_range(0..14) {
             0 => {
                 let parts: Vec<usize> = (0..n).map(|_| self.draws.gen_range(0..2)).collect();
-                self.cut_between(&parts);
+                self.partition_into(&parts);
             }
             1 => {
                 let parts: Vec<usize> = (0..n).map(|i| i % 3).collect();
-                self.cut_between(&parts);
+                self.partition_into(&parts);
             }
             2 => {
                 let to = self.draws.gen_range(0..n);
--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -28,14 +28,14 @@
     /// Part of the datagrams that are lost (share).
     pub loss: f64,
     /// Part of the datagrams that come twice (share).
-    pub double: f64,
+    pub duplication: f64,
     /// Bytes a second of a stream; none for all that come.
-    pub trickle: Option<u64>,
+    pub bytes_per_s: Option<u64>,
 }
 
 impl Default for Shape {
     fn default() -> Self {
-        Shape { cut: false, delay_ns: 0, jitter_ns: 0, loss: 0.0, double: 0.0, trickle: None }
+        Shape { cut: false, delay_ns: 0, jitter_ns: 0, loss: 0.0, duplication: 0.0, bytes_per_s: None }
     }
 }
 
@@ -50,7 +50,7 @@
     datagrams: BTreeMap<(u64, u64), Vec<u8>>,
     serial: u64,
     /// Up to when the trickle's bytes were given.
-    trickled_ns: u64,
+    rate_updated_ns: u64,
     /// Datagrams lost so far.
     pub lost: u64,
 }
@@ -64,14 +64,14 @@
             stream: VecDeque::new(),
             datagrams: BTreeMap::new(),
             serial: 0,
-            trickled_ns: 0,
+            rate_updated_ns: 0,
             lost: 0,
         }
     }
 
     /// Shapes what comes from here on so.
     pub fn set(&mut self, now: u64, shape: Shape) {
-        (self.shape, self.trickled_ns) = (shape, now);
+        (self.shape, self.rate_updated_ns) = (shape, now);
     }
 
     /// The shape now.
@@ -94,8 +94,8 @@
     /// The stream's bytes that pass now.
     pub fn pull_stream(&mut self, now: u64) -> Vec<u8> {
         let mut out = Vec::new();
-        let passed = now.saturating_sub(self.trickled_ns);
-        let mut most = match self.shape.trickle {
+        let passed = now.saturating_sub(self.rate_updated_ns);
+        let mut most = match self.shape.bytes_per_s {
             _ if self.shape.cut => 0,
             None => usize::MAX,
             Some(per_s) => (u128::from(passed) * u128::from(per_s) / 1_000_000_000) as usize,
@@ -103,7 +103,7 @@
         if most == 0 {
             return out;
         }
-        self.trickled_ns = now;
+        self.rate_updated_ns = now;
         while let Some((_, bytes)) = self.stream.front_mut().filter(|(due, _)| *due <= now && most > 0) {
             let part = bytes.len().min(most);
             out.extend(bytes.drain(..part));
@@ -127,7 +127,7 @@
             self.lost += 1;
             return;
         }
-        let twice = self.shape.double > 0.0 && self.draws.gen_bool(self.shape.double.min(1.0));
+        let twice = self.shape.duplication > 0.0 && self.draws.gen_bool(self.shape.duplication.min(1.0));
         for _ in 0..=usize::from(twice) {
             self.serial += 1;
             let due = self.due(now);
@@ -156,7 +156,7 @@
 }
 
 /// One connection through a link: both ends, and what passes to the server and back.
-struct Pair {
+struct ProxiedConnection {
     ends: [u64; 2],
     passing: [Shaper; 2],
     over: [bool; 2],
@@ -169,7 +169,7 @@
     pub address: SocketAddr,
     to: SocketAddr,
     shapes: [Shape; 2],
-    pairs: Vec<Pair>,
+    pairs: Vec<ProxiedConnection>,
     seed: u64,
 }
 
@@ -215,7 +215,7 @@
             self.seed = self.seed.wrapping_add(2);
             let mut passing = [Shaper::new(self.seed), Shaper::new(self.seed + 1)];
             passing.iter_mut().zip(self.shapes).for_each(|(shaper, shape)| shaper.set(now, shape));
-            self.pairs.push(Pair { ends: [client, server], passing, over: [false; 2] });
+            self.pairs.push(ProxiedConnection { ends: [client, server], passing, over: [false; 2] });
         }
     }
 
--- a/crates/testkit/src/list.rs
+++ b/crates/testkit/src/list.rs
@@ -15,7 +15,7 @@
 
 /// How the service behaves.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Manner {
+pub enum Behavior {
     /// Well, within its capacity.
     Well,
     /// It is away: each connection is reset as it comes.
@@ -23,18 +23,18 @@
     /// It takes connections and says nothing.
     Silent,
     /// It turns all calls away, with this `Retry-After`.
-    TurnsAway(String),
+    Rejecting(String),
     /// It closes each stream so long after it opened (ns).
     ClosesAfter(u64),
     /// It answers what nobody can read.
-    Garbage,
+    InvalidResponse,
     /// It answers the first half of a head, and closes.
-    Half,
+    TruncatedResponse,
 }
 
 /// A call that was seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct CallRecord {
     /// When (ns).
     pub at_ns: u64,
     /// By which router.
@@ -45,7 +45,7 @@
 
 /// A router's stream.
 #[derive(Debug)]
-struct Follower {
+struct Subscriber {
     router: usize,
     follows_ns: Option<u64>,
 }
@@ -64,16 +64,16 @@
 pub struct ListService {
     doors: Vec<Door>,
     first_token: usize,
-    manner: Manner,
+    manner: Behavior,
     /// Calls a second that it takes, and calls that it takes at once after a rest.
     capacity: f64,
     tokens: f64,
     refilled_ns: u64,
-    followers: HashMap<u64, Follower>,
+    followers: HashMap<u64, Subscriber>,
     events: Vec<(u64, String, Vec<String>)>,
     commented_ns: u64,
     /// All calls, in order.
-    pub calls: Vec<Seen>,
+    pub calls: Vec<CallRecord>,
     /// By router and engine, when the router was first told that the engine drains or is gone (ns).
     pub told: BTreeMap<(usize, String), u64>,
     /// When each router's present stream was opened; none without one.
@@ -100,7 +100,7 @@
         Ok(ListService {
             doors,
             first_token,
-            manner: Manner::Well,
+            manner: Behavior::Well,
             capacity,
             tokens: capacity,
             refilled_ns: 0,
@@ -134,7 +134,7 @@
     }
 
     /// Since when a router's stream is up; none without one (ns).
-    pub fn live_since(&self, router: usize) -> Option<u64> {
+    pub fn connected_since(&self, router: usize) -> Option<u64> {
         self.live[router]
     }
 
@@ -144,8 +144,8 @@
     }
 
     /// Behaves so from here on. Away and back, it begins rested and with no connection.
-    pub fn set_manner(&mut self, net: &mut Net, manner: Manner) {
-        if manner == Manner::Away {
+    pub fn set_manner(&mut self, net: &mut Net, manner: Behavior) {
+        if manner == Behavior::Away {
             self.drop_all(net);
             self.tokens = self.capacity;
         }
@@ -186,13 +186,13 @@
         let router = token - self.first_token;
         while let Ok((stream, _)) = self.doors[router].listener.accept() {
             // Those of a service that is away are reset, as the owner of the number tells the sockets.
-            let owner = if self.manner == Manner::Away { Owner::Engine } else { Owner::Discovery };
+            let owner = if self.manner == Behavior::Away { Owner::Engine } else { Owner::Discovery };
             let Ok(conn) = net.add_accepted(stream, owner) else { continue };
-            if self.manner == Manner::Away {
-                self.calls.push(Seen { at_ns: now, router, taken: false });
+            if self.manner == Behavior::Away {
+                self.calls.push(CallRecord { at_ns: now, router, taken: false });
                 net.close(conn);
             } else {
-                self.followers.insert(conn, Follower { router, follows_ns: None });
+                self.followers.insert(conn, Subscriber { router, follows_ns: None });
             }
         }
     }
@@ -233,24 +233,24 @@
         }
         let Ok(Some(call)) = read_call(net.input(conn)) else { return };
         net.consume(conn, call.size);
-        let takes = matches!(self.manner, Manner::Well | Manner::ClosesAfter(_)) && self.takes(now);
-        self.calls.push(Seen { at_ns: now, router, taken: takes });
+        let takes = matches!(self.manner, Behavior::Well | Behavior::ClosesAfter(_)) && self.takes(now);
+        self.calls.push(CallRecord { at_ns: now, router, taken: takes });
         let turned = |after: &str| {
             format!(
                 "HTTP/1.1 503 Busy\r\nRetry-After: {after}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
             )
         };
         match &self.manner {
-            Manner::Silent => return,
-            Manner::Garbage => {
+            Behavior::Silent => return,
+            Behavior::InvalidResponse => {
                 net.send(conn, b"\x00\xff\xfe\r\nnonsense\r\n\r\n");
                 return self.close(net, conn);
             }
-            Manner::Half => {
+            Behavior::TruncatedResponse => {
                 net.send(conn, b"HTTP/1.1 200 OK\r\nContent-Ty");
                 return self.close(net, conn);
             }
-            Manner::TurnsAway(after) => {
+            Behavior::Rejecting(after) => {
                 net.send(conn, turned(after).as_bytes());
                 return self.close(net, conn);
             }
@@ -277,12 +277,12 @@
 
     /// Passes time: a comment each second, and the end of streams that are closed after a while.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
-        if let Manner::ClosesAfter(after) = self.manner {
-            let over = |f: &Follower| f.follows_ns.is_some_and(|since| now >= since + after);
+        if let Behavior::ClosesAfter(after) = self.manner {
+            let over = |f: &Subscriber| f.follows_ns.is_some_and(|since| now >= since + after);
             let over: Vec<u64> = self.followers.iter().filter(|(_, f)| over(f)).map(|(c, _)| *c).collect();
             over.into_iter().for_each(|conn| self.close(net, conn));
         }
-        if now < self.commented_ns + COMMENT_NS || self.manner == Manner::Silent {
+        if now < self.commented_ns + COMMENT_NS || self.manner == Behavior::Silent {
             return;
         }
         self.commented_ns = now;
@@ -294,7 +294,7 @@
     }
 
     /// Looks again at what waited at a link that was cut.
-    pub fn mended(&mut self, now: u64, net: &mut Net, router: usize) {
+    pub fn deliver_delayed(&mut self, now: u64, net: &mut Net, router: usize) {
         let conns: Vec<u64> =
             self.followers.iter().filter(|(_, f)| f.router == router).map(|(c, _)| *c).collect();
         conns.into_iter().for_each(|conn| self.ready(now, net, conn));
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -60,7 +60,7 @@
 
 /// What became of a tenant's requests.
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct Tally {
+pub struct RequestStats {
     /// Requests made, returns included.
     pub asked: u64,
     /// First tries, and their worth.
@@ -93,9 +93,9 @@
     latencies: Histogram<u64>,
 }
 
-impl Default for Tally {
+impl Default for RequestStats {
     fn default() -> Self {
-        Tally {
+        RequestStats {
             asked: 0,
             first: 0,
             worth_asked: 0.0,
@@ -116,7 +116,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Want {
+struct PlannedRequest {
     source: usize,
     class: usize,
     client: u64,
@@ -129,7 +129,7 @@
 }
 
 struct Call {
-    want: Want,
+    want: PlannedRequest,
     asked_ns: u64,
     until_ns: u64,
 }
@@ -151,27 +151,33 @@
     rng: StdRng,
     seed: u64,
     conns: BTreeMap<u64, Conn>,
-    returns: BTreeMap<(u64, u64), Want>,
-    longest_ms: u64,
+    returns: BTreeMap<(u64, u64), PlannedRequest>,
+    max_retry_after_ms: u64,
     /// Part of the clients without a promise that return.
-    returning: f64,
+    return_share: f64,
     serial: u64,
     phase: usize,
     /// Tallies by phase and source.
-    pub tallies: Vec<Vec<Tally>>,
+    pub tallies: Vec<Vec<RequestStats>>,
     /// The number that statements name as their router's.
     pub router: usize,
     /// When the first answer came (ns).
     pub first_answer_ns: Option<u64>,
     /// Calls that were open when their router was killed, or asked of one that was not there.
-    pub excused: u64,
+    pub excluded_calls: u64,
     /// The router is there to be asked.
     up: bool,
 }
 
 impl Load {
     /// Clients of the router that listens at `to`; `longest_ms` is the longest advice that the settings allow.
-    pub fn new(to: SocketAddr, classes: Vec<Class>, longest_ms: u64, returning: f64, seed: u64) -> Self {
+    pub fn new(
+        to: SocketAddr,
+        classes: Vec<Class>,
+        max_retry_after_ms: u64,
+        return_share: f64,
+        seed: u64,
+    ) -> Self {
         Load {
             to,
             classes,
@@ -182,14 +188,14 @@
             seed,
             conns: BTreeMap::new(),
             returns: BTreeMap::new(),
-            longest_ms,
-            returning,
+            max_retry_after_ms,
+            return_share,
             serial: 0,
             phase: 0,
             tallies: Vec::new(),
             router: 0,
             first_answer_ns: None,
-            excused: 0,
+            excluded_calls: 0,
             up: true,
         }
     }
@@ -197,7 +203,7 @@
     /// Begins a phase with these sources; what is open and due to return stays with the phase it began in.
     pub fn begin(&mut self, now: u64, sources: Vec<Source>) {
         self.phase = self.tallies.len();
-        self.tallies.push(vec![Tally::default(); sources.len()]);
+        self.tallies.push(vec![RequestStats::default(); sources.len()]);
         self.sources = sources;
         let seed = |i: usize| self.seed.wrapping_mul(1_000_003) ^ ((self.phase as u64) << 32) ^ i as u64;
         self.draws = (0..self.sources.len()).map(|i| StdRng::seed_from_u64(seed(i))).collect();
@@ -209,7 +215,7 @@
         (self.up, self.first_answer_ns) = (false, None);
         for (conn, calls) in std::mem::take(&mut self.conns) {
             net.close(conn);
-            self.excused += calls.open.len() as u64;
+            self.excluded_calls += calls.open.len() as u64;
         }
         self.returns.clear();
     }
@@ -247,7 +253,7 @@
         first.min(self.returns.keys().next().map_or(u64::MAX, |(at, _)| *at))
     }
 
-    fn draw(&mut self, source: usize) -> Want {
+    fn draw(&mut self, source: usize) -> PlannedRequest {
         let mut pick = self.draws[source].gen::<f64>() * self.classes.iter().map(|c| c.share).sum::<f64>();
         let class = self.classes.iter().position(|c| {
             pick -= c.share;
@@ -263,7 +269,7 @@
         let client = self.draws[source].gen_range(0..self.sources[source].clients.max(1));
         let says_ms = (work_ms * guess * self.sources[source].says).max(0.1);
         let set = self.draws[source].gen_range(0..64);
-        Want { source, class, client, work_ms, says_ms, set, told: None, phase: self.phase }
+        PlannedRequest { source, class, client, work_ms, says_ms, set, told: None, phase: self.phase }
     }
 
     /// Makes the calls that are due.
@@ -295,7 +301,7 @@
         }
     }
 
-    fn ask(&mut self, now: u64, net: &mut Net, want: Want) {
+    fn ask(&mut self, now: u64, net: &mut Net, want: PlannedRequest) {
         let free = self.conns.iter().find(|(_, c)| c.open.len() < OPEN_MOST).map(|(id, _)| *id);
         let tally = &mut self.tallies[want.phase][want.source];
         tally.asked += 1;
@@ -401,11 +407,11 @@
         let backoff = fields.and_then(|f| f.iter().find(|(k, _)| k.as_str() == Some("backoff")));
         let ms: u64 = backoff.and_then(|(_, v)| v.as_str()?.parse().ok()).unwrap_or(100);
         // A request returns once at most, as soon as it was told to.
-        let promised = ms < self.longest_ms;
-        if want.told.is_none() && (promised || self.rng.gen::<f64>() < self.returning) {
+        let promised = ms < self.max_retry_after_ms;
+        if want.told.is_none() && (promised || self.rng.gen::<f64>() < self.return_share) {
             self.serial += 1;
             let key = (now + ms * 1_000_000, self.serial);
-            self.returns.insert(key, Want { told: Some(promised), ..want });
+            self.returns.insert(key, PlannedRequest { told: Some(promised), ..want });
         }
     }
 
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -73,7 +73,7 @@
     }
 
     /// Where it takes datagrams of its peers, once it has said so.
-    pub fn talks(&self) -> Option<SocketAddr> {
+    pub fn peer_address(&self) -> Option<SocketAddr> {
         let said = self.said();
         let line = said.lines().find_map(|line| line.split_once("talks to the fleet on "))?;
         line.1.split(' ').next()?.parse().ok()
--- a/crates/testkit/src/schedule.rs
+++ b/crates/testkit/src/schedule.rs
@@ -23,11 +23,11 @@
 use rand::seq::SliceRandom;
 
 use crate::link::Shape;
-use crate::list::Manner;
+use crate::list::Behavior;
 
 /// Which routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Whom {
+pub enum RouterSelector {
     /// All of them.
     All,
     /// One, by its number.
@@ -36,25 +36,27 @@
     Share(f64),
 }
 
-impl Whom {
-    fn read(word: &str) -> Option<Whom> {
+impl RouterSelector {
+    fn read(word: &str) -> Option<RouterSelector> {
         if word == "all" {
-            return Some(Whom::All);
+            return Some(RouterSelector::All);
         }
         match word.strip_suffix('%') {
-            Some(part) => {
-                part.parse().ok().filter(|p| (0.0..=100.0).contains(p)).map(|p: f64| Whom::Share(p / 100.0))
-            }
-            None => word.parse().ok().map(Whom::One),
+            Some(part) => part
+                .parse()
+                .ok()
+                .filter(|p| (0.0..=100.0).contains(p))
+                .map(|p: f64| RouterSelector::Share(p / 100.0)),
+            None => word.parse().ok().map(RouterSelector::One),
         }
     }
 
     /// Their numbers, of `count`.
     pub fn of(self, count: usize, draws: &mut StdRng) -> Vec<usize> {
         match self {
-            Whom::All => (0..count).collect(),
-            Whom::One(at) => (0..count).filter(|i| *i == at).collect(),
-            Whom::Share(share) => {
+            RouterSelector::All => (0..count).collect(),
+            RouterSelector::One(at) => (0..count).filter(|i| *i == at).collect(),
+            RouterSelector::Share(share) => {
                 let mut all: Vec<usize> = (0..count).collect();
                 all.shuffle(draws);
                 all.truncate((count as f64 * share).round() as usize);
@@ -69,7 +71,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// The list service behaves so from here on.
-    List(Manner),
+    List(Behavior),
     /// It takes so many calls a second.
     Capacity(f64),
     /// It starts anew, with numbers from 1.
@@ -77,15 +79,15 @@
     /// It closes all streams.
     Close,
     /// Routers are killed.
-    Kill(Whom),
+    Kill(RouterSelector),
     /// Those that are not there are started.
     Start,
     /// Routers stand still.
-    Freeze(Whom),
+    Freeze(RouterSelector),
     /// Those that stand still go on.
     Wake,
     /// Routers are cut off from the list service.
-    Cut(Whom),
+    Cut(RouterSelector),
     /// Their links are mended.
     Mend,
     /// An engine drains.
@@ -119,21 +121,21 @@
 
 fn fault(words: &[&str]) -> Option<Fault> {
     Some(match words {
-        ["list", "well"] => Fault::List(Manner::Well),
-        ["list", "away"] => Fault::List(Manner::Away),
-        ["list", "silent"] => Fault::List(Manner::Silent),
-        ["list", "garbage"] => Fault::List(Manner::Garbage),
-        ["list", "half"] => Fault::List(Manner::Half),
-        ["list", "busy", after @ ..] => Fault::List(Manner::TurnsAway(after.join(" "))),
-        ["list", "closes", after] => Fault::List(Manner::ClosesAfter(time(after)?)),
+        ["list", "well"] => Fault::List(Behavior::Well),
+        ["list", "away"] => Fault::List(Behavior::Away),
+        ["list", "silent"] => Fault::List(Behavior::Silent),
+        ["list", "garbage"] => Fault::List(Behavior::InvalidResponse),
+        ["list", "half"] => Fault::List(Behavior::TruncatedResponse),
+        ["list", "busy", after @ ..] => Fault::List(Behavior::Rejecting(after.join(" "))),
+        ["list", "closes", after] => Fault::List(Behavior::ClosesAfter(time(after)?)),
         ["list", "takes", calls] => Fault::Capacity(calls.parse().ok().filter(|c: &f64| *c > 0.0)?),
         ["list", "anew"] => Fault::Anew,
         ["streams", "close"] => Fault::Close,
-        ["kill", whom] => Fault::Kill(Whom::read(whom)?),
+        ["kill", whom] => Fault::Kill(RouterSelector::read(whom)?),
         ["start"] => Fault::Start,
-        ["freeze", whom] => Fault::Freeze(Whom::read(whom)?),
+        ["freeze", whom] => Fault::Freeze(RouterSelector::read(whom)?),
         ["wake"] => Fault::Wake,
-        ["cut", whom] => Fault::Cut(Whom::read(whom)?),
+        ["cut", whom] => Fault::Cut(RouterSelector::read(whom)?),
         ["mend"] => Fault::Mend,
         ["drain", engine] => Fault::Drain(engine.parse().ok()?),
         ["link", engine, "reset"] => Fault::Reset(engine.parse().ok()?),
@@ -150,8 +152,8 @@
                     (slow, slow)
                 }
                 ["trickle", bytes] => {
-                    let trickle = Some(bytes.parse().ok().filter(|b| *b > 0)?);
-                    (Shape { trickle, ..well }, Shape { trickle, ..well })
+                    let bytes_per_s = Some(bytes.parse().ok().filter(|b| *b > 0)?);
+                    (Shape { bytes_per_s, ..well }, Shape { bytes_per_s, ..well })
                 }
                 _ => return None,
             };
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -7,7 +7,7 @@
 use mio::net::TcpListener;
 use mio::{Interest, Registry, Token};
 
-use crate::engine::{Cold, Cores, News};
+use crate::engine::{Cold, CpuModel, News};
 
 /// Longest wait for a query's end before a note is given (ns).
 const WAIT_NS: u64 = 250_000_000;
@@ -66,7 +66,7 @@
     pub announced: Option<SocketAddr>,
     /// Its name.
     pub uid: String,
-    cores: Cores,
+    cores: CpuModel,
     conns: HashSet<u64>,
     waiting: Vec<(u64, String, u64)>,
     report: (u64, String),
@@ -80,7 +80,7 @@
     pub opened_for_work: u64,
     fresh: HashSet<u64>,
     /// Connections that it holds at most; others are closed as they come.
-    pub conns_most: usize,
+    pub max_connections: usize,
     /// What came while it was told to be watched: all calls that start a query.
     pub sends: Option<Vec<Sent>>,
     /// How cold it is; none for an engine that is warm.
@@ -115,7 +115,7 @@
             address,
             announced: None,
             uid: uid.to_owned(),
-            cores: Cores::new(now, cores),
+            cores: CpuModel::new(now, cores),
             conns: HashSet::new(),
             waiting: Vec::new(),
             report: (0, String::new()),
@@ -124,7 +124,7 @@
             accepted: 0,
             opened_for_work: 0,
             fresh: HashSet::new(),
-            conns_most: usize::MAX,
+            max_connections: usize::MAX,
             sends: None,
             cold: None,
         })
@@ -148,7 +148,7 @@
     /// Takes new connections.
     pub fn accept(&mut self, net: &mut Net) {
         while let Some(Ok((stream, _))) = self.listener.as_ref().map(TcpListener::accept) {
-            if self.conns.len() >= self.conns_most {
+            if self.conns.len() >= self.max_connections {
                 continue;
             }
             if let Ok(conn) = net.add_accepted(stream, Owner::Engine) {
@@ -164,7 +164,7 @@
         self.listener = None;
         self.conns.drain().for_each(|conn| net.close(conn));
         self.waiting.clear();
-        self.cores = Cores::new(0, 0.0);
+        self.cores = CpuModel::new(0, 0.0);
     }
 
     fn answer(&mut self, now: u64, net: &mut Net, conn: u64, status: &str, extra: &str, body: &str) {
--- a/crates/testkit/src/stage.rs
+++ b/crates/testkit/src/stage.rs
@@ -38,9 +38,9 @@
     /// The door's file; none for no door.
     pub door: Option<Value>,
     /// Longest advice to clients (ms).
-    pub longest_ms: u64,
+    pub max_retry_after_ms: u64,
     /// Part of refused clients without a promise that return.
-    pub returning: f64,
+    pub return_share: f64,
     /// Seed of all draws.
     pub seed: u64,
 }
@@ -95,7 +95,7 @@
     /// Cores of an engine.
     pub cores: f64,
     /// Longest advice to clients (ms).
-    pub longest_ms: u64,
+    pub max_retry_after_ms: u64,
     /// Routers that the settings say there are, and this one's number.
     pub routers: u32,
     /// Its number among them.
@@ -106,7 +106,7 @@
 
 /// How cold engines start: part of their capacity (share), time until warm (ns), the multiple of their capacity that tips
 /// them over (ratio) and its window (ns).
-pub const COLD: (f64, u64, f64, u64) = (0.32, 15_000_000_000, 2.5, 1_000_000_000);
+pub const COLD_START: (f64, u64, f64, u64) = (0.32, 15_000_000_000, 2.5, 1_000_000_000);
 
 /// The settings object of one router.
 pub fn settings(site: &Site) -> Value {
@@ -125,8 +125,8 @@
     let of = |f: fn(&Class) -> Value| site.classes.iter().map(f).collect::<Vec<Value>>();
     let mut guarantees = json!({"drain_grace_ns": 500_000_000u64});
     if site.cold {
-        let (start, warm_ns, tip, overload_window_ns) = COLD;
-        guarantees = json!({"drain_grace_ns": 500_000_000u64, "start_capacity": start, "cold_ns": warm_ns,
+        let (start, warmup_ns, tip, overload_window_ns) = COLD_START;
+        guarantees = json!({"drain_grace_ns": 500_000_000u64, "start_capacity": start, "cold_ns": warmup_ns,
                             "tip_multiple": tip, "fall_ns": overload_window_ns});
     }
     json!({
@@ -137,7 +137,7 @@
             "takes_grants": false, "waits_for_loads": of(|_| json!(false)), "writes_tables": of(|c| json!(c.load))},
         "guarantees": guarantees,
         "limits": {"cancelling": true, "conn_idle_ns": 30_000_000_000u64, "connect_timeout_ns": 250_000_000u64,
-            "max_retry_after_ns": site.longest_ms * 1_000_000, "retry_after": true, "send_cap": 4},
+            "max_retry_after_ns": site.max_retry_after_ms * 1_000_000, "retry_after": true, "send_cap": 4},
         "request_classes": classes,
     })
 }
@@ -162,7 +162,7 @@
             classes: &setup.classes,
             tenants: &setup.tenants,
             cores: setup.cores,
-            longest_ms: setup.longest_ms,
+            max_retry_after_ms: setup.max_retry_after_ms,
             routers: 1,
             me: 0,
             cold: false,
@@ -202,7 +202,7 @@
             }
         };
         let classes = setup.classes.clone();
-        let load = Load::new(to, classes, setup.longest_ms, setup.returning, setup.seed);
+        let load = Load::new(to, classes, setup.max_retry_after_ms, setup.return_share, setup.seed);
         let log = Some(log);
         Ok(Stage { poll, clock, net, engines, coordinator, load, child, log, dir, revision: 1 })
     }
@@ -234,7 +234,7 @@
     }
 
     /// Runs of queries that must not run twice, beyond the first of each.
-    pub fn double_runs(&self) -> u64 {
+    pub fn duplicate_runs(&self) -> u64 {
         let mut runs = std::collections::BTreeMap::<&str, u64>::new();
         for (name, count) in self.engines.iter().flat_map(|e| &e.loads) {
             *runs.entry(name).or_default() += u64::from(*count);
@@ -334,7 +334,7 @@
 }
 
 /// The router's program beside the one that runs.
-pub fn program_beside() -> Option<std::path::PathBuf> {
+pub fn sibling_program() -> Option<std::path::PathBuf> {
     let own = std::env::current_exe().ok()?;
     let beside = own.parent()?.join("marljunction");
     Path::new(&beside).exists().then_some(beside)
--- a/crates/testkit/tests/engine.rs
+++ b/crates/testkit/tests/engine.rs
@@ -1,6 +1,6 @@
 //! The inside of a stand-in engine: cores shared by priority, work lost in a crowd, loads one behind another.
 
-use marljunction_testkit::engine::{Cores, News};
+use marljunction_testkit::engine::{CpuModel, News};
 
 const MS: u64 = 1_000_000;
 
@@ -10,7 +10,7 @@
 
 #[test]
 fn a_query_alone_takes_its_work_over_its_threads() {
-    let mut engine = Cores::new(0, 4.0);
+    let mut engine = CpuModel::new(0, 4.0);
     engine.start(0, "q", work(100), 2.0, 1, None);
     assert_eq!(engine.ask(49 * MS, "q"), News::Runs(0.98));
     assert_eq!(engine.ask(51 * MS, "q"), News::Done);
@@ -19,7 +19,7 @@
 
 #[test]
 fn short_cores_are_shared_by_priority() {
-    let mut engine = Cores::new(0, 1.0);
+    let mut engine = CpuModel::new(0, 1.0);
     engine.start(0, "high", work(100), 1.0, 3, None);
     engine.start(0, "low", work(100), 1.0, 0, None);
     let News::Runs(low) = engine.ask(50 * MS, "low") else { panic!("it runs") };
@@ -31,7 +31,7 @@
 #[test]
 fn a_crowd_does_less_work_in_all() {
     let done = |queries: usize| {
-        let mut engine = Cores::new(0, 2.0);
+        let mut engine = CpuModel::new(0, 2.0);
         (0..queries).for_each(|i| engine.start(0, &format!("q{i}"), work(1_000), 1.0, 1, None));
         let share = |news| if let News::Runs(share) = news { share } else { 1.0 };
         (0..queries).map(|i| share(engine.ask(100 * MS, &format!("q{i}")))).sum::<f64>()
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_load_waits_for_the_one_that_holds_its_data_set() {
-    let mut engine = Cores::new(0, 4.0);
+    let mut engine = CpuModel::new(0, 4.0);
     engine.start(0, "first", work(100), 1.0, 1, Some(7));
     engine.start(0, "second", work(100), 1.0, 1, Some(7));
     engine.start(0, "elsewhere", work(100), 1.0, 1, Some(8));
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_query_that_nobody_asks_for_is_ended() {
-    let mut engine = Cores::new(0, 1.0);
+    let mut engine = CpuModel::new(0, 1.0);
     engine.start(0, "q", work(10_000), 1.0, 1, None);
     assert!(matches!(engine.ask(1_900 * MS, "q"), News::Runs(_)));
     assert_eq!(engine.ask(4_000 * MS, "q"), News::Unknown);
--- a/crates/testkit/tests/link.rs
+++ b/crates/testkit/tests/link.rs
@@ -11,11 +11,11 @@
         parts in proptest::collection::vec((0..50 * MS, proptest::collection::vec(any::<u8>(), 1..40)), 1..40),
         delay in 0..100 * MS,
         jitter in 0..100 * MS,
-        trickle in proptest::option::of(1_000u64..100_000),
+        bytes_per_s in proptest::option::of(1_000u64..100_000),
         seed: u64,
     ) {
         let mut shaper = Shaper::new(seed);
-        shaper.set(0, Shape { delay_ns: delay, jitter_ns: jitter, trickle, ..Shape::default() });
+        shaper.set(0, Shape { delay_ns: delay, jitter_ns: jitter, bytes_per_s, ..Shape::default() });
         let (mut now, mut sent, mut came) = (0, Vec::new(), Vec::new());
         for (wait, bytes) in parts {
             now += wait;
@@ -50,7 +50,7 @@
     let play = |seed| {
         let mut shaper = Shaper::new(seed);
         let shape =
-            Shape { delay_ns: 10 * MS, jitter_ns: 50 * MS, loss: 0.3, double: 0.1, ..Shape::default() };
+            Shape { delay_ns: 10 * MS, jitter_ns: 50 * MS, loss: 0.3, duplication: 0.1, ..Shape::default() };
         shaper.set(0, shape);
         (0..10_000u64).for_each(|i| shaper.push_datagram(i * MS, &i.to_le_bytes()));
         (shaper.pull_datagrams(u64::MAX), shaper.lost)
--- a/tests/fleet_cells.rs
+++ b/tests/fleet_cells.rs
@@ -10,7 +10,7 @@
 use marljunction_discovery::engine_id;
 use marljunction_testkit::fleet::{Fleet, Setup};
 use marljunction_testkit::link::Shape;
-use marljunction_testkit::list::Manner;
+use marljunction_testkit::list::Behavior;
 
 const RELAYS: usize = 2;
 const ROUTERS: usize = 4;
@@ -125,10 +125,10 @@
 
 fn lossy(fleet: &mut Fleet, loss: f64) {
     for to in 0..RELAYS + ROUTERS {
-        fleet.shape_between(
+        fleet.shape_peer_link(
             None,
             to,
-            Shape { loss, double: loss / 2.0, jitter_ns: 20_000_000, ..Shape::default() },
+            Shape { loss, duplication: loss / 2.0, jitter_ns: 20_000_000, ..Shape::default() },
         );
     }
 }
@@ -171,7 +171,7 @@
     assert!(served > 0.0, "nothing was served");
     // No router of a cell calls the list service.
     assert!(fleet.list.calls.iter().all(|call| call.router < RELAYS), "{:?}", fleet.list.calls);
-    fleet.end_well(LIMIT).unwrap();
+    fleet.stop_and_verify(LIMIT).unwrap();
 }
 
 #[test]
@@ -184,7 +184,7 @@
         all_hold(&mut fleet, &drained, within(Fault::Loss));
     }
     lossy(&mut fleet, 0.0);
-    fleet.end_well(LIMIT).unwrap();
+    fleet.stop_and_verify(LIMIT).unwrap();
 }
 
 #[test]
@@ -202,45 +202,45 @@
     fleet.kill(1 - relay);
     drained.extend(drain(&mut fleet, 2));
     all_hold(&mut fleet, &drained, within(Fault::RelayStops) + within(Fault::RelayReplaced));
-    fleet.end_well(LIMIT).unwrap();
+    fleet.stop_and_verify(LIMIT).unwrap();
 }
 
 #[test]
 fn a_relay_that_stands_still_and_goes_on_takes_nobody_back() {
     let mut fleet = settled("cells-freeze");
     let relay = busiest_relay(&mut fleet);
-    fleet.freeze(relay, true);
+    fleet.set_paused(relay, true);
     let drained = drain(&mut fleet, 0);
     all_hold(&mut fleet, &drained, within(Fault::RelayStops));
-    fleet.freeze(relay, false);
+    fleet.set_paused(relay, false);
     let end = fleet.now() + 5_000_000_000;
     while fleet.now() < end {
         all_hold(&mut fleet, &drained, Duration::ZERO);
         fleet.run(Duration::from_millis(20)).unwrap();
     }
-    fleet.end_well(LIMIT).unwrap();
+    fleet.stop_and_verify(LIMIT).unwrap();
 }
 
 #[test]
 fn what_is_known_stays_in_force_while_the_list_service_is_away_and_routers_that_start_know_what_relays_do() {
     let mut fleet = settled("cells-away");
-    fleet.set_list(Manner::Away);
+    fleet.set_list_behavior(Behavior::Away);
     fleet.kill(RELAYS);
     fleet.start(RELAYS).unwrap();
     let ready = |fleet: &Fleet| fleet.ready() == RELAYS + ROUTERS;
     assert!(fleet.run_until(LIMIT, ready).unwrap(), "the router is not there again");
     all_hold(&mut fleet, &[], LIMIT);
-    fleet.set_list(Manner::Well);
+    fleet.set_list_behavior(Behavior::Well);
     let drained = drain(&mut fleet, 0);
     all_hold(&mut fleet, &drained, within(Fault::ServiceAway));
-    fleet.end_well(LIMIT).unwrap();
+    fleet.stop_and_verify(LIMIT).unwrap();
 }
 
 #[test]
 fn a_service_that_counts_anew_is_followed() {
     let mut fleet = settled("cells-anew");
     for _ in 0..5 {
-        fleet.tell_again();
+        fleet.republish_list();
     }
     let drained = drain(&mut fleet, 0);
     all_hold(&mut fleet, &drained, within(Fault::None));
@@ -248,5 +248,5 @@
     let more = drain(&mut fleet, 1);
     let all: Vec<usize> = drained.into_iter().chain(more).collect();
     all_hold(&mut fleet, &all, within(Fault::ServiceAnew));
-    fleet.end_well(LIMIT).unwrap();
+    fleet.stop_and_verify(LIMIT).unwrap();
 }
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -64,8 +64,8 @@
 #[track_caller]
 fn until(fleet: &mut Fleet, limit: Duration, what: &str, condition: impl Fn(&Fleet) -> bool) {
     let held = fleet.run_until(limit, condition).unwrap();
-    assert!(held, "not within {limit:?}: {what}; {} held, at most {}", fleet.held(), fleet.held_most);
-    assert!(fleet.held_most <= MOST, "{} were out at once, {MOST} may be", fleet.held_most);
+    assert!(held, "not within {limit:?}: {what}; {} held, at most {}", fleet.held(), fleet.max_held);
+    assert!(fleet.max_held <= MOST, "{} were out at once, {MOST} may be", fleet.max_held);
 }
 
 /// A fleet whose clients all ask at router 0, for far more than it owns.
@@ -73,7 +73,7 @@
     let mut fleet = Fleet::new(setup(name)).unwrap();
     fleet.start_all().unwrap();
     until(&mut fleet, LIMIT, "all routers are there", |f| f.ready() == ROUTERS);
-    fleet.ask_at(&[80.0]);
+    fleet.start_clients_at(&[80.0]);
     // Its own two, and others' that it borrows.
     until(&mut fleet, LIMIT, "the limit is used by one", |f| f.held() >= MOST - 1);
     fleet
@@ -81,8 +81,8 @@
 
 #[track_caller]
 fn end(fleet: Fleet) {
-    assert!(fleet.held_most <= MOST, "{} were out at once, {MOST} may be", fleet.held_most);
-    fleet.end_well(LIMIT).unwrap();
+    assert!(fleet.max_held <= MOST, "{} were out at once, {MOST} may be", fleet.max_held);
+    fleet.stop_and_verify(LIMIT).unwrap();
 }
 
 #[test]
@@ -92,7 +92,7 @@
     // Now all clients are at another one.
     let mut rates = [0.0; ROUTERS];
     rates[4] = 80.0;
-    fleet.ask_at(&rates);
+    fleet.start_clients_at(&rates);
     let limit = idle_at_most(Fault::None) + Duration::from_secs(5);
     until(&mut fleet, limit, "the limit is used by another", |f| f.held() >= MOST - 1);
     end(fleet);
@@ -101,17 +101,17 @@
 #[test]
 fn a_cut_into_halves_leaves_each_its_own_and_never_more_than_the_limit() {
     let mut fleet = asked_at_one("halves");
-    fleet.cut_into(&[0, 0, 0, 1, 1, 1]);
+    fleet.partition_into(&[0, 0, 0, 1, 1, 1]);
     // The other half asks too.
-    fleet.ask_at(&[80.0, 0.0, 0.0, 80.0, 0.0, 0.0]);
+    fleet.start_clients_at(&[80.0, 0.0, 0.0, 80.0, 0.0, 0.0]);
     let limit = idle_at_most(Fault::Partition);
     until(&mut fleet, limit, "both halves use theirs", |f| {
         let by = |router: usize| f.loads[router].open();
         by(0) >= 4 && by(3) >= 4 && f.held() >= MOST - 2
     });
     fleet.run(Duration::from_secs(3)).unwrap();
-    fleet.cut_into(&[0; ROUTERS]);
-    fleet.ask_at(&[80.0]);
+    fleet.partition_into(&[0; ROUTERS]);
+    fleet.start_clients_at(&[80.0]);
     until(&mut fleet, limit + LIMIT, "one uses it all again", |f| f.held() >= MOST - 1);
     end(fleet);
 }
@@ -122,7 +122,7 @@
     fleet.kill(0);
     let mut rates = [0.0; ROUTERS];
     rates[1] = 80.0;
-    fleet.ask_at(&rates);
+    fleet.start_clients_at(&rates);
     until(&mut fleet, idle_at_most(Fault::HolderCrashed), "another uses all but the dead one's", |f| {
         f.held() >= MOST - 3
     });
@@ -132,14 +132,14 @@
 #[test]
 fn a_holder_that_stands_still_past_its_lease_admits_nothing_on_it_as_it_goes_on() {
     let mut fleet = asked_at_one("holder-frozen");
-    fleet.freeze(0, true);
+    fleet.set_paused(0, true);
     let mut rates = [0.0; ROUTERS];
     rates[2] = 80.0;
-    fleet.ask_at(&rates);
+    fleet.start_clients_at(&rates);
     until(&mut fleet, idle_at_most(Fault::HolderCrashed), "another uses it", |f| f.held() >= MOST - 3);
     rates[0] = 80.0;
-    fleet.ask_at(&rates);
-    fleet.freeze(0, false);
+    fleet.start_clients_at(&rates);
+    fleet.set_paused(0, false);
     fleet.run(Duration::from_secs(4)).unwrap();
     end(fleet);
 }
@@ -152,7 +152,7 @@
         fleet.start(owner).unwrap();
     }
     // They want their own units as they are back.
-    fleet.ask_at(&[80.0, 20.0, 20.0, 20.0]);
+    fleet.start_clients_at(&[80.0, 20.0, 20.0, 20.0]);
     until(&mut fleet, LIMIT, "all are there", |f| f.ready() == ROUTERS);
     fleet.run(Duration::from_secs(6)).unwrap();
     until(&mut fleet, idle_at_most(Fault::OwnerRestarted), "the limit is used", |f| f.held() >= MOST - 1);
@@ -164,7 +164,7 @@
     let mut fleet = asked_at_one("all-killed");
     (0..ROUTERS).for_each(|router| fleet.kill(router));
     fleet.start_all().unwrap();
-    fleet.ask_at(&[80.0; 2]);
+    fleet.start_clients_at(&[80.0; 2]);
     let limit = idle_at_most(Fault::AllRestarted);
     until(&mut fleet, limit, "something is served again", |f| f.loads[0].first_answer_ns.is_some());
     until(&mut fleet, LIMIT, "the limit is used", |f| f.held() >= MOST - 1);
@@ -174,13 +174,13 @@
 #[test]
 fn links_that_lose_a_third_and_put_the_rest_out_of_order_break_no_limit() {
     let mut fleet = asked_at_one("lossy");
-    let bad = Shape { loss: 0.3, double: 0.2, delay_ns: S / 50, jitter_ns: S / 2, ..Shape::default() };
-    (0..ROUTERS).for_each(|to| fleet.shape_between(None, to, bad));
-    fleet.ask_at(&[80.0, 0.0, 40.0, 0.0, 20.0, 0.0]);
+    let bad = Shape { loss: 0.3, duplication: 0.2, delay_ns: S / 50, jitter_ns: S / 2, ..Shape::default() };
+    (0..ROUTERS).for_each(|to| fleet.shape_peer_link(None, to, bad));
+    fleet.start_clients_at(&[80.0, 0.0, 40.0, 0.0, 20.0, 0.0]);
     fleet.run(Duration::from_secs(6)).unwrap();
     // One that hears and is not heard.
     for to in 1..ROUTERS {
-        fleet.shape_between(Some(0), to, Shape { cut: true, ..bad });
+        fleet.shape_peer_link(Some(0), to, Shape { cut: true, ..bad });
     }
     fleet.run(Duration::from_secs(6)).unwrap();
     end(fleet);
@@ -193,7 +193,7 @@
     let mut fleet = Fleet::new(Setup { fleet: Some(limits.into()), ..setup("client") }).unwrap();
     fleet.start_all().unwrap();
     until(&mut fleet, LIMIT, "all routers are there", |f| f.ready() == ROUTERS);
-    fleet.ask_at(&[40.0; ROUTERS]);
+    fleet.start_clients_at(&[40.0; ROUTERS]);
     until(&mut fleet, LIMIT, "the limit is used", |f| f.held() >= MOST - 1);
     // Long enough for each router to borrow what the others would have of a key of their own.
     fleet.run(Duration::from_secs(4)).unwrap();
@@ -209,7 +209,7 @@
         fleet.set_limits(router, &smaller).unwrap();
     }
     until(&mut fleet, LIMIT, "half of them know it", |f| [0, 2, 4].iter().all(|r| knows(f, *r)));
-    fleet.ask_at(&[60.0; ROUTERS]);
+    fleet.start_clients_at(&[60.0; ROUTERS]);
     fleet.run(Duration::from_secs(4)).unwrap();
     for router in [1, 3, 5] {
         fleet.set_limits(router, &smaller).unwrap();
@@ -222,9 +222,9 @@
     let left = resize_bound(old, &new, &file.limit_params(4_500_000_000));
     assert!((left.max_overshoot - 1.0).abs() < 1e-9, "twelve are one time over six");
     fleet.run(Duration::from_nanos(left.overshoot_ns)).unwrap();
-    fleet.held_most = 0;
+    fleet.max_held = 0;
     fleet.run(Duration::from_secs(3)).unwrap();
-    assert!((4..=6).contains(&fleet.held_most), "{} were out, six may be", fleet.held_most);
+    assert!((4..=6).contains(&fleet.max_held), "{} were out, six may be", fleet.max_held);
     end(fleet);
 }
 
@@ -233,18 +233,18 @@
     let mut fleet = Fleet::new(Setup { doubled: true, ..setup("doubled") }).unwrap();
     fleet.start_all().unwrap();
     until(&mut fleet, LIMIT, "all routers are there", |f| f.ready() == ROUTERS);
-    fleet.ask_at(&[40.0; ROUTERS]);
+    fleet.start_clients_at(&[40.0; ROUTERS]);
     let told =
         |f: &Fleet| [0, ROUTERS - 1].iter().any(|r| f.said(*r).contains("another router has the same name"));
     assert!(fleet.run_until(LIMIT, told).unwrap(), "neither is told of the other");
     // Nobody has the last number, so that all that it may have borrowed has to run out before anything is used.
-    assert!(fleet.run_until(LIMIT, |f| f.held() >= MOST - 3).unwrap(), "{} held at most", fleet.held_most);
+    assert!(fleet.run_until(LIMIT, |f| f.held() >= MOST - 3).unwrap(), "{} held at most", fleet.max_held);
     fleet.run(Duration::from_secs(4)).unwrap();
     let file = file();
     let b = bound(&file.limits[0].limit, &file.limit_params(4_500_000_000), Fault::DuplicateNumber);
     let most = MOST + (b.max_overshoot * MOST as f64).round() as usize;
-    assert!(fleet.held_most <= most, "{} were out, {most} may be", fleet.held_most);
-    fleet.held_most = 0;
+    assert!(fleet.max_held <= most, "{} were out, {most} may be", fleet.max_held);
+    fleet.max_held = 0;
     end(fleet);
 }
 
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -9,7 +9,7 @@
 use marljunction_pacing::Pace;
 use marljunction_testkit::audit::calls_within;
 use marljunction_testkit::fleet::{Fleet, Setup, MEMORY_MB};
-use marljunction_testkit::list::Manner;
+use marljunction_testkit::list::Behavior;
 use rand::SeedableRng;
 
 const ROUTERS: usize = 8;
@@ -62,7 +62,7 @@
 #[track_caller]
 fn blind_within_bound(fleet: &Fleet) {
     let bound = pace().blind_at_most_ns(SILENT_NS) + MACHINE_NS;
-    let worst = fleet.routers.iter().map(|r| r.blind_ns).max().unwrap();
+    let worst = fleet.routers.iter().map(|r| r.longest_disconnect_ns).max().unwrap();
     assert!(worst <= bound, "{worst} ns without a stream, {bound} at most");
 }
 
@@ -82,7 +82,7 @@
 #[track_caller]
 fn come_back_out_of_step(fleet: &mut Fleet) {
     let from = fleet.now();
-    fleet.drop_streams();
+    fleet.close_list_streams();
     until(fleet, "all have their streams", all_live);
     let (calls, _) = calls_within(&fleet.list.calls, from, fleet.now(), S);
     assert_eq!(calls, ROUTERS, "one call each");
@@ -94,13 +94,13 @@
 /// What holds at the end of every play.
 #[track_caller]
 fn end(fleet: Fleet) {
-    assert_eq!(fleet.end_well(LIMIT).unwrap().len(), ROUTERS);
+    assert_eq!(fleet.stop_and_verify(LIMIT).unwrap().len(), ROUTERS);
 }
 
 #[test]
 fn routers_serve_what_they_know_while_the_list_service_is_away_from_the_start() {
     let mut fleet = Fleet::new(setup("away-at-start")).unwrap();
-    fleet.set_list(Manner::Away);
+    fleet.set_list_behavior(Behavior::Away);
     fleet.ask();
     let from = fleet.now();
     fleet.start_all().unwrap();
@@ -108,7 +108,7 @@
     run(&mut fleet, 2_000);
     assert_eq!(fleet.live(), 0);
     calls_within_bound(&fleet, from);
-    fleet.set_list(Manner::Well);
+    fleet.set_list_behavior(Behavior::Well);
     until(&mut fleet, "all have their streams", all_live);
     blind_within_bound(&fleet);
     end(fleet);
@@ -118,12 +118,12 @@
 fn a_service_that_is_away_under_load_is_called_within_the_bound_and_taken_back_at_a_tenth_of_its_capacity() {
     let mut fleet = settled(setup("away-and-back"));
     let from = fleet.now();
-    fleet.set_list(Manner::Away);
+    fleet.set_list_behavior(Behavior::Away);
     run(&mut fleet, 4_000);
     calls_within_bound(&fleet, from);
     fleet.list.set_capacity(4.0);
     let back = fleet.now();
-    fleet.set_list(Manner::Well);
+    fleet.set_list_behavior(Behavior::Well);
     until(&mut fleet, "all have their streams", all_live);
     let (calls, _) = calls_within(&fleet.list.calls, back, fleet.now(), S);
     assert!(calls <= 4 * ROUTERS, "{calls} calls for {ROUTERS} streams");
@@ -133,14 +133,14 @@
 #[test]
 fn a_service_that_says_nothing_or_nonsense_is_called_within_the_bound() {
     let mut fleet = settled(setup("nonsense"));
-    for manner in [Manner::Silent, Manner::Garbage, Manner::Half] {
-        fleet.drop_streams();
+    for manner in [Behavior::Silent, Behavior::InvalidResponse, Behavior::TruncatedResponse] {
+        fleet.close_list_streams();
         let from = fleet.now();
-        fleet.set_list(manner);
+        fleet.set_list_behavior(manner);
         run(&mut fleet, 2_500);
         assert_eq!(fleet.live(), 0);
         calls_within_bound(&fleet, from);
-        fleet.set_list(Manner::Well);
+        fleet.set_list_behavior(Behavior::Well);
         until(&mut fleet, "all have their streams", all_live);
     }
     blind_within_bound(&fleet);
@@ -153,9 +153,9 @@
     // The last is a date an hour ahead: the clock of a service may be any.
     let date = httpdate::fmt_http_date(std::time::SystemTime::now() + Duration::from_secs(3_600));
     for (after, least_ms) in [("0", 100), ("1", 950), ("86400", 950), ("soon", 100), (date.as_str(), 950)] {
-        fleet.drop_streams();
+        fleet.close_list_streams();
         let from = fleet.now();
-        fleet.set_list(Manner::TurnsAway(after.into()));
+        fleet.set_list_behavior(Behavior::Rejecting(after.into()));
         run(&mut fleet, 2_200);
         for router in 0..ROUTERS {
             let of_router: Vec<u64> =
@@ -165,7 +165,7 @@
             assert!(!waits.is_empty(), "{after}: it asks again");
             assert!(waits.iter().all(|ms| *ms + 25 >= least_ms), "{after}: waits of {waits:?} ms");
         }
-        fleet.set_list(Manner::Well);
+        fleet.set_list_behavior(Behavior::Well);
         until(&mut fleet, "all have their streams", all_live);
     }
     blind_within_bound(&fleet);
@@ -176,14 +176,14 @@
 fn streams_that_are_closed_after_a_second_each_or_all_at_once_come_back_out_of_step() {
     let mut fleet = settled(setup("closed"));
     let from = fleet.now();
-    fleet.set_list(Manner::ClosesAfter(S));
+    fleet.set_list_behavior(Behavior::ClosesAfter(S));
     run(&mut fleet, 6_000);
     // Each call is up for a second: fewer than one of them a second, and ever longer waits between.
     for router in 0..ROUTERS {
         let calls = fleet.list.calls.iter().filter(|c| c.router == router && c.at_ns >= from).count();
         assert!((1..=5).contains(&calls), "router {router} made {calls} calls");
     }
-    fleet.set_list(Manner::Well);
+    fleet.set_list_behavior(Behavior::Well);
     until(&mut fleet, "all have their streams", all_live);
     run(&mut fleet, 1_000);
     come_back_out_of_step(&mut fleet);
@@ -194,7 +194,7 @@
 fn a_service_that_starts_anew_with_its_numbers_at_1_is_followed() {
     let mut fleet = settled(setup("numbers"));
     // Numbers that no router can fall behind by chance.
-    (0..5).for_each(|_| fleet.tell_again());
+    (0..5).for_each(|_| fleet.republish_list());
     fleet.drain(1);
     run(&mut fleet, 300);
     fleet.restart_list();
@@ -229,7 +229,7 @@
 #[test]
 fn a_drain_told_while_half_of_the_fleet_waits_to_reconnect_binds_all() {
     let mut fleet = settled(setup("drain-waiting"));
-    fleet.drop_streams();
+    fleet.close_list_streams();
     until(&mut fleet, "half are back", |f| f.live() >= ROUTERS / 2);
     fleet.drain(2);
     until(&mut fleet, "all were told", |f| {
@@ -260,13 +260,13 @@
 #[test]
 fn a_router_that_stood_still_past_its_timers_makes_one_call() {
     let mut fleet = settled(setup("frozen"));
-    fleet.set_list(Manner::Away);
+    fleet.set_list_behavior(Behavior::Away);
     until(&mut fleet, "it has tried in vain", |f| f.list.calls.iter().filter(|c| c.router == 3).count() >= 3);
-    fleet.freeze(3, true);
+    fleet.set_paused(3, true);
     run(&mut fleet, 5_000);
-    fleet.set_list(Manner::Well);
+    fleet.set_list_behavior(Behavior::Well);
     let woken = fleet.now();
-    fleet.freeze(3, false);
+    fleet.set_paused(3, false);
     until(&mut fleet, "all have their streams", all_live);
     run(&mut fleet, 1_000);
     let calls = fleet.list.calls.iter().filter(|c| c.router == 3 && c.at_ns >= woken).count();
@@ -297,10 +297,10 @@
     let operator = Some("start: { budget: 40, longest: 1s, keep: \"{own}\" }\n".into());
     let mut fleet = settled(Setup { operator, ..setup("kept") });
     until(&mut fleet, "all have kept their list", |f| (0..ROUTERS).all(|router| f.own(router).exists()));
-    fleet.set_list(Manner::Away);
+    fleet.set_list_behavior(Behavior::Away);
     (0..ROUTERS).for_each(|router| fleet.kill(router));
     // One engine is gone by the next start, and some files are not what they were.
-    fleet.lose(1);
+    fleet.crash_engine(1);
     let whole = std::fs::read(fleet.own(0)).unwrap();
     let too_large = ListBound::of(MEMORY_MB.into()).file_bytes + 1;
     let newer = String::from_utf8_lossy(&whole).replacen(" 1 ", " 2 ", 1);
@@ -313,7 +313,7 @@
     for (router, (bytes, _)) in spoilt.iter().enumerate() {
         std::fs::write(fleet.own(router), bytes).unwrap();
     }
-    fleet.set_known(false);
+    fleet.set_initial_list(false);
     fleet.start_all().unwrap();
     until(&mut fleet, "those with a list serve", |f| {
         f.loads[spoilt.len()..].iter().all(|load| load.first_answer_ns.is_some())
@@ -326,7 +326,7 @@
             None => assert!(said.contains("starts with the 4 engines kept"), "{said}"),
         }
     }
-    fleet.set_list(Manner::Well);
+    fleet.set_list_behavior(Behavior::Well);
     until(&mut fleet, "all have their streams", all_live);
     end(fleet);
 }
@@ -340,7 +340,7 @@
     fleet.start_all().unwrap();
     until(&mut fleet, "all routers have their streams", all_live);
     run(&mut fleet, 3_000);
-    fleet.lose(0);
+    fleet.crash_engine(0);
     run(&mut fleet, 2_000);
     let file = StartFile { connections_per_s: Some(2.0), ..StartFile::default() };
     let bound = file.openings(pace()).unwrap();
@@ -373,7 +373,7 @@
 fn no_process_survives_its_fleet() {
     let mut fleet = settled(setup("survivors"));
     let ids: Vec<u32> = fleet.routers.iter().filter_map(|r| r.process.as_ref()).map(|p| p.id()).collect();
-    fleet.freeze(0, true);
+    fleet.set_paused(0, true);
     drop(fleet);
     assert_eq!(ids.len(), ROUTERS);
     for id in ids {
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -105,7 +105,7 @@
 
 #[track_caller]
 fn end(fleet: Fleet) {
-    fleet.end_well(LIMIT).unwrap();
+    fleet.stop_and_verify(LIMIT).unwrap();
 }
 
 #[test]
@@ -133,14 +133,14 @@
     let mut fleet = serving("crossing");
     assert_eq!(fleet.call(0, "POST", "/fleet/engines/disable", "e1").unwrap().0, 200);
     all_leave_out(&mut fleet, heard(), "e1");
-    fleet.cut_into(&[0, 0, 0, 1, 1, 1]);
+    fleet.partition_into(&[0, 0, 0, 1, 1, 1]);
     let back = fleet.call(1, "POST", "/fleet/engines/enable", "e1").unwrap();
     assert!(back.1.starts_with("e1 is back; heard by 2 of "), "{}", back.1);
     // Later, on the other side: it stays out, and another goes out too.
     assert_eq!(fleet.call(4, "POST", "/fleet/engines/disable", "e1").unwrap().0, 200);
     assert_eq!(fleet.call(4, "POST", "/fleet/engines/disable", "e2").unwrap().0, 200);
     fleet.run(Duration::from_secs(1)).unwrap();
-    fleet.cut_into(&[0; ROUTERS]);
+    fleet.partition_into(&[0; ROUTERS]);
     // Those who were cut off have to be found first.
     let agree = Duration::from_nanos(convergence_bound_ns(&params(), 2) + MACHINE_NS) + LIMIT;
     all_leave_out(&mut fleet, agree, "e1 e2");
@@ -173,10 +173,10 @@
 fn one_that_stood_still_brings_nothing_back() {
     let mut fleet = serving("frozen");
     assert_eq!(fleet.call(1, "POST", "/fleet/engines/disable", "e3").unwrap().0, 200);
-    fleet.freeze(1, true);
+    fleet.set_paused(1, true);
     assert_eq!(fleet.call(0, "POST", "/fleet/engines/enable", "e3").unwrap().0, 200);
     fleet.run(Duration::from_secs(8)).unwrap();
-    fleet.freeze(1, false);
+    fleet.set_paused(1, false);
     all_leave_out(&mut fleet, heard() + LIMIT, "");
     fleet.run(Duration::from_secs(2)).unwrap();
     all_leave_out(&mut fleet, heard(), "");
--- a/tests/terms_fleet.rs
+++ b/tests/terms_fleet.rs
@@ -6,9 +6,9 @@
 
 use marljunction_testkit::engine::Cold;
 use marljunction_testkit::fleet::{classes, Fleet, Setup};
-use marljunction_testkit::list::Manner;
+use marljunction_testkit::list::Behavior;
 use marljunction_testkit::load::Class;
-use marljunction_testkit::stage::COLD;
+use marljunction_testkit::stage::COLD_START;
 
 /// Part of what the settings allow that the routers keep for light classes, as much for heavy ones: half of 0.8 of what 0.85 of
 /// the cores do (share).
@@ -49,13 +49,13 @@
     assert!(fleet.run_until(LIMIT, |f| f.ready() == ROUTERS).unwrap(), "all routers are there");
     // The engine starts again as the burst comes, and is cold for longer than the test takes. Each router alone would send it
     // some calls in the first moment, as none has heard of the others' yet.
-    fleet.ask_at(&[0.5; ROUTERS]);
+    fleet.start_clients_at(&[0.5; ROUTERS]);
     fleet.run(Duration::from_secs(4)).unwrap();
-    fleet.renew_engines();
-    fleet.ask_at(&[100.0; ROUTERS]);
+    fleet.restart_engines_cold();
+    fleet.start_clients_at(&[100.0; ROUTERS]);
     fleet.run(Duration::from_secs(4)).unwrap();
     let cold = fleet.engines[0].cold.clone().unwrap();
-    assert!(fleet.now() < cold.since_ns + COLD.1, "the engine is cold to the end");
+    assert!(fleet.now() < cold.since_ns + COLD_START.1, "the engine is cold to the end");
     let most = most_over_allowed(&fleet, 0, &cold, work_ns, 1.0);
     assert!(most > 0.0 && most <= 1.0, "the engine got {most} of what the settings allow");
     let most = most_over_allowed(&fleet, 0, &cold, work_ns, ONE_LANE);
@@ -73,7 +73,7 @@
     fleet.ask();
     fleet.start_all().unwrap();
     assert!(fleet.run_until(LIMIT, |f| f.live() == routers).unwrap(), "all hear the list service");
-    fleet.set_list(Manner::Away);
+    fleet.set_list_behavior(Behavior::Away);
     (0..routers).for_each(|router| fleet.kill(router));
     fleet.start_all().unwrap();
     let served = |f: &Fleet| f.loads.iter().filter(|load| load.first_answer_ns.is_some()).count();
