--- a/crates/lab/src/capacity/decision.rs
+++ b/crates/lab/src/capacity/decision.rs
@@ -6,7 +6,7 @@
 use marljunction_control::Controller;
 use marljunction_settings::read_settings;
 use marljunction_testkit::fleet::classes;
-use marljunction_testkit::stage::{settings, Site};
+use marljunction_testkit::test_bed::{settings, Site};
 
 use super::clock::timed;
 use super::{repeated, series, Figures};
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -8,7 +8,7 @@
 use marljunction_testkit::fleet::{classes, Fleet, Setup};
 use marljunction_testkit::load::Class;
 use marljunction_testkit::process::Process;
-use marljunction_testkit::stage::{settings, Site};
+use marljunction_testkit::test_bed::{settings, Site};
 use serde_json::json;
 
 use super::list::{whole_list, Service, MEMORY_MB};
--- a/crates/lab/src/door.rs
+++ b/crates/lab/src/door.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use marljunction_testkit::load::{Class, RequestStats, Source};
-use marljunction_testkit::stage::{Setup, Stage, Told};
+use marljunction_testkit::test_bed::{ExitReport, Setup, TestBed};
 use serde_json::{json, Value};
 
 use crate::memory;
@@ -82,11 +82,17 @@
 /// What one router made of it.
 struct Outcome {
     tallies: Vec<Vec<RequestStats>>,
-    told: Told,
+    told: ExitReport,
     duplicate_runs: u64,
 }
 
-fn play(name: &str, door: Option<Value>, quick: bool, program: &Path, seed: u64) -> Result<Outcome, String> {
+fn run_workload(
+    name: &str,
+    fair_queue: Option<Value>,
+    quick: bool,
+    program: &Path,
+    seed: u64,
+) -> Result<Outcome, String> {
     let setup = Setup {
         program: program.to_owned(),
         name: format!("lab-{name}-{seed}"),
@@ -94,26 +100,26 @@
         cores: CORES,
         tenants: TENANTS.to_vec(),
         classes: classes(),
-        door,
+        fair_queue,
         max_retry_after_ms: LONGEST_MS,
         return_share: 0.2,
         seed,
     };
     let seconds = |s: f64| Duration::from_secs_f64(if quick { s } else { s * 5.0 });
-    let mut stage = Stage::start(&setup)?;
+    let mut test_bed = TestBed::start(&setup)?;
     // The router learns what its classes need before anything is compared.
-    stage.play(sources(1.0), seconds(2.0))?;
-    stage.play(sources(1.0), seconds(5.0))?;
-    stage.drain(Duration::from_secs(3))?;
-    stage.play(sources(0.0), seconds(4.0))?;
-    stage.play(sources(10.0), seconds(1.0))?;
-    stage.play(sources(10.0), seconds(9.0))?;
-    stage.kill(ENGINES / 2);
-    stage.play(sources(10.0), seconds(5.0))?;
-    stage.drain(Duration::from_secs(5))?;
-    stage.load.finish();
-    let (tallies, duplicate_runs) = (stage.load.tallies.clone(), stage.duplicate_runs());
-    Ok(Outcome { tallies, told: stage.stop()?, duplicate_runs })
+    test_bed.run_workload(sources(1.0), seconds(2.0))?;
+    test_bed.run_workload(sources(1.0), seconds(5.0))?;
+    test_bed.drain(Duration::from_secs(3))?;
+    test_bed.run_workload(sources(0.0), seconds(4.0))?;
+    test_bed.run_workload(sources(10.0), seconds(1.0))?;
+    test_bed.run_workload(sources(10.0), seconds(9.0))?;
+    test_bed.kill(ENGINES / 2);
+    test_bed.run_workload(sources(10.0), seconds(5.0))?;
+    test_bed.drain(Duration::from_secs(5))?;
+    test_bed.load.finish();
+    let (tallies, duplicate_runs) = (test_bed.load.tallies.clone(), test_bed.duplicate_runs());
+    Ok(Outcome { tallies, told: test_bed.stop()?, duplicate_runs })
 }
 
 /// The phases of [`play`].
@@ -166,9 +172,9 @@
                 ((*phase).to_owned(), Value::Object(by_name.collect()))
             })
             .collect();
-        let door: serde_json::Map<String, Value> = self
+        let fair_queue: serde_json::Map<String, Value> = self
             .told
-            .door
+            .fair_queue
             .iter()
             .map(|(name, fields)| {
                 (name.clone(), fields.iter().map(|(k, v)| (k.clone(), json!(v))).collect::<Value>())
@@ -193,7 +199,7 @@
             "ended_well": self.told.ended_well,
             "taken": self.told.counter("taken"),
             "phases": tallies,
-            "door": door,
+            "door": fair_queue,
         })
     }
 }
@@ -210,7 +216,9 @@
     let outcomes: Vec<Result<Outcome, String>> = std::thread::scope(|scope| {
         let runs: Vec<_> = doors
             .iter()
-            .map(|(name, door)| scope.spawn(move || play(name, door.clone(), quick, program, seed)))
+            .map(|(name, fair_queue)| {
+                scope.spawn(move || run_workload(name, fair_queue.clone(), quick, program, seed))
+            })
             .collect();
         runs.into_iter().map(|run| run.join().unwrap_or_else(|_| Err("a run failed".into()))).collect()
     });
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -159,7 +159,7 @@
 
 /// The router's program that was named, or the one beside this one.
 fn named_or_beside(program: Option<PathBuf>) -> Result<PathBuf, String> {
-    let beside = marljunction_testkit::stage::sibling_program;
+    let beside = marljunction_testkit::test_bed::sibling_program;
     program.or_else(beside).ok_or_else(|| "no program beside this one: build it, or name it".into())
 }
 
--- a/crates/lab/src/scale/size.rs
+++ b/crates/lab/src/scale/size.rs
@@ -7,7 +7,7 @@
 use marljunction_testkit::hollow::engine_table::in_zones;
 use marljunction_testkit::hollow::fleet::{FleetPlan, HollowFleet};
 use marljunction_testkit::hollow::protocol::{ListedState, RouterReport};
-use marljunction_testkit::stage::{settings, Site};
+use marljunction_testkit::test_bed::{settings, Site};
 use serde::Serialize;
 
 use super::real::{RealRouters, RealUsage};
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -10,7 +10,7 @@
 use marljunction_testkit::hollow::fleet::{CellsPlan, FleetPlan, HollowFleet};
 use marljunction_testkit::hollow::key_files::KeyFiles;
 use marljunction_testkit::hollow::protocol::{FleetSetup, ListedState, ServiceCommand, ToldEvent};
-use marljunction_testkit::stage::{settings, Site};
+use marljunction_testkit::test_bed::{settings, Site};
 
 const ROUTERS: u32 = 40;
 const ENGINES: u32 = 400;
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -22,7 +22,7 @@
 use crate::process::Process;
 use crate::schedule::{Fault, RouterSelector};
 use crate::server::Engine;
-use crate::stage::{settings, target, Site, COLD_START};
+use crate::test_bed::{settings, target, Site, COLD_START};
 
 /// Listeners of engines have the first numbers, then those of the list service; connections follow.
 const LIST_TOKEN: usize = 10_000;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -16,4 +16,4 @@
 pub mod process;
 pub mod schedule;
 pub mod server;
-pub mod stage;
+pub mod test_bed;
--- a/crates/testkit/src/stage.rs
+++ b/crates/testkit/src/test_bed.rs
@@ -36,7 +36,7 @@
     /// Classes.
     pub classes: Vec<Class>,
     /// The door's file; none for no door.
-    pub door: Option<Value>,
+    pub fair_queue: Option<Value>,
     /// Longest advice to clients (ms).
     pub max_retry_after_ms: u64,
     /// Part of refused clients without a promise that return.
@@ -46,7 +46,7 @@
 }
 
 /// A router among its stand-ins.
-pub struct Stage {
+pub struct TestBed {
     poll: Poll,
     clock: Clock,
     net: Net,
@@ -62,26 +62,26 @@
 
 /// What the router says of itself at its end.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct ExitReport {
     /// Its counters.
     pub counters: Vec<(String, u64)>,
     /// The door's, by tenant.
-    pub door: Vec<(String, Vec<(String, u64)>)>,
+    pub fair_queue: Vec<(String, Vec<(String, u64)>)>,
     /// Greatest memory that it had (KB).
     pub peak_kb: u64,
     /// It ended by itself and well.
     pub ended_well: bool,
 }
 
-impl Told {
+impl ExitReport {
     /// A counter.
     pub fn counter(&self, name: &str) -> u64 {
         process::counter(&self.counters, name)
     }
 
     /// The sum of a counter of the door over all tenants.
-    pub fn door(&self, name: &str) -> u64 {
-        self.door.iter().map(|(_, fields)| process::counter(fields, name)).sum()
+    pub fn fair_queue(&self, name: &str) -> u64 {
+        self.fair_queue.iter().map(|(_, fields)| process::counter(fields, name)).sum()
     }
 }
 
@@ -142,9 +142,9 @@
     })
 }
 
-impl Stage {
+impl TestBed {
     /// Starts the stand-ins and the program.
-    pub fn start(setup: &Setup) -> Result<Stage, String> {
+    pub fn start(setup: &Setup) -> Result<TestBed, String> {
         let fault = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
         let poll = Poll::new().map_err(fault("poll"))?;
         let registry = poll.registry().try_clone().map_err(fault("poll"))?;
@@ -183,10 +183,10 @@
         let mut command = process::command(&setup.program);
         command.env("ROUTER_CONFIG", write("config.json", &config)?).stderr(Stdio::piped());
         command.env_remove("MARLJUNCTION_POSTGRES").env_remove("MARLJUNCTION_SETUP");
-        if let Some(door) = &setup.door {
+        if let Some(fair_queue) = &setup.fair_queue {
             // A record of the configuration language may be written as JSON is.
             let path = dir.join("operator.conf");
-            std::fs::write(&path, format!("door: {door}\n")).map_err(fault("file"))?;
+            std::fs::write(&path, format!("door: {fair_queue}\n")).map_err(fault("file"))?;
             command.env("MARLJUNCTION_SETUP", path);
         }
         let mut child = command.spawn().map_err(|e| format!("{}: {e}", setup.program.display()))?;
@@ -204,11 +204,11 @@
         let classes = setup.classes.clone();
         let load = Load::new(to, classes, setup.max_retry_after_ms, setup.return_share, setup.seed);
         let log = Some(log);
-        Ok(Stage { poll, clock, net, engines, coordinator, load, child, log, dir, revision: 1 })
+        Ok(TestBed { poll, clock, net, engines, coordinator, load, child, log, dir, revision: 1 })
     }
 
     /// Runs for a time with these sources of requests.
-    pub fn play(&mut self, sources: Vec<Source>, time: Duration) -> Result<(), String> {
+    pub fn run_workload(&mut self, sources: Vec<Source>, time: Duration) -> Result<(), String> {
         let now = self.clock.now_ns();
         self.load.begin(now, sources);
         self.run_until(now + time.as_nanos() as u64, false)
@@ -285,7 +285,7 @@
     }
 
     /// Ends the program as a planned stop does; gives what it said of itself.
-    pub fn stop(mut self) -> Result<Told, String> {
+    pub fn stop(mut self) -> Result<ExitReport, String> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
         let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
         let peak_kb = peak.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0);
@@ -314,11 +314,11 @@
             let (name, fields) = l.split_once("door tenant=")?.1.split_once(' ')?;
             Some((name.to_owned(), process::counters(fields)))
         });
-        Ok(Told { counters, door: tenants.collect(), peak_kb, ended_well })
+        Ok(ExitReport { counters, fair_queue: tenants.collect(), peak_kb, ended_well })
     }
 }
 
-impl Drop for Stage {
+impl Drop for TestBed {
     fn drop(&mut self) {
         // Only where the stage was not stopped: its program must not outlive it.
         let _ = self.child.kill();
--- a/tests/terms_fleet.rs
+++ b/tests/terms_fleet.rs
@@ -8,7 +8,7 @@
 use marljunction_testkit::fleet::{classes, Fleet, Setup};
 use marljunction_testkit::list::Behavior;
 use marljunction_testkit::load::Class;
-use marljunction_testkit::stage::COLD_START;
+use marljunction_testkit::test_bed::COLD_START;
 
 /// Part of what the settings allow that the routers keep for light classes, as much for heavy ones: half of 0.8 of what 0.85 of
 /// the cores do (share).
