--- a/crates/lab/src/capacity/decision.rs
+++ b/crates/lab/src/capacity/decision.rs
@@ -6,7 +6,7 @@
 use marljunction_control::Controller;
 use marljunction_settings::read_settings;
 use marljunction_testkit::fleet::classes;
-use marljunction_testkit::test_bed::{settings, Site};
+use marljunction_testkit::test_bed::{settings, SettingsParams};
 
 use super::clock::timed;
 use super::{repeated, series, Figures};
@@ -55,13 +55,13 @@
 /// The settings of one router of the fleet to design for.
 fn fleet_settings() -> Result<Settings, String> {
     let classes = classes();
-    let site = Site {
+    let site = SettingsParams {
         classes: &classes,
         tenants: &[],
         cores: 8.0,
         max_retry_after_ms: 1_000,
         routers: 3_200,
-        me: 7,
+        router_index: 7,
         cold: false,
     };
     read_settings(&settings(&site).to_string()).map(|(settings, _)| settings)
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -8,7 +8,7 @@
 use marljunction_testkit::fleet::{classes, Fleet, Setup};
 use marljunction_testkit::load::Class;
 use marljunction_testkit::process::Process;
-use marljunction_testkit::test_bed::{settings, Site};
+use marljunction_testkit::test_bed::{settings, SettingsParams};
 use serde_json::json;
 
 use super::list::{whole_list, Service, MEMORY_MB};
@@ -39,13 +39,13 @@
 impl Lone {
     fn start(program: &Path, name: &str, coordinator: SocketAddr) -> Result<Lone, String> {
         let classes = classes();
-        let site = Site {
+        let site = SettingsParams {
             classes: &classes,
             tenants: &[],
             cores: 8.0,
             max_retry_after_ms: 1_000,
             routers: 1,
-            me: 0,
+            router_index: 0,
             cold: false,
         };
         let config = json!({
--- a/crates/lab/src/scale/size.rs
+++ b/crates/lab/src/scale/size.rs
@@ -7,7 +7,7 @@
 use marljunction_testkit::hollow::engine_table::in_zones;
 use marljunction_testkit::hollow::fleet::{FleetPlan, HollowFleet};
 use marljunction_testkit::hollow::protocol::{ListedState, RouterReport};
-use marljunction_testkit::test_bed::{settings, Site};
+use marljunction_testkit::test_bed::{settings, SettingsParams};
 use serde::Serialize;
 
 use super::real::{RealRouters, RealUsage};
@@ -159,13 +159,13 @@
 /// The module's settings of a fleet with so many routers.
 pub fn module_settings(routers: u32) -> String {
     let classes = classes();
-    let site = Site {
+    let site = SettingsParams {
         classes: &classes,
         tenants: &[("all", 100.0)],
         cores: 8.0,
         max_retry_after_ms: 1_000,
         routers,
-        me: 0,
+        router_index: 0,
         cold: false,
     };
     in_zones(settings(&site)).to_string()
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -10,7 +10,7 @@
 use marljunction_testkit::hollow::fleet::{CellsPlan, FleetPlan, HollowFleet};
 use marljunction_testkit::hollow::key_files::KeyFiles;
 use marljunction_testkit::hollow::protocol::{FleetSetup, ListedState, ServiceCommand, ToldEvent};
-use marljunction_testkit::test_bed::{settings, Site};
+use marljunction_testkit::test_bed::{settings, SettingsParams};
 
 const ROUTERS: u32 = 40;
 const ENGINES: u32 = 400;
@@ -20,13 +20,13 @@
 
 fn plan() -> FleetPlan {
     let classes = classes();
-    let site = Site {
+    let site = SettingsParams {
         classes: &classes,
         tenants: &[("all", 100.0)],
         cores: 8.0,
         max_retry_after_ms: 1_000,
         routers: ROUTERS,
-        me: 0,
+        router_index: 0,
         cold: false,
     };
     FleetPlan {
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -22,7 +22,7 @@
 use crate::process::Process;
 use crate::schedule::{Fault, RouterSelector};
 use crate::server::Engine;
-use crate::test_bed::{settings, target, Site, COLD_START};
+use crate::test_bed::{settings, target, SettingsParams, COLD_START};
 
 /// Listeners of engines have the first numbers, then those of the list service; connections follow.
 const LIST_TOKEN: usize = 10_000;
@@ -385,15 +385,15 @@
     pub fn start(&mut self, router: usize) -> Result<(), String> {
         let setup = &self.setup;
         let doubled = setup.doubled && router + 1 == setup.routers;
-        let me = if setup.same_identity || doubled { 0 } else { router };
+        let router_index = if setup.same_identity || doubled { 0 } else { router };
         let name = if doubled { 0 } else { router };
-        let site = Site {
+        let site = SettingsParams {
             classes: &setup.classes,
             tenants: &[("all", 100.0)],
             cores: setup.cores,
             max_retry_after_ms: LONGEST_MS,
             routers: setup.configured_routers.unwrap_or(setup.routers as u32),
-            me: me as u32,
+            router_index: router_index as u32,
             cold: setup.cold,
         };
         let now = self.clock.now_ns();
--- a/crates/testkit/src/test_bed.rs
+++ b/crates/testkit/src/test_bed.rs
@@ -87,7 +87,7 @@
 
 /// What the settings of a fleet's routers follow from.
 #[derive(Clone, Copy, Debug)]
-pub struct Site<'a> {
+pub struct SettingsParams<'a> {
     /// Classes of requests.
     pub classes: &'a [Class],
     /// Tenants by name and weight.
@@ -99,7 +99,7 @@
     /// Routers that the settings say there are, and this one's number.
     pub routers: u32,
     /// Its number among them.
-    pub me: u32,
+    pub router_index: u32,
     /// Engines start cold, by [`COLD`].
     pub cold: bool,
 }
@@ -109,7 +109,7 @@
 pub const COLD_START: (f64, u64, f64, u64) = (0.32, 15_000_000_000, 2.5, 1_000_000_000);
 
 /// The settings object of one router.
-pub fn settings(site: &Site) -> Value {
+pub fn settings(site: &SettingsParams) -> Value {
     let ns = |ms: f64| (ms * 1e6) as u64;
     let classes: Vec<Value> = site
         .classes
@@ -130,7 +130,7 @@
                             "tip_multiple": tip, "fall_ns": overload_window_ns});
     }
     json!({
-        "azs": ["a"], "balancers": site.routers, "me": site.me, "zone": "a", "kinds": ["std"], "membership_mode": "automatic",
+        "azs": ["a"], "balancers": site.routers, "me": site.router_index, "zone": "a", "kinds": ["std"], "membership_mode": "automatic",
         "load_report": {"fields": ["busy", "rif"], "how": "answers"}, "realms": tenants, "over_share_worth": 0.1,
         "family_info": {"cores_by_kind": [site.cores], "dop": of(|c| json!(c.threads)), "lanes_count": true,
             "out_of_memory": "swap", "progress_pace_ns": 500_000_000u64, "ram_of_kind_mb": [1e6],
@@ -158,13 +158,13 @@
         let coordinator = Coordinator::new(&registry, COORDINATOR).map_err(fault("coordinator"))?;
         let net = Net::new(registry, FIRST_CONN, ConnectionLimits { engines: 100_000, output: 256 << 20 });
         let all: Vec<Value> = engines.iter().map(|e| target(e, "in_service")).collect();
-        let site = Site {
+        let site = SettingsParams {
             classes: &setup.classes,
             tenants: &setup.tenants,
             cores: setup.cores,
             max_retry_after_ms: setup.max_retry_after_ms,
             routers: 1,
-            me: 0,
+            router_index: 0,
             cold: false,
         };
         let config = json!({
