--- a/crates/lab/src/ways.rs
+++ b/crates/lab/src/ways.rs
@@ -2,7 +2,7 @@
 //! seconds, and the return.
 
 use marljunction_pacing::{Failure, Pace, Pacer};
-use marljunction_testkit::herd::{ClientSwarm, PacingPolicy, Service};
+use marljunction_testkit::swarm::{ClientSwarm, PacingPolicy, Service};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Map, Value};
@@ -129,18 +129,18 @@
     let ideal = n / CAPACITY * 1e9;
     for seed in 0..SEEDS {
         let callers = (0..CALLERS).map(|i| make(i, seed * 10_007 + u64::from(i))).collect();
-        let mut herd = ClientSwarm::new(callers, Service::new(CAPACITY));
-        let start = herd.pass(120 * S);
-        herd.now += 20 * S;
-        herd.drop_all();
-        herd.service.away = true;
-        let away = herd.pass(10 * S);
-        herd.service.away = false;
-        let back = herd.pass(120 * S);
+        let mut swarm = ClientSwarm::new(callers, Service::new(CAPACITY));
+        let start = swarm.run_for(120 * S);
+        swarm.now += 20 * S;
+        swarm.disconnect_all();
+        swarm.service.unavailable = true;
+        let unavailable = swarm.run_for(10 * S);
+        swarm.service.unavailable = false;
+        let back = swarm.run_for(120 * S);
         figures.start_calls += start.calls as f64 / n / SEEDS as f64;
         figures.back_calls += back.calls as f64 / n / SEEDS as f64;
-        figures.away_calls_s += away.calls as f64 / n / 10.0 / SEEDS as f64;
-        for passed in [start, away, back] {
+        figures.away_calls_s += unavailable.calls as f64 / n / 10.0 / SEEDS as f64;
+        for passed in [start, unavailable, back] {
             figures.peak = figures.peak.max(passed.max_calls_per_s as f64 / CAPACITY);
         }
         figures.peak_100ms = figures.peak_100ms.max(back.max_calls_per_100ms as f64 / n);
--- a/crates/pacing/tests/pacer.rs
+++ b/crates/pacing/tests/pacer.rs
@@ -2,7 +2,7 @@
 
 use marljunction_pacing::pacer::MAX_USELESS_WAIT_NS;
 use marljunction_pacing::{Failure, Pace, Pacer, Unfit};
-use marljunction_testkit::herd::{ClientSwarm, Service};
+use marljunction_testkit::swarm::{ClientSwarm, Service};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
@@ -13,7 +13,7 @@
     Pace { callers: Some(callers), budget_per_s, spread_ns, ..Pace::default() }
 }
 
-fn herd(count: u32, pace: Pace, capacity: f64, seed: u64) -> ClientSwarm<Pacer> {
+fn swarm(count: u32, pace: Pace, capacity: f64, seed: u64) -> ClientSwarm<Pacer> {
     let one = |i: u32| Pacer::new(Pace { me: i, ..pace }, seed * 1_000 + u64::from(i), 0);
     ClientSwarm::new((0..count).map(one).collect(), Service::new(capacity))
 }
@@ -138,24 +138,24 @@
 fn a_herd_keeps_to_the_budget_at_the_start_while_the_service_is_away_and_as_it_is_back() {
     for seed in 0..300 {
         for (count, capacity) in [(20, 50.0), (100, 25.0), (300, 75.0), (300, 100.0)] {
-            let mut herd = herd(count, fleet(count, capacity), capacity, seed);
+            let mut swarm = swarm(count, fleet(count, capacity), capacity, seed);
             let (ideal, n) = (f64::from(count) / capacity * 1e9, u64::from(count));
             let told = |what: &str, p| format!("{what} of {count} at {capacity}, seed {seed}: {p:?}");
             // Few callers that all fit into a second's calls are no matter for pacing.
             let settled = 1.5 * ideal.max(1e9);
-            let start = herd.pass(60 * S);
+            let start = swarm.run_for(60 * S);
             assert!(start.calls * 2 <= n * 3, "{}", told("start", start));
             assert!(start.settled_ns.is_some_and(|ns| ns as f64 <= settled), "{}", told("start", start));
             assert!(start.max_calls_per_s as f64 <= capacity * 1.5, "{}", told("start", start));
-            herd.now += 30 * S;
-            herd.drop_all();
-            herd.service.away = true;
-            let away = herd.pass(10 * S);
-            assert!(away.calls <= 10 * n, "{}", told("away", away));
-            assert!(count < 100 || away.calls <= 5 * n, "{}", told("away", away));
-            assert!(away.max_calls_per_s as f64 <= capacity * 1.5, "{}", told("away", away));
-            herd.service.away = false;
-            let back = herd.pass(60 * S);
+            swarm.now += 30 * S;
+            swarm.disconnect_all();
+            swarm.service.unavailable = true;
+            let unavailable = swarm.run_for(10 * S);
+            assert!(unavailable.calls <= 10 * n, "{}", told("away", unavailable));
+            assert!(count < 100 || unavailable.calls <= 5 * n, "{}", told("away", unavailable));
+            assert!(unavailable.max_calls_per_s as f64 <= capacity * 1.5, "{}", told("away", unavailable));
+            swarm.service.unavailable = false;
+            let back = swarm.run_for(60 * S);
             assert!(back.calls * 2 <= n * 3, "{}", told("back", back));
             assert!(
                 back.settled_ns.is_some_and(|ns| ns as f64 <= settled.max(3e9)),
@@ -176,14 +176,14 @@
     for seed in 0..100 {
         for callers in [None, Some(50), Some(100), Some(200), Some(400), Some(1)] {
             let pace = Pace { callers, ..fleet(0, 50.0) };
-            let mut herd = herd(200, pace, 50.0, seed);
+            let mut swarm = swarm(200, pace, 50.0, seed);
             for what in ["start", "back"] {
-                let passed = herd.pass(120 * S);
+                let passed = swarm.run_for(120 * S);
                 let told = format!("{what}, told {callers:?}, seed {seed}: {passed:?}");
                 assert!(passed.settled_ns.is_some_and(|ns| ns <= 15 * S), "{told}");
                 assert!(passed.calls <= 800, "{told}");
-                herd.now += 20 * S;
-                herd.drop_all();
+                swarm.now += 20 * S;
+                swarm.disconnect_all();
             }
         }
     }
@@ -194,8 +194,8 @@
     let pace = Pace { me: 0, ..fleet(200, 50.0) };
     // Their seeds differ by name and address only, which is what the program sees to.
     let callers = (0..200).map(|i| Pacer::new(pace, i, 0)).collect();
-    let mut herd = ClientSwarm::new(callers, Service::new(50.0));
-    let start = herd.pass(60 * S);
+    let mut swarm = ClientSwarm::new(callers, Service::new(50.0));
+    let start = swarm.run_for(60 * S);
     assert!(start.calls <= 600 && start.settled_ns.is_some_and(|ns| ns <= 12 * S), "{start:?}");
 }
 
--- a/crates/testkit/src/herd.rs
+++ b/crates/testkit/src/swarm.rs
@@ -49,7 +49,7 @@
     /// What it asks those for that it turns away (ns).
     pub after_ns: Option<u64>,
     /// It is away.
-    pub away: bool,
+    pub unavailable: bool,
     tokens: f64,
     refilled_ns: u64,
 }
@@ -58,13 +58,13 @@
     /// A rested one.
     pub fn new(capacity: f64) -> Service {
         let after_ns = Some(1_000_000_000);
-        Service { capacity, after_ns, away: false, tokens: capacity, refilled_ns: 0 }
+        Service { capacity, after_ns, unavailable: false, tokens: capacity, refilled_ns: 0 }
     }
 
     fn answer(&mut self, now: u64) -> Result<(), Failure> {
         let passed = now.saturating_sub(self.refilled_ns) as f64 / 1e9;
         (self.tokens, self.refilled_ns) = ((self.tokens + passed * self.capacity).min(self.capacity), now);
-        if self.away {
+        if self.unavailable {
             return Err(Failure::Away);
         }
         if self.tokens < 1.0 {
@@ -123,14 +123,14 @@
     }
 
     /// Passes time until all callers are up or `limit_ns` has passed. An answer takes a millisecond.
-    pub fn pass(&mut self, limit_ns: u64) -> Passed {
+    pub fn run_for(&mut self, limit_ns: u64) -> Passed {
         let (began, end) = (self.now, self.now + limit_ns);
         let mut passed = Passed::default();
         let (mut second, mut tenth) = (SlidingMax::default(), SlidingMax::default());
         let due = |at: usize, way: &W| way.due_ns().map(|due| Reverse((due, at)));
         let mut queue: BinaryHeap<Reverse<(u64, usize)>> =
             self.callers.iter().enumerate().filter_map(|(at, way)| due(at, way)).collect();
-        while self.up.iter().any(|up| !up) || self.service.away {
+        while self.up.iter().any(|up| !up) || self.service.unavailable {
             let Some(Reverse((at_ns, at))) = queue.pop().filter(|Reverse((due, _))| *due < end) else {
                 break;
             };
@@ -161,7 +161,7 @@
     }
 
     /// All that are up end at this moment.
-    pub fn drop_all(&mut self) {
+    pub fn disconnect_all(&mut self) {
         for (way, up) in self.callers.iter_mut().zip(&mut self.up) {
             if std::mem::take(up) {
                 way.ended(self.now);
