--- a/crates/testkit/src/swarm.rs
+++ b/crates/testkit/src/swarm.rs
@@ -51,19 +51,19 @@
     /// It is away.
     pub unavailable: bool,
     tokens: f64,
-    refilled_ns: u64,
+    refilled_at_ns: u64,
 }
 
 impl Service {
     /// A rested one.
     pub fn new(capacity: f64) -> Service {
         let after_ns = Some(1_000_000_000);
-        Service { capacity, after_ns, unavailable: false, tokens: capacity, refilled_ns: 0 }
+        Service { capacity, after_ns, unavailable: false, tokens: capacity, refilled_at_ns: 0 }
     }
 
     fn answer(&mut self, now: u64) -> Result<(), Failure> {
-        let passed = now.saturating_sub(self.refilled_ns) as f64 / 1e9;
-        (self.tokens, self.refilled_ns) = ((self.tokens + passed * self.capacity).min(self.capacity), now);
+        let stats = now.saturating_sub(self.refilled_at_ns) as f64 / 1e9;
+        (self.tokens, self.refilled_at_ns) = ((self.tokens + stats * self.capacity).min(self.capacity), now);
         if self.unavailable {
             return Err(Failure::Away);
         }
@@ -78,7 +78,7 @@
 /// Callers and their service.
 pub struct ClientSwarm<W> {
     /// The callers.
-    pub callers: Vec<W>,
+    pub clients: Vec<W>,
     /// The service.
     pub service: Service,
     up: Vec<bool>,
@@ -88,7 +88,7 @@
 
 /// What a while of it came to.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Passed {
+pub struct SwarmStats {
     /// Calls.
     pub calls: u64,
     /// Most calls within a second, and within 100 ms.
@@ -103,68 +103,68 @@
 #[derive(Default)]
 struct SlidingMax {
     window: VecDeque<u64>,
-    most: usize,
+    peak: usize,
 }
 
 impl SlidingMax {
-    fn add(&mut self, at: u64, span_ns: u64) {
-        while self.window.front().is_some_and(|first| first + span_ns <= at) {
+    fn add(&mut self, at: u64, window_ns: u64) {
+        while self.window.front().is_some_and(|first| first + window_ns <= at) {
             self.window.pop_front();
         }
         self.window.push_back(at);
-        self.most = self.most.max(self.window.len());
+        self.peak = self.peak.max(self.window.len());
     }
 }
 
 impl<W: PacingPolicy> ClientSwarm<W> {
     /// Callers that all start now.
-    pub fn new(callers: Vec<W>, service: Service) -> ClientSwarm<W> {
-        ClientSwarm { up: vec![false; callers.len()], callers, service, now: 0 }
+    pub fn new(clients: Vec<W>, service: Service) -> ClientSwarm<W> {
+        ClientSwarm { up: vec![false; clients.len()], clients, service, now: 0 }
     }
 
     /// Passes time until all callers are up or `limit_ns` has passed. An answer takes a millisecond.
-    pub fn run_for(&mut self, limit_ns: u64) -> Passed {
+    pub fn run_for(&mut self, limit_ns: u64) -> SwarmStats {
         let (began, end) = (self.now, self.now + limit_ns);
-        let mut passed = Passed::default();
-        let (mut second, mut tenth) = (SlidingMax::default(), SlidingMax::default());
-        let due = |at: usize, way: &W| way.due_ns().map(|due| Reverse((due, at)));
+        let mut stats = SwarmStats::default();
+        let (mut per_second, mut per_100ms) = (SlidingMax::default(), SlidingMax::default());
+        let due = |at: usize, client: &W| client.due_ns().map(|due| Reverse((due, at)));
         let mut queue: BinaryHeap<Reverse<(u64, usize)>> =
-            self.callers.iter().enumerate().filter_map(|(at, way)| due(at, way)).collect();
+            self.clients.iter().enumerate().filter_map(|(at, client)| due(at, client)).collect();
         while self.up.iter().any(|up| !up) || self.service.unavailable {
             let Some(Reverse((at_ns, at))) = queue.pop().filter(|Reverse((due, _))| *due < end) else {
                 break;
             };
-            let way = &mut self.callers[at];
+            let client = &mut self.clients[at];
             self.now = self.now.max(at_ns);
-            if !way.call(self.now) {
+            if !client.call(self.now) {
                 continue;
             }
-            passed.calls += 1;
-            second.add(self.now, 1_000_000_000);
-            tenth.add(self.now, 100_000_000);
+            stats.calls += 1;
+            per_second.add(self.now, 1_000_000_000);
+            per_100ms.add(self.now, 100_000_000);
             match self.service.answer(self.now) {
                 Ok(()) => {
-                    way.taken(self.now + 1_000_000);
+                    client.taken(self.now + 1_000_000);
                     self.up[at] = true;
                 }
-                Err(failure) => way.failed(self.now + 1_000_000, failure),
+                Err(failure) => client.failed(self.now + 1_000_000, failure),
             }
-            queue.extend(due(at, &self.callers[at]));
+            queue.extend(due(at, &self.clients[at]));
         }
         if self.up.iter().all(|up| *up) {
-            passed.settled_ns = Some(self.now - began);
+            stats.settled_ns = Some(self.now - began);
         } else {
             self.now = end;
         }
-        (passed.max_calls_per_s, passed.max_calls_per_100ms) = (second.most, tenth.most);
-        passed
+        (stats.max_calls_per_s, stats.max_calls_per_100ms) = (per_second.peak, per_100ms.peak);
+        stats
     }
 
     /// All that are up end at this moment.
     pub fn disconnect_all(&mut self) {
-        for (way, up) in self.callers.iter_mut().zip(&mut self.up) {
+        for (client, up) in self.clients.iter_mut().zip(&mut self.up) {
             if std::mem::take(up) {
-                way.ended(self.now);
+                client.ended(self.now);
             }
         }
     }
