--- a/crates/lab/src/start.rs
+++ b/crates/lab/src/start.rs
@@ -82,13 +82,13 @@
     let (start_calls, _) = calls_within(&fleet.list.calls, began, settled, SECOND_NS);
 
     let away = fleet.now();
-    fleet.set_list_behavior(Behavior::Away);
+    fleet.set_list_behavior(Behavior::Unavailable);
     // An engine leaves while nobody can be told; the service has it on its list when it comes back.
     fleet.run(AWAY - Duration::from_secs(2))?;
     fleet.drain(0);
     fleet.run(Duration::from_secs(2))?;
     let back = fleet.now();
-    fleet.set_list_behavior(Behavior::Well);
+    fleet.set_list_behavior(Behavior::Normal);
     let returned = fleet.run_until(SETTLE, all_live)?;
     let settled_again = fleet.now();
     // What goes out after the drain counted as told would be seen now.
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -479,7 +479,7 @@
     /// How the list service behaves from here on.
     pub fn set_list_behavior(&mut self, manner: Behavior) {
         let now = self.clock.now_ns();
-        self.serving = manner == Behavior::Well;
+        self.serving = manner == Behavior::Normal;
         for router in &mut self.routers {
             router.disconnected_since_ns = self.serving.then_some(now).filter(|_| router.process.is_some());
         }
@@ -565,7 +565,7 @@
         for engine in 0..self.links.len() {
             self.shape(engine, Shape::default(), Shape::default());
         }
-        for fault in [Fault::Wake, Fault::Mend, Fault::List(Behavior::Well), Fault::Start] {
+        for fault in [Fault::Wake, Fault::Mend, Fault::List(Behavior::Normal), Fault::Start] {
             self.apply(&fault, &mut draws)?;
         }
         Ok(())
--- a/crates/testkit/src/list.rs
+++ b/crates/testkit/src/list.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Behavior {
     /// Well, within its capacity.
-    Well,
+    Normal,
     /// It is away: each connection is reset as it comes.
-    Away,
+    Unavailable,
     /// It takes connections and says nothing.
     Silent,
     /// It turns all calls away, with this `Retry-After`.
@@ -100,7 +100,7 @@
         Ok(ListService {
             doors,
             first_token,
-            manner: Behavior::Well,
+            manner: Behavior::Normal,
             capacity,
             tokens: capacity,
             refilled_ns: 0,
@@ -145,7 +145,7 @@
 
     /// Behaves so from here on. Away and back, it begins rested and with no connection.
     pub fn set_manner(&mut self, net: &mut Net, manner: Behavior) {
-        if manner == Behavior::Away {
+        if manner == Behavior::Unavailable {
             self.drop_all(net);
             self.tokens = self.capacity;
         }
@@ -186,9 +186,9 @@
         let router = token - self.first_token;
         while let Ok((stream, _)) = self.doors[router].listener.accept() {
             // Those of a service that is away are reset, as the owner of the number tells the sockets.
-            let owner = if self.manner == Behavior::Away { Owner::Engine } else { Owner::Discovery };
+            let owner = if self.manner == Behavior::Unavailable { Owner::Engine } else { Owner::Discovery };
             let Ok(conn) = net.add_accepted(stream, owner) else { continue };
-            if self.manner == Behavior::Away {
+            if self.manner == Behavior::Unavailable {
                 self.calls.push(CallRecord { at_ns: now, router, taken: false });
                 net.close(conn);
             } else {
@@ -233,7 +233,7 @@
         }
         let Ok(Some(call)) = read_call(net.input(conn)) else { return };
         net.consume(conn, call.size);
-        let takes = matches!(self.manner, Behavior::Well | Behavior::ClosesAfter(_)) && self.takes(now);
+        let takes = matches!(self.manner, Behavior::Normal | Behavior::ClosesAfter(_)) && self.takes(now);
         self.calls.push(CallRecord { at_ns: now, router, taken: takes });
         let turned = |after: &str| {
             format!(
--- a/crates/testkit/src/schedule.rs
+++ b/crates/testkit/src/schedule.rs
@@ -121,8 +121,8 @@
 
 fn fault(words: &[&str]) -> Option<Fault> {
     Some(match words {
-        ["list", "well"] => Fault::List(Behavior::Well),
-        ["list", "away"] => Fault::List(Behavior::Away),
+        ["list", "well"] => Fault::List(Behavior::Normal),
+        ["list", "away"] => Fault::List(Behavior::Unavailable),
         ["list", "silent"] => Fault::List(Behavior::Silent),
         ["list", "garbage"] => Fault::List(Behavior::InvalidResponse),
         ["list", "half"] => Fault::List(Behavior::TruncatedResponse),
--- a/tests/fleet_cells.rs
+++ b/tests/fleet_cells.rs
@@ -224,13 +224,13 @@
 #[test]
 fn what_is_known_stays_in_force_while_the_list_service_is_away_and_routers_that_start_know_what_relays_do() {
     let mut fleet = settled("cells-away");
-    fleet.set_list_behavior(Behavior::Away);
+    fleet.set_list_behavior(Behavior::Unavailable);
     fleet.kill(RELAYS);
     fleet.start(RELAYS).unwrap();
     let ready = |fleet: &Fleet| fleet.ready() == RELAYS + ROUTERS;
     assert!(fleet.run_until(LIMIT, ready).unwrap(), "the router is not there again");
     all_hold(&mut fleet, &[], LIMIT);
-    fleet.set_list_behavior(Behavior::Well);
+    fleet.set_list_behavior(Behavior::Normal);
     let drained = drain(&mut fleet, 0);
     all_hold(&mut fleet, &drained, within(Fault::ServiceAway));
     fleet.stop_and_verify(LIMIT).unwrap();
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -100,7 +100,7 @@
 #[test]
 fn routers_serve_what_they_know_while_the_list_service_is_away_from_the_start() {
     let mut fleet = Fleet::new(setup("away-at-start")).unwrap();
-    fleet.set_list_behavior(Behavior::Away);
+    fleet.set_list_behavior(Behavior::Unavailable);
     fleet.ask();
     let from = fleet.now();
     fleet.start_all().unwrap();
@@ -108,7 +108,7 @@
     run(&mut fleet, 2_000);
     assert_eq!(fleet.live(), 0);
     calls_within_bound(&fleet, from);
-    fleet.set_list_behavior(Behavior::Well);
+    fleet.set_list_behavior(Behavior::Normal);
     until(&mut fleet, "all have their streams", all_live);
     blind_within_bound(&fleet);
     end(fleet);
@@ -118,12 +118,12 @@
 fn a_service_that_is_away_under_load_is_called_within_the_bound_and_taken_back_at_a_tenth_of_its_capacity() {
     let mut fleet = settled(setup("away-and-back"));
     let from = fleet.now();
-    fleet.set_list_behavior(Behavior::Away);
+    fleet.set_list_behavior(Behavior::Unavailable);
     run(&mut fleet, 4_000);
     calls_within_bound(&fleet, from);
     fleet.list.set_capacity(4.0);
     let back = fleet.now();
-    fleet.set_list_behavior(Behavior::Well);
+    fleet.set_list_behavior(Behavior::Normal);
     until(&mut fleet, "all have their streams", all_live);
     let (calls, _) = calls_within(&fleet.list.calls, back, fleet.now(), S);
     assert!(calls <= 4 * ROUTERS, "{calls} calls for {ROUTERS} streams");
@@ -140,7 +140,7 @@
         run(&mut fleet, 2_500);
         assert_eq!(fleet.live(), 0);
         calls_within_bound(&fleet, from);
-        fleet.set_list_behavior(Behavior::Well);
+        fleet.set_list_behavior(Behavior::Normal);
         until(&mut fleet, "all have their streams", all_live);
     }
     blind_within_bound(&fleet);
@@ -165,7 +165,7 @@
             assert!(!waits.is_empty(), "{after}: it asks again");
             assert!(waits.iter().all(|ms| *ms + 25 >= least_ms), "{after}: waits of {waits:?} ms");
         }
-        fleet.set_list_behavior(Behavior::Well);
+        fleet.set_list_behavior(Behavior::Normal);
         until(&mut fleet, "all have their streams", all_live);
     }
     blind_within_bound(&fleet);
@@ -183,7 +183,7 @@
         let calls = fleet.list.calls.iter().filter(|c| c.router == router && c.at_ns >= from).count();
         assert!((1..=5).contains(&calls), "router {router} made {calls} calls");
     }
-    fleet.set_list_behavior(Behavior::Well);
+    fleet.set_list_behavior(Behavior::Normal);
     until(&mut fleet, "all have their streams", all_live);
     run(&mut fleet, 1_000);
     come_back_out_of_step(&mut fleet);
@@ -260,11 +260,11 @@
 #[test]
 fn a_router_that_stood_still_past_its_timers_makes_one_call() {
     let mut fleet = settled(setup("frozen"));
-    fleet.set_list_behavior(Behavior::Away);
+    fleet.set_list_behavior(Behavior::Unavailable);
     until(&mut fleet, "it has tried in vain", |f| f.list.calls.iter().filter(|c| c.router == 3).count() >= 3);
     fleet.set_paused(3, true);
     run(&mut fleet, 5_000);
-    fleet.set_list_behavior(Behavior::Well);
+    fleet.set_list_behavior(Behavior::Normal);
     let woken = fleet.now();
     fleet.set_paused(3, false);
     until(&mut fleet, "all have their streams", all_live);
@@ -297,7 +297,7 @@
     let operator = Some("start: { budget: 40, longest: 1s, keep: \"{own}\" }\n".into());
     let mut fleet = settled(Setup { operator, ..setup("kept") });
     until(&mut fleet, "all have kept their list", |f| (0..ROUTERS).all(|router| f.own(router).exists()));
-    fleet.set_list_behavior(Behavior::Away);
+    fleet.set_list_behavior(Behavior::Unavailable);
     (0..ROUTERS).for_each(|router| fleet.kill(router));
     // One engine is gone by the next start, and some files are not what they were.
     fleet.crash_engine(1);
@@ -326,7 +326,7 @@
             None => assert!(said.contains("starts with the 4 engines kept"), "{said}"),
         }
     }
-    fleet.set_list_behavior(Behavior::Well);
+    fleet.set_list_behavior(Behavior::Normal);
     until(&mut fleet, "all have their streams", all_live);
     end(fleet);
 }
--- a/tests/terms_fleet.rs
+++ b/tests/terms_fleet.rs
@@ -73,7 +73,7 @@
     fleet.ask();
     fleet.start_all().unwrap();
     assert!(fleet.run_until(LIMIT, |f| f.live() == routers).unwrap(), "all hear the list service");
-    fleet.set_list_behavior(Behavior::Away);
+    fleet.set_list_behavior(Behavior::Unavailable);
     (0..routers).for_each(|router| fleet.kill(router));
     fleet.start_all().unwrap();
     let served = |f: &Fleet| f.loads.iter().filter(|load| load.first_answer_ns.is_some()).count();
