--- a/crates/testkit/src/list.rs
+++ b/crates/testkit/src/list.rs
@@ -21,7 +21,7 @@
     /// It is away: each connection is reset as it comes.
     Unavailable,
     /// It takes connections and says nothing.
-    Silent,
+    NoResponse,
     /// It turns all calls away, with this `Retry-After`.
     Rejecting(String),
     /// It closes each stream so long after it opened (ns).
@@ -75,7 +75,7 @@
     /// All calls, in order.
     pub calls: Vec<CallRecord>,
     /// By router and engine, when the router was first told that the engine drains or is gone (ns).
-    pub told: BTreeMap<(usize, String), u64>,
+    pub notified_ns: BTreeMap<(usize, String), u64>,
     /// When each router's present stream was opened; none without one.
     live: Vec<Option<u64>>,
 }
@@ -108,7 +108,7 @@
             events: Vec::new(),
             commented_ns: 0,
             calls: Vec::new(),
-            told: BTreeMap::new(),
+            notified_ns: BTreeMap::new(),
             live: vec![None; routers],
         })
     }
@@ -214,7 +214,7 @@
         for (conn, follower) in &self.followers {
             if follower.follows_ns.is_some() && !self.doors[follower.router].cut {
                 net.send(*conn, text.as_bytes());
-                note_told(&mut self.told, now, follower.router, leaving);
+                note_told(&mut self.notified_ns, now, follower.router, leaving);
             }
         }
         self.events.push((index, text, leaving.to_vec()));
@@ -241,7 +241,7 @@
             )
         };
         match &self.manner {
-            Behavior::Silent => return,
+            Behavior::NoResponse => return,
             Behavior::InvalidResponse => {
                 net.send(conn, b"\x00\xff\xfe\r\nnonsense\r\n\r\n");
                 return self.close(net, conn);
@@ -267,7 +267,7 @@
         net.send(conn, b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:hi\n\n");
         for (_, text, leaving) in self.events.iter().filter(|(index, ..)| *index > behind) {
             net.send(conn, text.as_bytes());
-            note_told(&mut self.told, now, router, leaving);
+            note_told(&mut self.notified_ns, now, router, leaving);
         }
         if let Some(follower) = self.followers.get_mut(&conn) {
             follower.follows_ns = Some(now);
@@ -282,7 +282,7 @@
             let over: Vec<u64> = self.followers.iter().filter(|(_, f)| over(f)).map(|(c, _)| *c).collect();
             over.into_iter().for_each(|conn| self.close(net, conn));
         }
-        if now < self.commented_ns + COMMENT_NS || self.manner == Behavior::Silent {
+        if now < self.commented_ns + COMMENT_NS || self.manner == Behavior::NoResponse {
             return;
         }
         self.commented_ns = now;
@@ -301,8 +301,8 @@
     }
 }
 
-fn note_told(told: &mut BTreeMap<(usize, String), u64>, now: u64, router: usize, leaving: &[String]) {
+fn note_told(notified_ns: &mut BTreeMap<(usize, String), u64>, now: u64, router: usize, leaving: &[String]) {
     for uid in leaving {
-        told.entry((router, uid.clone())).or_insert(now);
+        notified_ns.entry((router, uid.clone())).or_insert(now);
     }
 }
--- a/crates/testkit/src/schedule.rs
+++ b/crates/testkit/src/schedule.rs
@@ -123,7 +123,7 @@
     Some(match words {
         ["list", "well"] => Fault::List(Behavior::Normal),
         ["list", "away"] => Fault::List(Behavior::Unavailable),
-        ["list", "silent"] => Fault::List(Behavior::Silent),
+        ["list", "silent"] => Fault::List(Behavior::NoResponse),
         ["list", "garbage"] => Fault::List(Behavior::InvalidResponse),
         ["list", "half"] => Fault::List(Behavior::TruncatedResponse),
         ["list", "busy", after @ ..] => Fault::List(Behavior::Rejecting(after.join(" "))),
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -133,7 +133,7 @@
 #[test]
 fn a_service_that_says_nothing_or_nonsense_is_called_within_the_bound() {
     let mut fleet = settled(setup("nonsense"));
-    for manner in [Behavior::Silent, Behavior::InvalidResponse, Behavior::TruncatedResponse] {
+    for manner in [Behavior::NoResponse, Behavior::InvalidResponse, Behavior::TruncatedResponse] {
         fleet.close_list_streams();
         let from = fleet.now();
         fleet.set_list_behavior(manner);
@@ -219,7 +219,7 @@
     run(&mut fleet, 3_000);
     (0..ROUTERS / 2).for_each(|router| fleet.cut(router, false));
     until(&mut fleet, "all were told", |f| {
-        (0..ROUTERS).all(|router| f.list.told.contains_key(&(router, "e0".to_owned())))
+        (0..ROUTERS).all(|router| f.list.notified_ns.contains_key(&(router, "e0".to_owned())))
     });
     run(&mut fleet, 1_500);
     blind_within_bound(&fleet);
@@ -233,7 +233,7 @@
     until(&mut fleet, "half are back", |f| f.live() >= ROUTERS / 2);
     fleet.drain(2);
     until(&mut fleet, "all were told", |f| {
-        (0..ROUTERS).all(|router| f.list.told.contains_key(&(router, "e2".to_owned())))
+        (0..ROUTERS).all(|router| f.list.notified_ns.contains_key(&(router, "e2".to_owned())))
     });
     run(&mut fleet, 1_500);
     blind_within_bound(&fleet);
