--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -157,7 +157,7 @@
     };
     let mut fleet = Fleet::new(setup)?;
     fleet.start_all()?;
-    if !fleet.run_until(LIMIT, |fleet| fleet.live() == 1)? {
+    if !fleet.run_until(LIMIT, |fleet| fleet.connected() == 1)? {
         return Err("the router of the statements did not start".into());
     }
     fleet.ask();
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -314,7 +314,7 @@
         ..Setup::new(run.program, &format!("limits-idle-{fleet_on}-{}", run.seed), routers)
     })?;
     fleet.start_all()?;
-    fleet.run_until(LIMIT, |f| f.live() == routers)?;
+    fleet.run_until(LIMIT, |f| f.connected() == routers)?;
     fleet.run(Duration::from_secs(8))?;
     let used = |fleet: &Fleet| -> u64 { fleet.used().iter().map(|(_, time)| time).sum() };
     let (began, before) = (fleet.now(), used(&fleet));
--- a/crates/lab/src/start.rs
+++ b/crates/lab/src/start.rs
@@ -75,7 +75,7 @@
     fleet.ask();
     let began = fleet.now();
     fleet.start_all()?;
-    let all_live = |fleet: &Fleet| fleet.live() == routers;
+    let all_live = |fleet: &Fleet| fleet.connected() == routers;
     let started = fleet.run_until(SETTLE, all_live)?;
     let settled = fleet.now();
     let used = fleet.used();
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -657,8 +657,8 @@
     }
 
     /// Routers whose stream is up.
-    pub fn live(&self) -> usize {
-        self.list.live()
+    pub fn connected(&self) -> usize {
+        self.list.connected()
     }
 
     /// Runs until `condition` holds, for no longer than `limit`; whether it holds.
@@ -751,9 +751,9 @@
         }
         for (at, router) in self.routers.iter_mut().enumerate() {
             match (router.disconnected_since_ns, self.list.connected_since(at)) {
-                (Some(since), Some(live)) => {
+                (Some(since), Some(connected)) => {
                     router.longest_disconnect_ns =
-                        router.longest_disconnect_ns.max(live.saturating_sub(since));
+                        router.longest_disconnect_ns.max(connected.saturating_sub(since));
                     router.disconnected_since_ns = None;
                 }
                 (Some(since), None) if !router.frozen => {
--- a/crates/testkit/src/list.rs
+++ b/crates/testkit/src/list.rs
@@ -77,7 +77,7 @@
     /// By router and engine, when the router was first told that the engine drains or is gone (ns).
     pub notified_ns: BTreeMap<(usize, String), u64>,
     /// When each router's present stream was opened; none without one.
-    live: Vec<Option<u64>>,
+    connected: Vec<Option<u64>>,
 }
 
 impl ListService {
@@ -109,7 +109,7 @@
             commented_ns: 0,
             calls: Vec::new(),
             notified_ns: BTreeMap::new(),
-            live: vec![None; routers],
+            connected: vec![None; routers],
         })
     }
 
@@ -129,13 +129,13 @@
     }
 
     /// Routers with a stream that is up.
-    pub fn live(&self) -> usize {
-        self.live.iter().flatten().count()
+    pub fn connected(&self) -> usize {
+        self.connected.iter().flatten().count()
     }
 
     /// Since when a router's stream is up; none without one (ns).
     pub fn connected_since(&self, router: usize) -> Option<u64> {
-        self.live[router]
+        self.connected[router]
     }
 
     /// It takes so many calls a second from here on.
@@ -175,7 +175,7 @@
             let others =
                 self.followers.values().any(|f| f.router == follower.router && f.follows_ns.is_some());
             if follower.follows_ns.is_some() && !others {
-                self.live[follower.router] = None;
+                self.connected[follower.router] = None;
             }
         }
         net.close(conn);
@@ -272,7 +272,7 @@
         if let Some(follower) = self.followers.get_mut(&conn) {
             follower.follows_ns = Some(now);
         }
-        self.live[router] = Some(now);
+        self.connected[router] = Some(now);
     }
 
     /// Passes time: a comment each second, and the end of streams that are closed after a while.
--- a/tests/fleet_cells.rs
+++ b/tests/fleet_cells.rs
@@ -198,7 +198,10 @@
     drained.extend(drain(&mut fleet, 1));
     all_hold(&mut fleet, &drained, within(Fault::RelayReplaced));
     // Now the one that was never killed: all depend on the new process.
-    assert!(fleet.run_until(LIMIT, |fleet| fleet.live() == RELAYS).unwrap(), "the new relay has no stream");
+    assert!(
+        fleet.run_until(LIMIT, |fleet| fleet.connected() == RELAYS).unwrap(),
+        "the new relay has no stream"
+    );
     fleet.kill(1 - relay);
     drained.extend(drain(&mut fleet, 2));
     all_hold(&mut fleet, &drained, within(Fault::RelayStops) + within(Fault::RelayReplaced));
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -37,7 +37,7 @@
 }
 
 fn all_live(fleet: &Fleet) -> bool {
-    fleet.live() == ROUTERS
+    fleet.connected() == ROUTERS
 }
 
 /// A fleet whose routers are all there and hear the list service.
@@ -106,7 +106,7 @@
     fleet.start_all().unwrap();
     until(&mut fleet, "all serve", |f| f.loads.iter().all(|load| load.first_answer_ns.is_some()));
     run(&mut fleet, 2_000);
-    assert_eq!(fleet.live(), 0);
+    assert_eq!(fleet.connected(), 0);
     calls_within_bound(&fleet, from);
     fleet.set_list_behavior(Behavior::Normal);
     until(&mut fleet, "all have their streams", all_live);
@@ -138,7 +138,7 @@
         let from = fleet.now();
         fleet.set_list_behavior(manner);
         run(&mut fleet, 2_500);
-        assert_eq!(fleet.live(), 0);
+        assert_eq!(fleet.connected(), 0);
         calls_within_bound(&fleet, from);
         fleet.set_list_behavior(Behavior::Normal);
         until(&mut fleet, "all have their streams", all_live);
@@ -230,7 +230,7 @@
 fn a_drain_told_while_half_of_the_fleet_waits_to_reconnect_binds_all() {
     let mut fleet = settled(setup("drain-waiting"));
     fleet.close_list_streams();
-    until(&mut fleet, "half are back", |f| f.live() >= ROUTERS / 2);
+    until(&mut fleet, "half are back", |f| f.connected() >= ROUTERS / 2);
     fleet.drain(2);
     until(&mut fleet, "all were told", |f| {
         (0..ROUTERS).all(|router| f.list.notified_ns.contains_key(&(router, "e2".to_owned())))
@@ -245,7 +245,7 @@
     let mut fleet = settled(setup("killed"));
     for _ in 0..2 {
         (0..ROUTERS).for_each(|router| fleet.kill(router));
-        until(&mut fleet, "the service has seen them go", |f| f.live() == 0);
+        until(&mut fleet, "the service has seen them go", |f| f.connected() == 0);
         let from = fleet.now();
         fleet.start_all().unwrap();
         until(&mut fleet, "all have their streams", all_live);
--- a/tests/terms_fleet.rs
+++ b/tests/terms_fleet.rs
@@ -72,7 +72,7 @@
     let mut fleet = Fleet::new(Setup::new(program, "terms-ready", routers)).unwrap();
     fleet.ask();
     fleet.start_all().unwrap();
-    assert!(fleet.run_until(LIMIT, |f| f.live() == routers).unwrap(), "all hear the list service");
+    assert!(fleet.run_until(LIMIT, |f| f.connected() == routers).unwrap(), "all hear the list service");
     fleet.set_list_behavior(Behavior::Unavailable);
     (0..routers).for_each(|router| fleet.kill(router));
     fleet.start_all().unwrap();
@@ -96,5 +96,5 @@
         nine_in_ten / 1_000_000
     );
     assert!(nine_in_ten <= READY_NS, "nine in ten after {nine_in_ten} ns");
-    assert_eq!(fleet.live(), 0, "the list service was away");
+    assert_eq!(fleet.connected(), 0, "the list service was away");
 }
