--- a/crates/health/tests/fleet.rs
+++ b/crates/health/tests/fleet.rs
@@ -64,7 +64,7 @@
             !excluded_by_override(fleet.node(2), "e1") && excluded_by_override(fleet.node(3), "e1"),
             "each side keeps its own override"
         );
-        fleet.cut.clear();
+        fleet.partitioned.clear();
         let bound = convergence_bound_ns(&fleet.params, 2);
         fleet.until(bound, "all routers agree", |f| {
             f.all(|n| {
@@ -90,7 +90,7 @@
     }
     fleet.run(20 * S);
     let bytes = fleet.bytes;
-    fleet.cut.clear();
+    fleet.partitioned.clear();
     let bound = convergence_bound_ns(&fleet.params, 100 * 32);
     let took = fleet.until(bound, "all routers agree", |f| f.all(|n| n.overrides().len() == 2_100));
     println!("converged after {:.1} s and {} KB", took as f64 / 1e9, (fleet.bytes - bytes) / 1_000);
@@ -236,7 +236,7 @@
 fn in_a_partition_evidence_expires_and_overrides_persist() {
     let mut fleet = Fleet::new(8, 6);
     fleet.partition_into(|at| usize::from(at >= 4));
-    fleet.cut.clear();
+    fleet.partitioned.clear();
     let now = fleet.now;
     fleet.node(0).set_override(now, "e1", true);
     (0..3).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
@@ -314,7 +314,7 @@
         fleet.start(4);
         fleet.run(3 * S);
         assert!(excluded_by_override(fleet.node(4), "e1"));
-        fleet.cut.clear();
+        fleet.partitioned.clear();
         fleet.until(convergence_bound_ns(&fleet.params, 1), "all routers agree", |f| {
             f.all(|n| !excluded_by_override(n, "e1"))
         });
@@ -348,7 +348,7 @@
             fleet.start(4);
             fleet.run(2 * S);
         }
-        fleet.cut.clear();
+        fleet.partitioned.clear();
         fleet.until(convergence_bound_ns(&fleet.params, 1), "all routers agree", |f| {
             f.all(|n| !excluded_by_override(n, "e1"))
         });
@@ -426,7 +426,7 @@
                     let split = fleet.draws.gen_range(1..6);
                     fleet.partition_into(|at| usize::from(at >= split));
                 }
-                1 => fleet.cut.clear(),
+                1 => fleet.partitioned.clear(),
                 2 => fleet.degrade_network(),
                 3 => (fleet.loss, fleet.duplication, fleet.jitter) = (0.0, 0.0, 3 * MS),
                 4 => fleet.kill(at),
@@ -446,7 +446,7 @@
             fleet.run(ns);
         }
         (fleet.loss, fleet.duplication, fleet.jitter) = (0.0, 0.0, 3 * MS);
-        fleet.cut.clear();
+        fleet.partitioned.clear();
         fleet.frozen.clear();
         (0..6).for_each(|at| fleet.start(at));
         let bound = convergence_bound_ns(&fleet.params, 3);
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -168,7 +168,7 @@
         }
         Schedule::OneWay => {
             for to in 1..routers {
-                fleet.shape_peer_link(Some(0), to, Shape { cut: true, ..Shape::default() });
+                fleet.shape_peer_link(Some(0), to, Shape { partitioned: true, ..Shape::default() });
             }
             fleet.run(Duration::from_secs(8))?;
             told.insert("used_share_cut".into(), json!(used(&mut fleet, most)?));
--- a/crates/lab/src/verdicts.rs
+++ b/crates/lab/src/verdicts.rs
@@ -87,8 +87,8 @@
     let worth_before = (fleet.sum(|t| t.worth), fleet.sum(|t| t.worth_asked));
     match broken {
         Broken::Silent => {
-            let cut = Shape { cut: true, ..Shape::default() };
-            fleet.shape(0, cut, cut);
+            let partitioned = Shape { partitioned: true, ..Shape::default() };
+            fleet.shape(0, partitioned, partitioned);
         }
         Broken::Slow => {
             let slow = Shape { delay_ns: 350_000_000, ..Shape::default() };
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -232,13 +232,13 @@
     let kind = Kind::Concurrency { at_once: 80 };
     let request = |at| if at == 0 { 400.0 } else { 0.0 };
     let halves: Vec<usize> = (0..8).map(|at| usize::from(at >= 4)).collect();
-    let (cut, mut fleet) = utilization(kind, 8, request, |fleet| {
+    let (partitioned, mut fleet) = utilization(kind, 8, request, |fleet| {
         fleet.partition_into(&halves);
         fleet.run(8_000);
     });
-    println!("used while partitioned into halves: {cut:.3}");
-    assert!((0.4..=0.55).contains(&cut), "{cut}");
-    fleet.cut.clear();
+    println!("used while partitioned into halves: {partitioned:.3}");
+    assert!((0.4..=0.55).contains(&partitioned), "{partitioned}");
+    fleet.partitioned.clear();
     let healed_ns = fleet.now;
     while fleet.out() < 76 && fleet.now < healed_ns + 60 * S {
         fleet.step();
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -358,8 +358,8 @@
     pub fn partition_into(&mut self, parts: &[usize]) {
         for to in 0..parts.len() {
             for from in (0..parts.len()).filter(|from| *from != to) {
-                let cut = parts[from] != parts[to];
-                self.shape_peer_link(Some(from), to, Shape { cut, ..Shape::default() });
+                let partitioned = parts[from] != parts[to];
+                self.shape_peer_link(Some(from), to, Shape { partitioned, ..Shape::default() });
             }
         }
     }
@@ -498,11 +498,11 @@
     }
 
     /// Cuts or mends a router's link to the list service.
-    pub fn cut(&mut self, router: usize, cut: bool) {
+    pub fn set_partitioned(&mut self, router: usize, partitioned: bool) {
         let now = self.clock.now_ns();
-        self.list.cut(router, cut);
-        self.routers[router].disconnected_since_ns = Some(now).filter(|_| !cut);
-        if !cut {
+        self.list.set_partitioned(router, partitioned);
+        self.routers[router].disconnected_since_ns = Some(now).filter(|_| !partitioned);
+        if !partitioned {
             self.list.deliver_delayed(now, &mut self.net, router);
         }
     }
@@ -541,8 +541,8 @@
                 .collect::<Vec<_>>()
                 .into_iter()
                 .for_each(|r| self.set_paused(r, false)),
-            Fault::Cut(whom) => drawn(whom).into_iter().for_each(|router| self.cut(router, true)),
-            Fault::Mend => (0..count).for_each(|router| self.cut(router, false)),
+            Fault::Cut(whom) => drawn(whom).into_iter().for_each(|router| self.set_partitioned(router, true)),
+            Fault::Mend => (0..count).for_each(|router| self.set_partitioned(router, false)),
             Fault::Drain(engine) if *engine < self.engines.len() => self.drain(*engine),
             Fault::Lose(engine) if *engine < self.engines.len() => self.crash_engine(*engine),
             Fault::Link(engine, there, back) => self.shape(*engine, *there, *back),
--- a/crates/testkit/src/health_fleet.rs
+++ b/crates/testkit/src/health_fleet.rs
@@ -32,7 +32,7 @@
     pub frozen: BTreeSet<usize>,
     inbox: Vec<Vec<(u32, Message)>>,
     /// Links that carry nothing, from one to another.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub partitioned: BTreeSet<(usize, usize)>,
     /// Part of the messages that is lost (share).
     pub loss: f64,
     /// Part that comes twice (share).
@@ -62,7 +62,7 @@
             kept: vec![(Overrides::default(), T0); routers],
             frozen: BTreeSet::new(),
             inbox: vec![Vec::new(); routers],
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             loss: 0.0,
             duplication: 0.0,
             jitter: 3 * MS,
@@ -108,7 +108,7 @@
         assert!(packed <= 1_000, "{packed} bytes: {message:?}");
         self.bytes += packed as u64;
         let to = to as usize;
-        if self.cut.contains(&(from, to)) || self.draws.gen_bool(self.loss) {
+        if self.partitioned.contains(&(from, to)) || self.draws.gen_bool(self.loss) {
             return;
         }
         for _ in 0..=u32::from(self.draws.gen_bool(self.duplication)) {
@@ -142,8 +142,8 @@
             let there = |other: &usize| {
                 *other != at
                     && self.nodes[*other].is_some()
-                    && !self.cut.contains(&(at, *other))
-                    && !self.cut.contains(&(*other, at))
+                    && !self.partitioned.contains(&(at, *other))
+                    && !self.partitioned.contains(&(*other, at))
             };
             let peers: Vec<u32> = (0..self.nodes.len()).filter(there).map(|other| other as u32).collect();
             let Some(node) = &mut self.nodes[at] else { continue };
@@ -193,9 +193,9 @@
     /// Cuts the routers into parts.
     pub fn partition_into(&mut self, part: impl Fn(usize) -> usize) {
         let n = self.nodes.len();
-        self.cut.clear();
+        self.partitioned.clear();
         for (a, b) in (0..n).flat_map(|a| (0..n).map(move |b| (a, b))).filter(|(a, b)| part(*a) != part(*b)) {
-            self.cut.insert((a, b));
+            self.partitioned.insert((a, b));
         }
     }
 }
--- a/crates/testkit/src/lease_fleet.rs
+++ b/crates/testkit/src/lease_fleet.rs
@@ -65,7 +65,7 @@
     pub draws: StdRng,
     net: Net,
     /// Links that carry nothing, from one to another.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub partitioned: BTreeSet<(usize, usize)>,
     wire: BTreeMap<(u64, u64), (usize, Peer, Message)>,
     serial: u64,
     /// When what routers that died had out is over.
@@ -104,7 +104,7 @@
             now: 1_000 * S,
             draws,
             net: WELL,
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             wire: BTreeMap::new(),
             serial: 0,
             lingering: Vec::new(),
@@ -157,7 +157,10 @@
     fn send(&mut self, from: usize, to: u32, message: Message) {
         self.messages += 1;
         let to = to as usize;
-        if to >= self.routers.len() || self.cut.contains(&(from, to)) || self.draws.gen_bool(self.net.loss) {
+        if to >= self.routers.len()
+            || self.partitioned.contains(&(from, to))
+            || self.draws.gen_bool(self.net.loss)
+        {
             return;
         }
         let peer = Peer { number: from as u32, incarnation: self.routers[from].incarnation };
@@ -181,7 +184,9 @@
     pub fn update_reachable_peers(&mut self) {
         for at in 0..self.routers.len() {
             let now = self.clock(at);
-            let both = |other: &usize| !self.cut.contains(&(at, *other)) && !self.cut.contains(&(*other, at));
+            let both = |other: &usize| {
+                !self.partitioned.contains(&(at, *other)) && !self.partitioned.contains(&(*other, at))
+            };
             let others =
                 (0..self.routers.len()).filter(|other| *other != at && self.routers[*other].node.is_some());
             let peers = others.filter(both).map(|other| other as u32).collect();
@@ -283,7 +288,7 @@
     pub fn partition_into(&mut self, parts: &[usize]) {
         for a in 0..parts.len() {
             for b in (0..parts.len()).filter(|b| parts[a] != parts[*b]) {
-                self.cut.insert((a, b));
+                self.partitioned.insert((a, b));
             }
         }
     }
@@ -303,9 +308,9 @@
             }
             2 => {
                 let to = self.draws.gen_range(0..n);
-                self.cut.insert((at, to));
+                self.partitioned.insert((at, to));
             }
-            3 => self.cut.extend((0..n).map(|other| (other, at))),
+            3 => self.partitioned.extend((0..n).map(|other| (other, at))),
             4 => self.net = BAD,
             5 => self.net = WELL,
             6 => self.kill(at),
@@ -320,7 +325,7 @@
             }
             10 => self.routers[at].frozen = self.routers[at].node.is_some(),
             11 => self.routers.iter_mut().for_each(|r| r.frozen = false),
-            12 => self.cut.clear(),
+            12 => self.partitioned.clear(),
             _ => {
                 let most = self.limit.kind.units() as f64;
                 let total = self.draws.gen_range(0.5..4.0) * most;
--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shape {
     /// Nothing passes: a stream's bytes are held until it does again, datagrams are lost.
-    pub cut: bool,
+    pub partitioned: bool,
     /// Everything comes so much later (ns), and up to this much later still by chance (ns).
     pub delay_ns: u64,
     /// Chance's part of the delay: datagrams pass each other by it (ns).
@@ -35,7 +35,14 @@
 
 impl Default for Shape {
     fn default() -> Self {
-        Shape { cut: false, delay_ns: 0, jitter_ns: 0, loss: 0.0, duplication: 0.0, bytes_per_s: None }
+        Shape {
+            partitioned: false,
+            delay_ns: 0,
+            jitter_ns: 0,
+            loss: 0.0,
+            duplication: 0.0,
+            bytes_per_s: None,
+        }
     }
 }
 
@@ -96,7 +103,7 @@
         let mut out = Vec::new();
         let passed = now.saturating_sub(self.rate_updated_ns);
         let mut most = match self.shape.bytes_per_s {
-            _ if self.shape.cut => 0,
+            _ if self.shape.partitioned => 0,
             None => usize::MAX,
             Some(per_s) => (u128::from(passed) * u128::from(per_s) / 1_000_000_000) as usize,
         };
@@ -122,7 +129,8 @@
 
     /// Takes a datagram.
     pub fn push_datagram(&mut self, now: u64, bytes: &[u8]) {
-        let lost = self.shape.cut || self.shape.loss > 0.0 && self.draws.gen_bool(self.shape.loss.min(1.0));
+        let lost =
+            self.shape.partitioned || self.shape.loss > 0.0 && self.draws.gen_bool(self.shape.loss.min(1.0));
         if lost {
             self.lost += 1;
             return;
@@ -141,7 +149,7 @@
         while let Some(entry) = self.datagrams.first_entry().filter(|entry| entry.key().0 <= now) {
             out.push(entry.remove());
         }
-        if self.shape.cut {
+        if self.shape.partitioned {
             self.lost += out.len() as u64;
             out.clear();
         }
@@ -150,7 +158,7 @@
 
     /// When something passes next (ns).
     pub fn next_due_ns(&self) -> Option<u64> {
-        let stream = self.stream.front().map(|(due, _)| *due).filter(|_| !self.shape.cut);
+        let stream = self.stream.front().map(|(due, _)| *due).filter(|_| !self.shape.partitioned);
         stream.into_iter().chain(self.datagrams.keys().next().map(|(due, _)| *due)).min()
     }
 }
@@ -243,7 +251,7 @@
                 }
             }
             let told = |end: usize| {
-                pair.over[end] && !pair.passing[end].shape().cut && pair.passing[end].holds() == 0
+                pair.over[end] && !pair.passing[end].shape().partitioned && pair.passing[end].holds() == 0
             };
             let over = told(0) || told(1);
             if over {
--- a/crates/testkit/src/list.rs
+++ b/crates/testkit/src/list.rs
@@ -56,7 +56,7 @@
     listener: TcpListener,
     address: SocketAddr,
     /// Nothing passes, in either direction; connections stay.
-    cut: bool,
+    partitioned: bool,
 }
 
 /// The service.
@@ -95,7 +95,7 @@
         let mut doors = Vec::new();
         for i in 0..routers {
             let (listener, address) = listen(registry, first_token + i)?;
-            doors.push(Door { listener, address, cut: false });
+            doors.push(Door { listener, address, partitioned: false });
         }
         Ok(ListService {
             doors,
@@ -166,8 +166,8 @@
     }
 
     /// Cuts a router's link, or mends it. What was on its way comes when it is mended.
-    pub fn cut(&mut self, router: usize, cut: bool) {
-        self.doors[router].cut = cut;
+    pub fn set_partitioned(&mut self, router: usize, partitioned: bool) {
+        self.doors[router].partitioned = partitioned;
     }
 
     fn close(&mut self, net: &mut Net, conn: u64) {
@@ -212,7 +212,7 @@
         let data = serde_json::json!({"index": index, "endpoints": list});
         let text = format!("id: {index}\ndata: {data}\n\n");
         for (conn, follower) in &self.followers {
-            if follower.follows_ns.is_some() && !self.doors[follower.router].cut {
+            if follower.follows_ns.is_some() && !self.doors[follower.router].partitioned {
                 net.send(*conn, text.as_bytes());
                 note_told(&mut self.notified_ns, now, follower.router, leaving);
             }
@@ -225,7 +225,7 @@
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) {
         let Some(follower) = self.followers.get(&conn) else { return };
         let router = follower.router;
-        if self.doors[router].cut {
+        if self.doors[router].partitioned {
             return;
         }
         if net.service(conn).ended.is_some() {
@@ -287,7 +287,7 @@
         }
         self.commented_ns = now;
         for (conn, follower) in &self.followers {
-            if follower.follows_ns.is_some() && !self.doors[follower.router].cut {
+            if follower.follows_ns.is_some() && !self.doors[follower.router].partitioned {
                 net.send(*conn, b":\n\n");
             }
         }
--- a/crates/testkit/src/schedule.rs
+++ b/crates/testkit/src/schedule.rs
@@ -141,11 +141,11 @@
         ["link", engine, "reset"] => Fault::Reset(engine.parse().ok()?),
         ["link", engine, how @ ..] => {
             let well = Shape::default();
-            let cut = Shape { cut: true, ..well };
+            let partitioned = Shape { partitioned: true, ..well };
             let (there, back) = match how {
-                ["cut"] => (cut, cut),
-                ["cut-there"] => (cut, well),
-                ["cut-back"] => (well, cut),
+                ["cut"] => (partitioned, partitioned),
+                ["cut-there"] => (partitioned, well),
+                ["cut-back"] => (well, partitioned),
                 ["mend"] => (well, well),
                 ["slow", by] => {
                     let slow = Shape { delay_ns: time(by)?, ..well };
--- a/crates/testkit/tests/link.rs
+++ b/crates/testkit/tests/link.rs
@@ -35,7 +35,7 @@
 #[test]
 fn a_cut_stream_is_held_and_a_cut_link_loses_datagrams() {
     let mut shaper = Shaper::new(1);
-    shaper.set(0, Shape { cut: true, ..Shape::default() });
+    shaper.set(0, Shape { partitioned: true, ..Shape::default() });
     shaper.push_stream(0, b"held");
     shaper.push_datagram(0, b"lost");
     assert!(shaper.pull_stream(9_000 * MS).is_empty() && shaper.pull_datagrams(9_000 * MS).is_empty());
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -180,7 +180,7 @@
     fleet.run(Duration::from_secs(6)).unwrap();
     // One that hears and is not heard.
     for to in 1..ROUTERS {
-        fleet.shape_peer_link(Some(0), to, Shape { cut: true, ..bad });
+        fleet.shape_peer_link(Some(0), to, Shape { partitioned: true, ..bad });
     }
     fleet.run(Duration::from_secs(6)).unwrap();
     end(fleet);
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -212,12 +212,12 @@
 #[test]
 fn half_of_the_fleet_cut_off_hears_of_a_drain_once_its_links_are_mended() {
     let mut fleet = settled(setup("cut"));
-    (0..ROUTERS / 2).for_each(|router| fleet.cut(router, true));
+    (0..ROUTERS / 2).for_each(|router| fleet.set_partitioned(router, true));
     run(&mut fleet, 500);
     fleet.drain(0);
     // Till they have noticed the silence and wait or call in vain.
     run(&mut fleet, 3_000);
-    (0..ROUTERS / 2).for_each(|router| fleet.cut(router, false));
+    (0..ROUTERS / 2).for_each(|router| fleet.set_partitioned(router, false));
     until(&mut fleet, "all were told", |f| {
         (0..ROUTERS).all(|router| f.list.notified_ns.contains_key(&(router, "e0".to_owned())))
     });
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -262,8 +262,8 @@
     let name = |e: usize| format!("{:016x}", engine_id(&format!("e{e}")).0);
     let out = format!("engine {} is out by what the fleet", name(2));
     let back = format!("engine {} is back by what the fleet", name(2));
-    let cut = Shape { cut: true, ..Shape::default() };
-    fleet.shape(2, cut, cut);
+    let partitioned = Shape { partitioned: true, ..Shape::default() };
+    fleet.shape(2, partitioned, partitioned);
     until(&mut fleet, LIMIT, "all leave it out", |f| (0..ROUTERS).all(|r| f.said(r).contains(&out)));
     fleet.run(Duration::from_secs(4)).unwrap();
     // Others are left in, whatever a router sees of them meanwhile.
