--- a/crates/health/tests/fleet.rs
+++ b/crates/health/tests/fleet.rs
@@ -399,12 +399,12 @@
         fleet.node(3).set_override(now, "e1", true);
         // The router is frozen with queued gossip while another reverts the override.
         fleet.run(2 * S);
-        fleet.frozen.insert(3);
+        fleet.paused.insert(3);
         fleet.run(S);
         let now = fleet.now;
         fleet.node(0).set_override(now, "e1", false);
         fleet.run(10 * S);
-        fleet.frozen.clear();
+        fleet.paused.clear();
         fleet.until(propagation_bound_ns(&fleet.params), "the frozen router learns of the reversal", |f| {
             !excluded_by_override(f.node(3), "e1")
         });
@@ -431,13 +431,13 @@
                 3 => (fleet.loss, fleet.duplication, fleet.jitter) = (0.0, 0.0, 3 * MS),
                 4 => fleet.kill(at),
                 5 => (0..6).for_each(|at| fleet.start(at)),
-                6 => drop(fleet.frozen.insert(at)),
-                7 => fleet.frozen.clear(),
+                6 => drop(fleet.paused.insert(at)),
+                7 => fleet.paused.clear(),
                 _ => {}
             }
             let (name, excluded) = (format!("e{}", fleet.draws.gen_range(0..3)), fleet.draws.gen_bool(0.5));
             let now = fleet.now;
-            let running = fleet.nodes[at].as_mut().filter(|_| !fleet.frozen.contains(&at));
+            let running = fleet.nodes[at].as_mut().filter(|_| !fleet.paused.contains(&at));
             if let Some(version) = running.and_then(|node| node.set_override(now, &name, excluded)) {
                 let entry = last.entry(name).or_insert(Override { version: Version::default(), excluded });
                 *entry = (*entry).max(Override { version, excluded });
@@ -447,7 +447,7 @@
         }
         (fleet.loss, fleet.duplication, fleet.jitter) = (0.0, 0.0, 3 * MS);
         fleet.partitioned.clear();
-        fleet.frozen.clear();
+        fleet.paused.clear();
         (0..6).for_each(|at| fleet.start(at));
         let bound = convergence_bound_ns(&fleet.params, 3);
         let same = last.clone();
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -70,7 +70,7 @@
             Some(since) => format!("up {:>4.1} s", now.saturating_sub(since) as f64 / 1e9),
             None => "none".to_owned(),
         };
-        let state = if router.frozen() { "stands" } else { "runs" };
+        let state = if router.paused() { "stands" } else { "runs" };
         line(
             &mut text,
             format_args!(
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -165,13 +165,13 @@
     disconnected_since_ns: Option<u64>,
     /// The longest time without a stream while the service took calls (ns).
     pub longest_disconnect_ns: u64,
-    frozen: bool,
+    paused: bool,
 }
 
 impl Router {
     /// Whether its process stands still.
-    pub fn frozen(&self) -> bool {
-        self.frozen
+    pub fn paused(&self) -> bool {
+        self.paused
     }
 }
 
@@ -249,7 +249,7 @@
             peer_address: None,
             disconnected_since_ns: None,
             longest_disconnect_ns: 0,
-            frozen: false,
+            paused: false,
         };
         let load = |i: usize| {
             let seed = setup.seed.wrapping_mul(7_919).wrapping_add(i as u64);
@@ -430,7 +430,7 @@
         let process = Process::start(&setup.program, &environment, &path("log"))?;
         let to = &mut self.routers[router];
         (to.process, to.started_ns, to.listens, to.peer_address) = (Some(process), now, None, None);
-        to.frozen = false;
+        to.paused = false;
         to.disconnected_since_ns = Some(now);
         Ok(())
     }
@@ -460,16 +460,16 @@
 
     /// Stops a router's process where it stands (SIGSTOP), or lets it go on (SIGCONT). What its clients had open as it was
     /// stopped is excused.
-    pub fn set_paused(&mut self, router: usize, frozen: bool) {
+    pub fn set_paused(&mut self, router: usize, paused: bool) {
         let now = self.clock.now_ns();
         let to = &mut self.routers[router];
         if let Some(process) = &mut to.process {
-            process.signal(if frozen { Signal::SIGSTOP } else { Signal::SIGCONT });
+            process.signal(if paused { Signal::SIGSTOP } else { Signal::SIGCONT });
         }
-        to.frozen = frozen;
+        to.paused = paused;
         // Time for which it stood still is not time for which it waited.
         to.disconnected_since_ns = to.disconnected_since_ns.map(|_| now);
-        match (frozen, to.listens) {
+        match (paused, to.listens) {
             (true, _) => self.loads[router].gone(&mut self.net),
             (false, Some(at)) => self.loads[router].back(now, at),
             _ => {}
@@ -537,7 +537,7 @@
             Fault::Start => self.start_all()?,
             Fault::Freeze(whom) => drawn(whom).into_iter().for_each(|router| self.set_paused(router, true)),
             Fault::Wake => (0..count)
-                .filter(|r| self.routers[*r].frozen)
+                .filter(|r| self.routers[*r].paused)
                 .collect::<Vec<_>>()
                 .into_iter()
                 .for_each(|r| self.set_paused(r, false)),
@@ -573,7 +573,7 @@
 
     /// Asks all routers to say their counters in their logs (SIGUSR1).
     pub fn request_counters(&mut self) {
-        for router in self.routers.iter_mut().filter(|r| r.listens.is_some() && !r.frozen) {
+        for router in self.routers.iter_mut().filter(|r| r.listens.is_some() && !r.paused) {
             if let Some(process) = &mut router.process {
                 process.signal(Signal::SIGUSR1);
             }
@@ -586,12 +586,12 @@
     /// Where the loop fails.
     pub fn counters(&mut self, limit: Duration) -> Result<Vec<Counters>, String> {
         let said = |fleet: &Fleet| -> usize {
-            let processes = fleet.routers.iter().filter(|r| !r.frozen).filter_map(|r| r.process.as_ref());
+            let processes = fleet.routers.iter().filter(|r| !r.paused).filter_map(|r| r.process.as_ref());
             processes.map(|p| p.said().matches(" taken=").count()).sum()
         };
         let before = said(self);
         self.request_counters();
-        let asked = self.routers.iter().filter(|r| r.listens.is_some() && !r.frozen).count();
+        let asked = self.routers.iter().filter(|r| r.listens.is_some() && !r.paused).count();
         self.run_until(limit, |fleet| said(fleet) >= before + asked)?;
         Ok(self.routers.iter().filter_map(|r| r.process.as_ref()).map(Process::counters).collect())
     }
@@ -756,7 +756,7 @@
                         router.longest_disconnect_ns.max(connected.saturating_sub(since));
                     router.disconnected_since_ns = None;
                 }
-                (Some(since), None) if !router.frozen => {
+                (Some(since), None) if !router.paused => {
                     router.longest_disconnect_ns =
                         router.longest_disconnect_ns.max(now.saturating_sub(since));
                 }
--- a/crates/testkit/src/health_fleet.rs
+++ b/crates/testkit/src/health_fleet.rs
@@ -29,7 +29,7 @@
     /// What each router has kept on disk.
     pub kept: Vec<(Overrides, u64)>,
     /// Routers that stand still.
-    pub frozen: BTreeSet<usize>,
+    pub paused: BTreeSet<usize>,
     inbox: Vec<Vec<(u32, Message)>>,
     /// Links that carry nothing, from one to another.
     pub partitioned: BTreeSet<(usize, usize)>,
@@ -60,7 +60,7 @@
             params,
             nodes: vec![None; routers],
             kept: vec![(Overrides::default(), T0); routers],
-            frozen: BTreeSet::new(),
+            paused: BTreeSet::new(),
             inbox: vec![Vec::new(); routers],
             partitioned: BTreeSet::new(),
             loss: 0.0,
@@ -130,12 +130,12 @@
         let now = self.now;
         while let Some(entry) = self.wire.first_entry().filter(|e| e.key().0 <= now) {
             let (to, from, message) = entry.remove();
-            match self.frozen.contains(&to) {
+            match self.paused.contains(&to) {
                 true => self.inbox[to].push((from, message)),
                 false => self.receive(to, from, message),
             }
         }
-        for at in (0..self.nodes.len()).filter(|at| !self.frozen.contains(at)).collect::<Vec<_>>() {
+        for at in (0..self.nodes.len()).filter(|at| !self.paused.contains(at)).collect::<Vec<_>>() {
             for (from, message) in std::mem::take(&mut self.inbox[at]) {
                 self.receive(at, from, message);
             }
--- a/crates/testkit/src/lease_fleet.rs
+++ b/crates/testkit/src/lease_fleet.rs
@@ -44,7 +44,7 @@
     /// Its clock: true time times this, from where it started.
     rate: f64,
     /// It stands still.
-    pub frozen: bool,
+    pub paused: bool,
     inbox: Vec<(Peer, Message)>,
     out: Vec<(u64, Permit)>,
     /// Requests a second that its clients ask for.
@@ -91,7 +91,7 @@
             limit: limit.clone(),
             incarnation: 0,
             rate: 1.0 + draws.gen_range(-drift..=drift),
-            frozen: false,
+            paused: false,
             inbox: Vec::new(),
             out: Vec::new(),
             demand: 0.0,
@@ -129,7 +129,7 @@
         let router = &mut self.routers[at];
         if router.node.is_none() {
             let me = Peer { number: at as u32, incarnation };
-            (router.incarnation, router.frozen) = (incarnation, false);
+            (router.incarnation, router.paused) = (incarnation, false);
             router.node = Some(Node::new(now, me, self.params, vec![router.limit.clone()], 100));
             router.inbox.clear();
         }
@@ -201,7 +201,7 @@
         self.now += STEP;
         while let Some(entry) = self.wire.first_entry().filter(|e| e.key().0 <= self.now) {
             let (to, from, message) = entry.remove();
-            match self.routers[to].frozen {
+            match self.routers[to].paused {
                 true => self.routers[to].inbox.push((from, message)),
                 false => self.receive(to, from, message),
             }
@@ -221,7 +221,7 @@
         let order = self.draws.gen_range(0..self.routers.len());
         for i in 0..self.routers.len() {
             let at = (i + order) % self.routers.len();
-            if self.routers[at].frozen {
+            if self.routers[at].paused {
                 continue;
             }
             for (from, message) in std::mem::take(&mut self.routers[at].inbox) {
@@ -323,8 +323,8 @@
                 (0..n).for_each(|at| self.kill(at));
                 (0..n).for_each(|at| self.start(at));
             }
-            10 => self.routers[at].frozen = self.routers[at].node.is_some(),
-            11 => self.routers.iter_mut().for_each(|r| r.frozen = false),
+            10 => self.routers[at].paused = self.routers[at].node.is_some(),
+            11 => self.routers.iter_mut().for_each(|r| r.paused = false),
             12 => self.partitioned.clear(),
             _ => {
                 let most = self.limit.kind.units() as f64;
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -18,7 +18,7 @@
     log: PathBuf,
     /// What of the log was looked through for the address.
     listens: Option<SocketAddr>,
-    frozen: bool,
+    paused: bool,
 }
 
 impl Process {
@@ -37,7 +37,7 @@
         command.envs(environment.iter().map(|(k, v)| (k, v)));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(file);
         let child = command.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
-        Ok(Process { child, log: log.to_owned(), listens: None, frozen: false })
+        Ok(Process { child, log: log.to_owned(), listens: None, paused: false })
     }
 
     /// Its number.
@@ -83,10 +83,10 @@
     pub fn signal(&mut self, signal: Signal) {
         if self.runs() {
             let _ = kill(Pid::from_raw(self.child.id() as i32), signal);
-            self.frozen = match signal {
+            self.paused = match signal {
                 Signal::SIGSTOP => true,
                 Signal::SIGCONT => false,
-                _ => self.frozen,
+                _ => self.paused,
             };
         }
     }
