--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -70,7 +70,7 @@
     /// Engines are reached over links that can be broken.
     pub links: bool,
     /// Routers know the list as they start.
-    pub known: bool,
+    pub initial_list: bool,
     /// Calls a second that the list service takes.
     pub capacity: f64,
     /// The operator's file; none for none. `{own}` in it becomes a path of the router's own.
@@ -98,7 +98,7 @@
             cold: false,
             fleet: None,
             links: false,
-            known: true,
+            initial_list: true,
             capacity: routers as f64,
             operator: None,
             classes: classes(),
@@ -305,7 +305,7 @@
     }
 
     /// A path of a router's own, the same in each of its starts.
-    pub fn own(&self, router: usize) -> PathBuf {
+    pub fn router_file(&self, router: usize) -> PathBuf {
         self.dir.join(format!("own-{router}"))
     }
 
@@ -315,8 +315,8 @@
     }
 
     /// Whether routers know the list as they start from here on.
-    pub fn set_initial_list(&mut self, known: bool) {
-        self.setup.known = known;
+    pub fn set_initial_list(&mut self, initial_list: bool) {
+        self.setup.initial_list = initial_list;
     }
 
     /// An engine's process is gone, and nobody is told.
@@ -398,14 +398,14 @@
         };
         let now = self.clock.now_ns();
         let seed = if setup.same_identity { setup.seed } else { setup.seed ^ now ^ (router as u64) << 48 };
-        let known = match setup.known {
+        let initial_list = match setup.initial_list {
             true => json!({"index": 1, "updates": [{"index": 1, "endpoints": self.whole_list()}]}),
             false => json!({"index": 0, "updates": []}),
         };
         let config = json!({
             "name": format!("r{name}"), "listen": "127.0.0.1:0", "operator": "127.0.0.1:0", "seed": format!("{seed:016x}"),
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": 256},
-            "coordinator": self.list.address(router).to_string(), "known": known, "settings": settings(&site),
+            "coordinator": self.list.address(router).to_string(), "known": initial_list, "settings": settings(&site),
         });
         let path = |name: &str| self.dir.join(format!("{name}-{router}"));
         let write = |name: &str, text: &str| {
@@ -419,7 +419,7 @@
             environment.push(("TMPDIR", kept));
         }
         let mut operator = setup.operator.clone().unwrap_or_default();
-        operator = operator.replace("{own}", &self.own(router).display().to_string());
+        operator = operator.replace("{router_file}", &self.router_file(router).display().to_string());
         if let Some(limits) = self.limits[router].as_ref().or(setup.fleet.as_ref()) {
             let key = write("key", KEY)?;
             operator.push_str(&self.fleet_file(router, limits, &key));
--- a/tests/fleet_cells.rs
+++ b/tests/fleet_cells.rs
@@ -23,10 +23,10 @@
 
 fn setup(name: &str) -> Setup {
     Setup {
-        operator: Some("start: { budget: 40, longest: 1s, keep: \"{own}\" }\n".into()),
+        operator: Some("start: { budget: 40, longest: 1s, keep: \"{router_file}\" }\n".into()),
         fleet: Some("limits: {}".into()),
         engines: ENGINES,
-        known: false,
+        initial_list: false,
         capacity: 40.0,
         rate: 4.0,
         ..Setup::new(Path::new(env!("CARGO_BIN_EXE_marljunction")), name, RELAYS + ROUTERS)
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -285,7 +285,7 @@
 
 #[test]
 fn a_fleet_that_knows_no_engine_serves_once_the_service_has_told_it() {
-    let mut fleet = settled(Setup { known: false, ..setup("nothing-known") });
+    let mut fleet = settled(Setup { initial_list: false, ..setup("nothing-known") });
     let before = fleet.audit().sends;
     until(&mut fleet, "work reaches the engines", |f| f.audit().sends > before + 20);
     blind_within_bound(&fleet);
@@ -294,14 +294,16 @@
 
 #[test]
 fn a_start_without_the_list_service_uses_the_kept_list_where_it_can_be_believed() {
-    let operator = Some("start: { budget: 40, longest: 1s, keep: \"{own}\" }\n".into());
+    let operator = Some("start: { budget: 40, longest: 1s, keep: \"{router_file}\" }\n".into());
     let mut fleet = settled(Setup { operator, ..setup("kept") });
-    until(&mut fleet, "all have kept their list", |f| (0..ROUTERS).all(|router| f.own(router).exists()));
+    until(&mut fleet, "all have kept their list", |f| {
+        (0..ROUTERS).all(|router| f.router_file(router).exists())
+    });
     fleet.set_list_behavior(Behavior::Unavailable);
     (0..ROUTERS).for_each(|router| fleet.kill(router));
     // One engine is gone by the next start, and some files are not what they were.
     fleet.crash_engine(1);
-    let whole = std::fs::read(fleet.own(0)).unwrap();
+    let whole = std::fs::read(fleet.router_file(0)).unwrap();
     let too_large = ListBound::of(MEMORY_MB.into()).file_bytes + 1;
     let newer = String::from_utf8_lossy(&whole).replacen(" 1 ", " 2 ", 1);
     let spoilt: [(&[u8], &str); 4] = [
@@ -311,7 +313,7 @@
         (&vec![b'x'; too_large], "bytes are more than the"),
     ];
     for (router, (bytes, _)) in spoilt.iter().enumerate() {
-        std::fs::write(fleet.own(router), bytes).unwrap();
+        std::fs::write(fleet.router_file(router), bytes).unwrap();
     }
     fleet.set_initial_list(false);
     fleet.start_all().unwrap();
