--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -310,7 +310,7 @@
     }
 
     /// The folder in which a router that talks to its fleet keeps what outlasts it.
-    pub fn kept(&self, router: usize) -> PathBuf {
+    pub fn state_dir(&self, router: usize) -> PathBuf {
         self.dir.join(format!("kept-{router}"))
     }
 
@@ -412,11 +412,11 @@
             let at = path(name);
             std::fs::write(&at, text).map(|()| at.clone()).map_err(|e| format!("{}: {e}", at.display()))
         };
-        let kept = self.kept(router);
-        std::fs::create_dir_all(&kept).map_err(|e| format!("{}: {e}", kept.display()))?;
+        let state_dir = self.state_dir(router);
+        std::fs::create_dir_all(&state_dir).map_err(|e| format!("{}: {e}", state_dir.display()))?;
         let mut environment = vec![("ROUTER_CONFIG", write("config", &config.to_string())?)];
         if setup.fleet.is_some() {
-            environment.push(("TMPDIR", kept));
+            environment.push(("TMPDIR", state_dir));
         }
         let mut operator = setup.operator.clone().unwrap_or_default();
         operator = operator.replace("{router_file}", &self.router_file(router).display().to_string());
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -154,7 +154,7 @@
     assert_eq!(fleet.call(3, "POST", "/fleet/engines/disable", "e4").unwrap().0, 200);
     all_leave_out(&mut fleet, heard(), "e4");
     (0..ROUTERS).for_each(|router| fleet.kill(router));
-    std::fs::remove_dir_all(fleet.kept(2)).unwrap();
+    std::fs::remove_dir_all(fleet.state_dir(2)).unwrap();
     fleet.start_all().unwrap();
     until(&mut fleet, LIMIT, "all routers are there", |f| f.ready() == ROUTERS);
     // The one that knows nothing may serve before it has heard its peers; it does not call itself ready.
