--- a/crates/lab/src/verdicts.rs
+++ b/crates/lab/src/verdicts.rs
@@ -59,7 +59,7 @@
         fleet: Some(format!("lease: 1s, {verdicts}limits: {{}}")),
         classes: class(),
         engines: ENGINES,
-        links: true,
+        engine_links: true,
         rate: RATE,
         seed: run.seed,
         ..Setup::new(run.program, &format!("verdicts-{name}-{shared}-{}", run.seed), routers)
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -68,7 +68,7 @@
     /// Routers talk to each other, under these limits (as in the operator's file), over links that can be broken.
     pub fleet: Option<String>,
     /// Engines are reached over links that can be broken.
-    pub links: bool,
+    pub engine_links: bool,
     /// Routers know the list as they start.
     pub initial_list: bool,
     /// Calls a second that the list service takes.
@@ -97,7 +97,7 @@
             cores: 8.0,
             cold: false,
             fleet: None,
-            links: false,
+            engine_links: false,
             initial_list: true,
             capacity: routers as f64,
             operator: None,
@@ -184,9 +184,9 @@
     /// The engines.
     pub engines: Vec<Engine>,
     /// The links to them; none where they are reached without.
-    pub links: Vec<TcpLink>,
+    pub engine_links: Vec<TcpLink>,
     /// The links that each router hears its peers by; none where they do not talk.
-    pub between: Vec<UdpLink>,
+    pub peer_links: Vec<UdpLink>,
     /// The list service.
     pub list: ListService,
     serving: bool,
@@ -223,18 +223,18 @@
             engine.sends = Some(Vec::new());
             engines.push(engine);
         }
-        let mut links = Vec::new();
-        for (i, engine) in engines.iter_mut().enumerate().filter(|_| setup.links) {
+        let mut engine_links = Vec::new();
+        for (i, engine) in engines.iter_mut().enumerate().filter(|_| setup.engine_links) {
             let seed = setup.seed.wrapping_mul(31).wrapping_add(i as u64);
             let link =
                 TcpLink::new(&registry, LINK_TOKEN + i, engine.address, seed).map_err(fault("link"))?;
             engine.announced = Some(link.address);
-            links.push(link);
+            engine_links.push(link);
         }
-        let mut between = Vec::new();
+        let mut peer_links = Vec::new();
         for i in (0..setup.routers).filter(|_| setup.fleet.is_some()) {
             let seed = setup.seed.wrapping_mul(37).wrapping_add(i as u64);
-            between.push(UdpLink::new(&registry, BETWEEN_TOKEN + i, seed).map_err(fault("link"))?);
+            peer_links.push(UdpLink::new(&registry, BETWEEN_TOKEN + i, seed).map_err(fault("link"))?);
         }
         let list =
             ListService::new(&registry, LIST_TOKEN, setup.routers, setup.capacity).map_err(fault("list"))?;
@@ -272,8 +272,8 @@
             clock,
             net,
             engines,
-            links,
-            between,
+            engine_links,
+            peer_links,
             list,
             serving: true,
             max_held: 0,
@@ -327,16 +327,16 @@
     /// Shapes what passes to an engine and back, where there are links.
     pub fn shape(&mut self, engine: usize, there: Shape, back: Shape) {
         let now = self.clock.now_ns();
-        self.links.get_mut(engine).into_iter().for_each(|link| link.set(now, there, back));
+        self.engine_links.get_mut(engine).into_iter().for_each(|link| link.set(now, there, back));
     }
 
     /// The part of the operator's file that lets a router talk to its peers: by the links that stand before them.
     fn fleet_file(&self, router: usize, limits: &str, key: &Path) -> String {
         let seeds: Vec<String> =
-            self.between.iter().take(2).map(|link| format!("{:?}", link.address.to_string())).collect();
+            self.peer_links.iter().take(2).map(|link| format!("{:?}", link.address.to_string())).collect();
         format!(
             "fleet: {{ listen: \"127.0.0.1:0\", advertise: \"{}\", key: {key:?}, seeds: [{}], routers: {}, {limits} }}\n",
-            self.between[router].address,
+            self.peer_links[router].address,
             seeds.join(", "),
             self.setup.routers,
         )
@@ -351,7 +351,7 @@
             Some(sender) => sender,
             None => None,
         };
-        self.between.get_mut(to).into_iter().for_each(|link| link.set(now, sender, shape));
+        self.peer_links.get_mut(to).into_iter().for_each(|link| link.set(now, sender, shape));
     }
 
     /// Cuts the routers into parts that do not hear each other; nobody is cut off where all are in one.
@@ -547,7 +547,7 @@
             Fault::Lose(engine) if *engine < self.engines.len() => self.crash_engine(*engine),
             Fault::Link(engine, there, back) => self.shape(*engine, *there, *back),
             Fault::Reset(engine) => {
-                let link = self.links.get_mut(*engine);
+                let link = self.engine_links.get_mut(*engine);
                 link.into_iter().for_each(|link| link.reset(&mut self.net));
             }
             Fault::Drain(_) | Fault::Lose(_) => {}
@@ -562,7 +562,7 @@
     /// Where a router can't be started.
     pub fn heal_all(&mut self) -> Result<(), String> {
         let mut draws = StdRng::seed_from_u64(0);
-        for engine in 0..self.links.len() {
+        for engine in 0..self.engine_links.len() {
             self.shape(engine, Shape::default(), Shape::default());
         }
         for fault in [Fault::Wake, Fault::Mend, Fault::List(Behavior::Normal), Fault::Start] {
@@ -703,11 +703,13 @@
         let mut conns: Vec<u64> = std::mem::take(&mut self.again);
         for event in &events {
             let Token(token) = event.token();
-            if let Some(link) = token.checked_sub(BETWEEN_TOKEN).and_then(|at| self.between.get_mut(at)) {
+            if let Some(link) = token.checked_sub(BETWEEN_TOKEN).and_then(|at| self.peer_links.get_mut(at)) {
                 link.ready(now);
             } else if token < self.engines.len() {
                 self.engines[token].accept(&mut self.net);
-            } else if let Some(link) = token.checked_sub(LINK_TOKEN).and_then(|at| self.links.get_mut(at)) {
+            } else if let Some(link) =
+                token.checked_sub(LINK_TOKEN).and_then(|at| self.engine_links.get_mut(at))
+            {
                 link.accept(now, &mut self.net);
             } else if self.list.has_token(token) {
                 self.list.accept(now, &mut self.net, token);
@@ -718,7 +720,7 @@
         for conn in conns {
             if self.list.owns(conn) {
                 self.list.ready(now, &mut self.net, conn);
-            } else if let Some(link) = self.links.iter_mut().find(|l| l.owns(conn)) {
+            } else if let Some(link) = self.engine_links.iter_mut().find(|l| l.owns(conn)) {
                 link.ready(now, &mut self.net, conn);
             } else if let Some(engine) = self.engines.iter_mut().find(|e| e.owns(conn)) {
                 engine.ready(now, &mut self.net, conn);
@@ -730,8 +732,8 @@
             }
         }
         self.engines.iter_mut().for_each(|e| e.tick(now, &mut self.net));
-        self.links.iter_mut().for_each(|link| link.tick(now, &mut self.net));
-        self.between.iter_mut().for_each(|link| link.tick(now));
+        self.engine_links.iter_mut().for_each(|link| link.tick(now, &mut self.net));
+        self.peer_links.iter_mut().for_each(|link| link.tick(now));
         self.max_held = self.max_held.max(self.held());
         self.list.tick(now, &mut self.net);
         for (router, load) in self.routers.iter_mut().zip(&mut self.loads) {
@@ -743,7 +745,7 @@
             }
             load.tick(now, &mut self.net);
         }
-        for (router, link) in self.routers.iter_mut().zip(&mut self.between) {
+        for (router, link) in self.routers.iter_mut().zip(&mut self.peer_links) {
             if router.peer_address.is_none() {
                 router.peer_address = router.process.as_ref().and_then(Process::peer_address);
                 link.to = router.peer_address;
--- a/tests/fleet_cells.rs
+++ b/tests/fleet_cells.rs
@@ -79,7 +79,7 @@
 fn fleet(name: &str) -> Fleet {
     let mut fleet = Fleet::new(setup(name)).unwrap();
     let relays: Vec<String> =
-        fleet.between[..RELAYS].iter().map(|link| format!("{:?}", link.address.to_string())).collect();
+        fleet.peer_links[..RELAYS].iter().map(|link| format!("{:?}", link.address.to_string())).collect();
     for at in 0..RELAYS + ROUTERS {
         let text = if at < RELAYS { "limits: {}, list: { relay: true }".into() } else { cell_file(&relays) };
         fleet.set_limits(at, &text).unwrap();
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -357,7 +357,7 @@
 
 #[test]
 fn links_to_engines_that_are_cut_one_way_slow_or_reset_cost_no_answer_and_run_nothing_twice() {
-    let mut fleet = settled(Setup { links: true, rate: 10.0, ..setup("links") });
+    let mut fleet = settled(Setup { engine_links: true, rate: 10.0, ..setup("links") });
     let mut draws = rand::rngs::StdRng::seed_from_u64(1);
     let faults = "0s link 0 cut-back\n0s link 1 slow 200ms\n0s link 2 trickle 20000\n1s link 1 reset\n\
                   1s link 3 cut-there\n2s link 0 mend\n2s link 3 mend\n2s link 2 reset\n3s link 1 mend\n3s link 2 mend\n";
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -42,7 +42,7 @@
         fleet: Some(FLEET.into()),
         classes: class(),
         engines: ENGINES,
-        links: true,
+        engine_links: true,
         rate: 15.0,
         ..Setup::new(Path::new(env!("CARGO_BIN_EXE_marljunction")), name, ROUTERS)
     })
@@ -238,7 +238,7 @@
 fn a_router_that_lies_takes_out_nothing() {
     let mut fleet = serving("liar");
     let stop = Arc::new(AtomicBool::new(false));
-    let (until_then, seed) = (stop.clone(), fleet.between[0].address);
+    let (until_then, seed) = (stop.clone(), fleet.peer_links[0].address);
     let liar = std::thread::spawn(move || liar(seed, &until_then));
     let heard = format!("router {ROUTERS} Silent");
     let end_ns = fleet.now() + LIMIT.as_nanos() as u64;
