--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -175,7 +175,7 @@
     let last = picture(&fleet, now, &[]);
     let audit = fleet.audit();
     let (unanswered, twice) = (fleet.sum(|t| t.unanswered as f64), fleet.sum(|t| t.twice as f64));
-    let excluded_calls: u64 = fleet.loads.iter().map(|load| load.excluded_calls).sum();
+    let excluded_calls: u64 = fleet.load_generators.iter().map(|load| load.excluded_calls).sum();
     let blind = fleet.routers.iter().map(|r| r.longest_disconnect_ns).max().unwrap_or(0);
     let calls = fleet.list.calls.len();
     let (_, well) = fleet.stop(Duration::from_secs(8))?;
--- a/crates/lab/src/start.rs
+++ b/crates/lab/src/start.rs
@@ -153,8 +153,8 @@
     let mut times = Vec::new();
     for _ in 0..FIRST_STARTS {
         fleet.start(0)?;
-        fleet.run_until(SETTLE, |fleet| fleet.loads[0].first_answer_ns.is_some())?;
-        let first = fleet.loads[0].first_answer_ns.unwrap_or(u64::MAX);
+        fleet.run_until(SETTLE, |fleet| fleet.load_generators[0].first_answer_ns.is_some())?;
+        let first = fleet.load_generators[0].first_answer_ns.unwrap_or(u64::MAX);
         times.push(first.saturating_sub(fleet.routers[0].started_ns) as f64 / 1e6);
         fleet.kill(0);
     }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -193,7 +193,7 @@
     /// The routers.
     pub routers: Vec<Router>,
     /// Their clients.
-    pub loads: Vec<Load>,
+    pub load_generators: Vec<Load>,
     states: Vec<&'static str>,
     /// When each engine was told to leave, as the service had it (ns).
     pub left_ns: Vec<Option<u64>>,
@@ -262,12 +262,13 @@
             ));
             Ok::<_, std::io::Error>(load)
         };
-        let loads = (0..setup.routers).map(load).collect::<Result<_, _>>().map_err(fault("clients"))?;
+        let load_generators =
+            (0..setup.routers).map(load).collect::<Result<_, _>>().map_err(fault("clients"))?;
         let mut fleet = Fleet {
             states: vec!["in_service"; setup.engines],
             left_ns: vec![None; setup.engines],
             routers: (0..setup.routers).map(|_| routers()).collect(),
-            loads,
+            load_generators,
             poll,
             clock,
             net,
@@ -455,7 +456,7 @@
         let to = &mut self.routers[router];
         to.process = None;
         (to.listens, to.disconnected_since_ns) = (None, None);
-        self.loads[router].gone(&mut self.net);
+        self.load_generators[router].gone(&mut self.net);
     }
 
     /// Stops a router's process where it stands (SIGSTOP), or lets it go on (SIGCONT). What its clients had open as it was
@@ -470,8 +471,8 @@
         // Time for which it stood still is not time for which it waited.
         to.disconnected_since_ns = to.disconnected_since_ns.map(|_| now);
         match (paused, to.listens) {
-            (true, _) => self.loads[router].gone(&mut self.net),
-            (false, Some(at)) => self.loads[router].back(now, at),
+            (true, _) => self.load_generators[router].gone(&mut self.net),
+            (false, Some(at)) => self.load_generators[router].back(now, at),
             _ => {}
         }
     }
@@ -621,7 +622,7 @@
     pub fn ask(&mut self) {
         let now = self.clock.now_ns();
         let source = Source { tenant: "all", rate: self.setup.rate, clients: 8, says: 1.0 };
-        self.loads.iter_mut().for_each(|load| load.begin(now, vec![source.clone()]));
+        self.load_generators.iter_mut().for_each(|load| load.begin(now, vec![source.clone()]));
     }
 
     /// Clients ask nothing more; what is open is waited for until `limit`. Whether all was answered.
@@ -629,14 +630,14 @@
     /// # Errors
     /// Where the loop fails.
     pub fn quiet(&mut self, limit: Duration) -> Result<bool, String> {
-        self.loads.iter_mut().for_each(Load::end);
-        self.run_until(limit, |fleet| fleet.loads.iter().all(|load| load.open() == 0))
+        self.load_generators.iter_mut().for_each(Load::end);
+        self.run_until(limit, |fleet| fleet.load_generators.iter().all(|load| load.open() == 0))
     }
 
     /// Clients ask from here on, so often at each router.
     pub fn start_clients_at(&mut self, rates: &[f64]) {
         let now = self.clock.now_ns();
-        for (load, rate) in self.loads.iter_mut().zip(rates) {
+        for (load, rate) in self.load_generators.iter_mut().zip(rates) {
             load.begin(now, vec![Source { tenant: "all", rate: *rate, clients: 8, says: 1.0 }]);
         }
     }
@@ -692,8 +693,8 @@
         let mut events = Events::with_capacity(4_096);
         let now = self.clock.now_ns();
         let engines = self.engines.iter().filter_map(Engine::next_due_ns).min().unwrap_or(u64::MAX);
-        let loads = self.loads.iter().map(Load::next_due_ns).min().unwrap_or(u64::MAX);
-        let due = Duration::from_nanos(engines.min(loads).saturating_sub(now));
+        let load_generators = self.load_generators.iter().map(Load::next_due_ns).min().unwrap_or(u64::MAX);
+        let due = Duration::from_nanos(engines.min(load_generators).saturating_sub(now));
         let wait = if self.again.is_empty() { due.min(most) } else { Duration::ZERO };
         match self.poll.poll(&mut events, Some(wait)) {
             Err(e) if e.kind() != std::io::ErrorKind::Interrupted => return Err(format!("poll: {e}")),
@@ -724,7 +725,7 @@
                 link.ready(now, &mut self.net, conn);
             } else if let Some(engine) = self.engines.iter_mut().find(|e| e.owns(conn)) {
                 engine.ready(now, &mut self.net, conn);
-            } else if let Some(load) = self.loads.iter_mut().find(|l| l.owns(conn)) {
+            } else if let Some(load) = self.load_generators.iter_mut().find(|l| l.owns(conn)) {
                 load.ready(now, &mut self.net, conn);
             }
             if self.net.has_more(conn) {
@@ -736,7 +737,7 @@
         self.peer_links.iter_mut().for_each(|link| link.tick(now));
         self.max_held = self.max_held.max(self.held());
         self.list.tick(now, &mut self.net);
-        for (router, load) in self.routers.iter_mut().zip(&mut self.loads) {
+        for (router, load) in self.routers.iter_mut().zip(&mut self.load_generators) {
             if router.listens.is_none() {
                 router.listens = router.process.as_mut().and_then(Process::listens);
                 if let Some(at) = router.listens {
@@ -837,7 +838,7 @@
 
     /// The sum over all clients.
     pub fn sum(&self, of: impl Fn(&RequestStats) -> f64) -> f64 {
-        self.loads.iter().flat_map(|load| load.tallies.iter().flatten()).map(of).sum()
+        self.load_generators.iter().flat_map(|load| load.tallies.iter().flatten()).map(of).sum()
     }
 
     /// What one router says now.
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -106,7 +106,7 @@
     fleet.start_clients_at(&[80.0, 0.0, 0.0, 80.0, 0.0, 0.0]);
     let limit = idle_at_most(Fault::Partition);
     until(&mut fleet, limit, "both halves use theirs", |f| {
-        let by = |router: usize| f.loads[router].open();
+        let by = |router: usize| f.load_generators[router].open();
         by(0) >= 4 && by(3) >= 4 && f.held() >= MOST - 2
     });
     fleet.run(Duration::from_secs(3)).unwrap();
@@ -166,7 +166,7 @@
     fleet.start_all().unwrap();
     fleet.start_clients_at(&[80.0; 2]);
     let limit = idle_at_most(Fault::AllRestarted);
-    until(&mut fleet, limit, "something is served again", |f| f.loads[0].first_answer_ns.is_some());
+    until(&mut fleet, limit, "something is served again", |f| f.load_generators[0].first_answer_ns.is_some());
     until(&mut fleet, LIMIT, "the limit is used", |f| f.held() >= MOST - 1);
     end(fleet);
 }
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -104,7 +104,7 @@
     fleet.ask();
     let from = fleet.now();
     fleet.start_all().unwrap();
-    until(&mut fleet, "all serve", |f| f.loads.iter().all(|load| load.first_answer_ns.is_some()));
+    until(&mut fleet, "all serve", |f| f.load_generators.iter().all(|load| load.first_answer_ns.is_some()));
     run(&mut fleet, 2_000);
     assert_eq!(fleet.connected(), 0);
     calls_within_bound(&fleet, from);
@@ -251,7 +251,9 @@
         until(&mut fleet, "all have their streams", all_live);
         let (calls, _) = calls_within(&fleet.list.calls, from, fleet.now(), S);
         assert_eq!(calls, ROUTERS);
-        until(&mut fleet, "all serve", |f| f.loads.iter().all(|load| load.first_answer_ns.is_some()));
+        until(&mut fleet, "all serve", |f| {
+            f.load_generators.iter().all(|load| load.first_answer_ns.is_some())
+        });
     }
     blind_within_bound(&fleet);
     end(fleet);
@@ -318,7 +320,7 @@
     fleet.set_initial_list(false);
     fleet.start_all().unwrap();
     until(&mut fleet, "those with a list serve", |f| {
-        f.loads[spoilt.len()..].iter().all(|load| load.first_answer_ns.is_some())
+        f.load_generators[spoilt.len()..].iter().all(|load| load.first_answer_ns.is_some())
     });
     until(&mut fleet, "work reaches the engines", |f| f.audit().sends > 0);
     for router in 0..ROUTERS {
--- a/tests/terms_fleet.rs
+++ b/tests/terms_fleet.rs
@@ -76,13 +76,13 @@
     fleet.set_list_behavior(Behavior::Unavailable);
     (0..routers).for_each(|router| fleet.kill(router));
     fleet.start_all().unwrap();
-    let served = |f: &Fleet| f.loads.iter().filter(|load| load.first_answer_ns.is_some()).count();
+    let served = |f: &Fleet| f.load_generators.iter().filter(|load| load.first_answer_ns.is_some()).count();
     assert!(
         fleet.run_until(LIMIT, |f| served(f) * 10 >= routers * 9).unwrap(),
         "{} of {routers}",
         served(&fleet)
     );
-    let started = fleet.routers.iter().zip(&fleet.loads);
+    let started = fleet.routers.iter().zip(&fleet.load_generators);
     let mut took: Vec<u64> = started
         .map(|(router, load)| {
             load.first_answer_ns.map_or(u64::MAX, |at| at.saturating_sub(router.started_ns))
