--- a/crates/lab/src/start.rs
+++ b/crates/lab/src/start.rs
@@ -93,7 +93,7 @@
     let settled_again = fleet.now();
     // What goes out after the drain counted as told would be seen now.
     let after_told = 8 * SECOND_NS;
-    let until = fleet.left_ns[0].unwrap_or(back) + after_told;
+    let until = fleet.drain_started_ns[0].unwrap_or(back) + after_told;
     fleet.run(Duration::from_nanos(until.saturating_sub(fleet.now())))?;
     let calls = std::mem::take(&mut fleet.list.calls);
     let (away_calls, _) = calls_within(&calls, away, back, SECOND_NS);
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -196,7 +196,7 @@
     pub load_generators: Vec<Load>,
     states: Vec<&'static str>,
     /// When each engine was told to leave, as the service had it (ns).
-    pub left_ns: Vec<Option<u64>>,
+    pub drain_started_ns: Vec<Option<u64>>,
     /// Most queries that all engines held at once, since this was last set back.
     pub max_held: usize,
     dir: PathBuf,
@@ -266,7 +266,7 @@
             (0..setup.routers).map(load).collect::<Result<_, _>>().map_err(fault("clients"))?;
         let mut fleet = Fleet {
             states: vec!["in_service"; setup.engines],
-            left_ns: vec![None; setup.engines],
+            drain_started_ns: vec![None; setup.engines],
             routers: (0..setup.routers).map(|_| routers()).collect(),
             load_generators,
             poll,
@@ -512,7 +512,7 @@
     pub fn drain(&mut self, engine: usize) {
         let now = self.clock.now_ns();
         self.states[engine] = "terminating";
-        self.left_ns[engine].get_or_insert(now);
+        self.drain_started_ns[engine].get_or_insert(now);
         let uid = self.engines[engine].uid.clone();
         let part = json!({"rev": 2, "all": false, "targets": [target(&self.engines[engine], "terminating")]});
         self.list.tell(now, &mut self.net, &part, &[uid]);
@@ -830,7 +830,7 @@
 
     /// What was seen so far, held against the rules.
     pub fn audit(&self) -> Audit {
-        let left = self.engines.iter().zip(&self.left_ns);
+        let left = self.engines.iter().zip(&self.drain_started_ns);
         let left = left.filter_map(|(engine, left)| Some((engine.uid.clone(), (*left)?))).collect();
         let sends = self.engines.iter().map(|e| (e.uid.as_str(), e.sends.as_deref().unwrap_or_default()));
         Audit::of(&sends.collect::<Vec<_>>(), &left, &self.list.notified_ns)
