--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -58,7 +58,7 @@
     /// All routers have the first one's seed and number.
     pub same_identity: bool,
     /// The last router has the first one's name and number, by mistake.
-    pub doubled: bool,
+    pub duplicate_identity: bool,
     /// Engines, and cores of each.
     pub engines: usize,
     /// Cores of an engine.
@@ -92,7 +92,7 @@
             routers,
             configured_routers: None,
             same_identity: false,
-            doubled: false,
+            duplicate_identity: false,
             engines: 4,
             cores: 8.0,
             cold: false,
@@ -385,9 +385,9 @@
     /// Where its files or its process can't be made.
     pub fn start(&mut self, router: usize) -> Result<(), String> {
         let setup = &self.setup;
-        let doubled = setup.doubled && router + 1 == setup.routers;
-        let router_index = if setup.same_identity || doubled { 0 } else { router };
-        let name = if doubled { 0 } else { router };
+        let duplicate_identity = setup.duplicate_identity && router + 1 == setup.routers;
+        let router_index = if setup.same_identity || duplicate_identity { 0 } else { router };
+        let name = if duplicate_identity { 0 } else { router };
         let site = SettingsParams {
             classes: &setup.classes,
             tenants: &[("all", 100.0)],
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -230,7 +230,7 @@
 
 #[test]
 fn two_routers_with_one_name_are_over_by_one_share_at_most_and_the_log_says_so() {
-    let mut fleet = Fleet::new(Setup { doubled: true, ..setup("doubled") }).unwrap();
+    let mut fleet = Fleet::new(Setup { duplicate_identity: true, ..setup("doubled") }).unwrap();
     fleet.start_all().unwrap();
     until(&mut fleet, LIMIT, "all routers are there", |f| f.ready() == ROUTERS);
     fleet.start_clients_at(&[40.0; ROUTERS]);
