--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -160,7 +160,7 @@
     if !fleet.run_until(LIMIT, |fleet| fleet.connected() == 1)? {
         return Err("the router of the statements did not start".into());
     }
-    fleet.ask();
+    fleet.start_clients();
     fleet.run(Duration::from_secs(1))?;
     let (from, before) = (fleet.now(), fleet.used()[0].1);
     let asked_before = fleet.sum(|tally| tally.asked as f64);
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -141,7 +141,7 @@
     let began = fleet.now();
     let end = began + play.time.as_nanos() as u64;
     let mut broken = Vec::new();
-    fleet.ask();
+    fleet.start_clients();
     fleet.start_all()?;
     while fleet.now() < end && !stopped.load(Ordering::Relaxed) {
         fleet.request_counters();
@@ -170,7 +170,7 @@
 
 fn summary(mut fleet: Fleet) -> Result<(String, bool), String> {
     fleet.heal_all()?;
-    let answered = fleet.quiet(Duration::from_secs(8))?;
+    let answered = fleet.stop_clients(Duration::from_secs(8))?;
     let now = fleet.now();
     let last = picture(&fleet, now, &[]);
     let audit = fleet.audit();
--- a/crates/lab/src/start.rs
+++ b/crates/lab/src/start.rs
@@ -72,7 +72,7 @@
     })?;
     let count = routers as f64;
     let ideal_s = count / capacity;
-    fleet.ask();
+    fleet.start_clients();
     let began = fleet.now();
     fleet.start_all()?;
     let all_live = |fleet: &Fleet| fleet.connected() == routers;
@@ -105,7 +105,7 @@
         .map(|s| calls_within(&calls, began + s * SECOND_NS, began + (s + 1) * SECOND_NS, SECOND_NS).0)
         .collect();
     let blind = fleet.routers.iter().map(|r| r.longest_disconnect_ns).max().unwrap_or(0);
-    let answered = fleet.quiet(Duration::from_secs(8))?;
+    let answered = fleet.stop_clients(Duration::from_secs(8))?;
     let handshakes: u64 = fleet.engines.iter().map(|e| e.accepted).sum();
     let audit = fleet.audit();
     let (asked, unanswered) = (fleet.sum(|t| t.asked as f64), fleet.sum(|t| t.unanswered as f64));
@@ -149,7 +149,7 @@
         ..Setup::new(program, &format!("first-{name}-{}", run.seed), 1)
     };
     let mut fleet = Fleet::new(setup)?;
-    fleet.ask();
+    fleet.start_clients();
     let mut times = Vec::new();
     for _ in 0..FIRST_STARTS {
         fleet.start(0)?;
@@ -183,7 +183,7 @@
         seed: run.seed,
         ..Setup::new(program, &format!("cold-{name}-{}", run.seed), routers)
     })?;
-    fleet.ask();
+    fleet.start_clients();
     let end = fleet.now() + 10 * SECOND_NS;
     match by_hand {
         None => fleet.start_all()?,
--- a/crates/lab/src/verdicts.rs
+++ b/crates/lab/src/verdicts.rs
@@ -66,7 +66,7 @@
     })?;
     fleet.start_all()?;
     fleet.run_until(LIMIT, |f| f.ready() == routers)?;
-    fleet.ask();
+    fleet.start_clients();
     // Long enough for all to know each other and what their queries take.
     fleet.run(Duration::from_secs(12))?;
     Ok(fleet)
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -619,7 +619,7 @@
     }
 
     /// All clients ask from here on, as often as the setup says.
-    pub fn ask(&mut self) {
+    pub fn start_clients(&mut self) {
         let now = self.clock.now_ns();
         let source = Source { tenant: "all", rate: self.setup.rate, clients: 8, says: 1.0 };
         self.load_generators.iter_mut().for_each(|load| load.begin(now, vec![source.clone()]));
@@ -629,7 +629,7 @@
     ///
     /// # Errors
     /// Where the loop fails.
-    pub fn quiet(&mut self, limit: Duration) -> Result<bool, String> {
+    pub fn stop_clients(&mut self, limit: Duration) -> Result<bool, String> {
         self.load_generators.iter_mut().for_each(Load::end);
         self.run_until(limit, |fleet| fleet.load_generators.iter().all(|load| load.open() == 0))
     }
@@ -852,7 +852,7 @@
     /// # Errors
     /// Says what is not so.
     pub fn stop_and_verify(mut self, limit: Duration) -> Result<Vec<Counters>, String> {
-        if !self.quiet(limit)? {
+        if !self.stop_clients(limit)? {
             return Err("something that was asked is not answered".into());
         }
         let audit = self.audit();
--- a/tests/fleet_cells.rs
+++ b/tests/fleet_cells.rs
@@ -119,7 +119,7 @@
     let mut fleet = fleet(name);
     fleet.start_all().unwrap();
     all_hold(&mut fleet, &[], LIMIT);
-    fleet.ask();
+    fleet.start_clients();
     fleet
 }
 
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -43,7 +43,7 @@
 /// A fleet whose routers are all there and hear the list service.
 fn settled(setup: Setup) -> Fleet {
     let mut fleet = Fleet::new(setup).unwrap();
-    fleet.ask();
+    fleet.start_clients();
     fleet.start_all().unwrap();
     until(&mut fleet, "all routers have their streams", all_live);
     fleet
@@ -101,7 +101,7 @@
 fn routers_serve_what_they_know_while_the_list_service_is_away_from_the_start() {
     let mut fleet = Fleet::new(setup("away-at-start")).unwrap();
     fleet.set_list_behavior(Behavior::Unavailable);
-    fleet.ask();
+    fleet.start_clients();
     let from = fleet.now();
     fleet.start_all().unwrap();
     until(&mut fleet, "all serve", |f| f.load_generators.iter().all(|load| load.first_answer_ns.is_some()));
@@ -340,7 +340,7 @@
 {
     let operator = Some("start: { budget: 40, longest: 1s, connections: 2 }\n".into());
     let mut fleet = Fleet::new(Setup { operator, rate: 40.0, engines: 3, ..setup("connections") }).unwrap();
-    fleet.ask();
+    fleet.start_clients();
     fleet.start_all().unwrap();
     until(&mut fleet, "all routers have their streams", all_live);
     run(&mut fleet, 3_000);
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -50,7 +50,7 @@
     fleet.start_all().unwrap();
     until(&mut fleet, LIMIT, "all routers are there", |f| f.ready() == ROUTERS);
     all_talk(&mut fleet);
-    fleet.ask();
+    fleet.start_clients();
     until(&mut fleet, LIMIT, "all engines are sent to", |f| {
         (0..ENGINES).all(|e| f.sent_within(e, 0, u64::MAX) > 5)
     });
--- a/tests/terms_fleet.rs
+++ b/tests/terms_fleet.rs
@@ -70,7 +70,7 @@
     let routers = std::env::var("TERMS_ROUTERS").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
     let program = Path::new(env!("CARGO_BIN_EXE_marljunction"));
     let mut fleet = Fleet::new(Setup::new(program, "terms-ready", routers)).unwrap();
-    fleet.ask();
+    fleet.start_clients();
     fleet.start_all().unwrap();
     assert!(fleet.run_until(LIMIT, |f| f.connected() == routers).unwrap(), "all hear the list service");
     fleet.set_list_behavior(Behavior::Unavailable);
