--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -816,7 +816,7 @@
     ///
     /// # Errors
     /// Where it does not answer.
-    pub fn ask_fleet(&mut self, router: usize) -> Result<String, String> {
+    pub fn fleet_status(&mut self, router: usize) -> Result<String, String> {
         let said = self.said(router);
         let at = said.lines().find_map(|l| l.split_once("listens on ")?.1.strip_suffix(" for the operators"));
         let at = at.ok_or("no operators' door")?;
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -251,7 +251,7 @@
 #[test]
 fn what_a_router_knows_of_its_fleet_can_be_asked() {
     let mut fleet = asked_at_one("asked");
-    let told = fleet.ask_fleet(0).unwrap();
+    let told = fleet.fleet_status(0).unwrap();
     for line in ["router 0 of 6", "peer r5 number 5", "limit all", "owned 2", "passed over: size 0"] {
         assert!(told.contains(line), "{line:?} is not in\n{told}");
     }
