--- a/crates/lab/src/verdicts.rs
+++ b/crates/lab/src/verdicts.rs
@@ -101,7 +101,7 @@
         fleet.run(Duration::from_millis(100))?;
         let since = (fleet.now() - began) as f64 / 1e9;
         for (router, after) in out_after.iter_mut().enumerate().filter(|(_, after)| after.is_none()) {
-            *after = fleet.said(router).contains("is out by what the fleet").then_some(since);
+            *after = fleet.log_text(router).contains("is out by what the fleet").then_some(since);
         }
     }
     let counters = fleet.counters(LIMIT)?;
@@ -112,7 +112,7 @@
     fleet.shape(0, Shape::default(), Shape::default());
     let back = fleet.run_until(LIMIT, |f| {
         !shared
-            || (0..routers).all(|r| f.said(r).contains("is back by what the fleet"))
+            || (0..routers).all(|r| f.log_text(r).contains("is back by what the fleet"))
             || broken == Broken::Slow
     })?;
     let back_s = (fleet.now() - healed) as f64 / 1e9;
@@ -149,11 +149,11 @@
         ..Shape::default()
     };
     (0..routers).for_each(|to| fleet.shape_peer_link(None, to, bad));
-    let said = fleet.now();
+    let log_text = fleet.now();
     let answer = fleet.call(1, "POST", "/fleet/engines/disable", "e1")?;
-    let heard = |f: &Fleet| (0..routers).all(|r| f.said(r).contains("the whole fleet leaves out: e1"));
+    let heard = |f: &Fleet| (0..routers).all(|r| f.log_text(r).contains("the whole fleet leaves out: e1"));
     let all = fleet.run_until(LIMIT, heard)?;
-    let took = fleet.now() - said;
+    let took = fleet.now() - log_text;
     let bound = propagation_bound_ns(&HealthParams { routers: routers as u32, ..HealthParams::default() });
     fleet.run(Duration::from_secs(4))?;
     Ok(json!({
@@ -162,7 +162,7 @@
         "heard_s": took as f64 / 1e9,
         "heard_within_s": bound as f64 / 1e9,
         "heard_ratio": took as f64 / bound as f64,
-        "operator_late_sends": fleet.sent_within(1, said + bound + DRAIN_NS, u64::MAX),
+        "operator_late_sends": fleet.sent_within(1, log_text + bound + DRAIN_NS, u64::MAX),
     }))
 }
 
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -586,14 +586,14 @@
     /// # Errors
     /// Where the loop fails.
     pub fn counters(&mut self, limit: Duration) -> Result<Vec<Counters>, String> {
-        let said = |fleet: &Fleet| -> usize {
+        let reports = |fleet: &Fleet| -> usize {
             let processes = fleet.routers.iter().filter(|r| !r.paused).filter_map(|r| r.process.as_ref());
-            processes.map(|p| p.said().matches(" taken=").count()).sum()
+            processes.map(|p| p.log_text().matches(" taken=").count()).sum()
         };
-        let before = said(self);
+        let before = reports(self);
         self.request_counters();
         let asked = self.routers.iter().filter(|r| r.listens.is_some() && !r.paused).count();
-        self.run_until(limit, |fleet| said(fleet) >= before + asked)?;
+        self.run_until(limit, |fleet| reports(fleet) >= before + asked)?;
         Ok(self.routers.iter().filter_map(|r| r.process.as_ref()).map(Process::counters).collect())
     }
 
@@ -783,8 +783,9 @@
         path: &str,
         body: &str,
     ) -> Result<(u16, String), String> {
-        let said = self.said(router);
-        let at = said.lines().find_map(|l| l.split_once("listens on ")?.1.strip_suffix(" for the operators"));
+        let log_text = self.log_text(router);
+        let at =
+            log_text.lines().find_map(|l| l.split_once("listens on ")?.1.strip_suffix(" for the operators"));
         let at: SocketAddr = at.ok_or("no operators' door")?.parse().map_err(|e| format!("{e}"))?;
         let length = body.len();
         let call =
@@ -817,8 +818,9 @@
     /// # Errors
     /// Where it does not answer.
     pub fn fleet_status(&mut self, router: usize) -> Result<String, String> {
-        let said = self.said(router);
-        let at = said.lines().find_map(|l| l.split_once("listens on ")?.1.strip_suffix(" for the operators"));
+        let log_text = self.log_text(router);
+        let at =
+            log_text.lines().find_map(|l| l.split_once("listens on ")?.1.strip_suffix(" for the operators"));
         let at = at.ok_or("no operators' door")?;
         let mut command = std::process::Command::new(&self.setup.program);
         let told = command.args(["fleet", "--at", at]).output().map_err(|e| e.to_string())?;
@@ -842,8 +844,8 @@
     }
 
     /// What one router says now.
-    pub fn said(&self, router: usize) -> String {
-        self.routers[router].process.as_ref().map(Process::said).unwrap_or_default()
+    pub fn log_text(&self, router: usize) -> String {
+        self.routers[router].process.as_ref().map(Process::log_text).unwrap_or_default()
     }
 
     /// Ends a play: clients ask nothing more, all that was asked is answered once, nothing ran twice or went out late, and all
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -56,7 +56,7 @@
     }
 
     /// What it has said so far.
-    pub fn said(&self) -> String {
+    pub fn log_text(&self) -> String {
         // What could be read of a log says what it can.
         std::fs::read(&self.log).map(|text| String::from_utf8_lossy(&text).into_owned()).unwrap_or_default()
     }
@@ -64,8 +64,8 @@
     /// Where clients connect, once it has said so.
     pub fn listens(&mut self) -> Option<SocketAddr> {
         if self.listens.is_none() {
-            let said = self.said();
-            let lines = said.lines().filter_map(|line| line.split_once("listens on "));
+            let log_text = self.log_text();
+            let lines = log_text.lines().filter_map(|line| line.split_once("listens on "));
             let plain = lines.map(|(_, at)| at.trim()).find_map(|at| at.parse().ok());
             self.listens = plain;
         }
@@ -74,8 +74,8 @@
 
     /// Where it takes datagrams of its peers, once it has said so.
     pub fn peer_address(&self) -> Option<SocketAddr> {
-        let said = self.said();
-        let line = said.lines().find_map(|line| line.split_once("talks to the fleet on "))?;
+        let log_text = self.log_text();
+        let line = log_text.lines().find_map(|line| line.split_once("talks to the fleet on "))?;
         line.1.split(' ').next()?.parse().ok()
     }
 
@@ -111,8 +111,8 @@
 
     /// Counters of the last line that holds them.
     pub fn counters(&self) -> Vec<(String, u64)> {
-        let said = self.said();
-        said.lines().rev().find(|line| line.contains(" taken=")).map(counters).unwrap_or_default()
+        let log_text = self.log_text();
+        log_text.lines().rev().find(|line| line.contains(" taken=")).map(counters).unwrap_or_default()
     }
 }
 
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -204,7 +204,7 @@
 fn a_limit_made_smaller_on_half_of_the_fleet_is_never_over_its_old_size_and_then_holds_for_all() {
     let mut fleet = asked_at_one("resized");
     let smaller = LIMITS.replace("at_once: 12", "at_once: 6");
-    let knows = |f: &Fleet, router: usize| f.said(router).contains("limit all: changed");
+    let knows = |f: &Fleet, router: usize| f.log_text(router).contains("limit all: changed");
     for router in [0, 2, 4] {
         fleet.set_limits(router, &smaller).unwrap();
     }
@@ -234,8 +234,9 @@
     fleet.start_all().unwrap();
     until(&mut fleet, LIMIT, "all routers are there", |f| f.ready() == ROUTERS);
     fleet.start_clients_at(&[40.0; ROUTERS]);
-    let told =
-        |f: &Fleet| [0, ROUTERS - 1].iter().any(|r| f.said(*r).contains("another router has the same name"));
+    let told = |f: &Fleet| {
+        [0, ROUTERS - 1].iter().any(|r| f.log_text(*r).contains("another router has the same name"))
+    };
     assert!(fleet.run_until(LIMIT, told).unwrap(), "neither is told of the other");
     // Nobody has the last number, so that all that it may have borrowed has to run out before anything is used.
     assert!(fleet.run_until(LIMIT, |f| f.held() >= MOST - 3).unwrap(), "{} held at most", fleet.max_held);
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -202,7 +202,7 @@
     fleet.drain(0);
     run(&mut fleet, 1_500);
     for router in 0..ROUTERS {
-        assert!(fleet.said(router).contains("counts anew"), "router {router} follows the new numbers");
+        assert!(fleet.log_text(router).contains("counts anew"), "router {router} follows the new numbers");
     }
     let sent_late = |f: &Fleet| f.audit().late_sends;
     assert_eq!(sent_late(&fleet), 0, "a drain told under the new numbers binds");
@@ -324,10 +324,12 @@
     });
     until(&mut fleet, "work reaches the engines", |f| f.audit().sends > 0);
     for router in 0..ROUTERS {
-        let said = fleet.said(router);
+        let log_text = fleet.log_text(router);
         match spoilt.get(router) {
-            Some((_, why)) => assert!(said.contains("is not used") && said.contains(why), "{why}: {said}"),
-            None => assert!(said.contains("starts with the 4 engines kept"), "{said}"),
+            Some((_, why)) => {
+                assert!(log_text.contains("is not used") && log_text.contains(why), "{why}: {log_text}")
+            }
+            None => assert!(log_text.contains("starts with the 4 engines kept"), "{log_text}"),
         }
     }
     fleet.set_list_behavior(Behavior::Normal);
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -82,8 +82,8 @@
 #[track_caller]
 fn all_leave_out(fleet: &mut Fleet, limit: Duration, engines: &str) {
     let last = |f: &Fleet, router: usize| {
-        let said = f.said(router);
-        let line = said
+        let log_text = f.log_text(router);
+        let line = log_text
             .lines()
             .rev()
             .find_map(|l| Some(l.split_once("the whole fleet leaves out:")?.1.trim().to_owned()));
@@ -221,10 +221,10 @@
                 age_ms: 0,
             };
             let news = Message::Update { overrides: Vec::new(), evidence: (0..ENGINES).map(lie).collect() };
-            let said = rmp_serde::to_vec(&[news]).unwrap();
+            let log_text = rmp_serde::to_vec(&[news]).unwrap();
             let peers: Vec<_> = members.up().map(|who| who.address).collect();
             for at in peers {
-                members.send_payload(at, Kind::Verdicts, &said);
+                members.send_payload(at, Kind::Verdicts, &log_text);
             }
         }
         for (to, datagram) in members.take().0 {
@@ -248,7 +248,7 @@
     let from = fleet.now();
     fleet.run(Duration::from_secs(6)).unwrap();
     for router in 0..ROUTERS {
-        assert!(!fleet.said(router).contains("is out by what the fleet"), "router {router} believes it");
+        assert!(!fleet.log_text(router).contains("is out by what the fleet"), "router {router} believes it");
     }
     assert!((0..ENGINES).all(|e| fleet.sent_within(e, from, u64::MAX) > 10), "all engines are sent to");
     stop.store(true, Ordering::Relaxed);
@@ -264,15 +264,15 @@
     let back = format!("engine {} is back by what the fleet", name(2));
     let partitioned = Shape { partitioned: true, ..Shape::default() };
     fleet.shape(2, partitioned, partitioned);
-    until(&mut fleet, LIMIT, "all leave it out", |f| (0..ROUTERS).all(|r| f.said(r).contains(&out)));
+    until(&mut fleet, LIMIT, "all leave it out", |f| (0..ROUTERS).all(|r| f.log_text(r).contains(&out)));
     fleet.run(Duration::from_secs(4)).unwrap();
     // Others are left in, whatever a router sees of them meanwhile.
     for engine in [0, 1, 3, 4] {
         let out = format!("engine {} is out by what the fleet", name(engine));
-        assert!((0..ROUTERS).all(|r| !fleet.said(r).contains(&out)), "engine {engine} is well");
+        assert!((0..ROUTERS).all(|r| !fleet.log_text(r).contains(&out)), "engine {engine} is well");
     }
     fleet.shape(2, Shape::default(), Shape::default());
-    until(&mut fleet, LIMIT, "it is back for all", |f| (0..ROUTERS).all(|r| f.said(r).contains(&back)));
+    until(&mut fleet, LIMIT, "it is back for all", |f| (0..ROUTERS).all(|r| f.log_text(r).contains(&back)));
     let healed = fleet.now();
     until(&mut fleet, LIMIT, "all of them send to it", |f| f.sent_within(2, healed, u64::MAX) > 30);
     end(fleet);
--- a/tests/large_list.rs
+++ b/tests/large_list.rs
@@ -72,7 +72,7 @@
         if counter(&counters, name) == value {
             return counters;
         }
-        assert!(from.elapsed() < LIMIT && process.runs(), "{name} is not {value}: {}", process.said());
+        assert!(from.elapsed() < LIMIT && process.runs(), "{name} is not {value}: {}", process.log_text());
         process.signal(Signal::SIGUSR1);
         std::thread::yield_now();
     }
@@ -100,8 +100,8 @@
     let _ = stream.write_all(&event(3, 2 * ENGINES));
     let counters = wait_for(&mut process, "list_too_large", 1);
     assert_eq!(counter(&counters, "list_engines"), ENGINES as u64);
-    let said = process.said();
-    assert_eq!(said.lines().filter(|line| line.contains("too large")).count(), 1, "{said}");
+    let log_text = process.log_text();
+    assert_eq!(log_text.lines().filter(|line| line.contains("too large")).count(), 1, "{log_text}");
     drop(process);
     std::fs::remove_dir_all(&dir).unwrap();
 }
