--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -33,7 +33,7 @@
 struct Lone {
     process: Process,
     dir: PathBuf,
-    listens: SocketAddr,
+    client_address: SocketAddr,
 }
 
 impl Lone {
@@ -60,14 +60,14 @@
         std::fs::write(&path, config.to_string()).map_err(fault)?;
         let mut process = Process::start(program, &[("ROUTER_CONFIG", path)], &dir.join("log"))?;
         let began = Instant::now();
-        let listens = loop {
-            match process.listens() {
+        let client_address = loop {
+            match process.client_address() {
                 Some(at) => break at,
                 None if began.elapsed() > LIMIT => return Err(format!("the program {name} did not start")),
                 None => std::thread::park_timeout(Duration::from_millis(2)),
             }
         };
-        Ok(Lone { process, dir, listens })
+        Ok(Lone { process, dir, client_address })
     }
 
     /// Memory in use now (KB).
@@ -134,7 +134,7 @@
 fn holding(program: &Path, clients: usize) -> Result<[f64; 2], String> {
     let service = Service::start(whole_list(8))?;
     let mut router = Lone::start(program, &format!("holds-{clients}"), service.address)?;
-    let conns = (0..clients).map(|_| idle_client(router.listens)).collect::<Result<Vec<_>, _>>()?;
+    let conns = (0..clients).map(|_| idle_client(router.client_address)).collect::<Result<Vec<_>, _>>()?;
     router.settle("clients are quiet", || true)?;
     let (from, before) = (Instant::now(), router.process.used().1);
     while from.elapsed() < Duration::from_secs(1) {
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -158,7 +158,7 @@
     /// When its process was started (ns).
     pub started_ns: u64,
     /// Where its clients connect, once it has said so.
-    pub listens: Option<SocketAddr>,
+    pub client_address: Option<SocketAddr>,
     /// Where it takes datagrams, once it has said so.
     pub peer_address: Option<SocketAddr>,
     /// Since when it has no stream though the service takes calls, and the longest such time so far (ns).
@@ -245,7 +245,7 @@
         let routers = || Router {
             process: None,
             started_ns: 0,
-            listens: None,
+            client_address: None,
             peer_address: None,
             disconnected_since_ns: None,
             longest_disconnect_ns: 0,
@@ -430,7 +430,7 @@
         }
         let process = Process::start(&setup.program, &environment, &path("log"))?;
         let to = &mut self.routers[router];
-        (to.process, to.started_ns, to.listens, to.peer_address) = (Some(process), now, None, None);
+        (to.process, to.started_ns, to.client_address, to.peer_address) = (Some(process), now, None, None);
         to.paused = false;
         to.disconnected_since_ns = Some(now);
         Ok(())
@@ -455,7 +455,7 @@
     pub fn kill(&mut self, router: usize) {
         let to = &mut self.routers[router];
         to.process = None;
-        (to.listens, to.disconnected_since_ns) = (None, None);
+        (to.client_address, to.disconnected_since_ns) = (None, None);
         self.load_generators[router].gone(&mut self.net);
     }
 
@@ -470,7 +470,7 @@
         to.paused = paused;
         // Time for which it stood still is not time for which it waited.
         to.disconnected_since_ns = to.disconnected_since_ns.map(|_| now);
-        match (paused, to.listens) {
+        match (paused, to.client_address) {
             (true, _) => self.load_generators[router].gone(&mut self.net),
             (false, Some(at)) => self.load_generators[router].back(now, at),
             _ => {}
@@ -574,7 +574,7 @@
 
     /// Asks all routers to say their counters in their logs (SIGUSR1).
     pub fn request_counters(&mut self) {
-        for router in self.routers.iter_mut().filter(|r| r.listens.is_some() && !r.paused) {
+        for router in self.routers.iter_mut().filter(|r| r.client_address.is_some() && !r.paused) {
             if let Some(process) = &mut router.process {
                 process.signal(Signal::SIGUSR1);
             }
@@ -592,7 +592,7 @@
         };
         let before = reports(self);
         self.request_counters();
-        let asked = self.routers.iter().filter(|r| r.listens.is_some() && !r.paused).count();
+        let asked = self.routers.iter().filter(|r| r.client_address.is_some() && !r.paused).count();
         self.run_until(limit, |fleet| reports(fleet) >= before + asked)?;
         Ok(self.routers.iter().filter_map(|r| r.process.as_ref()).map(Process::counters).collect())
     }
@@ -654,7 +654,7 @@
 
     /// Routers that take clients.
     pub fn ready(&self) -> usize {
-        self.routers.iter().filter(|r| r.listens.is_some()).count()
+        self.routers.iter().filter(|r| r.client_address.is_some()).count()
     }
 
     /// Routers whose stream is up.
@@ -738,9 +738,9 @@
         self.max_held = self.max_held.max(self.held());
         self.list.tick(now, &mut self.net);
         for (router, load) in self.routers.iter_mut().zip(&mut self.load_generators) {
-            if router.listens.is_none() {
-                router.listens = router.process.as_mut().and_then(Process::listens);
-                if let Some(at) = router.listens {
+            if router.client_address.is_none() {
+                router.client_address = router.process.as_mut().and_then(Process::client_address);
+                if let Some(at) = router.client_address {
                     load.back(now, at);
                 }
             }
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -17,7 +17,7 @@
     child: Child,
     log: PathBuf,
     /// What of the log was looked through for the address.
-    listens: Option<SocketAddr>,
+    client_address: Option<SocketAddr>,
     paused: bool,
 }
 
@@ -37,7 +37,7 @@
         command.envs(environment.iter().map(|(k, v)| (k, v)));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(file);
         let child = command.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
-        Ok(Process { child, log: log.to_owned(), listens: None, paused: false })
+        Ok(Process { child, log: log.to_owned(), client_address: None, paused: false })
     }
 
     /// Its number.
@@ -62,14 +62,14 @@
     }
 
     /// Where clients connect, once it has said so.
-    pub fn listens(&mut self) -> Option<SocketAddr> {
-        if self.listens.is_none() {
+    pub fn client_address(&mut self) -> Option<SocketAddr> {
+        if self.client_address.is_none() {
             let log_text = self.log_text();
             let lines = log_text.lines().filter_map(|line| line.split_once("listens on "));
             let plain = lines.map(|(_, at)| at.trim()).find_map(|at| at.parse().ok());
-            self.listens = plain;
+            self.client_address = plain;
         }
-        self.listens
+        self.client_address
     }
 
     /// Where it takes datagrams of its peers, once it has said so.
