--- a/crates/testkit/src/engine.rs
+++ b/crates/testkit/src/engine.rs
@@ -204,17 +204,17 @@
 
 /// What a cold engine bears: sent more than a multiple of what it can do at the moment, for a while, it falls over.
 #[derive(Clone, Debug)]
-pub struct Cold {
+pub struct ColdStart {
     /// When it started (ns).
-    pub since_ns: u64,
+    pub started_ns: u64,
     /// Its cores once it is warm.
     pub cores: f64,
     /// Part of its capacity that it starts with (share), and when it has all of it (ns).
-    pub start: f64,
+    pub initial_capacity: f64,
     /// Time until it is warm (ns).
     pub warmup_ns: u64,
     /// The multiple of its capacity that tips it over (ratio), sent within this time (ns).
-    pub tip: f64,
+    pub overload_multiple: f64,
     /// Window of that (ns).
     pub overload_window_ns: u64,
     window: VecDeque<(u64, f64)>,
@@ -223,29 +223,39 @@
     pub peak: f64,
 }
 
-impl Cold {
+impl ColdStart {
     /// An engine that started at `since_ns`, with the figures that its routers' settings hold too.
     pub fn new(
-        since_ns: u64,
+        started_ns: u64,
         cores: f64,
-        start: f64,
+        initial_capacity: f64,
         warmup_ns: u64,
-        tip: f64,
+        overload_multiple: f64,
         overload_window_ns: u64,
-    ) -> Cold {
+    ) -> ColdStart {
         let window = VecDeque::new();
-        Cold { since_ns, cores, start, warmup_ns, tip, overload_window_ns, window, sum: 0.0, peak: 0.0 }
+        ColdStart {
+            started_ns,
+            cores,
+            initial_capacity,
+            warmup_ns,
+            overload_multiple,
+            overload_window_ns,
+            window,
+            sum: 0.0,
+            peak: 0.0,
+        }
     }
 
     /// Cores that it is worth now.
     pub fn capacity(&self, now: u64) -> f64 {
-        let age = now.saturating_sub(self.since_ns) as f64 / self.warmup_ns as f64;
-        self.cores * (self.start + (1.0 - self.start) * age.min(1.0))
+        let age = now.saturating_sub(self.started_ns) as f64 / self.warmup_ns as f64;
+        self.cores * (self.initial_capacity + (1.0 - self.initial_capacity) * age.min(1.0))
     }
 
     /// Takes work (core-ns); false where it falls over by it.
     pub fn push(&mut self, now: u64, work: f64) -> bool {
-        if now >= self.since_ns + self.warmup_ns {
+        if now >= self.started_ns + self.warmup_ns {
             return true;
         }
         self.window.push_back((now, work));
@@ -256,7 +266,7 @@
             self.window.pop_front();
             self.sum -= old;
         }
-        let limit = self.tip * self.capacity(now) * self.overload_window_ns as f64;
+        let limit = self.overload_multiple * self.capacity(now) * self.overload_window_ns as f64;
         self.peak = self.peak.max(self.sum / limit);
         self.sum <= limit
     }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -15,7 +15,7 @@
 use serde_json::{json, Value};
 
 use crate::audit::Audit;
-use crate::engine::Cold;
+use crate::engine::ColdStart;
 use crate::link::{Shape, TcpLink, UdpLink};
 use crate::list::{Behavior, ListService};
 use crate::load::{Class, Load, RequestStats, Source};
@@ -284,10 +284,16 @@
             setup,
         };
         if fleet.setup.cold {
-            let (start, warmup_ns, tip, overload_window_ns) = COLD_START;
+            let (initial_capacity, warmup_ns, overload_multiple, overload_window_ns) = COLD_START;
             for engine in &mut fleet.engines {
-                engine.cold =
-                    Some(Cold::new(now, fleet.setup.cores, start, warmup_ns, tip, overload_window_ns));
+                engine.cold = Some(ColdStart::new(
+                    now,
+                    fleet.setup.cores,
+                    initial_capacity,
+                    warmup_ns,
+                    overload_multiple,
+                    overload_window_ns,
+                ));
             }
         }
         let whole = fleet.whole_list();
@@ -605,9 +611,16 @@
     /// All engines start again, cold, and the list says so; what they hold runs on.
     pub fn restart_engines_cold(&mut self) {
         let now = self.clock.now_ns();
-        let (start, warmup_ns, tip, overload_window_ns) = COLD_START;
+        let (initial_capacity, warmup_ns, overload_multiple, overload_window_ns) = COLD_START;
         for engine in &mut self.engines {
-            engine.cold = Some(Cold::new(now, self.setup.cores, start, warmup_ns, tip, overload_window_ns));
+            engine.cold = Some(ColdStart::new(
+                now,
+                self.setup.cores,
+                initial_capacity,
+                warmup_ns,
+                overload_multiple,
+                overload_window_ns,
+            ));
         }
         self.republish_list();
     }
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -7,7 +7,7 @@
 use mio::net::TcpListener;
 use mio::{Interest, Registry, Token};
 
-use crate::engine::{Cold, CpuModel, News};
+use crate::engine::{ColdStart, CpuModel, News};
 
 /// Longest wait for a query's end before a note is given (ns).
 const WAIT_NS: u64 = 250_000_000;
@@ -84,7 +84,7 @@
     /// What came while it was told to be watched: all calls that start a query.
     pub sends: Option<Vec<Sent>>,
     /// How cold it is; none for an engine that is warm.
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdStart>,
 }
 
 /// A call that starts a query, as it came.
--- a/crates/testkit/src/test_bed.rs
+++ b/crates/testkit/src/test_bed.rs
@@ -125,9 +125,9 @@
     let of = |f: fn(&Class) -> Value| site.classes.iter().map(f).collect::<Vec<Value>>();
     let mut guarantees = json!({"drain_grace_ns": 500_000_000u64});
     if site.cold {
-        let (start, warmup_ns, tip, overload_window_ns) = COLD_START;
-        guarantees = json!({"drain_grace_ns": 500_000_000u64, "start_capacity": start, "cold_ns": warmup_ns,
-                            "tip_multiple": tip, "fall_ns": overload_window_ns});
+        let (initial_capacity, warmup_ns, overload_multiple, overload_window_ns) = COLD_START;
+        guarantees = json!({"drain_grace_ns": 500_000_000u64, "start_capacity": initial_capacity, "cold_ns": warmup_ns,
+                            "tip_multiple": overload_multiple, "fall_ns": overload_window_ns});
     }
     json!({
         "azs": ["a"], "balancers": site.routers, "me": site.router_index, "zone": "a", "kinds": ["std"], "membership_mode": "automatic",
@@ -328,7 +328,7 @@
 }
 
 pub(crate) fn target(engine: &Engine, state: &str) -> Value {
-    let boot_ms = engine.cold.as_ref().map_or(0, |cold| cold.since_ns / 1_000_000);
+    let boot_ms = engine.cold.as_ref().map_or(0, |cold| cold.started_ns / 1_000_000);
     json!({"uid": engine.uid, "endpoint": engine.announced.unwrap_or(engine.address).to_string(), "az": "a", "model": "std", "state": state,
            "capacity_hint": 1, "boot_ms": boot_ms})
 }
--- a/tests/terms_fleet.rs
+++ b/tests/terms_fleet.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use marljunction_testkit::engine::Cold;
+use marljunction_testkit::engine::ColdStart;
 use marljunction_testkit::fleet::{classes, Fleet, Setup};
 use marljunction_testkit::list::Behavior;
 use marljunction_testkit::load::Class;
@@ -20,10 +20,11 @@
 const READY_NS: u64 = 10 * S;
 
 /// Most calls of one engine within the settings' time over a part of what they allow then, chance of 2 roots and 2 included (ratio).
-fn most_over_allowed(fleet: &Fleet, engine: usize, cold: &Cold, work_ns: f64, part: f64) -> f64 {
+fn most_over_allowed(fleet: &Fleet, engine: usize, cold: &ColdStart, work_ns: f64, part: f64) -> f64 {
     let times: Vec<u64> = fleet.engines[engine].sends.iter().flatten().map(|sent| sent.at_ns).collect();
     let allowed = |at: u64| {
-        let calls = part * cold.tip * cold.capacity(at) * cold.overload_window_ns as f64 / work_ns;
+        let calls =
+            part * cold.overload_multiple * cold.capacity(at) * cold.overload_window_ns as f64 / work_ns;
         calls + 2.0 * calls.sqrt() + 2.0
     };
     let within =
@@ -55,7 +56,7 @@
     fleet.start_clients_at(&[100.0; ROUTERS]);
     fleet.run(Duration::from_secs(4)).unwrap();
     let cold = fleet.engines[0].cold.clone().unwrap();
-    assert!(fleet.now() < cold.since_ns + COLD_START.1, "the engine is cold to the end");
+    assert!(fleet.now() < cold.started_ns + COLD_START.1, "the engine is cold to the end");
     let most = most_over_allowed(&fleet, 0, &cold, work_ns, 1.0);
     assert!(most > 0.0 && most <= 1.0, "the engine got {most} of what the settings allow");
     let most = most_over_allowed(&fleet, 0, &cold, work_ns, ONE_LANE);
