--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -55,13 +55,14 @@
     }
     fleet.run(COUNTED)?;
     let after = tallies(&fleet);
-    let peak = fleet.engines.iter().filter_map(|e| Some(e.cold.as_ref()?.peak)).fold(0.0, f64::max);
+    let peak_overload =
+        fleet.engines.iter().filter_map(|e| Some(e.cold.as_ref()?.peak_overload)).fold(0.0, f64::max);
     let down = fleet.engines.iter().filter(|e| !e.is_up()).count();
     let counters = fleet.counters(Duration::from_secs(8))?;
     let seconds = (fleet.now() - began) as f64 / SECOND_NS as f64;
     let used = fleet.used();
     Ok(json!({
-        "cold_peak_over_limit": peak,
+        "cold_peak_over_limit": peak_overload,
         "engines_down": down,
         "worth_share": (after.0 - before.0) / (after.1 - before.1).max(1e-9),
         "peers_known": mean(&counters, "fleet_peers"),
--- a/crates/lab/src/start.rs
+++ b/crates/lab/src/start.rs
@@ -195,12 +195,13 @@
         }
     }
     fleet.run(Duration::from_nanos(end.saturating_sub(fleet.now())))?;
-    let peak = fleet.engines.iter().filter_map(|e| Some(e.cold.as_ref()?.peak)).fold(0.0, f64::max);
+    let peak_overload =
+        fleet.engines.iter().filter_map(|e| Some(e.cold.as_ref()?.peak_overload)).fold(0.0, f64::max);
     let down = fleet.engines.iter().filter(|e| !e.is_up()).count();
     let (worth, asked) = (fleet.sum(|t| t.worth), fleet.sum(|t| t.worth_asked));
     let handshakes: u64 = fleet.engines.iter().map(|e| e.accepted).sum();
     Ok(json!({
-        "engine_peak_over_limit": peak,
+        "engine_peak_over_limit": peak_overload,
         "engines_down": down,
         "worth_10s": worth,
         "worth_share_10s": worth / asked.max(1e-9),
@@ -254,11 +255,11 @@
         plays.push(("against".into(), Box::new(move || cold(run, "against", program, None, "", None))));
     }
     let colds = together(plays)?;
-    let peak = |name: &str| colds[name]["engine_peak_over_limit"].as_f64().unwrap_or(f64::MAX);
+    let peak_overload = |name: &str| colds[name]["engine_peak_over_limit"].as_f64().unwrap_or(f64::MAX);
     let mut told = herds["program"].as_object().cloned().unwrap_or_default();
     told.insert(
         "engine_peak_over_limit".into(),
-        json!(["right", "half", "double", "unknown"].map(peak).into_iter().fold(0.0, f64::max)),
+        json!(["right", "half", "double", "unknown"].map(peak_overload).into_iter().fold(0.0, f64::max)),
     );
     let worth = |name: &str| colds[name]["worth_10s"].as_f64().unwrap_or(0.0);
     told.insert("worth_10s_over_by_hand".into(), json!(worth("right") / worth("by_hand").max(1e-9)));
--- a/crates/testkit/src/engine.rs
+++ b/crates/testkit/src/engine.rs
@@ -220,7 +220,7 @@
     window: VecDeque<(u64, f64)>,
     sum: f64,
     /// Most work sent in one window over what tips it (ratio).
-    pub peak: f64,
+    pub peak_overload: f64,
 }
 
 impl ColdStart {
@@ -243,7 +243,7 @@
             overload_window_ns,
             window,
             sum: 0.0,
-            peak: 0.0,
+            peak_overload: 0.0,
         }
     }
 
@@ -267,7 +267,7 @@
             self.sum -= old;
         }
         let limit = self.overload_multiple * self.capacity(now) * self.overload_window_ns as f64;
-        self.peak = self.peak.max(self.sum / limit);
+        self.peak_overload = self.peak_overload.max(self.sum / limit);
         self.sum <= limit
     }
 }
