--- a/crates/testkit/src/engine.rs
+++ b/crates/testkit/src/engine.rs
@@ -27,9 +27,9 @@
 
 /// What the engine knows of a query.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum QueryStatus {
     /// It runs; the share that is done.
-    Runs(f64),
+    Running(f64),
     /// It has ended well.
     Done,
     /// The engine does not know it.
@@ -58,7 +58,7 @@
     }
 
     /// Queries that it holds.
-    pub fn held(&self) -> usize {
+    pub fn query_count(&self) -> usize {
         self.jobs.len()
     }
 
@@ -82,15 +82,15 @@
     }
 
     /// What is known of a query; it is asked for by this.
-    pub fn ask(&mut self, now: u64, name: &str) -> News {
+    pub fn poll(&mut self, now: u64, name: &str) -> QueryStatus {
         self.pass(now);
         match self.jobs.get_mut(name) {
             Some(job) => {
                 job.asked_ns = now;
-                News::Runs(1.0 - job.left / job.work.max(1.0))
+                QueryStatus::Running(1.0 - job.left / job.work.max(1.0))
             }
-            None if self.done.contains_key(name) => News::Done,
-            None => News::Unknown,
+            None if self.done.contains_key(name) => QueryStatus::Done,
+            None => QueryStatus::Unknown,
         }
     }
 
@@ -160,13 +160,13 @@
 
     /// Lets loads on whose data set nobody holds any more.
     fn let_on(&mut self) {
-        let held: Vec<Option<u64>> =
+        let query_count: Vec<Option<u64>> =
             self.jobs.values().filter(|j| !j.waits && j.holds.is_some()).map(|j| j.holds).collect();
-        let mut held = held;
+        let mut query_count = query_count;
         for job in self.jobs.values_mut().filter(|j| j.waits) {
-            if !held.contains(&job.holds) {
+            if !query_count.contains(&job.holds) {
                 job.waits = false;
-                held.push(job.holds);
+                query_count.push(job.holds);
             }
         }
     }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -657,7 +657,7 @@
 
     /// Queries that all engines hold now.
     pub fn held(&self) -> usize {
-        self.engines.iter().map(Engine::held).sum()
+        self.engines.iter().map(Engine::query_count).sum()
     }
 
     /// What each router's process that is there has used: memory at most (KB) and processor time (us).
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -7,7 +7,7 @@
 use mio::net::TcpListener;
 use mio::{Interest, Registry, Token};
 
-use crate::engine::{ColdStart, CpuModel, News};
+use crate::engine::{ColdStart, CpuModel, QueryStatus};
 
 /// Longest wait for a query's end before a note is given (ns).
 const WAIT_NS: u64 = 250_000_000;
@@ -136,8 +136,8 @@
     }
 
     /// Queries that it holds.
-    pub fn held(&self) -> usize {
-        self.cores.held()
+    pub fn query_count(&self) -> usize {
+        self.cores.query_count()
     }
 
     /// Whether it is there.
@@ -169,8 +169,8 @@
 
     fn answer(&mut self, now: u64, net: &mut Net, conn: u64, status: &str, extra: &str, body: &str) {
         if now >= self.report.0 + REPORT_NS {
-            let (held, busy) = (self.cores.held(), self.cores.busy());
-            self.report = (now, format!("inflight:{held};util:{busy:.2}"));
+            let (query_count, busy) = (self.cores.query_count(), self.cores.busy());
+            self.report = (now, format!("inflight:{query_count};util:{busy:.2}"));
         }
         let report = &self.report.1;
         let length = body.len();
@@ -260,14 +260,14 @@
             self.cores.set_cores(cold.capacity(now));
         }
         for (conn, name, until) in std::mem::take(&mut self.waiting) {
-            match self.cores.ask(now, &name) {
-                News::Done => self.answer(now, net, conn, "200 OK", "Chunks: 1\r\n", ROWS),
-                News::Unknown => self.answer(now, net, conn, "500 Unknown", "", ""),
-                News::Runs(share) if now >= until => {
+            match self.cores.poll(now, &name) {
+                QueryStatus::Done => self.answer(now, net, conn, "200 OK", "Chunks: 1\r\n", ROWS),
+                QueryStatus::Unknown => self.answer(now, net, conn, "500 Unknown", "", ""),
+                QueryStatus::Running(share) if now >= until => {
                     let note = format!("Outcome: frac\r\nReading: {share:.3}\r\n");
                     self.answer(now, net, conn, "202 Accepted", &note, "");
                 }
-                News::Runs(_) => self.waiting.push((conn, name, until)),
+                QueryStatus::Running(_) => self.waiting.push((conn, name, until)),
             }
         }
     }
--- a/crates/testkit/tests/engine.rs
+++ b/crates/testkit/tests/engine.rs
@@ -1,6 +1,6 @@
 //! The inside of a stand-in engine: cores shared by priority, work lost in a crowd, loads one behind another.
 
-use marljunction_testkit::engine::{CpuModel, News};
+use marljunction_testkit::engine::{CpuModel, QueryStatus};
 
 const MS: u64 = 1_000_000;
 
@@ -12,9 +12,9 @@
 fn a_query_alone_takes_its_work_over_its_threads() {
     let mut engine = CpuModel::new(0, 4.0);
     engine.start(0, "q", work(100), 2.0, 1, None);
-    assert_eq!(engine.ask(49 * MS, "q"), News::Runs(0.98));
-    assert_eq!(engine.ask(51 * MS, "q"), News::Done);
-    assert_eq!(engine.ask(51 * MS, "other"), News::Unknown);
+    assert_eq!(engine.poll(49 * MS, "q"), QueryStatus::Running(0.98));
+    assert_eq!(engine.poll(51 * MS, "q"), QueryStatus::Done);
+    assert_eq!(engine.poll(51 * MS, "other"), QueryStatus::Unknown);
 }
 
 #[test]
@@ -22,8 +22,8 @@
     let mut engine = CpuModel::new(0, 1.0);
     engine.start(0, "high", work(100), 1.0, 3, None);
     engine.start(0, "low", work(100), 1.0, 0, None);
-    let News::Runs(low) = engine.ask(50 * MS, "low") else { panic!("it runs") };
-    let News::Runs(high) = engine.ask(50 * MS, "high") else { panic!("it runs") };
+    let QueryStatus::Running(low) = engine.poll(50 * MS, "low") else { panic!("it runs") };
+    let QueryStatus::Running(high) = engine.poll(50 * MS, "high") else { panic!("it runs") };
     assert!((high / low - 16.0).abs() < 0.1, "{high} against {low}");
     assert!((low + high - 0.5).abs() < 0.01, "one core's work in all");
 }
@@ -33,8 +33,8 @@
     let done = |queries: usize| {
         let mut engine = CpuModel::new(0, 2.0);
         (0..queries).for_each(|i| engine.start(0, &format!("q{i}"), work(1_000), 1.0, 1, None));
-        let share = |news| if let News::Runs(share) = news { share } else { 1.0 };
-        (0..queries).map(|i| share(engine.ask(100 * MS, &format!("q{i}")))).sum::<f64>()
+        let share = |news| if let QueryStatus::Running(share) = news { share } else { 1.0 };
+        (0..queries).map(|i| share(engine.poll(100 * MS, &format!("q{i}")))).sum::<f64>()
     };
     assert!((done(4) - 0.2).abs() < 0.01, "two threads a core lose nothing: {}", done(4));
     assert!(done(8) < 0.8 * done(4), "{} against {}", done(8), done(4));
@@ -46,17 +46,17 @@
     engine.start(0, "first", work(100), 1.0, 1, Some(7));
     engine.start(0, "second", work(100), 1.0, 1, Some(7));
     engine.start(0, "elsewhere", work(100), 1.0, 1, Some(8));
-    assert_eq!(engine.ask(90 * MS, "second"), News::Runs(0.0));
-    assert_eq!(engine.ask(101 * MS, "elsewhere"), News::Done);
+    assert_eq!(engine.poll(90 * MS, "second"), QueryStatus::Running(0.0));
+    assert_eq!(engine.poll(101 * MS, "elsewhere"), QueryStatus::Done);
     engine.cancel(101 * MS, "first");
-    assert_eq!(engine.ask(202 * MS, "second"), News::Done);
+    assert_eq!(engine.poll(202 * MS, "second"), QueryStatus::Done);
 }
 
 #[test]
 fn a_query_that_nobody_asks_for_is_ended() {
     let mut engine = CpuModel::new(0, 1.0);
     engine.start(0, "q", work(10_000), 1.0, 1, None);
-    assert!(matches!(engine.ask(1_900 * MS, "q"), News::Runs(_)));
-    assert_eq!(engine.ask(4_000 * MS, "q"), News::Unknown);
-    assert_eq!(engine.held(), 0);
+    assert!(matches!(engine.poll(1_900 * MS, "q"), QueryStatus::Running(_)));
+    assert_eq!(engine.poll(4_000 * MS, "q"), QueryStatus::Unknown);
+    assert_eq!(engine.query_count(), 0);
 }
