--- a/crates/testkit/src/audit.rs
+++ b/crates/testkit/src/audit.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::list::CallRecord;
-use crate::server::Sent;
+use crate::server::QueryStart;
 
 /// No new work goes to an engine so long after its router was told that it leaves (ns).
 const DRAIN_NS: u64 = 500_000_000;
@@ -27,7 +27,7 @@
     /// Holds what engines were sent against when each was told to leave (`left`, by engine, as the list service had it) and
     /// when each router was told so (`told`, by router and engine).
     pub fn of(
-        sends: &[(&str, &[Sent])],
+        sends: &[(&str, &[QueryStart])],
         left: &BTreeMap<String, u64>,
         told: &BTreeMap<(usize, String), u64>,
     ) -> Audit {
@@ -36,7 +36,7 @@
         for (engine, sends) in sends {
             for sent in *sends {
                 audit.sends += 1;
-                if sent.once {
+                if sent.at_most_once {
                     *starts.entry(&sent.name).or_default() += 1;
                 }
                 let Some(left) = left.get(*engine) else { continue };
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -82,14 +82,14 @@
     /// Connections that it holds at most; others are closed as they come.
     pub max_connections: usize,
     /// What came while it was told to be watched: all calls that start a query.
-    pub sends: Option<Vec<Sent>>,
+    pub sends: Option<Vec<QueryStart>>,
     /// How cold it is; none for an engine that is warm.
     pub cold: Option<ColdStart>,
 }
 
 /// A call that starts a query, as it came.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct QueryStart {
     /// When (ns).
     pub at_ns: u64,
     /// The router that its statement names.
@@ -97,7 +97,7 @@
     /// The client's id.
     pub name: String,
     /// It must not run twice.
-    pub once: bool,
+    pub at_most_once: bool,
 }
 
 impl Engine {
@@ -219,7 +219,12 @@
                 let holds = said("holds=").map(|set| set as u64);
                 if let Some(sends) = &mut self.sends {
                     let router = said("router=").map(|at| at as usize);
-                    sends.push(Sent { at_ns: now, router, name: name.clone(), once: holds.is_some() });
+                    sends.push(QueryStart {
+                        at_ns: now,
+                        router,
+                        name: name.clone(),
+                        at_most_once: holds.is_some(),
+                    });
                 }
                 if self.cold.as_mut().is_some_and(|cold| !cold.push(now, work)) {
                     return self.die(net);
