--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -228,7 +228,7 @@
             let seed = setup.seed.wrapping_mul(31).wrapping_add(i as u64);
             let link =
                 TcpLink::new(&registry, LINK_TOKEN + i, engine.address, seed).map_err(fault("link"))?;
-            engine.announced = Some(link.address);
+            engine.advertised_address = Some(link.address);
             engine_links.push(link);
         }
         let mut peer_links = Vec::new();
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -63,7 +63,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Where lists say that it listens, where that is a link to it.
-    pub announced: Option<SocketAddr>,
+    pub advertised_address: Option<SocketAddr>,
     /// Its name.
     pub uid: String,
     cores: CpuModel,
@@ -113,7 +113,7 @@
         Ok(Engine {
             listener: Some(listener),
             address,
-            announced: None,
+            advertised_address: None,
             uid: uid.to_owned(),
             cores: CpuModel::new(now, cores),
             conns: HashSet::new(),
--- a/crates/testkit/src/test_bed.rs
+++ b/crates/testkit/src/test_bed.rs
@@ -329,7 +329,7 @@
 
 pub(crate) fn target(engine: &Engine, state: &str) -> Value {
     let boot_ms = engine.cold.as_ref().map_or(0, |cold| cold.started_ns / 1_000_000);
-    json!({"uid": engine.uid, "endpoint": engine.announced.unwrap_or(engine.address).to_string(), "az": "a", "model": "std", "state": state,
+    json!({"uid": engine.uid, "endpoint": engine.advertised_address.unwrap_or(engine.address).to_string(), "az": "a", "model": "std", "state": state,
            "capacity_hint": 1, "boot_ms": boot_ms})
 }
 
