--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -328,7 +328,7 @@
 
     /// An engine's process is gone, and nobody is told.
     pub fn crash_engine(&mut self, engine: usize) {
-        self.engines[engine].die(&mut self.net);
+        self.engines[engine].crash(&mut self.net);
     }
 
     /// Shapes what passes to an engine and back, where there are links.
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -160,7 +160,7 @@
     }
 
     /// The process dies: nothing listens any more, and its connections end.
-    pub fn die(&mut self, net: &mut Net) {
+    pub fn crash(&mut self, net: &mut Net) {
         self.listener = None;
         self.conns.drain().for_each(|conn| net.close(conn));
         self.waiting.clear();
@@ -227,7 +227,7 @@
                     });
                 }
                 if self.cold.as_mut().is_some_and(|cold| !cold.push(now, work)) {
-                    return self.die(net);
+                    return self.crash(net);
                 }
                 if self.cores.is_full() {
                     return self.answer(now, net, conn, "503 Full", "Never-Ran: 1\r\n", "");
--- a/crates/testkit/src/test_bed.rs
+++ b/crates/testkit/src/test_bed.rs
@@ -224,7 +224,7 @@
     pub fn kill(&mut self, count: usize) {
         let mut gone = Vec::new();
         for engine in self.engines.iter_mut().filter(|e| e.is_up()).take(count) {
-            engine.die(&mut self.net);
+            engine.crash(&mut self.net);
             gone.push(target(engine, "terminated"));
         }
         self.revision += 1;
