--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -297,7 +297,7 @@
             }
         }
         let whole = fleet.whole_list();
-        fleet.list.tell(now, &mut fleet.net, &whole, &[]);
+        fleet.list.publish(now, &mut fleet.net, &whole, &[]);
         Ok(fleet)
     }
 
@@ -521,7 +521,7 @@
         self.drain_started_ns[engine].get_or_insert(now);
         let uid = self.engines[engine].uid.clone();
         let part = json!({"rev": 2, "all": false, "targets": [target(&self.engines[engine], "terminating")]});
-        self.list.tell(now, &mut self.net, &part, &[uid]);
+        self.list.publish(now, &mut self.net, &part, &[uid]);
     }
 
     /// Lets something break, or mends it; gives the routers that were drawn for it, as text.
@@ -628,7 +628,7 @@
     /// Tells the list as it is once more, under a number of its own.
     pub fn republish_list(&mut self) {
         let (now, whole) = (self.clock.now_ns(), self.whole_list());
-        self.list.tell(now, &mut self.net, &whole, &[]);
+        self.list.publish(now, &mut self.net, &whole, &[]);
     }
 
     /// All clients ask from here on, as often as the setup says.
--- a/crates/testkit/src/list.rs
+++ b/crates/testkit/src/list.rs
@@ -162,7 +162,7 @@
     pub fn restart(&mut self, net: &mut Net, list: &Value) {
         self.drop_all(net);
         self.events.clear();
-        self.tell(0, net, list, &[]);
+        self.publish(0, net, list, &[]);
     }
 
     /// Cuts a router's link, or mends it. What was on its way comes when it is mended.
@@ -207,7 +207,7 @@
     }
 
     /// Tells the fleet an event of this list; `leaving` are the engines that drain or are gone by it. Gives its number.
-    pub fn tell(&mut self, now: u64, net: &mut Net, list: &Value, leaving: &[String]) -> u64 {
+    pub fn publish(&mut self, now: u64, net: &mut Net, list: &Value, leaving: &[String]) -> u64 {
         let index = self.events.last().map_or(1, |(index, ..)| index + 1);
         let data = serde_json::json!({"index": index, "endpoints": list});
         let text = format!("id: {index}\ndata: {data}\n\n");
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -316,7 +316,7 @@
     }
 
     /// Tells an event; `index` must be above those before.
-    pub fn tell(&mut self, net: &mut Net, index: u64, data: &serde_json::Value) {
+    pub fn publish(&mut self, net: &mut Net, index: u64, data: &serde_json::Value) {
         let text = format!("id: {index}\ndata: {data}\n\n");
         for (conn, follows) in &self.conns {
             if *follows {
--- a/crates/testkit/src/test_bed.rs
+++ b/crates/testkit/src/test_bed.rs
@@ -230,7 +230,7 @@
         self.revision += 1;
         let index = self.revision;
         let event = json!({"index": index, "endpoints": {"rev": index, "all": false, "targets": gone}});
-        self.coordinator.tell(&mut self.net, index, &event);
+        self.coordinator.publish(&mut self.net, index, &event);
     }
 
     /// Runs of queries that must not run twice, beyond the first of each.
