--- a/crates/testkit/src/hollow/service.rs
+++ b/crates/testkit/src/hollow/service.rs
@@ -16,7 +16,7 @@
 use super::engine_table::{event, EngineTable};
 use super::protocol::{ServiceCommand, ServiceCounters, ServiceReport, ServiceSetup, ToldEvent};
 use super::{answer, io, read_commands, HollowError, COMMAND_TOKEN};
-use crate::server::{listen, read_call};
+use crate::server::{listen, parse_request};
 
 /// Tokens of connections start here; those of listeners are the routers' numbers.
 const FIRST_CONNECTION: usize = 1 << 24;
@@ -293,7 +293,7 @@
 
     fn take_call(&mut self, token: usize) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        let call = match read_call(&connection.input) {
+        let call = match parse_request(&connection.input) {
             Ok(Some(call)) => call,
             Ok(None) => return,
             Err(()) => return self.close(token),
--- a/crates/testkit/src/list.rs
+++ b/crates/testkit/src/list.rs
@@ -9,7 +9,7 @@
 use mio::Registry;
 use serde_json::Value;
 
-use crate::server::{listen, read_call};
+use crate::server::{listen, parse_request};
 
 const COMMENT_NS: u64 = 1_000_000_000;
 
@@ -231,7 +231,7 @@
         if net.service(conn).ended.is_some() {
             return self.close(net, conn);
         }
-        let Ok(Some(call)) = read_call(net.input(conn)) else { return };
+        let Ok(Some(call)) = parse_request(net.input(conn)) else { return };
         net.consume(conn, call.size);
         let takes = matches!(self.manner, Behavior::Normal | Behavior::ClosesAfter(_)) && self.takes(now);
         self.calls.push(CallRecord { at_ns: now, router, taken: takes });
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -33,7 +33,7 @@
     pub(crate) size: usize,
 }
 
-pub(crate) fn read_call(input: &[u8]) -> Result<Option<Call>, ()> {
+pub(crate) fn parse_request(input: &[u8]) -> Result<Option<Call>, ()> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut request = httparse::Request::new(&mut headers);
     let head = match request.parse(input) {
@@ -189,7 +189,7 @@
             return net.close(conn);
         }
         loop {
-            match read_call(net.input(conn)) {
+            match parse_request(net.input(conn)) {
                 Ok(None) => return,
                 Err(()) => {
                     self.conns.remove(&conn);
@@ -332,7 +332,7 @@
             self.conns.remove(&conn);
             return net.close(conn);
         }
-        let Ok(Some(call)) = read_call(net.input(conn)) else { return };
+        let Ok(Some(call)) = parse_request(net.input(conn)) else { return };
         net.consume(conn, call.size);
         let last: u64 = call.fields.get("last-event-id").and_then(|v| v.parse().ok()).unwrap_or(0);
         net.send(conn, b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:hi\n\n");
