--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -71,7 +71,7 @@
     waiting: Vec<(u64, String, u64)>,
     report: (u64, String),
     /// How often each query of a class that must not run twice was started here.
-    pub loads: BTreeMap<String, u32>,
+    pub at_most_once_starts: BTreeMap<String, u32>,
     /// Queries started.
     pub started: u64,
     /// Connections taken.
@@ -119,7 +119,7 @@
             conns: HashSet::new(),
             waiting: Vec::new(),
             report: (0, String::new()),
-            loads: BTreeMap::new(),
+            at_most_once_starts: BTreeMap::new(),
             started: 0,
             accepted: 0,
             opened_for_work: 0,
@@ -235,7 +235,7 @@
                 let rank = call.fields.get("pool-rank").and_then(|r| r.parse().ok()).unwrap_or(1);
                 let threads = said("threads=").unwrap_or(1.0);
                 if holds.is_some() {
-                    *self.loads.entry(name.clone()).or_default() += 1;
+                    *self.at_most_once_starts.entry(name.clone()).or_default() += 1;
                 }
                 self.started += 1;
                 self.cores.start(now, &name, work, threads, rank, holds);
--- a/crates/testkit/src/test_bed.rs
+++ b/crates/testkit/src/test_bed.rs
@@ -236,7 +236,7 @@
     /// Runs of queries that must not run twice, beyond the first of each.
     pub fn duplicate_runs(&self) -> u64 {
         let mut runs = std::collections::BTreeMap::<&str, u64>::new();
-        for (name, count) in self.engines.iter().flat_map(|e| &e.loads) {
+        for (name, count) in self.engines.iter().flat_map(|e| &e.at_most_once_starts) {
             *runs.entry(name).or_default() += u64::from(*count);
         }
         runs.values().map(|n| n - 1).sum()
