--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -18,7 +18,7 @@
 use crate::engine::ColdStart;
 use crate::link::{Shape, TcpLink, UdpLink};
 use crate::list::{Behavior, ListService};
-use crate::load::{Class, Load, RequestStats, Source};
+use crate::load::{Class, LoadGenerator, RequestStats, Source};
 use crate::process::Process;
 use crate::schedule::{Fault, RouterSelector};
 use crate::server::Engine;
@@ -193,7 +193,7 @@
     /// The routers.
     pub routers: Vec<Router>,
     /// Their clients.
-    pub load_generators: Vec<Load>,
+    pub load_generators: Vec<LoadGenerator>,
     states: Vec<&'static str>,
     /// When each engine was told to leave, as the service had it (ns).
     pub drain_started_ns: Vec<Option<u64>>,
@@ -253,7 +253,7 @@
         };
         let load = |i: usize| {
             let seed = setup.seed.wrapping_mul(7_919).wrapping_add(i as u64);
-            let mut load = Load::new(nowhere, setup.classes.clone(), LONGEST_MS, 0.0, seed);
+            let mut load = LoadGenerator::new(nowhere, setup.classes.clone(), LONGEST_MS, 0.0, seed);
             load.router = i;
             load.gone(&mut Net::new(
                 poll.registry().try_clone()?,
@@ -643,7 +643,7 @@
     /// # Errors
     /// Where the loop fails.
     pub fn stop_clients(&mut self, limit: Duration) -> Result<bool, String> {
-        self.load_generators.iter_mut().for_each(Load::end);
+        self.load_generators.iter_mut().for_each(LoadGenerator::end);
         self.run_until(limit, |fleet| fleet.load_generators.iter().all(|load| load.open() == 0))
     }
 
@@ -706,7 +706,8 @@
         let mut events = Events::with_capacity(4_096);
         let now = self.clock.now_ns();
         let engines = self.engines.iter().filter_map(Engine::next_due_ns).min().unwrap_or(u64::MAX);
-        let load_generators = self.load_generators.iter().map(Load::next_due_ns).min().unwrap_or(u64::MAX);
+        let load_generators =
+            self.load_generators.iter().map(LoadGenerator::next_due_ns).min().unwrap_or(u64::MAX);
         let due = Duration::from_nanos(engines.min(load_generators).saturating_sub(now));
         let wait = if self.again.is_empty() { due.min(most) } else { Duration::ZERO };
         match self.poll.poll(&mut events, Some(wait)) {
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -141,7 +141,7 @@
 }
 
 /// All clients of one router.
-pub struct Load {
+pub struct LoadGenerator {
     to: SocketAddr,
     classes: Vec<Class>,
     sources: Vec<Source>,
@@ -169,7 +169,7 @@
     up: bool,
 }
 
-impl Load {
+impl LoadGenerator {
     /// Clients of the router that listens at `to`; `longest_ms` is the longest advice that the settings allow.
     pub fn new(
         to: SocketAddr,
@@ -178,7 +178,7 @@
         return_share: f64,
         seed: u64,
     ) -> Self {
-        Load {
+        LoadGenerator {
             to,
             classes,
             sources: Vec::new(),
--- a/crates/testkit/src/test_bed.rs
+++ b/crates/testkit/src/test_bed.rs
@@ -11,7 +11,7 @@
 use mio::{Events, Poll, Token};
 use serde_json::{json, Value};
 
-use crate::load::{Class, Load, Source};
+use crate::load::{Class, LoadGenerator, Source};
 use crate::process;
 use crate::server::{Coordinator, Engine};
 
@@ -53,7 +53,7 @@
     engines: Vec<Engine>,
     coordinator: Coordinator,
     /// The clients.
-    pub load: Load,
+    pub load: LoadGenerator,
     child: Child,
     log: Option<BufReader<std::process::ChildStderr>>,
     dir: std::path::PathBuf,
@@ -202,7 +202,7 @@
             }
         };
         let classes = setup.classes.clone();
-        let load = Load::new(to, classes, setup.max_retry_after_ms, setup.return_share, setup.seed);
+        let load = LoadGenerator::new(to, classes, setup.max_retry_after_ms, setup.return_share, setup.seed);
         let log = Some(log);
         Ok(TestBed { poll, clock, net, engines, coordinator, load, child, log, dir, revision: 1 })
     }
