--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -43,7 +43,14 @@
 
 fn class() -> Vec<Class> {
     let usual = classes().swap_remove(0);
-    vec![Class { work_ms: 500.0, spread: 0.4, share: 1.0, aim_ms: 1_500.0, deadline_ms: 2_000.0, ..usual }]
+    vec![Class {
+        work_ms: 500.0,
+        spread: 0.4,
+        share: 1.0,
+        target_latency_ms: 1_500.0,
+        deadline_ms: 2_000.0,
+        ..usual
+    }]
 }
 
 /// A way to break a fleet that uses its limit.
--- a/crates/lab/src/verdicts.rs
+++ b/crates/lab/src/verdicts.rs
@@ -49,7 +49,14 @@
 
 fn class() -> Vec<Class> {
     let usual = marljunction_testkit::fleet::classes().swap_remove(0);
-    vec![Class { work_ms: 30.0, spread: 0.4, share: 1.0, aim_ms: 1_000.0, deadline_ms: 2_500.0, ..usual }]
+    vec![Class {
+        work_ms: 30.0,
+        spread: 0.4,
+        share: 1.0,
+        target_latency_ms: 1_000.0,
+        deadline_ms: 2_500.0,
+        ..usual
+    }]
 }
 
 fn fleet(run: &Run, name: &str, shared: bool) -> Result<Fleet, String> {
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -32,7 +32,7 @@
     /// Threads of a query.
     pub threads: f64,
     /// Wanted within (ms), and for each millisecond of its own running time.
-    pub aim_ms: f64,
+    pub target_latency_ms: f64,
     /// Longer by this times the work over the threads.
     pub stretch: f64,
     /// Given up after (ms).
@@ -387,7 +387,7 @@
         let took_ms = (now - call.asked_ns) as f64 / MS;
         let tally = &mut self.tallies[want.phase][want.source];
         if parts[2].is_nil() {
-            let wanted = class.aim_ms + class.stretch * want.work_ms / class.threads;
+            let wanted = class.target_latency_ms + class.stretch * want.work_ms / class.threads;
             let in_time = took_ms <= wanted;
             tally.served += 1;
             tally.in_time += u64::from(in_time);
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -26,7 +26,14 @@
 /// Requests that are out for half a second in the mean, and at most two.
 fn class() -> Vec<Class> {
     let usual = classes().swap_remove(0);
-    vec![Class { work_ms: 500.0, spread: 0.4, share: 1.0, aim_ms: 1_500.0, deadline_ms: 2_000.0, ..usual }]
+    vec![Class {
+        work_ms: 500.0,
+        spread: 0.4,
+        share: 1.0,
+        target_latency_ms: 1_500.0,
+        deadline_ms: 2_000.0,
+        ..usual
+    }]
 }
 
 fn setup(name: &str) -> Setup {
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -33,7 +33,14 @@
 
 fn class() -> Vec<Class> {
     let usual = classes().swap_remove(0);
-    vec![Class { work_ms: 30.0, spread: 0.4, share: 1.0, aim_ms: 1_000.0, deadline_ms: 2_500.0, ..usual }]
+    vec![Class {
+        work_ms: 30.0,
+        spread: 0.4,
+        share: 1.0,
+        target_latency_ms: 1_000.0,
+        deadline_ms: 2_500.0,
+        ..usual
+    }]
 }
 
 /// A fleet that serves, each router some requests a second.
