--- a/crates/lab/src/door.rs
+++ b/crates/lab/src/door.rs
@@ -28,10 +28,10 @@
         spread: 0.8,
         threads: 1.0,
         target_latency_ms: 1_200.0,
-        stretch: 1.5,
+        target_latency_stretch: 1.5,
         deadline_ms: 6_000.0,
         worth: 1.0,
-        late: 0.0,
+        late_worth: 0.0,
         load: false,
     };
     let report = Class {
@@ -40,10 +40,10 @@
         work_ms: 600.0,
         threads: 4.0,
         target_latency_ms: 2_000.0,
-        stretch: 2.5,
+        target_latency_stretch: 2.5,
         deadline_ms: 10_000.0,
         worth: 7.5,
-        late: 0.3,
+        late_worth: 0.3,
         ..lookup.clone()
     };
     let load = Class {
@@ -52,10 +52,10 @@
         work_ms: 400.0,
         threads: 2.0,
         target_latency_ms: 3_000.0,
-        stretch: 3.0,
+        target_latency_stretch: 3.0,
         deadline_ms: 10_000.0,
         worth: 4.0,
-        late: 0.6,
+        late_worth: 0.6,
         load: true,
         ..lookup.clone()
     };
@@ -74,7 +74,7 @@
         tenant,
         rate: capacity() * CALM * share / 100.0 * times,
         clients,
-        says: 1.0,
+        estimate_ratio: 1.0,
     };
     vec![source(&TENANTS[0], heavy, 5_000), source(&TENANTS[1], 1.0, 40), source(&TENANTS[2], 1.0, 40)]
 }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -117,10 +117,10 @@
         spread: 0.6,
         threads: 1.0,
         target_latency_ms: 1_200.0,
-        stretch: 1.5,
+        target_latency_stretch: 1.5,
         deadline_ms: 4_000.0,
         worth: 1.0,
-        late: 0.0,
+        late_worth: 0.0,
         load: false,
     };
     let report = Class {
@@ -129,10 +129,10 @@
         work_ms: 400.0,
         threads: 4.0,
         target_latency_ms: 2_000.0,
-        stretch: 2.5,
+        target_latency_stretch: 2.5,
         deadline_ms: 6_000.0,
         worth: 7.5,
-        late: 0.3,
+        late_worth: 0.3,
         ..lookup.clone()
     };
     let load = Class {
@@ -141,9 +141,9 @@
         work_ms: 200.0,
         threads: 2.0,
         target_latency_ms: 3_000.0,
-        stretch: 3.0,
+        target_latency_stretch: 3.0,
         worth: 4.0,
-        late: 0.6,
+        late_worth: 0.6,
         load: true,
         ..report.clone()
     };
@@ -634,7 +634,7 @@
     /// All clients ask from here on, as often as the setup says.
     pub fn start_clients(&mut self) {
         let now = self.clock.now_ns();
-        let source = Source { tenant: "all", rate: self.setup.rate, clients: 8, says: 1.0 };
+        let source = Source { tenant: "all", rate: self.setup.rate, clients: 8, estimate_ratio: 1.0 };
         self.load_generators.iter_mut().for_each(|load| load.begin(now, vec![source.clone()]));
     }
 
@@ -651,7 +651,7 @@
     pub fn start_clients_at(&mut self, rates: &[f64]) {
         let now = self.clock.now_ns();
         for (load, rate) in self.load_generators.iter_mut().zip(rates) {
-            load.begin(now, vec![Source { tenant: "all", rate: *rate, clients: 8, says: 1.0 }]);
+            load.begin(now, vec![Source { tenant: "all", rate: *rate, clients: 8, estimate_ratio: 1.0 }]);
         }
     }
 
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -34,13 +34,13 @@
     /// Wanted within (ms), and for each millisecond of its own running time.
     pub target_latency_ms: f64,
     /// Longer by this times the work over the threads.
-    pub stretch: f64,
+    pub target_latency_stretch: f64,
     /// Given up after (ms).
     pub deadline_ms: f64,
     /// Worth of an answer in time, and the part that a late one earns.
     pub worth: f64,
     /// Part of the worth that a late answer earns.
-    pub late: f64,
+    pub late_worth: f64,
     /// It holds its data set and must not run twice.
     pub load: bool,
 }
@@ -55,7 +55,7 @@
     /// Clients that it stands for; requests are drawn among them.
     pub clients: u64,
     /// What a client says of its work over what it is (ratio).
-    pub says: f64,
+    pub estimate_ratio: f64,
 }
 
 /// What became of a tenant's requests.
@@ -267,7 +267,7 @@
             LogNormal::new(mu, spread).map_or(mean, |d| d.sample(&mut self.draws[source])).min(mean * 10.0);
         let guess = LogNormal::new(0.0, 0.3).map_or(1.0, |d| d.sample(&mut self.draws[source]));
         let client = self.draws[source].gen_range(0..self.sources[source].clients.max(1));
-        let says_ms = (work_ms * guess * self.sources[source].says).max(0.1);
+        let says_ms = (work_ms * guess * self.sources[source].estimate_ratio).max(0.1);
         let set = self.draws[source].gen_range(0..64);
         PlannedRequest { source, class, client, work_ms, says_ms, set, told: None, phase: self.phase }
     }
@@ -294,9 +294,9 @@
         let tallies = &mut self.tallies;
         for conn in self.conns.values_mut() {
             conn.open.retain(|_, call| {
-                let late = now > call.until_ns;
-                tallies[call.want.phase][call.want.source].unanswered += u64::from(late);
-                !late
+                let expired = now > call.until_ns;
+                tallies[call.want.phase][call.want.source].unanswered += u64::from(expired);
+                !expired
             });
         }
     }
@@ -387,11 +387,12 @@
         let took_ms = (now - call.asked_ns) as f64 / MS;
         let tally = &mut self.tallies[want.phase][want.source];
         if parts[2].is_nil() {
-            let wanted = class.target_latency_ms + class.stretch * want.work_ms / class.threads;
+            let wanted =
+                class.target_latency_ms + class.target_latency_stretch * want.work_ms / class.threads;
             let in_time = took_ms <= wanted;
             tally.served += 1;
             tally.in_time += u64::from(in_time);
-            tally.worth += class.worth * if in_time { 1.0 } else { class.late };
+            tally.worth += class.worth * if in_time { 1.0 } else { class.late_worth };
             tally.returned_served += u64::from(want.told == Some(true));
             // Within its bounds by the class's deadline.
             let _ = tally.latencies.record(took_ms.ceil() as u64);
--- a/crates/testkit/src/test_bed.rs
+++ b/crates/testkit/src/test_bed.rs
@@ -115,8 +115,8 @@
         .classes
         .iter()
         .map(|c| {
-            json!({"name": c.name, "aim_ns": ns(c.target_latency_ms), "aim_stretch": c.stretch,
-                   "give_up_ns": ns(c.deadline_ms), "worth": c.worth, "late_worth": c.late,
+            json!({"name": c.name, "aim_ns": ns(c.target_latency_ms), "aim_stretch": c.target_latency_stretch,
+                   "give_up_ns": ns(c.deadline_ms), "worth": c.worth, "late_worth": c.late_worth,
                    "effect": if c.load { "at_most_once" } else { "idempotent" }})
         })
         .collect();
