--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -255,7 +255,7 @@
             let seed = setup.seed.wrapping_mul(7_919).wrapping_add(i as u64);
             let mut load = LoadGenerator::new(nowhere, setup.classes.clone(), LONGEST_MS, 0.0, seed);
             load.router = i;
-            load.gone(&mut Net::new(
+            load.router_down(&mut Net::new(
                 poll.registry().try_clone()?,
                 0,
                 ConnectionLimits { engines: 0, output: 0 },
@@ -462,7 +462,7 @@
         let to = &mut self.routers[router];
         to.process = None;
         (to.client_address, to.disconnected_since_ns) = (None, None);
-        self.load_generators[router].gone(&mut self.net);
+        self.load_generators[router].router_down(&mut self.net);
     }
 
     /// Stops a router's process where it stands (SIGSTOP), or lets it go on (SIGCONT). What its clients had open as it was
@@ -477,8 +477,8 @@
         // Time for which it stood still is not time for which it waited.
         to.disconnected_since_ns = to.disconnected_since_ns.map(|_| now);
         match (paused, to.client_address) {
-            (true, _) => self.load_generators[router].gone(&mut self.net),
-            (false, Some(at)) => self.load_generators[router].back(now, at),
+            (true, _) => self.load_generators[router].router_down(&mut self.net),
+            (false, Some(at)) => self.load_generators[router].router_up(now, at),
             _ => {}
         }
     }
@@ -635,7 +635,7 @@
     pub fn start_clients(&mut self) {
         let now = self.clock.now_ns();
         let source = Source { tenant: "all", rate: self.setup.rate, clients: 8, estimate_ratio: 1.0 };
-        self.load_generators.iter_mut().for_each(|load| load.begin(now, vec![source.clone()]));
+        self.load_generators.iter_mut().for_each(|load| load.start_phase(now, vec![source.clone()]));
     }
 
     /// Clients ask nothing more; what is open is waited for until `limit`. Whether all was answered.
@@ -643,7 +643,7 @@
     /// # Errors
     /// Where the loop fails.
     pub fn stop_clients(&mut self, limit: Duration) -> Result<bool, String> {
-        self.load_generators.iter_mut().for_each(LoadGenerator::end);
+        self.load_generators.iter_mut().for_each(LoadGenerator::stop_sending);
         self.run_until(limit, |fleet| fleet.load_generators.iter().all(|load| load.open() == 0))
     }
 
@@ -651,7 +651,10 @@
     pub fn start_clients_at(&mut self, rates: &[f64]) {
         let now = self.clock.now_ns();
         for (load, rate) in self.load_generators.iter_mut().zip(rates) {
-            load.begin(now, vec![Source { tenant: "all", rate: *rate, clients: 8, estimate_ratio: 1.0 }]);
+            load.start_phase(
+                now,
+                vec![Source { tenant: "all", rate: *rate, clients: 8, estimate_ratio: 1.0 }],
+            );
         }
     }
 
@@ -755,7 +758,7 @@
             if router.client_address.is_none() {
                 router.client_address = router.process.as_mut().and_then(Process::client_address);
                 if let Some(at) = router.client_address {
-                    load.back(now, at);
+                    load.router_up(now, at);
                 }
             }
             load.tick(now, &mut self.net);
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -201,7 +201,7 @@
     }
 
     /// Begins a phase with these sources; what is open and due to return stays with the phase it began in.
-    pub fn begin(&mut self, now: u64, sources: Vec<Source>) {
+    pub fn start_phase(&mut self, now: u64, sources: Vec<Source>) {
         self.phase = self.tallies.len();
         self.tallies.push(vec![RequestStats::default(); sources.len()]);
         self.sources = sources;
@@ -211,7 +211,7 @@
     }
 
     /// The router is gone: what was open is excused, and nothing is asked until it is [`Load::back`].
-    pub fn gone(&mut self, net: &mut Net) {
+    pub fn router_down(&mut self, net: &mut Net) {
         (self.up, self.first_answer_ns) = (false, None);
         for (conn, calls) in std::mem::take(&mut self.conns) {
             net.close(conn);
@@ -221,13 +221,13 @@
     }
 
     /// The router is there, at this address.
-    pub fn back(&mut self, now: u64, to: SocketAddr) {
+    pub fn router_up(&mut self, now: u64, to: SocketAddr) {
         (self.to, self.up) = (to, true);
         self.next_ns = (0..self.sources.len()).map(|i| now + self.gap_ns(i)).collect();
     }
 
     /// Stops asking; returns that were told are still made.
-    pub fn end(&mut self) {
+    pub fn stop_sending(&mut self) {
         self.next_ns = vec![u64::MAX; self.sources.len()];
     }
 
--- a/crates/testkit/src/test_bed.rs
+++ b/crates/testkit/src/test_bed.rs
@@ -210,13 +210,13 @@
     /// Runs for a time with these sources of requests.
     pub fn run_workload(&mut self, sources: Vec<Source>, time: Duration) -> Result<(), String> {
         let now = self.clock.now_ns();
-        self.load.begin(now, sources);
+        self.load.start_phase(now, sources);
         self.run_until(now + time.as_nanos() as u64, false)
     }
 
     /// Asks nothing more, and runs until all is answered, for no longer than `most`.
     pub fn drain(&mut self, most: Duration) -> Result<(), String> {
-        self.load.end();
+        self.load.stop_sending();
         self.run_until(self.clock.now_ns() + most.as_nanos() as u64, true)
     }
 
