--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -531,33 +531,37 @@
     pub fn apply(&mut self, fault: &Fault, draws: &mut StdRng) -> Result<String, String> {
         let count = self.routers.len();
         let mut named = Vec::new();
-        let mut drawn = |whom: &RouterSelector| {
-            named = whom.of(count, draws);
+        let mut drawn = |selector: &RouterSelector| {
+            named = selector.select(count, draws);
             named.clone()
         };
         match fault {
-            Fault::List(manner) => self.set_list_behavior(manner.clone()),
-            Fault::Capacity(calls) => self.list.set_capacity(*calls),
-            Fault::Anew => self.restart_list(),
-            Fault::Close => self.close_list_streams(),
-            Fault::Kill(whom) => drawn(whom).into_iter().for_each(|router| self.kill(router)),
+            Fault::ListBehavior(manner) => self.set_list_behavior(manner.clone()),
+            Fault::ListCapacity(calls) => self.list.set_capacity(*calls),
+            Fault::RestartList => self.restart_list(),
+            Fault::CloseStreams => self.close_list_streams(),
+            Fault::Kill(selector) => drawn(selector).into_iter().for_each(|router| self.kill(router)),
             Fault::Start => self.start_all()?,
-            Fault::Freeze(whom) => drawn(whom).into_iter().for_each(|router| self.set_paused(router, true)),
-            Fault::Wake => (0..count)
+            Fault::Pause(selector) => {
+                drawn(selector).into_iter().for_each(|router| self.set_paused(router, true))
+            }
+            Fault::Resume => (0..count)
                 .filter(|r| self.routers[*r].paused)
                 .collect::<Vec<_>>()
                 .into_iter()
                 .for_each(|r| self.set_paused(r, false)),
-            Fault::Cut(whom) => drawn(whom).into_iter().for_each(|router| self.set_partitioned(router, true)),
-            Fault::Mend => (0..count).for_each(|router| self.set_partitioned(router, false)),
+            Fault::Partition(selector) => {
+                drawn(selector).into_iter().for_each(|router| self.set_partitioned(router, true))
+            }
+            Fault::HealPartitions => (0..count).for_each(|router| self.set_partitioned(router, false)),
             Fault::Drain(engine) if *engine < self.engines.len() => self.drain(*engine),
-            Fault::Lose(engine) if *engine < self.engines.len() => self.crash_engine(*engine),
-            Fault::Link(engine, there, back) => self.shape(*engine, *there, *back),
-            Fault::Reset(engine) => {
+            Fault::CrashEngine(engine) if *engine < self.engines.len() => self.crash_engine(*engine),
+            Fault::ShapeLink(engine, there, back) => self.shape(*engine, *there, *back),
+            Fault::ResetLink(engine) => {
                 let link = self.engine_links.get_mut(*engine);
                 link.into_iter().for_each(|link| link.reset(&mut self.net));
             }
-            Fault::Drain(_) | Fault::Lose(_) => {}
+            Fault::Drain(_) | Fault::CrashEngine(_) => {}
         }
         let names: Vec<String> = named.iter().map(|router| format!("r{router}")).collect();
         Ok(if names.is_empty() { String::new() } else { format!(": {}", names.join(" ")) })
@@ -572,7 +576,9 @@
         for engine in 0..self.engine_links.len() {
             self.shape(engine, Shape::default(), Shape::default());
         }
-        for fault in [Fault::Wake, Fault::Mend, Fault::List(Behavior::Normal), Fault::Start] {
+        for fault in
+            [Fault::Resume, Fault::HealPartitions, Fault::ListBehavior(Behavior::Normal), Fault::Start]
+        {
             self.apply(&fault, &mut draws)?;
         }
         Ok(())
--- a/crates/testkit/src/schedule.rs
+++ b/crates/testkit/src/schedule.rs
@@ -52,7 +52,7 @@
     }
 
     /// Their numbers, of `count`.
-    pub fn of(self, count: usize, draws: &mut StdRng) -> Vec<usize> {
+    pub fn select(self, count: usize, draws: &mut StdRng) -> Vec<usize> {
         match self {
             RouterSelector::All => (0..count).collect(),
             RouterSelector::One(at) => (0..count).filter(|i| *i == at).collect(),
@@ -71,33 +71,33 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// The list service behaves so from here on.
-    List(Behavior),
+    ListBehavior(Behavior),
     /// It takes so many calls a second.
-    Capacity(f64),
+    ListCapacity(f64),
     /// It starts anew, with numbers from 1.
-    Anew,
+    RestartList,
     /// It closes all streams.
-    Close,
+    CloseStreams,
     /// Routers are killed.
     Kill(RouterSelector),
     /// Those that are not there are started.
     Start,
     /// Routers stand still.
-    Freeze(RouterSelector),
+    Pause(RouterSelector),
     /// Those that stand still go on.
-    Wake,
+    Resume,
     /// Routers are cut off from the list service.
-    Cut(RouterSelector),
+    Partition(RouterSelector),
     /// Their links are mended.
-    Mend,
+    HealPartitions,
     /// An engine drains.
     Drain(usize),
     /// An engine is gone, and nobody is told.
-    Lose(usize),
+    CrashEngine(usize),
     /// What passes to an engine, and back, is shaped so.
-    Link(usize, Shape, Shape),
+    ShapeLink(usize, Shape, Shape),
     /// All connections to an engine are reset.
-    Reset(usize),
+    ResetLink(usize),
 }
 
 /// A fault and its time.
@@ -121,24 +121,24 @@
 
 fn fault(words: &[&str]) -> Option<Fault> {
     Some(match words {
-        ["list", "well"] => Fault::List(Behavior::Normal),
-        ["list", "away"] => Fault::List(Behavior::Unavailable),
-        ["list", "silent"] => Fault::List(Behavior::NoResponse),
-        ["list", "garbage"] => Fault::List(Behavior::InvalidResponse),
-        ["list", "half"] => Fault::List(Behavior::TruncatedResponse),
-        ["list", "busy", after @ ..] => Fault::List(Behavior::Rejecting(after.join(" "))),
-        ["list", "closes", after] => Fault::List(Behavior::ClosesAfter(time(after)?)),
-        ["list", "takes", calls] => Fault::Capacity(calls.parse().ok().filter(|c: &f64| *c > 0.0)?),
-        ["list", "anew"] => Fault::Anew,
-        ["streams", "close"] => Fault::Close,
-        ["kill", whom] => Fault::Kill(RouterSelector::read(whom)?),
+        ["list", "well"] => Fault::ListBehavior(Behavior::Normal),
+        ["list", "away"] => Fault::ListBehavior(Behavior::Unavailable),
+        ["list", "silent"] => Fault::ListBehavior(Behavior::NoResponse),
+        ["list", "garbage"] => Fault::ListBehavior(Behavior::InvalidResponse),
+        ["list", "half"] => Fault::ListBehavior(Behavior::TruncatedResponse),
+        ["list", "busy", after @ ..] => Fault::ListBehavior(Behavior::Rejecting(after.join(" "))),
+        ["list", "closes", after] => Fault::ListBehavior(Behavior::ClosesAfter(time(after)?)),
+        ["list", "takes", calls] => Fault::ListCapacity(calls.parse().ok().filter(|c: &f64| *c > 0.0)?),
+        ["list", "anew"] => Fault::RestartList,
+        ["streams", "close"] => Fault::CloseStreams,
+        ["kill", selector] => Fault::Kill(RouterSelector::read(selector)?),
         ["start"] => Fault::Start,
-        ["freeze", whom] => Fault::Freeze(RouterSelector::read(whom)?),
-        ["wake"] => Fault::Wake,
-        ["cut", whom] => Fault::Cut(RouterSelector::read(whom)?),
-        ["mend"] => Fault::Mend,
+        ["freeze", selector] => Fault::Pause(RouterSelector::read(selector)?),
+        ["wake"] => Fault::Resume,
+        ["cut", selector] => Fault::Partition(RouterSelector::read(selector)?),
+        ["mend"] => Fault::HealPartitions,
         ["drain", engine] => Fault::Drain(engine.parse().ok()?),
-        ["link", engine, "reset"] => Fault::Reset(engine.parse().ok()?),
+        ["link", engine, "reset"] => Fault::ResetLink(engine.parse().ok()?),
         ["link", engine, how @ ..] => {
             let well = Shape::default();
             let partitioned = Shape { partitioned: true, ..well };
@@ -157,9 +157,9 @@
                 }
                 _ => return None,
             };
-            Fault::Link(engine.parse().ok()?, there, back)
+            Fault::ShapeLink(engine.parse().ok()?, there, back)
         }
-        ["lose", engine] => Fault::Lose(engine.parse().ok()?),
+        ["lose", engine] => Fault::CrashEngine(engine.parse().ok()?),
         _ => return None,
     })
 }
--- a/crates/testkit/tests/schedule.rs
+++ b/crates/testkit/tests/schedule.rs
@@ -10,8 +10,8 @@
     let text = "# a remark\n9s kill 50%\n\n1.5s list busy Tue, 01 Dec 2026 00:00:00 GMT # a date\n250ms list closes 1s\n9s start\n";
     let events = read(text).unwrap();
     let found: Vec<(u64, &Fault)> = events.iter().map(|e| (e.at_ns / 1_000_000, &e.fault)).collect();
-    let busy = Fault::List(Behavior::Rejecting("Tue, 01 Dec 2026 00:00:00 GMT".into()));
-    let closes = Fault::List(Behavior::ClosesAfter(1_000_000_000));
+    let busy = Fault::ListBehavior(Behavior::Rejecting("Tue, 01 Dec 2026 00:00:00 GMT".into()));
+    let closes = Fault::ListBehavior(Behavior::ClosesAfter(1_000_000_000));
     assert_eq!(
         found,
         [
@@ -35,13 +35,13 @@
 
 #[test]
 fn the_same_seed_draws_the_same_routers() {
-    let draw = |seed| RouterSelector::Share(0.7).of(10, &mut StdRng::seed_from_u64(seed));
+    let draw = |seed| RouterSelector::Share(0.7).select(10, &mut StdRng::seed_from_u64(seed));
     assert_eq!((draw(3), draw(3).len()), (draw(3), 7));
     assert!((0..20).any(|seed| draw(seed) != draw(3)));
     let mut draws = StdRng::seed_from_u64(1);
-    assert_eq!(RouterSelector::All.of(3, &mut draws), [0, 1, 2]);
+    assert_eq!(RouterSelector::All.select(3, &mut draws), [0, 1, 2]);
     assert_eq!(
-        (RouterSelector::One(2).of(3, &mut draws), RouterSelector::One(3).of(3, &mut draws)),
+        (RouterSelector::One(2).select(3, &mut draws), RouterSelector::One(3).select(3, &mut draws)),
         (vec![2], vec![])
     );
 }
