--- a/crates/health/tests/fleet.rs
+++ b/crates/health/tests/fleet.rs
@@ -9,7 +9,7 @@
 use marljunction_health::overrides::{Override, Overrides};
 use marljunction_health::version::Version;
 use marljunction_health::{HealthStatus, Message, Node};
-use marljunction_testkit::health_fleet::{Fleet, MS, S, STEP};
+use marljunction_testkit::health_fleet::{Fleet, MS, S, STEP_NS};
 use rand::Rng;
 
 fn excluded_by_evidence(node: &mut Node, engine: u64) -> bool {
@@ -32,11 +32,13 @@
             let now = fleet.now;
             let version = fleet.node(0).set_override(now, "e3", true).unwrap();
             let bound = propagation_bound_ns(&fleet.params);
-            let took = fleet.until(bound, "all routers have the override", |f| {
+            let took = fleet.run_until(bound, "all routers have the override", |f| {
                 f.all(|node| excluded_by_override(node, "e3"))
             });
             worst = worst.max(took as f64 / bound as f64);
-            fleet.until(2 * bound, "all routers acknowledged it", |f| f.node(0).acks(version) + 1 == routers);
+            fleet.run_until(2 * bound, "all routers acknowledged it", |f| {
+                f.node(0).acks(version) + 1 == routers
+            });
         }
         println!("{routers} routers: worst propagation is {worst:.2} of the bound");
         assert!(routers < 40 || worst >= 0.3, "the bound is too loose");
@@ -66,7 +68,7 @@
         );
         fleet.partitioned.clear();
         let bound = convergence_bound_ns(&fleet.params, 2);
-        fleet.until(bound, "all routers agree", |f| {
+        fleet.run_until(bound, "all routers agree", |f| {
             f.all(|n| {
                 excluded_by_override(n, "e1") && n.overrides().get("e2").is_some_and(|entry| !entry.excluded)
             })
@@ -81,7 +83,7 @@
     for n in 0..2_000 {
         fleet.node(0).set_override(now, &format!("engine-{n}"), true);
     }
-    fleet.until(600 * S, "all routers have all overrides", |f| f.all(|n| n.overrides().len() == 2_000));
+    fleet.run_until(600 * S, "all routers have all overrides", |f| f.all(|n| n.overrides().len() == 2_000));
     fleet.run(20 * S);
     fleet.partition_into(|at| at / 3);
     for n in 0..50 {
@@ -92,7 +94,7 @@
     let bytes = fleet.bytes;
     fleet.partitioned.clear();
     let bound = convergence_bound_ns(&fleet.params, 100 * 32);
-    let took = fleet.until(bound, "all routers agree", |f| f.all(|n| n.overrides().len() == 2_100));
+    let took = fleet.run_until(bound, "all routers agree", |f| f.all(|n| n.overrides().len() == 2_100));
     println!("converged after {:.1} s and {} KB", took as f64 / 1e9, (fleet.bytes - bytes) / 1_000);
 }
 
@@ -103,15 +105,15 @@
         if seed % 2 == 1 {
             fleet.degrade_network();
         }
-        (0..2).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
+        (0..2).for_each(|at| fleet.attempt_ended(at, 4, AttemptOutcome::Silent));
         fleet.run(propagation_bound_ns(&fleet.params));
         assert!(fleet.all(|n| !excluded_by_evidence(n, 4)), "two reports are below the quorum");
-        fleet.ended(2, 4, AttemptOutcome::Silent);
+        fleet.attempt_ended(2, 4, AttemptOutcome::Silent);
         let bound = propagation_bound_ns(&fleet.params);
-        fleet.until(bound, "excluded by all routers", |f| f.all(|n| excluded_by_evidence(n, 4)));
+        fleet.run_until(bound, "excluded by all routers", |f| f.all(|n| excluded_by_evidence(n, 4)));
         // Few routers probe at once, and nearly all get a turn.
         let mut tried = BTreeSet::new();
-        for _ in 0..60 * S / STEP {
+        for _ in 0..60 * S / STEP_NS {
             fleet.step();
             let now = fleet.now;
             let turns: Vec<usize> =
@@ -121,11 +123,11 @@
         }
         assert!(tried.len() >= 10, "{tried:?}");
         assert!(fleet.all(|n| excluded_by_evidence(n, 4)), "observers renew their evidence");
-        fleet.ended(7, 4, AttemptOutcome::Served(MS));
+        fleet.attempt_ended(7, 4, AttemptOutcome::Served(MS));
         fleet.run(bound);
         assert!(fleet.all(|n| excluded_by_evidence(n, 4)), "one success is not enough");
-        fleet.ended(8, 4, AttemptOutcome::Served(MS));
-        fleet.until(bound, "included again by all routers", |f| f.all(|n| !excluded_by_evidence(n, 4)));
+        fleet.attempt_ended(8, 4, AttemptOutcome::Served(MS));
+        fleet.run_until(bound, "included again by all routers", |f| f.all(|n| !excluded_by_evidence(n, 4)));
     }
 }
 
@@ -137,8 +139,8 @@
         // Other routers are served by every engine, and report it where a fault was reported.
         for _ in 0..20 {
             for engine in 0..20 {
-                fleet.ended(3, engine, AttemptOutcome::Silent);
-                (4..8).for_each(|at| fleet.ended(at, engine, AttemptOutcome::Served(MS)));
+                fleet.attempt_ended(3, engine, AttemptOutcome::Silent);
+                (4..8).for_each(|at| fleet.attempt_ended(at, engine, AttemptOutcome::Served(MS)));
             }
             fleet.run(S);
             assert!(fleet.all(|n| n.evaluation().engines.is_empty()), "seed {seed}");
@@ -173,8 +175,10 @@
     for seed in 0..30 {
         let mut fleet = Fleet::new(12, seed);
         for _ in 0..10 {
-            [0, 2, 4, 6].into_iter().for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
-            [1, 3, 5, 7, 9, 11].into_iter().for_each(|at| fleet.ended(at, 4, AttemptOutcome::Served(MS)));
+            [0, 2, 4, 6].into_iter().for_each(|at| fleet.attempt_ended(at, 4, AttemptOutcome::Silent));
+            [1, 3, 5, 7, 9, 11]
+                .into_iter()
+                .for_each(|at| fleet.attempt_ended(at, 4, AttemptOutcome::Served(MS)));
             fleet.run(S);
         }
         let sides: Vec<bool> = (0..12).map(|at| excluded_by_evidence(fleet.node(at), 4)).collect();
@@ -192,7 +196,7 @@
     let mut fleet = Fleet::new(8, 3);
     for engine in 0..20 {
         for at in 0..8 {
-            fleet.ended(at, engine, AttemptOutcome::Silent);
+            fleet.attempt_ended(at, engine, AttemptOutcome::Silent);
         }
     }
     fleet.run(propagation_bound_ns(&fleet.params));
@@ -206,7 +210,9 @@
         // The latency of all engines triples halfway.
         let took = if round < 20 { 10 * MS } else { 30 * MS };
         for engine in 0..20 {
-            (0..8).for_each(|at| fleet.ended(at, engine, AttemptOutcome::Served(took + engine * MS / 10)));
+            (0..8).for_each(|at| {
+                fleet.attempt_ended(at, engine, AttemptOutcome::Served(took + engine * MS / 10))
+            });
         }
         fleet.run(S);
         assert!(fleet.all(|n| n.evaluation().engines.is_empty()), "round {round}");
@@ -220,7 +226,7 @@
         for engine in 0..20 {
             for at in 0..4 {
                 let took = if engine == 6 { 35 * MS } else { 10 * MS };
-                fleet.ended(at, engine, AttemptOutcome::Served(took));
+                fleet.attempt_ended(at, engine, AttemptOutcome::Served(took));
             }
         }
         fleet.run(S / 2);
@@ -239,7 +245,7 @@
     fleet.partitioned.clear();
     let now = fleet.now;
     fleet.node(0).set_override(now, "e1", true);
-    (0..3).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
+    (0..3).for_each(|at| fleet.attempt_ended(at, 4, AttemptOutcome::Silent));
     fleet.run(5 * S);
     assert!(fleet.all(|n| excluded_by_evidence(n, 4)));
     fleet.partition_into(|at| usize::from(at >= 4));
@@ -260,9 +266,9 @@
         (0..6).for_each(|at| fleet.kill(at));
         fleet.run(2 * S);
         // Most routers lost their stored overrides.
-        (1..6).for_each(|at| fleet.kept[at] = (Overrides::default(), fleet.now));
+        (1..6).for_each(|at| fleet.persisted[at] = (Overrides::default(), fleet.now));
         (0..6).for_each(|at| fleet.start(at));
-        fleet.until(20 * S, "all routers are ready, none before it has the override", |f| {
+        fleet.run_until(20 * S, "all routers are ready, none before it has the override", |f| {
             let now = f.now;
             assert!(
                 f.all(|n| !n.is_synced(now) || excluded_by_override(n, "e9")),
@@ -282,14 +288,14 @@
         fleet.node(0).set_override(now, &format!("engine-{n}"), true);
     }
     // The other peer restores them from its disk.
-    fleet.kept[1] = (fleet.node(0).overrides().clone(), now);
+    fleet.persisted[1] = (fleet.node(0).overrides().clone(), now);
     fleet.kill(1);
     fleet.start(1);
     fleet.run(5 * S);
     fleet.degrade_network();
-    fleet.kept[2] = Default::default();
+    fleet.persisted[2] = Default::default();
     fleet.start(2);
-    let took = fleet.until(20 * S, "the joining router is ready", |f| {
+    let took = fleet.run_until(20 * S, "the joining router is ready", |f| {
         let now = f.now;
         f.node(2).is_synced(now)
     });
@@ -306,7 +312,7 @@
         fleet.run(3 * S);
         // Router 5 is partitioned and misses the reversal; router 4 then joins on its side.
         fleet.kill(4);
-        fleet.kept[4] = (Overrides::default(), fleet.now);
+        fleet.persisted[4] = (Overrides::default(), fleet.now);
         fleet.partition_into(|at| usize::from(at >= 4));
         let now = fleet.now;
         fleet.node(0).set_override(now, "e1", false);
@@ -315,7 +321,7 @@
         fleet.run(3 * S);
         assert!(excluded_by_override(fleet.node(4), "e1"));
         fleet.partitioned.clear();
-        fleet.until(convergence_bound_ns(&fleet.params, 1), "all routers agree", |f| {
+        fleet.run_until(convergence_bound_ns(&fleet.params, 1), "all routers agree", |f| {
             f.all(|n| !excluded_by_override(n, "e1"))
         });
     }
@@ -349,7 +355,7 @@
             fleet.run(2 * S);
         }
         fleet.partitioned.clear();
-        fleet.until(convergence_bound_ns(&fleet.params, 1), "all routers agree", |f| {
+        fleet.run_until(convergence_bound_ns(&fleet.params, 1), "all routers agree", |f| {
             f.all(|n| !excluded_by_override(n, "e1"))
         });
         fleet.run(10 * S);
@@ -366,14 +372,14 @@
     (0..5).for_each(|at| fleet.kill(at));
     fleet.now += 2 * fleet.params.override_memory_ns;
     (0..5).for_each(|at| fleet.start(at));
-    fleet.until(10 * S, "all routers are ready", |f| {
+    fleet.run_until(10 * S, "all routers are ready", |f| {
         let now = f.now;
         f.all(|n| n.is_synced(now))
     });
     assert!(fleet.all(|n| excluded_by_override(n, "e1")));
     let now = fleet.now;
     fleet.node(3).set_override(now, "e1", false);
-    fleet.until(propagation_bound_ns(&fleet.params), "the reversal reaches all routers", |f| {
+    fleet.run_until(propagation_bound_ns(&fleet.params), "the reversal reaches all routers", |f| {
         f.all(|n| !excluded_by_override(n, "e1"))
     });
 }
@@ -382,7 +388,7 @@
 fn a_new_fleet_of_hundreds_is_ready_soon() {
     for routers in [2, 5, 300] {
         let mut fleet = Fleet::new(routers, 1);
-        let took = fleet.until(10 * S, "all routers are ready", |f| {
+        let took = fleet.run_until(10 * S, "all routers are ready", |f| {
             let now = f.now;
             f.all(|n| n.is_synced(now))
         });
@@ -405,9 +411,11 @@
         fleet.node(0).set_override(now, "e1", false);
         fleet.run(10 * S);
         fleet.paused.clear();
-        fleet.until(propagation_bound_ns(&fleet.params), "the frozen router learns of the reversal", |f| {
-            !excluded_by_override(f.node(3), "e1")
-        });
+        fleet.run_until(
+            propagation_bound_ns(&fleet.params),
+            "the frozen router learns of the reversal",
+            |f| !excluded_by_override(f.node(3), "e1"),
+        );
         fleet.run(5 * S);
         assert!(fleet.all(|n| !excluded_by_override(n, "e1")));
     }
@@ -428,7 +436,7 @@
                 }
                 1 => fleet.partitioned.clear(),
                 2 => fleet.degrade_network(),
-                3 => (fleet.loss, fleet.duplication, fleet.jitter) = (0.0, 0.0, 3 * MS),
+                3 => (fleet.loss, fleet.duplication, fleet.jitter_ns) = (0.0, 0.0, 3 * MS),
                 4 => fleet.kill(at),
                 5 => (0..6).for_each(|at| fleet.start(at)),
                 6 => drop(fleet.paused.insert(at)),
@@ -445,13 +453,13 @@
             let ns = fleet.draws.gen_range(50 * MS..2 * S);
             fleet.run(ns);
         }
-        (fleet.loss, fleet.duplication, fleet.jitter) = (0.0, 0.0, 3 * MS);
+        (fleet.loss, fleet.duplication, fleet.jitter_ns) = (0.0, 0.0, 3 * MS);
         fleet.partitioned.clear();
         fleet.paused.clear();
         (0..6).for_each(|at| fleet.start(at));
         let bound = convergence_bound_ns(&fleet.params, 3);
         let same = last.clone();
-        fleet.until(bound, "all routers have the latest overrides", move |f| {
+        fleet.run_until(bound, "all routers have the latest overrides", move |f| {
             f.all(|n| same.iter().all(|(name, entry)| n.overrides().get(name) == Some(*entry)))
         });
         fleet.run(5 * S);
@@ -465,7 +473,7 @@
 #[test]
 fn evidence_of_an_earlier_run_of_an_engine_does_not_count() {
     let mut fleet = Fleet::new(6, 1);
-    (0..4).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
+    (0..4).for_each(|at| fleet.attempt_ended(at, 4, AttemptOutcome::Silent));
     fleet.run(3 * S);
     assert!(fleet.all(|n| excluded_by_evidence(n, 4)));
     fleet.engines[4].1 = 99;
@@ -479,7 +487,7 @@
     let mut fleet = Fleet::new(8, 2);
     for second in 0..30u64 {
         for at in 0..8 {
-            fleet.ended(
+            fleet.attempt_ended(
                 at,
                 4,
                 if second % 2 == 0 { AttemptOutcome::Silent } else { AttemptOutcome::Served(MS) },
@@ -488,9 +496,9 @@
         fleet.run(S);
     }
     for at in 0..8 {
-        fleet.ended(at, 4, AttemptOutcome::Served(MS));
+        fleet.attempt_ended(at, 4, AttemptOutcome::Served(MS));
     }
-    fleet.until(propagation_bound_ns(&fleet.params), "included again by all routers", |f| {
+    fleet.run_until(propagation_bound_ns(&fleet.params), "included again by all routers", |f| {
         f.all(|n| !excluded_by_evidence(n, 4))
     });
 }
--- a/crates/lab/src/capacity/verdicts.rs
+++ b/crates/lab/src/capacity/verdicts.rs
@@ -32,7 +32,7 @@
         each(fleet.bytes - before.1, routers) + each(fleet.messages - before.0, routers) * SEALED_BYTES;
     let now = fleet.now;
     fleet.node(0).set_override(now, "e1", true);
-    let heard = fleet.until(20 * S, "heard", |f| f.all(|n| n.overrides().get("e1").is_some()));
+    let heard = fleet.run_until(20 * S, "heard", |f| f.all(|n| n.overrides().get("e1").is_some()));
     [bytes, each(cpu, routers) / 1e6, heard as f64 / 1e9]
 }
 
@@ -52,7 +52,7 @@
             // Each router in turn changes its mind of one engine.
             let went =
                 if made / routers % 2 == 0 { AttemptOutcome::Silent } else { AttemptOutcome::Served(MS) };
-            fleet.ended(made % routers, (made % 20) as u64, went);
+            fleet.attempt_ended(made % routers, (made % 20) as u64, went);
             made += 1;
         }
         fleet.run(100 * MS);
--- a/crates/lab/src/verdicts.rs
+++ b/crates/lab/src/verdicts.rs
@@ -185,14 +185,14 @@
     let idle = (fleet.messages - idle_from.0, fleet.bytes - idle_from.1);
     let now = fleet.now;
     fleet.node(0).set_override(now, "e1", true);
-    let heard = fleet.until(4 * bound, "heard", |f| f.all(|n| n.overrides().get("e1").is_some()));
-    (0..3).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
+    let heard = fleet.run_until(4 * bound, "heard", |f| f.all(|n| n.overrides().get("e1").is_some()));
+    (0..3).for_each(|at| fleet.attempt_ended(at, 4, AttemptOutcome::Silent));
     let out = |n: &mut Node| n.evaluation().engines.contains_key(&4);
-    let found = fleet.until(4 * bound, "out", |f| f.all(out));
+    let found = fleet.run_until(4 * bound, "out", |f| f.all(out));
     let busy_from = (fleet.messages, fleet.bytes);
     for second in 0..5 {
         for at in 0..routers.min(40) {
-            fleet.ended(
+            fleet.attempt_ended(
                 at,
                 6,
                 if second % 2 == 0 {
--- a/crates/testkit/src/health_fleet.rs
+++ b/crates/testkit/src/health_fleet.rs
@@ -14,7 +14,7 @@
 /// Nanoseconds of a second.
 pub const S: u64 = 1_000 * MS;
 /// Nanoseconds of one step.
-pub const STEP: u64 = 20 * MS;
+pub const STEP_NS: u64 = 20 * MS;
 /// When all begin.
 const T0: u64 = 1_700_000_000 * S;
 
@@ -27,7 +27,7 @@
     /// Its routers; none while one is not there.
     pub nodes: Vec<Option<Node>>,
     /// What each router has kept on disk.
-    pub kept: Vec<(Overrides, u64)>,
+    pub persisted: Vec<(Overrides, u64)>,
     /// Routers that stand still.
     pub paused: BTreeSet<usize>,
     inbox: Vec<Vec<(u32, Message)>>,
@@ -38,7 +38,7 @@
     /// Part that comes twice (share).
     pub duplication: f64,
     /// Chance's part of the delay (ns).
-    pub jitter: u64,
+    pub jitter_ns: u64,
     wire: BTreeMap<(u64, u64), (usize, u32, Message)>,
     serial: u64,
     /// What chance draws from.
@@ -59,13 +59,13 @@
             now: T0,
             params,
             nodes: vec![None; routers],
-            kept: vec![(Overrides::default(), T0); routers],
+            persisted: vec![(Overrides::default(), T0); routers],
             paused: BTreeSet::new(),
             inbox: vec![Vec::new(); routers],
             partitioned: BTreeSet::new(),
             loss: 0.0,
             duplication: 0.0,
-            jitter: 3 * MS,
+            jitter_ns: 3 * MS,
             wire: BTreeMap::new(),
             serial: 0,
             draws: StdRng::seed_from_u64(seed),
@@ -80,7 +80,7 @@
 
     /// A third is lost, a fifth doubled, and the rest out of order.
     pub fn degrade_network(&mut self) {
-        (self.loss, self.duplication, self.jitter) = (0.3, 0.2, 150 * MS);
+        (self.loss, self.duplication, self.jitter_ns) = (0.3, 0.2, 150 * MS);
     }
 
     /// Starts a router that is not there.
@@ -88,7 +88,7 @@
         if self.nodes[at].is_none() {
             let zone = (at % 2) as u64;
             let mut node =
-                Node::new(self.now, (at as u32, self.now, zone), self.params, self.kept[at].clone());
+                Node::new(self.now, (at as u32, self.now, zone), self.params, self.persisted[at].clone());
             node.set_engines(self.engines.clone());
             self.nodes[at] = Some(node);
             self.inbox[at].clear();
@@ -98,7 +98,7 @@
     /// Ends a router at once; what it kept stays.
     pub fn kill(&mut self, at: usize) {
         if let Some(node) = self.nodes[at].take() {
-            self.kept[at] = (node.overrides().clone(), node.last_contact_ns());
+            self.persisted[at] = (node.overrides().clone(), node.last_contact_ns());
         }
     }
 
@@ -113,7 +113,7 @@
         }
         for _ in 0..=u32::from(self.draws.gen_bool(self.duplication)) {
             self.serial += 1;
-            let due = self.now + self.draws.gen_range(0..=self.jitter);
+            let due = self.now + self.draws.gen_range(0..=self.jitter_ns);
             self.wire.insert((due, self.serial), (to, from as u32, message.clone()));
         }
     }
@@ -126,7 +126,7 @@
 
     /// Passes one step.
     pub fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_NS;
         let now = self.now;
         while let Some(entry) = self.wire.first_entry().filter(|e| e.key().0 <= now) {
             let (to, from, message) = entry.remove();
@@ -156,7 +156,7 @@
 
     /// Passes a time (ns).
     pub fn run(&mut self, ns: u64) {
-        (0..ns / STEP).for_each(|_| self.step());
+        (0..ns / STEP_NS).for_each(|_| self.step());
     }
 
     /// Steps until a condition holds; how long that took (ns).
@@ -164,7 +164,7 @@
     /// # Panics
     /// Where that takes longer than `most_ns`.
     #[track_caller]
-    pub fn until(&mut self, most_ns: u64, what: &str, condition: impl Fn(&mut Fleet) -> bool) -> u64 {
+    pub fn run_until(&mut self, most_ns: u64, what: &str, condition: impl Fn(&mut Fleet) -> bool) -> u64 {
         let began = self.now;
         while !condition(self) {
             assert!(self.now - began <= most_ns, "not within {} ms: {what}", most_ns / MS);
@@ -184,7 +184,7 @@
     }
 
     /// An attempt of a router's ends.
-    pub fn ended(&mut self, at: usize, engine: u64, went: AttemptOutcome) {
+    pub fn attempt_ended(&mut self, at: usize, engine: u64, went: AttemptOutcome) {
         let now = self.now;
         let started = self.engines.iter().find(|(id, _)| *id == engine).map_or(0, |(_, at)| *at);
         self.node(at).ended(now, (engine, started), 0, now - 50 * MS, went);
