--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -251,15 +251,15 @@
         fleet.update_reachable_peers();
         fleet.routers[3].demand = f64::from(units) * 2.0;
         fleet.run(8_000);
-        let (admitted, messages, mut out) = (fleet.admitted, fleet.messages, 0);
+        let (admitted, messages, mut in_flight) = (fleet.admitted, fleet.messages, 0);
         let steps = 400;
         for _ in 0..steps {
             fleet.step();
-            out += fleet.out();
+            in_flight += fleet.in_flight();
         }
-        let seconds = f64::from(steps) * lease_fleet::STEP as f64 / 1e9;
+        let seconds = f64::from(steps) * lease_fleet::STEP_NS as f64 / 1e9;
         let used = match kind {
-            Kind::Concurrency { .. } => out as f64 / f64::from(steps) / f64::from(units),
+            Kind::Concurrency { .. } => in_flight as f64 / f64::from(steps) / f64::from(units),
             Kind::Rate { per_s, .. } => (fleet.admitted - admitted) as f64 / seconds / per_s,
             Kind::Window { units, window_ns } => {
                 (fleet.admitted - admitted) as f64 / seconds / f64::from(units) * window_ns as f64 / 1e9
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -190,13 +190,13 @@
     fleet.update_reachable_peers();
     fleet.run(6_000);
     prepare(&mut fleet);
-    let (before, mut out, mut steps) = (fleet.admitted, 0, 0);
+    let (before, mut in_flight, mut steps) = (fleet.admitted, 0, 0);
     for _ in 0..1_000 {
         fleet.step();
-        (out, steps) = (out + fleet.out(), steps + 1);
+        (in_flight, steps) = (in_flight + fleet.in_flight(), steps + 1);
     }
     let share = match kind {
-        Kind::Concurrency { at_once } => out as f64 / f64::from(steps) / f64::from(at_once),
+        Kind::Concurrency { at_once } => in_flight as f64 / f64::from(steps) / f64::from(at_once),
         Kind::Rate { .. } | Kind::Window { .. } => (fleet.admitted - before) as f64 / 10.0 / per_s(kind),
     };
     assert!(fleet.worst <= 1.0 + 1e-9);
@@ -240,7 +240,7 @@
     assert!((0.4..=0.55).contains(&partitioned), "{partitioned}");
     fleet.partitioned.clear();
     let healed_ns = fleet.now;
-    while fleet.out() < 76 && fleet.now < healed_ns + 60 * S {
+    while fleet.in_flight() < 76 && fleet.now < healed_ns + 60 * S {
         fleet.step();
     }
     println!("recovered after {:.1} s", (fleet.now - healed_ns) as f64 / 1e9);
--- a/crates/testkit/src/lease_fleet.rs
+++ b/crates/testkit/src/lease_fleet.rs
@@ -14,7 +14,7 @@
 /// Nanoseconds of a second.
 pub const S: u64 = 1_000 * MS;
 /// Nanoseconds of one step.
-pub const STEP: u64 = 10 * MS;
+pub const STEP_NS: u64 = 10 * MS;
 
 /// What a link does to messages.
 #[derive(Clone, Copy)]
@@ -46,7 +46,7 @@
     /// It stands still.
     pub paused: bool,
     inbox: Vec<(Peer, Message)>,
-    out: Vec<(u64, Permit)>,
+    in_flight: Vec<(u64, Permit)>,
     /// Requests a second that its clients ask for.
     pub demand: f64,
 }
@@ -93,7 +93,7 @@
             rate: 1.0 + draws.gen_range(-drift..=drift),
             paused: false,
             inbox: Vec::new(),
-            out: Vec::new(),
+            in_flight: Vec::new(),
             demand: 0.0,
         });
         let routers = routers.collect();
@@ -150,7 +150,7 @@
         let run_on = self.now + self.params.orphan_ns;
         let router = &mut self.routers[at];
         if router.node.take().is_some() {
-            self.lingering.extend(router.out.drain(..).map(|(end, _)| end.min(run_on)));
+            self.lingering.extend(router.in_flight.drain(..).map(|(end, _)| end.min(run_on)));
         }
     }
 
@@ -198,7 +198,7 @@
 
     /// Passes one step.
     pub fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_NS;
         while let Some(entry) = self.wire.first_entry().filter(|e| e.key().0 <= self.now) {
             let (to, from, message) = entry.remove();
             match self.routers[to].paused {
@@ -216,7 +216,7 @@
                 Mode::Strict => 0.0,
                 Mode::Bounded { over, .. } => over,
             };
-            self.level = (self.level - per_s * (1.0 + over) * STEP as f64 / 1e9).max(0.0);
+            self.level = (self.level - per_s * (1.0 + over) * STEP_NS as f64 / 1e9).max(0.0);
         }
         let order = self.draws.gen_range(0..self.routers.len());
         for i in 0..self.routers.len() {
@@ -238,11 +238,12 @@
         let true_now = self.now;
         let router = &mut self.routers[at];
         let Some(node) = &mut router.node else { return };
-        let (over, out) = std::mem::take(&mut router.out).into_iter().partition(|(end, _)| *end <= true_now);
-        router.out = out;
+        let (over, in_flight) =
+            std::mem::take(&mut router.in_flight).into_iter().partition(|(end, _)| *end <= true_now);
+        router.in_flight = in_flight;
         let over: Vec<(u64, Permit)> = over;
         over.into_iter().for_each(|(_, permit)| node.release(permit));
-        let mut due = router.demand * STEP as f64 / 1e9;
+        let mut due = router.demand * STEP_NS as f64 / 1e9;
         while due > 0.0 && self.draws.gen_bool(due.min(1.0)) {
             due -= 1.0;
             if let Ok(permit) = node.admit(now, &[(0, 0)]) {
@@ -250,7 +251,7 @@
                 self.level += 1.0;
                 self.sent.push_back(true_now);
                 let lasts = self.draws.gen_range(50 * MS..self.params.max_request_ns);
-                router.out.push((true_now + lasts, permit));
+                router.in_flight.push((true_now + lasts, permit));
             }
         }
         for (to, message) in node.tick(now) {
@@ -259,14 +260,14 @@
     }
 
     /// Requests that are out.
-    pub fn out(&self) -> usize {
-        let out = |r: &Router| r.out.iter().filter(|(end, _)| *end > self.now).count();
-        self.routers.iter().map(out).sum::<usize>() + self.lingering.len()
+    pub fn in_flight(&self) -> usize {
+        let in_flight = |r: &Router| r.in_flight.iter().filter(|(end, _)| *end > self.now).count();
+        self.routers.iter().map(in_flight).sum::<usize>() + self.lingering.len()
     }
 
     fn look(&mut self) {
         let (is, most) = match self.limit.kind {
-            Kind::Concurrency { at_once } => (self.out() as f64, f64::from(at_once)),
+            Kind::Concurrency { at_once } => (self.in_flight() as f64, f64::from(at_once)),
             Kind::Rate { burst, .. } => (self.level, f64::from(burst)),
             Kind::Window { units, window_ns } => {
                 let ended = self.now.saturating_sub(window_ns);
@@ -281,7 +282,7 @@
 
     /// Passes a time (ms).
     pub fn run(&mut self, ms: u64) {
-        (0..ms * MS / STEP).for_each(|_| self.step());
+        (0..ms * MS / STEP_NS).for_each(|_| self.step());
     }
 
     /// Cuts the routers into parts.
