--- a/crates/testkit/src/lease_fleet.rs
+++ b/crates/testkit/src/lease_fleet.rs
@@ -18,21 +18,23 @@
 
 /// What a link does to messages.
 #[derive(Clone, Copy)]
-pub struct Net {
+pub struct NetworkConditions {
     /// Part that is lost.
     pub loss: f64,
     /// Part that comes twice.
     pub duplication: f64,
     /// Delay at least (ns), and chance's part on top (ns).
-    pub delay: u64,
+    pub delay_ns: u64,
     /// Chance's part of the delay (ns).
-    pub jitter: u64,
+    pub jitter_ns: u64,
 }
 
 /// A wire that is well.
-pub const WELL: Net = Net { loss: 0.0, duplication: 0.0, delay: MS, jitter: 2 * MS };
+pub const HEALTHY: NetworkConditions =
+    NetworkConditions { loss: 0.0, duplication: 0.0, delay_ns: MS, jitter_ns: 2 * MS };
 /// One that loses a third, doubles a fifth, and puts the rest out of order.
-pub const BAD: Net = Net { loss: 0.3, duplication: 0.2, delay: 20 * MS, jitter: 900 * MS };
+pub const LOSSY: NetworkConditions =
+    NetworkConditions { loss: 0.3, duplication: 0.2, delay_ns: 20 * MS, jitter_ns: 900 * MS };
 
 /// One router.
 pub struct Router {
@@ -42,7 +44,7 @@
     limit: Limit,
     incarnation: u64,
     /// Its clock: true time times this, from where it started.
-    rate: f64,
+    clock_rate: f64,
     /// It stands still.
     pub paused: bool,
     inbox: Vec<(Peer, Message)>,
@@ -63,17 +65,17 @@
     pub now: u64,
     /// What chance draws from.
     pub draws: StdRng,
-    net: Net,
+    network: NetworkConditions,
     /// Links that carry nothing, from one to another.
     pub partitioned: BTreeSet<(usize, usize)>,
-    wire: BTreeMap<(u64, u64), (usize, Peer, Message)>,
-    serial: u64,
+    in_transit: BTreeMap<(u64, u64), (usize, Peer, Message)>,
+    sequence: u64,
     /// When what routers that died had out is over.
-    lingering: Vec<u64>,
+    orphaned: Vec<u64>,
     /// A bucket that drains as fast as the rate allows: what it holds is what was admitted at once.
-    level: f64,
+    bucket_level: f64,
     /// When what a window's limit still counts was admitted (ns).
-    sent: VecDeque<u64>,
+    admissions: VecDeque<u64>,
     /// The most that was out, or admitted at once or in a window, over the limit (ratio).
     pub worst: f64,
     /// Requests admitted.
@@ -90,7 +92,7 @@
             node: None,
             limit: limit.clone(),
             incarnation: 0,
-            rate: 1.0 + draws.gen_range(-drift..=drift),
+            clock_rate: 1.0 + draws.gen_range(-drift..=drift),
             paused: false,
             inbox: Vec::new(),
             in_flight: Vec::new(),
@@ -103,13 +105,13 @@
             routers,
             now: 1_000 * S,
             draws,
-            net: WELL,
+            network: HEALTHY,
             partitioned: BTreeSet::new(),
-            wire: BTreeMap::new(),
-            serial: 0,
-            lingering: Vec::new(),
-            level: 0.0,
-            sent: VecDeque::new(),
+            in_transit: BTreeMap::new(),
+            sequence: 0,
+            orphaned: Vec::new(),
+            bucket_level: 0.0,
+            admissions: VecDeque::new(),
             worst: 0.0,
             admitted: 0,
             messages: 0,
@@ -119,7 +121,7 @@
     }
 
     fn clock(&self, at: usize) -> u64 {
-        (self.now as f64 * self.routers[at].rate) as u64
+        (self.now as f64 * self.routers[at].clock_rate) as u64
     }
 
     /// Starts a router that is not there.
@@ -147,10 +149,10 @@
 
     /// Ends a router at once; what it had out runs on for a while.
     pub fn kill(&mut self, at: usize) {
-        let run_on = self.now + self.params.orphan_ns;
+        let orphan_end = self.now + self.params.orphan_ns;
         let router = &mut self.routers[at];
         if router.node.take().is_some() {
-            self.lingering.extend(router.in_flight.drain(..).map(|(end, _)| end.min(run_on)));
+            self.orphaned.extend(router.in_flight.drain(..).map(|(end, _)| end.min(orphan_end)));
         }
     }
 
@@ -159,15 +161,15 @@
         let to = to as usize;
         if to >= self.routers.len()
             || self.partitioned.contains(&(from, to))
-            || self.draws.gen_bool(self.net.loss)
+            || self.draws.gen_bool(self.network.loss)
         {
             return;
         }
         let peer = Peer { number: from as u32, incarnation: self.routers[from].incarnation };
-        for _ in 0..=u32::from(self.draws.gen_bool(self.net.duplication)) {
-            self.serial += 1;
-            let due = self.now + self.net.delay + self.draws.gen_range(0..=self.net.jitter);
-            self.wire.insert((due, self.serial), (to, peer, message.clone()));
+        for _ in 0..=u32::from(self.draws.gen_bool(self.network.duplication)) {
+            self.sequence += 1;
+            let due = self.now + self.network.delay_ns + self.draws.gen_range(0..=self.network.jitter_ns);
+            self.in_transit.insert((due, self.sequence), (to, peer, message.clone()));
         }
     }
 
@@ -184,12 +186,12 @@
     pub fn update_reachable_peers(&mut self) {
         for at in 0..self.routers.len() {
             let now = self.clock(at);
-            let both = |other: &usize| {
+            let is_connected = |other: &usize| {
                 !self.partitioned.contains(&(at, *other)) && !self.partitioned.contains(&(*other, at))
             };
             let others =
                 (0..self.routers.len()).filter(|other| *other != at && self.routers[*other].node.is_some());
-            let peers = others.filter(both).map(|other| other as u32).collect();
+            let peers = others.filter(is_connected).map(|other| other as u32).collect();
             if let Some(node) = &mut self.routers[at].node {
                 node.set_reachable(now, peers);
             }
@@ -199,7 +201,7 @@
     /// Passes one step.
     pub fn step(&mut self) {
         self.now += STEP_NS;
-        while let Some(entry) = self.wire.first_entry().filter(|e| e.key().0 <= self.now) {
+        while let Some(entry) = self.in_transit.first_entry().filter(|e| e.key().0 <= self.now) {
             let (to, from, message) = entry.remove();
             match self.routers[to].paused {
                 true => self.routers[to].inbox.push((from, message)),
@@ -209,14 +211,14 @@
         if self.now % (500 * MS) == 0 {
             self.update_reachable_peers();
         }
-        self.lingering.retain(|end| *end > self.now);
+        self.orphaned.retain(|end| *end > self.now);
         if let Kind::Rate { per_s, .. } = self.limit.kind {
             // What a bounded limit may be over by drains with the rest: that is how far over a rate may be, not how much in all.
             let over = match self.limit.mode {
                 Mode::Strict => 0.0,
                 Mode::Bounded { over, .. } => over,
             };
-            self.level = (self.level - per_s * (1.0 + over) * STEP_NS as f64 / 1e9).max(0.0);
+            self.bucket_level = (self.bucket_level - per_s * (1.0 + over) * STEP_NS as f64 / 1e9).max(0.0);
         }
         let order = self.draws.gen_range(0..self.routers.len());
         for i in 0..self.routers.len() {
@@ -227,31 +229,31 @@
             for (from, message) in std::mem::take(&mut self.routers[at].inbox) {
                 self.receive(at, from, message);
             }
-            self.live(at);
+            self.run_router(at);
         }
-        self.look();
+        self.record_usage();
     }
 
     /// One router's own round: what is over, what is asked, what is said.
-    fn live(&mut self, at: usize) {
+    fn run_router(&mut self, at: usize) {
         let now = self.clock(at);
         let true_now = self.now;
         let router = &mut self.routers[at];
         let Some(node) = &mut router.node else { return };
-        let (over, in_flight) =
+        let (finished, in_flight) =
             std::mem::take(&mut router.in_flight).into_iter().partition(|(end, _)| *end <= true_now);
         router.in_flight = in_flight;
-        let over: Vec<(u64, Permit)> = over;
-        over.into_iter().for_each(|(_, permit)| node.release(permit));
+        let finished: Vec<(u64, Permit)> = finished;
+        finished.into_iter().for_each(|(_, permit)| node.release(permit));
         let mut due = router.demand * STEP_NS as f64 / 1e9;
         while due > 0.0 && self.draws.gen_bool(due.min(1.0)) {
             due -= 1.0;
             if let Ok(permit) = node.admit(now, &[(0, 0)]) {
                 self.admitted += 1;
-                self.level += 1.0;
-                self.sent.push_back(true_now);
-                let lasts = self.draws.gen_range(50 * MS..self.params.max_request_ns);
-                router.in_flight.push((true_now + lasts, permit));
+                self.bucket_level += 1.0;
+                self.admissions.push_back(true_now);
+                let duration_ns = self.draws.gen_range(50 * MS..self.params.max_request_ns);
+                router.in_flight.push((true_now + duration_ns, permit));
             }
         }
         for (to, message) in node.tick(now) {
@@ -262,22 +264,22 @@
     /// Requests that are out.
     pub fn in_flight(&self) -> usize {
         let in_flight = |r: &Router| r.in_flight.iter().filter(|(end, _)| *end > self.now).count();
-        self.routers.iter().map(in_flight).sum::<usize>() + self.lingering.len()
+        self.routers.iter().map(in_flight).sum::<usize>() + self.orphaned.len()
     }
 
-    fn look(&mut self) {
-        let (is, most) = match self.limit.kind {
+    fn record_usage(&mut self) {
+        let (used, limit) = match self.limit.kind {
             Kind::Concurrency { at_once } => (self.in_flight() as f64, f64::from(at_once)),
-            Kind::Rate { burst, .. } => (self.level, f64::from(burst)),
+            Kind::Rate { burst, .. } => (self.bucket_level, f64::from(burst)),
             Kind::Window { units, window_ns } => {
-                let ended = self.now.saturating_sub(window_ns);
-                while self.sent.front().is_some_and(|at| *at <= ended) {
-                    self.sent.pop_front();
+                let window_start = self.now.saturating_sub(window_ns);
+                while self.admissions.front().is_some_and(|at| *at <= window_start) {
+                    self.admissions.pop_front();
                 }
-                (self.sent.len() as f64, f64::from(units))
+                (self.admissions.len() as f64, f64::from(units))
             }
         };
-        self.worst = self.worst.max(is / most);
+        self.worst = self.worst.max(used / limit);
     }
 
     /// Passes a time (ms).
@@ -312,8 +314,8 @@
                 self.partitioned.insert((at, to));
             }
             3 => self.partitioned.extend((0..n).map(|other| (other, at))),
-            4 => self.net = BAD,
-            5 => self.net = WELL,
+            4 => self.network = LOSSY,
+            5 => self.network = HEALTHY,
             6 => self.kill(at),
             7 => (0..n).for_each(|at| self.start(at)),
             8 => {
