--- a/crates/testkit/src/health_fleet.rs
+++ b/crates/testkit/src/health_fleet.rs
@@ -16,7 +16,7 @@
 /// Nanoseconds of one step.
 pub const STEP_NS: u64 = 20 * MS;
 /// When all begin.
-const T0: u64 = 1_700_000_000 * S;
+const START_NS: u64 = 1_700_000_000 * S;
 
 /// The fleet.
 pub struct Fleet {
@@ -39,8 +39,8 @@
     pub duplication: f64,
     /// Chance's part of the delay (ns).
     pub jitter_ns: u64,
-    wire: BTreeMap<(u64, u64), (usize, u32, Message)>,
-    serial: u64,
+    in_transit: BTreeMap<(u64, u64), (usize, u32, Message)>,
+    sequence: u64,
     /// What chance draws from.
     pub draws: StdRng,
     /// The engines of the list, and when each started (ms).
@@ -56,18 +56,18 @@
     pub fn new(routers: usize, seed: u64) -> Fleet {
         let params = HealthParams { routers: routers as u32, ..HealthParams::default() };
         let mut fleet = Fleet {
-            now: T0,
+            now: START_NS,
             params,
             nodes: vec![None; routers],
-            persisted: vec![(Overrides::default(), T0); routers],
+            persisted: vec![(Overrides::default(), START_NS); routers],
             paused: BTreeSet::new(),
             inbox: vec![Vec::new(); routers],
             partitioned: BTreeSet::new(),
             loss: 0.0,
             duplication: 0.0,
             jitter_ns: 3 * MS,
-            wire: BTreeMap::new(),
-            serial: 0,
+            in_transit: BTreeMap::new(),
+            sequence: 0,
             draws: StdRng::seed_from_u64(seed),
             engines: (0..20).map(|e| (e, 7)).collect(),
             messages: 0,
@@ -104,17 +104,17 @@
 
     fn send(&mut self, from: usize, to: u32, message: Message) {
         self.messages += 1;
-        let packed = rmp_serde::to_vec(&message).map_or(0, |bytes| bytes.len());
-        assert!(packed <= 1_000, "{packed} bytes: {message:?}");
-        self.bytes += packed as u64;
+        let packed_bytes = rmp_serde::to_vec(&message).map_or(0, |bytes| bytes.len());
+        assert!(packed_bytes <= 1_000, "{packed_bytes} bytes: {message:?}");
+        self.bytes += packed_bytes as u64;
         let to = to as usize;
         if self.partitioned.contains(&(from, to)) || self.draws.gen_bool(self.loss) {
             return;
         }
         for _ in 0..=u32::from(self.draws.gen_bool(self.duplication)) {
-            self.serial += 1;
+            self.sequence += 1;
             let due = self.now + self.draws.gen_range(0..=self.jitter_ns);
-            self.wire.insert((due, self.serial), (to, from as u32, message.clone()));
+            self.in_transit.insert((due, self.sequence), (to, from as u32, message.clone()));
         }
     }
 
@@ -128,7 +128,7 @@
     pub fn step(&mut self) {
         self.now += STEP_NS;
         let now = self.now;
-        while let Some(entry) = self.wire.first_entry().filter(|e| e.key().0 <= now) {
+        while let Some(entry) = self.in_transit.first_entry().filter(|e| e.key().0 <= now) {
             let (to, from, message) = entry.remove();
             match self.paused.contains(&to) {
                 true => self.inbox[to].push((from, message)),
@@ -139,13 +139,14 @@
             for (from, message) in std::mem::take(&mut self.inbox[at]) {
                 self.receive(at, from, message);
             }
-            let there = |other: &usize| {
+            let is_reachable = |other: &usize| {
                 *other != at
                     && self.nodes[*other].is_some()
                     && !self.partitioned.contains(&(at, *other))
                     && !self.partitioned.contains(&(*other, at))
             };
-            let peers: Vec<u32> = (0..self.nodes.len()).filter(there).map(|other| other as u32).collect();
+            let peers: Vec<u32> =
+                (0..self.nodes.len()).filter(is_reachable).map(|other| other as u32).collect();
             let Some(node) = &mut self.nodes[at] else { continue };
             node.set_peers(peers);
             for (to, message) in node.tick(now) {
@@ -165,12 +166,12 @@
     /// Where that takes longer than `most_ns`.
     #[track_caller]
     pub fn run_until(&mut self, most_ns: u64, what: &str, condition: impl Fn(&mut Fleet) -> bool) -> u64 {
-        let began = self.now;
+        let start_ns = self.now;
         while !condition(self) {
-            assert!(self.now - began <= most_ns, "not within {} ms: {what}", most_ns / MS);
+            assert!(self.now - start_ns <= most_ns, "not within {} ms: {what}", most_ns / MS);
             self.step();
         }
-        self.now - began
+        self.now - start_ns
     }
 
     /// A router that is there.
@@ -184,10 +185,10 @@
     }
 
     /// An attempt of a router's ends.
-    pub fn attempt_ended(&mut self, at: usize, engine: u64, went: AttemptOutcome) {
+    pub fn attempt_ended(&mut self, at: usize, engine: u64, outcome: AttemptOutcome) {
         let now = self.now;
         let started = self.engines.iter().find(|(id, _)| *id == engine).map_or(0, |(_, at)| *at);
-        self.node(at).ended(now, (engine, started), 0, now - 50 * MS, went);
+        self.node(at).ended(now, (engine, started), 0, now - 50 * MS, outcome);
     }
 
     /// Cuts the routers into parts.
