--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -484,18 +484,18 @@
     }
 
     /// How the list service behaves from here on.
-    pub fn set_list_behavior(&mut self, manner: Behavior) {
+    pub fn set_list_behavior(&mut self, behavior: Behavior) {
         let now = self.clock.now_ns();
-        self.serving = manner == Behavior::Normal;
+        self.serving = behavior == Behavior::Normal;
         for router in &mut self.routers {
             router.disconnected_since_ns = self.serving.then_some(now).filter(|_| router.process.is_some());
         }
-        self.list.set_manner(&mut self.net, manner);
+        self.list.set_behavior(&mut self.net, behavior);
     }
 
     /// Closes all streams at once.
     pub fn close_list_streams(&mut self) {
-        self.list.drop_all(&mut self.net);
+        self.list.close_all_streams(&mut self.net);
     }
 
     /// The list service starts anew, with numbers from 1.
@@ -536,7 +536,7 @@
             named.clone()
         };
         match fault {
-            Fault::ListBehavior(manner) => self.set_list_behavior(manner.clone()),
+            Fault::ListBehavior(behavior) => self.set_list_behavior(behavior.clone()),
             Fault::ListCapacity(calls) => self.list.set_capacity(*calls),
             Fault::RestartList => self.restart_list(),
             Fault::CloseStreams => self.close_list_streams(),
--- a/crates/testkit/src/list.rs
+++ b/crates/testkit/src/list.rs
@@ -11,7 +11,7 @@
 
 use crate::server::{listen, parse_request};
 
-const COMMENT_NS: u64 = 1_000_000_000;
+const COMMENT_INTERVAL_NS: u64 = 1_000_000_000;
 
 /// How the service behaves.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,19 +40,19 @@
     /// By which router.
     pub router: usize,
     /// It was taken.
-    pub taken: bool,
+    pub accepted: bool,
 }
 
 /// A router's stream.
 #[derive(Debug)]
 struct Subscriber {
     router: usize,
-    follows_ns: Option<u64>,
+    subscribed_ns: Option<u64>,
 }
 
 /// What one router's door is like, and what its router was told.
 #[derive(Debug)]
-struct Door {
+struct RouterEndpoint {
     listener: TcpListener,
     address: SocketAddr,
     /// Nothing passes, in either direction; connections stay.
@@ -62,16 +62,16 @@
 /// The service.
 #[derive(Debug)]
 pub struct ListService {
-    doors: Vec<Door>,
+    endpoints: Vec<RouterEndpoint>,
     first_token: usize,
-    manner: Behavior,
+    behavior: Behavior,
     /// Calls a second that it takes, and calls that it takes at once after a rest.
     capacity: f64,
     tokens: f64,
-    refilled_ns: u64,
-    followers: HashMap<u64, Subscriber>,
+    refilled_at_ns: u64,
+    subscribers: HashMap<u64, Subscriber>,
     events: Vec<(u64, String, Vec<String>)>,
-    commented_ns: u64,
+    last_comment_ns: u64,
     /// All calls, in order.
     pub calls: Vec<CallRecord>,
     /// By router and engine, when the router was first told that the engine drains or is gone (ns).
@@ -92,21 +92,21 @@
         routers: usize,
         capacity: f64,
     ) -> std::io::Result<ListService> {
-        let mut doors = Vec::new();
+        let mut endpoints = Vec::new();
         for i in 0..routers {
             let (listener, address) = listen(registry, first_token + i)?;
-            doors.push(Door { listener, address, partitioned: false });
+            endpoints.push(RouterEndpoint { listener, address, partitioned: false });
         }
         Ok(ListService {
-            doors,
+            endpoints,
             first_token,
-            manner: Behavior::Normal,
+            behavior: Behavior::Normal,
             capacity,
             tokens: capacity,
-            refilled_ns: 0,
-            followers: HashMap::new(),
+            refilled_at_ns: 0,
+            subscribers: HashMap::new(),
             events: Vec::new(),
-            commented_ns: 0,
+            last_comment_ns: 0,
             calls: Vec::new(),
             notified_ns: BTreeMap::new(),
             connected: vec![None; routers],
@@ -115,17 +115,17 @@
 
     /// Where a router finds it.
     pub fn address(&self, router: usize) -> SocketAddr {
-        self.doors[router].address
+        self.endpoints[router].address
     }
 
     /// Whether a listener's token is of one of its doors.
     pub fn has_token(&self, token: usize) -> bool {
-        (self.first_token..self.first_token + self.doors.len()).contains(&token)
+        (self.first_token..self.first_token + self.endpoints.len()).contains(&token)
     }
 
     /// Whether a connection is one of its own.
     pub fn owns(&self, conn: u64) -> bool {
-        self.followers.contains_key(&conn)
+        self.subscribers.contains_key(&conn)
     }
 
     /// Routers with a stream that is up.
@@ -144,38 +144,38 @@
     }
 
     /// Behaves so from here on. Away and back, it begins rested and with no connection.
-    pub fn set_manner(&mut self, net: &mut Net, manner: Behavior) {
-        if manner == Behavior::Unavailable {
-            self.drop_all(net);
+    pub fn set_behavior(&mut self, net: &mut Net, behavior: Behavior) {
+        if behavior == Behavior::Unavailable {
+            self.close_all_streams(net);
             self.tokens = self.capacity;
         }
-        self.manner = manner;
+        self.behavior = behavior;
     }
 
     /// Closes all streams at once.
-    pub fn drop_all(&mut self, net: &mut Net) {
-        let conns: Vec<u64> = self.followers.keys().copied().collect();
+    pub fn close_all_streams(&mut self, net: &mut Net) {
+        let conns: Vec<u64> = self.subscribers.keys().copied().collect();
         conns.into_iter().for_each(|conn| self.close(net, conn));
     }
 
     /// Starts anew: its numbers begin at 1 with what the list is now.
     pub fn restart(&mut self, net: &mut Net, list: &Value) {
-        self.drop_all(net);
+        self.close_all_streams(net);
         self.events.clear();
         self.publish(0, net, list, &[]);
     }
 
     /// Cuts a router's link, or mends it. What was on its way comes when it is mended.
     pub fn set_partitioned(&mut self, router: usize, partitioned: bool) {
-        self.doors[router].partitioned = partitioned;
+        self.endpoints[router].partitioned = partitioned;
     }
 
     fn close(&mut self, net: &mut Net, conn: u64) {
-        if let Some(follower) = self.followers.remove(&conn) {
+        if let Some(subscriber) = self.subscribers.remove(&conn) {
             let others =
-                self.followers.values().any(|f| f.router == follower.router && f.follows_ns.is_some());
-            if follower.follows_ns.is_some() && !others {
-                self.connected[follower.router] = None;
+                self.subscribers.values().any(|f| f.router == subscriber.router && f.subscribed_ns.is_some());
+            if subscriber.subscribed_ns.is_some() && !others {
+                self.connected[subscriber.router] = None;
             }
         }
         net.close(conn);
@@ -184,26 +184,26 @@
     /// Takes new connections at a door.
     pub fn accept(&mut self, now: u64, net: &mut Net, token: usize) {
         let router = token - self.first_token;
-        while let Ok((stream, _)) = self.doors[router].listener.accept() {
+        while let Ok((stream, _)) = self.endpoints[router].listener.accept() {
             // Those of a service that is away are reset, as the owner of the number tells the sockets.
-            let owner = if self.manner == Behavior::Unavailable { Owner::Engine } else { Owner::Discovery };
+            let owner = if self.behavior == Behavior::Unavailable { Owner::Engine } else { Owner::Discovery };
             let Ok(conn) = net.add_accepted(stream, owner) else { continue };
-            if self.manner == Behavior::Unavailable {
-                self.calls.push(CallRecord { at_ns: now, router, taken: false });
+            if self.behavior == Behavior::Unavailable {
+                self.calls.push(CallRecord { at_ns: now, router, accepted: false });
                 net.close(conn);
             } else {
-                self.followers.insert(conn, Subscriber { router, follows_ns: None });
+                self.subscribers.insert(conn, Subscriber { router, subscribed_ns: None });
             }
         }
     }
 
-    fn takes(&mut self, now: u64) -> bool {
-        let passed = now.saturating_sub(self.refilled_ns) as f64 / 1e9;
+    fn accepts(&mut self, now: u64) -> bool {
+        let passed = now.saturating_sub(self.refilled_at_ns) as f64 / 1e9;
         self.tokens = (self.tokens + passed * self.capacity).min(self.capacity);
-        self.refilled_ns = now;
-        let takes = self.tokens >= 1.0;
-        self.tokens -= if takes { 1.0 } else { 0.0 };
-        takes
+        self.refilled_at_ns = now;
+        let accepts = self.tokens >= 1.0;
+        self.tokens -= if accepts { 1.0 } else { 0.0 };
+        accepts
     }
 
     /// Tells the fleet an event of this list; `leaving` are the engines that drain or are gone by it. Gives its number.
@@ -211,10 +211,10 @@
         let index = self.events.last().map_or(1, |(index, ..)| index + 1);
         let data = serde_json::json!({"index": index, "endpoints": list});
         let text = format!("id: {index}\ndata: {data}\n\n");
-        for (conn, follower) in &self.followers {
-            if follower.follows_ns.is_some() && !self.doors[follower.router].partitioned {
+        for (conn, subscriber) in &self.subscribers {
+            if subscriber.subscribed_ns.is_some() && !self.endpoints[subscriber.router].partitioned {
                 net.send(*conn, text.as_bytes());
-                note_told(&mut self.notified_ns, now, follower.router, leaving);
+                record_notified(&mut self.notified_ns, now, subscriber.router, leaving);
             }
         }
         self.events.push((index, text, leaving.to_vec()));
@@ -223,9 +223,9 @@
 
     /// Takes what has come in on one of its connections.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) {
-        let Some(follower) = self.followers.get(&conn) else { return };
-        let router = follower.router;
-        if self.doors[router].partitioned {
+        let Some(subscriber) = self.subscribers.get(&conn) else { return };
+        let router = subscriber.router;
+        if self.endpoints[router].partitioned {
             return;
         }
         if net.service(conn).ended.is_some() {
@@ -233,14 +233,15 @@
         }
         let Ok(Some(call)) = parse_request(net.input(conn)) else { return };
         net.consume(conn, call.size);
-        let takes = matches!(self.manner, Behavior::Normal | Behavior::ClosesAfter(_)) && self.takes(now);
-        self.calls.push(CallRecord { at_ns: now, router, taken: takes });
-        let turned = |after: &str| {
+        let accepts =
+            matches!(self.behavior, Behavior::Normal | Behavior::ClosesAfter(_)) && self.accepts(now);
+        self.calls.push(CallRecord { at_ns: now, router, accepted: accepts });
+        let rejection = |after: &str| {
             format!(
                 "HTTP/1.1 503 Busy\r\nRetry-After: {after}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
             )
         };
-        match &self.manner {
+        match &self.behavior {
             Behavior::NoResponse => return,
             Behavior::InvalidResponse => {
                 net.send(conn, b"\x00\xff\xfe\r\nnonsense\r\n\r\n");
@@ -251,11 +252,11 @@
                 return self.close(net, conn);
             }
             Behavior::Rejecting(after) => {
-                net.send(conn, turned(after).as_bytes());
+                net.send(conn, rejection(after).as_bytes());
                 return self.close(net, conn);
             }
-            _ if !takes => {
-                net.send(conn, turned("1").as_bytes());
+            _ if !accepts => {
+                net.send(conn, rejection("1").as_bytes());
                 return self.close(net, conn);
             }
             _ => {}
@@ -263,31 +264,32 @@
         let last: u64 = call.fields.get("last-event-id").and_then(|v| v.parse().ok()).unwrap_or(0);
         // Who asks behind a number that it never gave hears the whole list.
         let newest = self.events.last().map_or(0, |(index, ..)| *index);
-        let behind = if last > newest { 0 } else { last };
+        let resume_after = if last > newest { 0 } else { last };
         net.send(conn, b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:hi\n\n");
-        for (_, text, leaving) in self.events.iter().filter(|(index, ..)| *index > behind) {
+        for (_, text, leaving) in self.events.iter().filter(|(index, ..)| *index > resume_after) {
             net.send(conn, text.as_bytes());
-            note_told(&mut self.notified_ns, now, router, leaving);
+            record_notified(&mut self.notified_ns, now, router, leaving);
         }
-        if let Some(follower) = self.followers.get_mut(&conn) {
-            follower.follows_ns = Some(now);
+        if let Some(subscriber) = self.subscribers.get_mut(&conn) {
+            subscriber.subscribed_ns = Some(now);
         }
         self.connected[router] = Some(now);
     }
 
     /// Passes time: a comment each second, and the end of streams that are closed after a while.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
-        if let Behavior::ClosesAfter(after) = self.manner {
-            let over = |f: &Subscriber| f.follows_ns.is_some_and(|since| now >= since + after);
-            let over: Vec<u64> = self.followers.iter().filter(|(_, f)| over(f)).map(|(c, _)| *c).collect();
-            over.into_iter().for_each(|conn| self.close(net, conn));
+        if let Behavior::ClosesAfter(after) = self.behavior {
+            let expired = |f: &Subscriber| f.subscribed_ns.is_some_and(|since| now >= since + after);
+            let expired: Vec<u64> =
+                self.subscribers.iter().filter(|(_, f)| expired(f)).map(|(c, _)| *c).collect();
+            expired.into_iter().for_each(|conn| self.close(net, conn));
         }
-        if now < self.commented_ns + COMMENT_NS || self.manner == Behavior::NoResponse {
+        if now < self.last_comment_ns + COMMENT_INTERVAL_NS || self.behavior == Behavior::NoResponse {
             return;
         }
-        self.commented_ns = now;
-        for (conn, follower) in &self.followers {
-            if follower.follows_ns.is_some() && !self.doors[follower.router].partitioned {
+        self.last_comment_ns = now;
+        for (conn, subscriber) in &self.subscribers {
+            if subscriber.subscribed_ns.is_some() && !self.endpoints[subscriber.router].partitioned {
                 net.send(*conn, b":\n\n");
             }
         }
@@ -296,12 +298,17 @@
     /// Looks again at what waited at a link that was cut.
     pub fn deliver_delayed(&mut self, now: u64, net: &mut Net, router: usize) {
         let conns: Vec<u64> =
-            self.followers.iter().filter(|(_, f)| f.router == router).map(|(c, _)| *c).collect();
+            self.subscribers.iter().filter(|(_, f)| f.router == router).map(|(c, _)| *c).collect();
         conns.into_iter().for_each(|conn| self.ready(now, net, conn));
     }
 }
 
-fn note_told(notified_ns: &mut BTreeMap<(usize, String), u64>, now: u64, router: usize, leaving: &[String]) {
+fn record_notified(
+    notified_ns: &mut BTreeMap<(usize, String), u64>,
+    now: u64,
+    router: usize,
+    leaving: &[String],
+) {
     for uid in leaving {
         notified_ns.entry((router, uid.clone())).or_insert(now);
     }
