--- a/crates/testkit/src/hollow/service.rs
+++ b/crates/testkit/src/hollow/service.rs
@@ -298,7 +298,7 @@
             Ok(None) => return,
             Err(()) => return self.close(token),
         };
-        let last = call.fields.get("last-event-id").and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
+        let last = call.headers.get("last-event-id").and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
         connection.input.clear();
         let takes = self.takes_call();
         let Some(connection) = self.connections.get_mut(&token) else { return };
--- a/crates/testkit/src/list.rs
+++ b/crates/testkit/src/list.rs
@@ -231,8 +231,8 @@
         if net.service(conn).ended.is_some() {
             return self.close(net, conn);
         }
-        let Ok(Some(call)) = parse_request(net.input(conn)) else { return };
-        net.consume(conn, call.size);
+        let Ok(Some(request)) = parse_request(net.input(conn)) else { return };
+        net.consume(conn, request.size);
         let accepts =
             matches!(self.behavior, Behavior::Normal | Behavior::ClosesAfter(_)) && self.accepts(now);
         self.calls.push(CallRecord { at_ns: now, router, accepted: accepts });
@@ -261,7 +261,7 @@
             }
             _ => {}
         }
-        let last: u64 = call.fields.get("last-event-id").and_then(|v| v.parse().ok()).unwrap_or(0);
+        let last: u64 = request.headers.get("last-event-id").and_then(|v| v.parse().ok()).unwrap_or(0);
         // Who asks behind a number that it never gave hears the whole list.
         let newest = self.events.last().map_or(0, |(index, ..)| *index);
         let resume_after = if last > newest { 0 } else { last };
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -10,9 +10,9 @@
 use crate::engine::{ColdStart, CpuModel, QueryStatus};
 
 /// Longest wait for a query's end before a note is given (ns).
-const WAIT_NS: u64 = 250_000_000;
+const LONG_POLL_NS: u64 = 250_000_000;
 /// How often load reports are made anew (ns).
-const REPORT_NS: u64 = 200_000_000;
+const LOAD_REPORT_INTERVAL_NS: u64 = 200_000_000;
 /// Answer of a query that ended.
 const ROWS: &str = "a\tb\tc\n";
 
@@ -25,15 +25,15 @@
 }
 
 /// A call that has come whole.
-pub(crate) struct Call {
+pub(crate) struct HttpRequest {
     method: String,
     path: String,
-    pub(crate) fields: HashMap<String, String>,
+    pub(crate) headers: HashMap<String, String>,
     body: String,
     pub(crate) size: usize,
 }
 
-pub(crate) fn parse_request(input: &[u8]) -> Result<Option<Call>, ()> {
+pub(crate) fn parse_request(input: &[u8]) -> Result<Option<HttpRequest>, ()> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut request = httparse::Request::new(&mut headers);
     let head = match request.parse(input) {
@@ -42,16 +42,16 @@
         Err(_) => return Err(()),
     };
     let text = |v: &[u8]| String::from_utf8_lossy(v).into_owned();
-    let fields: HashMap<String, String> =
+    let headers: HashMap<String, String> =
         request.headers.iter().map(|h| (h.name.to_ascii_lowercase(), text(h.value))).collect();
-    let length = fields.get("content-length").map_or(Ok(0), |v| v.parse()).map_err(|_| ())?;
+    let length = headers.get("content-length").map_or(Ok(0), |v| v.parse()).map_err(|_| ())?;
     if input.len() < head + length {
         return Ok(None);
     }
-    Ok(Some(Call {
+    Ok(Some(HttpRequest {
         method: request.method.unwrap_or("").to_owned(),
         path: request.path.unwrap_or("").to_owned(),
-        fields,
+        headers,
         body: text(&input[head..head + length]),
         size: head + length,
     }))
@@ -68,8 +68,8 @@
     pub uid: String,
     cores: CpuModel,
     conns: HashSet<u64>,
-    waiting: Vec<(u64, String, u64)>,
-    report: (u64, String),
+    pending_polls: Vec<(u64, String, u64)>,
+    load_report: (u64, String),
     /// How often each query of a class that must not run twice was started here.
     pub at_most_once_starts: BTreeMap<String, u32>,
     /// Queries started.
@@ -78,7 +78,7 @@
     pub accepted: u64,
     /// Connections whose first call started a query.
     pub opened_for_work: u64,
-    fresh: HashSet<u64>,
+    unused_conns: HashSet<u64>,
     /// Connections that it holds at most; others are closed as they come.
     pub max_connections: usize,
     /// What came while it was told to be watched: all calls that start a query.
@@ -117,13 +117,13 @@
             uid: uid.to_owned(),
             cores: CpuModel::new(now, cores),
             conns: HashSet::new(),
-            waiting: Vec::new(),
-            report: (0, String::new()),
+            pending_polls: Vec::new(),
+            load_report: (0, String::new()),
             at_most_once_starts: BTreeMap::new(),
             started: 0,
             accepted: 0,
             opened_for_work: 0,
-            fresh: HashSet::new(),
+            unused_conns: HashSet::new(),
             max_connections: usize::MAX,
             sends: None,
             cold: None,
@@ -153,7 +153,7 @@
             }
             if let Ok(conn) = net.add_accepted(stream, Owner::Engine) {
                 self.accepted += 1;
-                self.fresh.insert(conn);
+                self.unused_conns.insert(conn);
                 self.conns.insert(conn);
             }
         }
@@ -163,19 +163,19 @@
     pub fn crash(&mut self, net: &mut Net) {
         self.listener = None;
         self.conns.drain().for_each(|conn| net.close(conn));
-        self.waiting.clear();
+        self.pending_polls.clear();
         self.cores = CpuModel::new(0, 0.0);
     }
 
     fn answer(&mut self, now: u64, net: &mut Net, conn: u64, status: &str, extra: &str, body: &str) {
-        if now >= self.report.0 + REPORT_NS {
+        if now >= self.load_report.0 + LOAD_REPORT_INTERVAL_NS {
             let (query_count, busy) = (self.cores.query_count(), self.cores.busy());
-            self.report = (now, format!("inflight:{query_count};util:{busy:.2}"));
+            self.load_report = (now, format!("inflight:{query_count};util:{busy:.2}"));
         }
-        let report = &self.report.1;
+        let load_report = &self.load_report.1;
         let length = body.len();
         let text = format!(
-            "HTTP/1.1 {status}\r\nContent-Length: {length}\r\nLoad-Report: {report}\r\n{extra}\r\n{body}"
+            "HTTP/1.1 {status}\r\nContent-Length: {length}\r\nLoad-Report: {load_report}\r\n{extra}\r\n{body}"
         );
         net.send(conn, text.as_bytes());
     }
@@ -184,8 +184,8 @@
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) {
         if net.service(conn).ended.is_some() {
             self.conns.remove(&conn);
-            self.fresh.remove(&conn);
-            self.waiting.retain(|(c, ..)| *c != conn);
+            self.unused_conns.remove(&conn);
+            self.pending_polls.retain(|(c, ..)| *c != conn);
             return net.close(conn);
         }
         loop {
@@ -195,30 +195,30 @@
                     self.conns.remove(&conn);
                     return net.close(conn);
                 }
-                Ok(Some(call)) => {
-                    net.consume(conn, call.size);
-                    self.call(now, net, conn, call);
+                Ok(Some(request)) => {
+                    net.consume(conn, request.size);
+                    self.handle_request(now, net, conn, request);
                 }
             }
         }
     }
 
-    fn call(&mut self, now: u64, net: &mut Net, conn: u64, call: Call) {
-        if self.fresh.remove(&conn) {
-            self.opened_for_work += u64::from(call.method == "POST");
+    fn handle_request(&mut self, now: u64, net: &mut Net, conn: u64, request: HttpRequest) {
+        if self.unused_conns.remove(&conn) {
+            self.opened_for_work += u64::from(request.method == "POST");
         }
-        let parts: Vec<&str> = call.path.trim_start_matches('/').split('/').collect();
-        match (call.method.as_str(), &parts[..]) {
+        let parts: Vec<&str> = request.path.trim_start_matches('/').split('/').collect();
+        match (request.method.as_str(), &parts[..]) {
             ("POST", ["o"]) => {
-                let name = call.fields.get("request-id").cloned().unwrap_or_default();
-                let said = |key: &str| {
-                    let rest = call.body.split_once(key)?.1;
+                let name = request.headers.get("request-id").cloned().unwrap_or_default();
+                let parameter = |key: &str| {
+                    let rest = request.body.split_once(key)?.1;
                     rest.split_whitespace().next()?.parse::<f64>().ok()
                 };
-                let work = said("work=").unwrap_or(1.0) * 1e6;
-                let holds = said("holds=").map(|set| set as u64);
+                let work = parameter("work=").unwrap_or(1.0) * 1e6;
+                let holds = parameter("holds=").map(|set| set as u64);
                 if let Some(sends) = &mut self.sends {
-                    let router = said("router=").map(|at| at as usize);
+                    let router = parameter("router=").map(|at| at as usize);
                     sends.push(QueryStart {
                         at_ns: now,
                         router,
@@ -232,19 +232,21 @@
                 if self.cores.is_full() {
                     return self.answer(now, net, conn, "503 Full", "Never-Ran: 1\r\n", "");
                 }
-                let rank = call.fields.get("pool-rank").and_then(|r| r.parse().ok()).unwrap_or(1);
-                let threads = said("threads=").unwrap_or(1.0);
+                let rank = request.headers.get("pool-rank").and_then(|r| r.parse().ok()).unwrap_or(1);
+                let threads = parameter("threads=").unwrap_or(1.0);
                 if holds.is_some() {
                     *self.at_most_once_starts.entry(name.clone()).or_default() += 1;
                 }
                 self.started += 1;
                 self.cores.start(now, &name, work, threads, rank, holds);
-                self.waiting.push((conn, name, now + WAIT_NS));
+                self.pending_polls.push((conn, name, now + LONG_POLL_NS));
+            }
+            ("GET", ["o", name, "0"]) => {
+                self.pending_polls.push((conn, (*name).to_owned(), now + LONG_POLL_NS))
             }
-            ("GET", ["o", name, "0"]) => self.waiting.push((conn, (*name).to_owned(), now + WAIT_NS)),
             ("GET", ["o", ..]) => self.answer(now, net, conn, "500 No such page", "", ""),
             ("PUT", ["o", name]) => {
-                self.cores.rank(now, name, call.body.trim().parse().unwrap_or(1));
+                self.cores.rank(now, name, request.body.trim().parse().unwrap_or(1));
                 self.answer(now, net, conn, "204 Done", "", "");
             }
             ("DELETE", ["o", name]) => {
@@ -264,7 +266,7 @@
         if let Some(cold) = &self.cold {
             self.cores.set_cores(cold.capacity(now));
         }
-        for (conn, name, until) in std::mem::take(&mut self.waiting) {
+        for (conn, name, until) in std::mem::take(&mut self.pending_polls) {
             match self.cores.poll(now, &name) {
                 QueryStatus::Done => self.answer(now, net, conn, "200 OK", "Chunks: 1\r\n", ROWS),
                 QueryStatus::Unknown => self.answer(now, net, conn, "500 Unknown", "", ""),
@@ -272,14 +274,14 @@
                     let note = format!("Outcome: frac\r\nReading: {share:.3}\r\n");
                     self.answer(now, net, conn, "202 Accepted", &note, "");
                 }
-                QueryStatus::Running(_) => self.waiting.push((conn, name, until)),
+                QueryStatus::Running(_) => self.pending_polls.push((conn, name, until)),
             }
         }
     }
 
     /// When it has something to do next (ns).
     pub fn next_due_ns(&self) -> Option<u64> {
-        let waits = self.waiting.iter().map(|(_, _, until)| *until).min();
+        let waits = self.pending_polls.iter().map(|(_, _, until)| *until).min();
         waits.into_iter().chain(self.cores.next_end_ns()).min().filter(|_| self.is_up())
     }
 }
@@ -291,14 +293,14 @@
     pub address: SocketAddr,
     conns: HashMap<u64, bool>,
     events: Vec<(u64, String)>,
-    told_ns: u64,
+    last_comment_ns: u64,
 }
 
 impl Coordinator {
     /// A coordinator whose first event has the number `index`.
     pub fn new(registry: &Registry, token: usize) -> std::io::Result<Coordinator> {
         let (listener, address) = listen(registry, token)?;
-        Ok(Coordinator { listener, address, conns: HashMap::new(), events: Vec::new(), told_ns: 0 })
+        Ok(Coordinator { listener, address, conns: HashMap::new(), events: Vec::new(), last_comment_ns: 0 })
     }
 
     /// Whether a connection is one of its own.
@@ -318,8 +320,8 @@
     /// Tells an event; `index` must be above those before.
     pub fn publish(&mut self, net: &mut Net, index: u64, data: &serde_json::Value) {
         let text = format!("id: {index}\ndata: {data}\n\n");
-        for (conn, follows) in &self.conns {
-            if *follows {
+        for (conn, subscribed) in &self.conns {
+            if *subscribed {
                 net.send(*conn, text.as_bytes());
             }
         }
@@ -332,9 +334,9 @@
             self.conns.remove(&conn);
             return net.close(conn);
         }
-        let Ok(Some(call)) = parse_request(net.input(conn)) else { return };
-        net.consume(conn, call.size);
-        let last: u64 = call.fields.get("last-event-id").and_then(|v| v.parse().ok()).unwrap_or(0);
+        let Ok(Some(request)) = parse_request(net.input(conn)) else { return };
+        net.consume(conn, request.size);
+        let last: u64 = request.headers.get("last-event-id").and_then(|v| v.parse().ok()).unwrap_or(0);
         net.send(conn, b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:hi\n\n");
         for (_, text) in self.events.iter().filter(|(index, _)| *index > last) {
             net.send(conn, text.as_bytes());
@@ -344,8 +346,8 @@
 
     /// Sends a comment each second.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
-        if now >= self.told_ns + 1_000_000_000 {
-            self.told_ns = now;
+        if now >= self.last_comment_ns + 1_000_000_000 {
+            self.last_comment_ns = now;
             for conn in self.conns.keys() {
                 net.send(*conn, b":\n\n");
             }
