--- a/crates/testkit/src/engine.rs
+++ b/crates/testkit/src/engine.rs
@@ -3,26 +3,26 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Parts of short cores that the four priorities get.
-const RANKS: [f64; 4] = [1.0, 4.0, 8.0, 16.0];
+const PRIORITY_WEIGHTS: [f64; 4] = [1.0, 4.0, 8.0, 16.0];
 /// Threads a core beyond which less work is done in all, what is left of it for each further one, and the least.
-const KNEE: f64 = 2.0;
-const BEYOND: f64 = 0.12;
-const LEAST: f64 = 0.5;
+const MAX_EFFICIENT_THREADS_PER_CORE: f64 = 2.0;
+const EFFICIENCY_LOSS_PER_THREAD: f64 = 0.12;
+const MIN_EFFICIENCY: f64 = 0.5;
 /// A query that nobody asks for in this time is ended (ns).
-const FORGOTTEN_NS: u64 = 2_000_000_000;
+const POLL_TIMEOUT_NS: u64 = 2_000_000_000;
 
 /// A query that runs.
 #[derive(Clone, Debug)]
 struct RunningQuery {
     threads: f64,
     /// Work that is left (core-nanoseconds).
-    left: f64,
-    work: f64,
-    rank: usize,
+    remaining: f64,
+    total_work: f64,
+    priority: usize,
     /// The data set that it holds, and whether it waits for another that does.
-    holds: Option<u64>,
-    waits: bool,
-    asked_ns: u64,
+    data_set: Option<u64>,
+    blocked: bool,
+    last_polled_ns: u64,
 }
 
 /// What the engine knows of a query.
@@ -40,10 +40,10 @@
 #[derive(Debug, Default)]
 pub struct CpuModel {
     cores: f64,
-    jobs: BTreeMap<String, RunningQuery>,
-    done: BTreeMap<String, u64>,
+    queries: BTreeMap<String, RunningQuery>,
+    completed: BTreeMap<String, u64>,
     now: u64,
-    busy: f64,
+    utilization: f64,
 }
 
 impl CpuModel {
@@ -59,146 +59,172 @@
 
     /// Queries that it holds.
     pub fn query_count(&self) -> usize {
-        self.jobs.len()
+        self.queries.len()
     }
 
     /// Share of its cores that was busy of late.
-    pub fn busy(&self) -> f64 {
-        self.busy
+    pub fn utilization(&self) -> f64 {
+        self.utilization
     }
 
     /// Whether it turns further queries away.
     pub fn is_full(&self) -> bool {
-        self.jobs.len() as f64 >= 8.0 * self.cores
+        self.queries.len() as f64 >= 8.0 * self.cores
     }
 
     /// Starts a query of so much work (ns) on so many threads.
-    pub fn start(&mut self, now: u64, name: &str, work: f64, threads: f64, rank: usize, holds: Option<u64>) {
-        self.pass(now);
-        let waits = holds.is_some() && self.jobs.values().any(|j| j.holds == holds);
-        let rank = rank.min(3);
-        let job = RunningQuery { threads, left: work, work, rank, holds, waits, asked_ns: now };
-        self.jobs.insert(name.to_owned(), job);
+    pub fn start(
+        &mut self,
+        now: u64,
+        name: &str,
+        total_work: f64,
+        threads: f64,
+        priority: usize,
+        data_set: Option<u64>,
+    ) {
+        self.advance(now);
+        let blocked = data_set.is_some() && self.queries.values().any(|j| j.data_set == data_set);
+        let priority = priority.min(3);
+        let query = RunningQuery {
+            threads,
+            remaining: total_work,
+            total_work,
+            priority,
+            data_set,
+            blocked,
+            last_polled_ns: now,
+        };
+        self.queries.insert(name.to_owned(), query);
     }
 
     /// What is known of a query; it is asked for by this.
     pub fn poll(&mut self, now: u64, name: &str) -> QueryStatus {
-        self.pass(now);
-        match self.jobs.get_mut(name) {
-            Some(job) => {
-                job.asked_ns = now;
-                QueryStatus::Running(1.0 - job.left / job.work.max(1.0))
+        self.advance(now);
+        match self.queries.get_mut(name) {
+            Some(query) => {
+                query.last_polled_ns = now;
+                QueryStatus::Running(1.0 - query.remaining / query.total_work.max(1.0))
             }
-            None if self.done.contains_key(name) => QueryStatus::Done,
+            None if self.completed.contains_key(name) => QueryStatus::Done,
             None => QueryStatus::Unknown,
         }
     }
 
     /// Changes a query's priority.
-    pub fn rank(&mut self, now: u64, name: &str, rank: usize) {
-        self.pass(now);
-        if let Some(job) = self.jobs.get_mut(name) {
-            job.rank = rank.min(3);
+    pub fn set_priority(&mut self, now: u64, name: &str, priority: usize) {
+        self.advance(now);
+        if let Some(query) = self.queries.get_mut(name) {
+            query.priority = priority.min(3);
         }
     }
 
     /// Ends a query.
     pub fn cancel(&mut self, now: u64, name: &str) {
-        self.pass(now);
-        self.jobs.remove(name);
-        self.let_on();
+        self.advance(now);
+        self.queries.remove(name);
+        self.unblock_waiting();
     }
 
     /// When the next query ends, if nothing else happens (ns).
     pub fn next_end_ns(&self) -> Option<u64> {
         let rates = self.rates();
-        let ends = self.jobs.values().zip(&rates).filter(|(_, rate)| **rate > 0.0);
-        ends.map(|(job, rate)| self.now + (job.left / rate).ceil() as u64 + 1).min()
+        let ends = self.queries.values().zip(&rates).filter(|(_, rate)| **rate > 0.0);
+        ends.map(|(query, rate)| self.now + (query.remaining / rate).ceil() as u64 + 1).min()
     }
 
     /// Passes time; gives the queries that ended.
-    pub fn pass(&mut self, now: u64) -> usize {
+    pub fn advance(&mut self, now: u64) -> usize {
         let mut ended = 0;
         if now <= self.now {
             return ended;
         }
         while let Some(end) = self.next_end_ns().filter(|end| *end <= now) {
-            self.run(end);
-            ended += self.settle();
+            self.run_to(end);
+            ended += self.complete_finished();
         }
-        self.run(now);
-        let before = self.jobs.len();
-        self.jobs.retain(|_, job| job.asked_ns + FORGOTTEN_NS >= now);
-        if self.jobs.len() < before {
-            self.let_on();
+        self.run_to(now);
+        let before = self.queries.len();
+        self.queries.retain(|_, query| query.last_polled_ns + POLL_TIMEOUT_NS >= now);
+        if self.queries.len() < before {
+            self.unblock_waiting();
         }
-        self.done.retain(|_, at| *at + 2 * FORGOTTEN_NS >= now);
+        self.completed.retain(|_, at| *at + 2 * POLL_TIMEOUT_NS >= now);
         ended
     }
 
-    fn run(&mut self, now: u64) {
+    fn run_to(&mut self, now: u64) {
         let span = now.saturating_sub(self.now) as f64;
         let rates = self.rates();
         let used: f64 = rates.iter().sum::<f64>() / self.cores;
-        self.busy += (used.min(1.0) - self.busy) * (1.0 - (-span / 200e6).exp());
-        for (job, rate) in self.jobs.values_mut().zip(rates) {
-            job.left = (job.left - rate * span).max(0.0);
+        self.utilization += (used.min(1.0) - self.utilization) * (1.0 - (-span / 200e6).exp());
+        for (query, rate) in self.queries.values_mut().zip(rates) {
+            query.remaining = (query.remaining - rate * span).max(0.0);
         }
         self.now = self.now.max(now);
     }
 
-    fn settle(&mut self) -> usize {
-        let over: Vec<String> =
-            self.jobs.iter().filter(|(_, j)| j.left <= 1.0 && !j.waits).map(|(n, _)| n.clone()).collect();
-        for name in &over {
-            self.jobs.remove(name);
-            self.done.insert(name.clone(), self.now);
+    fn complete_finished(&mut self) -> usize {
+        let finished: Vec<String> = self
+            .queries
+            .iter()
+            .filter(|(_, j)| j.remaining <= 1.0 && !j.blocked)
+            .map(|(n, _)| n.clone())
+            .collect();
+        for name in &finished {
+            self.queries.remove(name);
+            self.completed.insert(name.clone(), self.now);
         }
-        self.let_on();
-        over.len()
+        self.unblock_waiting();
+        finished.len()
     }
 
     /// Lets loads on whose data set nobody holds any more.
-    fn let_on(&mut self) {
-        let query_count: Vec<Option<u64>> =
-            self.jobs.values().filter(|j| !j.waits && j.holds.is_some()).map(|j| j.holds).collect();
-        let mut query_count = query_count;
-        for job in self.jobs.values_mut().filter(|j| j.waits) {
-            if !query_count.contains(&job.holds) {
-                job.waits = false;
-                query_count.push(job.holds);
+    fn unblock_waiting(&mut self) {
+        let locked: Vec<Option<u64>> = self
+            .queries
+            .values()
+            .filter(|j| !j.blocked && j.data_set.is_some())
+            .map(|j| j.data_set)
+            .collect();
+        let mut locked = locked;
+        for query in self.queries.values_mut().filter(|j| j.blocked) {
+            if !locked.contains(&query.data_set) {
+                query.blocked = false;
+                locked.push(query.data_set);
             }
         }
     }
 
     /// Cores that each query has: by priority, no more than its threads, what one can't use going to others.
     fn rates(&self) -> Vec<f64> {
-        let jobs: Vec<&RunningQuery> = self.jobs.values().collect();
-        let wanted: Vec<f64> = jobs.iter().map(|j| if j.waits { 0.0 } else { j.threads }).collect();
-        let threads: f64 = wanted.iter().sum();
-        let beyond = (threads / self.cores.max(1e-9) - KNEE).max(0.0);
-        let speed = (1.0 - BEYOND * beyond).max(LEAST);
+        let queries: Vec<&RunningQuery> = self.queries.values().collect();
+        let demand: Vec<f64> = queries.iter().map(|j| if j.blocked { 0.0 } else { j.threads }).collect();
+        let threads: f64 = demand.iter().sum();
+        let excess_threads = (threads / self.cores.max(1e-9) - MAX_EFFICIENT_THREADS_PER_CORE).max(0.0);
+        let efficiency = (1.0 - EFFICIENCY_LOSS_PER_THREAD * excess_threads).max(MIN_EFFICIENCY);
         if threads <= self.cores {
-            return wanted;
+            return demand;
         }
-        let mut rates = vec![0.0; jobs.len()];
-        let mut left = self.cores;
+        let mut rates = vec![0.0; queries.len()];
+        let mut remaining = self.cores;
         for _ in 0..6 {
-            let open = |i: &usize| rates[*i] < wanted[*i] - 1e-9;
-            let open: Vec<usize> = (0..jobs.len()).filter(open).collect();
-            let weights: f64 = open.iter().map(|i| RANKS[jobs[*i].rank] * wanted[*i]).sum();
-            if open.is_empty() || left <= 1e-9 || weights <= 0.0 {
+            let unsatisfied = |i: &usize| rates[*i] < demand[*i] - 1e-9;
+            let unsatisfied: Vec<usize> = (0..queries.len()).filter(unsatisfied).collect();
+            let weights: f64 =
+                unsatisfied.iter().map(|i| PRIORITY_WEIGHTS[queries[*i].priority] * demand[*i]).sum();
+            if unsatisfied.is_empty() || remaining <= 1e-9 || weights <= 0.0 {
                 break;
             }
-            let mut given = 0.0;
-            for i in open {
-                let part = (left * RANKS[jobs[i].rank] * wanted[i] / weights).min(wanted[i] - rates[i]);
-                rates[i] += part;
-                given += part;
+            let mut allocated = 0.0;
+            for i in unsatisfied {
+                let share = (remaining * PRIORITY_WEIGHTS[queries[i].priority] * demand[i] / weights)
+                    .min(demand[i] - rates[i]);
+                rates[i] += share;
+                allocated += share;
             }
-            left -= given;
+            remaining -= allocated;
         }
-        rates.into_iter().map(|r| r * speed).collect()
+        rates.into_iter().map(|r| r * efficiency).collect()
     }
 }
 
@@ -254,12 +280,12 @@
     }
 
     /// Takes work (core-ns); false where it falls over by it.
-    pub fn push(&mut self, now: u64, work: f64) -> bool {
+    pub fn add_work(&mut self, now: u64, total_work: f64) -> bool {
         if now >= self.started_ns + self.warmup_ns {
             return true;
         }
-        self.window.push_back((now, work));
-        self.sum += work;
+        self.window.push_back((now, total_work));
+        self.sum += total_work;
         while let Some((_, old)) =
             self.window.front().copied().filter(|(at, _)| at + self.overload_window_ns < now)
         {
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -66,7 +66,7 @@
     pub advertised_address: Option<SocketAddr>,
     /// Its name.
     pub uid: String,
-    cores: CpuModel,
+    cpu: CpuModel,
     conns: HashSet<u64>,
     pending_polls: Vec<(u64, String, u64)>,
     load_report: (u64, String),
@@ -115,7 +115,7 @@
             address,
             advertised_address: None,
             uid: uid.to_owned(),
-            cores: CpuModel::new(now, cores),
+            cpu: CpuModel::new(now, cores),
             conns: HashSet::new(),
             pending_polls: Vec::new(),
             load_report: (0, String::new()),
@@ -137,7 +137,7 @@
 
     /// Queries that it holds.
     pub fn query_count(&self) -> usize {
-        self.cores.query_count()
+        self.cpu.query_count()
     }
 
     /// Whether it is there.
@@ -164,13 +164,13 @@
         self.listener = None;
         self.conns.drain().for_each(|conn| net.close(conn));
         self.pending_polls.clear();
-        self.cores = CpuModel::new(0, 0.0);
+        self.cpu = CpuModel::new(0, 0.0);
     }
 
     fn answer(&mut self, now: u64, net: &mut Net, conn: u64, status: &str, extra: &str, body: &str) {
         if now >= self.load_report.0 + LOAD_REPORT_INTERVAL_NS {
-            let (query_count, busy) = (self.cores.query_count(), self.cores.busy());
-            self.load_report = (now, format!("inflight:{query_count};util:{busy:.2}"));
+            let (query_count, utilization) = (self.cpu.query_count(), self.cpu.utilization());
+            self.load_report = (now, format!("inflight:{query_count};util:{utilization:.2}"));
         }
         let load_report = &self.load_report.1;
         let length = body.len();
@@ -216,29 +216,29 @@
                     rest.split_whitespace().next()?.parse::<f64>().ok()
                 };
                 let work = parameter("work=").unwrap_or(1.0) * 1e6;
-                let holds = parameter("holds=").map(|set| set as u64);
+                let data_set = parameter("holds=").map(|set| set as u64);
                 if let Some(sends) = &mut self.sends {
                     let router = parameter("router=").map(|at| at as usize);
                     sends.push(QueryStart {
                         at_ns: now,
                         router,
                         name: name.clone(),
-                        at_most_once: holds.is_some(),
+                        at_most_once: data_set.is_some(),
                     });
                 }
-                if self.cold.as_mut().is_some_and(|cold| !cold.push(now, work)) {
+                if self.cold.as_mut().is_some_and(|cold| !cold.add_work(now, work)) {
                     return self.crash(net);
                 }
-                if self.cores.is_full() {
+                if self.cpu.is_full() {
                     return self.answer(now, net, conn, "503 Full", "Never-Ran: 1\r\n", "");
                 }
-                let rank = request.headers.get("pool-rank").and_then(|r| r.parse().ok()).unwrap_or(1);
+                let priority = request.headers.get("pool-rank").and_then(|r| r.parse().ok()).unwrap_or(1);
                 let threads = parameter("threads=").unwrap_or(1.0);
-                if holds.is_some() {
+                if data_set.is_some() {
                     *self.at_most_once_starts.entry(name.clone()).or_default() += 1;
                 }
                 self.started += 1;
-                self.cores.start(now, &name, work, threads, rank, holds);
+                self.cpu.start(now, &name, work, threads, priority, data_set);
                 self.pending_polls.push((conn, name, now + LONG_POLL_NS));
             }
             ("GET", ["o", name, "0"]) => {
@@ -246,11 +246,11 @@
             }
             ("GET", ["o", ..]) => self.answer(now, net, conn, "500 No such page", "", ""),
             ("PUT", ["o", name]) => {
-                self.cores.rank(now, name, request.body.trim().parse().unwrap_or(1));
+                self.cpu.set_priority(now, name, request.body.trim().parse().unwrap_or(1));
                 self.answer(now, net, conn, "204 Done", "", "");
             }
             ("DELETE", ["o", name]) => {
-                self.cores.cancel(now, name);
+                self.cpu.cancel(now, name);
                 self.answer(now, net, conn, "204 Done", "", "");
             }
             _ => self.answer(now, net, conn, "500 What", "", ""),
@@ -262,12 +262,12 @@
         if !self.is_up() {
             return;
         }
-        self.cores.pass(now);
+        self.cpu.advance(now);
         if let Some(cold) = &self.cold {
-            self.cores.set_cores(cold.capacity(now));
+            self.cpu.set_cores(cold.capacity(now));
         }
         for (conn, name, until) in std::mem::take(&mut self.pending_polls) {
-            match self.cores.poll(now, &name) {
+            match self.cpu.poll(now, &name) {
                 QueryStatus::Done => self.answer(now, net, conn, "200 OK", "Chunks: 1\r\n", ROWS),
                 QueryStatus::Unknown => self.answer(now, net, conn, "500 Unknown", "", ""),
                 QueryStatus::Running(share) if now >= until => {
@@ -282,7 +282,7 @@
     /// When it has something to do next (ns).
     pub fn next_due_ns(&self) -> Option<u64> {
         let waits = self.pending_polls.iter().map(|(_, _, until)| *until).min();
-        waits.into_iter().chain(self.cores.next_end_ns()).min().filter(|_| self.is_up())
+        waits.into_iter().chain(self.cpu.next_end_ns()).min().filter(|_| self.is_up())
     }
 }
 
