--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -14,7 +14,7 @@
 use crate::server::listen;
 
 /// Largest datagram that passes (bytes).
-const DATAGRAM_MOST: usize = 65_536;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
 /// What a link does to what passes it in one direction.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -55,7 +55,7 @@
     stream: VecDeque<(u64, Vec<u8>)>,
     /// Datagrams by when they pass.
     datagrams: BTreeMap<(u64, u64), Vec<u8>>,
-    serial: u64,
+    sequence: u64,
     /// Up to when the trickle's bytes were given.
     rate_updated_ns: u64,
     /// Datagrams lost so far.
@@ -70,7 +70,7 @@
             draws: StdRng::seed_from_u64(seed),
             stream: VecDeque::new(),
             datagrams: BTreeMap::new(),
-            serial: 0,
+            sequence: 0,
             rate_updated_ns: 0,
             lost: 0,
         }
@@ -87,9 +87,9 @@
     }
 
     fn due(&mut self, now: u64) -> u64 {
-        let chance =
+        let jitter =
             if self.shape.jitter_ns > 0 { self.draws.gen_range(0..=self.shape.jitter_ns) } else { 0 };
-        now + self.shape.delay_ns + chance
+        now + self.shape.delay_ns + jitter
     }
 
     /// Takes a stream's bytes: they keep their order whatever the delay.
@@ -101,20 +101,20 @@
     /// The stream's bytes that pass now.
     pub fn pull_stream(&mut self, now: u64) -> Vec<u8> {
         let mut out = Vec::new();
-        let passed = now.saturating_sub(self.rate_updated_ns);
-        let mut most = match self.shape.bytes_per_s {
+        let elapsed_ns = now.saturating_sub(self.rate_updated_ns);
+        let mut budget = match self.shape.bytes_per_s {
             _ if self.shape.partitioned => 0,
             None => usize::MAX,
-            Some(per_s) => (u128::from(passed) * u128::from(per_s) / 1_000_000_000) as usize,
+            Some(bytes_per_s) => (u128::from(elapsed_ns) * u128::from(bytes_per_s) / 1_000_000_000) as usize,
         };
-        if most == 0 {
+        if budget == 0 {
             return out;
         }
         self.rate_updated_ns = now;
-        while let Some((_, bytes)) = self.stream.front_mut().filter(|(due, _)| *due <= now && most > 0) {
-            let part = bytes.len().min(most);
+        while let Some((_, bytes)) = self.stream.front_mut().filter(|(due, _)| *due <= now && budget > 0) {
+            let part = bytes.len().min(budget);
             out.extend(bytes.drain(..part));
-            most -= part;
+            budget -= part;
             if bytes.is_empty() {
                 self.stream.pop_front();
             }
@@ -123,7 +123,7 @@
     }
 
     /// Bytes of the stream that have not passed.
-    pub fn holds(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         self.stream.iter().map(|(_, bytes)| bytes.len()).sum()
     }
 
@@ -137,9 +137,9 @@
         }
         let twice = self.shape.duplication > 0.0 && self.draws.gen_bool(self.shape.duplication.min(1.0));
         for _ in 0..=usize::from(twice) {
-            self.serial += 1;
+            self.sequence += 1;
             let due = self.due(now);
-            self.datagrams.insert((due, self.serial), bytes.to_vec());
+            self.datagrams.insert((due, self.sequence), bytes.to_vec());
         }
     }
 
@@ -166,8 +166,8 @@
 /// One connection through a link: both ends, and what passes to the server and back.
 struct ProxiedConnection {
     ends: [u64; 2],
-    passing: [Shaper; 2],
-    over: [bool; 2],
+    directions: [Shaper; 2],
+    ended: [bool; 2],
 }
 
 /// A link that carries TCP connections to one address.
@@ -177,7 +177,7 @@
     pub address: SocketAddr,
     to: SocketAddr,
     shapes: [Shape; 2],
-    pairs: Vec<ProxiedConnection>,
+    connections: Vec<ProxiedConnection>,
     seed: u64,
 }
 
@@ -188,27 +188,27 @@
     /// Where no port is to be had.
     pub fn new(registry: &Registry, token: usize, to: SocketAddr, seed: u64) -> std::io::Result<TcpLink> {
         let (listener, address) = listen(registry, token)?;
-        Ok(TcpLink { listener, address, to, shapes: [Shape::default(); 2], pairs: Vec::new(), seed })
+        Ok(TcpLink { listener, address, to, shapes: [Shape::default(); 2], connections: Vec::new(), seed })
     }
 
     /// Whether a connection is one of its own.
     pub fn owns(&self, conn: u64) -> bool {
-        self.pairs.iter().any(|pair| pair.ends.contains(&conn))
+        self.connections.iter().any(|connection| connection.ends.contains(&conn))
     }
 
-    /// Shapes what passes to the server and back, of connections that stand too.
-    pub fn set(&mut self, now: u64, there: Shape, back: Shape) {
-        self.shapes = [there, back];
-        for pair in &mut self.pairs {
-            pair.passing[0].set(now, there);
-            pair.passing[1].set(now, back);
+    /// Shapes what passes to the server and to_client, of connections that stand too.
+    pub fn set(&mut self, now: u64, to_server: Shape, to_client: Shape) {
+        self.shapes = [to_server, to_client];
+        for connection in &mut self.connections {
+            connection.directions[0].set(now, to_server);
+            connection.directions[1].set(now, to_client);
         }
     }
 
     /// Resets all connections that stand.
     pub fn reset(&mut self, net: &mut Net) {
-        for pair in self.pairs.drain(..) {
-            pair.ends.into_iter().for_each(|end| net.close(end));
+        for connection in self.connections.drain(..) {
+            connection.ends.into_iter().for_each(|end| net.close(end));
         }
     }
 
@@ -221,21 +221,28 @@
                 continue;
             };
             self.seed = self.seed.wrapping_add(2);
-            let mut passing = [Shaper::new(self.seed), Shaper::new(self.seed + 1)];
-            passing.iter_mut().zip(self.shapes).for_each(|(shaper, shape)| shaper.set(now, shape));
-            self.pairs.push(ProxiedConnection { ends: [client, server], passing, over: [false; 2] });
+            let mut directions = [Shaper::new(self.seed), Shaper::new(self.seed + 1)];
+            directions.iter_mut().zip(self.shapes).for_each(|(shaper, shape)| shaper.set(now, shape));
+            self.connections.push(ProxiedConnection {
+                ends: [client, server],
+                directions,
+                ended: [false; 2],
+            });
         }
     }
 
     /// Takes what has come in at one end.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) {
-        let Some(pair) = self.pairs.iter_mut().find(|pair| pair.ends.contains(&conn)) else { return };
-        let end = usize::from(pair.ends[1] == conn);
-        pair.over[end] |= net.service(conn).ended.is_some();
+        let Some(connection) = self.connections.iter_mut().find(|connection| connection.ends.contains(&conn))
+        else {
+            return;
+        };
+        let end = usize::from(connection.ends[1] == conn);
+        connection.ended[end] |= net.service(conn).ended.is_some();
         let input = net.input(conn).to_vec();
         net.consume(conn, input.len());
         if !input.is_empty() {
-            pair.passing[end].push_stream(now, &input);
+            connection.directions[end].push_stream(now, &input);
         }
         self.tick(now, net);
     }
@@ -243,21 +250,23 @@
     /// Passes on what is due. An end that is over ends the other once all that came from it has passed; a cut link does not
     /// tell the one end of the other.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
-        self.pairs.retain_mut(|pair| {
+        self.connections.retain_mut(|connection| {
             for end in 0..2 {
-                let bytes = pair.passing[end].pull_stream(now);
+                let bytes = connection.directions[end].pull_stream(now);
                 if !bytes.is_empty() {
-                    net.send(pair.ends[1 - end], &bytes);
+                    net.send(connection.ends[1 - end], &bytes);
                 }
             }
-            let told = |end: usize| {
-                pair.over[end] && !pair.passing[end].shape().partitioned && pair.passing[end].holds() == 0
+            let has_closed = |end: usize| {
+                connection.ended[end]
+                    && !connection.directions[end].shape().partitioned
+                    && connection.directions[end].queued_bytes() == 0
             };
-            let over = told(0) || told(1);
-            if over {
-                pair.ends.into_iter().for_each(|end| net.close(end));
+            let ended = has_closed(0) || has_closed(1);
+            if ended {
+                connection.ends.into_iter().for_each(|end| net.close(end));
             }
-            !over
+            !ended
         });
     }
 }
@@ -270,11 +279,11 @@
     /// Where they come out; nothing comes out while that is not known.
     pub to: Option<SocketAddr>,
     senders: HashMap<SocketAddr, Shaper>,
-    usual: Shape,
+    default_shape: Shape,
     shapes: HashMap<SocketAddr, Shape>,
     seed: u64,
     /// Datagrams that came in, and their bytes.
-    pub passed: (u64, u64),
+    pub received: (u64, u64),
 }
 
 impl UdpLink {
@@ -292,10 +301,10 @@
             address,
             to: None,
             senders,
-            usual: Shape::default(),
+            default_shape: Shape::default(),
             shapes,
             seed,
-            passed: (0, 0),
+            received: (0, 0),
         })
     }
 
@@ -303,21 +312,21 @@
     pub fn set(&mut self, now: u64, sender: Option<SocketAddr>, shape: Shape) {
         match sender {
             Some(sender) => drop(self.shapes.insert(sender, shape)),
-            None => self.usual = shape,
+            None => self.default_shape = shape,
         }
         for (from, shaper) in &mut self.senders {
-            shaper.set(now, self.shapes.get(from).copied().unwrap_or(self.usual));
+            shaper.set(now, self.shapes.get(from).copied().unwrap_or(self.default_shape));
         }
     }
 
     /// Takes what has come in.
     pub fn ready(&mut self, now: u64) {
-        let mut buffer = vec![0; DATAGRAM_MOST];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             match self.socket.recv_from(&mut buffer) {
                 Ok((size, from)) => {
-                    self.passed = (self.passed.0 + 1, self.passed.1 + size as u64);
-                    let shape = self.shapes.get(&from).copied().unwrap_or(self.usual);
+                    self.received = (self.received.0 + 1, self.received.1 + size as u64);
+                    let shape = self.shapes.get(&from).copied().unwrap_or(self.default_shape);
                     let shaper = self.senders.entry(from).or_insert_with(|| {
                         self.seed = self.seed.wrapping_add(1);
                         let mut shaper = Shaper::new(self.seed);
