--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -13,9 +13,9 @@
 use rmpv::Value;
 
 /// Calls that may be open on a connection.
-const OPEN_MOST: usize = 32;
+const MAX_CALLS_PER_CONNECTION: usize = 32;
 /// A client has this many connections at most.
-const CONNS_MOST: usize = 100;
+const MAX_CONNECTIONS: usize = 100;
 const MS: f64 = 1e6;
 
 /// A class of requests.
@@ -121,22 +121,22 @@
     class: usize,
     client: u64,
     work_ms: f64,
-    says_ms: f64,
-    set: u64,
+    estimate_ms: f64,
+    data_set: u64,
     /// It was told to return now, and by a promise.
-    told: Option<bool>,
+    return_reserved: Option<bool>,
     phase: usize,
 }
 
-struct Call {
-    want: PlannedRequest,
-    asked_ns: u64,
-    until_ns: u64,
+struct PendingCall {
+    request: PlannedRequest,
+    sent_ns: u64,
+    deadline_ns: u64,
 }
 
 #[derive(Default)]
 struct Conn {
-    open: HashMap<u32, Call>,
+    open: HashMap<u32, PendingCall>,
     next: u32,
 }
 
@@ -147,7 +147,7 @@
     sources: Vec<Source>,
     next_ns: Vec<u64>,
     /// Draws of each source are its own, so that routers that answer differently are asked the same.
-    draws: Vec<StdRng>,
+    source_rngs: Vec<StdRng>,
     rng: StdRng,
     seed: u64,
     conns: BTreeMap<u64, Conn>,
@@ -155,7 +155,7 @@
     max_retry_after_ms: u64,
     /// Part of the clients without a promise that return.
     return_share: f64,
-    serial: u64,
+    sequence: u64,
     phase: usize,
     /// Tallies by phase and source.
     pub tallies: Vec<Vec<RequestStats>>,
@@ -166,7 +166,7 @@
     /// Calls that were open when their router was killed, or asked of one that was not there.
     pub excluded_calls: u64,
     /// The router is there to be asked.
-    up: bool,
+    router_is_up: bool,
 }
 
 impl LoadGenerator {
@@ -183,20 +183,20 @@
             classes,
             sources: Vec::new(),
             next_ns: Vec::new(),
-            draws: Vec::new(),
+            source_rngs: Vec::new(),
             rng: StdRng::seed_from_u64(seed),
             seed,
             conns: BTreeMap::new(),
             returns: BTreeMap::new(),
             max_retry_after_ms,
             return_share,
-            serial: 0,
+            sequence: 0,
             phase: 0,
             tallies: Vec::new(),
             router: 0,
             first_answer_ns: None,
             excluded_calls: 0,
-            up: true,
+            router_is_up: true,
         }
     }
 
@@ -206,13 +206,13 @@
         self.tallies.push(vec![RequestStats::default(); sources.len()]);
         self.sources = sources;
         let seed = |i: usize| self.seed.wrapping_mul(1_000_003) ^ ((self.phase as u64) << 32) ^ i as u64;
-        self.draws = (0..self.sources.len()).map(|i| StdRng::seed_from_u64(seed(i))).collect();
+        self.source_rngs = (0..self.sources.len()).map(|i| StdRng::seed_from_u64(seed(i))).collect();
         self.next_ns = (0..self.sources.len()).map(|i| now + self.gap_ns(i)).collect();
     }
 
     /// The router is gone: what was open is excused, and nothing is asked until it is [`Load::back`].
     pub fn router_down(&mut self, net: &mut Net) {
-        (self.up, self.first_answer_ns) = (false, None);
+        (self.router_is_up, self.first_answer_ns) = (false, None);
         for (conn, calls) in std::mem::take(&mut self.conns) {
             net.close(conn);
             self.excluded_calls += calls.open.len() as u64;
@@ -222,7 +222,7 @@
 
     /// The router is there, at this address.
     pub fn router_up(&mut self, now: u64, to: SocketAddr) {
-        (self.to, self.up) = (to, true);
+        (self.to, self.router_is_up) = (to, true);
         self.next_ns = (0..self.sources.len()).map(|i| now + self.gap_ns(i)).collect();
     }
 
@@ -243,18 +243,19 @@
 
     fn gap_ns(&mut self, source: usize) -> u64 {
         let rate = self.sources[source].rate.max(1e-9);
-        let gap = Exp::new(rate).map_or(1.0, |exp| exp.sample(&mut self.draws[source]));
+        let gap = Exp::new(rate).map_or(1.0, |exp| exp.sample(&mut self.source_rngs[source]));
         (gap.min(3_600.0) * 1e9) as u64
     }
 
     /// When it has something to do next (ns).
     pub fn next_due_ns(&self) -> u64 {
-        let first = self.next_ns.iter().copied().min().filter(|_| self.up).unwrap_or(u64::MAX);
+        let first = self.next_ns.iter().copied().min().filter(|_| self.router_is_up).unwrap_or(u64::MAX);
         first.min(self.returns.keys().next().map_or(u64::MAX, |(at, _)| *at))
     }
 
-    fn draw(&mut self, source: usize) -> PlannedRequest {
-        let mut pick = self.draws[source].gen::<f64>() * self.classes.iter().map(|c| c.share).sum::<f64>();
+    fn draw_request(&mut self, source: usize) -> PlannedRequest {
+        let mut pick =
+            self.source_rngs[source].gen::<f64>() * self.classes.iter().map(|c| c.share).sum::<f64>();
         let class = self.classes.iter().position(|c| {
             pick -= c.share;
             pick <= 0.0
@@ -263,52 +264,64 @@
         let (mean, spread) = (self.classes[class].work_ms, self.classes[class].spread);
         // The mean of a log-normal is that of its logarithm and half of the variance.
         let mu = mean.ln() - spread * spread / 2.0;
-        let work_ms =
-            LogNormal::new(mu, spread).map_or(mean, |d| d.sample(&mut self.draws[source])).min(mean * 10.0);
-        let guess = LogNormal::new(0.0, 0.3).map_or(1.0, |d| d.sample(&mut self.draws[source]));
-        let client = self.draws[source].gen_range(0..self.sources[source].clients.max(1));
-        let says_ms = (work_ms * guess * self.sources[source].estimate_ratio).max(0.1);
-        let set = self.draws[source].gen_range(0..64);
-        PlannedRequest { source, class, client, work_ms, says_ms, set, told: None, phase: self.phase }
+        let work_ms = LogNormal::new(mu, spread)
+            .map_or(mean, |d| d.sample(&mut self.source_rngs[source]))
+            .min(mean * 10.0);
+        let estimate_error =
+            LogNormal::new(0.0, 0.3).map_or(1.0, |d| d.sample(&mut self.source_rngs[source]));
+        let client = self.source_rngs[source].gen_range(0..self.sources[source].clients.max(1));
+        let estimate_ms = (work_ms * estimate_error * self.sources[source].estimate_ratio).max(0.1);
+        let data_set = self.source_rngs[source].gen_range(0..64);
+        PlannedRequest {
+            source,
+            class,
+            client,
+            work_ms,
+            estimate_ms,
+            data_set,
+            return_reserved: None,
+            phase: self.phase,
+        }
     }
 
     /// Makes the calls that are due.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
-        if !self.up {
+        if !self.router_is_up {
             return;
         }
         for source in 0..self.sources.len() {
             while self.next_ns[source] <= now {
-                let want = self.draw(source);
-                let tally = &mut self.tallies[want.phase][source];
+                let request = self.draw_request(source);
+                let tally = &mut self.tallies[request.phase][source];
                 tally.first += 1;
-                tally.worth_asked += self.classes[want.class].worth;
+                tally.worth_asked += self.classes[request.class].worth;
                 self.next_ns[source] += self.gap_ns(source);
-                self.ask(now, net, want);
+                self.send_request(now, net, request);
             }
         }
         while let Some(entry) = self.returns.first_entry().filter(|e| e.key().0 <= now) {
-            let want = entry.remove();
-            self.ask(now, net, want);
+            let request = entry.remove();
+            self.send_request(now, net, request);
         }
         let tallies = &mut self.tallies;
         for conn in self.conns.values_mut() {
             conn.open.retain(|_, call| {
-                let expired = now > call.until_ns;
-                tallies[call.want.phase][call.want.source].unanswered += u64::from(expired);
+                let expired = now > call.deadline_ns;
+                tallies[call.request.phase][call.request.source].unanswered += u64::from(expired);
                 !expired
             });
         }
     }
 
-    fn ask(&mut self, now: u64, net: &mut Net, want: PlannedRequest) {
-        let free = self.conns.iter().find(|(_, c)| c.open.len() < OPEN_MOST).map(|(id, _)| *id);
-        let tally = &mut self.tallies[want.phase][want.source];
+    fn send_request(&mut self, now: u64, net: &mut Net, request: PlannedRequest) {
+        let free =
+            self.conns.iter().find(|(_, c)| c.open.len() < MAX_CALLS_PER_CONNECTION).map(|(id, _)| *id);
+        let tally = &mut self.tallies[request.phase][request.source];
         tally.asked += 1;
-        tally.returned += u64::from(want.told == Some(true));
+        tally.returned += u64::from(request.return_reserved == Some(true));
         let conn = match free {
             Some(conn) => conn,
-            None if self.conns.len() < CONNS_MOST => match net.connect(self.to, Owner::Msgpack) {
+            None if self.conns.len() < MAX_CONNECTIONS => match net.connect(self.to, Owner::Msgpack) {
                 Ok(conn) => {
                     self.conns.insert(conn, Conn { next: 1, ..Conn::default() });
                     conn
@@ -318,35 +331,35 @@
             None => return tally.unanswered += 1,
         };
         let (class, source) =
-            (&self.classes[want.class], &self.sources[want.source.min(self.sources.len() - 1)]);
-        self.serial += 1;
-        let holds = if class.load { format!(" holds={}", want.set) } else { String::new() };
+            (&self.classes[request.class], &self.sources[request.source.min(self.sources.len() - 1)]);
+        self.sequence += 1;
+        let holds = if class.load { format!(" holds={}", request.data_set) } else { String::new() };
         let statement = format!(
             "select a, b, c from sales_{}.orders /* work={:.3} threads={:.0} router={}{holds} */",
-            want.set, want.work_ms, class.threads, self.router
+            request.data_set, request.work_ms, class.threads, self.router
         );
         // Ids are unique over the clients of all routers.
-        let serial = (self.router as u64) << 40 | self.serial;
-        let rid = format!("{:016x}", serial.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let sequence = (self.router as u64) << 40 | self.sequence;
+        let rid = format!("{:016x}", sequence.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let fields = [
             ("rid", rid),
             ("budget", format!("{:.0}", class.deadline_ms)),
             ("acct", source.tenant.to_owned()),
-            ("est", format!("{:.2}", want.says_ms)),
-            ("who", format!("{}-{}", source.tenant, want.client)),
+            ("est", format!("{:.2}", request.estimate_ms)),
+            ("who", format!("{}-{}", source.tenant, request.client)),
         ];
         let fields = fields.into_iter().map(|(k, v)| (Value::from(k), Value::from(v))).collect();
-        let Some(line) = self.conns.get_mut(&conn) else { return };
-        let id = line.next;
-        line.next += 1;
-        let until_ns = now + (class.deadline_ms * MS) as u64 + 50_000_000;
+        let Some(connection) = self.conns.get_mut(&conn) else { return };
+        let id = connection.next;
+        connection.next += 1;
+        let deadline_ns = now + (class.deadline_ms * MS) as u64 + 50_000_000;
         let message = Value::Array(vec![
             0.into(),
             id.into(),
             class.name.into(),
             Value::Array(vec![Value::Map(fields), Value::Binary(statement.into_bytes())]),
         ]);
-        line.open.insert(id, Call { want, asked_ns: now, until_ns });
+        connection.open.insert(id, PendingCall { request, sent_ns: now, deadline_ns });
         let mut bytes = Vec::new();
         // Writing to a vector can't fail.
         let _ = rmpv::encode::write_value(&mut bytes, &message);
@@ -362,17 +375,17 @@
             let Ok(value) = read_value(&mut rest) else { break };
             let size = input.len() - rest.len();
             net.consume(conn, size);
-            self.answer(now, conn, &value);
+            self.handle_answer(now, conn, &value);
         }
         if ended {
             net.close(conn);
             for (_, call) in self.conns.remove(&conn).into_iter().flat_map(|c| c.open) {
-                self.tallies[call.want.phase][call.want.source].unanswered += 1;
+                self.tallies[call.request.phase][call.request.source].unanswered += 1;
             }
         }
     }
 
-    fn answer(&mut self, now: u64, conn: u64, value: &Value) {
+    fn handle_answer(&mut self, now: u64, conn: u64, value: &Value) {
         let Some(parts) = value.as_array().filter(|p| p.len() == 4) else { return };
         let id = parts[1].as_u64().unwrap_or(0) as u32;
         let Some(call) = self.conns.get_mut(&conn).and_then(|c| c.open.remove(&id)) else {
@@ -382,24 +395,24 @@
             return;
         };
         self.first_answer_ns.get_or_insert(now);
-        let want = call.want;
-        let class = &self.classes[want.class];
-        let took_ms = (now - call.asked_ns) as f64 / MS;
-        let tally = &mut self.tallies[want.phase][want.source];
+        let request = call.request;
+        let class = &self.classes[request.class];
+        let took_ms = (now - call.sent_ns) as f64 / MS;
+        let tally = &mut self.tallies[request.phase][request.source];
         if parts[2].is_nil() {
-            let wanted =
-                class.target_latency_ms + class.target_latency_stretch * want.work_ms / class.threads;
-            let in_time = took_ms <= wanted;
+            let target_ms =
+                class.target_latency_ms + class.target_latency_stretch * request.work_ms / class.threads;
+            let in_time = took_ms <= target_ms;
             tally.served += 1;
             tally.in_time += u64::from(in_time);
             tally.worth += class.worth * if in_time { 1.0 } else { class.late_worth };
-            tally.returned_served += u64::from(want.told == Some(true));
+            tally.returned_served += u64::from(request.return_reserved == Some(true));
             // Within its bounds by the class's deadline.
             let _ = tally.latencies.record(took_ms.ceil() as u64);
             return;
         }
-        let word = parts[2].as_array().and_then(|e| e.first()).and_then(Value::as_str);
-        if word != Some("Backoff") {
+        let error = parts[2].as_array().and_then(|e| e.first()).and_then(Value::as_str);
+        if error != Some("Backoff") {
             tally.failed += 1;
             return;
         }
@@ -408,11 +421,11 @@
         let backoff = fields.and_then(|f| f.iter().find(|(k, _)| k.as_str() == Some("backoff")));
         let ms: u64 = backoff.and_then(|(_, v)| v.as_str()?.parse().ok()).unwrap_or(100);
         // A request returns once at most, as soon as it was told to.
-        let promised = ms < self.max_retry_after_ms;
-        if want.told.is_none() && (promised || self.rng.gen::<f64>() < self.return_share) {
-            self.serial += 1;
-            let key = (now + ms * 1_000_000, self.serial);
-            self.returns.insert(key, PlannedRequest { told: Some(promised), ..want });
+        let reserved = ms < self.max_retry_after_ms;
+        if request.return_reserved.is_none() && (reserved || self.rng.gen::<f64>() < self.return_share) {
+            self.sequence += 1;
+            let key = (now + ms * 1_000_000, self.sequence);
+            self.returns.insert(key, PlannedRequest { return_reserved: Some(reserved), ..request });
         }
     }
 
