--- a/crates/testkit/src/schedule.rs
+++ b/crates/testkit/src/schedule.rs
@@ -37,7 +37,7 @@
 }
 
 impl RouterSelector {
-    fn read(word: &str) -> Option<RouterSelector> {
+    fn parse(word: &str) -> Option<RouterSelector> {
         if word == "all" {
             return Some(RouterSelector::All);
         }
@@ -111,7 +111,7 @@
     pub text: String,
 }
 
-fn time(word: &str) -> Option<u64> {
+fn parse_time(word: &str) -> Option<u64> {
     let (number, unit) = match word.strip_suffix("ms") {
         Some(number) => (number, 1e6),
         None => (word.strip_suffix('s')?, 1e9),
@@ -119,7 +119,7 @@
     number.parse::<f64>().ok().filter(|n| n.is_finite() && *n >= 0.0).map(|n| (n * unit) as u64)
 }
 
-fn fault(words: &[&str]) -> Option<Fault> {
+fn parse_fault(words: &[&str]) -> Option<Fault> {
     Some(match words {
         ["list", "well"] => Fault::ListBehavior(Behavior::Normal),
         ["list", "away"] => Fault::ListBehavior(Behavior::Unavailable),
@@ -127,37 +127,37 @@
         ["list", "garbage"] => Fault::ListBehavior(Behavior::InvalidResponse),
         ["list", "half"] => Fault::ListBehavior(Behavior::TruncatedResponse),
         ["list", "busy", after @ ..] => Fault::ListBehavior(Behavior::Rejecting(after.join(" "))),
-        ["list", "closes", after] => Fault::ListBehavior(Behavior::ClosesAfter(time(after)?)),
+        ["list", "closes", after] => Fault::ListBehavior(Behavior::ClosesAfter(parse_time(after)?)),
         ["list", "takes", calls] => Fault::ListCapacity(calls.parse().ok().filter(|c: &f64| *c > 0.0)?),
         ["list", "anew"] => Fault::RestartList,
         ["streams", "close"] => Fault::CloseStreams,
-        ["kill", selector] => Fault::Kill(RouterSelector::read(selector)?),
+        ["kill", selector] => Fault::Kill(RouterSelector::parse(selector)?),
         ["start"] => Fault::Start,
-        ["freeze", selector] => Fault::Pause(RouterSelector::read(selector)?),
+        ["freeze", selector] => Fault::Pause(RouterSelector::parse(selector)?),
         ["wake"] => Fault::Resume,
-        ["cut", selector] => Fault::Partition(RouterSelector::read(selector)?),
+        ["cut", selector] => Fault::Partition(RouterSelector::parse(selector)?),
         ["mend"] => Fault::HealPartitions,
         ["drain", engine] => Fault::Drain(engine.parse().ok()?),
         ["link", engine, "reset"] => Fault::ResetLink(engine.parse().ok()?),
         ["link", engine, how @ ..] => {
-            let well = Shape::default();
-            let partitioned = Shape { partitioned: true, ..well };
-            let (there, back) = match how {
+            let healthy = Shape::default();
+            let partitioned = Shape { partitioned: true, ..healthy };
+            let (to_engine, from_engine) = match how {
                 ["cut"] => (partitioned, partitioned),
-                ["cut-there"] => (partitioned, well),
-                ["cut-back"] => (well, partitioned),
-                ["mend"] => (well, well),
+                ["cut-there"] => (partitioned, healthy),
+                ["cut-back"] => (healthy, partitioned),
+                ["mend"] => (healthy, healthy),
                 ["slow", by] => {
-                    let slow = Shape { delay_ns: time(by)?, ..well };
+                    let slow = Shape { delay_ns: parse_time(by)?, ..healthy };
                     (slow, slow)
                 }
                 ["trickle", bytes] => {
                     let bytes_per_s = Some(bytes.parse().ok().filter(|b| *b > 0)?);
-                    (Shape { bytes_per_s, ..well }, Shape { bytes_per_s, ..well })
+                    (Shape { bytes_per_s, ..healthy }, Shape { bytes_per_s, ..healthy })
                 }
                 _ => return None,
             };
-            Fault::ShapeLink(engine.parse().ok()?, there, back)
+            Fault::ShapeLink(engine.parse().ok()?, to_engine, from_engine)
         }
         ["lose", engine] => Fault::CrashEngine(engine.parse().ok()?),
         _ => return None,
@@ -174,8 +174,8 @@
         let line = line.split('#').next().unwrap_or_default().trim();
         let words: Vec<&str> = line.split_whitespace().collect();
         let Some((at, what)) = words.split_first() else { continue };
-        let event = time(at)
-            .zip(fault(what))
+        let event = parse_time(at)
+            .zip(parse_fault(what))
             .ok_or_else(|| format!("line {}: {line:?} says nothing that can happen", number + 1));
         let (at_ns, fault) = event?;
         events.push(Event { at_ns, fault, text: what.join(" ") });
