--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -26,17 +26,17 @@
 
 /// Listeners of engines have the first numbers, then those of the list service; connections follow.
 const LIST_TOKEN: usize = 10_000;
-const LINK_TOKEN: usize = 20_000;
-const BETWEEN_TOKEN: usize = 30_000;
+const ENGINE_LINK_TOKEN: usize = 20_000;
+const PEER_LINK_TOKEN: usize = 30_000;
 /// The key of all fleets of the rig: what it keeps out are strangers.
 pub const KEY: &str = "6d61726c6a756e6374696f6e2d7269672d6b65792d6f662d616c6c2d666c6565";
-const FIRST_CONN: u64 = 1_000_000;
+const FIRST_CONNECTION: u64 = 1_000_000;
 /// Longest wait for an answer of an operators' door.
-const CALL: Duration = Duration::from_secs(4);
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(4);
 /// Longest wait of the loop (ns).
-const STEP_NS: u64 = 10_000_000;
+const MAX_POLL_NS: u64 = 10_000_000;
 /// Longest advice to clients (ms).
-const LONGEST_MS: u64 = 1_000;
+const MAX_RETRY_AFTER_MS: u64 = 1_000;
 
 /// Memory limit of each router (MB).
 pub const MEMORY_MB: u32 = 64;
@@ -189,7 +189,7 @@
     pub peer_links: Vec<UdpLink>,
     /// The list service.
     pub list: ListService,
-    serving: bool,
+    list_serving: bool,
     /// The routers.
     pub routers: Vec<Router>,
     /// Their clients.
@@ -200,9 +200,9 @@
     /// Most queries that all engines held at once, since this was last set back.
     pub max_held: usize,
     dir: PathBuf,
-    again: Vec<u64>,
+    unfinished: Vec<u64>,
     /// What a router's operator's file says of limits, where that is not what all have.
-    limits: Vec<Option<String>>,
+    limit_configs: Vec<Option<String>>,
 }
 
 impl Fleet {
@@ -211,37 +211,38 @@
     /// # Errors
     /// Where sockets or files can't be had.
     pub fn new(setup: Setup) -> Result<Fleet, String> {
-        let fault = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
-        let poll = Poll::new().map_err(fault("poll"))?;
-        let registry = poll.registry().try_clone().map_err(fault("poll"))?;
+        let context = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
+        let poll = Poll::new().map_err(context("poll"))?;
+        let registry = poll.registry().try_clone().map_err(context("poll"))?;
         let clock = Clock::start();
         let now = clock.now_ns();
         let mut engines = Vec::new();
         for i in 0..setup.engines {
             let uid = format!("e{i}");
-            let mut engine = Engine::new(&registry, i, &uid, now, setup.cores).map_err(fault("engine"))?;
+            let mut engine = Engine::new(&registry, i, &uid, now, setup.cores).map_err(context("engine"))?;
             engine.sends = Some(Vec::new());
             engines.push(engine);
         }
         let mut engine_links = Vec::new();
         for (i, engine) in engines.iter_mut().enumerate().filter(|_| setup.engine_links) {
             let seed = setup.seed.wrapping_mul(31).wrapping_add(i as u64);
-            let link =
-                TcpLink::new(&registry, LINK_TOKEN + i, engine.address, seed).map_err(fault("link"))?;
+            let link = TcpLink::new(&registry, ENGINE_LINK_TOKEN + i, engine.address, seed)
+                .map_err(context("link"))?;
             engine.advertised_address = Some(link.address);
             engine_links.push(link);
         }
         let mut peer_links = Vec::new();
         for i in (0..setup.routers).filter(|_| setup.fleet.is_some()) {
             let seed = setup.seed.wrapping_mul(37).wrapping_add(i as u64);
-            peer_links.push(UdpLink::new(&registry, BETWEEN_TOKEN + i, seed).map_err(fault("link"))?);
+            peer_links.push(UdpLink::new(&registry, PEER_LINK_TOKEN + i, seed).map_err(context("link"))?);
         }
-        let list =
-            ListService::new(&registry, LIST_TOKEN, setup.routers, setup.capacity).map_err(fault("list"))?;
-        let net = Net::new(registry, FIRST_CONN, ConnectionLimits { engines: 1 << 20, output: 1 << 30 });
+        let list = ListService::new(&registry, LIST_TOKEN, setup.routers, setup.capacity)
+            .map_err(context("list"))?;
+        let net =
+            Net::new(registry, FIRST_CONNECTION, ConnectionLimits { engines: 1 << 20, output: 1 << 30 });
         let dir = std::env::temp_dir().join(format!("marljunction-{}-{}", std::process::id(), setup.name));
-        std::fs::create_dir_all(&dir).map_err(fault("folder"))?;
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
+        std::fs::create_dir_all(&dir).map_err(context("folder"))?;
+        let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
         let routers = || Router {
             process: None,
             started_ns: 0,
@@ -253,7 +254,8 @@
         };
         let load = |i: usize| {
             let seed = setup.seed.wrapping_mul(7_919).wrapping_add(i as u64);
-            let mut load = LoadGenerator::new(nowhere, setup.classes.clone(), LONGEST_MS, 0.0, seed);
+            let mut load =
+                LoadGenerator::new(unused_address, setup.classes.clone(), MAX_RETRY_AFTER_MS, 0.0, seed);
             load.router = i;
             load.router_down(&mut Net::new(
                 poll.registry().try_clone()?,
@@ -263,7 +265,7 @@
             Ok::<_, std::io::Error>(load)
         };
         let load_generators =
-            (0..setup.routers).map(load).collect::<Result<_, _>>().map_err(fault("clients"))?;
+            (0..setup.routers).map(load).collect::<Result<_, _>>().map_err(context("clients"))?;
         let mut fleet = Fleet {
             states: vec!["in_service"; setup.engines],
             drain_started_ns: vec![None; setup.engines],
@@ -276,11 +278,11 @@
             engine_links,
             peer_links,
             list,
-            serving: true,
+            list_serving: true,
             max_held: 0,
             dir,
-            again: Vec::new(),
-            limits: vec![None; setup.routers],
+            unfinished: Vec::new(),
+            limit_configs: vec![None; setup.routers],
             setup,
         };
         if fleet.setup.cold {
@@ -296,8 +298,8 @@
                 ));
             }
         }
-        let whole = fleet.whole_list();
-        fleet.list.publish(now, &mut fleet.net, &whole, &[]);
+        let snapshot = fleet.list_snapshot();
+        fleet.list.publish(now, &mut fleet.net, &snapshot, &[]);
         Ok(fleet)
     }
 
@@ -306,7 +308,7 @@
         self.clock.now_ns()
     }
 
-    fn whole_list(&self) -> Value {
+    fn list_snapshot(&self) -> Value {
         let all = self.engines.iter().zip(&self.states).map(|(engine, state)| target(engine, state));
         json!({"rev": 1, "all": true, "targets": all.collect::<Vec<Value>>()})
     }
@@ -332,9 +334,9 @@
     }
 
     /// Shapes what passes to an engine and back, where there are links.
-    pub fn shape(&mut self, engine: usize, there: Shape, back: Shape) {
+    pub fn shape(&mut self, engine: usize, to_engine: Shape, from_engine: Shape) {
         let now = self.clock.now_ns();
-        self.engine_links.get_mut(engine).into_iter().for_each(|link| link.set(now, there, back));
+        self.engine_links.get_mut(engine).into_iter().for_each(|link| link.set(now, to_engine, from_engine));
     }
 
     /// The part of the operator's file that lets a router talk to its peers: by the links that stand before them.
@@ -376,7 +378,7 @@
     /// # Errors
     /// Where the file can't be written.
     pub fn set_limits(&mut self, router: usize, limits: &str) -> Result<(), String> {
-        self.limits[router] = Some(limits.to_owned());
+        self.limit_configs[router] = Some(limits.to_owned());
         let text = self.fleet_file(router, limits, &self.dir.join(format!("key-{router}")));
         let path = self.dir.join(format!("operator-{router}"));
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -398,7 +400,7 @@
             classes: &setup.classes,
             tenants: &[("all", 100.0)],
             cores: setup.cores,
-            max_retry_after_ms: LONGEST_MS,
+            max_retry_after_ms: MAX_RETRY_AFTER_MS,
             routers: setup.configured_routers.unwrap_or(setup.routers as u32),
             router_index: router_index as u32,
             cold: setup.cold,
@@ -406,7 +408,7 @@
         let now = self.clock.now_ns();
         let seed = if setup.same_identity { setup.seed } else { setup.seed ^ now ^ (router as u64) << 48 };
         let initial_list = match setup.initial_list {
-            true => json!({"index": 1, "updates": [{"index": 1, "endpoints": self.whole_list()}]}),
+            true => json!({"index": 1, "updates": [{"index": 1, "endpoints": self.list_snapshot()}]}),
             false => json!({"index": 0, "updates": []}),
         };
         let config = json!({
@@ -427,7 +429,7 @@
         }
         let mut operator = setup.operator.clone().unwrap_or_default();
         operator = operator.replace("{router_file}", &self.router_file(router).display().to_string());
-        if let Some(limits) = self.limits[router].as_ref().or(setup.fleet.as_ref()) {
+        if let Some(limits) = self.limit_configs[router].as_ref().or(setup.fleet.as_ref()) {
             let key = write("key", KEY)?;
             operator.push_str(&self.fleet_file(router, limits, &key));
         }
@@ -486,9 +488,10 @@
     /// How the list service behaves from here on.
     pub fn set_list_behavior(&mut self, behavior: Behavior) {
         let now = self.clock.now_ns();
-        self.serving = behavior == Behavior::Normal;
+        self.list_serving = behavior == Behavior::Normal;
         for router in &mut self.routers {
-            router.disconnected_since_ns = self.serving.then_some(now).filter(|_| router.process.is_some());
+            router.disconnected_since_ns =
+                self.list_serving.then_some(now).filter(|_| router.process.is_some());
         }
         self.list.set_behavior(&mut self.net, behavior);
     }
@@ -500,8 +503,8 @@
 
     /// The list service starts anew, with numbers from 1.
     pub fn restart_list(&mut self) {
-        let whole = self.whole_list();
-        self.list.restart(&mut self.net, &whole);
+        let snapshot = self.list_snapshot();
+        self.list.restart(&mut self.net, &snapshot);
     }
 
     /// Cuts or mends a router's link to the list service.
@@ -556,7 +559,7 @@
             Fault::HealPartitions => (0..count).for_each(|router| self.set_partitioned(router, false)),
             Fault::Drain(engine) if *engine < self.engines.len() => self.drain(*engine),
             Fault::CrashEngine(engine) if *engine < self.engines.len() => self.crash_engine(*engine),
-            Fault::ShapeLink(engine, there, back) => self.shape(*engine, *there, *back),
+            Fault::ShapeLink(engine, to_engine, from_engine) => self.shape(*engine, *to_engine, *from_engine),
             Fault::ResetLink(engine) => {
                 let link = self.engine_links.get_mut(*engine);
                 link.into_iter().for_each(|link| link.reset(&mut self.net));
@@ -633,8 +636,8 @@
 
     /// Tells the list as it is once more, under a number of its own.
     pub fn republish_list(&mut self) {
-        let (now, whole) = (self.clock.now_ns(), self.whole_list());
-        self.list.publish(now, &mut self.net, &whole, &[]);
+        let (now, snapshot) = (self.clock.now_ns(), self.list_snapshot());
+        self.list.publish(now, &mut self.net, &snapshot, &[]);
     }
 
     /// All clients ask from here on, as often as the setup says.
@@ -698,7 +701,7 @@
             if now >= end {
                 return Ok(false);
             }
-            self.step(Duration::from_nanos((end - now).min(STEP_NS)))?;
+            self.step(Duration::from_nanos((end - now).min(MAX_POLL_NS)))?;
         }
     }
 
@@ -718,21 +721,22 @@
         let load_generators =
             self.load_generators.iter().map(LoadGenerator::next_due_ns).min().unwrap_or(u64::MAX);
         let due = Duration::from_nanos(engines.min(load_generators).saturating_sub(now));
-        let wait = if self.again.is_empty() { due.min(most) } else { Duration::ZERO };
+        let wait = if self.unfinished.is_empty() { due.min(most) } else { Duration::ZERO };
         match self.poll.poll(&mut events, Some(wait)) {
             Err(e) if e.kind() != std::io::ErrorKind::Interrupted => return Err(format!("poll: {e}")),
             _ => {}
         }
         let now = self.clock.now_ns();
-        let mut conns: Vec<u64> = std::mem::take(&mut self.again);
+        let mut conns: Vec<u64> = std::mem::take(&mut self.unfinished);
         for event in &events {
             let Token(token) = event.token();
-            if let Some(link) = token.checked_sub(BETWEEN_TOKEN).and_then(|at| self.peer_links.get_mut(at)) {
+            if let Some(link) = token.checked_sub(PEER_LINK_TOKEN).and_then(|at| self.peer_links.get_mut(at))
+            {
                 link.ready(now);
             } else if token < self.engines.len() {
                 self.engines[token].accept(&mut self.net);
             } else if let Some(link) =
-                token.checked_sub(LINK_TOKEN).and_then(|at| self.engine_links.get_mut(at))
+                token.checked_sub(ENGINE_LINK_TOKEN).and_then(|at| self.engine_links.get_mut(at))
             {
                 link.accept(now, &mut self.net);
             } else if self.list.has_token(token) {
@@ -752,7 +756,7 @@
                 load.ready(now, &mut self.net, conn);
             }
             if self.net.has_more(conn) {
-                self.again.push(conn);
+                self.unfinished.push(conn);
             }
         }
         self.engines.iter_mut().for_each(|e| e.tick(now, &mut self.net));
@@ -786,7 +790,7 @@
                     router.longest_disconnect_ns =
                         router.longest_disconnect_ns.max(now.saturating_sub(since));
                 }
-                (None, None) if self.serving && router.process.is_some() => {
+                (None, None) if self.list_serving && router.process.is_some() => {
                     router.disconnected_since_ns = Some(now)
                 }
                 _ => {}
@@ -814,8 +818,8 @@
         let call =
             format!("{method} {path} HTTP/1.1\r\nHost: router\r\nContent-Length: {length}\r\n\r\n{body}");
         let asked = std::thread::spawn(move || -> std::io::Result<String> {
-            let mut stream = std::net::TcpStream::connect_timeout(&at, CALL)?;
-            stream.set_read_timeout(Some(CALL))?;
+            let mut stream = std::net::TcpStream::connect_timeout(&at, ADMIN_TIMEOUT)?;
+            stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
             stream.write_all(call.as_bytes())?;
             let mut answer = String::new();
             stream.read_to_string(&mut answer)?;
@@ -903,7 +907,7 @@
         let end = self.clock.now_ns() + limit.as_nanos() as u64;
         let mut running = usize::MAX;
         while running > 0 && self.clock.now_ns() < end {
-            self.step(Duration::from_nanos(STEP_NS))?;
+            self.step(Duration::from_nanos(MAX_POLL_NS))?;
             running = self
                 .routers
                 .iter_mut()
