--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -22,7 +22,7 @@
 use crate::process::Process;
 use crate::schedule::{Fault, RouterSelector};
 use crate::server::Engine;
-use crate::test_bed::{settings, target, SettingsParams, COLD_START};
+use crate::test_bed::{engine_entry, settings, SettingsParams, COLD_START};
 
 /// Listeners of engines have the first numbers, then those of the list service; connections follow.
 const LIST_TOKEN: usize = 10_000;
@@ -309,7 +309,7 @@
     }
 
     fn list_snapshot(&self) -> Value {
-        let all = self.engines.iter().zip(&self.states).map(|(engine, state)| target(engine, state));
+        let all = self.engines.iter().zip(&self.states).map(|(engine, state)| engine_entry(engine, state));
         json!({"rev": 1, "all": true, "targets": all.collect::<Vec<Value>>()})
     }
 
@@ -523,7 +523,8 @@
         self.states[engine] = "terminating";
         self.drain_started_ns[engine].get_or_insert(now);
         let uid = self.engines[engine].uid.clone();
-        let part = json!({"rev": 2, "all": false, "targets": [target(&self.engines[engine], "terminating")]});
+        let part =
+            json!({"rev": 2, "all": false, "targets": [engine_entry(&self.engines[engine], "terminating")]});
         self.list.publish(now, &mut self.net, &part, &[uid]);
     }
 
--- a/crates/testkit/src/test_bed.rs
+++ b/crates/testkit/src/test_bed.rs
@@ -157,7 +157,7 @@
         }
         let coordinator = Coordinator::new(&registry, COORDINATOR).map_err(fault("coordinator"))?;
         let net = Net::new(registry, FIRST_CONN, ConnectionLimits { engines: 100_000, output: 256 << 20 });
-        let all: Vec<Value> = engines.iter().map(|e| target(e, "in_service")).collect();
+        let all: Vec<Value> = engines.iter().map(|e| engine_entry(e, "in_service")).collect();
         let site = SettingsParams {
             classes: &setup.classes,
             tenants: &setup.tenants,
@@ -225,7 +225,7 @@
         let mut gone = Vec::new();
         for engine in self.engines.iter_mut().filter(|e| e.is_up()).take(count) {
             engine.crash(&mut self.net);
-            gone.push(target(engine, "terminated"));
+            gone.push(engine_entry(engine, "terminated"));
         }
         self.revision += 1;
         let index = self.revision;
@@ -327,7 +327,7 @@
     }
 }
 
-pub(crate) fn target(engine: &Engine, state: &str) -> Value {
+pub(crate) fn engine_entry(engine: &Engine, state: &str) -> Value {
     let boot_ms = engine.cold.as_ref().map_or(0, |cold| cold.started_ns / 1_000_000);
     json!({"uid": engine.uid, "endpoint": engine.advertised_address.unwrap_or(engine.address).to_string(), "az": "a", "model": "std", "state": state,
            "capacity_hint": 1, "boot_ms": boot_ms})
