--- a/crates/testkit/src/test_bed.rs
+++ b/crates/testkit/src/test_bed.rs
@@ -15,10 +15,10 @@
 use crate::process;
 use crate::server::{Coordinator, Engine};
 
-const FIRST_CONN: u64 = 1_000;
-const COORDINATOR: usize = 999;
+const FIRST_CONNECTION: u64 = 1_000;
+const COORDINATOR_TOKEN: usize = 999;
 /// Longest wait of the loop (ms).
-const STEP_MS: u64 = 20;
+const MAX_POLL_MS: u64 = 20;
 
 /// What a stage is set up with.
 #[derive(Clone, Debug)]
@@ -109,9 +109,9 @@
 pub const COLD_START: (f64, u64, f64, u64) = (0.32, 15_000_000_000, 2.5, 1_000_000_000);
 
 /// The settings object of one router.
-pub fn settings(site: &SettingsParams) -> Value {
+pub fn settings(params: &SettingsParams) -> Value {
     let ns = |ms: f64| (ms * 1e6) as u64;
-    let classes: Vec<Value> = site
+    let classes: Vec<Value> = params
         .classes
         .iter()
         .map(|c| {
@@ -120,24 +120,27 @@
                    "effect": if c.load { "at_most_once" } else { "idempotent" }})
         })
         .collect();
-    let tenants: Vec<Value> =
-        site.tenants.iter().map(|(name, weight)| json!({"name": name, "allowance_per_s": weight})).collect();
-    let of = |f: fn(&Class) -> Value| site.classes.iter().map(f).collect::<Vec<Value>>();
+    let tenants: Vec<Value> = params
+        .tenants
+        .iter()
+        .map(|(name, weight)| json!({"name": name, "allowance_per_s": weight}))
+        .collect();
+    let of = |f: fn(&Class) -> Value| params.classes.iter().map(f).collect::<Vec<Value>>();
     let mut guarantees = json!({"drain_grace_ns": 500_000_000u64});
-    if site.cold {
+    if params.cold {
         let (initial_capacity, warmup_ns, overload_multiple, overload_window_ns) = COLD_START;
         guarantees = json!({"drain_grace_ns": 500_000_000u64, "start_capacity": initial_capacity, "cold_ns": warmup_ns,
                             "tip_multiple": overload_multiple, "fall_ns": overload_window_ns});
     }
     json!({
-        "azs": ["a"], "balancers": site.routers, "me": site.router_index, "zone": "a", "kinds": ["std"], "membership_mode": "automatic",
+        "azs": ["a"], "balancers": params.routers, "me": params.router_index, "zone": "a", "kinds": ["std"], "membership_mode": "automatic",
         "load_report": {"fields": ["busy", "rif"], "how": "answers"}, "realms": tenants, "over_share_worth": 0.1,
-        "family_info": {"cores_by_kind": [site.cores], "dop": of(|c| json!(c.threads)), "lanes_count": true,
+        "family_info": {"cores_by_kind": [params.cores], "dop": of(|c| json!(c.threads)), "lanes_count": true,
             "out_of_memory": "swap", "progress_pace_ns": 500_000_000u64, "ram_of_kind_mb": [1e6],
             "takes_grants": false, "waits_for_loads": of(|_| json!(false)), "writes_tables": of(|c| json!(c.load))},
         "guarantees": guarantees,
         "limits": {"cancelling": true, "conn_idle_ns": 30_000_000_000u64, "connect_timeout_ns": 250_000_000u64,
-            "max_retry_after_ns": site.max_retry_after_ms * 1_000_000, "retry_after": true, "send_cap": 4},
+            "max_retry_after_ns": params.max_retry_after_ms * 1_000_000, "retry_after": true, "send_cap": 4},
         "request_classes": classes,
     })
 }
@@ -145,20 +148,21 @@
 impl TestBed {
     /// Starts the stand-ins and the program.
     pub fn start(setup: &Setup) -> Result<TestBed, String> {
-        let fault = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
-        let poll = Poll::new().map_err(fault("poll"))?;
-        let registry = poll.registry().try_clone().map_err(fault("poll"))?;
+        let context = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
+        let poll = Poll::new().map_err(context("poll"))?;
+        let registry = poll.registry().try_clone().map_err(context("poll"))?;
         let clock = Clock::start();
         let now = clock.now_ns();
         let mut engines = Vec::new();
         for i in 0..setup.engines {
             let engine = Engine::new(&registry, i, &format!("e{i}"), now, setup.cores);
-            engines.push(engine.map_err(fault("engine"))?);
+            engines.push(engine.map_err(context("engine"))?);
         }
-        let coordinator = Coordinator::new(&registry, COORDINATOR).map_err(fault("coordinator"))?;
-        let net = Net::new(registry, FIRST_CONN, ConnectionLimits { engines: 100_000, output: 256 << 20 });
+        let coordinator = Coordinator::new(&registry, COORDINATOR_TOKEN).map_err(context("coordinator"))?;
+        let net =
+            Net::new(registry, FIRST_CONNECTION, ConnectionLimits { engines: 100_000, output: 256 << 20 });
         let all: Vec<Value> = engines.iter().map(|e| engine_entry(e, "in_service")).collect();
-        let site = SettingsParams {
+        let params = SettingsParams {
             classes: &setup.classes,
             tenants: &setup.tenants,
             cores: setup.cores,
@@ -172,13 +176,13 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "coordinator": coordinator.address.to_string(),
             "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"all": true, "targets": all}}]},
-            "settings": settings(&site),
+            "settings": settings(&params),
         });
         let dir = std::env::temp_dir().join(format!("marljunction-{}-{}", std::process::id(), setup.name));
-        std::fs::create_dir_all(&dir).map_err(fault("folder"))?;
+        std::fs::create_dir_all(&dir).map_err(context("folder"))?;
         let write = |name: &str, value: &Value| {
             let path = dir.join(name);
-            std::fs::write(&path, value.to_string()).map(|()| path).map_err(fault("file"))
+            std::fs::write(&path, value.to_string()).map(|()| path).map_err(context("file"))
         };
         let mut command = process::command(&setup.program);
         command.env("ROUTER_CONFIG", write("config.json", &config)?).stderr(Stdio::piped());
@@ -186,14 +190,14 @@
         if let Some(fair_queue) = &setup.fair_queue {
             // A record of the configuration language may be written as JSON is.
             let path = dir.join("operator.conf");
-            std::fs::write(&path, format!("door: {fair_queue}\n")).map_err(fault("file"))?;
+            std::fs::write(&path, format!("door: {fair_queue}\n")).map_err(context("file"))?;
             command.env("MARLJUNCTION_SETUP", path);
         }
         let mut child = command.spawn().map_err(|e| format!("{}: {e}", setup.program.display()))?;
         let mut log = BufReader::new(child.stderr.take().ok_or("no log")?);
         let to = loop {
             let mut line = String::new();
-            if log.read_line(&mut line).map_err(fault("log"))? == 0 {
+            if log.read_line(&mut line).map_err(context("log"))? == 0 {
                 return Err("the program ended at its start".into());
             }
             let at = line.split("listens on ").nth(1).and_then(|l| l.split_whitespace().next());
@@ -215,9 +219,9 @@
     }
 
     /// Asks nothing more, and runs until all is answered, for no longer than `most`.
-    pub fn drain(&mut self, most: Duration) -> Result<(), String> {
+    pub fn drain(&mut self, limit: Duration) -> Result<(), String> {
         self.load.stop_sending();
-        self.run_until(self.clock.now_ns() + most.as_nanos() as u64, true)
+        self.run_until(self.clock.now_ns() + limit.as_nanos() as u64, true)
     }
 
     /// Lets engines die: their processes are gone at once, and the coordinator tells so at once.
@@ -244,7 +248,7 @@
 
     fn run_until(&mut self, end: u64, until_answered: bool) -> Result<(), String> {
         let mut events = Events::with_capacity(1_024);
-        let mut again: Vec<u64> = Vec::new();
+        let mut unfinished: Vec<u64> = Vec::new();
         loop {
             let now = self.clock.now_ns();
             if now >= end || until_answered && self.load.open() == 0 {
@@ -252,16 +256,16 @@
             }
             let engines = self.engines.iter().filter_map(Engine::next_due_ns).min().unwrap_or(u64::MAX);
             let due = engines.min(self.load.next_due_ns()).min(end).saturating_sub(now);
-            let wait = if again.is_empty() { due.min(STEP_MS * 1_000_000) } else { 0 };
+            let wait = if unfinished.is_empty() { due.min(MAX_POLL_MS * 1_000_000) } else { 0 };
             match self.poll.poll(&mut events, Some(Duration::from_nanos(wait))) {
                 Err(e) if e.kind() != std::io::ErrorKind::Interrupted => return Err(format!("poll: {e}")),
                 _ => {}
             }
             let now = self.clock.now_ns();
-            let mut conns: Vec<u64> = std::mem::take(&mut again);
+            let mut conns: Vec<u64> = std::mem::take(&mut unfinished);
             for event in &events {
                 match event.token() {
-                    Token(COORDINATOR) => self.coordinator.accept(&mut self.net),
+                    Token(COORDINATOR_TOKEN) => self.coordinator.accept(&mut self.net),
                     Token(at) if at < self.engines.len() => self.engines[at].accept(&mut self.net),
                     Token(conn) => conns.push(conn as u64),
                 }
@@ -275,7 +279,7 @@
                     engine.ready(now, &mut self.net, conn);
                 }
                 if self.net.has_more(conn) {
-                    again.push(conn);
+                    unfinished.push(conn);
                 }
             }
             self.engines.iter_mut().for_each(|e| e.tick(now, &mut self.net));
@@ -335,7 +339,7 @@
 
 /// The router's program beside the one that runs.
 pub fn sibling_program() -> Option<std::path::PathBuf> {
-    let own = std::env::current_exe().ok()?;
-    let beside = own.parent()?.join("marljunction");
-    Path::new(&beside).exists().then_some(beside)
+    let current = std::env::current_exe().ok()?;
+    let sibling = current.parent()?.join("marljunction");
+    Path::new(&sibling).exists().then_some(sibling)
 }
