--- a/crates/testkit/src/audit.rs
+++ b/crates/testkit/src/audit.rs
@@ -6,11 +6,11 @@
 use crate::server::QueryStart;
 
 /// No new work goes to an engine so long after its router was told that it leaves (ns).
-const DRAIN_NS: u64 = 500_000_000;
+const DRAIN_GRACE_NS: u64 = 500_000_000;
 /// News counts as told so late at the latest, connected or not (ns).
-const TOLD_NS: u64 = 7_000_000_000;
+const MAX_NOTIFICATION_NS: u64 = 7_000_000_000;
 /// Sockets' part (ns).
-const SLACK_NS: u64 = 50_000_000;
+const SOCKET_SLACK_NS: u64 = 50_000_000;
 
 /// What was found.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -26,10 +26,10 @@
 impl Audit {
     /// Holds what engines were sent against when each was told to leave (`left`, by engine, as the list service had it) and
     /// when each router was told so (`told`, by router and engine).
-    pub fn of(
+    pub fn check(
         sends: &[(&str, &[QueryStart])],
-        left: &BTreeMap<String, u64>,
-        told: &BTreeMap<(usize, String), u64>,
+        drain_started_ns: &BTreeMap<String, u64>,
+        notified_ns: &BTreeMap<(usize, String), u64>,
     ) -> Audit {
         let mut audit = Audit::default();
         let mut starts = BTreeMap::<&str, u64>::new();
@@ -39,10 +39,12 @@
                 if sent.at_most_once {
                     *starts.entry(&sent.name).or_default() += 1;
                 }
-                let Some(left) = left.get(*engine) else { continue };
-                let heard = sent.router.and_then(|router| told.get(&(router, (*engine).to_owned())));
-                let told = heard.copied().unwrap_or(u64::MAX).min(left + TOLD_NS);
-                audit.late_sends += u64::from(sent.at_ns > told + DRAIN_NS + SLACK_NS);
+                let Some(drain_started_ns) = drain_started_ns.get(*engine) else { continue };
+                let notified =
+                    sent.router.and_then(|router| notified_ns.get(&(router, (*engine).to_owned())));
+                let notified_ns =
+                    notified.copied().unwrap_or(u64::MAX).min(drain_started_ns + MAX_NOTIFICATION_NS);
+                audit.late_sends += u64::from(sent.at_ns > notified_ns + DRAIN_GRACE_NS + SOCKET_SLACK_NS);
             }
         }
         audit.duplicate_runs = starts.values().map(|n| n - 1).sum();
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -863,7 +863,7 @@
         let left = self.engines.iter().zip(&self.drain_started_ns);
         let left = left.filter_map(|(engine, left)| Some((engine.uid.clone(), (*left)?))).collect();
         let sends = self.engines.iter().map(|e| (e.uid.as_str(), e.sends.as_deref().unwrap_or_default()));
-        Audit::of(&sends.collect::<Vec<_>>(), &left, &self.list.notified_ns)
+        Audit::check(&sends.collect::<Vec<_>>(), &left, &self.list.notified_ns)
     }
 
     /// The sum over all clients.
