--- a/crates/lab/src/capacity/cells.rs
+++ b/crates/lab/src/capacity/cells.rs
@@ -10,7 +10,7 @@
 };
 use marljunction_peers::datagram::Kind;
 use marljunction_peers::{Event, Keys, Members, PeerIdentity, Settings};
-use marljunction_testkit::fleet::KEY;
+use marljunction_testkit::fleet::FLEET_KEY;
 
 use super::clock::thread_ns;
 use super::{repeated, series, Figures};
@@ -59,7 +59,7 @@
             incarnation: START_NS,
             renewal: 0,
         };
-        let members = Members::new(who, Keys::read(KEY)?, &Settings::default(), 1);
+        let members = Members::new(who, Keys::read(FLEET_KEY)?, &Settings::default(), 1);
         Ok(Port { socket, members, address, read: 0, cpu_ns: 0 })
     }
 
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -6,7 +6,7 @@
 use marljunction_limits::{Kind, Limit, LimitParams, Message, Mode, Node};
 use marljunction_peers::datagram::Kind as Sealed;
 use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
-use marljunction_testkit::fleet::KEY;
+use marljunction_testkit::fleet::FLEET_KEY;
 
 use super::clock::thread_ns;
 use super::{series, Figures};
@@ -44,7 +44,7 @@
             incarnation: START_NS,
             renewal: 0,
         };
-        Ok(Sealer { members: Members::new(who, Keys::read(KEY)?, &Settings::default(), 1), to })
+        Ok(Sealer { members: Members::new(who, Keys::read(FLEET_KEY)?, &Settings::default(), 1), to })
     }
 
     fn bytes(&mut self, messages: &[&Message]) -> u64 {
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, UdpSocket};
 
 use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
-use marljunction_testkit::fleet::KEY;
+use marljunction_testkit::fleet::FLEET_KEY;
 
 use super::clock::thread_ns;
 use super::{series, Figures};
@@ -61,7 +61,7 @@
         };
         let mut fleet = Fleet {
             now: START_NS,
-            keys: Keys::read(KEY)?,
+            keys: Keys::read(FLEET_KEY)?,
             settings,
             members: Vec::new(),
             sockets,
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -29,7 +29,7 @@
 const ENGINE_LINK_TOKEN: usize = 20_000;
 const PEER_LINK_TOKEN: usize = 30_000;
 /// The key of all fleets of the rig: what it keeps out are strangers.
-pub const KEY: &str = "6d61726c6a756e6374696f6e2d7269672d6b65792d6f662d616c6c2d666c6565";
+pub const FLEET_KEY: &str = "6d61726c6a756e6374696f6e2d7269672d6b65792d6f662d616c6c2d666c6565";
 const FIRST_CONNECTION: u64 = 1_000_000;
 /// Longest wait for an answer of an operators' door.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(4);
@@ -430,7 +430,7 @@
         let mut operator = setup.operator.clone().unwrap_or_default();
         operator = operator.replace("{router_file}", &self.router_file(router).display().to_string());
         if let Some(limits) = self.limit_configs[router].as_ref().or(setup.fleet.as_ref()) {
-            let key = write("key", KEY)?;
+            let key = write("key", FLEET_KEY)?;
             operator.push_str(&self.fleet_file(router, limits, &key));
         }
         if !operator.is_empty() {
--- a/crates/testkit/src/hollow/key_files.rs
+++ b/crates/testkit/src/hollow/key_files.rs
@@ -4,7 +4,7 @@
 
 use super::fleet_side::{key_file, REGIONS};
 use super::{io, HollowError};
-use crate::fleet::KEY;
+use crate::fleet::FLEET_KEY;
 
 /// Another key than all regions have at first.
 const OTHER_KEY: &str = "6f746865722d6b65792d6f662d612d726567696f6e2d746861742069732063ff";
@@ -33,7 +33,7 @@
     /// # Errors
     /// Where it can't be written.
     pub fn set_cut(&self, region: u32, cut: bool) -> Result<(), HollowError> {
-        let key = if cut { OTHER_KEY } else { KEY };
+        let key = if cut { OTHER_KEY } else { FLEET_KEY };
         std::fs::write(key_file(&self.0, region), key).map_err(io("keys"))
     }
 
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -12,7 +12,7 @@
 use marljunction_health::{HealthParams, Message};
 use marljunction_peers::datagram::Kind;
 use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
-use marljunction_testkit::fleet::{classes, Fleet, Setup, KEY};
+use marljunction_testkit::fleet::{classes, Fleet, Setup, FLEET_KEY};
 use marljunction_testkit::link::Shape;
 use marljunction_testkit::load::Class;
 
@@ -205,7 +205,7 @@
         renewal: 0,
     };
     let settings = Settings { routers: number + 1, seeds: vec![seed], ..Settings::default() };
-    let mut members = Members::new(me, Keys::read(KEY).unwrap(), &settings, 1);
+    let mut members = Members::new(me, Keys::read(FLEET_KEY).unwrap(), &settings, 1);
     let (mut buffer, mut count, mut told) = ([0; 2_048], 0, 0);
     while !stop.load(Ordering::Relaxed) {
         if let Ok((size, _)) = socket.recv_from(&mut buffer) {
