--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -913,7 +913,7 @@
                 .routers
                 .iter_mut()
                 .filter_map(|r| r.process.as_mut())
-                .filter_map(|p| p.runs().then_some(()))
+                .filter_map(|p| p.is_running().then_some(()))
                 .count();
         }
         let mut all = Vec::new();
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether it runs.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
@@ -81,7 +81,7 @@
 
     /// Sends a signal; one that has ended hears nothing.
     pub fn signal(&mut self, signal: Signal) {
-        if self.runs() {
+        if self.is_running() {
             let _ = kill(Pid::from_raw(self.child.id() as i32), signal);
             self.paused = match signal {
                 Signal::SIGSTOP => true,
--- a/tests/large_list.rs
+++ b/tests/large_list.rs
@@ -72,7 +72,11 @@
         if counter(&counters, name) == value {
             return counters;
         }
-        assert!(from.elapsed() < LIMIT && process.runs(), "{name} is not {value}: {}", process.log_text());
+        assert!(
+            from.elapsed() < LIMIT && process.is_running(),
+            "{name} is not {value}: {}",
+            process.log_text()
+        );
         process.signal(Signal::SIGUSR1);
         std::thread::yield_now();
     }
