--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -396,7 +396,7 @@
         let duplicate_identity = setup.duplicate_identity && router + 1 == setup.routers;
         let router_index = if setup.same_identity || duplicate_identity { 0 } else { router };
         let name = if duplicate_identity { 0 } else { router };
-        let site = SettingsParams {
+        let params = SettingsParams {
             classes: &setup.classes,
             tenants: &[("all", 100.0)],
             cores: setup.cores,
@@ -414,7 +414,7 @@
         let config = json!({
             "name": format!("r{name}"), "listen": "127.0.0.1:0", "operator": "127.0.0.1:0", "seed": format!("{seed:016x}"),
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": 256},
-            "coordinator": self.list.address(router).to_string(), "known": initial_list, "settings": settings(&site),
+            "coordinator": self.list.address(router).to_string(), "known": initial_list, "settings": settings(&params),
         });
         let path = |name: &str| self.dir.join(format!("{name}-{router}"));
         let write = |name: &str, text: &str| {
@@ -437,10 +437,11 @@
             environment.push(("MARLJUNCTION_SETUP", write("operator", &operator)?));
         }
         let process = Process::start(&setup.program, &environment, &path("log"))?;
-        let to = &mut self.routers[router];
-        (to.process, to.started_ns, to.client_address, to.peer_address) = (Some(process), now, None, None);
-        to.paused = false;
-        to.disconnected_since_ns = Some(now);
+        let state = &mut self.routers[router];
+        (state.process, state.started_ns, state.client_address, state.peer_address) =
+            (Some(process), now, None, None);
+        state.paused = false;
+        state.disconnected_since_ns = Some(now);
         Ok(())
     }
 
@@ -461,9 +462,9 @@
 
     /// Ends a router at once (SIGKILL): what its clients had open is excused.
     pub fn kill(&mut self, router: usize) {
-        let to = &mut self.routers[router];
-        to.process = None;
-        (to.client_address, to.disconnected_since_ns) = (None, None);
+        let state = &mut self.routers[router];
+        state.process = None;
+        (state.client_address, state.disconnected_since_ns) = (None, None);
         self.load_generators[router].router_down(&mut self.net);
     }
 
@@ -471,14 +472,14 @@
     /// stopped is excused.
     pub fn set_paused(&mut self, router: usize, paused: bool) {
         let now = self.clock.now_ns();
-        let to = &mut self.routers[router];
-        if let Some(process) = &mut to.process {
+        let state = &mut self.routers[router];
+        if let Some(process) = &mut state.process {
             process.signal(if paused { Signal::SIGSTOP } else { Signal::SIGCONT });
         }
-        to.paused = paused;
+        state.paused = paused;
         // Time for which it stood still is not time for which it waited.
-        to.disconnected_since_ns = to.disconnected_since_ns.map(|_| now);
-        match (paused, to.client_address) {
+        state.disconnected_since_ns = state.disconnected_since_ns.map(|_| now);
+        match (paused, state.client_address) {
             (true, _) => self.load_generators[router].router_down(&mut self.net),
             (false, Some(at)) => self.load_generators[router].router_up(now, at),
             _ => {}
@@ -534,20 +535,20 @@
     /// Where a router can't be started.
     pub fn apply(&mut self, fault: &Fault, draws: &mut StdRng) -> Result<String, String> {
         let count = self.routers.len();
-        let mut named = Vec::new();
-        let mut drawn = |selector: &RouterSelector| {
-            named = selector.select(count, draws);
-            named.clone()
+        let mut selected = Vec::new();
+        let mut select = |selector: &RouterSelector| {
+            selected = selector.select(count, draws);
+            selected.clone()
         };
         match fault {
             Fault::ListBehavior(behavior) => self.set_list_behavior(behavior.clone()),
             Fault::ListCapacity(calls) => self.list.set_capacity(*calls),
             Fault::RestartList => self.restart_list(),
             Fault::CloseStreams => self.close_list_streams(),
-            Fault::Kill(selector) => drawn(selector).into_iter().for_each(|router| self.kill(router)),
+            Fault::Kill(selector) => select(selector).into_iter().for_each(|router| self.kill(router)),
             Fault::Start => self.start_all()?,
             Fault::Pause(selector) => {
-                drawn(selector).into_iter().for_each(|router| self.set_paused(router, true))
+                select(selector).into_iter().for_each(|router| self.set_paused(router, true))
             }
             Fault::Resume => (0..count)
                 .filter(|r| self.routers[*r].paused)
@@ -555,7 +556,7 @@
                 .into_iter()
                 .for_each(|r| self.set_paused(r, false)),
             Fault::Partition(selector) => {
-                drawn(selector).into_iter().for_each(|router| self.set_partitioned(router, true))
+                select(selector).into_iter().for_each(|router| self.set_partitioned(router, true))
             }
             Fault::HealPartitions => (0..count).for_each(|router| self.set_partitioned(router, false)),
             Fault::Drain(engine) if *engine < self.engines.len() => self.drain(*engine),
@@ -567,7 +568,7 @@
             }
             Fault::Drain(_) | Fault::CrashEngine(_) => {}
         }
-        let names: Vec<String> = named.iter().map(|router| format!("r{router}")).collect();
+        let names: Vec<String> = selected.iter().map(|router| format!("r{router}")).collect();
         Ok(if names.is_empty() { String::new() } else { format!(": {}", names.join(" ")) })
     }
 
@@ -608,8 +609,8 @@
         };
         let before = reports(self);
         self.request_counters();
-        let asked = self.routers.iter().filter(|r| r.client_address.is_some() && !r.paused).count();
-        self.run_until(limit, |fleet| reports(fleet) >= before + asked)?;
+        let expected = self.routers.iter().filter(|r| r.client_address.is_some() && !r.paused).count();
+        self.run_until(limit, |fleet| reports(fleet) >= before + expected)?;
         Ok(self.routers.iter().filter_map(|r| r.process.as_ref()).map(Process::counters).collect())
     }
 
@@ -715,14 +716,14 @@
     }
 
     /// One round: waits for `most` at most.
-    fn step(&mut self, most: Duration) -> Result<(), String> {
+    fn step(&mut self, max_wait: Duration) -> Result<(), String> {
         let mut events = Events::with_capacity(4_096);
         let now = self.clock.now_ns();
         let engines = self.engines.iter().filter_map(Engine::next_due_ns).min().unwrap_or(u64::MAX);
         let load_generators =
             self.load_generators.iter().map(LoadGenerator::next_due_ns).min().unwrap_or(u64::MAX);
         let due = Duration::from_nanos(engines.min(load_generators).saturating_sub(now));
-        let wait = if self.unfinished.is_empty() { due.min(most) } else { Duration::ZERO };
+        let wait = if self.unfinished.is_empty() { due.min(max_wait) } else { Duration::ZERO };
         match self.poll.poll(&mut events, Some(wait)) {
             Err(e) if e.kind() != std::io::ErrorKind::Interrupted => return Err(format!("poll: {e}")),
             _ => {}
@@ -818,7 +819,7 @@
         let length = body.len();
         let call =
             format!("{method} {path} HTTP/1.1\r\nHost: router\r\nContent-Length: {length}\r\n\r\n{body}");
-        let asked = std::thread::spawn(move || -> std::io::Result<String> {
+        let exchange = std::thread::spawn(move || -> std::io::Result<String> {
             let mut stream = std::net::TcpStream::connect_timeout(&at, ADMIN_TIMEOUT)?;
             stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
             stream.write_all(call.as_bytes())?;
@@ -826,10 +827,10 @@
             stream.read_to_string(&mut answer)?;
             Ok(answer)
         });
-        while !asked.is_finished() {
+        while !exchange.is_finished() {
             self.step(Duration::from_millis(5))?;
         }
-        let answer = asked.join().map_err(|_| "the call failed")?.map_err(|e| e.to_string())?;
+        let answer = exchange.join().map_err(|_| "the call failed")?.map_err(|e| e.to_string())?;
         let (head, text) = answer.split_once("\r\n\r\n").ok_or("no answer")?;
         let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or("no status")?;
         Ok((status, text.trim_end().to_owned()))
@@ -851,19 +852,20 @@
             log_text.lines().find_map(|l| l.split_once("listens on ")?.1.strip_suffix(" for the operators"));
         let at = at.ok_or("no operators' door")?;
         let mut command = std::process::Command::new(&self.setup.program);
-        let told = command.args(["fleet", "--at", at]).output().map_err(|e| e.to_string())?;
-        match told.status.success() {
-            true => Ok(String::from_utf8_lossy(&told.stdout).into_owned()),
-            false => Err(String::from_utf8_lossy(&told.stderr).into_owned()),
+        let output = command.args(["fleet", "--at", at]).output().map_err(|e| e.to_string())?;
+        match output.status.success() {
+            true => Ok(String::from_utf8_lossy(&output.stdout).into_owned()),
+            false => Err(String::from_utf8_lossy(&output.stderr).into_owned()),
         }
     }
 
     /// What was seen so far, held against the rules.
     pub fn audit(&self) -> Audit {
-        let left = self.engines.iter().zip(&self.drain_started_ns);
-        let left = left.filter_map(|(engine, left)| Some((engine.uid.clone(), (*left)?))).collect();
+        let drained = self.engines.iter().zip(&self.drain_started_ns);
+        let drained =
+            drained.filter_map(|(engine, drained)| Some((engine.uid.clone(), (*drained)?))).collect();
         let sends = self.engines.iter().map(|e| (e.uid.as_str(), e.sends.as_deref().unwrap_or_default()));
-        Audit::check(&sends.collect::<Vec<_>>(), &left, &self.list.notified_ns)
+        Audit::check(&sends.collect::<Vec<_>>(), &drained, &self.list.notified_ns)
     }
 
     /// The sum over all clients.
@@ -917,13 +919,13 @@
                 .count();
         }
         let mut all = Vec::new();
-        let mut well = running == 0;
+        let mut all_succeeded = running == 0;
         for router in &mut self.routers {
             let Some(mut process) = router.process.take() else { continue };
-            well &= process.ended_well() == Some(true);
+            all_succeeded &= process.ended_well() == Some(true);
             all.push(process.counters());
         }
-        Ok((all, well))
+        Ok((all, all_succeeded))
     }
 }
 
--- a/crates/testkit/src/health_fleet.rs
+++ b/crates/testkit/src/health_fleet.rs
@@ -165,10 +165,10 @@
     /// # Panics
     /// Where that takes longer than `most_ns`.
     #[track_caller]
-    pub fn run_until(&mut self, most_ns: u64, what: &str, condition: impl Fn(&mut Fleet) -> bool) -> u64 {
+    pub fn run_until(&mut self, limit_ns: u64, what: &str, condition: impl Fn(&mut Fleet) -> bool) -> u64 {
         let start_ns = self.now;
         while !condition(self) {
-            assert!(self.now - start_ns <= most_ns, "not within {} ms: {what}", most_ns / MS);
+            assert!(self.now - start_ns <= limit_ns, "not within {} ms: {what}", limit_ns / MS);
             self.step();
         }
         self.now - start_ns
--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -193,7 +193,7 @@
 
     /// Whether a connection is one of its own.
     pub fn owns(&self, conn: u64) -> bool {
-        self.connections.iter().any(|connection| connection.ends.contains(&conn))
+        self.connections.iter().any(|c| c.ends.contains(&conn))
     }
 
     /// Shapes what passes to the server and to_client, of connections that stand too.
@@ -233,10 +233,7 @@
 
     /// Takes what has come in at one end.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) {
-        let Some(connection) = self.connections.iter_mut().find(|connection| connection.ends.contains(&conn))
-        else {
-            return;
-        };
+        let Some(connection) = self.connections.iter_mut().find(|c| c.ends.contains(&conn)) else { return };
         let end = usize::from(connection.ends[1] == conn);
         connection.ended[end] |= net.service(conn).ended.is_some();
         let input = net.input(conn).to_vec();
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -29,9 +29,11 @@
     pub fn start(program: &Path, environment: &[(&str, PathBuf)], log: &Path) -> Result<Process, String> {
         let file = File::create(log).map_err(|e| format!("{}: {e}", log.display()))?;
         let mut command = command(program);
-        let own =
+        let is_program_variable =
             |name: &str| name.starts_with("ROUTER_") || name.starts_with("MARLJUNCTION_") || name == "TMPDIR";
-        for (name, _) in std::env::vars_os().filter(|(name, _)| name.to_str().is_some_and(own)) {
+        for (name, _) in
+            std::env::vars_os().filter(|(name, _)| name.to_str().is_some_and(is_program_variable))
+        {
             command.env_remove(name);
         }
         command.envs(environment.iter().map(|(k, v)| (k, v)));
@@ -66,8 +68,8 @@
         if self.client_address.is_none() {
             let log_text = self.log_text();
             let lines = log_text.lines().filter_map(|line| line.split_once("listens on "));
-            let plain = lines.map(|(_, at)| at.trim()).find_map(|at| at.parse().ok());
-            self.client_address = plain;
+            let address = lines.map(|(_, at)| at.trim()).find_map(|at| at.parse().ok());
+            self.client_address = address;
         }
         self.client_address
     }
@@ -99,13 +101,13 @@
 
     /// Most memory that it had (KB) and processor time that it used (us) so far.
     pub fn used(&self) -> (u64, u64) {
-        let of =
+        let read_proc =
             |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.id())).unwrap_or_default();
-        let status = of("status");
+        let status = read_proc("status");
         let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
         let peak_kb = peak.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0);
         // The first field of the scheduler's figures is the time spent on a core (ns).
-        let time = of("schedstat").split_whitespace().next().and_then(|ns| ns.parse::<u64>().ok());
+        let time = read_proc("schedstat").split_whitespace().next().and_then(|ns| ns.parse::<u64>().ok());
         (peak_kb, time.unwrap_or(0) / 1_000)
     }
 
@@ -139,7 +141,7 @@
 
 /// The mean of a counter over routers.
 pub fn mean(counters: &[Vec<(String, u64)>], name: &str) -> f64 {
-    counters.iter().map(|of| counter(of, name)).sum::<u64>() as f64 / counters.len().max(1) as f64
+    counters.iter().map(|counters| counter(counters, name)).sum::<u64>() as f64 / counters.len().max(1) as f64
 }
 
 /// The counters of a line.
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -79,7 +79,7 @@
     /// Connections whose first call started a query.
     pub opened_for_work: u64,
     unused_conns: HashSet<u64>,
-    /// Connections that it holds at most; others are closed as they come.
+    /// Connections that it data_set at most; others are closed as they come.
     pub max_connections: usize,
     /// What came while it was told to be watched: all calls that start a query.
     pub sends: Option<Vec<QueryStart>>,
@@ -135,7 +135,7 @@
         self.conns.contains(&conn)
     }
 
-    /// Queries that it holds.
+    /// Queries that it data_set.
     pub fn query_count(&self) -> usize {
         self.cpu.query_count()
     }
@@ -271,8 +271,8 @@
                 QueryStatus::Done => self.answer(now, net, conn, "200 OK", "Chunks: 1\r\n", ROWS),
                 QueryStatus::Unknown => self.answer(now, net, conn, "500 Unknown", "", ""),
                 QueryStatus::Running(share) if now >= until => {
-                    let note = format!("Outcome: frac\r\nReading: {share:.3}\r\n");
-                    self.answer(now, net, conn, "202 Accepted", &note, "");
+                    let progress = format!("Outcome: frac\r\nReading: {share:.3}\r\n");
+                    self.answer(now, net, conn, "202 Accepted", &progress, "");
                 }
                 QueryStatus::Running(_) => self.pending_polls.push((conn, name, until)),
             }
@@ -281,8 +281,8 @@
 
     /// When it has something to do next (ns).
     pub fn next_due_ns(&self) -> Option<u64> {
-        let waits = self.pending_polls.iter().map(|(_, _, until)| *until).min();
-        waits.into_iter().chain(self.cpu.next_end_ns()).min().filter(|_| self.is_up())
+        let deadlines = self.pending_polls.iter().map(|(_, _, until)| *until).min();
+        deadlines.into_iter().chain(self.cpu.next_end_ns()).min().filter(|_| self.is_up())
     }
 }
 
