--- a/crates/testkit/src/audit.rs
+++ b/crates/testkit/src/audit.rs
@@ -1,31 +1,32 @@
-//! What a fleet did, held against the rules. Pure: it reads what the stand-ins wrote down.
+//! Checks the records of the stand-ins against the rules for draining engines and at-most-once
+//! queries.
 
 use std::collections::BTreeMap;
 
 use crate::list::CallRecord;
 use crate::server::QueryStart;
 
-/// No new work goes to an engine so long after its router was told that it leaves (ns).
+/// A router may still send queries to an engine for this long after it is notified of the drain.
 const DRAIN_GRACE_NS: u64 = 500_000_000;
-/// News counts as told so late at the latest, connected or not (ns).
+/// A router counts as notified at the latest after this time, even if it is not connected.
 const MAX_NOTIFICATION_NS: u64 = 7_000_000_000;
-/// Sockets' part (ns).
+/// Allowance for delays of the sockets.
 const SOCKET_SLACK_NS: u64 = 50_000_000;
 
-/// What was found.
+/// Result of the check.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Audit {
-    /// Calls that start a query.
+    /// Query starts.
     pub sends: u64,
-    /// Calls sent to an engine that was known to leave.
+    /// Query starts at an engine after the router was notified of its drain.
     pub late_sends: u64,
-    /// Starts of a query that must not run twice, beyond the first of each.
+    /// Starts of at-most-once queries beyond the first of each.
     pub duplicate_runs: u64,
 }
 
 impl Audit {
-    /// Holds what engines were sent against when each was told to leave (`left`, by engine, as the list service had it) and
-    /// when each router was told so (`told`, by router and engine).
+    /// Checks the query starts by engine. `drain_started_ns` holds the start of each engine's
+    /// drain, `notified_ns` when each router was notified of it, by router and engine.
     pub fn check(
         sends: &[(&str, &[QueryStart])],
         drain_started_ns: &BTreeMap<String, u64>,
@@ -52,7 +53,7 @@
     }
 }
 
-/// Calls between two times (ns): how many, and the most within a window of `span_ns`.
+/// Number of calls between two times, and the largest number of them within `span_ns`.
 pub fn calls_within(calls: &[CallRecord], from: u64, to: u64, span_ns: u64) -> (usize, usize) {
     let times: Vec<u64> = calls.iter().map(|c| c.at_ns).filter(|at| (from..to).contains(at)).collect();
     let most = times
--- a/crates/testkit/src/engine.rs
+++ b/crates/testkit/src/engine.rs
@@ -1,42 +1,43 @@
-//! An engine's inside: queries that share its cores. Pure; time is passed in.
+//! Simulated CPU of a stand-in engine, with queries that share its cores by priority. Performs no
+//! I/O; the caller passes the time.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Parts of short cores that the four priorities get.
+/// Relative CPU weights of the four priorities.
 const PRIORITY_WEIGHTS: [f64; 4] = [1.0, 4.0, 8.0, 16.0];
-/// Threads a core beyond which less work is done in all, what is left of it for each further one, and the least.
+/// Above this number of threads per core, total throughput drops, by the given share for each
+/// further thread per core, down to the minimum.
 const MAX_EFFICIENT_THREADS_PER_CORE: f64 = 2.0;
 const EFFICIENCY_LOSS_PER_THREAD: f64 = 0.12;
 const MIN_EFFICIENCY: f64 = 0.5;
-/// A query that nobody asks for in this time is ended (ns).
+/// A query that is not polled for this long is cancelled.
 const POLL_TIMEOUT_NS: u64 = 2_000_000_000;
 
-/// A query that runs.
 #[derive(Clone, Debug)]
 struct RunningQuery {
     threads: f64,
-    /// Work that is left (core-nanoseconds).
+    /// Remaining work in core-nanoseconds.
     remaining: f64,
     total_work: f64,
     priority: usize,
-    /// The data set that it holds, and whether it waits for another that does.
+    /// Data set that the query locks, if any, and whether it waits for another query's lock on it.
     data_set: Option<u64>,
     blocked: bool,
     last_polled_ns: u64,
 }
 
-/// What the engine knows of a query.
+/// Status of a query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QueryStatus {
-    /// It runs; the share that is done.
+    /// Running, with the completed share of its work.
     Running(f64),
-    /// It has ended well.
+    /// Completed successfully.
     Done,
-    /// The engine does not know it.
+    /// Not known: never started, cancelled, or completed long ago.
     Unknown,
 }
 
-/// The queries of one engine.
+/// CPU and queries of one engine.
 #[derive(Debug, Default)]
 pub struct CpuModel {
     cores: f64,
@@ -52,27 +53,27 @@
         CpuModel { cores, now, ..CpuModel::default() }
     }
 
-    /// It has so many cores from here on.
+    /// Sets the number of cores.
     pub fn set_cores(&mut self, cores: f64) {
         self.cores = cores;
     }
 
-    /// Queries that it holds.
+    /// Number of running queries.
     pub fn query_count(&self) -> usize {
         self.queries.len()
     }
 
-    /// Share of its cores that was busy of late.
+    /// Moving average of the busy share of the cores.
     pub fn utilization(&self) -> f64 {
         self.utilization
     }
 
-    /// Whether it turns further queries away.
+    /// Whether further queries are rejected.
     pub fn is_full(&self) -> bool {
         self.queries.len() as f64 >= 8.0 * self.cores
     }
 
-    /// Starts a query of so much work (ns) on so many threads.
+    /// Starts a query with `total_work` core-nanoseconds of work.
     pub fn start(
         &mut self,
         now: u64,
@@ -97,7 +98,7 @@
         self.queries.insert(name.to_owned(), query);
     }
 
-    /// What is known of a query; it is asked for by this.
+    /// Returns the status of a query and restarts its poll timeout.
     pub fn poll(&mut self, now: u64, name: &str) -> QueryStatus {
         self.advance(now);
         match self.queries.get_mut(name) {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Changes a query's priority.
+    /// Sets the priority of a query, at most 3.
     pub fn set_priority(&mut self, now: u64, name: &str, priority: usize) {
         self.advance(now);
         if let Some(query) = self.queries.get_mut(name) {
@@ -118,21 +119,21 @@
         }
     }
 
-    /// Ends a query.
+    /// Cancels a query.
     pub fn cancel(&mut self, now: u64, name: &str) {
         self.advance(now);
         self.queries.remove(name);
         self.unblock_waiting();
     }
 
-    /// When the next query ends, if nothing else happens (ns).
+    /// Time at which the next query completes if nothing else changes.
     pub fn next_end_ns(&self) -> Option<u64> {
         let rates = self.rates();
         let ends = self.queries.values().zip(&rates).filter(|(_, rate)| **rate > 0.0);
         ends.map(|(query, rate)| self.now + (query.remaining / rate).ceil() as u64 + 1).min()
     }
 
-    /// Passes time; gives the queries that ended.
+    /// Advances the time to `now`. Returns the number of queries that completed.
     pub fn advance(&mut self, now: u64) -> usize {
         let mut ended = 0;
         if now <= self.now {
@@ -178,7 +179,7 @@
         finished.len()
     }
 
-    /// Lets loads on whose data set nobody holds any more.
+    /// Unblocks queries whose data set is no longer locked.
     fn unblock_waiting(&mut self) {
         let locked: Vec<Option<u64>> = self
             .queries
@@ -195,7 +196,8 @@
         }
     }
 
-    /// Cores that each query has: by priority, no more than its threads, what one can't use going to others.
+    /// Cores given to each query: by priority, at most one per thread. Shares that a query cannot
+    /// use go to the others.
     fn rates(&self) -> Vec<f64> {
         let queries: Vec<&RunningQuery> = self.queries.values().collect();
         let demand: Vec<f64> = queries.iter().map(|j| if j.blocked { 0.0 } else { j.threads }).collect();
@@ -228,29 +230,30 @@
     }
 }
 
-/// What a cold engine bears: sent more than a multiple of what it can do at the moment, for a while, it falls over.
+/// Capacity of an engine during warmup. The engine crashes when the work sent within a window
+/// exceeds a multiple of its current capacity.
 #[derive(Clone, Debug)]
 pub struct ColdStart {
-    /// When it started (ns).
+    /// Start of the engine.
     pub started_ns: u64,
-    /// Its cores once it is warm.
+    /// Cores after warmup.
     pub cores: f64,
-    /// Part of its capacity that it starts with (share), and when it has all of it (ns).
+    /// Share of the cores available at the start; grows linearly to 1 over `warmup_ns`.
     pub initial_capacity: f64,
-    /// Time until it is warm (ns).
+    /// Warmup time.
     pub warmup_ns: u64,
-    /// The multiple of its capacity that tips it over (ratio), sent within this time (ns).
+    /// Multiple of the capacity that crashes the engine if it is sent within one window.
     pub overload_multiple: f64,
-    /// Window of that (ns).
+    /// Window of the overload limit.
     pub overload_window_ns: u64,
     window: VecDeque<(u64, f64)>,
     sum: f64,
-    /// Most work sent in one window over what tips it (ratio).
+    /// Largest work in a window relative to the limit.
     pub peak_overload: f64,
 }
 
 impl ColdStart {
-    /// An engine that started at `since_ns`, with the figures that its routers' settings hold too.
+    /// An engine started at `started_ns`. The routers' settings hold the same values.
     pub fn new(
         started_ns: u64,
         cores: f64,
@@ -273,13 +276,13 @@
         }
     }
 
-    /// Cores that it is worth now.
+    /// Current capacity in cores.
     pub fn capacity(&self, now: u64) -> f64 {
         let age = now.saturating_sub(self.started_ns) as f64 / self.warmup_ns as f64;
         self.cores * (self.initial_capacity + (1.0 - self.initial_capacity) * age.min(1.0))
     }
 
-    /// Takes work (core-ns); false where it falls over by it.
+    /// Records work in core-nanoseconds. Returns false if it crashes the engine.
     pub fn add_work(&mut self, now: u64, total_work: f64) -> bool {
         if now >= self.started_ns + self.warmup_ns {
             return true;
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A whole fleet on loopback: router programs as processes of their own, a list service, engines and clients, all in one
-//! loop. Every wait is on a condition, with a limit.
+//! A fleet of router processes on loopback with a list service, engines and clients, driven by one
+//! event loop. Waits are for conditions, each with a limit.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -24,67 +24,68 @@
 use crate::server::Engine;
 use crate::test_bed::{engine_entry, settings, SettingsParams, COLD_START};
 
-/// Listeners of engines have the first numbers, then those of the list service; connections follow.
+/// Poll tokens: engines start at 0, connections at `FIRST_CONNECTION`.
 const LIST_TOKEN: usize = 10_000;
 const ENGINE_LINK_TOKEN: usize = 20_000;
 const PEER_LINK_TOKEN: usize = 30_000;
-/// The key of all fleets of the rig: what it keeps out are strangers.
+/// Key of all test fleets.
 pub const FLEET_KEY: &str = "6d61726c6a756e6374696f6e2d7269672d6b65792d6f662d616c6c2d666c6565";
 const FIRST_CONNECTION: u64 = 1_000_000;
-/// Longest wait for an answer of an operators' door.
+/// Timeout for connecting to the admin API and for its response.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(4);
-/// Longest wait of the loop (ns).
+/// Longest wait for socket events.
 const MAX_POLL_NS: u64 = 10_000_000;
-/// Longest advice to clients (ms).
+/// Largest `Retry-After` in the settings.
 const MAX_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Memory limit of each router (MB).
+/// Memory limit of each router.
 pub const MEMORY_MB: u32 = 64;
 
-/// The counters of one router by name.
+/// Counters of one router.
 pub type Counters = Vec<(String, u64)>;
 
-/// What a fleet is set up with.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The routers' program.
+    /// Router program.
     pub program: PathBuf,
-    /// A name that no other fleet of this process has now.
+    /// Name that no other fleet of this process uses at the same time.
     pub name: String,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// The count of routers that their settings say; the true one, if none.
+    /// Number of routers in the settings; the actual one if `None`.
     pub configured_routers: Option<u32>,
-    /// All routers have the first one's seed and number.
+    /// Gives all routers the seed and the index of the first.
     pub same_identity: bool,
-    /// The last router has the first one's name and number, by mistake.
+    /// Gives the last router the name and the index of the first.
     pub duplicate_identity: bool,
-    /// Engines, and cores of each.
+    /// Number of engines.
     pub engines: usize,
-    /// Cores of an engine.
+    /// Cores per engine.
     pub cores: f64,
-    /// Engines are cold as the fleet starts.
+    /// Whether engines start cold.
     pub cold: bool,
-    /// Routers talk to each other, under these limits (as in the operator's file), over links that can be broken.
+    /// Fields of the fleet section, such as its limits. If set, routers reach their peers over
+    /// links with faults.
     pub fleet: Option<String>,
-    /// Engines are reached over links that can be broken.
+    /// Whether engines are reached over links with faults.
     pub engine_links: bool,
-    /// Routers know the list as they start.
+    /// Whether routers start with the engine list in their configuration.
     pub initial_list: bool,
-    /// Calls a second that the list service takes.
+    /// Calls per second that the list service accepts.
     pub capacity: f64,
-    /// The operator's file; none for none. `{own}` in it becomes a path of the router's own.
+    /// Operator configuration. `{router_file}` is replaced by a path of the router's own.
     pub operator: Option<String>,
-    /// Classes of requests.
+    /// Request classes.
     pub classes: Vec<Class>,
-    /// Requests a second that each router's clients ask for.
+    /// Requests per second to each router.
     pub rate: f64,
-    /// Seed of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
 impl Setup {
-    /// A small fleet with defaults for all but its size.
+    /// A small fleet with default settings.
     pub fn new(program: &Path, name: &str, routers: usize) -> Setup {
         Setup {
             program: program.to_owned(),
@@ -108,7 +109,7 @@
     }
 }
 
-/// A light class, a heavy one, and one that must not run twice.
+/// Light, heavy and at-most-once request classes.
 pub fn classes() -> Vec<Class> {
     let lookup = Class {
         name: "lookup",
@@ -150,66 +151,66 @@
     vec![lookup, report, load]
 }
 
-/// One router, as the fleet's owner sees it.
+/// A router of the fleet.
 #[derive(Debug)]
 pub struct Router {
-    /// Its process; none while it is not there.
+    /// Process; `None` while the router does not run.
     pub process: Option<Process>,
-    /// When its process was started (ns).
+    /// Start of the process.
     pub started_ns: u64,
-    /// Where its clients connect, once it has said so.
+    /// Address for clients, once it is known.
     pub client_address: Option<SocketAddr>,
-    /// Where it takes datagrams, once it has said so.
+    /// Address for datagrams of peers, once it is known.
     pub peer_address: Option<SocketAddr>,
-    /// Since when it has no stream though the service takes calls, and the longest such time so far (ns).
+    /// Start of the current time without a stream while the list service accepts calls.
     disconnected_since_ns: Option<u64>,
-    /// The longest time without a stream while the service took calls (ns).
+    /// Longest time without a stream while the list service accepted calls.
     pub longest_disconnect_ns: u64,
     paused: bool,
 }
 
 impl Router {
-    /// Whether its process stands still.
+    /// Whether the process is paused.
     pub fn paused(&self) -> bool {
         self.paused
     }
 }
 
-/// A fleet.
+/// A running fleet.
 pub struct Fleet {
     setup: Setup,
     poll: Poll,
     clock: Clock,
     net: Net,
-    /// The engines.
+    /// Stand-in engines.
     pub engines: Vec<Engine>,
-    /// The links to them; none where they are reached without.
+    /// Links to the engines, if configured.
     pub engine_links: Vec<TcpLink>,
-    /// The links that each router hears its peers by; none where they do not talk.
+    /// Links that carry the datagrams to each router, if the routers form a fleet.
     pub peer_links: Vec<UdpLink>,
-    /// The list service.
+    /// Stand-in list service.
     pub list: ListService,
     list_serving: bool,
-    /// The routers.
+    /// Routers by index.
     pub routers: Vec<Router>,
-    /// Their clients.
+    /// Simulated clients by router.
     pub load_generators: Vec<LoadGenerator>,
     states: Vec<&'static str>,
-    /// When each engine was told to leave, as the service had it (ns).
+    /// Start of each engine's drain.
     pub drain_started_ns: Vec<Option<u64>>,
-    /// Most queries that all engines held at once, since this was last set back.
+    /// Largest number of queries running on all engines at once.
     pub max_held: usize,
     dir: PathBuf,
     unfinished: Vec<u64>,
-    /// What a router's operator's file says of limits, where that is not what all have.
+    /// Limits of routers that differ from those of the fleet.
     limit_configs: Vec<Option<String>>,
 }
 
 impl Fleet {
-    /// Stand-ins, and no router yet.
+    /// Starts the stand-ins, but no routers.
     ///
     /// # Errors
-    /// Where sockets or files can't be had.
+    /// If sockets or files cannot be created.
     pub fn new(setup: Setup) -> Result<Fleet, String> {
         let context = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
         let poll = Poll::new().map_err(context("poll"))?;
@@ -241,7 +242,7 @@
         let net =
             Net::new(registry, FIRST_CONNECTION, ConnectionLimits { engines: 1 << 20, output: 1 << 30 });
         let dir = std::env::temp_dir().join(format!("marljunction-{}-{}", std::process::id(), setup.name));
-        std::fs::create_dir_all(&dir).map_err(context("folder"))?;
+        std::fs::create_dir_all(&dir).map_err(context("directory"))?;
         let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
         let routers = || Router {
             process: None,
@@ -303,7 +304,7 @@
         Ok(fleet)
     }
 
-    /// The time (ns).
+    /// Current time (ns).
     pub fn now(&self) -> u64 {
         self.clock.now_ns()
     }
@@ -313,33 +314,33 @@
         json!({"rev": 1, "all": true, "targets": all.collect::<Vec<Value>>()})
     }
 
-    /// A path of a router's own, the same in each of its starts.
+    /// Path of a file of one router, kept across its restarts.
     pub fn router_file(&self, router: usize) -> PathBuf {
         self.dir.join(format!("own-{router}"))
     }
 
-    /// The folder in which a router that talks to its fleet keeps what outlasts it.
+    /// Directory with the persistent state of a router that is part of a fleet.
     pub fn state_dir(&self, router: usize) -> PathBuf {
         self.dir.join(format!("kept-{router}"))
     }
 
-    /// Whether routers know the list as they start from here on.
+    /// Sets whether routers start with the engine list.
     pub fn set_initial_list(&mut self, initial_list: bool) {
         self.setup.initial_list = initial_list;
     }
 
-    /// An engine's process is gone, and nobody is told.
+    /// Crashes an engine without notifying the routers.
     pub fn crash_engine(&mut self, engine: usize) {
         self.engines[engine].crash(&mut self.net);
     }
 
-    /// Shapes what passes to an engine and back, where there are links.
+    /// Shapes the link to an engine in both directions, if there is one.
     pub fn shape(&mut self, engine: usize, to_engine: Shape, from_engine: Shape) {
         let now = self.clock.now_ns();
         self.engine_links.get_mut(engine).into_iter().for_each(|link| link.set(now, to_engine, from_engine));
     }
 
-    /// The part of the operator's file that lets a router talk to its peers: by the links that stand before them.
+    /// Fleet section of a router's operator configuration. Addresses are those of the links.
     fn fleet_file(&self, router: usize, limits: &str, key: &Path) -> String {
         let seeds: Vec<String> =
             self.peer_links.iter().take(2).map(|link| format!("{:?}", link.address.to_string())).collect();
@@ -351,11 +352,11 @@
         )
     }
 
-    /// Shapes what passes from one router to another, or from all where none is named.
+    /// Shapes the link from one router to another, or from all routers if `from` is `None`.
     pub fn shape_peer_link(&mut self, from: Option<usize>, to: usize, shape: Shape) {
         let now = self.clock.now_ns();
         let sender = match from.map(|from| self.routers[from].peer_address) {
-            // One that does not talk needs no shape.
+            // A router without an address for peers sends no datagrams.
             Some(None) => return,
             Some(sender) => sender,
             None => None,
@@ -363,7 +364,7 @@
         self.peer_links.get_mut(to).into_iter().for_each(|link| link.set(now, sender, shape));
     }
 
-    /// Cuts the routers into parts that do not hear each other; nobody is cut off where all are in one.
+    /// Partitions the routers into groups; a single group heals all partitions.
     pub fn partition_into(&mut self, parts: &[usize]) {
         for to in 0..parts.len() {
             for from in (0..parts.len()).filter(|from| *from != to) {
@@ -373,10 +374,10 @@
         }
     }
 
-    /// A router's operator's file has other limits from here on, which it reads at once.
+    /// Changes the limits in a router's operator configuration and makes the router reload it.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// If the file cannot be written.
     pub fn set_limits(&mut self, router: usize, limits: &str) -> Result<(), String> {
         self.limit_configs[router] = Some(limits.to_owned());
         let text = self.fleet_file(router, limits, &self.dir.join(format!("key-{router}")));
@@ -387,10 +388,10 @@
         Ok(())
     }
 
-    /// Starts a router's process, as a first start or after its end.
+    /// Starts or restarts a router's process.
     ///
     /// # Errors
-    /// Where its files or its process can't be made.
+    /// If its files or its process cannot be created.
     pub fn start(&mut self, router: usize) -> Result<(), String> {
         let setup = &self.setup;
         let duplicate_identity = setup.duplicate_identity && router + 1 == setup.routers;
@@ -445,22 +446,22 @@
         Ok(())
     }
 
-    /// Starts all routers that are not there.
+    /// Starts all routers that do not run.
     ///
     /// # Errors
-    /// Where one can't be started.
+    /// If a router cannot be started.
     pub fn start_all(&mut self) -> Result<(), String> {
         for router in 0..self.routers.len() {
             if self.routers[router].process.is_none() {
                 self.start(router)?;
-                // Guards against stand-ins that stand still while hundreds are started.
+                // Serves the stand-ins while hundreds of processes start.
                 self.step(Duration::ZERO)?;
             }
         }
         Ok(())
     }
 
-    /// Ends a router at once (SIGKILL): what its clients had open is excused.
+    /// Kills a router. Pending calls of its clients are excluded from the results.
     pub fn kill(&mut self, router: usize) {
         let state = &mut self.routers[router];
         state.process = None;
@@ -468,8 +469,8 @@
         self.load_generators[router].router_down(&mut self.net);
     }
 
-    /// Stops a router's process where it stands (SIGSTOP), or lets it go on (SIGCONT). What its clients had open as it was
-    /// stopped is excused.
+    /// Pauses a router with SIGSTOP or resumes it with SIGCONT. Calls pending at the pause are
+    /// excluded from the results.
     pub fn set_paused(&mut self, router: usize, paused: bool) {
         let now = self.clock.now_ns();
         let state = &mut self.routers[router];
@@ -477,7 +478,7 @@
             process.signal(if paused { Signal::SIGSTOP } else { Signal::SIGCONT });
         }
         state.paused = paused;
-        // Time for which it stood still is not time for which it waited.
+        // Paused time does not count as disconnected time.
         state.disconnected_since_ns = state.disconnected_since_ns.map(|_| now);
         match (paused, state.client_address) {
             (true, _) => self.load_generators[router].router_down(&mut self.net),
@@ -486,7 +487,7 @@
         }
     }
 
-    /// How the list service behaves from here on.
+    /// Sets the behavior of the list service.
     pub fn set_list_behavior(&mut self, behavior: Behavior) {
         let now = self.clock.now_ns();
         self.list_serving = behavior == Behavior::Normal;
@@ -497,18 +498,18 @@
         self.list.set_behavior(&mut self.net, behavior);
     }
 
-    /// Closes all streams at once.
+    /// Closes all streams of the list service.
     pub fn close_list_streams(&mut self) {
         self.list.close_all_streams(&mut self.net);
     }
 
-    /// The list service starts anew, with numbers from 1.
+    /// Restarts the list service, with event numbers from 1.
     pub fn restart_list(&mut self) {
         let snapshot = self.list_snapshot();
         self.list.restart(&mut self.net, &snapshot);
     }
 
-    /// Cuts or mends a router's link to the list service.
+    /// Starts or ends a partition between a router and the list service.
     pub fn set_partitioned(&mut self, router: usize, partitioned: bool) {
         let now = self.clock.now_ns();
         self.list.set_partitioned(router, partitioned);
@@ -518,7 +519,7 @@
         }
     }
 
-    /// Tells that an engine drains; it answers on.
+    /// Publishes the drain of an engine, which keeps answering.
     pub fn drain(&mut self, engine: usize) {
         let now = self.clock.now_ns();
         self.states[engine] = "terminating";
@@ -529,10 +530,10 @@
         self.list.publish(now, &mut self.net, &part, &[uid]);
     }
 
-    /// Lets something break, or mends it; gives the routers that were drawn for it, as text.
+    /// Applies a fault. Returns the selected routers as text.
     ///
     /// # Errors
-    /// Where a router can't be started.
+    /// If a router cannot be started.
     pub fn apply(&mut self, fault: &Fault, draws: &mut StdRng) -> Result<String, String> {
         let count = self.routers.len();
         let mut selected = Vec::new();
@@ -572,10 +573,10 @@
         Ok(if names.is_empty() { String::new() } else { format!(": {}", names.join(" ")) })
     }
 
-    /// Mends all that can be mended: all routers are there and go on, no link is cut, the list service is well.
+    /// Ends all faults: starts and resumes all routers, heals all links and the list service.
     ///
     /// # Errors
-    /// Where a router can't be started.
+    /// If a router cannot be started.
     pub fn heal_all(&mut self) -> Result<(), String> {
         let mut draws = StdRng::seed_from_u64(0);
         for engine in 0..self.engine_links.len() {
@@ -589,7 +590,7 @@
         Ok(())
     }
 
-    /// Asks all routers to say their counters in their logs (SIGUSR1).
+    /// Makes all routers log their counters (SIGUSR1).
     pub fn request_counters(&mut self) {
         for router in self.routers.iter_mut().filter(|r| r.client_address.is_some() && !r.paused) {
             if let Some(process) = &mut router.process {
@@ -598,10 +599,10 @@
         }
     }
 
-    /// The counters of all routers that are there and go on, once each has said them anew.
+    /// Counters of all running routers, once each has logged them again.
     ///
     /// # Errors
-    /// Where the loop fails.
+    /// If the event loop fails.
     pub fn counters(&mut self, limit: Duration) -> Result<Vec<Counters>, String> {
         let reports = |fleet: &Fleet| -> usize {
             let processes = fleet.routers.iter().filter(|r| !r.paused).filter_map(|r| r.process.as_ref());
@@ -614,12 +615,13 @@
         Ok(self.routers.iter().filter_map(|r| r.process.as_ref()).map(Process::counters).collect())
     }
 
-    /// What the list says of each engine.
+    /// State of each engine on the list.
     pub fn states(&self) -> &[&'static str] {
         &self.states
     }
 
-    /// All engines start again, cold, and the list says so; what they hold runs on.
+    /// Restarts the warmup of all engines and publishes their new start times. Running queries
+    /// continue.
     pub fn restart_engines_cold(&mut self) {
         let now = self.clock.now_ns();
         let (initial_capacity, warmup_ns, overload_multiple, overload_window_ns) = COLD_START;
@@ -636,29 +638,30 @@
         self.republish_list();
     }
 
-    /// Tells the list as it is once more, under a number of its own.
+    /// Publishes the unchanged list as a new event.
     pub fn republish_list(&mut self) {
         let (now, snapshot) = (self.clock.now_ns(), self.list_snapshot());
         self.list.publish(now, &mut self.net, &snapshot, &[]);
     }
 
-    /// All clients ask from here on, as often as the setup says.
+    /// Starts all clients at the configured rate.
     pub fn start_clients(&mut self) {
         let now = self.clock.now_ns();
         let source = Source { tenant: "all", rate: self.setup.rate, clients: 8, estimate_ratio: 1.0 };
         self.load_generators.iter_mut().for_each(|load| load.start_phase(now, vec![source.clone()]));
     }
 
-    /// Clients ask nothing more; what is open is waited for until `limit`. Whether all was answered.
+    /// Stops the clients and waits for pending calls until `limit`. Returns whether all were
+    /// answered.
     ///
     /// # Errors
-    /// Where the loop fails.
+    /// If the event loop fails.
     pub fn stop_clients(&mut self, limit: Duration) -> Result<bool, String> {
         self.load_generators.iter_mut().for_each(LoadGenerator::stop_sending);
         self.run_until(limit, |fleet| fleet.load_generators.iter().all(|load| load.open() == 0))
     }
 
-    /// Clients ask from here on, so often at each router.
+    /// Starts the clients with one rate per router.
     pub fn start_clients_at(&mut self, rates: &[f64]) {
         let now = self.clock.now_ns();
         for (load, rate) in self.load_generators.iter_mut().zip(rates) {
@@ -669,30 +672,30 @@
         }
     }
 
-    /// Queries that all engines hold now.
+    /// Number of queries running on all engines.
     pub fn held(&self) -> usize {
         self.engines.iter().map(Engine::query_count).sum()
     }
 
-    /// What each router's process that is there has used: memory at most (KB) and processor time (us).
+    /// Peak memory (KB) and CPU time (microseconds) of each running router.
     pub fn used(&self) -> Vec<(u64, u64)> {
         self.routers.iter().filter_map(|r| r.process.as_ref()).map(Process::used).collect()
     }
 
-    /// Routers that take clients.
+    /// Number of routers that accept clients.
     pub fn ready(&self) -> usize {
         self.routers.iter().filter(|r| r.client_address.is_some()).count()
     }
 
-    /// Routers whose stream is up.
+    /// Number of routers with an open stream from the list service.
     pub fn connected(&self) -> usize {
         self.list.connected()
     }
 
-    /// Runs until `condition` holds, for no longer than `limit`; whether it holds.
+    /// Runs until `condition` holds, for at most `limit`. Returns whether it holds.
     ///
     /// # Errors
-    /// Where the loop fails.
+    /// If the event loop fails.
     pub fn run_until(&mut self, limit: Duration, condition: impl Fn(&Fleet) -> bool) -> Result<bool, String> {
         let end = self.clock.now_ns() + limit.as_nanos() as u64;
         loop {
@@ -707,15 +710,15 @@
         }
     }
 
-    /// Runs for a time.
+    /// Runs for `time`.
     ///
     /// # Errors
-    /// Where the loop fails.
+    /// If the event loop fails.
     pub fn run(&mut self, time: Duration) -> Result<(), String> {
         self.run_until(time, |_| false).map(drop)
     }
 
-    /// One round: waits for `most` at most.
+    /// Runs one iteration of the event loop, waiting for at most `max_wait`.
     fn step(&mut self, max_wait: Duration) -> Result<(), String> {
         let mut events = Events::with_capacity(4_096);
         let now = self.clock.now_ns();
@@ -801,10 +804,10 @@
         Ok(())
     }
 
-    /// Calls a router's operators' door while all goes on; gives the status and the text of its answer.
+    /// Sends a request to a router's admin API. Returns the status and the body of the response.
     ///
     /// # Errors
-    /// Where there is no door, or no answer.
+    /// If the router has no admin API or does not respond.
     pub fn call(
         &mut self,
         router: usize,
@@ -815,7 +818,7 @@
         let log_text = self.log_text(router);
         let at =
             log_text.lines().find_map(|l| l.split_once("listens on ")?.1.strip_suffix(" for the operators"));
-        let at: SocketAddr = at.ok_or("no operators' door")?.parse().map_err(|e| format!("{e}"))?;
+        let at: SocketAddr = at.ok_or("the router has no admin API")?.parse().map_err(|e| format!("{e}"))?;
         let length = body.len();
         let call =
             format!("{method} {path} HTTP/1.1\r\nHost: router\r\nContent-Length: {length}\r\n\r\n{body}");
@@ -830,27 +833,29 @@
         while !exchange.is_finished() {
             self.step(Duration::from_millis(5))?;
         }
-        let answer = exchange.join().map_err(|_| "the call failed")?.map_err(|e| e.to_string())?;
-        let (head, text) = answer.split_once("\r\n\r\n").ok_or("no answer")?;
-        let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or("no status")?;
+        let answer =
+            exchange.join().map_err(|_| "the request thread panicked")?.map_err(|e| e.to_string())?;
+        let (head, text) = answer.split_once("\r\n\r\n").ok_or("the admin API did not respond")?;
+        let status =
+            head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or("invalid status line")?;
         Ok((status, text.trim_end().to_owned()))
     }
 
-    /// Calls that start queries at an engine within these times (ns).
+    /// Number of queries sent to an engine between two times (ns).
     pub fn sent_within(&self, engine: usize, from: u64, to: u64) -> usize {
         let sends = self.engines[engine].sends.as_deref().unwrap_or_default();
         sends.iter().filter(|sent| (from..to).contains(&sent.at_ns)).count()
     }
 
-    /// What a router says of its fleet, by the program's own command.
+    /// Fleet status of a router, from the program's own `fleet` command.
     ///
     /// # Errors
-    /// Where it does not answer.
+    /// If the command fails.
     pub fn fleet_status(&mut self, router: usize) -> Result<String, String> {
         let log_text = self.log_text(router);
         let at =
             log_text.lines().find_map(|l| l.split_once("listens on ")?.1.strip_suffix(" for the operators"));
-        let at = at.ok_or("no operators' door")?;
+        let at = at.ok_or("the router has no admin API")?;
         let mut command = std::process::Command::new(&self.setup.program);
         let output = command.args(["fleet", "--at", at]).output().map_err(|e| e.to_string())?;
         match output.status.success() {
@@ -859,7 +864,7 @@
         }
     }
 
-    /// What was seen so far, held against the rules.
+    /// Checks all records so far.
     pub fn audit(&self) -> Audit {
         let drained = self.engines.iter().zip(&self.drain_started_ns);
         let drained =
@@ -868,24 +873,25 @@
         Audit::check(&sends.collect::<Vec<_>>(), &drained, &self.list.notified_ns)
     }
 
-    /// The sum over all clients.
+    /// Sum over the results of all clients.
     pub fn sum(&self, of: impl Fn(&RequestStats) -> f64) -> f64 {
         self.load_generators.iter().flat_map(|load| load.tallies.iter().flatten()).map(of).sum()
     }
 
-    /// What one router says now.
+    /// Contents of a router's log.
     pub fn log_text(&self, router: usize) -> String {
         self.routers[router].process.as_ref().map(Process::log_text).unwrap_or_default()
     }
 
-    /// Ends a play: clients ask nothing more, all that was asked is answered once, nothing ran twice or went out late, and all
-    /// routers end by themselves and well, each step within `limit`. Gives the routers' last counters.
+    /// Stops the clients and the routers, each within `limit`. Checks that every call was answered
+    /// once, that no query ran twice or was sent too late, and that all routers exited with
+    /// success. Returns the routers' last counters.
     ///
     /// # Errors
-    /// Says what is not so.
+    /// Describes the first check that failed.
     pub fn stop_and_verify(mut self, limit: Duration) -> Result<Vec<Counters>, String> {
         if !self.stop_clients(limit)? {
-            return Err("something that was asked is not answered".into());
+            return Err("some calls were not answered".into());
         }
         let audit = self.audit();
         let (unanswered, twice) = (self.sum(|t| t.unanswered as f64), self.sum(|t| t.twice as f64));
@@ -894,14 +900,15 @@
         }
         match self.stop(limit)? {
             (counters, true) => Ok(counters),
-            _ => Err("not all end by themselves, and well".into()),
+            _ => Err("not all routers exited with success in time".into()),
         }
     }
 
-    /// Ends all routers as planned stops; gives each one's last counters, and whether all ended well and in time.
+    /// Stops all routers with SIGTERM. Returns their last counters, and whether all exited with
+    /// success within `limit`.
     ///
     /// # Errors
-    /// Where the loop fails.
+    /// If the event loop fails.
     pub fn stop(&mut self, limit: Duration) -> Result<(Vec<Counters>, bool), String> {
         for process in self.routers.iter_mut().filter_map(|r| r.process.as_mut()) {
             process.signal(Signal::SIGCONT);
@@ -931,7 +938,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // Processes first: their logs lie in the folder.
+        // Processes end first, since their logs are in the directory.
         self.routers.clear();
         let _ = std::fs::remove_dir_all(&self.dir);
     }
--- a/crates/testkit/src/health_fleet.rs
+++ b/crates/testkit/src/health_fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet of routers that share what they believe of engines, in stepped time without sockets: messages are lost, doubled, late
-//! and out of order, links are cut, routers die, stand still and start again. Pure.
+//! Simulated fleet of routers that share engine health, in stepped time and without sockets:
+//! messages are lost, duplicated, delayed and reordered, links partitioned, routers killed, paused,
+//! restarted.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,44 +16,44 @@
 pub const S: u64 = 1_000 * MS;
 /// Nanoseconds of one step.
 pub const STEP_NS: u64 = 20 * MS;
-/// When all begin.
+/// Start of the simulation.
 const START_NS: u64 = 1_700_000_000 * S;
 
-/// The fleet.
+/// A simulated fleet.
 pub struct Fleet {
-    /// The time (ns).
+    /// Current time (ns).
     pub now: u64,
-    /// What it agrees on.
+    /// Parameters of all routers.
     pub params: HealthParams,
-    /// Its routers; none while one is not there.
+    /// Routers; `None` while one does not run.
     pub nodes: Vec<Option<Node>>,
-    /// What each router has kept on disk.
+    /// Overrides and last contact of each router as stored on disk.
     pub persisted: Vec<(Overrides, u64)>,
-    /// Routers that stand still.
+    /// Paused routers.
     pub paused: BTreeSet<usize>,
     inbox: Vec<Vec<(u32, Message)>>,
-    /// Links that carry nothing, from one to another.
+    /// Partitioned links, as sender and receiver.
     pub partitioned: BTreeSet<(usize, usize)>,
-    /// Part of the messages that is lost (share).
+    /// Share of the messages that are lost.
     pub loss: f64,
-    /// Part that comes twice (share).
+    /// Share of the messages that are duplicated.
     pub duplication: f64,
-    /// Chance's part of the delay (ns).
+    /// Largest random delay (ns).
     pub jitter_ns: u64,
     in_transit: BTreeMap<(u64, u64), (usize, u32, Message)>,
     sequence: u64,
-    /// What chance draws from.
+    /// Source of all random draws.
     pub draws: StdRng,
-    /// The engines of the list, and when each started (ms).
+    /// Engines on the list, each with its start time (ms).
     pub engines: Vec<(u64, u64)>,
-    /// Messages sent.
+    /// Number of messages sent.
     pub messages: u64,
-    /// Bytes of them, as they are packed.
+    /// Size of the messages sent, in bytes.
     pub bytes: u64,
 }
 
 impl Fleet {
-    /// A fleet that has started and knows itself.
+    /// A fleet after its start, with all routers connected.
     pub fn new(routers: usize, seed: u64) -> Fleet {
         let params = HealthParams { routers: routers as u32, ..HealthParams::default() };
         let mut fleet = Fleet {
@@ -78,12 +79,12 @@
         fleet
     }
 
-    /// A third is lost, a fifth doubled, and the rest out of order.
+    /// Sets 30 % loss, 20 % duplication, and a delay that reorders messages.
     pub fn degrade_network(&mut self) {
         (self.loss, self.duplication, self.jitter_ns) = (0.3, 0.2, 150 * MS);
     }
 
-    /// Starts a router that is not there.
+    /// Starts a router that does not run.
     pub fn start(&mut self, at: usize) {
         if self.nodes[at].is_none() {
             let zone = (at % 2) as u64;
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Ends a router at once; what it kept stays.
+    /// Kills a router; its stored state stays.
     pub fn kill(&mut self, at: usize) {
         if let Some(node) = self.nodes[at].take() {
             self.persisted[at] = (node.overrides().clone(), node.last_contact_ns());
@@ -124,7 +125,7 @@
         answers.into_iter().flatten().for_each(|(to, answer)| self.send(at, to, answer));
     }
 
-    /// Passes one step.
+    /// Advances the time by one step.
     pub fn step(&mut self) {
         self.now += STEP_NS;
         let now = self.now;
@@ -155,15 +156,15 @@
         }
     }
 
-    /// Passes a time (ns).
+    /// Runs for `ns` nanoseconds.
     pub fn run(&mut self, ns: u64) {
         (0..ns / STEP_NS).for_each(|_| self.step());
     }
 
-    /// Steps until a condition holds; how long that took (ns).
+    /// Steps until the condition holds. Returns the time taken (ns).
     ///
     /// # Panics
-    /// Where that takes longer than `most_ns`.
+    /// If it takes longer than `limit_ns`.
     #[track_caller]
     pub fn run_until(&mut self, limit_ns: u64, what: &str, condition: impl Fn(&mut Fleet) -> bool) -> u64 {
         let start_ns = self.now;
@@ -174,24 +175,24 @@
         self.now - start_ns
     }
 
-    /// A router that is there.
+    /// A running router.
     pub fn node(&mut self, at: usize) -> &mut Node {
-        self.nodes[at].as_mut().expect("a router that is there")
+        self.nodes[at].as_mut().expect("a running router")
     }
 
-    /// Whether it holds of all routers that are there.
+    /// Whether `f` holds for all running routers.
     pub fn all(&mut self, f: impl Fn(&mut Node) -> bool) -> bool {
         self.nodes.iter_mut().flatten().all(f)
     }
 
-    /// An attempt of a router's ends.
+    /// Records the outcome of an attempt at a router.
     pub fn attempt_ended(&mut self, at: usize, engine: u64, outcome: AttemptOutcome) {
         let now = self.now;
         let started = self.engines.iter().find(|(id, _)| *id == engine).map_or(0, |(_, at)| *at);
         self.node(at).ended(now, (engine, started), 0, now - 50 * MS, outcome);
     }
 
-    /// Cuts the routers into parts.
+    /// Partitions the routers into groups.
     pub fn partition_into(&mut self, part: impl Fn(usize) -> usize) {
         let n = self.nodes.len();
         self.partitioned.clear();
--- a/crates/testkit/src/lease_fleet.rs
+++ b/crates/testkit/src/lease_fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet of routers that lend each other shares of one limit, in stepped time without sockets: messages are lost, doubled, late
-//! and out of order, links are cut one way or both, routers die, stand still and start again, clocks differ. Pure.
+//! Simulated fleet of routers that lease shares of one limit, in stepped time and without sockets:
+//! messages are lost, duplicated, delayed and reordered, links partitioned in one or both
+//! directions, routers killed, paused and restarted, and clocks drift.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,76 +17,76 @@
 /// Nanoseconds of one step.
 pub const STEP_NS: u64 = 10 * MS;
 
-/// What a link does to messages.
+/// Faults of the messages on all links.
 #[derive(Clone, Copy)]
 pub struct NetworkConditions {
-    /// Part that is lost.
+    /// Share of the messages that are lost.
     pub loss: f64,
-    /// Part that comes twice.
+    /// Share of the messages that are duplicated.
     pub duplication: f64,
-    /// Delay at least (ns), and chance's part on top (ns).
+    /// Fixed delay.
     pub delay_ns: u64,
-    /// Chance's part of the delay (ns).
+    /// Largest random delay on top.
     pub jitter_ns: u64,
 }
 
-/// A wire that is well.
+/// No loss.
 pub const HEALTHY: NetworkConditions =
     NetworkConditions { loss: 0.0, duplication: 0.0, delay_ns: MS, jitter_ns: 2 * MS };
-/// One that loses a third, doubles a fifth, and puts the rest out of order.
+/// Loses and duplicates many messages and reorders the rest.
 pub const LOSSY: NetworkConditions =
     NetworkConditions { loss: 0.3, duplication: 0.2, delay_ns: 20 * MS, jitter_ns: 900 * MS };
 
-/// One router.
+/// A simulated router.
 pub struct Router {
-    /// What it keeps; none while it is not there.
+    /// Leasing state; `None` while the router does not run.
     pub node: Option<Node>,
-    /// The limit as its operator's file has it.
+    /// The limit in the router's configuration.
     limit: Limit,
     incarnation: u64,
-    /// Its clock: true time times this, from where it started.
+    /// Rate of the router's clock relative to the true time.
     clock_rate: f64,
-    /// It stands still.
+    /// Whether the router is paused.
     pub paused: bool,
     inbox: Vec<(Peer, Message)>,
     in_flight: Vec<(u64, Permit)>,
-    /// Requests a second that its clients ask for.
+    /// Requests per second.
     pub demand: f64,
 }
 
-/// The fleet.
+/// A simulated fleet.
 pub struct Fleet {
-    /// Its limit, and what it agrees on.
+    /// The limit that usage is checked against.
     pub limit: Limit,
-    /// What it agrees on.
+    /// Parameters of all routers.
     pub params: LimitParams,
-    /// Its routers.
+    /// Routers by index.
     pub routers: Vec<Router>,
-    /// The true time (ns).
+    /// True time (ns).
     pub now: u64,
-    /// What chance draws from.
+    /// Source of all random draws.
     pub draws: StdRng,
     network: NetworkConditions,
-    /// Links that carry nothing, from one to another.
+    /// Partitioned links, as sender and receiver.
     pub partitioned: BTreeSet<(usize, usize)>,
     in_transit: BTreeMap<(u64, u64), (usize, Peer, Message)>,
     sequence: u64,
-    /// When what routers that died had out is over.
+    /// Ends of the requests in flight at the time their router was killed.
     orphaned: Vec<u64>,
-    /// A bucket that drains as fast as the rate allows: what it holds is what was admitted at once.
+    /// Level of a bucket that drains at the limit's rate and fills with each admission.
     bucket_level: f64,
-    /// When what a window's limit still counts was admitted (ns).
+    /// Times of the admissions within the window of the limit.
     admissions: VecDeque<u64>,
-    /// The most that was out, or admitted at once or in a window, over the limit (ratio).
+    /// Largest usage relative to the limit.
     pub worst: f64,
-    /// Requests admitted.
+    /// Number of requests admitted.
     pub admitted: u64,
-    /// Messages sent.
+    /// Number of messages sent.
     pub messages: u64,
 }
 
 impl Fleet {
-    /// A fleet that starts whole, with clocks up to `drift` off.
+    /// A fleet with all routers started. Clock rates differ from true time by up to `drift`.
     pub fn new(limit: Limit, params: LimitParams, drift: f64, seed: u64) -> Fleet {
         let mut draws = StdRng::seed_from_u64(seed);
         let routers = (0..params.routers).map(|_| Router {
@@ -124,7 +125,7 @@
         (self.now as f64 * self.routers[at].clock_rate) as u64
     }
 
-    /// Starts a router that is not there.
+    /// Starts a router that does not run.
     pub fn start(&mut self, at: usize) {
         let now = self.clock(at);
         let incarnation = self.now;
@@ -137,7 +138,7 @@
         }
     }
 
-    /// A router reads another size of the limit.
+    /// Changes the limit in a router's configuration.
     pub fn resize(&mut self, at: usize, limit: Limit) {
         let now = self.clock(at);
         let router = &mut self.routers[at];
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Ends a router at once; what it had out runs on for a while.
+    /// Kills a router; its requests in flight run on for at most the orphan time.
     pub fn kill(&mut self, at: usize) {
         let orphan_end = self.now + self.params.orphan_ns;
         let router = &mut self.routers[at];
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Tells all who can be reached, as a membership would after a while.
+    /// Updates the reachable peers of each router, as the membership protocol would.
     pub fn update_reachable_peers(&mut self) {
         for at in 0..self.routers.len() {
             let now = self.clock(at);
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Passes one step.
+    /// Advances the time by one step.
     pub fn step(&mut self) {
         self.now += STEP_NS;
         while let Some(entry) = self.in_transit.first_entry().filter(|e| e.key().0 <= self.now) {
@@ -213,7 +214,7 @@
         }
         self.orphaned.retain(|end| *end > self.now);
         if let Kind::Rate { per_s, .. } = self.limit.kind {
-            // What a bounded limit may be over by drains with the rest: that is how far over a rate may be, not how much in all.
+            // The overshoot of a bounded limit applies to its rate, so it drains with the rest.
             let over = match self.limit.mode {
                 Mode::Strict => 0.0,
                 Mode::Bounded { over, .. } => over,
@@ -234,7 +235,7 @@
         self.record_usage();
     }
 
-    /// One router's own round: what is over, what is asked, what is said.
+    /// Runs one router: ends requests, admits new ones and sends messages.
     fn run_router(&mut self, at: usize) {
         let now = self.clock(at);
         let true_now = self.now;
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Requests that are out.
+    /// Number of requests in flight, including those of killed routers.
     pub fn in_flight(&self) -> usize {
         let in_flight = |r: &Router| r.in_flight.iter().filter(|(end, _)| *end > self.now).count();
         self.routers.iter().map(in_flight).sum::<usize>() + self.orphaned.len()
@@ -282,12 +283,12 @@
         self.worst = self.worst.max(used / limit);
     }
 
-    /// Passes a time (ms).
+    /// Runs for `ms` milliseconds.
     pub fn run(&mut self, ms: u64) {
         (0..ms * MS / STEP_NS).for_each(|_| self.step());
     }
 
-    /// Cuts the routers into parts.
+    /// Partitions the routers into groups.
     pub fn partition_into(&mut self, parts: &[usize]) {
         for a in 0..parts.len() {
             for b in (0..parts.len()).filter(|b| parts[a] != parts[*b]) {
@@ -296,7 +297,7 @@
         }
     }
 
-    /// Something breaks, or is mended, by chance.
+    /// Injects or ends a random fault.
     pub fn inject_random_fault(&mut self) {
         let n = self.routers.len();
         let at = self.draws.gen_range(0..n);
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,5 +1,6 @@
-//! Stand-ins on loopback, at any free port: engines whose queries share cores, a coordinator, and clients that ask at
-//! times of their own. For experiments, and for tests that need the whole program.
+//! Stand-ins on loopback ports for experiments and for tests of the whole program: engines, the
+//! coordinator, a list service, clients, and links with faults. Also simulated fleets without
+//! sockets.
 
 #![forbid(unsafe_code)]
 
--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -1,5 +1,6 @@
-//! Links between processes that can be broken: what passes them is held, delayed, dropped, doubled, put out of order or cut to
-//! a trickle. [`Shaper`] decides, purely and by a seed; [`TcpLink`] and [`UdpLink`] carry it out on loopback.
+//! Links between processes that hold, delay, drop, duplicate, reorder or throttle traffic.
+//! [`Shaper`] decides by a seed and performs no I/O; [`TcpLink`] and [`UdpLink`] forward on
+//! loopback.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io::ErrorKind;
@@ -13,23 +14,22 @@
 
 use crate::server::listen;
 
-/// Largest datagram that passes (bytes).
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// What a link does to what passes it in one direction.
+/// Faults of one direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shape {
-    /// Nothing passes: a stream's bytes are held until it does again, datagrams are lost.
+    /// Nothing passes: stream bytes are held, datagrams are lost.
     pub partitioned: bool,
-    /// Everything comes so much later (ns), and up to this much later still by chance (ns).
+    /// Fixed delay.
     pub delay_ns: u64,
-    /// Chance's part of the delay: datagrams pass each other by it (ns).
+    /// Largest random delay on top; reorders datagrams.
     pub jitter_ns: u64,
-    /// Part of the datagrams that are lost (share).
+    /// Share of the datagrams that are lost.
     pub loss: f64,
-    /// Part of the datagrams that come twice (share).
+    /// Share of the datagrams that are duplicated.
     pub duplication: f64,
-    /// Bytes a second of a stream; none for all that come.
+    /// Throughput limit of a stream; unlimited if `None`.
     pub bytes_per_s: Option<u64>,
 }
 
@@ -46,24 +46,24 @@
     }
 }
 
-/// What becomes of what passes in one direction. Pure.
+/// Decides what becomes of the traffic of one direction.
 #[derive(Clone, Debug)]
 pub struct Shaper {
     shape: Shape,
     draws: StdRng,
-    /// A stream's bytes in order, each part with when it may pass.
+    /// Stream bytes in order, each part with its due time.
     stream: VecDeque<(u64, Vec<u8>)>,
-    /// Datagrams by when they pass.
+    /// Datagrams by due time and sequence number.
     datagrams: BTreeMap<(u64, u64), Vec<u8>>,
     sequence: u64,
-    /// Up to when the trickle's bytes were given.
+    /// Time up to which the throughput limit has been used.
     rate_updated_ns: u64,
-    /// Datagrams lost so far.
+    /// Number of datagrams lost.
     pub lost: u64,
 }
 
 impl Shaper {
-    /// One that lets all pass.
+    /// A shaper without faults.
     pub fn new(seed: u64) -> Shaper {
         Shaper {
             shape: Shape::default(),
@@ -76,12 +76,12 @@
         }
     }
 
-    /// Shapes what comes from here on so.
+    /// Sets the shape of further traffic.
     pub fn set(&mut self, now: u64, shape: Shape) {
         (self.shape, self.rate_updated_ns) = (shape, now);
     }
 
-    /// The shape now.
+    /// The current shape.
     pub fn shape(&self) -> Shape {
         self.shape
     }
@@ -92,13 +92,13 @@
         now + self.shape.delay_ns + jitter
     }
 
-    /// Takes a stream's bytes: they keep their order whatever the delay.
+    /// Queues bytes of a stream. Their order is kept.
     pub fn push_stream(&mut self, now: u64, bytes: &[u8]) {
         let due = self.due(now).max(self.stream.back().map_or(0, |(due, _)| *due));
         self.stream.push_back((due, bytes.to_vec()));
     }
 
-    /// The stream's bytes that pass now.
+    /// Takes the bytes of the stream that are due.
     pub fn pull_stream(&mut self, now: u64) -> Vec<u8> {
         let mut out = Vec::new();
         let elapsed_ns = now.saturating_sub(self.rate_updated_ns);
@@ -122,12 +122,12 @@
         out
     }
 
-    /// Bytes of the stream that have not passed.
+    /// Number of queued bytes of the stream.
     pub fn queued_bytes(&self) -> usize {
         self.stream.iter().map(|(_, bytes)| bytes.len()).sum()
     }
 
-    /// Takes a datagram.
+    /// Queues a datagram.
     pub fn push_datagram(&mut self, now: u64, bytes: &[u8]) {
         let lost =
             self.shape.partitioned || self.shape.loss > 0.0 && self.draws.gen_bool(self.shape.loss.min(1.0));
@@ -143,7 +143,7 @@
         }
     }
 
-    /// The datagrams that come out now. Those on their way when a link is cut are lost with it.
+    /// Takes the datagrams that are due. A partition also drops datagrams in transit.
     pub fn pull_datagrams(&mut self, now: u64) -> Vec<Vec<u8>> {
         let mut out = Vec::new();
         while let Some(entry) = self.datagrams.first_entry().filter(|entry| entry.key().0 <= now) {
@@ -156,24 +156,24 @@
         out
     }
 
-    /// When something passes next (ns).
+    /// Time at which queued traffic is next due.
     pub fn next_due_ns(&self) -> Option<u64> {
         let stream = self.stream.front().map(|(due, _)| *due).filter(|_| !self.shape.partitioned);
         stream.into_iter().chain(self.datagrams.keys().next().map(|(due, _)| *due)).min()
     }
 }
 
-/// One connection through a link: both ends, and what passes to the server and back.
+/// One connection through a link. Index 0 is the client's end and the direction to the server.
 struct ProxiedConnection {
     ends: [u64; 2],
     directions: [Shaper; 2],
     ended: [bool; 2],
 }
 
-/// A link that carries TCP connections to one address.
+/// A link that forwards TCP connections to one address.
 pub struct TcpLink {
     listener: TcpListener,
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
     to: SocketAddr,
     shapes: [Shape; 2],
@@ -182,21 +182,21 @@
 }
 
 impl TcpLink {
-    /// A link to `to`, at any free port.
+    /// A link to `to`, on a free port.
     ///
     /// # Errors
-    /// Where no port is to be had.
+    /// If no port is available.
     pub fn new(registry: &Registry, token: usize, to: SocketAddr, seed: u64) -> std::io::Result<TcpLink> {
         let (listener, address) = listen(registry, token)?;
         Ok(TcpLink { listener, address, to, shapes: [Shape::default(); 2], connections: Vec::new(), seed })
     }
 
-    /// Whether a connection is one of its own.
+    /// Whether a connection belongs to this link.
     pub fn owns(&self, conn: u64) -> bool {
         self.connections.iter().any(|c| c.ends.contains(&conn))
     }
 
-    /// Shapes what passes to the server and to_client, of connections that stand too.
+    /// Shapes both directions, for open connections too.
     pub fn set(&mut self, now: u64, to_server: Shape, to_client: Shape) {
         self.shapes = [to_server, to_client];
         for connection in &mut self.connections {
@@ -205,14 +205,14 @@
         }
     }
 
-    /// Resets all connections that stand.
+    /// Resets all connections.
     pub fn reset(&mut self, net: &mut Net) {
         for connection in self.connections.drain(..) {
             connection.ends.into_iter().for_each(|end| net.close(end));
         }
     }
 
-    /// Takes new connections.
+    /// Accepts new connections.
     pub fn accept(&mut self, now: u64, net: &mut Net) {
         while let Ok((stream, _)) = self.listener.accept() {
             let Ok(client) = net.add_accepted(stream, Owner::Engine) else { continue };
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Takes what has come in at one end.
+    /// Processes the input of one end.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) {
         let Some(connection) = self.connections.iter_mut().find(|c| c.ends.contains(&conn)) else { return };
         let end = usize::from(connection.ends[1] == conn);
@@ -244,8 +244,8 @@
         self.tick(now, net);
     }
 
-    /// Passes on what is due. An end that is over ends the other once all that came from it has passed; a cut link does not
-    /// tell the one end of the other.
+    /// Forwards bytes that are due. Once all bytes of a closed end are forwarded, the other end is
+    /// closed; a partition hides the close.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
         self.connections.retain_mut(|connection| {
             for end in 0..2 {
@@ -268,26 +268,26 @@
     }
 }
 
-/// A link that carries datagrams to one address; each sender's are shaped on their own.
+/// A link that forwards datagrams to one address. Each sender has its own shaper.
 pub struct UdpLink {
     socket: UdpSocket,
-    /// Where senders send to.
+    /// Address for senders.
     pub address: SocketAddr,
-    /// Where they come out; nothing comes out while that is not known.
+    /// Destination; datagrams are dropped while it is `None`.
     pub to: Option<SocketAddr>,
     senders: HashMap<SocketAddr, Shaper>,
     default_shape: Shape,
     shapes: HashMap<SocketAddr, Shape>,
     seed: u64,
-    /// Datagrams that came in, and their bytes.
+    /// Number of datagrams received, and their bytes.
     pub received: (u64, u64),
 }
 
 impl UdpLink {
-    /// A link at any free port.
+    /// A link on a free port.
     ///
     /// # Errors
-    /// Where no port is to be had.
+    /// If no port is available.
     pub fn new(registry: &Registry, token: usize, seed: u64) -> std::io::Result<UdpLink> {
         let mut socket = UdpSocket::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         registry.register(&mut socket, Token(token), Interest::READABLE)?;
@@ -305,7 +305,7 @@
         })
     }
 
-    /// Shapes what comes from `sender`, or from all who have no shape of their own.
+    /// Shapes the traffic of `sender`, or of all senders without a shape of their own.
     pub fn set(&mut self, now: u64, sender: Option<SocketAddr>, shape: Shape) {
         match sender {
             Some(sender) => drop(self.shapes.insert(sender, shape)),
@@ -316,7 +316,7 @@
         }
     }
 
-    /// Takes what has come in.
+    /// Receives datagrams.
     pub fn ready(&mut self, now: u64) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
@@ -333,7 +333,7 @@
                     shaper.push_datagram(now, &buffer[..size]);
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // An answer of the machine to an earlier datagram whose receiver was gone is read as an error.
+                // ICMP error caused by an earlier datagram to a closed port.
                 Err(e) if e.kind() == ErrorKind::ConnectionRefused => {}
                 Err(_) => break,
             }
@@ -341,19 +341,19 @@
         self.tick(now);
     }
 
-    /// Passes on what is due.
+    /// Forwards datagrams that are due.
     pub fn tick(&mut self, now: u64) {
         for shaper in self.senders.values_mut() {
             for bytes in shaper.pull_datagrams(now) {
                 if let Some(to) = self.to {
-                    // Datagrams may be lost.
+                    // UDP may lose datagrams.
                     let _ = self.socket.send_to(&bytes, to);
                 }
             }
         }
     }
 
-    /// When something passes next (ns).
+    /// Time at which a datagram is next due.
     pub fn next_due_ns(&self) -> Option<u64> {
         self.senders.values().filter_map(Shaper::next_due_ns).min()
     }
--- a/crates/testkit/src/list.rs
+++ b/crates/testkit/src/list.rs
@@ -1,5 +1,5 @@
-//! A stand-in list service: the coordinator's stream for a whole fleet, one door for each router, that takes only so many
-//! calls a second and can be made to behave badly.
+//! A stand-in list service: the coordinator's stream for a whole fleet, with one endpoint per
+//! router. Its call rate is limited, and faults can be injected.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -13,79 +13,79 @@
 
 const COMMENT_INTERVAL_NS: u64 = 1_000_000_000;
 
-/// How the service behaves.
+/// Behavior of the list service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Behavior {
-    /// Well, within its capacity.
+    /// Accepts calls within its capacity.
     Normal,
-    /// It is away: each connection is reset as it comes.
+    /// Resets each connection when it is accepted.
     Unavailable,
-    /// It takes connections and says nothing.
+    /// Accepts connections and sends nothing.
     NoResponse,
-    /// It turns all calls away, with this `Retry-After`.
+    /// Rejects all calls with this `Retry-After`.
     Rejecting(String),
-    /// It closes each stream so long after it opened (ns).
+    /// Closes each stream this long after its start (ns).
     ClosesAfter(u64),
-    /// It answers what nobody can read.
+    /// Responds with invalid HTTP.
     InvalidResponse,
-    /// It answers the first half of a head, and closes.
+    /// Closes each connection after half of the response head.
     TruncatedResponse,
 }
 
-/// A call that was seen.
+/// A call of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallRecord {
     /// When (ns).
     pub at_ns: u64,
-    /// By which router.
+    /// Index of the calling router.
     pub router: usize,
-    /// It was taken.
+    /// Whether the call was accepted.
     pub accepted: bool,
 }
 
-/// A router's stream.
+/// A router's connection.
 #[derive(Debug)]
 struct Subscriber {
     router: usize,
     subscribed_ns: Option<u64>,
 }
 
-/// What one router's door is like, and what its router was told.
+/// Listening endpoint of one router.
 #[derive(Debug)]
 struct RouterEndpoint {
     listener: TcpListener,
     address: SocketAddr,
-    /// Nothing passes, in either direction; connections stay.
+    /// Nothing passes in either direction; connections stay open.
     partitioned: bool,
 }
 
-/// The service.
+/// A stand-in list service.
 #[derive(Debug)]
 pub struct ListService {
     endpoints: Vec<RouterEndpoint>,
     first_token: usize,
     behavior: Behavior,
-    /// Calls a second that it takes, and calls that it takes at once after a rest.
+    /// Rate and burst of the accepted calls (per second).
     capacity: f64,
     tokens: f64,
     refilled_at_ns: u64,
     subscribers: HashMap<u64, Subscriber>,
     events: Vec<(u64, String, Vec<String>)>,
     last_comment_ns: u64,
-    /// All calls, in order.
+    /// All calls in order.
     pub calls: Vec<CallRecord>,
-    /// By router and engine, when the router was first told that the engine drains or is gone (ns).
+    /// Time of the first notification of an engine's drain or removal, by router and engine.
     pub notified_ns: BTreeMap<(usize, String), u64>,
-    /// When each router's present stream was opened; none without one.
+    /// Start of each router's open stream.
     connected: Vec<Option<u64>>,
 }
 
 impl ListService {
-    /// A service with a door for each of `routers`, whose tokens start at `first_token`. It takes `capacity` calls a second,
-    /// as many of them at once as it takes in a second.
+    /// A service with one endpoint per router, at poll tokens from `first_token`. It accepts
+    /// `capacity` calls per second, with bursts of the same size.
     ///
     /// # Errors
-    /// Where no port is to be had.
+    /// If no port is available.
     pub fn new(
         registry: &Registry,
         first_token: usize,
@@ -113,37 +113,37 @@
         })
     }
 
-    /// Where a router finds it.
+    /// Address for a router.
     pub fn address(&self, router: usize) -> SocketAddr {
         self.endpoints[router].address
     }
 
-    /// Whether a listener's token is of one of its doors.
+    /// Whether the token belongs to one of the endpoints.
     pub fn has_token(&self, token: usize) -> bool {
         (self.first_token..self.first_token + self.endpoints.len()).contains(&token)
     }
 
-    /// Whether a connection is one of its own.
+    /// Whether a connection belongs to this service.
     pub fn owns(&self, conn: u64) -> bool {
         self.subscribers.contains_key(&conn)
     }
 
-    /// Routers with a stream that is up.
+    /// Number of routers with an open stream.
     pub fn connected(&self) -> usize {
         self.connected.iter().flatten().count()
     }
 
-    /// Since when a router's stream is up; none without one (ns).
+    /// Start of a router's open stream.
     pub fn connected_since(&self, router: usize) -> Option<u64> {
         self.connected[router]
     }
 
-    /// It takes so many calls a second from here on.
+    /// Sets the calls accepted per second.
     pub fn set_capacity(&mut self, capacity: f64) {
         (self.capacity, self.tokens) = (capacity, self.tokens.min(capacity));
     }
 
-    /// Behaves so from here on. Away and back, it begins rested and with no connection.
+    /// Sets the behavior. `Unavailable` closes all connections and refills the token bucket.
     pub fn set_behavior(&mut self, net: &mut Net, behavior: Behavior) {
         if behavior == Behavior::Unavailable {
             self.close_all_streams(net);
@@ -152,20 +152,21 @@
         self.behavior = behavior;
     }
 
-    /// Closes all streams at once.
+    /// Closes all connections.
     pub fn close_all_streams(&mut self, net: &mut Net) {
         let conns: Vec<u64> = self.subscribers.keys().copied().collect();
         conns.into_iter().for_each(|conn| self.close(net, conn));
     }
 
-    /// Starts anew: its numbers begin at 1 with what the list is now.
+    /// Restarts the service, with event numbers from 1 and the current list.
     pub fn restart(&mut self, net: &mut Net, list: &Value) {
         self.close_all_streams(net);
         self.events.clear();
         self.publish(0, net, list, &[]);
     }
 
-    /// Cuts a router's link, or mends it. What was on its way comes when it is mended.
+    /// Starts or ends a partition of a router. Input that arrives meanwhile is processed at its
+    /// end, by [`ListService::deliver_delayed`].
     pub fn set_partitioned(&mut self, router: usize, partitioned: bool) {
         self.endpoints[router].partitioned = partitioned;
     }
@@ -181,11 +182,11 @@
         net.close(conn);
     }
 
-    /// Takes new connections at a door.
+    /// Accepts new connections at a router's endpoint.
     pub fn accept(&mut self, now: u64, net: &mut Net, token: usize) {
         let router = token - self.first_token;
         while let Ok((stream, _)) = self.endpoints[router].listener.accept() {
-            // Those of a service that is away are reset, as the owner of the number tells the sockets.
+            // Closing a connection resets it if its owner is an engine.
             let owner = if self.behavior == Behavior::Unavailable { Owner::Engine } else { Owner::Discovery };
             let Ok(conn) = net.add_accepted(stream, owner) else { continue };
             if self.behavior == Behavior::Unavailable {
@@ -206,7 +207,8 @@
         accepts
     }
 
-    /// Tells the fleet an event of this list; `leaving` are the engines that drain or are gone by it. Gives its number.
+    /// Publishes an event of the list and returns its number. `leaving` names the engines that it
+    /// drains or removes.
     pub fn publish(&mut self, now: u64, net: &mut Net, list: &Value, leaving: &[String]) -> u64 {
         let index = self.events.last().map_or(1, |(index, ..)| index + 1);
         let data = serde_json::json!({"index": index, "endpoints": list});
@@ -221,7 +223,7 @@
         index
     }
 
-    /// Takes what has come in on one of its connections.
+    /// Processes the input of a connection.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) {
         let Some(subscriber) = self.subscribers.get(&conn) else { return };
         let router = subscriber.router;
@@ -262,7 +264,7 @@
             _ => {}
         }
         let last: u64 = request.headers.get("last-event-id").and_then(|v| v.parse().ok()).unwrap_or(0);
-        // Who asks behind a number that it never gave hears the whole list.
+        // A router that is ahead of the service receives all events.
         let newest = self.events.last().map_or(0, |(index, ..)| *index);
         let resume_after = if last > newest { 0 } else { last };
         net.send(conn, b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:hi\n\n");
@@ -276,7 +278,7 @@
         self.connected[router] = Some(now);
     }
 
-    /// Passes time: a comment each second, and the end of streams that are closed after a while.
+    /// Advances the time: sends a comment every second and closes streams whose time is over.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
         if let Behavior::ClosesAfter(after) = self.behavior {
             let expired = |f: &Subscriber| f.subscribed_ns.is_some_and(|since| now >= since + after);
@@ -295,7 +297,7 @@
         }
     }
 
-    /// Looks again at what waited at a link that was cut.
+    /// Processes the input that arrived during a partition.
     pub fn deliver_delayed(&mut self, now: u64, net: &mut Net, router: usize) {
         let conns: Vec<u64> =
             self.subscribers.iter().filter(|(_, f)| f.router == router).map(|(c, _)| *c).collect();
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -1,5 +1,5 @@
-//! Clients that ask at times of their own, whatever the answers do: open loop, with drawn arrivals, works and
-//! estimates.
+//! Open-loop simulated clients: arrivals, work and estimates are random and do not depend on the
+//! responses.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -12,82 +12,80 @@
 use rmpv::decode::read_value;
 use rmpv::Value;
 
-/// Calls that may be open on a connection.
 const MAX_CALLS_PER_CONNECTION: usize = 32;
-/// A client has this many connections at most.
 const MAX_CONNECTIONS: usize = 100;
 const MS: f64 = 1e6;
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: &'static str,
     /// Share of a tenant's requests.
     pub share: f64,
-    /// Mean work (ms) and its spread (deviation of the logarithm).
+    /// Mean work.
     pub work_ms: f64,
-    /// Spread of the work.
+    /// Standard deviation of the logarithm of the work.
     pub spread: f64,
-    /// Threads of a query.
+    /// Threads per query.
     pub threads: f64,
-    /// Wanted within (ms), and for each millisecond of its own running time.
+    /// Target latency without its stretch.
     pub target_latency_ms: f64,
-    /// Longer by this times the work over the threads.
+    /// Added to the target latency for each millisecond of running time: work divided by threads.
     pub target_latency_stretch: f64,
-    /// Given up after (ms).
+    /// The client gives up after this time.
     pub deadline_ms: f64,
-    /// Worth of an answer in time, and the part that a late one earns.
+    /// Worth of an answer within the target latency.
     pub worth: f64,
-    /// Part of the worth that a late answer earns.
+    /// Share of the worth earned by a late answer.
     pub late_worth: f64,
-    /// It holds its data set and must not run twice.
+    /// Whether the query locks its data set and must run at most once.
     pub load: bool,
 }
 
 /// A source of requests.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// Its tenant's name.
+    /// Name of the tenant.
     pub tenant: &'static str,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Clients that it stands for; requests are drawn among them.
+    /// Number of clients; each request is assigned to a random one.
     pub clients: u64,
-    /// What a client says of its work over what it is (ratio).
+    /// Ratio of the client's estimate to the actual work.
     pub estimate_ratio: f64,
 }
 
-/// What became of a tenant's requests.
+/// Results of a source's requests in one phase.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct RequestStats {
-    /// Requests made, returns included.
+    /// All requests, returns included.
     pub asked: u64,
-    /// First tries, and their worth.
+    /// Requests without returns.
     pub first: u64,
-    /// Worth asked for by first tries.
+    /// Worth of the requests, without returns.
     pub worth_asked: f64,
-    /// Worth served.
+    /// Worth of the answers.
     pub worth: f64,
-    /// Answers.
+    /// Successful answers.
     pub served: u64,
-    /// Served within the wanted time.
+    /// Successful answers within the target latency.
     pub in_time: u64,
-    /// Refused.
+    /// Requests rejected with a `Backoff`.
     pub refused: u64,
-    /// Failed.
+    /// Requests that failed otherwise.
     pub failed: u64,
-    /// Calls that had no answer in their time.
+    /// Requests without an answer before their deadline.
     pub unanswered: u64,
-    /// Answers to calls that were answered before.
+    /// Answers to calls that are not pending, such as a second answer.
     pub twice: u64,
-    /// Returns at a time that was told and is shorter than the longest advice: a promise.
+    /// Returns with a reservation: after a backoff below the maximum.
     pub returned: u64,
-    /// Such returns that were served.
+    /// Returns with a reservation that were served.
     pub returned_served: u64,
-    /// Median and 99th percentile of the time to a served answer (ms).
+    /// Median latency of successful answers.
     pub p50_ms: f64,
-    /// 99th percentile.
+    /// 99th percentile of the latency.
     pub p99_ms: f64,
     #[serde(skip)]
     latencies: Histogram<u64>,
@@ -110,7 +108,7 @@
             returned_served: 0,
             p50_ms: 0.0,
             p99_ms: 0.0,
-            latencies: Histogram::new_with_bounds(1, 120_000, 2).expect("bounds of a histogram"),
+            latencies: Histogram::new_with_bounds(1, 120_000, 2).expect("valid histogram bounds"),
         }
     }
 }
@@ -123,7 +121,7 @@
     work_ms: f64,
     estimate_ms: f64,
     data_set: u64,
-    /// It was told to return now, and by a promise.
+    /// Whether the request is a return, and with a reservation.
     return_reserved: Option<bool>,
     phase: usize,
 }
@@ -146,31 +144,31 @@
     classes: Vec<Class>,
     sources: Vec<Source>,
     next_ns: Vec<u64>,
-    /// Draws of each source are its own, so that routers that answer differently are asked the same.
+    /// Random generators by source, so that requests do not depend on the router's answers.
     source_rngs: Vec<StdRng>,
     rng: StdRng,
     seed: u64,
     conns: BTreeMap<u64, Conn>,
     returns: BTreeMap<(u64, u64), PlannedRequest>,
     max_retry_after_ms: u64,
-    /// Part of the clients without a promise that return.
+    /// Share of rejected requests without a reservation that return.
     return_share: f64,
     sequence: u64,
     phase: usize,
-    /// Tallies by phase and source.
+    /// Results by phase and source.
     pub tallies: Vec<Vec<RequestStats>>,
-    /// The number that statements name as their router's.
+    /// Index of the router, written into statements.
     pub router: usize,
-    /// When the first answer came (ns).
+    /// Time of the first answer.
     pub first_answer_ns: Option<u64>,
-    /// Calls that were open when their router was killed, or asked of one that was not there.
+    /// Calls that were pending when the router was killed or paused.
     pub excluded_calls: u64,
-    /// The router is there to be asked.
     router_is_up: bool,
 }
 
 impl LoadGenerator {
-    /// Clients of the router that listens at `to`; `longest_ms` is the longest advice that the settings allow.
+    /// Clients of the router at `to`. `max_retry_after_ms` is the largest `Retry-After` of the
+    /// settings.
     pub fn new(
         to: SocketAddr,
         classes: Vec<Class>,
@@ -200,7 +198,8 @@
         }
     }
 
-    /// Begins a phase with these sources; what is open and due to return stays with the phase it began in.
+    /// Starts a phase with these sources. Pending calls and returns count for the phase they began
+    /// in.
     pub fn start_phase(&mut self, now: u64, sources: Vec<Source>) {
         self.phase = self.tallies.len();
         self.tallies.push(vec![RequestStats::default(); sources.len()]);
@@ -210,7 +209,8 @@
         self.next_ns = (0..self.sources.len()).map(|i| now + self.gap_ns(i)).collect();
     }
 
-    /// The router is gone: what was open is excused, and nothing is asked until it is [`Load::back`].
+    /// The router is down: drops pending calls and sends nothing until
+    /// [`LoadGenerator::router_up`].
     pub fn router_down(&mut self, net: &mut Net) {
         (self.router_is_up, self.first_answer_ns) = (false, None);
         for (conn, calls) in std::mem::take(&mut self.conns) {
@@ -220,23 +220,23 @@
         self.returns.clear();
     }
 
-    /// The router is there, at this address.
+    /// The router is up at this address.
     pub fn router_up(&mut self, now: u64, to: SocketAddr) {
         (self.to, self.router_is_up) = (to, true);
         self.next_ns = (0..self.sources.len()).map(|i| now + self.gap_ns(i)).collect();
     }
 
-    /// Stops asking; returns that were told are still made.
+    /// Sends no new requests, except pending returns.
     pub fn stop_sending(&mut self) {
         self.next_ns = vec![u64::MAX; self.sources.len()];
     }
 
-    /// Whether a connection is one of its own.
+    /// Whether a connection belongs to this generator.
     pub fn owns(&self, conn: u64) -> bool {
         self.conns.contains_key(&conn)
     }
 
-    /// Calls that are open, and returns that are due.
+    /// Number of pending calls and returns.
     pub fn open(&self) -> usize {
         self.conns.values().map(|c| c.open.len()).sum::<usize>() + self.returns.len()
     }
@@ -247,7 +247,7 @@
         (gap.min(3_600.0) * 1e9) as u64
     }
 
-    /// When it has something to do next (ns).
+    /// Time of the next request.
     pub fn next_due_ns(&self) -> u64 {
         let first = self.next_ns.iter().copied().min().filter(|_| self.router_is_up).unwrap_or(u64::MAX);
         first.min(self.returns.keys().next().map_or(u64::MAX, |(at, _)| *at))
@@ -262,7 +262,7 @@
         });
         let class = class.unwrap_or(0);
         let (mean, spread) = (self.classes[class].work_ms, self.classes[class].spread);
-        // The mean of a log-normal is that of its logarithm and half of the variance.
+        // Mean of a log-normal distribution: exp(mu + spread^2 / 2).
         let mu = mean.ln() - spread * spread / 2.0;
         let work_ms = LogNormal::new(mu, spread)
             .map_or(mean, |d| d.sample(&mut self.source_rngs[source]))
@@ -284,7 +284,7 @@
         }
     }
 
-    /// Makes the calls that are due.
+    /// Sends the requests that are due.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
         if !self.router_is_up {
             return;
@@ -338,7 +338,7 @@
             "select a, b, c from sales_{}.orders /* work={:.3} threads={:.0} router={}{holds} */",
             request.data_set, request.work_ms, class.threads, self.router
         );
-        // Ids are unique over the clients of all routers.
+        // IDs are unique over the clients of all routers.
         let sequence = (self.router as u64) << 40 | self.sequence;
         let rid = format!("{:016x}", sequence.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let fields = [
@@ -361,12 +361,12 @@
         ]);
         connection.open.insert(id, PendingCall { request, sent_ns: now, deadline_ns });
         let mut bytes = Vec::new();
-        // Writing to a vector can't fail.
+        // Writing to a vector cannot fail.
         let _ = rmpv::encode::write_value(&mut bytes, &message);
         net.send(conn, &bytes);
     }
 
-    /// Takes what has come in on one of its connections.
+    /// Processes the input of a connection.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) {
         let ended = net.service(conn).ended.is_some();
         loop {
@@ -407,7 +407,7 @@
             tally.in_time += u64::from(in_time);
             tally.worth += class.worth * if in_time { 1.0 } else { class.late_worth };
             tally.returned_served += u64::from(request.return_reserved == Some(true));
-            // Within its bounds by the class's deadline.
+            // The deadline of the class keeps the latency within the histogram's bounds.
             let _ = tally.latencies.record(took_ms.ceil() as u64);
             return;
         }
@@ -420,7 +420,7 @@
         let fields = parts[2].as_array().and_then(|e| e.get(1)).and_then(Value::as_map);
         let backoff = fields.and_then(|f| f.iter().find(|(k, _)| k.as_str() == Some("backoff")));
         let ms: u64 = backoff.and_then(|(_, v)| v.as_str()?.parse().ok()).unwrap_or(100);
-        // A request returns once at most, as soon as it was told to.
+        // A request returns at most once, at the end of its backoff.
         let reserved = ms < self.max_retry_after_ms;
         if request.return_reserved.is_none() && (reserved || self.rng.gen::<f64>() < self.return_share) {
             self.sequence += 1;
@@ -429,7 +429,7 @@
         }
     }
 
-    /// Fills in the percentiles.
+    /// Computes the latency percentiles.
     pub fn finish(&mut self) {
         for tally in self.tallies.iter_mut().flatten() {
             tally.p50_ms = tally.latencies.value_at_quantile(0.5) as f64;
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -1,4 +1,5 @@
-//! One program as a process of its own: started with its files, told by signals, and ended with whoever started it.
+//! A program under test as a child process: started with its files, controlled by signals, and
+//! killed when its parent ends.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -8,24 +9,25 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
-/// What ends a process with its parent, whatever becomes of that: of util-linux, part of every Debian.
+/// Runs a program that is killed when its parent dies. Part of util-linux.
 const SETPRIV: &str = "/usr/bin/setpriv";
 
-/// A running program. It does not outlive this value, nor the thread that started it.
+/// A running program. It ends when this value is dropped or the thread that started it ends.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
     log: PathBuf,
-    /// What of the log was looked through for the address.
+    /// Address for clients, once found in the log.
     client_address: Option<SocketAddr>,
     paused: bool,
 }
 
 impl Process {
-    /// Starts `program` with this environment and no other variable of its own kind; what it says goes to the file `log`.
+    /// Starts `program` with `environment` and no other variables of the program. Its standard
+    /// error goes to the file `log`.
     ///
     /// # Errors
-    /// Where the file can't be made or the program can't be started.
+    /// If the log file cannot be created or the program cannot be started.
     pub fn start(program: &Path, environment: &[(&str, PathBuf)], log: &Path) -> Result<Process, String> {
         let file = File::create(log).map_err(|e| format!("{}: {e}", log.display()))?;
         let mut command = command(program);
@@ -42,28 +44,28 @@
         Ok(Process { child, log: log.to_owned(), client_address: None, paused: false })
     }
 
-    /// Its number.
+    /// Process ID.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Whether it runs.
+    /// Whether the process is running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// How it ended; nothing while it runs.
+    /// Whether the program exited with success; `None` while it runs.
     pub fn ended_well(&mut self) -> Option<bool> {
         self.child.try_wait().ok().flatten().map(|status| status.success())
     }
 
-    /// What it has said so far.
+    /// Contents of the log so far.
     pub fn log_text(&self) -> String {
-        // What could be read of a log says what it can.
+        // An unreadable log counts as empty.
         std::fs::read(&self.log).map(|text| String::from_utf8_lossy(&text).into_owned()).unwrap_or_default()
     }
 
-    /// Where clients connect, once it has said so.
+    /// Address for clients, once the log contains it.
     pub fn client_address(&mut self) -> Option<SocketAddr> {
         if self.client_address.is_none() {
             let log_text = self.log_text();
@@ -74,14 +76,14 @@
         self.client_address
     }
 
-    /// Where it takes datagrams of its peers, once it has said so.
+    /// Address for datagrams of peers, once the log contains it.
     pub fn peer_address(&self) -> Option<SocketAddr> {
         let log_text = self.log_text();
         let line = log_text.lines().find_map(|line| line.split_once("talks to the fleet on "))?;
         line.1.split(' ').next()?.parse().ok()
     }
 
-    /// Sends a signal; one that has ended hears nothing.
+    /// Sends a signal, unless the process has ended.
     pub fn signal(&mut self, signal: Signal) {
         if self.is_running() {
             let _ = kill(Pid::from_raw(self.child.id() as i32), signal);
@@ -93,32 +95,32 @@
         }
     }
 
-    /// Ends it at once, and waits for that.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Most memory that it had (KB) and processor time that it used (us) so far.
+    /// Peak resident memory in KB, and CPU time so far in microseconds.
     pub fn used(&self) -> (u64, u64) {
         let read_proc =
             |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.id())).unwrap_or_default();
         let status = read_proc("status");
         let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
         let peak_kb = peak.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0);
-        // The first field of the scheduler's figures is the time spent on a core (ns).
+        // The first field of schedstat is the CPU time in nanoseconds.
         let time = read_proc("schedstat").split_whitespace().next().and_then(|ns| ns.parse::<u64>().ok());
         (peak_kb, time.unwrap_or(0) / 1_000)
     }
 
-    /// Counters of the last line that holds them.
+    /// Counters of the last line of the log that contains any.
     pub fn counters(&self) -> Vec<(String, u64)> {
         let log_text = self.log_text();
         log_text.lines().rev().find(|line| line.contains(" taken=")).map(counters).unwrap_or_default()
     }
 }
 
-/// A command for a program that ends with the thread that started it, whatever becomes of that.
+/// A command for a program that is killed when the thread that started it ends.
 pub fn command(program: &Path) -> Command {
     if !Path::new(SETPRIV).exists() {
         return Command::new(program);
@@ -134,17 +136,17 @@
     }
 }
 
-/// A counter by its name; 0 where there is none.
+/// Value of a counter; 0 if it is missing.
 pub fn counter(counters: &[(String, u64)], name: &str) -> u64 {
     counters.iter().find(|(known, _)| known == name).map_or(0, |(_, value)| *value)
 }
 
-/// The mean of a counter over routers.
+/// Mean of a counter over routers.
 pub fn mean(counters: &[Vec<(String, u64)>], name: &str) -> f64 {
     counters.iter().map(|counters| counter(counters, name)).sum::<u64>() as f64 / counters.len().max(1) as f64
 }
 
-/// The counters of a line.
+/// Counters in one line of the log.
 pub fn counters(line: &str) -> Vec<(String, u64)> {
     let pairs = line.split_whitespace().filter_map(|word| word.split_once('='));
     pairs.filter_map(|(k, v)| Some((k.to_owned(), v.parse().ok()?))).collect()
--- a/crates/testkit/src/schedule.rs
+++ b/crates/testkit/src/schedule.rs
@@ -1,22 +1,22 @@
-//! What breaks, and when: a small text file, the same on each run of a seed. Pure.
+//! Schedules of faults, read from a text file. The same seed selects the same routers.
 //!
-//! One event a line: a time since the start, then what happens. `#` begins a remark. Whom an event of routers is for is said by
-//! a number, by a share such as `50%`, which the seed draws, or by `all`.
+//! Each line holds a time since the start and an event; `#` starts a comment. Routers are selected
+//! by index, by a random share such as `50%`, or by `all`.
 //!
 //! ```text
-//! 5s    list away          # or: well, silent, garbage, half, busy AFTER, closes TIME
-//! 5s    list takes 10      # calls a second
-//! 7s    list anew          # its numbers begin at 1
+//! 5s    list away          # or: well, silent, garbage, half, busy RETRY_AFTER, closes TIME
+//! 5s    list takes 10      # calls per second
+//! 7s    list anew          # restarts the list service, with event numbers from 1
 //! 8s    streams close
 //! 9s    kill 50%
-//! 9.1s  start              # all that are not there
-//! 12s   freeze 3
-//! 15s   wake               # all that stand still
-//! 16s   cut 50%            # from the list service
+//! 9.1s  start              # all routers that do not run
+//! 12s   freeze 3           # SIGSTOP
+//! 15s   wake               # SIGCONT for all paused routers
+//! 16s   cut 50%            # partitions routers from the list service
 //! 19s   mend
-//! 20s   drain 1            # an engine, by its number
-//! 21s   lose 2
-//! 22s   link 3 slow 300ms  # to an engine: or cut, cut-there, cut-back, trickle BYTES, reset, mend
+//! 20s   drain 1            # an engine, by index
+//! 21s   lose 2             # crashes an engine without a notification
+//! 22s   link 3 slow 300ms  # or: cut, cut-there, cut-back, trickle BYTES, reset, mend
 //! ```
 
 use rand::rngs::StdRng;
@@ -25,14 +25,14 @@
 use crate::link::Shape;
 use crate::list::Behavior;
 
-/// Which routers.
+/// Routers that an event applies to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RouterSelector {
-    /// All of them.
+    /// All routers.
     All,
-    /// One, by its number.
+    /// One router, by index.
     One(usize),
-    /// So large a share of them, drawn (share).
+    /// A random share of the routers.
     Share(f64),
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Their numbers, of `count`.
+    /// Indices of the selected routers, out of `count`.
     pub fn select(self, count: usize, draws: &mut StdRng) -> Vec<usize> {
         match self {
             RouterSelector::All => (0..count).collect(),
@@ -67,47 +67,47 @@
     }
 }
 
-/// Something that breaks, or is mended.
+/// A fault, or its end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// The list service behaves so from here on.
+    /// Sets the behavior of the list service.
     ListBehavior(Behavior),
-    /// It takes so many calls a second.
+    /// Sets the calls per second that the list service accepts.
     ListCapacity(f64),
-    /// It starts anew, with numbers from 1.
+    /// Restarts the list service, with event numbers from 1.
     RestartList,
-    /// It closes all streams.
+    /// Closes all streams of the list service.
     CloseStreams,
-    /// Routers are killed.
+    /// Kills routers.
     Kill(RouterSelector),
-    /// Those that are not there are started.
+    /// Starts all routers that do not run.
     Start,
-    /// Routers stand still.
+    /// Pauses routers with SIGSTOP.
     Pause(RouterSelector),
-    /// Those that stand still go on.
+    /// Resumes all paused routers.
     Resume,
-    /// Routers are cut off from the list service.
+    /// Partitions routers from the list service.
     Partition(RouterSelector),
-    /// Their links are mended.
+    /// Ends all partitions from the list service.
     HealPartitions,
-    /// An engine drains.
+    /// Drains an engine.
     Drain(usize),
-    /// An engine is gone, and nobody is told.
+    /// Crashes an engine without a notification.
     CrashEngine(usize),
-    /// What passes to an engine, and back, is shaped so.
+    /// Shapes the link to an engine, in the direction to it and back.
     ShapeLink(usize, Shape, Shape),
-    /// All connections to an engine are reset.
+    /// Resets all connections of the link to an engine.
     ResetLink(usize),
 }
 
-/// A fault and its time.
+/// A fault at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// When, since the start (ns).
+    /// Time since the start (ns).
     pub at_ns: u64,
-    /// What.
+    /// The fault.
     pub fault: Fault,
-    /// Its text.
+    /// Text of the event.
     pub text: String,
 }
 
@@ -164,10 +164,10 @@
     })
 }
 
-/// Reads a schedule's text: its events by time, those of one moment as they stand.
+/// Parses a schedule. Events are sorted by time; those of the same time stay in order.
 ///
 /// # Errors
-/// Names the first line that can't be read.
+/// Names the first invalid line.
 pub fn read(text: &str) -> Result<Vec<Event>, String> {
     let mut events = Vec::new();
     for (number, line) in text.lines().enumerate() {
@@ -176,7 +176,7 @@
         let Some((at, what)) = words.split_first() else { continue };
         let event = parse_time(at)
             .zip(parse_fault(what))
-            .ok_or_else(|| format!("line {}: {line:?} says nothing that can happen", number + 1));
+            .ok_or_else(|| format!("line {}: {line:?} is not a valid event", number + 1));
         let (at_ns, fault) = event?;
         events.push(Event { at_ns, fault, text: what.join(" ") });
     }
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that answer over HTTP/1.1: engines, and the coordinator.
+//! Stand-in engines and a stand-in coordinator, reachable over HTTP/1.1.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -9,14 +9,13 @@
 
 use crate::engine::{ColdStart, CpuModel, QueryStatus};
 
-/// Longest wait for a query's end before a note is given (ns).
+/// Longest time that a poll waits for the end of its query.
 const LONG_POLL_NS: u64 = 250_000_000;
-/// How often load reports are made anew (ns).
 const LOAD_REPORT_INTERVAL_NS: u64 = 200_000_000;
-/// Answer of a query that ended.
+/// Response body of a completed query.
 const ROWS: &str = "a\tb\tc\n";
 
-/// Starts listening on a free loopback port.
+/// Listens on a free loopback port.
 pub fn listen(registry: &Registry, token: usize) -> std::io::Result<(TcpListener, SocketAddr)> {
     let mut listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
     registry.register(&mut listener, Token(token), Interest::READABLE)?;
@@ -24,7 +23,7 @@
     Ok((listener, at))
 }
 
-/// A call that has come whole.
+/// A complete request.
 pub(crate) struct HttpRequest {
     method: String,
     path: String,
@@ -57,51 +56,51 @@
     }))
 }
 
-/// A stand-in engine: its listener, its queries, and who waits for news.
+/// A stand-in engine.
 pub struct Engine {
     listener: Option<TcpListener>,
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Where lists say that it listens, where that is a link to it.
+    /// Address on the engine list if it differs from `address`, such as that of a link.
     pub advertised_address: Option<SocketAddr>,
-    /// Its name.
+    /// Name on the engine list.
     pub uid: String,
     cpu: CpuModel,
     conns: HashSet<u64>,
     pending_polls: Vec<(u64, String, u64)>,
     load_report: (u64, String),
-    /// How often each query of a class that must not run twice was started here.
+    /// Number of starts of each at-most-once query.
     pub at_most_once_starts: BTreeMap<String, u32>,
-    /// Queries started.
+    /// Number of queries started.
     pub started: u64,
-    /// Connections taken.
+    /// Number of connections accepted.
     pub accepted: u64,
-    /// Connections whose first call started a query.
+    /// Number of connections whose first request started a query.
     pub opened_for_work: u64,
     unused_conns: HashSet<u64>,
-    /// Connections that it data_set at most; others are closed as they come.
+    /// Further connections are closed when they are accepted.
     pub max_connections: usize,
-    /// What came while it was told to be watched: all calls that start a query.
+    /// Records query starts if it is set.
     pub sends: Option<Vec<QueryStart>>,
-    /// How cold it is; none for an engine that is warm.
+    /// Warmup of the engine; `None` if it is warm.
     pub cold: Option<ColdStart>,
 }
 
-/// A call that starts a query, as it came.
+/// A request that started a query.
 #[derive(Clone, Debug)]
 pub struct QueryStart {
     /// When (ns).
     pub at_ns: u64,
-    /// The router that its statement names.
+    /// Router index in the statement.
     pub router: Option<usize>,
-    /// The client's id.
+    /// Request ID set by the client.
     pub name: String,
-    /// It must not run twice.
+    /// Whether the query must run at most once.
     pub at_most_once: bool,
 }
 
 impl Engine {
-    /// An engine that listens.
+    /// An engine that listens on a free port.
     pub fn new(
         registry: &Registry,
         token: usize,
@@ -130,22 +129,22 @@
         })
     }
 
-    /// Whether a connection is one of its own.
+    /// Whether a connection belongs to this engine.
     pub fn owns(&self, conn: u64) -> bool {
         self.conns.contains(&conn)
     }
 
-    /// Queries that it data_set.
+    /// Number of running queries.
     pub fn query_count(&self) -> usize {
         self.cpu.query_count()
     }
 
-    /// Whether it is there.
+    /// Whether the engine has not crashed.
     pub fn is_up(&self) -> bool {
         self.listener.is_some()
     }
 
-    /// Takes new connections.
+    /// Accepts new connections.
     pub fn accept(&mut self, net: &mut Net) {
         while let Some(Ok((stream, _))) = self.listener.as_ref().map(TcpListener::accept) {
             if self.conns.len() >= self.max_connections {
@@ -159,7 +158,7 @@
         }
     }
 
-    /// The process dies: nothing listens any more, and its connections end.
+    /// Stops listening and closes all connections, as the end of the process would.
     pub fn crash(&mut self, net: &mut Net) {
         self.listener = None;
         self.conns.drain().for_each(|conn| net.close(conn));
@@ -180,7 +179,7 @@
         net.send(conn, text.as_bytes());
     }
 
-    /// Takes what has come in on one of its connections.
+    /// Processes the input of a connection.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) {
         if net.service(conn).ended.is_some() {
             self.conns.remove(&conn);
@@ -257,7 +256,7 @@
         }
     }
 
-    /// Passes time: answers those who wait for what has ended, or have waited long enough.
+    /// Advances the time. Answers polls whose query completed or whose wait is over.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
         if !self.is_up() {
             return;
@@ -279,17 +278,17 @@
         }
     }
 
-    /// When it has something to do next (ns).
+    /// Time of the next completion or poll response.
     pub fn next_due_ns(&self) -> Option<u64> {
         let deadlines = self.pending_polls.iter().map(|(_, _, until)| *until).min();
         deadlines.into_iter().chain(self.cpu.next_end_ns()).min().filter(|_| self.is_up())
     }
 }
 
-/// A stand-in coordinator: numbered events to whoever follows its stream.
+/// A stand-in coordinator that streams numbered events.
 pub struct Coordinator {
     listener: TcpListener,
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     conns: HashMap<u64, bool>,
     events: Vec<(u64, String)>,
@@ -297,18 +296,18 @@
 }
 
 impl Coordinator {
-    /// A coordinator whose first event has the number `index`.
+    /// A coordinator that listens on a free port.
     pub fn new(registry: &Registry, token: usize) -> std::io::Result<Coordinator> {
         let (listener, address) = listen(registry, token)?;
         Ok(Coordinator { listener, address, conns: HashMap::new(), events: Vec::new(), last_comment_ns: 0 })
     }
 
-    /// Whether a connection is one of its own.
+    /// Whether a connection belongs to the coordinator.
     pub fn owns(&self, conn: u64) -> bool {
         self.conns.contains_key(&conn)
     }
 
-    /// Takes new connections.
+    /// Accepts new connections.
     pub fn accept(&mut self, net: &mut Net) {
         while let Ok((stream, _)) = self.listener.accept() {
             if let Ok(conn) = net.add_accepted(stream, Owner::Discovery) {
@@ -317,7 +316,7 @@
         }
     }
 
-    /// Tells an event; `index` must be above those before.
+    /// Sends an event to all subscribers. `index` must increase.
     pub fn publish(&mut self, net: &mut Net, index: u64, data: &serde_json::Value) {
         let text = format!("id: {index}\ndata: {data}\n\n");
         for (conn, subscribed) in &self.conns {
@@ -328,7 +327,7 @@
         self.events.push((index, text));
     }
 
-    /// Takes what has come in on one of its connections.
+    /// Processes the input of a connection.
     pub fn ready(&mut self, net: &mut Net, conn: u64) {
         if net.service(conn).ended.is_some() {
             self.conns.remove(&conn);
@@ -344,7 +343,7 @@
         self.conns.insert(conn, true);
     }
 
-    /// Sends a comment each second.
+    /// Sends a comment on each connection once per second.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
         if now >= self.last_comment_ns + 1_000_000_000 {
             self.last_comment_ns = now;
--- a/crates/testkit/src/swarm.rs
+++ b/crates/testkit/src/swarm.rs
@@ -1,21 +1,22 @@
-//! A herd of callers and one service, in stepped time without sockets: thousands of seeds in a second. Pure.
+//! Simulated clients of one service in stepped time, without sockets. Used to test pacing over
+//! many seeds.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
 use marljunction_pacing::{Failure, Pacer};
 
-/// A way to pace calls, as one caller uses it.
+/// Policy by which a client paces its calls.
 pub trait PacingPolicy {
-    /// When the next call may be made (ns); none while one is out or up.
+    /// Time of the next call; `None` while a call is pending or its stream is open.
     fn due_ns(&self) -> Option<u64>;
-    /// Makes the call that is due; whether it may be made.
+    /// Makes the call that is due. Returns whether a call is allowed now.
     fn call(&mut self, now: u64) -> bool;
-    /// The service took it.
+    /// The service accepted the call.
     fn taken(&mut self, now: u64);
-    /// It came to nothing.
+    /// The call failed.
     fn failed(&mut self, now: u64, failure: Failure);
-    /// What was up has ended.
+    /// The accepted stream ended.
     fn ended(&mut self, now: u64);
 }
 
@@ -41,21 +42,21 @@
     }
 }
 
-/// A service that takes `capacity` calls a second, as many at once as in a second after a rest.
+/// A service with a token bucket that holds one second's calls.
 #[derive(Clone, Copy, Debug)]
 pub struct Service {
-    /// Calls a second that it takes.
+    /// Calls accepted per second.
     pub capacity: f64,
-    /// What it asks those for that it turns away (ns).
+    /// Value of `Retry-After` for rejected calls.
     pub after_ns: Option<u64>,
-    /// It is away.
+    /// Whether every call fails as unreachable.
     pub unavailable: bool,
     tokens: f64,
     refilled_at_ns: u64,
 }
 
 impl Service {
-    /// A rested one.
+    /// A service with a full token bucket.
     pub fn new(capacity: f64) -> Service {
         let after_ns = Some(1_000_000_000);
         Service { capacity, after_ns, unavailable: false, tokens: capacity, refilled_at_ns: 0 }
@@ -75,31 +76,31 @@
     }
 }
 
-/// Callers and their service.
+/// Clients and their service.
 pub struct ClientSwarm<W> {
-    /// The callers.
+    /// Pacing policies of the clients.
     pub clients: Vec<W>,
     /// The service.
     pub service: Service,
     up: Vec<bool>,
-    /// The time (ns).
+    /// Current time (ns).
     pub now: u64,
 }
 
-/// What a while of it came to.
+/// Statistics of one run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SwarmStats {
     /// Calls.
     pub calls: u64,
-    /// Most calls within a second, and within 100 ms.
+    /// Largest number of calls within one second.
     pub max_calls_per_s: usize,
-    /// Most calls within 100 ms.
+    /// Largest number of calls within 100 ms.
     pub max_calls_per_100ms: usize,
-    /// When the last caller that came up did so, since the while began (ns); nothing where some are not up.
+    /// Time from the start of the run until the last client was connected; `None` if some are not.
     pub settled_ns: Option<u64>,
 }
 
-/// Counts the most calls within a window that moves on.
+/// Largest number of calls within a sliding window.
 #[derive(Default)]
 struct SlidingMax {
     window: VecDeque<u64>,
@@ -117,12 +118,13 @@
 }
 
 impl<W: PacingPolicy> ClientSwarm<W> {
-    /// Callers that all start now.
+    /// Clients that all start now.
     pub fn new(clients: Vec<W>, service: Service) -> ClientSwarm<W> {
         ClientSwarm { up: vec![false; clients.len()], clients, service, now: 0 }
     }
 
-    /// Passes time until all callers are up or `limit_ns` has passed. An answer takes a millisecond.
+    /// Runs until all clients are connected or `limit_ns` has passed. A response takes one
+    /// millisecond.
     pub fn run_for(&mut self, limit_ns: u64) -> SwarmStats {
         let (began, end) = (self.now, self.now + limit_ns);
         let mut stats = SwarmStats::default();
@@ -160,7 +162,7 @@
         stats
     }
 
-    /// All that are up end at this moment.
+    /// Ends all open streams.
     pub fn disconnect_all(&mut self) {
         for (client, up) in self.clients.iter_mut().zip(&mut self.up) {
             if std::mem::take(up) {
--- a/crates/testkit/src/test_bed.rs
+++ b/crates/testkit/src/test_bed.rs
@@ -1,4 +1,5 @@
-//! One router with its stand-ins round it, all in one loop.
+//! One router process among stand-in engines, a coordinator and clients, all driven by one event
+//! loop.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -17,42 +18,41 @@
 
 const FIRST_CONNECTION: u64 = 1_000;
 const COORDINATOR_TOKEN: usize = 999;
-/// Longest wait of the loop (ms).
 const MAX_POLL_MS: u64 = 20;
 
-/// What a stage is set up with.
+/// Configuration of a test bed.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The router's program.
+    /// Router program.
     pub program: std::path::PathBuf,
-    /// A name that no other stage has now.
+    /// Name that no other test bed uses at the same time.
     pub name: String,
-    /// Engines, and cores of each.
+    /// Number of engines.
     pub engines: usize,
-    /// Cores of an engine.
+    /// Cores per engine.
     pub cores: f64,
     /// Tenants by name and weight.
     pub tenants: Vec<(&'static str, f64)>,
-    /// Classes.
+    /// Request classes.
     pub classes: Vec<Class>,
-    /// The door's file; none for no door.
+    /// Configuration of the fair queue, if any.
     pub fair_queue: Option<Value>,
-    /// Longest advice to clients (ms).
+    /// Largest `Retry-After` in the settings.
     pub max_retry_after_ms: u64,
-    /// Part of refused clients without a promise that return.
+    /// Share of rejected clients without a reservation that return.
     pub return_share: f64,
-    /// Seed of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// A router among its stand-ins.
+/// A router process and its stand-ins.
 pub struct TestBed {
     poll: Poll,
     clock: Clock,
     net: Net,
     engines: Vec<Engine>,
     coordinator: Coordinator,
-    /// The clients.
+    /// Simulated clients.
     pub load: LoadGenerator,
     child: Child,
     log: Option<BufReader<std::process::ChildStderr>>,
@@ -60,55 +60,55 @@
     revision: u64,
 }
 
-/// What the router says of itself at its end.
+/// Results reported by the router at its end.
 #[derive(Clone, Debug, Default)]
 pub struct ExitReport {
-    /// Its counters.
+    /// Counters of the router.
     pub counters: Vec<(String, u64)>,
-    /// The door's, by tenant.
+    /// Counters of the fair queue by tenant.
     pub fair_queue: Vec<(String, Vec<(String, u64)>)>,
-    /// Greatest memory that it had (KB).
+    /// Peak resident memory in KB.
     pub peak_kb: u64,
-    /// It ended by itself and well.
+    /// Whether the process ended by itself with success.
     pub ended_well: bool,
 }
 
 impl ExitReport {
-    /// A counter.
+    /// Value of a counter.
     pub fn counter(&self, name: &str) -> u64 {
         process::counter(&self.counters, name)
     }
 
-    /// The sum of a counter of the door over all tenants.
+    /// Sum of a counter of the fair queue over all tenants.
     pub fn fair_queue(&self, name: &str) -> u64 {
         self.fair_queue.iter().map(|(_, fields)| process::counter(fields, name)).sum()
     }
 }
 
-/// What the settings of a fleet's routers follow from.
+/// Input of a router's settings.
 #[derive(Clone, Copy, Debug)]
 pub struct SettingsParams<'a> {
-    /// Classes of requests.
+    /// Request classes.
     pub classes: &'a [Class],
     /// Tenants by name and weight.
     pub tenants: &'a [(&'static str, f64)],
-    /// Cores of an engine.
+    /// Cores per engine.
     pub cores: f64,
-    /// Longest advice to clients (ms).
+    /// Largest `Retry-After`.
     pub max_retry_after_ms: u64,
-    /// Routers that the settings say there are, and this one's number.
+    /// Number of routers in the settings.
     pub routers: u32,
-    /// Its number among them.
+    /// Index of this router.
     pub router_index: u32,
-    /// Engines start cold, by [`COLD`].
+    /// Whether engines warm up as [`COLD_START`] defines.
     pub cold: bool,
 }
 
-/// How cold engines start: part of their capacity (share), time until warm (ns), the multiple of their capacity that tips
-/// them over (ratio) and its window (ns).
+/// Warmup of engines: initial share of the capacity, warmup time (ns), multiple of the capacity
+/// that crashes an engine, and its window (ns).
 pub const COLD_START: (f64, u64, f64, u64) = (0.32, 15_000_000_000, 2.5, 1_000_000_000);
 
-/// The settings object of one router.
+/// Settings of one router as JSON.
 pub fn settings(params: &SettingsParams) -> Value {
     let ns = |ms: f64| (ms * 1e6) as u64;
     let classes: Vec<Value> = params
@@ -179,7 +179,7 @@
             "settings": settings(&params),
         });
         let dir = std::env::temp_dir().join(format!("marljunction-{}-{}", std::process::id(), setup.name));
-        std::fs::create_dir_all(&dir).map_err(context("folder"))?;
+        std::fs::create_dir_all(&dir).map_err(context("directory"))?;
         let write = |name: &str, value: &Value| {
             let path = dir.join(name);
             std::fs::write(&path, value.to_string()).map(|()| path).map_err(context("file"))
@@ -188,17 +188,17 @@
         command.env("ROUTER_CONFIG", write("config.json", &config)?).stderr(Stdio::piped());
         command.env_remove("MARLJUNCTION_POSTGRES").env_remove("MARLJUNCTION_SETUP");
         if let Some(fair_queue) = &setup.fair_queue {
-            // A record of the configuration language may be written as JSON is.
+            // A record of the configuration language accepts JSON syntax.
             let path = dir.join("operator.conf");
             std::fs::write(&path, format!("door: {fair_queue}\n")).map_err(context("file"))?;
             command.env("MARLJUNCTION_SETUP", path);
         }
         let mut child = command.spawn().map_err(|e| format!("{}: {e}", setup.program.display()))?;
-        let mut log = BufReader::new(child.stderr.take().ok_or("no log")?);
+        let mut log = BufReader::new(child.stderr.take().ok_or("standard error is not captured")?);
         let to = loop {
             let mut line = String::new();
             if log.read_line(&mut line).map_err(context("log"))? == 0 {
-                return Err("the program ended at its start".into());
+                return Err("the program exited before it listened".into());
             }
             let at = line.split("listens on ").nth(1).and_then(|l| l.split_whitespace().next());
             if let Some(at) = at.and_then(|at| at.parse::<SocketAddr>().ok()) {
@@ -211,20 +211,20 @@
         Ok(TestBed { poll, clock, net, engines, coordinator, load, child, log, dir, revision: 1 })
     }
 
-    /// Runs for a time with these sources of requests.
+    /// Runs for `time` with these request sources.
     pub fn run_workload(&mut self, sources: Vec<Source>, time: Duration) -> Result<(), String> {
         let now = self.clock.now_ns();
         self.load.start_phase(now, sources);
         self.run_until(now + time.as_nanos() as u64, false)
     }
 
-    /// Asks nothing more, and runs until all is answered, for no longer than `most`.
+    /// Sends no new requests and runs until all are answered, for at most `limit`.
     pub fn drain(&mut self, limit: Duration) -> Result<(), String> {
         self.load.stop_sending();
         self.run_until(self.clock.now_ns() + limit.as_nanos() as u64, true)
     }
 
-    /// Lets engines die: their processes are gone at once, and the coordinator tells so at once.
+    /// Crashes engines and reports them as terminated on the coordinator's stream.
     pub fn kill(&mut self, count: usize) {
         let mut gone = Vec::new();
         for engine in self.engines.iter_mut().filter(|e| e.is_up()).take(count) {
@@ -237,7 +237,7 @@
         self.coordinator.publish(&mut self.net, index, &event);
     }
 
-    /// Runs of queries that must not run twice, beyond the first of each.
+    /// Runs of at-most-once queries beyond the first of each.
     pub fn duplicate_runs(&self) -> u64 {
         let mut runs = std::collections::BTreeMap::<&str, u64>::new();
         for (name, count) in self.engines.iter().flat_map(|e| &e.at_most_once_starts) {
@@ -288,17 +288,17 @@
         }
     }
 
-    /// Ends the program as a planned stop does; gives what it said of itself.
+    /// Stops the program with SIGTERM. Returns what it reported.
     pub fn stop(mut self) -> Result<ExitReport, String> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
         let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
         let peak_kb = peak.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0);
         let sent = Command::new("kill").arg("-TERM").arg(self.child.id().to_string()).status();
         sent.map_err(|e| format!("kill: {e}"))?;
-        let mut log = self.log.take().ok_or("no log")?;
+        let mut log = self.log.take().ok_or("standard error is not captured")?;
         let reader = std::thread::spawn(move || {
             let mut text = String::new();
-            // What could be read of a log says what it can.
+            // An unreadable log counts as ended.
             let _ = log.read_to_string(&mut text);
             text
         });
@@ -307,11 +307,11 @@
             self.run_until(self.clock.now_ns() + 50_000_000, false)?;
         }
         if !reader.is_finished() {
-            // It does not end by itself; its log ends with it.
+            // The process did not end in time; killing it closes its log.
             let _ = self.child.kill();
         }
         let ended_well = self.child.wait().is_ok_and(|status| status.success());
-        let text = reader.join().map_err(|_| "the log's reader failed")?;
+        let text = reader.join().map_err(|_| "the log reader panicked")?;
         let counters =
             text.lines().rev().find(|l| l.contains("ends; ")).map(process::counters).unwrap_or_default();
         let tenants = text.lines().filter_map(|l| {
@@ -324,7 +324,7 @@
 
 impl Drop for TestBed {
     fn drop(&mut self) {
-        // Only where the stage was not stopped: its program must not outlive it.
+        // Kills the program if the test bed was not stopped.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_dir_all(&self.dir);
@@ -337,7 +337,7 @@
            "capacity_hint": 1, "boot_ms": boot_ms})
 }
 
-/// The router's program beside the one that runs.
+/// Path of the router program next to the current executable.
 pub fn sibling_program() -> Option<std::path::PathBuf> {
     let current = std::env::current_exe().ok()?;
     let sibling = current.parent()?.join("marljunction");
