--- a/crates/testkit/tests/engine.rs
+++ b/crates/testkit/tests/engine.rs
@@ -4,24 +4,24 @@
 
 const MS: u64 = 1_000_000;
 
-fn work(ms: u64) -> f64 {
+fn work_ns(ms: u64) -> f64 {
     (ms * MS) as f64
 }
 
 #[test]
-fn a_query_alone_takes_its_work_over_its_threads() {
+fn single_query_takes_its_work_divided_by_its_threads() {
     let mut engine = CpuModel::new(0, 4.0);
-    engine.start(0, "q", work(100), 2.0, 1, None);
+    engine.start(0, "q", work_ns(100), 2.0, 1, None);
     assert_eq!(engine.poll(49 * MS, "q"), QueryStatus::Running(0.98));
     assert_eq!(engine.poll(51 * MS, "q"), QueryStatus::Done);
     assert_eq!(engine.poll(51 * MS, "other"), QueryStatus::Unknown);
 }
 
 #[test]
-fn short_cores_are_shared_by_priority() {
+fn contended_cores_are_shared_by_priority() {
     let mut engine = CpuModel::new(0, 1.0);
-    engine.start(0, "high", work(100), 1.0, 3, None);
-    engine.start(0, "low", work(100), 1.0, 0, None);
+    engine.start(0, "high", work_ns(100), 1.0, 3, None);
+    engine.start(0, "low", work_ns(100), 1.0, 0, None);
     let QueryStatus::Running(low) = engine.poll(50 * MS, "low") else { panic!("it runs") };
     let QueryStatus::Running(high) = engine.poll(50 * MS, "high") else { panic!("it runs") };
     assert!((high / low - 16.0).abs() < 0.1, "{high} against {low}");
@@ -29,23 +29,32 @@
 }
 
 #[test]
-fn a_crowd_does_less_work_in_all() {
-    let done = |queries: usize| {
+fn too_many_threads_reduce_total_throughput() {
+    let completed_share = |queries: usize| {
         let mut engine = CpuModel::new(0, 2.0);
-        (0..queries).for_each(|i| engine.start(0, &format!("q{i}"), work(1_000), 1.0, 1, None));
+        (0..queries).for_each(|i| engine.start(0, &format!("q{i}"), work_ns(1_000), 1.0, 1, None));
         let share = |news| if let QueryStatus::Running(share) = news { share } else { 1.0 };
         (0..queries).map(|i| share(engine.poll(100 * MS, &format!("q{i}")))).sum::<f64>()
     };
-    assert!((done(4) - 0.2).abs() < 0.01, "two threads a core lose nothing: {}", done(4));
-    assert!(done(8) < 0.8 * done(4), "{} against {}", done(8), done(4));
+    assert!(
+        (completed_share(4) - 0.2).abs() < 0.01,
+        "two threads a core lose nothing: {}",
+        completed_share(4)
+    );
+    assert!(
+        completed_share(8) < 0.8 * completed_share(4),
+        "{} against {}",
+        completed_share(8),
+        completed_share(4)
+    );
 }
 
 #[test]
-fn a_load_waits_for_the_one_that_holds_its_data_set() {
+fn load_waits_for_the_lock_on_its_data_set() {
     let mut engine = CpuModel::new(0, 4.0);
-    engine.start(0, "first", work(100), 1.0, 1, Some(7));
-    engine.start(0, "second", work(100), 1.0, 1, Some(7));
-    engine.start(0, "elsewhere", work(100), 1.0, 1, Some(8));
+    engine.start(0, "first", work_ns(100), 1.0, 1, Some(7));
+    engine.start(0, "second", work_ns(100), 1.0, 1, Some(7));
+    engine.start(0, "elsewhere", work_ns(100), 1.0, 1, Some(8));
     assert_eq!(engine.poll(90 * MS, "second"), QueryStatus::Running(0.0));
     assert_eq!(engine.poll(101 * MS, "elsewhere"), QueryStatus::Done);
     engine.cancel(101 * MS, "first");
@@ -53,9 +62,9 @@
 }
 
 #[test]
-fn a_query_that_nobody_asks_for_is_ended() {
+fn query_that_is_not_polled_is_cancelled() {
     let mut engine = CpuModel::new(0, 1.0);
-    engine.start(0, "q", work(10_000), 1.0, 1, None);
+    engine.start(0, "q", work_ns(10_000), 1.0, 1, None);
     assert!(matches!(engine.poll(1_900 * MS, "q"), QueryStatus::Running(_)));
     assert_eq!(engine.poll(4_000 * MS, "q"), QueryStatus::Unknown);
     assert_eq!(engine.query_count(), 0);
--- a/crates/testkit/tests/link.rs
+++ b/crates/testkit/tests/link.rs
@@ -7,7 +7,7 @@
 
 proptest! {
     #[test]
-    fn a_stream_keeps_its_bytes_and_their_order_whatever_its_shape(
+    fn stream_keeps_all_bytes_in_order_under_any_shape(
         parts in proptest::collection::vec((0..50 * MS, proptest::collection::vec(any::<u8>(), 1..40)), 1..40),
         delay in 0..100 * MS,
         jitter in 0..100 * MS,
@@ -16,24 +16,24 @@
     ) {
         let mut shaper = Shaper::new(seed);
         shaper.set(0, Shape { delay_ns: delay, jitter_ns: jitter, bytes_per_s, ..Shape::default() });
-        let (mut now, mut sent, mut came) = (0, Vec::new(), Vec::new());
+        let (mut now, mut sent, mut received) = (0, Vec::new(), Vec::new());
         for (wait, bytes) in parts {
             now += wait;
             shaper.push_stream(now, &bytes);
             sent.extend(bytes);
-            came.extend(shaper.pull_stream(now));
-            prop_assert!(sent.starts_with(&came));
+            received.extend(shaper.pull_stream(now));
+            prop_assert!(sent.starts_with(&received));
         }
         for _ in 0..5_000 {
             now += MS;
-            came.extend(shaper.pull_stream(now));
+            received.extend(shaper.pull_stream(now));
         }
-        prop_assert_eq!(sent, came);
+        prop_assert_eq!(sent, received);
     }
 }
 
 #[test]
-fn a_cut_stream_is_held_and_a_cut_link_loses_datagrams() {
+fn partition_holds_stream_bytes_and_drops_datagrams() {
     let mut shaper = Shaper::new(1);
     shaper.set(0, Shape { partitioned: true, ..Shape::default() });
     shaper.push_stream(0, b"held");
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn datagrams_are_lost_doubled_and_put_out_of_order_as_often_as_told_and_the_same_for_a_seed() {
-    let play = |seed| {
+fn datagram_faults_match_the_shape_and_repeat_for_a_seed() {
+    let run = |seed| {
         let mut shaper = Shaper::new(seed);
         let shape =
             Shape { delay_ns: 10 * MS, jitter_ns: 50 * MS, loss: 0.3, duplication: 0.1, ..Shape::default() };
@@ -55,10 +55,10 @@
         (0..10_000u64).for_each(|i| shaper.push_datagram(i * MS, &i.to_le_bytes()));
         (shaper.pull_datagrams(u64::MAX), shaper.lost)
     };
-    let (came, lost) = play(7);
-    assert_eq!((came.clone(), lost), play(7));
+    let (received, lost) = run(7);
+    assert_eq!((received.clone(), lost), run(7));
     assert!((2_800..3_200).contains(&lost), "{lost} lost");
-    let doubled = came.len() as u64 - (10_000 - lost);
-    assert!((600..800).contains(&doubled), "{doubled} doubled");
-    assert!(came.windows(2).filter(|w| w[0] > w[1]).count() > 1_000, "out of order");
+    let duplicated = received.len() as u64 - (10_000 - lost);
+    assert!((600..800).contains(&duplicated), "{duplicated} doubled");
+    assert!(received.windows(2).filter(|w| w[0] > w[1]).count() > 1_000, "out of order");
 }
