--- a/crates/testkit/tests/engine.rs
+++ b/crates/testkit/tests/engine.rs
@@ -1,4 +1,5 @@
-//! The inside of a stand-in engine: cores shared by priority, work lost in a crowd, loads one behind another.
+//! CPU of a stand-in engine: sharing by priority, loss of throughput under contention, locks on
+//! data sets, and the poll timeout.
 
 use marljunction_testkit::engine::{CpuModel, QueryStatus};
 
@@ -22,10 +23,10 @@
     let mut engine = CpuModel::new(0, 1.0);
     engine.start(0, "high", work_ns(100), 1.0, 3, None);
     engine.start(0, "low", work_ns(100), 1.0, 0, None);
-    let QueryStatus::Running(low) = engine.poll(50 * MS, "low") else { panic!("it runs") };
-    let QueryStatus::Running(high) = engine.poll(50 * MS, "high") else { panic!("it runs") };
-    assert!((high / low - 16.0).abs() < 0.1, "{high} against {low}");
-    assert!((low + high - 0.5).abs() < 0.01, "one core's work in all");
+    let QueryStatus::Running(low) = engine.poll(50 * MS, "low") else { panic!("the query is running") };
+    let QueryStatus::Running(high) = engine.poll(50 * MS, "high") else { panic!("the query is running") };
+    assert!((high / low - 16.0).abs() < 0.1, "high {high}, low {low}");
+    assert!((low + high - 0.5).abs() < 0.01, "both share one core");
 }
 
 #[test]
@@ -38,12 +39,12 @@
     };
     assert!(
         (completed_share(4) - 0.2).abs() < 0.01,
-        "two threads a core lose nothing: {}",
+        "two threads per core lose throughput: {}",
         completed_share(4)
     );
     assert!(
         completed_share(8) < 0.8 * completed_share(4),
-        "{} against {}",
+        "{} with 8 threads, {} with 4",
         completed_share(8),
         completed_share(4)
     );
--- a/crates/testkit/tests/link.rs
+++ b/crates/testkit/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links do to what passes them what they were told, by a seed, and nothing else.
+//! Shapers of links: order, loss, duplication and partitions, repeatable by seed.
 
 use marljunction_testkit::link::{Shape, Shaper};
 use proptest::prelude::*;
@@ -59,6 +59,6 @@
     assert_eq!((received.clone(), lost), run(7));
     assert!((2_800..3_200).contains(&lost), "{lost} lost");
     let duplicated = received.len() as u64 - (10_000 - lost);
-    assert!((600..800).contains(&duplicated), "{duplicated} doubled");
-    assert!(received.windows(2).filter(|w| w[0] > w[1]).count() > 1_000, "out of order");
+    assert!((600..800).contains(&duplicated), "{duplicated} duplicated");
+    assert!(received.windows(2).filter(|w| w[0] > w[1]).count() > 1_000, "too few reordered");
 }
--- a/crates/testkit/tests/schedule.rs
+++ b/crates/testkit/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules of faults: read as written, drawn the same for one seed, wrong lines told.
+//! Schedules of faults: parsing, random selection of routers, and reports of invalid lines.
 
 use marljunction_testkit::list::Behavior;
 use marljunction_testkit::schedule::{read, Fault, RouterSelector};
