--- a/crates/testkit/src/list.rs
+++ b/crates/testkit/src/list.rs
@@ -35,7 +35,7 @@
 /// A call of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallRecord {
-    /// When (ns).
+    /// Time of the call (ns).
     pub at_ns: u64,
     /// Index of the calling router.
     pub router: usize,
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -89,7 +89,7 @@
 /// A request that started a query.
 #[derive(Clone, Debug)]
 pub struct QueryStart {
-    /// When (ns).
+    /// Time of the request (ns).
     pub at_ns: u64,
     /// Router index in the statement.
     pub router: Option<usize>,
