--- a/crates/lab/src/capacity/health.rs
+++ b/crates/lab/src/capacity/health.rs
@@ -36,7 +36,7 @@
     let now = fleet.now;
     fleet.node(0).set_override(now, "e1", true);
     let propagation_ns =
-        fleet.until(20 * S, "override received", |f| f.all(|n| n.overrides().get("e1").is_some()));
+        fleet.run_until(20 * S, "override received", |f| f.all(|n| n.overrides().get("e1").is_some()));
     [bytes, each(cpu, routers) / 1e6, propagation_ns as f64 / 1e9]
 }
 
@@ -60,7 +60,7 @@
             } else {
                 AttemptOutcome::Served(MS)
             };
-            fleet.ended(change_count % routers, (change_count % 20) as u64, outcome);
+            fleet.attempt_ended(change_count % routers, (change_count % 20) as u64, outcome);
             change_count += 1;
         }
         fleet.run(100 * MS);
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -7,7 +7,7 @@
 use marljunction_limits::{Kind, Limit, LimitParams, Message, Mode, Node};
 use marljunction_peers::datagram::Kind as DatagramKind;
 use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
-use marljunction_testkit::fleet::KEY;
+use marljunction_testkit::fleet::FLEET_KEY;
 
 use super::clock::thread_ns;
 use super::{series, Figures};
@@ -45,7 +45,10 @@
             incarnation: START_NS,
             renewal: 0,
         };
-        Ok(DatagramSizer { members: Members::new(identity, Keys::read(KEY)?, &Settings::default(), 1), to })
+        Ok(DatagramSizer {
+            members: Members::new(identity, Keys::read(FLEET_KEY)?, &Settings::default(), 1),
+            to,
+        })
     }
 
     fn bytes(&mut self, messages: &[&Message]) -> u64 {
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -9,7 +9,7 @@
 use marljunction_testkit::fleet::{classes, Fleet, Setup};
 use marljunction_testkit::load::Class;
 use marljunction_testkit::process::Process;
-use marljunction_testkit::stage::{settings, Site};
+use marljunction_testkit::test_bed::{settings, SettingsParams};
 use serde_json::json;
 
 use super::list::{full_list_event, Service, MEMORY_MB};
@@ -34,19 +34,19 @@
 struct RouterProcess {
     process: Process,
     dir: PathBuf,
-    listens: SocketAddr,
+    client_address: SocketAddr,
 }
 
 impl RouterProcess {
     fn start(program: &Path, name: &str, coordinator: SocketAddr) -> Result<RouterProcess, String> {
         let classes = classes();
-        let site = Site {
+        let site = SettingsParams {
             classes: &classes,
             tenants: &[],
             cores: 8.0,
-            longest_ms: 1_000,
+            max_retry_after_ms: 1_000,
             routers: 1,
-            me: 0,
+            router_index: 0,
             cold: false,
         };
         let config = json!({
@@ -61,8 +61,8 @@
         std::fs::write(&path, config.to_string()).map_err(to_message)?;
         let mut process = Process::start(program, &[("ROUTER_CONFIG", path)], &dir.join("log"))?;
         let started = Instant::now();
-        let listens = loop {
-            match process.listens() {
+        let client_address = loop {
+            match process.client_address() {
                 Some(at) => break at,
                 None if started.elapsed() > TIMEOUT => {
                     return Err(format!("the program {name} did not start"))
@@ -70,7 +70,7 @@
                 None => std::thread::park_timeout(Duration::from_millis(2)),
             }
         };
-        Ok(RouterProcess { process, dir, listens })
+        Ok(RouterProcess { process, dir, client_address })
     }
 
     /// Resident memory (KB).
@@ -137,7 +137,7 @@
 fn idle_client_cost(program: &Path, clients: usize) -> Result<[f64; 2], String> {
     let service = Service::start(full_list_event(8))?;
     let mut router = RouterProcess::start(program, &format!("holds-{clients}"), service.address)?;
-    let conns = (0..clients).map(|_| idle_client(router.listens)).collect::<Result<Vec<_>, _>>()?;
+    let conns = (0..clients).map(|_| idle_client(router.client_address)).collect::<Result<Vec<_>, _>>()?;
     router.wait_until_idle("clients are idle", || true)?;
     let (from, before) = (Instant::now(), router.process.used().1);
     while from.elapsed() < Duration::from_secs(1) {
@@ -160,10 +160,10 @@
     };
     let mut fleet = Fleet::new(setup)?;
     fleet.start_all()?;
-    if !fleet.run_until(TIMEOUT, |fleet| fleet.live() == 1)? {
+    if !fleet.run_until(TIMEOUT, |fleet| fleet.connected() == 1)? {
         return Err("the router did not start".into());
     }
-    fleet.ask();
+    fleet.start_clients();
     fleet.run(Duration::from_secs(1))?;
     let (from, before) = (fleet.now(), fleet.used()[0].1);
     let requested_before = fleet.sum(|tally| tally.asked as f64);
--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -48,7 +48,7 @@
     // Uneven load: a few routers receive several times the mean.
     let weights: Vec<f64> = (0..routers).map(|at| 1.0 / (at % 10 + 1) as f64).collect();
     let sum: f64 = weights.iter().sum();
-    fleet.ask_at(&weights.iter().map(|w| REQUEST_RATE * w / sum).collect::<Vec<f64>>());
+    fleet.start_clients_at(&weights.iter().map(|w| REQUEST_RATE * w / sum).collect::<Vec<f64>>());
     let start_ns = fleet.now();
     fleet.start_all()?;
     if engine_start == EngineStart::InRunningFleet {
@@ -58,24 +58,25 @@
     let tallies = |f: &Fleet| (f.sum(|t| t.worth), f.sum(|t| t.worth_asked));
     let before = tallies(&fleet);
     if engine_start == EngineStart::InRunningFleet {
-        fleet.renew_engines();
+        fleet.restart_engines_cold();
     }
     fleet.run(MEASURED_TIME)?;
     let after = tallies(&fleet);
-    let peak = fleet.engines.iter().filter_map(|e| Some(e.cold.as_ref()?.peak)).fold(0.0, f64::max);
+    let peak_overload =
+        fleet.engines.iter().filter_map(|e| Some(e.cold.as_ref()?.peak_overload)).fold(0.0, f64::max);
     let down = fleet.engines.iter().filter(|e| !e.is_up()).count();
     let counters = fleet.counters(Duration::from_secs(8))?;
     let seconds = (fleet.now() - start_ns) as f64 / SECOND_NS as f64;
     let used = fleet.used();
     Ok(json!({
-        "cold_peak_over_limit": peak,
+        "cold_peak_over_limit": peak_overload,
         "engines_down": down,
         "worth_share": (after.0 - before.0) / (after.1 - before.1).max(1e-9),
         "peers_known": mean(&counters, "fleet_peers"),
         "datagrams_a_router_s": mean(&counters, "fleet_datagrams") / seconds,
         "bytes_a_router_s": mean(&counters, "fleet_bytes") / seconds,
         "cpu_ms_a_router_s": used.iter().map(|u| u.1).sum::<u64>() as f64 / 1e3 / seconds / routers as f64,
-        "double_runs": fleet.audit().double_runs,
+        "double_runs": fleet.audit().duplicate_runs,
     }))
 }
 
--- a/crates/lab/src/fair_queue.rs
+++ b/crates/lab/src/fair_queue.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use marljunction_testkit::load::{Class, Source, Tally};
-use marljunction_testkit::stage::{Setup, Stage, Told};
+use marljunction_testkit::load::{Class, RequestStats, Source};
+use marljunction_testkit::test_bed::{ExitReport, Setup, TestBed};
 use serde_json::{json, Value};
 
 use crate::fair_queue_cost;
@@ -27,11 +27,11 @@
         work_ms: 80.0,
         spread: 0.8,
         threads: 1.0,
-        aim_ms: 1_200.0,
-        stretch: 1.5,
+        target_latency_ms: 1_200.0,
+        target_latency_stretch: 1.5,
         deadline_ms: 6_000.0,
         worth: 1.0,
-        late: 0.0,
+        late_worth: 0.0,
         load: false,
     };
     let report = Class {
@@ -39,11 +39,11 @@
         share: 0.10,
         work_ms: 600.0,
         threads: 4.0,
-        aim_ms: 2_000.0,
-        stretch: 2.5,
+        target_latency_ms: 2_000.0,
+        target_latency_stretch: 2.5,
         deadline_ms: 10_000.0,
         worth: 7.5,
-        late: 0.3,
+        late_worth: 0.3,
         ..lookup.clone()
     };
     let load = Class {
@@ -51,11 +51,11 @@
         share: 0.06,
         work_ms: 400.0,
         threads: 2.0,
-        aim_ms: 3_000.0,
-        stretch: 3.0,
+        target_latency_ms: 3_000.0,
+        target_latency_stretch: 3.0,
         deadline_ms: 10_000.0,
         worth: 4.0,
-        late: 0.6,
+        late_worth: 0.6,
         load: true,
         ..lookup.clone()
     };
@@ -74,21 +74,21 @@
         tenant,
         rate: capacity_per_s() * BASE_LOAD_SHARE * share / 100.0 * times,
         clients,
-        says: 1.0,
+        estimate_ratio: 1.0,
     };
     vec![source(&TENANTS[0], heavy_factor, 5_000), source(&TENANTS[1], 1.0, 40), source(&TENANTS[2], 1.0, 40)]
 }
 
 /// Measurements of one router.
 struct Outcome {
-    tallies: Vec<Vec<Tally>>,
-    exit_report: Told,
-    double_runs: u64,
+    tallies: Vec<Vec<RequestStats>>,
+    exit_report: ExitReport,
+    duplicate_runs: u64,
 }
 
 fn measure(
     name: &str,
-    door: Option<Value>,
+    fair_queue: Option<Value>,
     quick: bool,
     program: &Path,
     seed: u64,
@@ -100,26 +100,26 @@
         cores: CORES,
         tenants: TENANTS.to_vec(),
         classes: classes(),
-        door,
-        longest_ms: MAX_RETRY_AFTER_MS,
-        returning: 0.2,
+        fair_queue,
+        max_retry_after_ms: MAX_RETRY_AFTER_MS,
+        return_share: 0.2,
         seed,
     };
     let seconds = |s: f64| Duration::from_secs_f64(if quick { s } else { s * 5.0 });
-    let mut stage = Stage::start(&setup)?;
+    let mut test_bed = TestBed::start(&setup)?;
     // Warm up: the router learns the needs of its request classes.
-    stage.play(sources(1.0), seconds(2.0))?;
-    stage.play(sources(1.0), seconds(5.0))?;
-    stage.drain(Duration::from_secs(3))?;
-    stage.play(sources(0.0), seconds(4.0))?;
-    stage.play(sources(10.0), seconds(1.0))?;
-    stage.play(sources(10.0), seconds(9.0))?;
-    stage.kill(ENGINES / 2);
-    stage.play(sources(10.0), seconds(5.0))?;
-    stage.drain(Duration::from_secs(5))?;
-    stage.load.finish();
-    let (tallies, double_runs) = (stage.load.tallies.clone(), stage.double_runs());
-    Ok(Outcome { tallies, exit_report: stage.stop()?, double_runs })
+    test_bed.run_workload(sources(1.0), seconds(2.0))?;
+    test_bed.run_workload(sources(1.0), seconds(5.0))?;
+    test_bed.drain(Duration::from_secs(3))?;
+    test_bed.run_workload(sources(0.0), seconds(4.0))?;
+    test_bed.run_workload(sources(10.0), seconds(1.0))?;
+    test_bed.run_workload(sources(10.0), seconds(9.0))?;
+    test_bed.kill(ENGINES / 2);
+    test_bed.run_workload(sources(10.0), seconds(5.0))?;
+    test_bed.drain(Duration::from_secs(5))?;
+    test_bed.load.finish();
+    let (tallies, duplicate_runs) = (test_bed.load.tallies.clone(), test_bed.duplicate_runs());
+    Ok(Outcome { tallies, exit_report: test_bed.stop()?, duplicate_runs })
 }
 
 /// Phases of [`measure`] that are compared.
@@ -149,7 +149,7 @@
             .map(|source| ratio(self.worth_ratio(phase, source), self.worth_ratio(LIGHT_ONLY_PHASE, source)))
     }
 
-    fn sum(&self, phase: usize, of: fn(&Tally) -> f64) -> f64 {
+    fn sum(&self, phase: usize, of: fn(&RequestStats) -> f64) -> f64 {
         self.tallies[phase].iter().map(of).sum()
     }
 
@@ -158,7 +158,7 @@
         ratio(self.sum(phase, |t| t.returned_served as f64), self.sum(phase, |t| t.returned as f64))
     }
 
-    fn all(&self, of: fn(&Tally) -> u64) -> u64 {
+    fn all(&self, of: fn(&RequestStats) -> u64) -> u64 {
         self.tallies.iter().flatten().map(of).sum()
     }
 
@@ -173,9 +173,9 @@
                 ((*phase).to_owned(), Value::Object(by_name.collect()))
             })
             .collect();
-        let door: serde_json::Map<String, Value> = self
+        let fair_queue: serde_json::Map<String, Value> = self
             .exit_report
-            .door
+            .fair_queue
             .iter()
             .map(|(name, fields)| {
                 (name.clone(), fields.iter().map(|(k, v)| (k.clone(), json!(v))).collect::<Value>())
@@ -194,13 +194,13 @@
             "promise_kept_half_lost": self.served_reservation_ratio(HALF_LOST_PHASE),
             "promised_returns": [self.sum(FLOOD_PHASE, |t| t.returned as f64), self.sum(HALF_LOST_PHASE, |t| t.returned as f64)],
             "peak_memory_kb": self.exit_report.peak_kb,
-            "double_runs": self.double_runs,
+            "double_runs": self.duplicate_runs,
             "unanswered": self.all(|t| t.unanswered),
             "answered_twice": self.all(|t| t.twice),
             "ended_well": self.exit_report.ended_well,
             "taken": self.exit_report.counter("taken"),
             "phases": tallies,
-            "door": door,
+            "door": fair_queue,
         })
     }
 }
@@ -220,7 +220,9 @@
     let outcomes: Vec<Result<Outcome, String>> = std::thread::scope(|scope| {
         let runs: Vec<_> = queue_configs
             .iter()
-            .map(|(name, door)| scope.spawn(move || measure(name, door.clone(), quick, program, seed)))
+            .map(|(name, fair_queue)| {
+                scope.spawn(move || measure(name, fair_queue.clone(), quick, program, seed))
+            })
             .collect();
         runs.into_iter().map(|run| run.join().unwrap_or_else(|_| Err("a run panicked".into()))).collect()
     });
@@ -237,7 +239,7 @@
         "bytes_100k_over_100": cost["bytes_100k_over_100"],
         "idle_cost": ratio(base_worth(fair), base_worth(off)),
         "ns_per_request": cost["ns_per_request"],
-        "double_runs": outcomes.iter().map(|o| o.double_runs).sum::<u64>(),
+        "double_runs": outcomes.iter().map(|o| o.duplicate_runs).sum::<u64>(),
         "unanswered": outcomes.iter().map(|o| o.all(|t| t.unanswered)).sum::<u64>(),
         "quick": quick,
         "seed": seed,
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -65,11 +65,11 @@
         };
         let counters = process.counters();
         let of = |name: &str| counter(&counters, name);
-        let stream = match fleet.list.live_since(index) {
+        let stream = match fleet.list.connected_since(index) {
             Some(since) => format!("up {:>4.1} s", now.saturating_sub(since) as f64 / 1e9),
             None => "none".to_owned(),
         };
-        let state = if router.frozen() { "stands" } else { "runs" };
+        let state = if router.paused() { "stands" } else { "runs" };
         line(
             &mut text,
             format_args!(
@@ -94,7 +94,7 @@
             ),
         );
     }
-    let all = |of: fn(&marljunction_testkit::load::Tally) -> u64| fleet.sum(|t| of(t) as f64);
+    let all = |of: fn(&marljunction_testkit::load::RequestStats) -> u64| fleet.sum(|t| of(t) as f64);
     line(
         &mut text,
         format_args!(
@@ -141,10 +141,10 @@
     let start_ns = fleet.now();
     let end = start_ns + options.time.as_nanos() as u64;
     let mut applied_faults = Vec::new();
-    fleet.ask();
+    fleet.start_clients();
     fleet.start_all()?;
     while fleet.now() < end && !interrupted.load(Ordering::Relaxed) {
-        fleet.ask_counters();
+        fleet.request_counters();
         let until = fleet.now() + REFRESH_INTERVAL.as_nanos() as u64;
         while fleet.now() < until && !interrupted.load(Ordering::Relaxed) {
             let now = fleet.now();
@@ -170,24 +170,25 @@
 }
 
 fn summary(mut fleet: Fleet) -> Result<(String, bool), String> {
-    fleet.mend_all()?;
-    let answered = fleet.quiet(Duration::from_secs(8))?;
+    fleet.heal_all()?;
+    let answered = fleet.stop_clients(Duration::from_secs(8))?;
     let now = fleet.now();
     let last = render(&fleet, now, &[]);
     let audit = fleet.audit();
     let (unanswered, twice) = (fleet.sum(|t| t.unanswered as f64), fleet.sum(|t| t.twice as f64));
-    let excused: u64 = fleet.loads.iter().map(|load| load.excused).sum();
-    let max_blind_ns = fleet.routers.iter().map(|r| r.blind_ns).max().unwrap_or(0);
+    let excluded_calls: u64 = fleet.load_generators.iter().map(|load| load.excluded_calls).sum();
+    let max_blind_ns = fleet.routers.iter().map(|r| r.longest_disconnect_ns).max().unwrap_or(0);
     let calls = fleet.list.calls.len();
     let (_, ended_well) = fleet.stop(Duration::from_secs(8))?;
-    let checks_passed = audit.late_sends == 0 && audit.double_runs == 0 && unanswered == 0.0 && twice == 0.0;
+    let checks_passed =
+        audit.late_sends == 0 && audit.duplicate_runs == 0 && unanswered == 0.0 && twice == 0.0;
     let text = format!(
         "{last}\nsent to engines {}, after a drain was known {}, run twice {}, answered twice {twice}, unanswered {unanswered} \
-         ({excused} more at killed or paused routers)\ncalls to the list service {calls}; longest time without a stream \
+         ({excluded_calls} more at killed or paused routers)\ncalls to the list service {calls}; longest time without a stream \
          while it was available {:.1} s\nall answered: {answered}; all routers exited cleanly: {ended_well}\n{}",
         audit.sends,
         audit.late_sends,
-        audit.double_runs,
+        audit.duplicate_runs,
         max_blind_ns as f64 / 1e9,
         if checks_passed { "all checks passed" } else { "A CHECK FAILED" },
     );
--- a/crates/lab/src/health.rs
+++ b/crates/lab/src/health.rs
@@ -48,7 +48,14 @@
 
 fn request_classes() -> Vec<Class> {
     let base = marljunction_testkit::fleet::classes().swap_remove(0);
-    vec![Class { work_ms: 30.0, spread: 0.4, share: 1.0, aim_ms: 1_000.0, deadline_ms: 2_500.0, ..base }]
+    vec![Class {
+        work_ms: 30.0,
+        spread: 0.4,
+        share: 1.0,
+        target_latency_ms: 1_000.0,
+        deadline_ms: 2_500.0,
+        ..base
+    }]
 }
 
 fn start_fleet(run: &Run, name: &str, shared: bool) -> Result<Fleet, String> {
@@ -58,14 +65,14 @@
         fleet: Some(format!("lease: 1s, {verdicts}limits: {{}}")),
         classes: request_classes(),
         engines: ENGINES,
-        links: true,
+        engine_links: true,
         rate: REQUEST_RATE,
         seed: run.seed,
         ..Setup::new(run.program, &format!("verdicts-{name}-{shared}-{}", run.seed), routers)
     })?;
     fleet.start_all()?;
     fleet.run_until(TIMEOUT, |f| f.ready() == routers)?;
-    fleet.ask();
+    fleet.start_clients();
     // Warm up: routers discover each other and learn the usual query times.
     fleet.run(Duration::from_secs(12))?;
     Ok(fleet)
@@ -87,8 +94,8 @@
     let worth_before = (fleet.sum(|t| t.worth), fleet.sum(|t| t.worth_asked));
     match fault {
         Fault::Silent => {
-            let cut = Shape { cut: true, ..Shape::default() };
-            fleet.shape(0, cut, cut);
+            let partitioned = Shape { partitioned: true, ..Shape::default() };
+            fleet.shape(0, partitioned, partitioned);
         }
         Fault::Slow => {
             let slow = Shape { delay_ns: 350_000_000, ..Shape::default() };
@@ -101,7 +108,7 @@
         fleet.run(Duration::from_millis(100))?;
         let since = (fleet.now() - fault_start) as f64 / 1e9;
         for (router, after) in out_since_s.iter_mut().enumerate().filter(|(_, after)| after.is_none()) {
-            *after = fleet.said(router).contains("is out by what the fleet").then_some(since);
+            *after = fleet.log_text(router).contains("is out by what the fleet").then_some(since);
         }
     }
     let counters = fleet.counters(TIMEOUT)?;
@@ -112,7 +119,7 @@
     fleet.shape(0, Shape::default(), Shape::default());
     let back = fleet.run_until(TIMEOUT, |f| {
         !shared
-            || (0..routers).all(|r| f.said(r).contains("is back by what the fleet"))
+            || (0..routers).all(|r| f.log_text(r).contains("is back by what the fleet"))
             || fault == Fault::Slow
     })?;
     let back_s = (fleet.now() - recovery_start) as f64 / 1e9;
@@ -144,16 +151,16 @@
     let routers = fleet.routers.len();
     let lossy = Shape {
         loss: 0.3,
-        double: 0.2,
+        duplication: 0.2,
         delay_ns: SECOND_NS / 50,
         jitter_ns: SECOND_NS / 10,
         ..Shape::default()
     };
-    (0..routers).for_each(|to| fleet.shape_between(None, to, lossy));
+    (0..routers).for_each(|to| fleet.shape_peer_link(None, to, lossy));
     let set_ns = fleet.now();
     let answer = fleet.call(1, "POST", "/fleet/engines/disable", "e1")?;
     let has_override =
-        |f: &Fleet| (0..routers).all(|r| f.said(r).contains("engines excluded fleet-wide: e1"));
+        |f: &Fleet| (0..routers).all(|r| f.log_text(r).contains("engines excluded fleet-wide: e1"));
     let all = fleet.run_until(TIMEOUT, has_override)?;
     let elapsed_ns = fleet.now() - set_ns;
     let bound = propagation_bound_ns(&HealthParams { routers: routers as u32, ..HealthParams::default() });
@@ -172,7 +179,7 @@
 /// all of them, and traffic when idle and with evidence that changes each second.
 fn simulate(routers: usize, seed: u64) -> Value {
     let mut fleet = health_fleet::Fleet::new(routers, seed);
-    fleet.bad_wire();
+    fleet.degrade_network();
     let bound = propagation_bound_ns(&fleet.params);
     let idle_from = (fleet.messages, fleet.bytes);
     fleet.run(5 * health_fleet::S);
@@ -180,14 +187,14 @@
     let idle = (fleet.messages - idle_from.0, fleet.bytes - idle_from.1);
     let now = fleet.now;
     fleet.node(0).set_override(now, "e1", true);
-    let override_ns = fleet.until(4 * bound, "heard", |f| f.all(|n| n.overrides().get("e1").is_some()));
-    (0..3).for_each(|at| fleet.ended(at, 4, AttemptOutcome::Silent));
+    let override_ns = fleet.run_until(4 * bound, "heard", |f| f.all(|n| n.overrides().get("e1").is_some()));
+    (0..3).for_each(|at| fleet.attempt_ended(at, 4, AttemptOutcome::Silent));
     let excluded = |n: &mut Node| n.evaluation().engines.contains_key(&4);
-    let exclusion_ns = fleet.until(4 * bound, "out", |f| f.all(excluded));
+    let exclusion_ns = fleet.run_until(4 * bound, "out", |f| f.all(excluded));
     let busy_from = (fleet.messages, fleet.bytes);
     for second in 0..5 {
         for router in 0..routers.min(40) {
-            fleet.ended(
+            fleet.attempt_ended(
                 router,
                 6,
                 if second % 2 == 0 {
--- a/crates/lab/src/limits.rs
+++ b/crates/lab/src/limits.rs
@@ -41,7 +41,14 @@
 
 fn request_classes() -> Vec<Class> {
     let base = classes().swap_remove(0);
-    vec![Class { work_ms: 500.0, spread: 0.4, share: 1.0, aim_ms: 1_500.0, deadline_ms: 2_000.0, ..base }]
+    vec![Class {
+        work_ms: 500.0,
+        spread: 0.4,
+        share: 1.0,
+        target_latency_ms: 1_500.0,
+        deadline_ms: 2_000.0,
+        ..base
+    }]
 }
 
 /// Load and fault of a fleet that uses its whole limit.
@@ -103,7 +110,7 @@
     let single_router = vec![offered_rate];
     fleet.start_all()?;
     fleet.run_until(TIMEOUT, |f| f.ready() == routers)?;
-    fleet.run_until(TIMEOUT, |f| f.routers.iter().all(|r| r.talks.is_some()))?;
+    fleet.run_until(TIMEOUT, |f| f.routers.iter().all(|r| r.peer_address.is_some()))?;
     let isolated: Vec<usize> = (0..routers).collect();
     let connected = vec![0; routers];
     let halves: Vec<usize> = (0..routers).map(|at| usize::from(at >= routers / 2)).collect();
@@ -121,16 +128,18 @@
         mode,
     };
     if scenario == Scenario::StaticShares {
-        fleet.cut_into(&isolated);
+        fleet.partition_into(&isolated);
         // The held units are unknown to the others, so all leases have to expire first.
         fleet.run(Duration::from_nanos(params.grace_ns(limit.kind)))?;
     }
     match scenario {
         Scenario::Zipf => {
             let sum: f64 = (1..=routers).map(|at| 1.0 / at as f64).sum();
-            fleet.ask_at(&(1..=routers).map(|at| offered_rate / sum / at as f64).collect::<Vec<f64>>());
+            fleet.start_clients_at(
+                &(1..=routers).map(|at| offered_rate / sum / at as f64).collect::<Vec<f64>>(),
+            );
         }
-        _ => fleet.ask_at(&single_router),
+        _ => fleet.start_clients_at(&single_router),
     }
     let full = |f: &Fleet| f.held() + 1 >= total_units;
     if scenario != Scenario::StaticShares {
@@ -158,19 +167,19 @@
     match scenario {
         Scenario::SingleRouter | Scenario::Zipf | Scenario::StaticShares => {}
         Scenario::TwoPartitions | Scenario::BoundedPartition => {
-            fleet.cut_into(&halves);
+            fleet.partition_into(&halves);
             let mut both = vec![0.0; routers];
             (both[0], both[routers - 1]) = (offered_rate, offered_rate);
-            fleet.ask_at(&if bounded { vec![offered_rate / 4.0; routers] } else { both });
+            fleet.start_clients_at(&if bounded { vec![offered_rate / 4.0; routers] } else { both });
             fleet.run(Duration::from_nanos(bound(&limit, &params, Fault::Partition).max_idle_ns))?;
             results.insert("used_share_cut".into(), json!(mean_used_share(&mut fleet, total_units)?));
-            fleet.cut_into(&connected);
-            fleet.ask_at(&single_router);
+            fleet.partition_into(&connected);
+            fleet.start_clients_at(&single_router);
             wait_for_recovery(&mut fleet, &mut results, total_units, Fault::Partition)?;
         }
         Scenario::OneWayLoss => {
             for to in 1..routers {
-                fleet.shape_between(Some(0), to, Shape { cut: true, ..Shape::default() });
+                fleet.shape_peer_link(Some(0), to, Shape { partitioned: true, ..Shape::default() });
             }
             fleet.run(Duration::from_secs(8))?;
             results.insert("used_share_cut".into(), json!(mean_used_share(&mut fleet, total_units)?));
@@ -178,17 +187,17 @@
         Scenario::LossyNetwork => {
             let lossy = Shape {
                 loss: 0.3,
-                double: 0.2,
+                duplication: 0.2,
                 delay_ns: SECOND_NS / 50,
                 jitter_ns: SECOND_NS / 4,
                 ..Shape::default()
             };
-            (0..routers).for_each(|to| fleet.shape_between(None, to, lossy));
+            (0..routers).for_each(|to| fleet.shape_peer_link(None, to, lossy));
             fleet.run(Duration::from_secs(6))?;
         }
         Scenario::HolderCrashed => {
             fleet.kill(0);
-            fleet.ask_at(&second_router);
+            fleet.start_clients_at(&second_router);
             // The share that the crashed router owns is not redistributed.
             wait_for_recovery(
                 &mut fleet,
@@ -198,11 +207,11 @@
             )?;
         }
         Scenario::HolderPaused => {
-            fleet.freeze(0, true);
-            fleet.ask_at(&second_router);
+            fleet.set_paused(0, true);
+            fleet.start_clients_at(&second_router);
             fleet.run(Duration::from_secs(8))?;
-            fleet.ask_at(&single_router);
-            fleet.freeze(0, false);
+            fleet.start_clients_at(&single_router);
+            fleet.set_paused(0, false);
             fleet.run(Duration::from_secs(4))?;
         }
         Scenario::OwnersRestarted => {
@@ -216,19 +225,19 @@
         Scenario::AllRestarted => {
             (0..routers).for_each(|router| fleet.kill(router));
             fleet.start_all()?;
-            fleet.ask_at(&single_router);
+            fleet.start_clients_at(&single_router);
             wait_for_recovery(&mut fleet, &mut results, total_units, Fault::AllRestarted)?;
         }
     }
     let share = mean_used_share(&mut fleet, total_units)?;
     let allowed = bound(&limit, &params, Fault::Partition).max_overshoot;
-    let overshoot = (fleet.held_most as f64 / total_units as f64 - 1.0).max(0.0);
+    let overshoot = (fleet.max_held as f64 / total_units as f64 - 1.0).max(0.0);
     let counters = fleet.counters(Duration::from_secs(5))?;
     let seconds = (fleet.now() - fleet.routers[routers - 1].started_ns) as f64 / 1e9;
     results.insert("used_share".into(), json!(share));
     results.insert("over".into(), json!(overshoot));
     results.insert("over_ratio".into(), json!(if allowed > 0.0 { overshoot / allowed } else { 0.0 }));
-    results.insert("most_at_once".into(), json!(fleet.held_most));
+    results.insert("most_at_once".into(), json!(fleet.max_held));
     results.insert("limit".into(), json!(total_units));
     results.insert("datagrams_a_router_s".into(), json!(mean(&counters, "fleet_datagrams") / seconds));
     results.insert("bytes_a_router_s".into(), json!(mean(&counters, "fleet_bytes") / seconds));
@@ -248,18 +257,18 @@
     let results = kinds.map(|(name, kind)| {
         let limit = Limit { name: name.into(), subject: String::new(), kind, mode: Mode::Strict };
         let mut fleet = lease_fleet::Fleet::new(limit, params, 0.01, seed);
-        fleet.tell_reachable();
+        fleet.update_reachable_peers();
         fleet.routers[3].demand = f64::from(units) * 2.0;
         fleet.run(8_000);
-        let (admitted, messages, mut out) = (fleet.admitted, fleet.messages, 0);
+        let (admitted, messages, mut in_flight) = (fleet.admitted, fleet.messages, 0);
         let steps = 400;
         for _ in 0..steps {
             fleet.step();
-            out += fleet.out();
+            in_flight += fleet.in_flight();
         }
-        let seconds = f64::from(steps) * lease_fleet::STEP as f64 / 1e9;
+        let seconds = f64::from(steps) * lease_fleet::STEP_NS as f64 / 1e9;
         let used = match kind {
-            Kind::Concurrency { .. } => out as f64 / f64::from(steps) / f64::from(units),
+            Kind::Concurrency { .. } => in_flight as f64 / f64::from(steps) / f64::from(units),
             Kind::Rate { per_s, .. } => (fleet.admitted - admitted) as f64 / seconds / per_s,
             Kind::Window { units, window_ns } => {
                 (fleet.admitted - admitted) as f64 / seconds / f64::from(units) * window_ns as f64 / 1e9
@@ -321,7 +330,7 @@
         ..Setup::new(run.program, &format!("limits-idle-{with_fleet}-{}", run.seed), routers)
     })?;
     fleet.start_all()?;
-    fleet.run_until(TIMEOUT, |f| f.live() == routers)?;
+    fleet.run_until(TIMEOUT, |f| f.connected() == routers)?;
     fleet.run(Duration::from_secs(8))?;
     let used = |fleet: &Fleet| -> u64 { fleet.used().iter().map(|(_, time)| time).sum() };
     let (start_ns, before) = (fleet.now(), used(&fleet));
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -167,7 +167,7 @@
 
 /// The given router executable, or the one next to this executable.
 fn resolve_program(program: Option<PathBuf>) -> Result<PathBuf, String> {
-    let beside = marljunction_testkit::stage::program_beside;
+    let beside = marljunction_testkit::test_bed::sibling_program;
     program
         .or_else(beside)
         .ok_or_else(|| "router executable not found next to this one: build it or pass --program".into())
--- a/crates/lab/src/pacing_strategies.rs
+++ b/crates/lab/src/pacing_strategies.rs
@@ -2,7 +2,7 @@
 //! outage of ten seconds, and recovery.
 
 use marljunction_pacing::{Failure, Pacer, PacingParams};
-use marljunction_testkit::herd::{Herd, Service, Way};
+use marljunction_testkit::swarm::{ClientSwarm, PacingPolicy, Service};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Map, Value};
@@ -92,7 +92,7 @@
     }
 }
 
-impl Way for SimpleCaller {
+impl PacingPolicy for SimpleCaller {
     fn due_ns(&self) -> Option<u64> {
         self.due
     }
@@ -137,27 +137,27 @@
     unsettled_runs: u64,
 }
 
-fn simulate<W: Way>(make: impl Fn(u32, u64) -> W) -> Metrics {
+fn simulate<W: PacingPolicy>(make: impl Fn(u32, u64) -> W) -> Metrics {
     let mut metrics = Metrics::default();
     let n = f64::from(CALLERS);
     let ideal = n / CAPACITY_PER_S * 1e9;
     for seed in 0..SEEDS {
         let callers = (0..CALLERS).map(|i| make(i, seed * 10_007 + u64::from(i))).collect();
-        let mut herd = Herd::new(callers, Service::new(CAPACITY_PER_S));
-        let start = herd.pass(120 * S);
-        herd.now += 20 * S;
-        herd.drop_all();
-        herd.service.away = true;
-        let away = herd.pass(10 * S);
-        herd.service.away = false;
-        let recovery = herd.pass(120 * S);
+        let mut swarm = ClientSwarm::new(callers, Service::new(CAPACITY_PER_S));
+        let start = swarm.run_for(120 * S);
+        swarm.now += 20 * S;
+        swarm.disconnect_all();
+        swarm.service.unavailable = true;
+        let unavailable = swarm.run_for(10 * S);
+        swarm.service.unavailable = false;
+        let recovery = swarm.run_for(120 * S);
         metrics.startup_calls += start.calls as f64 / n / SEEDS as f64;
         metrics.recovery_calls += recovery.calls as f64 / n / SEEDS as f64;
-        metrics.outage_calls_per_s += away.calls as f64 / n / 10.0 / SEEDS as f64;
-        for period in [start, away, recovery] {
-            metrics.peak_load = metrics.peak_load.max(period.worst_second as f64 / CAPACITY_PER_S);
+        metrics.outage_calls_per_s += unavailable.calls as f64 / n / 10.0 / SEEDS as f64;
+        for period in [start, unavailable, recovery] {
+            metrics.peak_load = metrics.peak_load.max(period.max_calls_per_s as f64 / CAPACITY_PER_S);
         }
-        metrics.peak_100ms = metrics.peak_100ms.max(recovery.worst_100ms as f64 / n);
+        metrics.peak_100ms = metrics.peak_100ms.max(recovery.max_calls_per_100ms as f64 / n);
         for period in [start, recovery] {
             match period.settled_ns {
                 Some(ns) => metrics.settle_ratio = metrics.settle_ratio.max(ns as f64 / ideal),
--- a/crates/lab/src/start.rs
+++ b/crates/lab/src/start.rs
@@ -6,7 +6,7 @@
 
 use marljunction_testkit::audit::calls_within;
 use marljunction_testkit::fleet::{Fleet, Setup};
-use marljunction_testkit::list::Manner;
+use marljunction_testkit::list::Behavior;
 use serde_json::{json, Map, Value};
 
 /// Routers in a quick and a full run.
@@ -78,41 +78,41 @@
     })?;
     let count = routers as f64;
     let ideal_s = count / capacity;
-    fleet.ask();
+    fleet.start_clients();
     let start_ns = fleet.now();
     fleet.start_all()?;
-    let all_live = |fleet: &Fleet| fleet.live() == routers;
+    let all_live = |fleet: &Fleet| fleet.connected() == routers;
     let started = fleet.run_until(MAX_SETTLE_TIME, all_live)?;
     let settled = fleet.now();
     let used = fleet.used();
     let (start_calls, _) = calls_within(&fleet.list.calls, start_ns, settled, SECOND_NS);
 
     let outage_start = fleet.now();
-    fleet.set_list(Manner::Away);
+    fleet.set_list_behavior(Behavior::Unavailable);
     // The drain happens during the outage, so that routers learn of it only after the service
     // returns.
     fleet.run(OUTAGE - Duration::from_secs(2))?;
     fleet.drain(0);
     fleet.run(Duration::from_secs(2))?;
     let outage_end = fleet.now();
-    fleet.set_list(Manner::Well);
+    fleet.set_list_behavior(Behavior::Normal);
     let reconnected = fleet.run_until(MAX_SETTLE_TIME, all_live)?;
     let settled_after_outage = fleet.now();
     // Run on until the drain counts as known, so that the audit sees sends after it.
     let after_update = 8 * SECOND_NS;
-    let until = fleet.left_ns[0].unwrap_or(outage_end) + after_update;
+    let until = fleet.drain_started_ns[0].unwrap_or(outage_end) + after_update;
     fleet.run(Duration::from_nanos(until.saturating_sub(fleet.now())))?;
     let calls = std::mem::take(&mut fleet.list.calls);
     let (outage_calls, _) = calls_within(&calls, outage_start, outage_end, SECOND_NS);
     let (recovery_calls, _) = calls_within(&calls, outage_end, settled_after_outage, SECOND_NS);
-    let (_, worst_second) = calls_within(&calls, start_ns, settled_after_outage, SECOND_NS);
-    let (_, worst_100ms) = calls_within(&calls, outage_end, settled_after_outage, SECOND_NS / 10);
+    let (_, max_calls_per_s) = calls_within(&calls, start_ns, settled_after_outage, SECOND_NS);
+    let (_, max_calls_per_100ms) = calls_within(&calls, outage_end, settled_after_outage, SECOND_NS / 10);
     let seconds_run = ((settled_after_outage - start_ns) / SECOND_NS) as usize + 1;
     let by_second: Vec<usize> = (0..seconds_run as u64)
         .map(|s| calls_within(&calls, start_ns + s * SECOND_NS, start_ns + (s + 1) * SECOND_NS, SECOND_NS).0)
         .collect();
-    let max_blind_ns = fleet.routers.iter().map(|r| r.blind_ns).max().unwrap_or(0);
-    let answered = fleet.quiet(Duration::from_secs(8))?;
+    let max_blind_ns = fleet.routers.iter().map(|r| r.longest_disconnect_ns).max().unwrap_or(0);
+    let answered = fleet.stop_clients(Duration::from_secs(8))?;
     let handshakes: u64 = fleet.engines.iter().map(|e| e.accepted).sum();
     let audit = fleet.audit();
     let (asked, unanswered) = (fleet.sum(|t| t.asked as f64), fleet.sum(|t| t.unanswered as f64));
@@ -124,8 +124,8 @@
     Ok(json!({
         "calls_per_router_start": start_calls as f64 / count,
         "calls_per_router_back": recovery_calls as f64 / count,
-        "peak_over_capacity": worst_second as f64 / capacity,
-        "peak_100ms_share": worst_100ms as f64 / count,
+        "peak_over_capacity": max_calls_per_s as f64 / capacity,
+        "peak_100ms_share": max_calls_per_100ms as f64 / count,
         "outage_calls_per_router_s": outage_calls as f64 / count / seconds(outage_end - outage_start),
         "settled_over_ideal": seconds((settled - start_ns).max(settled_after_outage - outage_end)) / ideal_s,
         "settled_over_ideal_start": seconds(settled - start_ns) / ideal_s,
@@ -135,7 +135,7 @@
         "calls_by_second": by_second,
         "away_from_to_s": [seconds(outage_start - start_ns), seconds(outage_end - start_ns)],
         "late_sends": audit.late_sends,
-        "double_runs": audit.double_runs,
+        "double_runs": audit.duplicate_runs,
         "double_answers": twice,
         "lost": unanswered,
         "all_answered": answered,
@@ -156,12 +156,12 @@
         ..Setup::new(program, &format!("first-{name}-{}", run.seed), 1)
     };
     let mut fleet = Fleet::new(setup)?;
-    fleet.ask();
+    fleet.start_clients();
     let mut times = Vec::new();
     for _ in 0..FIRST_ANSWER_STARTS {
         fleet.start(0)?;
-        fleet.run_until(MAX_SETTLE_TIME, |fleet| fleet.loads[0].first_answer_ns.is_some())?;
-        let first = fleet.loads[0].first_answer_ns.unwrap_or(u64::MAX);
+        fleet.run_until(MAX_SETTLE_TIME, |fleet| fleet.load_generators[0].first_answer_ns.is_some())?;
+        let first = fleet.load_generators[0].first_answer_ns.unwrap_or(u64::MAX);
         times.push(first.saturating_sub(fleet.routers[0].started_ns) as f64 / 1e6);
         fleet.kill(0);
     }
@@ -185,12 +185,12 @@
         operator: (!name.starts_with("against")).then(|| operator_file(capacity, routers_key)),
         engines: 6,
         cold: true,
-        told_routers: configured_routers,
+        configured_routers: configured_routers,
         rate: COLD_REQUEST_RATE / routers as f64,
         seed: run.seed,
         ..Setup::new(program, &format!("cold-{name}-{}", run.seed), routers)
     })?;
-    fleet.ask();
+    fleet.start_clients();
     let end = fleet.now() + 10 * SECOND_NS;
     match stagger {
         None => fleet.start_all()?,
@@ -202,17 +202,18 @@
         }
     }
     fleet.run(Duration::from_nanos(end.saturating_sub(fleet.now())))?;
-    let peak = fleet.engines.iter().filter_map(|e| Some(e.cold.as_ref()?.peak)).fold(0.0, f64::max);
+    let peak_overload =
+        fleet.engines.iter().filter_map(|e| Some(e.cold.as_ref()?.peak_overload)).fold(0.0, f64::max);
     let down = fleet.engines.iter().filter(|e| !e.is_up()).count();
     let (worth, asked) = (fleet.sum(|t| t.worth), fleet.sum(|t| t.worth_asked));
     let handshakes: u64 = fleet.engines.iter().map(|e| e.accepted).sum();
     Ok(json!({
-        "engine_peak_over_limit": peak,
+        "engine_peak_over_limit": peak_overload,
         "engines_down": down,
         "worth_10s": worth,
         "worth_share_10s": worth / asked.max(1e-9),
         "handshakes_a_request": handshakes as f64 / fleet.sum(|t| t.asked as f64).max(1.0),
-        "double_runs": fleet.audit().double_runs,
+        "double_runs": fleet.audit().duplicate_runs,
     }))
 }
 
@@ -274,11 +275,11 @@
         ));
     }
     let cold_starts = run_concurrently(tasks)?;
-    let peak = |name: &str| cold_starts[name]["engine_peak_over_limit"].as_f64().unwrap_or(f64::MAX);
+    let peak_overload = |name: &str| cold_starts[name]["engine_peak_over_limit"].as_f64().unwrap_or(f64::MAX);
     let mut results = outage_runs["program"].as_object().cloned().unwrap_or_default();
     results.insert(
         "engine_peak_over_limit".into(),
-        json!(["right", "half", "double", "unknown"].map(peak).into_iter().fold(0.0, f64::max)),
+        json!(["right", "half", "double", "unknown"].map(peak_overload).into_iter().fold(0.0, f64::max)),
     );
     let worth = |name: &str| cold_starts[name]["worth_10s"].as_f64().unwrap_or(0.0);
     results.insert("worth_10s_over_by_hand".into(), json!(worth("right") / worth("by_hand").max(1e-9)));
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -36,7 +36,7 @@
     for _ in 0..40 {
         let ms = fleet.draws.gen_range(50..1_500);
         fleet.run(ms);
-        fleet.break_something();
+        fleet.inject_random_fault();
     }
     (fleet.worst, kind)
 }
@@ -79,7 +79,7 @@
         for _ in 0..4 {
             let ms = fleet.draws.gen_range(50..800);
             fleet.run(ms);
-            fleet.break_something();
+            fleet.inject_random_fault();
         }
     }
     let during_resize = fleet.worst;
@@ -89,7 +89,7 @@
     fleet.worst = 0.0;
     for _ in 0..10 {
         fleet.run(400);
-        fleet.break_something();
+        fleet.inject_random_fault();
     }
     (during_resize, fleet.worst, before, after)
 }
@@ -116,7 +116,7 @@
     for (old, new) in [(10, 100), (100, 2)] {
         for changed in [0, 1] {
             let mut fleet = Fleet::new(of(old), params(2), 0.0, 1);
-            fleet.tell_reachable();
+            fleet.update_reachable_peers();
             fleet.routers[1].demand = 400.0;
             fleet.run(4_000);
             let key_status = |fleet: &mut Fleet, at: usize| {
@@ -187,16 +187,16 @@
 ) -> (f64, Fleet) {
     let mut fleet = Fleet::new(limit(kind, Mode::Strict), params(routers), 0.01, 7);
     (0..routers).for_each(|at| fleet.routers[at as usize].demand = demand(at));
-    fleet.tell_reachable();
+    fleet.update_reachable_peers();
     fleet.run(6_000);
     prepare(&mut fleet);
-    let (before, mut out, mut steps) = (fleet.admitted, 0, 0);
+    let (before, mut in_flight, mut steps) = (fleet.admitted, 0, 0);
     for _ in 0..1_000 {
         fleet.step();
-        (out, steps) = (out + fleet.out(), steps + 1);
+        (in_flight, steps) = (in_flight + fleet.in_flight(), steps + 1);
     }
     let share = match kind {
-        Kind::Concurrency { at_once } => out as f64 / f64::from(steps) / f64::from(at_once),
+        Kind::Concurrency { at_once } => in_flight as f64 / f64::from(steps) / f64::from(at_once),
         Kind::Rate { .. } | Kind::Window { .. } => (fleet.admitted - before) as f64 / 10.0 / per_s(kind),
     };
     assert!(fleet.worst <= 1.0 + 1e-9);
@@ -232,15 +232,15 @@
     let kind = Kind::Concurrency { at_once: 80 };
     let request = |at| if at == 0 { 400.0 } else { 0.0 };
     let halves: Vec<usize> = (0..8).map(|at| usize::from(at >= 4)).collect();
-    let (cut, mut fleet) = utilization(kind, 8, request, |fleet| {
-        fleet.cut_between(&halves);
+    let (partitioned, mut fleet) = utilization(kind, 8, request, |fleet| {
+        fleet.partition_into(&halves);
         fleet.run(8_000);
     });
-    println!("used while partitioned into halves: {cut:.3}");
-    assert!((0.4..=0.55).contains(&cut), "{cut}");
-    fleet.cut.clear();
+    println!("used while partitioned into halves: {partitioned:.3}");
+    assert!((0.4..=0.55).contains(&partitioned), "{partitioned}");
+    fleet.partitioned.clear();
     let healed_ns = fleet.now;
-    while fleet.out() < 76 && fleet.now < healed_ns + 60 * S {
+    while fleet.in_flight() < 76 && fleet.now < healed_ns + 60 * S {
         fleet.step();
     }
     println!("recovered after {:.1} s", (fleet.now - healed_ns) as f64 / 1e9);
--- a/crates/pacing/tests/pacer.rs
+++ b/crates/pacing/tests/pacer.rs
@@ -2,7 +2,7 @@
 
 use marljunction_pacing::pacer::MAX_UNUSABLE_WAIT_NS;
 use marljunction_pacing::{Failure, Pacer, PacingParams, ParamsError};
-use marljunction_testkit::herd::{Herd, Service};
+use marljunction_testkit::swarm::{ClientSwarm, Service};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
@@ -13,9 +13,9 @@
     PacingParams { callers: Some(callers), budget_per_s, spread_ns, ..PacingParams::default() }
 }
 
-fn herd(count: u32, pace: PacingParams, capacity: f64, seed: u64) -> Herd<Pacer> {
+fn swarm(count: u32, pace: PacingParams, capacity: f64, seed: u64) -> ClientSwarm<Pacer> {
     let one = |i: u32| Pacer::new(PacingParams { caller_index: i, ..pace }, seed * 1_000 + u64::from(i), 0);
-    Herd::new((0..count).map(one).collect(), Service::new(capacity))
+    ClientSwarm::new((0..count).map(one).collect(), Service::new(capacity))
 }
 
 #[derive(Clone, Debug)]
@@ -144,28 +144,28 @@
 fn many_callers_keep_to_the_budget_at_start_in_an_outage_and_after_it() {
     for seed in 0..300 {
         for (count, capacity) in [(20, 50.0), (100, 25.0), (300, 75.0), (300, 100.0)] {
-            let mut herd = herd(count, fleet(count, capacity), capacity, seed);
+            let mut swarm = swarm(count, fleet(count, capacity), capacity, seed);
             let (ideal, n) = (f64::from(count) / capacity * 1e9, u64::from(count));
             let message = |what: &str, p| format!("{what} of {count} at {capacity}, seed {seed}: {p:?}");
             // Up to a second is allowed where the service accepts all callers at once.
             let max_settled_ns = 1.5 * ideal.max(1e9);
-            let start = herd.pass(60 * S);
+            let start = swarm.run_for(60 * S);
             assert!(start.calls * 2 <= n * 3, "{}", message("start", start));
             assert!(
                 start.settled_ns.is_some_and(|ns| ns as f64 <= max_settled_ns),
                 "{}",
                 message("start", start)
             );
-            assert!(start.worst_second as f64 <= capacity * 1.5, "{}", message("start", start));
-            herd.now += 30 * S;
-            herd.drop_all();
-            herd.service.away = true;
-            let away = herd.pass(10 * S);
-            assert!(away.calls <= 10 * n, "{}", message("away", away));
-            assert!(count < 100 || away.calls <= 5 * n, "{}", message("away", away));
-            assert!(away.worst_second as f64 <= capacity * 1.5, "{}", message("away", away));
-            herd.service.away = false;
-            let back = herd.pass(60 * S);
+            assert!(start.max_calls_per_s as f64 <= capacity * 1.5, "{}", message("start", start));
+            swarm.now += 30 * S;
+            swarm.disconnect_all();
+            swarm.service.unavailable = true;
+            let unavailable = swarm.run_for(10 * S);
+            assert!(unavailable.calls <= 10 * n, "{}", message("away", unavailable));
+            assert!(count < 100 || unavailable.calls <= 5 * n, "{}", message("away", unavailable));
+            assert!(unavailable.max_calls_per_s as f64 <= capacity * 1.5, "{}", message("away", unavailable));
+            swarm.service.unavailable = false;
+            let back = swarm.run_for(60 * S);
             assert!(back.calls * 2 <= n * 3, "{}", message("back", back));
             assert!(
                 back.settled_ns.is_some_and(|ns| ns as f64 <= max_settled_ns.max(3e9)),
@@ -173,7 +173,7 @@
                 message("back", back)
             );
             assert!(
-                count < 100 || back.worst_100ms * 100 <= 15 * count as usize,
+                count < 100 || back.max_calls_per_100ms * 100 <= 15 * count as usize,
                 "{}",
                 message("back", back)
             );
@@ -186,14 +186,14 @@
     for seed in 0..100 {
         for callers in [None, Some(50), Some(100), Some(200), Some(400), Some(1)] {
             let pace = PacingParams { callers, ..fleet(0, 50.0) };
-            let mut herd = herd(200, pace, 50.0, seed);
+            let mut swarm = swarm(200, pace, 50.0, seed);
             for what in ["start", "back"] {
-                let passed = herd.pass(120 * S);
+                let passed = swarm.run_for(120 * S);
                 let message = format!("{what}, assumed {callers:?}, seed {seed}: {passed:?}");
                 assert!(passed.settled_ns.is_some_and(|ns| ns <= 15 * S), "{message}");
                 assert!(passed.calls <= 800, "{message}");
-                herd.now += 20 * S;
-                herd.drop_all();
+                swarm.now += 20 * S;
+                swarm.disconnect_all();
             }
         }
     }
@@ -204,8 +204,8 @@
     let pace = PacingParams { caller_index: 0, ..fleet(200, 50.0) };
     // The seeds of routers differ by name and address even if their indices are equal.
     let callers = (0..200).map(|i| Pacer::new(pace, i, 0)).collect();
-    let mut herd = Herd::new(callers, Service::new(50.0));
-    let start = herd.pass(60 * S);
+    let mut swarm = ClientSwarm::new(callers, Service::new(50.0));
+    let start = swarm.run_for(60 * S);
     assert!(start.calls <= 600 && start.settled_ns.is_some_and(|ns| ns <= 12 * S), "{start:?}");
 }
 
--- a/crates/testkit/src/audit.rs
+++ b/crates/testkit/src/audit.rs
@@ -1,57 +1,60 @@
-//! What a fleet did, held against the rules. Pure: it reads what the stand-ins wrote down.
+//! Checks the records of the stand-ins against the rules for draining engines and at-most-once
+//! queries.
 
 use std::collections::BTreeMap;
 
-use crate::list::Seen;
-use crate::server::Sent;
+use crate::list::CallRecord;
+use crate::server::QueryStart;
 
-/// No new work goes to an engine so long after its router was told that it leaves (ns).
-const DRAIN_NS: u64 = 500_000_000;
-/// News counts as told so late at the latest, connected or not (ns).
-const MAX_UPDATE_DELAY_NS: u64 = 7_000_000_000;
-/// Sockets' part (ns).
-const SLACK_NS: u64 = 50_000_000;
+/// A router may still send queries to an engine for this long after it is notified of the drain.
+const DRAIN_GRACE_NS: u64 = 500_000_000;
+/// A router counts as notified at the latest after this time, even if it is not connected.
+const MAX_NOTIFICATION_NS: u64 = 7_000_000_000;
+/// Allowance for delays of the sockets.
+const SOCKET_SLACK_NS: u64 = 50_000_000;
 
-/// What was found.
+/// Result of the check.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Audit {
-    /// Calls that start a query.
+    /// Query starts.
     pub sends: u64,
-    /// Calls sent to an engine that was known to leave.
+    /// Query starts at an engine after the router was notified of its drain.
     pub late_sends: u64,
-    /// Starts of a query that must not run twice, beyond the first of each.
-    pub double_runs: u64,
+    /// Starts of at-most-once queries beyond the first of each.
+    pub duplicate_runs: u64,
 }
 
 impl Audit {
-    /// Holds what engines were sent against when each was told to leave (`left`, by engine, as the list service had it) and
-    /// when each router was told so (`told`, by router and engine).
-    pub fn of(
-        sends: &[(&str, &[Sent])],
-        left: &BTreeMap<String, u64>,
-        told: &BTreeMap<(usize, String), u64>,
+    /// Checks the query starts by engine. `drain_started_ns` holds the start of each engine's
+    /// drain, `notified_ns` when each router was notified of it, by router and engine.
+    pub fn check(
+        sends: &[(&str, &[QueryStart])],
+        drain_started_ns: &BTreeMap<String, u64>,
+        notified_ns: &BTreeMap<(usize, String), u64>,
     ) -> Audit {
         let mut audit = Audit::default();
         let mut starts = BTreeMap::<&str, u64>::new();
         for (engine, sends) in sends {
             for sent in *sends {
                 audit.sends += 1;
-                if sent.once {
+                if sent.at_most_once {
                     *starts.entry(&sent.name).or_default() += 1;
                 }
-                let Some(left) = left.get(*engine) else { continue };
-                let heard = sent.router.and_then(|router| told.get(&(router, (*engine).to_owned())));
-                let told = heard.copied().unwrap_or(u64::MAX).min(left + MAX_UPDATE_DELAY_NS);
-                audit.late_sends += u64::from(sent.at_ns > told + DRAIN_NS + SLACK_NS);
+                let Some(drain_started_ns) = drain_started_ns.get(*engine) else { continue };
+                let notified =
+                    sent.router.and_then(|router| notified_ns.get(&(router, (*engine).to_owned())));
+                let notified_ns =
+                    notified.copied().unwrap_or(u64::MAX).min(drain_started_ns + MAX_NOTIFICATION_NS);
+                audit.late_sends += u64::from(sent.at_ns > notified_ns + DRAIN_GRACE_NS + SOCKET_SLACK_NS);
             }
         }
-        audit.double_runs = starts.values().map(|n| n - 1).sum();
+        audit.duplicate_runs = starts.values().map(|n| n - 1).sum();
         audit
     }
 }
 
-/// Calls between two times (ns): how many, and the most within a window of `span_ns`.
-pub fn calls_within(calls: &[Seen], from: u64, to: u64, span_ns: u64) -> (usize, usize) {
+/// Number of calls between two times, and the largest number of them within `span_ns`.
+pub fn calls_within(calls: &[CallRecord], from: u64, to: u64, span_ns: u64) -> (usize, usize) {
     let times: Vec<u64> = calls.iter().map(|c| c.at_ns).filter(|at| (from..to).contains(at)).collect();
     let most = times
         .iter()
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A whole fleet on loopback: router programs as processes of their own, a list service, engines and clients, all in one
-//! loop. Every wait is on a condition, with a limit.
+//! A fleet of router processes on loopback with a list service, engines and clients, driven by one
+//! event loop. Waits are for conditions, each with a limit.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -15,90 +15,91 @@
 use serde_json::{json, Value};
 
 use crate::audit::Audit;
-use crate::engine::Cold;
+use crate::engine::ColdStart;
 use crate::link::{Shape, TcpLink, UdpLink};
-use crate::list::{ListService, Manner};
-use crate::load::{Class, Load, Source, Tally};
+use crate::list::{Behavior, ListService};
+use crate::load::{Class, LoadGenerator, RequestStats, Source};
 use crate::process::Process;
-use crate::schedule::{Fault, Whom};
+use crate::schedule::{Fault, RouterSelector};
 use crate::server::Engine;
-use crate::stage::{settings, target, Site, COLD};
+use crate::test_bed::{engine_entry, settings, SettingsParams, COLD_START};
 
-/// Listeners of engines have the first numbers, then those of the list service; connections follow.
+/// Poll tokens: engines start at 0, connections at `FIRST_CONNECTION`.
 const LIST_TOKEN: usize = 10_000;
-const LINK_TOKEN: usize = 20_000;
-const BETWEEN_TOKEN: usize = 30_000;
-/// The key of all fleets of the rig: what it keeps out are strangers.
-pub const KEY: &str = "6d61726c6a756e6374696f6e2d7269672d6b65792d6f662d616c6c2d666c6565";
-const FIRST_CONN: u64 = 1_000_000;
-/// Longest wait for an answer of an operators' door.
-const CALL: Duration = Duration::from_secs(4);
-/// Longest wait of the loop (ns).
-const STEP_NS: u64 = 10_000_000;
-/// Longest advice to clients (ms).
-const LONGEST_MS: u64 = 1_000;
-
-/// Memory limit of each router (MB).
+const ENGINE_LINK_TOKEN: usize = 20_000;
+const PEER_LINK_TOKEN: usize = 30_000;
+/// Key of all test fleets.
+pub const FLEET_KEY: &str = "6d61726c6a756e6374696f6e2d7269672d6b65792d6f662d616c6c2d666c6565";
+const FIRST_CONNECTION: u64 = 1_000_000;
+/// Timeout for connecting to the admin API and for its response.
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(4);
+/// Longest wait for socket events.
+const MAX_POLL_NS: u64 = 10_000_000;
+/// Largest `Retry-After` in the settings.
+const MAX_RETRY_AFTER_MS: u64 = 1_000;
+
+/// Memory limit of each router.
 pub const MEMORY_MB: u32 = 64;
 
-/// The counters of one router by name.
+/// Counters of one router.
 pub type Counters = Vec<(String, u64)>;
 
-/// What a fleet is set up with.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The routers' program.
+    /// Router program.
     pub program: PathBuf,
-    /// A name that no other fleet of this process has now.
+    /// Name that no other fleet of this process uses at the same time.
     pub name: String,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// The count of routers that their settings say; the true one, if none.
-    pub told_routers: Option<u32>,
-    /// All routers have the first one's seed and number.
+    /// Number of routers in the settings; the actual one if `None`.
+    pub configured_routers: Option<u32>,
+    /// Gives all routers the seed and the index of the first.
     pub same_identity: bool,
-    /// The last router has the first one's name and number, by mistake.
-    pub doubled: bool,
-    /// Engines, and cores of each.
+    /// Gives the last router the name and the index of the first.
+    pub duplicate_identity: bool,
+    /// Number of engines.
     pub engines: usize,
-    /// Cores of an engine.
+    /// Cores per engine.
     pub cores: f64,
-    /// Engines are cold as the fleet starts.
+    /// Whether engines start cold.
     pub cold: bool,
-    /// Routers talk to each other, under these limits (as in the operator's file), over links that can be broken.
+    /// Fields of the fleet section, such as its limits. If set, routers reach their peers over
+    /// links with faults.
     pub fleet: Option<String>,
-    /// Engines are reached over links that can be broken.
-    pub links: bool,
-    /// Routers know the list as they start.
-    pub known: bool,
-    /// Calls a second that the list service takes.
+    /// Whether engines are reached over links with faults.
+    pub engine_links: bool,
+    /// Whether routers start with the engine list in their configuration.
+    pub initial_list: bool,
+    /// Calls per second that the list service accepts.
     pub capacity: f64,
-    /// The operator's file; none for none. `{own}` in it becomes a path of the router's own.
+    /// Operator configuration. `{router_file}` is replaced by a path of the router's own.
     pub operator: Option<String>,
-    /// Classes of requests.
+    /// Request classes.
     pub classes: Vec<Class>,
-    /// Requests a second that each router's clients ask for.
+    /// Requests per second to each router.
     pub rate: f64,
-    /// Seed of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
 impl Setup {
-    /// A small fleet with defaults for all but its size.
+    /// A small fleet with default settings.
     pub fn new(program: &Path, name: &str, routers: usize) -> Setup {
         Setup {
             program: program.to_owned(),
             name: name.to_owned(),
             routers,
-            told_routers: None,
+            configured_routers: None,
             same_identity: false,
-            doubled: false,
+            duplicate_identity: false,
             engines: 4,
             cores: 8.0,
             cold: false,
             fleet: None,
-            links: false,
-            known: true,
+            engine_links: false,
+            initial_list: true,
             capacity: routers as f64,
             operator: None,
             classes: classes(),
@@ -108,7 +109,7 @@
     }
 }
 
-/// A light class, a heavy one, and one that must not run twice.
+/// Light, heavy and at-most-once request classes.
 pub fn classes() -> Vec<Class> {
     let lookup = Class {
         name: "lookup",
@@ -116,11 +117,11 @@
         work_ms: 60.0,
         spread: 0.6,
         threads: 1.0,
-        aim_ms: 1_200.0,
-        stretch: 1.5,
+        target_latency_ms: 1_200.0,
+        target_latency_stretch: 1.5,
         deadline_ms: 4_000.0,
         worth: 1.0,
-        late: 0.0,
+        late_worth: 0.0,
         load: false,
     };
     let report = Class {
@@ -128,11 +129,11 @@
         share: 0.1,
         work_ms: 400.0,
         threads: 4.0,
-        aim_ms: 2_000.0,
-        stretch: 2.5,
+        target_latency_ms: 2_000.0,
+        target_latency_stretch: 2.5,
         deadline_ms: 6_000.0,
         worth: 7.5,
-        late: 0.3,
+        late_worth: 0.3,
         ..lookup.clone()
     };
     let load = Class {
@@ -140,236 +141,245 @@
         share: 0.05,
         work_ms: 200.0,
         threads: 2.0,
-        aim_ms: 3_000.0,
-        stretch: 3.0,
+        target_latency_ms: 3_000.0,
+        target_latency_stretch: 3.0,
         worth: 4.0,
-        late: 0.6,
+        late_worth: 0.6,
         load: true,
         ..report.clone()
     };
     vec![lookup, report, load]
 }
 
-/// One router, as the fleet's owner sees it.
+/// A router of the fleet.
 #[derive(Debug)]
 pub struct Router {
-    /// Its process; none while it is not there.
+    /// Process; `None` while the router does not run.
     pub process: Option<Process>,
-    /// When its process was started (ns).
+    /// Start of the process.
     pub started_ns: u64,
-    /// Where its clients connect, once it has said so.
-    pub listens: Option<SocketAddr>,
-    /// Where it takes datagrams, once it has said so.
-    pub talks: Option<SocketAddr>,
-    /// Since when it has no stream though the service takes calls, and the longest such time so far (ns).
-    blind_since_ns: Option<u64>,
-    /// The longest time without a stream while the service took calls (ns).
-    pub blind_ns: u64,
-    frozen: bool,
+    /// Address for clients, once it is known.
+    pub client_address: Option<SocketAddr>,
+    /// Address for datagrams of peers, once it is known.
+    pub peer_address: Option<SocketAddr>,
+    /// Start of the current time without a stream while the list service accepts calls.
+    disconnected_since_ns: Option<u64>,
+    /// Longest time without a stream while the list service accepted calls.
+    pub longest_disconnect_ns: u64,
+    paused: bool,
 }
 
 impl Router {
-    /// Whether its process stands still.
-    pub fn frozen(&self) -> bool {
-        self.frozen
+    /// Whether the process is paused.
+    pub fn paused(&self) -> bool {
+        self.paused
     }
 }
 
-/// A fleet.
+/// A running fleet.
 pub struct Fleet {
     setup: Setup,
     poll: Poll,
     clock: Clock,
     net: Net,
-    /// The engines.
+    /// Stand-in engines.
     pub engines: Vec<Engine>,
-    /// The links to them; none where they are reached without.
-    pub links: Vec<TcpLink>,
-    /// The links that each router hears its peers by; none where they do not talk.
-    pub between: Vec<UdpLink>,
-    /// The list service.
+    /// Links to the engines, if configured.
+    pub engine_links: Vec<TcpLink>,
+    /// Links that carry the datagrams to each router, if the routers form a fleet.
+    pub peer_links: Vec<UdpLink>,
+    /// Stand-in list service.
     pub list: ListService,
-    serving: bool,
-    /// The routers.
+    list_serving: bool,
+    /// Routers by index.
     pub routers: Vec<Router>,
-    /// Their clients.
-    pub loads: Vec<Load>,
+    /// Simulated clients by router.
+    pub load_generators: Vec<LoadGenerator>,
     states: Vec<&'static str>,
-    /// When each engine was told to leave, as the service had it (ns).
-    pub left_ns: Vec<Option<u64>>,
-    /// Most queries that all engines held at once, since this was last set back.
-    pub held_most: usize,
+    /// Start of each engine's drain.
+    pub drain_started_ns: Vec<Option<u64>>,
+    /// Largest number of queries running on all engines at once.
+    pub max_held: usize,
     dir: PathBuf,
-    again: Vec<u64>,
-    /// What a router's operator's file says of limits, where that is not what all have.
-    limits: Vec<Option<String>>,
+    unfinished: Vec<u64>,
+    /// Limits of routers that differ from those of the fleet.
+    limit_configs: Vec<Option<String>>,
 }
 
 impl Fleet {
-    /// Stand-ins, and no router yet.
+    /// Starts the stand-ins, but no routers.
     ///
     /// # Errors
-    /// Where sockets or files can't be had.
+    /// If sockets or files cannot be created.
     pub fn new(setup: Setup) -> Result<Fleet, String> {
-        let fault = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
-        let poll = Poll::new().map_err(fault("poll"))?;
-        let registry = poll.registry().try_clone().map_err(fault("poll"))?;
+        let context = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
+        let poll = Poll::new().map_err(context("poll"))?;
+        let registry = poll.registry().try_clone().map_err(context("poll"))?;
         let clock = Clock::start();
         let now = clock.now_ns();
         let mut engines = Vec::new();
         for i in 0..setup.engines {
             let uid = format!("e{i}");
-            let mut engine = Engine::new(&registry, i, &uid, now, setup.cores).map_err(fault("engine"))?;
+            let mut engine = Engine::new(&registry, i, &uid, now, setup.cores).map_err(context("engine"))?;
             engine.sends = Some(Vec::new());
             engines.push(engine);
         }
-        let mut links = Vec::new();
-        for (i, engine) in engines.iter_mut().enumerate().filter(|_| setup.links) {
+        let mut engine_links = Vec::new();
+        for (i, engine) in engines.iter_mut().enumerate().filter(|_| setup.engine_links) {
             let seed = setup.seed.wrapping_mul(31).wrapping_add(i as u64);
-            let link =
-                TcpLink::new(&registry, LINK_TOKEN + i, engine.address, seed).map_err(fault("link"))?;
-            engine.announced = Some(link.address);
-            links.push(link);
+            let link = TcpLink::new(&registry, ENGINE_LINK_TOKEN + i, engine.address, seed)
+                .map_err(context("link"))?;
+            engine.advertised_address = Some(link.address);
+            engine_links.push(link);
         }
-        let mut between = Vec::new();
+        let mut peer_links = Vec::new();
         for i in (0..setup.routers).filter(|_| setup.fleet.is_some()) {
             let seed = setup.seed.wrapping_mul(37).wrapping_add(i as u64);
-            between.push(UdpLink::new(&registry, BETWEEN_TOKEN + i, seed).map_err(fault("link"))?);
+            peer_links.push(UdpLink::new(&registry, PEER_LINK_TOKEN + i, seed).map_err(context("link"))?);
         }
-        let list =
-            ListService::new(&registry, LIST_TOKEN, setup.routers, setup.capacity).map_err(fault("list"))?;
-        let net = Net::new(registry, FIRST_CONN, ConnectionLimits { engines: 1 << 20, output: 1 << 30 });
+        let list = ListService::new(&registry, LIST_TOKEN, setup.routers, setup.capacity)
+            .map_err(context("list"))?;
+        let net =
+            Net::new(registry, FIRST_CONNECTION, ConnectionLimits { engines: 1 << 20, output: 1 << 30 });
         let dir = std::env::temp_dir().join(format!("marljunction-{}-{}", std::process::id(), setup.name));
-        std::fs::create_dir_all(&dir).map_err(fault("folder"))?;
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
+        std::fs::create_dir_all(&dir).map_err(context("directory"))?;
+        let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
         let routers = || Router {
             process: None,
             started_ns: 0,
-            listens: None,
-            talks: None,
-            blind_since_ns: None,
-            blind_ns: 0,
-            frozen: false,
+            client_address: None,
+            peer_address: None,
+            disconnected_since_ns: None,
+            longest_disconnect_ns: 0,
+            paused: false,
         };
         let load = |i: usize| {
             let seed = setup.seed.wrapping_mul(7_919).wrapping_add(i as u64);
-            let mut load = Load::new(nowhere, setup.classes.clone(), LONGEST_MS, 0.0, seed);
+            let mut load =
+                LoadGenerator::new(unused_address, setup.classes.clone(), MAX_RETRY_AFTER_MS, 0.0, seed);
             load.router = i;
-            load.gone(&mut Net::new(
+            load.router_down(&mut Net::new(
                 poll.registry().try_clone()?,
                 0,
                 ConnectionLimits { engines: 0, output: 0 },
             ));
             Ok::<_, std::io::Error>(load)
         };
-        let loads = (0..setup.routers).map(load).collect::<Result<_, _>>().map_err(fault("clients"))?;
+        let load_generators =
+            (0..setup.routers).map(load).collect::<Result<_, _>>().map_err(context("clients"))?;
         let mut fleet = Fleet {
             states: vec!["in_service"; setup.engines],
-            left_ns: vec![None; setup.engines],
+            drain_started_ns: vec![None; setup.engines],
             routers: (0..setup.routers).map(|_| routers()).collect(),
-            loads,
+            load_generators,
             poll,
             clock,
             net,
             engines,
-            links,
-            between,
+            engine_links,
+            peer_links,
             list,
-            serving: true,
-            held_most: 0,
+            list_serving: true,
+            max_held: 0,
             dir,
-            again: Vec::new(),
-            limits: vec![None; setup.routers],
+            unfinished: Vec::new(),
+            limit_configs: vec![None; setup.routers],
             setup,
         };
         if fleet.setup.cold {
-            let (start, warm_ns, tip, overload_window_ns) = COLD;
+            let (initial_capacity, warmup_ns, overload_multiple, overload_window_ns) = COLD_START;
             for engine in &mut fleet.engines {
-                engine.cold =
-                    Some(Cold::new(now, fleet.setup.cores, start, warm_ns, tip, overload_window_ns));
+                engine.cold = Some(ColdStart::new(
+                    now,
+                    fleet.setup.cores,
+                    initial_capacity,
+                    warmup_ns,
+                    overload_multiple,
+                    overload_window_ns,
+                ));
             }
         }
-        let whole = fleet.whole_list();
-        fleet.list.tell(now, &mut fleet.net, &whole, &[]);
+        let snapshot = fleet.list_snapshot();
+        fleet.list.publish(now, &mut fleet.net, &snapshot, &[]);
         Ok(fleet)
     }
 
-    /// The time (ns).
+    /// Current time (ns).
     pub fn now(&self) -> u64 {
         self.clock.now_ns()
     }
 
-    fn whole_list(&self) -> Value {
-        let all = self.engines.iter().zip(&self.states).map(|(engine, state)| target(engine, state));
+    fn list_snapshot(&self) -> Value {
+        let all = self.engines.iter().zip(&self.states).map(|(engine, state)| engine_entry(engine, state));
         json!({"rev": 1, "all": true, "targets": all.collect::<Vec<Value>>()})
     }
 
-    /// A path of a router's own, the same in each of its starts.
-    pub fn own(&self, router: usize) -> PathBuf {
+    /// Path of a file of one router, kept across its restarts.
+    pub fn router_file(&self, router: usize) -> PathBuf {
         self.dir.join(format!("own-{router}"))
     }
 
-    /// The folder in which a router that talks to its fleet keeps what outlasts it.
-    pub fn kept(&self, router: usize) -> PathBuf {
+    /// Directory with the persistent state of a router that is part of a fleet.
+    pub fn state_dir(&self, router: usize) -> PathBuf {
         self.dir.join(format!("kept-{router}"))
     }
 
-    /// Whether routers know the list as they start from here on.
-    pub fn set_known(&mut self, known: bool) {
-        self.setup.known = known;
+    /// Sets whether routers start with the engine list.
+    pub fn set_initial_list(&mut self, initial_list: bool) {
+        self.setup.initial_list = initial_list;
     }
 
-    /// An engine's process is gone, and nobody is told.
-    pub fn lose(&mut self, engine: usize) {
-        self.engines[engine].die(&mut self.net);
+    /// Crashes an engine without notifying the routers.
+    pub fn crash_engine(&mut self, engine: usize) {
+        self.engines[engine].crash(&mut self.net);
     }
 
-    /// Shapes what passes to an engine and back, where there are links.
-    pub fn shape(&mut self, engine: usize, there: Shape, back: Shape) {
+    /// Shapes the link to an engine in both directions, if there is one.
+    pub fn shape(&mut self, engine: usize, to_engine: Shape, from_engine: Shape) {
         let now = self.clock.now_ns();
-        self.links.get_mut(engine).into_iter().for_each(|link| link.set(now, there, back));
+        self.engine_links.get_mut(engine).into_iter().for_each(|link| link.set(now, to_engine, from_engine));
     }
 
-    /// The part of the operator's file that lets a router talk to its peers: by the links that stand before them.
+    /// Fleet section of a router's operator configuration. Addresses are those of the links.
     fn fleet_file(&self, router: usize, limits: &str, key: &Path) -> String {
         let seeds: Vec<String> =
-            self.between.iter().take(2).map(|link| format!("{:?}", link.address.to_string())).collect();
+            self.peer_links.iter().take(2).map(|link| format!("{:?}", link.address.to_string())).collect();
         format!(
             "fleet: {{ listen: \"127.0.0.1:0\", advertise: \"{}\", key: {key:?}, seeds: [{}], routers: {}, {limits} }}\n",
-            self.between[router].address,
+            self.peer_links[router].address,
             seeds.join(", "),
             self.setup.routers,
         )
     }
 
-    /// Shapes what passes from one router to another, or from all where none is named.
-    pub fn shape_between(&mut self, from: Option<usize>, to: usize, shape: Shape) {
+    /// Shapes the link from one router to another, or from all routers if `from` is `None`.
+    pub fn shape_peer_link(&mut self, from: Option<usize>, to: usize, shape: Shape) {
         let now = self.clock.now_ns();
-        let sender = match from.map(|from| self.routers[from].talks) {
-            // One that does not talk needs no shape.
+        let sender = match from.map(|from| self.routers[from].peer_address) {
+            // A router without an address for peers sends no datagrams.
             Some(None) => return,
             Some(sender) => sender,
             None => None,
         };
-        self.between.get_mut(to).into_iter().for_each(|link| link.set(now, sender, shape));
+        self.peer_links.get_mut(to).into_iter().for_each(|link| link.set(now, sender, shape));
     }
 
-    /// Cuts the routers into parts that do not hear each other; nobody is cut off where all are in one.
-    pub fn cut_into(&mut self, parts: &[usize]) {
+    /// Partitions the routers into groups; a single group heals all partitions.
+    pub fn partition_into(&mut self, parts: &[usize]) {
         for to in 0..parts.len() {
             for from in (0..parts.len()).filter(|from| *from != to) {
-                let cut = parts[from] != parts[to];
-                self.shape_between(Some(from), to, Shape { cut, ..Shape::default() });
+                let partitioned = parts[from] != parts[to];
+                self.shape_peer_link(Some(from), to, Shape { partitioned, ..Shape::default() });
             }
         }
     }
 
-    /// A router's operator's file has other limits from here on, which it reads at once.
+    /// Changes the limits in a router's operator configuration and makes the router reload it.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// If the file cannot be written.
     pub fn set_limits(&mut self, router: usize, limits: &str) -> Result<(), String> {
-        self.limits[router] = Some(limits.to_owned());
+        self.limit_configs[router] = Some(limits.to_owned());
         let text = self.fleet_file(router, limits, &self.dir.join(format!("key-{router}")));
         let path = self.dir.join(format!("operator-{router}"));
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -378,293 +388,314 @@
         Ok(())
     }
 
-    /// Starts a router's process, as a first start or after its end.
+    /// Starts or restarts a router's process.
     ///
     /// # Errors
-    /// Where its files or its process can't be made.
+    /// If its files or its process cannot be created.
     pub fn start(&mut self, router: usize) -> Result<(), String> {
         let setup = &self.setup;
-        let doubled = setup.doubled && router + 1 == setup.routers;
-        let me = if setup.same_identity || doubled { 0 } else { router };
-        let name = if doubled { 0 } else { router };
-        let site = Site {
+        let duplicate_identity = setup.duplicate_identity && router + 1 == setup.routers;
+        let router_index = if setup.same_identity || duplicate_identity { 0 } else { router };
+        let name = if duplicate_identity { 0 } else { router };
+        let params = SettingsParams {
             classes: &setup.classes,
             tenants: &[("all", 100.0)],
             cores: setup.cores,
-            longest_ms: LONGEST_MS,
-            routers: setup.told_routers.unwrap_or(setup.routers as u32),
-            me: me as u32,
+            max_retry_after_ms: MAX_RETRY_AFTER_MS,
+            routers: setup.configured_routers.unwrap_or(setup.routers as u32),
+            router_index: router_index as u32,
             cold: setup.cold,
         };
         let now = self.clock.now_ns();
         let seed = if setup.same_identity { setup.seed } else { setup.seed ^ now ^ (router as u64) << 48 };
-        let known = match setup.known {
-            true => json!({"index": 1, "updates": [{"index": 1, "endpoints": self.whole_list()}]}),
+        let initial_list = match setup.initial_list {
+            true => json!({"index": 1, "updates": [{"index": 1, "endpoints": self.list_snapshot()}]}),
             false => json!({"index": 0, "updates": []}),
         };
         let config = json!({
             "name": format!("r{name}"), "listen": "127.0.0.1:0", "operator": "127.0.0.1:0", "seed": format!("{seed:016x}"),
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": 256},
-            "coordinator": self.list.address(router).to_string(), "known": known, "settings": settings(&site),
+            "coordinator": self.list.address(router).to_string(), "known": initial_list, "settings": settings(&params),
         });
         let path = |name: &str| self.dir.join(format!("{name}-{router}"));
         let write = |name: &str, text: &str| {
             let at = path(name);
             std::fs::write(&at, text).map(|()| at.clone()).map_err(|e| format!("{}: {e}", at.display()))
         };
-        let kept = self.kept(router);
-        std::fs::create_dir_all(&kept).map_err(|e| format!("{}: {e}", kept.display()))?;
+        let state_dir = self.state_dir(router);
+        std::fs::create_dir_all(&state_dir).map_err(|e| format!("{}: {e}", state_dir.display()))?;
         let mut environment = vec![("ROUTER_CONFIG", write("config", &config.to_string())?)];
         if setup.fleet.is_some() {
-            environment.push(("TMPDIR", kept));
+            environment.push(("TMPDIR", state_dir));
         }
         let mut operator = setup.operator.clone().unwrap_or_default();
-        operator = operator.replace("{own}", &self.own(router).display().to_string());
-        if let Some(limits) = self.limits[router].as_ref().or(setup.fleet.as_ref()) {
-            let key = write("key", KEY)?;
+        operator = operator.replace("{router_file}", &self.router_file(router).display().to_string());
+        if let Some(limits) = self.limit_configs[router].as_ref().or(setup.fleet.as_ref()) {
+            let key = write("key", FLEET_KEY)?;
             operator.push_str(&self.fleet_file(router, limits, &key));
         }
         if !operator.is_empty() {
             environment.push(("MARLJUNCTION_SETUP", write("operator", &operator)?));
         }
         let process = Process::start(&setup.program, &environment, &path("log"))?;
-        let to = &mut self.routers[router];
-        (to.process, to.started_ns, to.listens, to.talks) = (Some(process), now, None, None);
-        to.frozen = false;
-        to.blind_since_ns = Some(now);
+        let state = &mut self.routers[router];
+        (state.process, state.started_ns, state.client_address, state.peer_address) =
+            (Some(process), now, None, None);
+        state.paused = false;
+        state.disconnected_since_ns = Some(now);
         Ok(())
     }
 
-    /// Starts all routers that are not there.
+    /// Starts all routers that do not run.
     ///
     /// # Errors
-    /// Where one can't be started.
+    /// If a router cannot be started.
     pub fn start_all(&mut self) -> Result<(), String> {
         for router in 0..self.routers.len() {
             if self.routers[router].process.is_none() {
                 self.start(router)?;
-                // Guards against stand-ins that stand still while hundreds are started.
+                // Serves the stand-ins while hundreds of processes start.
                 self.step(Duration::ZERO)?;
             }
         }
         Ok(())
     }
 
-    /// Ends a router at once (SIGKILL): what its clients had open is excused.
+    /// Kills a router. Pending calls of its clients are excluded from the results.
     pub fn kill(&mut self, router: usize) {
-        let to = &mut self.routers[router];
-        to.process = None;
-        (to.listens, to.blind_since_ns) = (None, None);
-        self.loads[router].gone(&mut self.net);
+        let state = &mut self.routers[router];
+        state.process = None;
+        (state.client_address, state.disconnected_since_ns) = (None, None);
+        self.load_generators[router].router_down(&mut self.net);
     }
 
-    /// Stops a router's process where it stands (SIGSTOP), or lets it go on (SIGCONT). What its clients had open as it was
-    /// stopped is excused.
-    pub fn freeze(&mut self, router: usize, frozen: bool) {
+    /// Pauses a router with SIGSTOP or resumes it with SIGCONT. Calls pending at the pause are
+    /// excluded from the results.
+    pub fn set_paused(&mut self, router: usize, paused: bool) {
         let now = self.clock.now_ns();
-        let to = &mut self.routers[router];
-        if let Some(process) = &mut to.process {
-            process.signal(if frozen { Signal::SIGSTOP } else { Signal::SIGCONT });
-        }
-        to.frozen = frozen;
-        // Time for which it stood still is not time for which it waited.
-        to.blind_since_ns = to.blind_since_ns.map(|_| now);
-        match (frozen, to.listens) {
-            (true, _) => self.loads[router].gone(&mut self.net),
-            (false, Some(at)) => self.loads[router].back(now, at),
+        let state = &mut self.routers[router];
+        if let Some(process) = &mut state.process {
+            process.signal(if paused { Signal::SIGSTOP } else { Signal::SIGCONT });
+        }
+        state.paused = paused;
+        // Paused time does not count as disconnected time.
+        state.disconnected_since_ns = state.disconnected_since_ns.map(|_| now);
+        match (paused, state.client_address) {
+            (true, _) => self.load_generators[router].router_down(&mut self.net),
+            (false, Some(at)) => self.load_generators[router].router_up(now, at),
             _ => {}
         }
     }
 
-    /// How the list service behaves from here on.
-    pub fn set_list(&mut self, manner: Manner) {
+    /// Sets the behavior of the list service.
+    pub fn set_list_behavior(&mut self, behavior: Behavior) {
         let now = self.clock.now_ns();
-        self.serving = manner == Manner::Well;
+        self.list_serving = behavior == Behavior::Normal;
         for router in &mut self.routers {
-            router.blind_since_ns = self.serving.then_some(now).filter(|_| router.process.is_some());
+            router.disconnected_since_ns =
+                self.list_serving.then_some(now).filter(|_| router.process.is_some());
         }
-        self.list.set_manner(&mut self.net, manner);
+        self.list.set_behavior(&mut self.net, behavior);
     }
 
-    /// Closes all streams at once.
-    pub fn drop_streams(&mut self) {
-        self.list.drop_all(&mut self.net);
+    /// Closes all streams of the list service.
+    pub fn close_list_streams(&mut self) {
+        self.list.close_all_streams(&mut self.net);
     }
 
-    /// The list service starts anew, with numbers from 1.
+    /// Restarts the list service, with event numbers from 1.
     pub fn restart_list(&mut self) {
-        let whole = self.whole_list();
-        self.list.restart(&mut self.net, &whole);
+        let snapshot = self.list_snapshot();
+        self.list.restart(&mut self.net, &snapshot);
     }
 
-    /// Cuts or mends a router's link to the list service.
-    pub fn cut(&mut self, router: usize, cut: bool) {
+    /// Starts or ends a partition between a router and the list service.
+    pub fn set_partitioned(&mut self, router: usize, partitioned: bool) {
         let now = self.clock.now_ns();
-        self.list.cut(router, cut);
-        self.routers[router].blind_since_ns = Some(now).filter(|_| !cut);
-        if !cut {
-            self.list.mended(now, &mut self.net, router);
+        self.list.set_partitioned(router, partitioned);
+        self.routers[router].disconnected_since_ns = Some(now).filter(|_| !partitioned);
+        if !partitioned {
+            self.list.deliver_delayed(now, &mut self.net, router);
         }
     }
 
-    /// Tells that an engine drains; it answers on.
+    /// Publishes the drain of an engine, which keeps answering.
     pub fn drain(&mut self, engine: usize) {
         let now = self.clock.now_ns();
         self.states[engine] = "terminating";
-        self.left_ns[engine].get_or_insert(now);
+        self.drain_started_ns[engine].get_or_insert(now);
         let uid = self.engines[engine].uid.clone();
-        let part = json!({"rev": 2, "all": false, "targets": [target(&self.engines[engine], "terminating")]});
-        self.list.tell(now, &mut self.net, &part, &[uid]);
+        let part =
+            json!({"rev": 2, "all": false, "targets": [engine_entry(&self.engines[engine], "terminating")]});
+        self.list.publish(now, &mut self.net, &part, &[uid]);
     }
 
-    /// Lets something break, or mends it; gives the routers that were drawn for it, as text.
+    /// Applies a fault. Returns the selected routers as text.
     ///
     /// # Errors
-    /// Where a router can't be started.
+    /// If a router cannot be started.
     pub fn apply(&mut self, fault: &Fault, draws: &mut StdRng) -> Result<String, String> {
         let count = self.routers.len();
-        let mut named = Vec::new();
-        let mut drawn = |whom: &Whom| {
-            named = whom.of(count, draws);
-            named.clone()
+        let mut selected = Vec::new();
+        let mut select = |selector: &RouterSelector| {
+            selected = selector.select(count, draws);
+            selected.clone()
         };
         match fault {
-            Fault::List(manner) => self.set_list(manner.clone()),
-            Fault::Capacity(calls) => self.list.set_capacity(*calls),
-            Fault::Anew => self.restart_list(),
-            Fault::Close => self.drop_streams(),
-            Fault::Kill(whom) => drawn(whom).into_iter().for_each(|router| self.kill(router)),
+            Fault::ListBehavior(behavior) => self.set_list_behavior(behavior.clone()),
+            Fault::ListCapacity(calls) => self.list.set_capacity(*calls),
+            Fault::RestartList => self.restart_list(),
+            Fault::CloseStreams => self.close_list_streams(),
+            Fault::Kill(selector) => select(selector).into_iter().for_each(|router| self.kill(router)),
             Fault::Start => self.start_all()?,
-            Fault::Freeze(whom) => drawn(whom).into_iter().for_each(|router| self.freeze(router, true)),
-            Fault::Wake => (0..count)
-                .filter(|r| self.routers[*r].frozen)
+            Fault::Pause(selector) => {
+                select(selector).into_iter().for_each(|router| self.set_paused(router, true))
+            }
+            Fault::Resume => (0..count)
+                .filter(|r| self.routers[*r].paused)
                 .collect::<Vec<_>>()
                 .into_iter()
-                .for_each(|r| self.freeze(r, false)),
-            Fault::Cut(whom) => drawn(whom).into_iter().for_each(|router| self.cut(router, true)),
-            Fault::Mend => (0..count).for_each(|router| self.cut(router, false)),
+                .for_each(|r| self.set_paused(r, false)),
+            Fault::Partition(selector) => {
+                select(selector).into_iter().for_each(|router| self.set_partitioned(router, true))
+            }
+            Fault::HealPartitions => (0..count).for_each(|router| self.set_partitioned(router, false)),
             Fault::Drain(engine) if *engine < self.engines.len() => self.drain(*engine),
-            Fault::Lose(engine) if *engine < self.engines.len() => self.lose(*engine),
-            Fault::Link(engine, there, back) => self.shape(*engine, *there, *back),
-            Fault::Reset(engine) => {
-                let link = self.links.get_mut(*engine);
+            Fault::CrashEngine(engine) if *engine < self.engines.len() => self.crash_engine(*engine),
+            Fault::ShapeLink(engine, to_engine, from_engine) => self.shape(*engine, *to_engine, *from_engine),
+            Fault::ResetLink(engine) => {
+                let link = self.engine_links.get_mut(*engine);
                 link.into_iter().for_each(|link| link.reset(&mut self.net));
             }
-            Fault::Drain(_) | Fault::Lose(_) => {}
+            Fault::Drain(_) | Fault::CrashEngine(_) => {}
         }
-        let names: Vec<String> = named.iter().map(|router| format!("r{router}")).collect();
+        let names: Vec<String> = selected.iter().map(|router| format!("r{router}")).collect();
         Ok(if names.is_empty() { String::new() } else { format!(": {}", names.join(" ")) })
     }
 
-    /// Mends all that can be mended: all routers are there and go on, no link is cut, the list service is well.
+    /// Ends all faults: starts and resumes all routers, heals all links and the list service.
     ///
     /// # Errors
-    /// Where a router can't be started.
-    pub fn mend_all(&mut self) -> Result<(), String> {
+    /// If a router cannot be started.
+    pub fn heal_all(&mut self) -> Result<(), String> {
         let mut draws = StdRng::seed_from_u64(0);
-        for engine in 0..self.links.len() {
+        for engine in 0..self.engine_links.len() {
             self.shape(engine, Shape::default(), Shape::default());
         }
-        for fault in [Fault::Wake, Fault::Mend, Fault::List(Manner::Well), Fault::Start] {
+        for fault in
+            [Fault::Resume, Fault::HealPartitions, Fault::ListBehavior(Behavior::Normal), Fault::Start]
+        {
             self.apply(&fault, &mut draws)?;
         }
         Ok(())
     }
 
-    /// Asks all routers to say their counters in their logs (SIGUSR1).
-    pub fn ask_counters(&mut self) {
-        for router in self.routers.iter_mut().filter(|r| r.listens.is_some() && !r.frozen) {
+    /// Makes all routers log their counters (SIGUSR1).
+    pub fn request_counters(&mut self) {
+        for router in self.routers.iter_mut().filter(|r| r.client_address.is_some() && !r.paused) {
             if let Some(process) = &mut router.process {
                 process.signal(Signal::SIGUSR1);
             }
         }
     }
 
-    /// The counters of all routers that are there and go on, once each has said them anew.
+    /// Counters of all running routers, once each has logged them again.
     ///
     /// # Errors
-    /// Where the loop fails.
+    /// If the event loop fails.
     pub fn counters(&mut self, limit: Duration) -> Result<Vec<Counters>, String> {
-        let said = |fleet: &Fleet| -> usize {
-            let processes = fleet.routers.iter().filter(|r| !r.frozen).filter_map(|r| r.process.as_ref());
-            processes.map(|p| p.said().matches(" taken=").count()).sum()
+        let reports = |fleet: &Fleet| -> usize {
+            let processes = fleet.routers.iter().filter(|r| !r.paused).filter_map(|r| r.process.as_ref());
+            processes.map(|p| p.log_text().matches(" taken=").count()).sum()
         };
-        let before = said(self);
-        self.ask_counters();
-        let asked = self.routers.iter().filter(|r| r.listens.is_some() && !r.frozen).count();
-        self.run_until(limit, |fleet| said(fleet) >= before + asked)?;
+        let before = reports(self);
+        self.request_counters();
+        let expected = self.routers.iter().filter(|r| r.client_address.is_some() && !r.paused).count();
+        self.run_until(limit, |fleet| reports(fleet) >= before + expected)?;
         Ok(self.routers.iter().filter_map(|r| r.process.as_ref()).map(Process::counters).collect())
     }
 
-    /// What the list says of each engine.
+    /// State of each engine on the list.
     pub fn states(&self) -> &[&'static str] {
         &self.states
     }
 
-    /// All engines start again, cold, and the list says so; what they hold runs on.
-    pub fn renew_engines(&mut self) {
+    /// Restarts the warmup of all engines and publishes their new start times. Running queries
+    /// continue.
+    pub fn restart_engines_cold(&mut self) {
         let now = self.clock.now_ns();
-        let (start, warm_ns, tip, overload_window_ns) = COLD;
+        let (initial_capacity, warmup_ns, overload_multiple, overload_window_ns) = COLD_START;
         for engine in &mut self.engines {
-            engine.cold = Some(Cold::new(now, self.setup.cores, start, warm_ns, tip, overload_window_ns));
+            engine.cold = Some(ColdStart::new(
+                now,
+                self.setup.cores,
+                initial_capacity,
+                warmup_ns,
+                overload_multiple,
+                overload_window_ns,
+            ));
         }
-        self.tell_again();
+        self.republish_list();
     }
 
-    /// Tells the list as it is once more, under a number of its own.
-    pub fn tell_again(&mut self) {
-        let (now, whole) = (self.clock.now_ns(), self.whole_list());
-        self.list.tell(now, &mut self.net, &whole, &[]);
+    /// Publishes the unchanged list as a new event.
+    pub fn republish_list(&mut self) {
+        let (now, snapshot) = (self.clock.now_ns(), self.list_snapshot());
+        self.list.publish(now, &mut self.net, &snapshot, &[]);
     }
 
-    /// All clients ask from here on, as often as the setup says.
-    pub fn ask(&mut self) {
+    /// Starts all clients at the configured rate.
+    pub fn start_clients(&mut self) {
         let now = self.clock.now_ns();
-        let source = Source { tenant: "all", rate: self.setup.rate, clients: 8, says: 1.0 };
-        self.loads.iter_mut().for_each(|load| load.begin(now, vec![source.clone()]));
+        let source = Source { tenant: "all", rate: self.setup.rate, clients: 8, estimate_ratio: 1.0 };
+        self.load_generators.iter_mut().for_each(|load| load.start_phase(now, vec![source.clone()]));
     }
 
-    /// Clients ask nothing more; what is open is waited for until `limit`. Whether all was answered.
+    /// Stops the clients and waits for pending calls until `limit`. Returns whether all were
+    /// answered.
     ///
     /// # Errors
-    /// Where the loop fails.
-    pub fn quiet(&mut self, limit: Duration) -> Result<bool, String> {
-        self.loads.iter_mut().for_each(Load::end);
-        self.run_until(limit, |fleet| fleet.loads.iter().all(|load| load.open() == 0))
+    /// If the event loop fails.
+    pub fn stop_clients(&mut self, limit: Duration) -> Result<bool, String> {
+        self.load_generators.iter_mut().for_each(LoadGenerator::stop_sending);
+        self.run_until(limit, |fleet| fleet.load_generators.iter().all(|load| load.open() == 0))
     }
 
-    /// Clients ask from here on, so often at each router.
-    pub fn ask_at(&mut self, rates: &[f64]) {
+    /// Starts the clients with one rate per router.
+    pub fn start_clients_at(&mut self, rates: &[f64]) {
         let now = self.clock.now_ns();
-        for (load, rate) in self.loads.iter_mut().zip(rates) {
-            load.begin(now, vec![Source { tenant: "all", rate: *rate, clients: 8, says: 1.0 }]);
+        for (load, rate) in self.load_generators.iter_mut().zip(rates) {
+            load.start_phase(
+                now,
+                vec![Source { tenant: "all", rate: *rate, clients: 8, estimate_ratio: 1.0 }],
+            );
         }
     }
 
-    /// Queries that all engines hold now.
+    /// Number of queries running on all engines.
     pub fn held(&self) -> usize {
-        self.engines.iter().map(Engine::held).sum()
+        self.engines.iter().map(Engine::query_count).sum()
     }
 
-    /// What each router's process that is there has used: memory at most (KB) and processor time (us).
+    /// Peak memory (KB) and CPU time (microseconds) of each running router.
     pub fn used(&self) -> Vec<(u64, u64)> {
         self.routers.iter().filter_map(|r| r.process.as_ref()).map(Process::used).collect()
     }
 
-    /// Routers that take clients.
+    /// Number of routers that accept clients.
     pub fn ready(&self) -> usize {
-        self.routers.iter().filter(|r| r.listens.is_some()).count()
+        self.routers.iter().filter(|r| r.client_address.is_some()).count()
     }
 
-    /// Routers whose stream is up.
-    pub fn live(&self) -> usize {
-        self.list.live()
+    /// Number of routers with an open stream from the list service.
+    pub fn connected(&self) -> usize {
+        self.list.connected()
     }
 
-    /// Runs until `condition` holds, for no longer than `limit`; whether it holds.
+    /// Runs until `condition` holds, for at most `limit`. Returns whether it holds.
     ///
     /// # Errors
-    /// Where the loop fails.
+    /// If the event loop fails.
     pub fn run_until(&mut self, limit: Duration, condition: impl Fn(&Fleet) -> bool) -> Result<bool, String> {
         let end = self.clock.now_ns() + limit.as_nanos() as u64;
         loop {
@@ -675,39 +706,43 @@
             if now >= end {
                 return Ok(false);
             }
-            self.step(Duration::from_nanos((end - now).min(STEP_NS)))?;
+            self.step(Duration::from_nanos((end - now).min(MAX_POLL_NS)))?;
         }
     }
 
-    /// Runs for a time.
+    /// Runs for `time`.
     ///
     /// # Errors
-    /// Where the loop fails.
+    /// If the event loop fails.
     pub fn run(&mut self, time: Duration) -> Result<(), String> {
         self.run_until(time, |_| false).map(drop)
     }
 
-    /// One round: waits for `most` at most.
-    fn step(&mut self, most: Duration) -> Result<(), String> {
+    /// Runs one iteration of the event loop, waiting for at most `max_wait`.
+    fn step(&mut self, max_wait: Duration) -> Result<(), String> {
         let mut events = Events::with_capacity(4_096);
         let now = self.clock.now_ns();
         let engines = self.engines.iter().filter_map(Engine::next_due_ns).min().unwrap_or(u64::MAX);
-        let loads = self.loads.iter().map(Load::next_due_ns).min().unwrap_or(u64::MAX);
-        let due = Duration::from_nanos(engines.min(loads).saturating_sub(now));
-        let wait = if self.again.is_empty() { due.min(most) } else { Duration::ZERO };
+        let load_generators =
+            self.load_generators.iter().map(LoadGenerator::next_due_ns).min().unwrap_or(u64::MAX);
+        let due = Duration::from_nanos(engines.min(load_generators).saturating_sub(now));
+        let wait = if self.unfinished.is_empty() { due.min(max_wait) } else { Duration::ZERO };
         match self.poll.poll(&mut events, Some(wait)) {
             Err(e) if e.kind() != std::io::ErrorKind::Interrupted => return Err(format!("poll: {e}")),
             _ => {}
         }
         let now = self.clock.now_ns();
-        let mut conns: Vec<u64> = std::mem::take(&mut self.again);
+        let mut conns: Vec<u64> = std::mem::take(&mut self.unfinished);
         for event in &events {
             let Token(token) = event.token();
-            if let Some(link) = token.checked_sub(BETWEEN_TOKEN).and_then(|at| self.between.get_mut(at)) {
+            if let Some(link) = token.checked_sub(PEER_LINK_TOKEN).and_then(|at| self.peer_links.get_mut(at))
+            {
                 link.ready(now);
             } else if token < self.engines.len() {
                 self.engines[token].accept(&mut self.net);
-            } else if let Some(link) = token.checked_sub(LINK_TOKEN).and_then(|at| self.links.get_mut(at)) {
+            } else if let Some(link) =
+                token.checked_sub(ENGINE_LINK_TOKEN).and_then(|at| self.engine_links.get_mut(at))
+            {
                 link.accept(now, &mut self.net);
             } else if self.list.has_token(token) {
                 self.list.accept(now, &mut self.net, token);
@@ -718,57 +753,61 @@
         for conn in conns {
             if self.list.owns(conn) {
                 self.list.ready(now, &mut self.net, conn);
-            } else if let Some(link) = self.links.iter_mut().find(|l| l.owns(conn)) {
+            } else if let Some(link) = self.engine_links.iter_mut().find(|l| l.owns(conn)) {
                 link.ready(now, &mut self.net, conn);
             } else if let Some(engine) = self.engines.iter_mut().find(|e| e.owns(conn)) {
                 engine.ready(now, &mut self.net, conn);
-            } else if let Some(load) = self.loads.iter_mut().find(|l| l.owns(conn)) {
+            } else if let Some(load) = self.load_generators.iter_mut().find(|l| l.owns(conn)) {
                 load.ready(now, &mut self.net, conn);
             }
             if self.net.has_more(conn) {
-                self.again.push(conn);
+                self.unfinished.push(conn);
             }
         }
         self.engines.iter_mut().for_each(|e| e.tick(now, &mut self.net));
-        self.links.iter_mut().for_each(|link| link.tick(now, &mut self.net));
-        self.between.iter_mut().for_each(|link| link.tick(now));
-        self.held_most = self.held_most.max(self.held());
+        self.engine_links.iter_mut().for_each(|link| link.tick(now, &mut self.net));
+        self.peer_links.iter_mut().for_each(|link| link.tick(now));
+        self.max_held = self.max_held.max(self.held());
         self.list.tick(now, &mut self.net);
-        for (router, load) in self.routers.iter_mut().zip(&mut self.loads) {
-            if router.listens.is_none() {
-                router.listens = router.process.as_mut().and_then(Process::listens);
-                if let Some(at) = router.listens {
-                    load.back(now, at);
+        for (router, load) in self.routers.iter_mut().zip(&mut self.load_generators) {
+            if router.client_address.is_none() {
+                router.client_address = router.process.as_mut().and_then(Process::client_address);
+                if let Some(at) = router.client_address {
+                    load.router_up(now, at);
                 }
             }
             load.tick(now, &mut self.net);
         }
-        for (router, link) in self.routers.iter_mut().zip(&mut self.between) {
-            if router.talks.is_none() {
-                router.talks = router.process.as_ref().and_then(Process::talks);
-                link.to = router.talks;
+        for (router, link) in self.routers.iter_mut().zip(&mut self.peer_links) {
+            if router.peer_address.is_none() {
+                router.peer_address = router.process.as_ref().and_then(Process::peer_address);
+                link.to = router.peer_address;
             }
         }
         for (at, router) in self.routers.iter_mut().enumerate() {
-            match (router.blind_since_ns, self.list.live_since(at)) {
-                (Some(since), Some(live)) => {
-                    router.blind_ns = router.blind_ns.max(live.saturating_sub(since));
-                    router.blind_since_ns = None;
+            match (router.disconnected_since_ns, self.list.connected_since(at)) {
+                (Some(since), Some(connected)) => {
+                    router.longest_disconnect_ns =
+                        router.longest_disconnect_ns.max(connected.saturating_sub(since));
+                    router.disconnected_since_ns = None;
+                }
+                (Some(since), None) if !router.paused => {
+                    router.longest_disconnect_ns =
+                        router.longest_disconnect_ns.max(now.saturating_sub(since));
                 }
-                (Some(since), None) if !router.frozen => {
-                    router.blind_ns = router.blind_ns.max(now.saturating_sub(since));
+                (None, None) if self.list_serving && router.process.is_some() => {
+                    router.disconnected_since_ns = Some(now)
                 }
-                (None, None) if self.serving && router.process.is_some() => router.blind_since_ns = Some(now),
                 _ => {}
             }
         }
         Ok(())
     }
 
-    /// Calls a router's operators' door while all goes on; gives the status and the text of its answer.
+    /// Sends a request to a router's admin API. Returns the status and the body of the response.
     ///
     /// # Errors
-    /// Where there is no door, or no answer.
+    /// If the router has no admin API or does not respond.
     pub fn call(
         &mut self,
         router: usize,
@@ -776,93 +815,100 @@
         path: &str,
         body: &str,
     ) -> Result<(u16, String), String> {
-        let said = self.said(router);
-        let at = said.lines().find_map(|l| l.split_once("listens on ")?.1.strip_suffix(" for the operators"));
-        let at: SocketAddr = at.ok_or("no operators' door")?.parse().map_err(|e| format!("{e}"))?;
+        let log_text = self.log_text(router);
+        let at =
+            log_text.lines().find_map(|l| l.split_once("listens on ")?.1.strip_suffix(" for the operators"));
+        let at: SocketAddr = at.ok_or("the router has no admin API")?.parse().map_err(|e| format!("{e}"))?;
         let length = body.len();
         let call =
             format!("{method} {path} HTTP/1.1\r\nHost: router\r\nContent-Length: {length}\r\n\r\n{body}");
-        let asked = std::thread::spawn(move || -> std::io::Result<String> {
-            let mut stream = std::net::TcpStream::connect_timeout(&at, CALL)?;
-            stream.set_read_timeout(Some(CALL))?;
+        let exchange = std::thread::spawn(move || -> std::io::Result<String> {
+            let mut stream = std::net::TcpStream::connect_timeout(&at, ADMIN_TIMEOUT)?;
+            stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
             stream.write_all(call.as_bytes())?;
             let mut answer = String::new();
             stream.read_to_string(&mut answer)?;
             Ok(answer)
         });
-        while !asked.is_finished() {
+        while !exchange.is_finished() {
             self.step(Duration::from_millis(5))?;
         }
-        let answer = asked.join().map_err(|_| "the call failed")?.map_err(|e| e.to_string())?;
-        let (head, text) = answer.split_once("\r\n\r\n").ok_or("no answer")?;
-        let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or("no status")?;
+        let answer =
+            exchange.join().map_err(|_| "the request thread panicked")?.map_err(|e| e.to_string())?;
+        let (head, text) = answer.split_once("\r\n\r\n").ok_or("the admin API did not respond")?;
+        let status =
+            head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or("invalid status line")?;
         Ok((status, text.trim_end().to_owned()))
     }
 
-    /// Calls that start queries at an engine within these times (ns).
+    /// Number of queries sent to an engine between two times (ns).
     pub fn sent_within(&self, engine: usize, from: u64, to: u64) -> usize {
         let sends = self.engines[engine].sends.as_deref().unwrap_or_default();
         sends.iter().filter(|sent| (from..to).contains(&sent.at_ns)).count()
     }
 
-    /// What a router says of its fleet, by the program's own command.
+    /// Fleet status of a router, from the program's own `fleet` command.
     ///
     /// # Errors
-    /// Where it does not answer.
-    pub fn ask_fleet(&mut self, router: usize) -> Result<String, String> {
-        let said = self.said(router);
-        let at = said.lines().find_map(|l| l.split_once("listens on ")?.1.strip_suffix(" for the operators"));
-        let at = at.ok_or("no operators' door")?;
+    /// If the command fails.
+    pub fn fleet_status(&mut self, router: usize) -> Result<String, String> {
+        let log_text = self.log_text(router);
+        let at =
+            log_text.lines().find_map(|l| l.split_once("listens on ")?.1.strip_suffix(" for the operators"));
+        let at = at.ok_or("the router has no admin API")?;
         let mut command = std::process::Command::new(&self.setup.program);
-        let told = command.args(["fleet", "--at", at]).output().map_err(|e| e.to_string())?;
-        match told.status.success() {
-            true => Ok(String::from_utf8_lossy(&told.stdout).into_owned()),
-            false => Err(String::from_utf8_lossy(&told.stderr).into_owned()),
+        let output = command.args(["fleet", "--at", at]).output().map_err(|e| e.to_string())?;
+        match output.status.success() {
+            true => Ok(String::from_utf8_lossy(&output.stdout).into_owned()),
+            false => Err(String::from_utf8_lossy(&output.stderr).into_owned()),
         }
     }
 
-    /// What was seen so far, held against the rules.
+    /// Checks all records so far.
     pub fn audit(&self) -> Audit {
-        let left = self.engines.iter().zip(&self.left_ns);
-        let left = left.filter_map(|(engine, left)| Some((engine.uid.clone(), (*left)?))).collect();
+        let drained = self.engines.iter().zip(&self.drain_started_ns);
+        let drained =
+            drained.filter_map(|(engine, drained)| Some((engine.uid.clone(), (*drained)?))).collect();
         let sends = self.engines.iter().map(|e| (e.uid.as_str(), e.sends.as_deref().unwrap_or_default()));
-        Audit::of(&sends.collect::<Vec<_>>(), &left, &self.list.told)
+        Audit::check(&sends.collect::<Vec<_>>(), &drained, &self.list.notified_ns)
     }
 
-    /// The sum over all clients.
-    pub fn sum(&self, of: impl Fn(&Tally) -> f64) -> f64 {
-        self.loads.iter().flat_map(|load| load.tallies.iter().flatten()).map(of).sum()
+    /// Sum over the results of all clients.
+    pub fn sum(&self, of: impl Fn(&RequestStats) -> f64) -> f64 {
+        self.load_generators.iter().flat_map(|load| load.tallies.iter().flatten()).map(of).sum()
     }
 
-    /// What one router says now.
-    pub fn said(&self, router: usize) -> String {
-        self.routers[router].process.as_ref().map(Process::said).unwrap_or_default()
+    /// Contents of a router's log.
+    pub fn log_text(&self, router: usize) -> String {
+        self.routers[router].process.as_ref().map(Process::log_text).unwrap_or_default()
     }
 
-    /// Ends a play: clients ask nothing more, all that was asked is answered once, nothing ran twice or went out late, and all
-    /// routers end by themselves and well, each step within `limit`. Gives the routers' last counters.
+    /// Stops the clients and the routers, each within `limit`. Checks that every call was answered
+    /// once, that no query ran twice or was sent too late, and that all routers exited with
+    /// success. Returns the routers' last counters.
     ///
     /// # Errors
-    /// Says what is not so.
-    pub fn end_well(mut self, limit: Duration) -> Result<Vec<Counters>, String> {
-        if !self.quiet(limit)? {
-            return Err("something that was asked is not answered".into());
+    /// Describes the first check that failed.
+    pub fn stop_and_verify(mut self, limit: Duration) -> Result<Vec<Counters>, String> {
+        if !self.stop_clients(limit)? {
+            return Err("some calls were not answered".into());
         }
         let audit = self.audit();
         let (unanswered, twice) = (self.sum(|t| t.unanswered as f64), self.sum(|t| t.twice as f64));
-        if audit.sends == 0 || audit.late_sends + audit.double_runs > 0 || unanswered + twice > 0.0 {
+        if audit.sends == 0 || audit.late_sends + audit.duplicate_runs > 0 || unanswered + twice > 0.0 {
             return Err(format!("{audit:?}, {unanswered} unanswered, {twice} answered twice"));
         }
         match self.stop(limit)? {
             (counters, true) => Ok(counters),
-            _ => Err("not all end by themselves, and well".into()),
+            _ => Err("not all routers exited with success in time".into()),
         }
     }
 
-    /// Ends all routers as planned stops; gives each one's last counters, and whether all ended well and in time.
+    /// Stops all routers with SIGTERM. Returns their last counters, and whether all exited with
+    /// success within `limit`.
     ///
     /// # Errors
-    /// Where the loop fails.
+    /// If the event loop fails.
     pub fn stop(&mut self, limit: Duration) -> Result<(Vec<Counters>, bool), String> {
         for process in self.routers.iter_mut().filter_map(|r| r.process.as_mut()) {
             process.signal(Signal::SIGCONT);
@@ -871,28 +917,28 @@
         let end = self.clock.now_ns() + limit.as_nanos() as u64;
         let mut running = usize::MAX;
         while running > 0 && self.clock.now_ns() < end {
-            self.step(Duration::from_nanos(STEP_NS))?;
+            self.step(Duration::from_nanos(MAX_POLL_NS))?;
             running = self
                 .routers
                 .iter_mut()
                 .filter_map(|r| r.process.as_mut())
-                .filter_map(|p| p.runs().then_some(()))
+                .filter_map(|p| p.is_running().then_some(()))
                 .count();
         }
         let mut all = Vec::new();
-        let mut well = running == 0;
+        let mut all_succeeded = running == 0;
         for router in &mut self.routers {
             let Some(mut process) = router.process.take() else { continue };
-            well &= process.ended_well() == Some(true);
+            all_succeeded &= process.ended_well() == Some(true);
             all.push(process.counters());
         }
-        Ok((all, well))
+        Ok((all, all_succeeded))
     }
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // Processes first: their logs lie in the folder.
+        // Processes end first, since their logs are in the directory.
         self.routers.clear();
         let _ = std::fs::remove_dir_all(&self.dir);
     }
--- a/crates/testkit/src/health_fleet.rs
+++ b/crates/testkit/src/health_fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet of routers that share what they believe of engines, in stepped time without sockets: messages are lost, doubled, late
-//! and out of order, links are cut, routers die, stand still and start again. Pure.
+//! Simulated fleet of routers that share engine health, in stepped time and without sockets:
+//! messages are lost, duplicated, delayed and reordered, links partitioned, routers killed, paused,
+//! restarted.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,60 +15,60 @@
 /// Nanoseconds of a second.
 pub const S: u64 = 1_000 * MS;
 /// Nanoseconds of one step.
-pub const STEP: u64 = 20 * MS;
-/// When all begin.
-const T0: u64 = 1_700_000_000 * S;
+pub const STEP_NS: u64 = 20 * MS;
+/// Start of the simulation.
+const START_NS: u64 = 1_700_000_000 * S;
 
-/// The fleet.
+/// A simulated fleet.
 pub struct Fleet {
-    /// The time (ns).
+    /// Current time (ns).
     pub now: u64,
-    /// What it agrees on.
+    /// Parameters of all routers.
     pub params: HealthParams,
-    /// Its routers; none while one is not there.
+    /// Routers; `None` while one does not run.
     pub nodes: Vec<Option<Node>>,
-    /// What each router has kept on disk.
-    pub kept: Vec<(Overrides, u64)>,
-    /// Routers that stand still.
-    pub frozen: BTreeSet<usize>,
+    /// Overrides and last contact of each router as stored on disk.
+    pub persisted: Vec<(Overrides, u64)>,
+    /// Paused routers.
+    pub paused: BTreeSet<usize>,
     inbox: Vec<Vec<(u32, Message)>>,
-    /// Links that carry nothing, from one to another.
-    pub cut: BTreeSet<(usize, usize)>,
-    /// Part of the messages that is lost (share).
+    /// Partitioned links, as sender and receiver.
+    pub partitioned: BTreeSet<(usize, usize)>,
+    /// Share of the messages that are lost.
     pub loss: f64,
-    /// Part that comes twice (share).
-    pub double: f64,
-    /// Chance's part of the delay (ns).
-    pub jitter: u64,
-    wire: BTreeMap<(u64, u64), (usize, u32, Message)>,
-    serial: u64,
-    /// What chance draws from.
+    /// Share of the messages that are duplicated.
+    pub duplication: f64,
+    /// Largest random delay (ns).
+    pub jitter_ns: u64,
+    in_transit: BTreeMap<(u64, u64), (usize, u32, Message)>,
+    sequence: u64,
+    /// Source of all random draws.
     pub draws: StdRng,
-    /// The engines of the list, and when each started (ms).
+    /// Engines on the list, each with its start time (ms).
     pub engines: Vec<(u64, u64)>,
-    /// Messages sent.
+    /// Number of messages sent.
     pub messages: u64,
-    /// Bytes of them, as they are packed.
+    /// Size of the messages sent, in bytes.
     pub bytes: u64,
 }
 
 impl Fleet {
-    /// A fleet that has started and knows itself.
+    /// A fleet after its start, with all routers connected.
     pub fn new(routers: usize, seed: u64) -> Fleet {
         let params = HealthParams { routers: routers as u32, ..HealthParams::default() };
         let mut fleet = Fleet {
-            now: T0,
+            now: START_NS,
             params,
             nodes: vec![None; routers],
-            kept: vec![(Overrides::default(), T0); routers],
-            frozen: BTreeSet::new(),
+            persisted: vec![(Overrides::default(), START_NS); routers],
+            paused: BTreeSet::new(),
             inbox: vec![Vec::new(); routers],
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             loss: 0.0,
-            double: 0.0,
-            jitter: 3 * MS,
-            wire: BTreeMap::new(),
-            serial: 0,
+            duplication: 0.0,
+            jitter_ns: 3 * MS,
+            in_transit: BTreeMap::new(),
+            sequence: 0,
             draws: StdRng::seed_from_u64(seed),
             engines: (0..20).map(|e| (e, 7)).collect(),
             messages: 0,
@@ -78,43 +79,43 @@
         fleet
     }
 
-    /// A third is lost, a fifth doubled, and the rest out of order.
-    pub fn bad_wire(&mut self) {
-        (self.loss, self.double, self.jitter) = (0.3, 0.2, 150 * MS);
+    /// Sets 30 % loss, 20 % duplication, and a delay that reorders messages.
+    pub fn degrade_network(&mut self) {
+        (self.loss, self.duplication, self.jitter_ns) = (0.3, 0.2, 150 * MS);
     }
 
-    /// Starts a router that is not there.
+    /// Starts a router that does not run.
     pub fn start(&mut self, at: usize) {
         if self.nodes[at].is_none() {
             let zone = (at % 2) as u64;
             let mut node =
-                Node::new(self.now, (at as u32, self.now, zone), self.params, self.kept[at].clone());
+                Node::new(self.now, (at as u32, self.now, zone), self.params, self.persisted[at].clone());
             node.set_engines(self.engines.clone());
             self.nodes[at] = Some(node);
             self.inbox[at].clear();
         }
     }
 
-    /// Ends a router at once; what it kept stays.
+    /// Kills a router; its stored state stays.
     pub fn kill(&mut self, at: usize) {
         if let Some(node) = self.nodes[at].take() {
-            self.kept[at] = (node.overrides().clone(), node.last_contact_ns());
+            self.persisted[at] = (node.overrides().clone(), node.last_contact_ns());
         }
     }
 
     fn send(&mut self, from: usize, to: u32, message: Message) {
         self.messages += 1;
-        let packed = rmp_serde::to_vec(&message).map_or(0, |bytes| bytes.len());
-        assert!(packed <= 1_000, "{packed} bytes: {message:?}");
-        self.bytes += packed as u64;
+        let packed_bytes = rmp_serde::to_vec(&message).map_or(0, |bytes| bytes.len());
+        assert!(packed_bytes <= 1_000, "{packed_bytes} bytes: {message:?}");
+        self.bytes += packed_bytes as u64;
         let to = to as usize;
-        if self.cut.contains(&(from, to)) || self.draws.gen_bool(self.loss) {
+        if self.partitioned.contains(&(from, to)) || self.draws.gen_bool(self.loss) {
             return;
         }
-        for _ in 0..=u32::from(self.draws.gen_bool(self.double)) {
-            self.serial += 1;
-            let due = self.now + self.draws.gen_range(0..=self.jitter);
-            self.wire.insert((due, self.serial), (to, from as u32, message.clone()));
+        for _ in 0..=u32::from(self.draws.gen_bool(self.duplication)) {
+            self.sequence += 1;
+            let due = self.now + self.draws.gen_range(0..=self.jitter_ns);
+            self.in_transit.insert((due, self.sequence), (to, from as u32, message.clone()));
         }
     }
 
@@ -124,28 +125,29 @@
         answers.into_iter().flatten().for_each(|(to, answer)| self.send(at, to, answer));
     }
 
-    /// Passes one step.
+    /// Advances the time by one step.
     pub fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_NS;
         let now = self.now;
-        while let Some(entry) = self.wire.first_entry().filter(|e| e.key().0 <= now) {
+        while let Some(entry) = self.in_transit.first_entry().filter(|e| e.key().0 <= now) {
             let (to, from, message) = entry.remove();
-            match self.frozen.contains(&to) {
+            match self.paused.contains(&to) {
                 true => self.inbox[to].push((from, message)),
                 false => self.receive(to, from, message),
             }
         }
-        for at in (0..self.nodes.len()).filter(|at| !self.frozen.contains(at)).collect::<Vec<_>>() {
+        for at in (0..self.nodes.len()).filter(|at| !self.paused.contains(at)).collect::<Vec<_>>() {
             for (from, message) in std::mem::take(&mut self.inbox[at]) {
                 self.receive(at, from, message);
             }
-            let there = |other: &usize| {
+            let is_reachable = |other: &usize| {
                 *other != at
                     && self.nodes[*other].is_some()
-                    && !self.cut.contains(&(at, *other))
-                    && !self.cut.contains(&(*other, at))
+                    && !self.partitioned.contains(&(at, *other))
+                    && !self.partitioned.contains(&(*other, at))
             };
-            let peers: Vec<u32> = (0..self.nodes.len()).filter(there).map(|other| other as u32).collect();
+            let peers: Vec<u32> =
+                (0..self.nodes.len()).filter(is_reachable).map(|other| other as u32).collect();
             let Some(node) = &mut self.nodes[at] else { continue };
             node.set_peers(peers);
             for (to, message) in node.tick(now) {
@@ -154,48 +156,48 @@
         }
     }
 
-    /// Passes a time (ns).
+    /// Runs for `ns` nanoseconds.
     pub fn run(&mut self, ns: u64) {
-        (0..ns / STEP).for_each(|_| self.step());
+        (0..ns / STEP_NS).for_each(|_| self.step());
     }
 
-    /// Steps until a condition holds; how long that took (ns).
+    /// Steps until the condition holds. Returns the time taken (ns).
     ///
     /// # Panics
-    /// Where that takes longer than `most_ns`.
+    /// If it takes longer than `limit_ns`.
     #[track_caller]
-    pub fn until(&mut self, most_ns: u64, what: &str, condition: impl Fn(&mut Fleet) -> bool) -> u64 {
-        let began = self.now;
+    pub fn run_until(&mut self, limit_ns: u64, what: &str, condition: impl Fn(&mut Fleet) -> bool) -> u64 {
+        let start_ns = self.now;
         while !condition(self) {
-            assert!(self.now - began <= most_ns, "not within {} ms: {what}", most_ns / MS);
+            assert!(self.now - start_ns <= limit_ns, "not within {} ms: {what}", limit_ns / MS);
             self.step();
         }
-        self.now - began
+        self.now - start_ns
     }
 
-    /// A router that is there.
+    /// A running router.
     pub fn node(&mut self, at: usize) -> &mut Node {
-        self.nodes[at].as_mut().expect("a router that is there")
+        self.nodes[at].as_mut().expect("a running router")
     }
 
-    /// Whether it holds of all routers that are there.
+    /// Whether `f` holds for all running routers.
     pub fn all(&mut self, f: impl Fn(&mut Node) -> bool) -> bool {
         self.nodes.iter_mut().flatten().all(f)
     }
 
-    /// An attempt of a router's ends.
-    pub fn ended(&mut self, at: usize, engine: u64, went: AttemptOutcome) {
+    /// Records the outcome of an attempt at a router.
+    pub fn attempt_ended(&mut self, at: usize, engine: u64, outcome: AttemptOutcome) {
         let now = self.now;
         let started = self.engines.iter().find(|(id, _)| *id == engine).map_or(0, |(_, at)| *at);
-        self.node(at).ended(now, (engine, started), 0, now - 50 * MS, went);
+        self.node(at).ended(now, (engine, started), 0, now - 50 * MS, outcome);
     }
 
-    /// Cuts the routers into parts.
-    pub fn cut_into(&mut self, part: impl Fn(usize) -> usize) {
+    /// Partitions the routers into groups.
+    pub fn partition_into(&mut self, part: impl Fn(usize) -> usize) {
         let n = self.nodes.len();
-        self.cut.clear();
+        self.partitioned.clear();
         for (a, b) in (0..n).flat_map(|a| (0..n).map(move |b| (a, b))).filter(|(a, b)| part(*a) != part(*b)) {
-            self.cut.insert((a, b));
+            self.partitioned.insert((a, b));
         }
     }
 }
--- a/crates/testkit/src/hollow/key_files.rs
+++ b/crates/testkit/src/hollow/key_files.rs
@@ -4,7 +4,7 @@
 
 use super::fleet_member::{key_file, REGIONS};
 use super::{io, HollowError};
-use crate::fleet::KEY;
+use crate::fleet::FLEET_KEY;
 
 /// Key of a partitioned region.
 const PARTITION_KEY: &str = "6f746865722d6b65792d6f662d612d726567696f6e2d746861742069732063ff";
@@ -33,7 +33,7 @@
     /// # Errors
     /// If the file can't be written.
     pub fn set_partitioned(&self, region: u32, partitioned: bool) -> Result<(), HollowError> {
-        let key = if partitioned { PARTITION_KEY } else { KEY };
+        let key = if partitioned { PARTITION_KEY } else { FLEET_KEY };
         std::fs::write(key_file(&self.0, region), key).map_err(io("keys"))
     }
 
--- a/crates/testkit/src/hollow/service.rs
+++ b/crates/testkit/src/hollow/service.rs
@@ -21,7 +21,7 @@
 use super::engine_table::{event, EngineTable};
 use super::protocol::{SentChange, ServiceCommand, ServiceCounters, ServiceReport, ServiceSetup};
 use super::{io, read_commands, write_report, HollowError, COMMAND_TOKEN};
-use crate::server::{listen, read_call};
+use crate::server::{listen, parse_request};
 
 /// First token of connections. The token of a listener is the number of its router.
 const FIRST_CONNECTION: usize = 1 << 24;
@@ -298,13 +298,13 @@
 
     fn handle_request(&mut self, token: usize) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        let request = match read_call(&connection.input) {
+        let request = match parse_request(&connection.input) {
             Ok(Some(request)) => request,
             Ok(None) => return,
             Err(()) => return self.close(token),
         };
         let last_event_id =
-            request.fields.get("last-event-id").and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
+            request.headers.get("last-event-id").and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
         connection.input.clear();
         let admitted = self.admit_call();
         let Some(connection) = self.connections.get_mut(&token) else { return };
--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -1,5 +1,6 @@
-//! Links between processes that can be broken: what passes them is held, delayed, dropped, doubled, put out of order or cut to
-//! a trickle. [`Shaper`] decides, purely and by a seed; [`TcpLink`] and [`UdpLink`] carry it out on loopback.
+//! Links between processes that hold, delay, drop, duplicate, reorder or throttle traffic.
+//! [`Shaper`] decides by a seed and performs no I/O; [`TcpLink`] and [`UdpLink`] forward on
+//! loopback.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io::ErrorKind;
@@ -13,101 +14,107 @@
 
 use crate::server::listen;
 
-/// Largest datagram that passes (bytes).
-const DATAGRAM_MOST: usize = 65_536;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// What a link does to what passes it in one direction.
+/// Faults of one direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shape {
-    /// Nothing passes: a stream's bytes are held until it does again, datagrams are lost.
-    pub cut: bool,
-    /// Everything comes so much later (ns), and up to this much later still by chance (ns).
+    /// Nothing passes: stream bytes are held, datagrams are lost.
+    pub partitioned: bool,
+    /// Fixed delay.
     pub delay_ns: u64,
-    /// Chance's part of the delay: datagrams pass each other by it (ns).
+    /// Largest random delay on top; reorders datagrams.
     pub jitter_ns: u64,
-    /// Part of the datagrams that are lost (share).
+    /// Share of the datagrams that are lost.
     pub loss: f64,
-    /// Part of the datagrams that come twice (share).
-    pub double: f64,
-    /// Bytes a second of a stream; none for all that come.
-    pub trickle: Option<u64>,
+    /// Share of the datagrams that are duplicated.
+    pub duplication: f64,
+    /// Throughput limit of a stream; unlimited if `None`.
+    pub bytes_per_s: Option<u64>,
 }
 
 impl Default for Shape {
     fn default() -> Self {
-        Shape { cut: false, delay_ns: 0, jitter_ns: 0, loss: 0.0, double: 0.0, trickle: None }
+        Shape {
+            partitioned: false,
+            delay_ns: 0,
+            jitter_ns: 0,
+            loss: 0.0,
+            duplication: 0.0,
+            bytes_per_s: None,
+        }
     }
 }
 
-/// What becomes of what passes in one direction. Pure.
+/// Decides what becomes of the traffic of one direction.
 #[derive(Clone, Debug)]
 pub struct Shaper {
     shape: Shape,
     draws: StdRng,
-    /// A stream's bytes in order, each part with when it may pass.
+    /// Stream bytes in order, each part with its due time.
     stream: VecDeque<(u64, Vec<u8>)>,
-    /// Datagrams by when they pass.
+    /// Datagrams by due time and sequence number.
     datagrams: BTreeMap<(u64, u64), Vec<u8>>,
-    serial: u64,
-    /// Up to when the trickle's bytes were given.
-    trickled_ns: u64,
-    /// Datagrams lost so far.
+    sequence: u64,
+    /// Time up to which the throughput limit has been used.
+    rate_updated_ns: u64,
+    /// Number of datagrams lost.
     pub lost: u64,
 }
 
 impl Shaper {
-    /// One that lets all pass.
+    /// A shaper without faults.
     pub fn new(seed: u64) -> Shaper {
         Shaper {
             shape: Shape::default(),
             draws: StdRng::seed_from_u64(seed),
             stream: VecDeque::new(),
             datagrams: BTreeMap::new(),
-            serial: 0,
-            trickled_ns: 0,
+            sequence: 0,
+            rate_updated_ns: 0,
             lost: 0,
         }
     }
 
-    /// Shapes what comes from here on so.
+    /// Sets the shape of further traffic.
     pub fn set(&mut self, now: u64, shape: Shape) {
-        (self.shape, self.trickled_ns) = (shape, now);
+        (self.shape, self.rate_updated_ns) = (shape, now);
     }
 
-    /// The shape now.
+    /// The current shape.
     pub fn shape(&self) -> Shape {
         self.shape
     }
 
     fn due(&mut self, now: u64) -> u64 {
-        let chance =
+        let jitter =
             if self.shape.jitter_ns > 0 { self.draws.gen_range(0..=self.shape.jitter_ns) } else { 0 };
-        now + self.shape.delay_ns + chance
+        now + self.shape.delay_ns + jitter
     }
 
-    /// Takes a stream's bytes: they keep their order whatever the delay.
+    /// Queues bytes of a stream. Their order is kept.
     pub fn push_stream(&mut self, now: u64, bytes: &[u8]) {
         let due = self.due(now).max(self.stream.back().map_or(0, |(due, _)| *due));
         self.stream.push_back((due, bytes.to_vec()));
     }
 
-    /// The stream's bytes that pass now.
+    /// Takes the bytes of the stream that are due.
     pub fn pull_stream(&mut self, now: u64) -> Vec<u8> {
         let mut out = Vec::new();
-        let passed = now.saturating_sub(self.trickled_ns);
-        let mut most = match self.shape.trickle {
-            _ if self.shape.cut => 0,
+        let elapsed_ns = now.saturating_sub(self.rate_updated_ns);
+        let mut budget = match self.shape.bytes_per_s {
+            _ if self.shape.partitioned => 0,
             None => usize::MAX,
-            Some(per_s) => (u128::from(passed) * u128::from(per_s) / 1_000_000_000) as usize,
+            Some(bytes_per_s) => (u128::from(elapsed_ns) * u128::from(bytes_per_s) / 1_000_000_000) as usize,
         };
-        if most == 0 {
+        if budget == 0 {
             return out;
         }
-        self.trickled_ns = now;
-        while let Some((_, bytes)) = self.stream.front_mut().filter(|(due, _)| *due <= now && most > 0) {
-            let part = bytes.len().min(most);
+        self.rate_updated_ns = now;
+        while let Some((_, bytes)) = self.stream.front_mut().filter(|(due, _)| *due <= now && budget > 0) {
+            let part = bytes.len().min(budget);
             out.extend(bytes.drain(..part));
-            most -= part;
+            budget -= part;
             if bytes.is_empty() {
                 self.stream.pop_front();
             }
@@ -115,96 +122,97 @@
         out
     }
 
-    /// Bytes of the stream that have not passed.
-    pub fn holds(&self) -> usize {
+    /// Number of queued bytes of the stream.
+    pub fn queued_bytes(&self) -> usize {
         self.stream.iter().map(|(_, bytes)| bytes.len()).sum()
     }
 
-    /// Takes a datagram.
+    /// Queues a datagram.
     pub fn push_datagram(&mut self, now: u64, bytes: &[u8]) {
-        let lost = self.shape.cut || self.shape.loss > 0.0 && self.draws.gen_bool(self.shape.loss.min(1.0));
+        let lost =
+            self.shape.partitioned || self.shape.loss > 0.0 && self.draws.gen_bool(self.shape.loss.min(1.0));
         if lost {
             self.lost += 1;
             return;
         }
-        let twice = self.shape.double > 0.0 && self.draws.gen_bool(self.shape.double.min(1.0));
+        let twice = self.shape.duplication > 0.0 && self.draws.gen_bool(self.shape.duplication.min(1.0));
         for _ in 0..=usize::from(twice) {
-            self.serial += 1;
+            self.sequence += 1;
             let due = self.due(now);
-            self.datagrams.insert((due, self.serial), bytes.to_vec());
+            self.datagrams.insert((due, self.sequence), bytes.to_vec());
         }
     }
 
-    /// The datagrams that come out now. Those on their way when a link is cut are lost with it.
+    /// Takes the datagrams that are due. A partition also drops datagrams in transit.
     pub fn pull_datagrams(&mut self, now: u64) -> Vec<Vec<u8>> {
         let mut out = Vec::new();
         while let Some(entry) = self.datagrams.first_entry().filter(|entry| entry.key().0 <= now) {
             out.push(entry.remove());
         }
-        if self.shape.cut {
+        if self.shape.partitioned {
             self.lost += out.len() as u64;
             out.clear();
         }
         out
     }
 
-    /// When something passes next (ns).
+    /// Time at which queued traffic is next due.
     pub fn next_due_ns(&self) -> Option<u64> {
-        let stream = self.stream.front().map(|(due, _)| *due).filter(|_| !self.shape.cut);
+        let stream = self.stream.front().map(|(due, _)| *due).filter(|_| !self.shape.partitioned);
         stream.into_iter().chain(self.datagrams.keys().next().map(|(due, _)| *due)).min()
     }
 }
 
-/// One connection through a link: both ends, and what passes to the server and back.
-struct Pair {
+/// One connection through a link. Index 0 is the client's end and the direction to the server.
+struct ProxiedConnection {
     ends: [u64; 2],
-    passing: [Shaper; 2],
-    over: [bool; 2],
+    directions: [Shaper; 2],
+    ended: [bool; 2],
 }
 
-/// A link that carries TCP connections to one address.
+/// A link that forwards TCP connections to one address.
 pub struct TcpLink {
     listener: TcpListener,
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
     to: SocketAddr,
     shapes: [Shape; 2],
-    pairs: Vec<Pair>,
+    connections: Vec<ProxiedConnection>,
     seed: u64,
 }
 
 impl TcpLink {
-    /// A link to `to`, at any free port.
+    /// A link to `to`, on a free port.
     ///
     /// # Errors
-    /// Where no port is to be had.
+    /// If no port is available.
     pub fn new(registry: &Registry, token: usize, to: SocketAddr, seed: u64) -> std::io::Result<TcpLink> {
         let (listener, address) = listen(registry, token)?;
-        Ok(TcpLink { listener, address, to, shapes: [Shape::default(); 2], pairs: Vec::new(), seed })
+        Ok(TcpLink { listener, address, to, shapes: [Shape::default(); 2], connections: Vec::new(), seed })
     }
 
-    /// Whether a connection is one of its own.
+    /// Whether a connection belongs to this link.
     pub fn owns(&self, conn: u64) -> bool {
-        self.pairs.iter().any(|pair| pair.ends.contains(&conn))
+        self.connections.iter().any(|c| c.ends.contains(&conn))
     }
 
-    /// Shapes what passes to the server and back, of connections that stand too.
-    pub fn set(&mut self, now: u64, there: Shape, back: Shape) {
-        self.shapes = [there, back];
-        for pair in &mut self.pairs {
-            pair.passing[0].set(now, there);
-            pair.passing[1].set(now, back);
+    /// Shapes both directions, for open connections too.
+    pub fn set(&mut self, now: u64, to_server: Shape, to_client: Shape) {
+        self.shapes = [to_server, to_client];
+        for connection in &mut self.connections {
+            connection.directions[0].set(now, to_server);
+            connection.directions[1].set(now, to_client);
         }
     }
 
-    /// Resets all connections that stand.
+    /// Resets all connections.
     pub fn reset(&mut self, net: &mut Net) {
-        for pair in self.pairs.drain(..) {
-            pair.ends.into_iter().for_each(|end| net.close(end));
+        for connection in self.connections.drain(..) {
+            connection.ends.into_iter().for_each(|end| net.close(end));
         }
     }
 
-    /// Takes new connections.
+    /// Accepts new connections.
     pub fn accept(&mut self, now: u64, net: &mut Net) {
         while let Ok((stream, _)) = self.listener.accept() {
             let Ok(client) = net.add_accepted(stream, Owner::Engine) else { continue };
@@ -213,67 +221,73 @@
                 continue;
             };
             self.seed = self.seed.wrapping_add(2);
-            let mut passing = [Shaper::new(self.seed), Shaper::new(self.seed + 1)];
-            passing.iter_mut().zip(self.shapes).for_each(|(shaper, shape)| shaper.set(now, shape));
-            self.pairs.push(Pair { ends: [client, server], passing, over: [false; 2] });
+            let mut directions = [Shaper::new(self.seed), Shaper::new(self.seed + 1)];
+            directions.iter_mut().zip(self.shapes).for_each(|(shaper, shape)| shaper.set(now, shape));
+            self.connections.push(ProxiedConnection {
+                ends: [client, server],
+                directions,
+                ended: [false; 2],
+            });
         }
     }
 
-    /// Takes what has come in at one end.
+    /// Processes the input of one end.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) {
-        let Some(pair) = self.pairs.iter_mut().find(|pair| pair.ends.contains(&conn)) else { return };
-        let end = usize::from(pair.ends[1] == conn);
-        pair.over[end] |= net.service(conn).ended.is_some();
+        let Some(connection) = self.connections.iter_mut().find(|c| c.ends.contains(&conn)) else { return };
+        let end = usize::from(connection.ends[1] == conn);
+        connection.ended[end] |= net.service(conn).ended.is_some();
         let input = net.input(conn).to_vec();
         net.consume(conn, input.len());
         if !input.is_empty() {
-            pair.passing[end].push_stream(now, &input);
+            connection.directions[end].push_stream(now, &input);
         }
         self.tick(now, net);
     }
 
-    /// Passes on what is due. An end that is over ends the other once all that came from it has passed; a cut link does not
-    /// tell the one end of the other.
+    /// Forwards bytes that are due. Once all bytes of a closed end are forwarded, the other end is
+    /// closed; a partition hides the close.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
-        self.pairs.retain_mut(|pair| {
+        self.connections.retain_mut(|connection| {
             for end in 0..2 {
-                let bytes = pair.passing[end].pull_stream(now);
+                let bytes = connection.directions[end].pull_stream(now);
                 if !bytes.is_empty() {
-                    net.send(pair.ends[1 - end], &bytes);
+                    net.send(connection.ends[1 - end], &bytes);
                 }
             }
-            let told = |end: usize| {
-                pair.over[end] && !pair.passing[end].shape().cut && pair.passing[end].holds() == 0
+            let has_closed = |end: usize| {
+                connection.ended[end]
+                    && !connection.directions[end].shape().partitioned
+                    && connection.directions[end].queued_bytes() == 0
             };
-            let over = told(0) || told(1);
-            if over {
-                pair.ends.into_iter().for_each(|end| net.close(end));
+            let ended = has_closed(0) || has_closed(1);
+            if ended {
+                connection.ends.into_iter().for_each(|end| net.close(end));
             }
-            !over
+            !ended
         });
     }
 }
 
-/// A link that carries datagrams to one address; each sender's are shaped on their own.
+/// A link that forwards datagrams to one address. Each sender has its own shaper.
 pub struct UdpLink {
     socket: UdpSocket,
-    /// Where senders send to.
+    /// Address for senders.
     pub address: SocketAddr,
-    /// Where they come out; nothing comes out while that is not known.
+    /// Destination; datagrams are dropped while it is `None`.
     pub to: Option<SocketAddr>,
     senders: HashMap<SocketAddr, Shaper>,
-    usual: Shape,
+    default_shape: Shape,
     shapes: HashMap<SocketAddr, Shape>,
     seed: u64,
-    /// Datagrams that came in, and their bytes.
-    pub passed: (u64, u64),
+    /// Number of datagrams received, and their bytes.
+    pub received: (u64, u64),
 }
 
 impl UdpLink {
-    /// A link at any free port.
+    /// A link on a free port.
     ///
     /// # Errors
-    /// Where no port is to be had.
+    /// If no port is available.
     pub fn new(registry: &Registry, token: usize, seed: u64) -> std::io::Result<UdpLink> {
         let mut socket = UdpSocket::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         registry.register(&mut socket, Token(token), Interest::READABLE)?;
@@ -284,32 +298,32 @@
             address,
             to: None,
             senders,
-            usual: Shape::default(),
+            default_shape: Shape::default(),
             shapes,
             seed,
-            passed: (0, 0),
+            received: (0, 0),
         })
     }
 
-    /// Shapes what comes from `sender`, or from all who have no shape of their own.
+    /// Shapes the traffic of `sender`, or of all senders without a shape of their own.
     pub fn set(&mut self, now: u64, sender: Option<SocketAddr>, shape: Shape) {
         match sender {
             Some(sender) => drop(self.shapes.insert(sender, shape)),
-            None => self.usual = shape,
+            None => self.default_shape = shape,
         }
         for (from, shaper) in &mut self.senders {
-            shaper.set(now, self.shapes.get(from).copied().unwrap_or(self.usual));
+            shaper.set(now, self.shapes.get(from).copied().unwrap_or(self.default_shape));
         }
     }
 
-    /// Takes what has come in.
+    /// Receives datagrams.
     pub fn ready(&mut self, now: u64) {
-        let mut buffer = vec![0; DATAGRAM_MOST];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             match self.socket.recv_from(&mut buffer) {
                 Ok((size, from)) => {
-                    self.passed = (self.passed.0 + 1, self.passed.1 + size as u64);
-                    let shape = self.shapes.get(&from).copied().unwrap_or(self.usual);
+                    self.received = (self.received.0 + 1, self.received.1 + size as u64);
+                    let shape = self.shapes.get(&from).copied().unwrap_or(self.default_shape);
                     let shaper = self.senders.entry(from).or_insert_with(|| {
                         self.seed = self.seed.wrapping_add(1);
                         let mut shaper = Shaper::new(self.seed);
@@ -319,7 +333,7 @@
                     shaper.push_datagram(now, &buffer[..size]);
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // An answer of the machine to an earlier datagram whose receiver was gone is read as an error.
+                // ICMP error caused by an earlier datagram to a closed port.
                 Err(e) if e.kind() == ErrorKind::ConnectionRefused => {}
                 Err(_) => break,
             }
@@ -327,19 +341,19 @@
         self.tick(now);
     }
 
-    /// Passes on what is due.
+    /// Forwards datagrams that are due.
     pub fn tick(&mut self, now: u64) {
         for shaper in self.senders.values_mut() {
             for bytes in shaper.pull_datagrams(now) {
                 if let Some(to) = self.to {
-                    // Datagrams may be lost.
+                    // UDP may lose datagrams.
                     let _ = self.socket.send_to(&bytes, to);
                 }
             }
         }
     }
 
-    /// When something passes next (ns).
+    /// Time at which a datagram is next due.
     pub fn next_due_ns(&self) -> Option<u64> {
         self.senders.values().filter_map(Shaper::next_due_ns).min()
     }
--- a/crates/testkit/src/list.rs
+++ b/crates/testkit/src/list.rs
@@ -1,5 +1,5 @@
-//! A stand-in list service: the coordinator's stream for a whole fleet, one door for each router, that takes only so many
-//! calls a second and can be made to behave badly.
+//! A stand-in list service: the coordinator's stream for a whole fleet, with one endpoint per
+//! router. Its call rate is limited, and faults can be injected.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -9,300 +9,309 @@
 use mio::Registry;
 use serde_json::Value;
 
-use crate::server::{listen, read_call};
+use crate::server::{listen, parse_request};
 
-const COMMENT_NS: u64 = 1_000_000_000;
+const COMMENT_INTERVAL_NS: u64 = 1_000_000_000;
 
-/// How the service behaves.
+/// Behavior of the list service.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Manner {
-    /// Well, within its capacity.
-    Well,
-    /// It is away: each connection is reset as it comes.
-    Away,
-    /// It takes connections and says nothing.
-    Silent,
-    /// It turns all calls away, with this `Retry-After`.
-    TurnsAway(String),
-    /// It closes each stream so long after it opened (ns).
+pub enum Behavior {
+    /// Accepts calls within its capacity.
+    Normal,
+    /// Resets each connection when it is accepted.
+    Unavailable,
+    /// Accepts connections and sends nothing.
+    NoResponse,
+    /// Rejects all calls with this `Retry-After`.
+    Rejecting(String),
+    /// Closes each stream this long after its start (ns).
     ClosesAfter(u64),
-    /// It answers what nobody can read.
-    Garbage,
-    /// It answers the first half of a head, and closes.
-    Half,
+    /// Responds with invalid HTTP.
+    InvalidResponse,
+    /// Closes each connection after half of the response head.
+    TruncatedResponse,
 }
 
-/// A call that was seen.
+/// A call of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
-    /// When (ns).
+pub struct CallRecord {
+    /// Time of the call (ns).
     pub at_ns: u64,
-    /// By which router.
+    /// Index of the calling router.
     pub router: usize,
-    /// It was taken.
-    pub taken: bool,
+    /// Whether the call was accepted.
+    pub accepted: bool,
 }
 
-/// A router's stream.
+/// A router's connection.
 #[derive(Debug)]
-struct Follower {
+struct Subscriber {
     router: usize,
-    follows_ns: Option<u64>,
+    subscribed_ns: Option<u64>,
 }
 
-/// What one router's door is like, and what its router was told.
+/// Listening endpoint of one router.
 #[derive(Debug)]
-struct Door {
+struct RouterEndpoint {
     listener: TcpListener,
     address: SocketAddr,
-    /// Nothing passes, in either direction; connections stay.
-    cut: bool,
+    /// Nothing passes in either direction; connections stay open.
+    partitioned: bool,
 }
 
-/// The service.
+/// A stand-in list service.
 #[derive(Debug)]
 pub struct ListService {
-    doors: Vec<Door>,
+    endpoints: Vec<RouterEndpoint>,
     first_token: usize,
-    manner: Manner,
-    /// Calls a second that it takes, and calls that it takes at once after a rest.
+    behavior: Behavior,
+    /// Rate and burst of the accepted calls (per second).
     capacity: f64,
     tokens: f64,
-    refilled_ns: u64,
-    followers: HashMap<u64, Follower>,
+    refilled_at_ns: u64,
+    subscribers: HashMap<u64, Subscriber>,
     events: Vec<(u64, String, Vec<String>)>,
-    commented_ns: u64,
-    /// All calls, in order.
-    pub calls: Vec<Seen>,
-    /// By router and engine, when the router was first told that the engine drains or is gone (ns).
-    pub told: BTreeMap<(usize, String), u64>,
-    /// When each router's present stream was opened; none without one.
-    live: Vec<Option<u64>>,
+    last_comment_ns: u64,
+    /// All calls in order.
+    pub calls: Vec<CallRecord>,
+    /// Time of the first notification of an engine's drain or removal, by router and engine.
+    pub notified_ns: BTreeMap<(usize, String), u64>,
+    /// Start of each router's open stream.
+    connected: Vec<Option<u64>>,
 }
 
 impl ListService {
-    /// A service with a door for each of `routers`, whose tokens start at `first_token`. It takes `capacity` calls a second,
-    /// as many of them at once as it takes in a second.
+    /// A service with one endpoint per router, at poll tokens from `first_token`. It accepts
+    /// `capacity` calls per second, with bursts of the same size.
     ///
     /// # Errors
-    /// Where no port is to be had.
+    /// If no port is available.
     pub fn new(
         registry: &Registry,
         first_token: usize,
         routers: usize,
         capacity: f64,
     ) -> std::io::Result<ListService> {
-        let mut doors = Vec::new();
+        let mut endpoints = Vec::new();
         for i in 0..routers {
             let (listener, address) = listen(registry, first_token + i)?;
-            doors.push(Door { listener, address, cut: false });
+            endpoints.push(RouterEndpoint { listener, address, partitioned: false });
         }
         Ok(ListService {
-            doors,
+            endpoints,
             first_token,
-            manner: Manner::Well,
+            behavior: Behavior::Normal,
             capacity,
             tokens: capacity,
-            refilled_ns: 0,
-            followers: HashMap::new(),
+            refilled_at_ns: 0,
+            subscribers: HashMap::new(),
             events: Vec::new(),
-            commented_ns: 0,
+            last_comment_ns: 0,
             calls: Vec::new(),
-            told: BTreeMap::new(),
-            live: vec![None; routers],
+            notified_ns: BTreeMap::new(),
+            connected: vec![None; routers],
         })
     }
 
-    /// Where a router finds it.
+    /// Address for a router.
     pub fn address(&self, router: usize) -> SocketAddr {
-        self.doors[router].address
+        self.endpoints[router].address
     }
 
-    /// Whether a listener's token is of one of its doors.
+    /// Whether the token belongs to one of the endpoints.
     pub fn has_token(&self, token: usize) -> bool {
-        (self.first_token..self.first_token + self.doors.len()).contains(&token)
+        (self.first_token..self.first_token + self.endpoints.len()).contains(&token)
     }
 
-    /// Whether a connection is one of its own.
+    /// Whether a connection belongs to this service.
     pub fn owns(&self, conn: u64) -> bool {
-        self.followers.contains_key(&conn)
+        self.subscribers.contains_key(&conn)
     }
 
-    /// Routers with a stream that is up.
-    pub fn live(&self) -> usize {
-        self.live.iter().flatten().count()
+    /// Number of routers with an open stream.
+    pub fn connected(&self) -> usize {
+        self.connected.iter().flatten().count()
     }
 
-    /// Since when a router's stream is up; none without one (ns).
-    pub fn live_since(&self, router: usize) -> Option<u64> {
-        self.live[router]
+    /// Start of a router's open stream.
+    pub fn connected_since(&self, router: usize) -> Option<u64> {
+        self.connected[router]
     }
 
-    /// It takes so many calls a second from here on.
+    /// Sets the calls accepted per second.
     pub fn set_capacity(&mut self, capacity: f64) {
         (self.capacity, self.tokens) = (capacity, self.tokens.min(capacity));
     }
 
-    /// Behaves so from here on. Away and back, it begins rested and with no connection.
-    pub fn set_manner(&mut self, net: &mut Net, manner: Manner) {
-        if manner == Manner::Away {
-            self.drop_all(net);
+    /// Sets the behavior. `Unavailable` closes all connections and refills the token bucket.
+    pub fn set_behavior(&mut self, net: &mut Net, behavior: Behavior) {
+        if behavior == Behavior::Unavailable {
+            self.close_all_streams(net);
             self.tokens = self.capacity;
         }
-        self.manner = manner;
+        self.behavior = behavior;
     }
 
-    /// Closes all streams at once.
-    pub fn drop_all(&mut self, net: &mut Net) {
-        let conns: Vec<u64> = self.followers.keys().copied().collect();
+    /// Closes all connections.
+    pub fn close_all_streams(&mut self, net: &mut Net) {
+        let conns: Vec<u64> = self.subscribers.keys().copied().collect();
         conns.into_iter().for_each(|conn| self.close(net, conn));
     }
 
-    /// Starts anew: its numbers begin at 1 with what the list is now.
+    /// Restarts the service, with event numbers from 1 and the current list.
     pub fn restart(&mut self, net: &mut Net, list: &Value) {
-        self.drop_all(net);
+        self.close_all_streams(net);
         self.events.clear();
-        self.tell(0, net, list, &[]);
+        self.publish(0, net, list, &[]);
     }
 
-    /// Cuts a router's link, or mends it. What was on its way comes when it is mended.
-    pub fn cut(&mut self, router: usize, cut: bool) {
-        self.doors[router].cut = cut;
+    /// Starts or ends a partition of a router. Input that arrives meanwhile is processed at its
+    /// end, by [`ListService::deliver_delayed`].
+    pub fn set_partitioned(&mut self, router: usize, partitioned: bool) {
+        self.endpoints[router].partitioned = partitioned;
     }
 
     fn close(&mut self, net: &mut Net, conn: u64) {
-        if let Some(follower) = self.followers.remove(&conn) {
+        if let Some(subscriber) = self.subscribers.remove(&conn) {
             let others =
-                self.followers.values().any(|f| f.router == follower.router && f.follows_ns.is_some());
-            if follower.follows_ns.is_some() && !others {
-                self.live[follower.router] = None;
+                self.subscribers.values().any(|f| f.router == subscriber.router && f.subscribed_ns.is_some());
+            if subscriber.subscribed_ns.is_some() && !others {
+                self.connected[subscriber.router] = None;
             }
         }
         net.close(conn);
     }
 
-    /// Takes new connections at a door.
+    /// Accepts new connections at a router's endpoint.
     pub fn accept(&mut self, now: u64, net: &mut Net, token: usize) {
         let router = token - self.first_token;
-        while let Ok((stream, _)) = self.doors[router].listener.accept() {
-            // Those of a service that is away are reset, as the owner of the number tells the sockets.
-            let owner = if self.manner == Manner::Away { Owner::Engine } else { Owner::Discovery };
+        while let Ok((stream, _)) = self.endpoints[router].listener.accept() {
+            // Closing a connection resets it if its owner is an engine.
+            let owner = if self.behavior == Behavior::Unavailable { Owner::Engine } else { Owner::Discovery };
             let Ok(conn) = net.add_accepted(stream, owner) else { continue };
-            if self.manner == Manner::Away {
-                self.calls.push(Seen { at_ns: now, router, taken: false });
+            if self.behavior == Behavior::Unavailable {
+                self.calls.push(CallRecord { at_ns: now, router, accepted: false });
                 net.close(conn);
             } else {
-                self.followers.insert(conn, Follower { router, follows_ns: None });
+                self.subscribers.insert(conn, Subscriber { router, subscribed_ns: None });
             }
         }
     }
 
-    fn takes(&mut self, now: u64) -> bool {
-        let passed = now.saturating_sub(self.refilled_ns) as f64 / 1e9;
+    fn accepts(&mut self, now: u64) -> bool {
+        let passed = now.saturating_sub(self.refilled_at_ns) as f64 / 1e9;
         self.tokens = (self.tokens + passed * self.capacity).min(self.capacity);
-        self.refilled_ns = now;
-        let takes = self.tokens >= 1.0;
-        self.tokens -= if takes { 1.0 } else { 0.0 };
-        takes
+        self.refilled_at_ns = now;
+        let accepts = self.tokens >= 1.0;
+        self.tokens -= if accepts { 1.0 } else { 0.0 };
+        accepts
     }
 
-    /// Tells the fleet an event of this list; `leaving` are the engines that drain or are gone by it. Gives its number.
-    pub fn tell(&mut self, now: u64, net: &mut Net, list: &Value, leaving: &[String]) -> u64 {
+    /// Publishes an event of the list and returns its number. `leaving` names the engines that it
+    /// drains or removes.
+    pub fn publish(&mut self, now: u64, net: &mut Net, list: &Value, leaving: &[String]) -> u64 {
         let index = self.events.last().map_or(1, |(index, ..)| index + 1);
         let data = serde_json::json!({"index": index, "endpoints": list});
         let text = format!("id: {index}\ndata: {data}\n\n");
-        for (conn, follower) in &self.followers {
-            if follower.follows_ns.is_some() && !self.doors[follower.router].cut {
+        for (conn, subscriber) in &self.subscribers {
+            if subscriber.subscribed_ns.is_some() && !self.endpoints[subscriber.router].partitioned {
                 net.send(*conn, text.as_bytes());
-                note_told(&mut self.told, now, follower.router, leaving);
+                record_notified(&mut self.notified_ns, now, subscriber.router, leaving);
             }
         }
         self.events.push((index, text, leaving.to_vec()));
         index
     }
 
-    /// Takes what has come in on one of its connections.
+    /// Processes the input of a connection.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) {
-        let Some(follower) = self.followers.get(&conn) else { return };
-        let router = follower.router;
-        if self.doors[router].cut {
+        let Some(subscriber) = self.subscribers.get(&conn) else { return };
+        let router = subscriber.router;
+        if self.endpoints[router].partitioned {
             return;
         }
         if net.service(conn).ended.is_some() {
             return self.close(net, conn);
         }
-        let Ok(Some(call)) = read_call(net.input(conn)) else { return };
-        net.consume(conn, call.size);
-        let takes = matches!(self.manner, Manner::Well | Manner::ClosesAfter(_)) && self.takes(now);
-        self.calls.push(Seen { at_ns: now, router, taken: takes });
-        let turned = |after: &str| {
+        let Ok(Some(request)) = parse_request(net.input(conn)) else { return };
+        net.consume(conn, request.size);
+        let accepts =
+            matches!(self.behavior, Behavior::Normal | Behavior::ClosesAfter(_)) && self.accepts(now);
+        self.calls.push(CallRecord { at_ns: now, router, accepted: accepts });
+        let rejection = |after: &str| {
             format!(
                 "HTTP/1.1 503 Busy\r\nRetry-After: {after}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
             )
         };
-        match &self.manner {
-            Manner::Silent => return,
-            Manner::Garbage => {
+        match &self.behavior {
+            Behavior::NoResponse => return,
+            Behavior::InvalidResponse => {
                 net.send(conn, b"\x00\xff\xfe\r\nnonsense\r\n\r\n");
                 return self.close(net, conn);
             }
-            Manner::Half => {
+            Behavior::TruncatedResponse => {
                 net.send(conn, b"HTTP/1.1 200 OK\r\nContent-Ty");
                 return self.close(net, conn);
             }
-            Manner::TurnsAway(after) => {
-                net.send(conn, turned(after).as_bytes());
+            Behavior::Rejecting(after) => {
+                net.send(conn, rejection(after).as_bytes());
                 return self.close(net, conn);
             }
-            _ if !takes => {
-                net.send(conn, turned("1").as_bytes());
+            _ if !accepts => {
+                net.send(conn, rejection("1").as_bytes());
                 return self.close(net, conn);
             }
             _ => {}
         }
-        let last: u64 = call.fields.get("last-event-id").and_then(|v| v.parse().ok()).unwrap_or(0);
-        // Who asks behind a number that it never gave hears the whole list.
+        let last: u64 = request.headers.get("last-event-id").and_then(|v| v.parse().ok()).unwrap_or(0);
+        // A router that is ahead of the service receives all events.
         let newest = self.events.last().map_or(0, |(index, ..)| *index);
-        let behind = if last > newest { 0 } else { last };
+        let resume_after = if last > newest { 0 } else { last };
         net.send(conn, b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:hi\n\n");
-        for (_, text, leaving) in self.events.iter().filter(|(index, ..)| *index > behind) {
+        for (_, text, leaving) in self.events.iter().filter(|(index, ..)| *index > resume_after) {
             net.send(conn, text.as_bytes());
-            note_told(&mut self.told, now, router, leaving);
+            record_notified(&mut self.notified_ns, now, router, leaving);
         }
-        if let Some(follower) = self.followers.get_mut(&conn) {
-            follower.follows_ns = Some(now);
+        if let Some(subscriber) = self.subscribers.get_mut(&conn) {
+            subscriber.subscribed_ns = Some(now);
         }
-        self.live[router] = Some(now);
+        self.connected[router] = Some(now);
     }
 
-    /// Passes time: a comment each second, and the end of streams that are closed after a while.
+    /// Advances the time: sends a comment every second and closes streams whose time is over.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
-        if let Manner::ClosesAfter(after) = self.manner {
-            let over = |f: &Follower| f.follows_ns.is_some_and(|since| now >= since + after);
-            let over: Vec<u64> = self.followers.iter().filter(|(_, f)| over(f)).map(|(c, _)| *c).collect();
-            over.into_iter().for_each(|conn| self.close(net, conn));
+        if let Behavior::ClosesAfter(after) = self.behavior {
+            let expired = |f: &Subscriber| f.subscribed_ns.is_some_and(|since| now >= since + after);
+            let expired: Vec<u64> =
+                self.subscribers.iter().filter(|(_, f)| expired(f)).map(|(c, _)| *c).collect();
+            expired.into_iter().for_each(|conn| self.close(net, conn));
         }
-        if now < self.commented_ns + COMMENT_NS || self.manner == Manner::Silent {
+        if now < self.last_comment_ns + COMMENT_INTERVAL_NS || self.behavior == Behavior::NoResponse {
             return;
         }
-        self.commented_ns = now;
-        for (conn, follower) in &self.followers {
-            if follower.follows_ns.is_some() && !self.doors[follower.router].cut {
+        self.last_comment_ns = now;
+        for (conn, subscriber) in &self.subscribers {
+            if subscriber.subscribed_ns.is_some() && !self.endpoints[subscriber.router].partitioned {
                 net.send(*conn, b":\n\n");
             }
         }
     }
 
-    /// Looks again at what waited at a link that was cut.
-    pub fn mended(&mut self, now: u64, net: &mut Net, router: usize) {
+    /// Processes the input that arrived during a partition.
+    pub fn deliver_delayed(&mut self, now: u64, net: &mut Net, router: usize) {
         let conns: Vec<u64> =
-            self.followers.iter().filter(|(_, f)| f.router == router).map(|(c, _)| *c).collect();
+            self.subscribers.iter().filter(|(_, f)| f.router == router).map(|(c, _)| *c).collect();
         conns.into_iter().for_each(|conn| self.ready(now, net, conn));
     }
 }
 
-fn note_told(told: &mut BTreeMap<(usize, String), u64>, now: u64, router: usize, leaving: &[String]) {
+fn record_notified(
+    notified_ns: &mut BTreeMap<(usize, String), u64>,
+    now: u64,
+    router: usize,
+    leaving: &[String],
+) {
     for uid in leaving {
-        told.entry((router, uid.clone())).or_insert(now);
+        notified_ns.entry((router, uid.clone())).or_insert(now);
     }
 }
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -1,5 +1,5 @@
-//! Clients that ask at times of their own, whatever the answers do: open loop, with drawn arrivals, works and
-//! estimates.
+//! Open-loop simulated clients: arrivals, work and estimates are random and do not depend on the
+//! responses.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -12,90 +12,88 @@
 use rmpv::decode::read_value;
 use rmpv::Value;
 
-/// Calls that may be open on a connection.
-const OPEN_MOST: usize = 32;
-/// A client has this many connections at most.
-const CONNS_MOST: usize = 100;
+const MAX_CALLS_PER_CONNECTION: usize = 32;
+const MAX_CONNECTIONS: usize = 100;
 const MS: f64 = 1e6;
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: &'static str,
     /// Share of a tenant's requests.
     pub share: f64,
-    /// Mean work (ms) and its spread (deviation of the logarithm).
+    /// Mean work.
     pub work_ms: f64,
-    /// Spread of the work.
+    /// Standard deviation of the logarithm of the work.
     pub spread: f64,
-    /// Threads of a query.
+    /// Threads per query.
     pub threads: f64,
-    /// Wanted within (ms), and for each millisecond of its own running time.
-    pub aim_ms: f64,
-    /// Longer by this times the work over the threads.
-    pub stretch: f64,
-    /// Given up after (ms).
+    /// Target latency without its stretch.
+    pub target_latency_ms: f64,
+    /// Added to the target latency for each millisecond of running time: work divided by threads.
+    pub target_latency_stretch: f64,
+    /// The client gives up after this time.
     pub deadline_ms: f64,
-    /// Worth of an answer in time, and the part that a late one earns.
+    /// Worth of an answer within the target latency.
     pub worth: f64,
-    /// Part of the worth that a late answer earns.
-    pub late: f64,
-    /// It holds its data set and must not run twice.
+    /// Share of the worth earned by a late answer.
+    pub late_worth: f64,
+    /// Whether the query locks its data set and must run at most once.
     pub load: bool,
 }
 
 /// A source of requests.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// Its tenant's name.
+    /// Name of the tenant.
     pub tenant: &'static str,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Clients that it stands for; requests are drawn among them.
+    /// Number of clients; each request is assigned to a random one.
     pub clients: u64,
-    /// What a client says of its work over what it is (ratio).
-    pub says: f64,
+    /// Ratio of the client's estimate to the actual work.
+    pub estimate_ratio: f64,
 }
 
-/// What became of a tenant's requests.
+/// Results of a source's requests in one phase.
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct Tally {
-    /// Requests made, returns included.
+pub struct RequestStats {
+    /// All requests, returns included.
     pub asked: u64,
-    /// First tries, and their worth.
+    /// Requests without returns.
     pub first: u64,
-    /// Worth asked for by first tries.
+    /// Worth of the requests, without returns.
     pub worth_asked: f64,
-    /// Worth served.
+    /// Worth of the answers.
     pub worth: f64,
-    /// Answers.
+    /// Successful answers.
     pub served: u64,
-    /// Served within the wanted time.
+    /// Successful answers within the target latency.
     pub in_time: u64,
-    /// Refused.
+    /// Requests rejected with a `Backoff`.
     pub refused: u64,
-    /// Failed.
+    /// Requests that failed otherwise.
     pub failed: u64,
-    /// Calls that had no answer in their time.
+    /// Requests without an answer before their deadline.
     pub unanswered: u64,
-    /// Answers to calls that were answered before.
+    /// Answers to calls that are not pending, such as a second answer.
     pub twice: u64,
-    /// Returns at a time that was told and is shorter than the longest advice: a promise.
+    /// Returns with a reservation: after a backoff below the maximum.
     pub returned: u64,
-    /// Such returns that were served.
+    /// Returns with a reservation that were served.
     pub returned_served: u64,
-    /// Median and 99th percentile of the time to a served answer (ms).
+    /// Median latency of successful answers.
     pub p50_ms: f64,
-    /// 99th percentile.
+    /// 99th percentile of the latency.
     pub p99_ms: f64,
     #[serde(skip)]
     latencies: Histogram<u64>,
 }
 
-impl Default for Tally {
+impl Default for RequestStats {
     fn default() -> Self {
-        Tally {
+        RequestStats {
             asked: 0,
             first: 0,
             worth_asked: 0.0,
@@ -110,199 +108,220 @@
             returned_served: 0,
             p50_ms: 0.0,
             p99_ms: 0.0,
-            latencies: Histogram::new_with_bounds(1, 120_000, 2).expect("bounds of a histogram"),
+            latencies: Histogram::new_with_bounds(1, 120_000, 2).expect("valid histogram bounds"),
         }
     }
 }
 
 #[derive(Clone, Debug)]
-struct Want {
+struct PlannedRequest {
     source: usize,
     class: usize,
     client: u64,
     work_ms: f64,
-    says_ms: f64,
-    set: u64,
-    /// It was told to return now, and by a promise.
-    told: Option<bool>,
+    estimate_ms: f64,
+    data_set: u64,
+    /// Whether the request is a return, and with a reservation.
+    return_reserved: Option<bool>,
     phase: usize,
 }
 
-struct Call {
-    want: Want,
-    asked_ns: u64,
-    until_ns: u64,
+struct PendingCall {
+    request: PlannedRequest,
+    sent_ns: u64,
+    deadline_ns: u64,
 }
 
 #[derive(Default)]
 struct Conn {
-    open: HashMap<u32, Call>,
+    open: HashMap<u32, PendingCall>,
     next: u32,
 }
 
 /// All clients of one router.
-pub struct Load {
+pub struct LoadGenerator {
     to: SocketAddr,
     classes: Vec<Class>,
     sources: Vec<Source>,
     next_ns: Vec<u64>,
-    /// Draws of each source are its own, so that routers that answer differently are asked the same.
-    draws: Vec<StdRng>,
+    /// Random generators by source, so that requests do not depend on the router's answers.
+    source_rngs: Vec<StdRng>,
     rng: StdRng,
     seed: u64,
     conns: BTreeMap<u64, Conn>,
-    returns: BTreeMap<(u64, u64), Want>,
-    longest_ms: u64,
-    /// Part of the clients without a promise that return.
-    returning: f64,
-    serial: u64,
+    returns: BTreeMap<(u64, u64), PlannedRequest>,
+    max_retry_after_ms: u64,
+    /// Share of rejected requests without a reservation that return.
+    return_share: f64,
+    sequence: u64,
     phase: usize,
-    /// Tallies by phase and source.
-    pub tallies: Vec<Vec<Tally>>,
-    /// The number that statements name as their router's.
+    /// Results by phase and source.
+    pub tallies: Vec<Vec<RequestStats>>,
+    /// Index of the router, written into statements.
     pub router: usize,
-    /// When the first answer came (ns).
+    /// Time of the first answer.
     pub first_answer_ns: Option<u64>,
-    /// Calls that were open when their router was killed, or asked of one that was not there.
-    pub excused: u64,
-    /// The router is there to be asked.
-    up: bool,
+    /// Calls that were pending when the router was killed or paused.
+    pub excluded_calls: u64,
+    router_is_up: bool,
 }
 
-impl Load {
-    /// Clients of the router that listens at `to`; `longest_ms` is the longest advice that the settings allow.
-    pub fn new(to: SocketAddr, classes: Vec<Class>, longest_ms: u64, returning: f64, seed: u64) -> Self {
-        Load {
+impl LoadGenerator {
+    /// Clients of the router at `to`. `max_retry_after_ms` is the largest `Retry-After` of the
+    /// settings.
+    pub fn new(
+        to: SocketAddr,
+        classes: Vec<Class>,
+        max_retry_after_ms: u64,
+        return_share: f64,
+        seed: u64,
+    ) -> Self {
+        LoadGenerator {
             to,
             classes,
             sources: Vec::new(),
             next_ns: Vec::new(),
-            draws: Vec::new(),
+            source_rngs: Vec::new(),
             rng: StdRng::seed_from_u64(seed),
             seed,
             conns: BTreeMap::new(),
             returns: BTreeMap::new(),
-            longest_ms,
-            returning,
-            serial: 0,
+            max_retry_after_ms,
+            return_share,
+            sequence: 0,
             phase: 0,
             tallies: Vec::new(),
             router: 0,
             first_answer_ns: None,
-            excused: 0,
-            up: true,
+            excluded_calls: 0,
+            router_is_up: true,
         }
     }
 
-    /// Begins a phase with these sources; what is open and due to return stays with the phase it began in.
-    pub fn begin(&mut self, now: u64, sources: Vec<Source>) {
+    /// Starts a phase with these sources. Pending calls and returns count for the phase they began
+    /// in.
+    pub fn start_phase(&mut self, now: u64, sources: Vec<Source>) {
         self.phase = self.tallies.len();
-        self.tallies.push(vec![Tally::default(); sources.len()]);
+        self.tallies.push(vec![RequestStats::default(); sources.len()]);
         self.sources = sources;
         let seed = |i: usize| self.seed.wrapping_mul(1_000_003) ^ ((self.phase as u64) << 32) ^ i as u64;
-        self.draws = (0..self.sources.len()).map(|i| StdRng::seed_from_u64(seed(i))).collect();
+        self.source_rngs = (0..self.sources.len()).map(|i| StdRng::seed_from_u64(seed(i))).collect();
         self.next_ns = (0..self.sources.len()).map(|i| now + self.gap_ns(i)).collect();
     }
 
-    /// The router is gone: what was open is excused, and nothing is asked until it is [`Load::back`].
-    pub fn gone(&mut self, net: &mut Net) {
-        (self.up, self.first_answer_ns) = (false, None);
+    /// The router is down: drops pending calls and sends nothing until
+    /// [`LoadGenerator::router_up`].
+    pub fn router_down(&mut self, net: &mut Net) {
+        (self.router_is_up, self.first_answer_ns) = (false, None);
         for (conn, calls) in std::mem::take(&mut self.conns) {
             net.close(conn);
-            self.excused += calls.open.len() as u64;
+            self.excluded_calls += calls.open.len() as u64;
         }
         self.returns.clear();
     }
 
-    /// The router is there, at this address.
-    pub fn back(&mut self, now: u64, to: SocketAddr) {
-        (self.to, self.up) = (to, true);
+    /// The router is up at this address.
+    pub fn router_up(&mut self, now: u64, to: SocketAddr) {
+        (self.to, self.router_is_up) = (to, true);
         self.next_ns = (0..self.sources.len()).map(|i| now + self.gap_ns(i)).collect();
     }
 
-    /// Stops asking; returns that were told are still made.
-    pub fn end(&mut self) {
+    /// Sends no new requests, except pending returns.
+    pub fn stop_sending(&mut self) {
         self.next_ns = vec![u64::MAX; self.sources.len()];
     }
 
-    /// Whether a connection is one of its own.
+    /// Whether a connection belongs to this generator.
     pub fn owns(&self, conn: u64) -> bool {
         self.conns.contains_key(&conn)
     }
 
-    /// Calls that are open, and returns that are due.
+    /// Number of pending calls and returns.
     pub fn open(&self) -> usize {
         self.conns.values().map(|c| c.open.len()).sum::<usize>() + self.returns.len()
     }
 
     fn gap_ns(&mut self, source: usize) -> u64 {
         let rate = self.sources[source].rate.max(1e-9);
-        let gap = Exp::new(rate).map_or(1.0, |exp| exp.sample(&mut self.draws[source]));
+        let gap = Exp::new(rate).map_or(1.0, |exp| exp.sample(&mut self.source_rngs[source]));
         (gap.min(3_600.0) * 1e9) as u64
     }
 
-    /// When it has something to do next (ns).
+    /// Time of the next request.
     pub fn next_due_ns(&self) -> u64 {
-        let first = self.next_ns.iter().copied().min().filter(|_| self.up).unwrap_or(u64::MAX);
+        let first = self.next_ns.iter().copied().min().filter(|_| self.router_is_up).unwrap_or(u64::MAX);
         first.min(self.returns.keys().next().map_or(u64::MAX, |(at, _)| *at))
     }
 
-    fn draw(&mut self, source: usize) -> Want {
-        let mut pick = self.draws[source].gen::<f64>() * self.classes.iter().map(|c| c.share).sum::<f64>();
+    fn draw_request(&mut self, source: usize) -> PlannedRequest {
+        let mut pick =
+            self.source_rngs[source].gen::<f64>() * self.classes.iter().map(|c| c.share).sum::<f64>();
         let class = self.classes.iter().position(|c| {
             pick -= c.share;
             pick <= 0.0
         });
         let class = class.unwrap_or(0);
         let (mean, spread) = (self.classes[class].work_ms, self.classes[class].spread);
-        // The mean of a log-normal is that of its logarithm and half of the variance.
+        // Mean of a log-normal distribution: exp(mu + spread^2 / 2).
         let mu = mean.ln() - spread * spread / 2.0;
-        let work_ms =
-            LogNormal::new(mu, spread).map_or(mean, |d| d.sample(&mut self.draws[source])).min(mean * 10.0);
-        let guess = LogNormal::new(0.0, 0.3).map_or(1.0, |d| d.sample(&mut self.draws[source]));
-        let client = self.draws[source].gen_range(0..self.sources[source].clients.max(1));
-        let says_ms = (work_ms * guess * self.sources[source].says).max(0.1);
-        let set = self.draws[source].gen_range(0..64);
-        Want { source, class, client, work_ms, says_ms, set, told: None, phase: self.phase }
+        let work_ms = LogNormal::new(mu, spread)
+            .map_or(mean, |d| d.sample(&mut self.source_rngs[source]))
+            .min(mean * 10.0);
+        let estimate_error =
+            LogNormal::new(0.0, 0.3).map_or(1.0, |d| d.sample(&mut self.source_rngs[source]));
+        let client = self.source_rngs[source].gen_range(0..self.sources[source].clients.max(1));
+        let estimate_ms = (work_ms * estimate_error * self.sources[source].estimate_ratio).max(0.1);
+        let data_set = self.source_rngs[source].gen_range(0..64);
+        PlannedRequest {
+            source,
+            class,
+            client,
+            work_ms,
+            estimate_ms,
+            data_set,
+            return_reserved: None,
+            phase: self.phase,
+        }
     }
 
-    /// Makes the calls that are due.
+    /// Sends the requests that are due.
     pub fn tick(&mut self, now: u64, net: &mut Net) {
-        if !self.up {
+        if !self.router_is_up {
             return;
         }
         for source in 0..self.sources.len() {
             while self.next_ns[source] <= now {
-                let want = self.draw(source);
-                let tally = &mut self.tallies[want.phase][source];
+                let request = self.draw_request(source);
+                let tally = &mut self.tallies[request.phase][source];
                 tally.first += 1;
-                tally.worth_asked += self.classes[want.class].worth;
+                tally.worth_asked += self.classes[request.class].worth;
                 self.next_ns[source] += self.gap_ns(source);
-                self.ask(now, net, want);
+                self.send_request(now, net, request);
             }
         }
         while let Some(entry) = self.returns.first_entry().filter(|e| e.key().0 <= now) {
-            let want = entry.remove();
-            self.ask(now, net, want);
+            let request = entry.remove();
+            self.send_request(now, net, request);
         }
         let tallies = &mut self.tallies;
         for conn in self.conns.values_mut() {
             conn.open.retain(|_, call| {
-                let late = now > call.until_ns;
-                tallies[call.want.phase][call.want.source].unanswered += u64::from(late);
-                !late
+                let expired = now > call.deadline_ns;
+                tallies[call.request.phase][call.request.source].unanswered += u64::from(expired);
+                !expired
             });
         }
     }
 
-    fn ask(&mut self, now: u64, net: &mut Net, want: Want) {
-        let free = self.conns.iter().find(|(_, c)| c.open.len() < OPEN_MOST).map(|(id, _)| *id);
-        let tally = &mut self.tallies[want.phase][want.source];
+    fn send_request(&mut self, now: u64, net: &mut Net, request: PlannedRequest) {
+        let free =
+            self.conns.iter().find(|(_, c)| c.open.len() < MAX_CALLS_PER_CONNECTION).map(|(id, _)| *id);
+        let tally = &mut self.tallies[request.phase][request.source];
         tally.asked += 1;
-        tally.returned += u64::from(want.told == Some(true));
+        tally.returned += u64::from(request.return_reserved == Some(true));
         let conn = match free {
             Some(conn) => conn,
-            None if self.conns.len() < CONNS_MOST => match net.connect(self.to, Owner::Msgpack) {
+            None if self.conns.len() < MAX_CONNECTIONS => match net.connect(self.to, Owner::Msgpack) {
                 Ok(conn) => {
                     self.conns.insert(conn, Conn { next: 1, ..Conn::default() });
                     conn
@@ -312,42 +331,42 @@
             None => return tally.unanswered += 1,
         };
         let (class, source) =
-            (&self.classes[want.class], &self.sources[want.source.min(self.sources.len() - 1)]);
-        self.serial += 1;
-        let holds = if class.load { format!(" holds={}", want.set) } else { String::new() };
+            (&self.classes[request.class], &self.sources[request.source.min(self.sources.len() - 1)]);
+        self.sequence += 1;
+        let holds = if class.load { format!(" holds={}", request.data_set) } else { String::new() };
         let statement = format!(
             "select a, b, c from sales_{}.orders /* work={:.3} threads={:.0} router={}{holds} */",
-            want.set, want.work_ms, class.threads, self.router
+            request.data_set, request.work_ms, class.threads, self.router
         );
-        // Ids are unique over the clients of all routers.
-        let serial = (self.router as u64) << 40 | self.serial;
-        let rid = format!("{:016x}", serial.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        // IDs are unique over the clients of all routers.
+        let sequence = (self.router as u64) << 40 | self.sequence;
+        let rid = format!("{:016x}", sequence.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let fields = [
             ("rid", rid),
             ("budget", format!("{:.0}", class.deadline_ms)),
             ("acct", source.tenant.to_owned()),
-            ("est", format!("{:.2}", want.says_ms)),
-            ("who", format!("{}-{}", source.tenant, want.client)),
+            ("est", format!("{:.2}", request.estimate_ms)),
+            ("who", format!("{}-{}", source.tenant, request.client)),
         ];
         let fields = fields.into_iter().map(|(k, v)| (Value::from(k), Value::from(v))).collect();
-        let Some(line) = self.conns.get_mut(&conn) else { return };
-        let id = line.next;
-        line.next += 1;
-        let until_ns = now + (class.deadline_ms * MS) as u64 + 50_000_000;
+        let Some(connection) = self.conns.get_mut(&conn) else { return };
+        let id = connection.next;
+        connection.next += 1;
+        let deadline_ns = now + (class.deadline_ms * MS) as u64 + 50_000_000;
         let message = Value::Array(vec![
             0.into(),
             id.into(),
             class.name.into(),
             Value::Array(vec![Value::Map(fields), Value::Binary(statement.into_bytes())]),
         ]);
-        line.open.insert(id, Call { want, asked_ns: now, until_ns });
+        connection.open.insert(id, PendingCall { request, sent_ns: now, deadline_ns });
         let mut bytes = Vec::new();
-        // Writing to a vector can't fail.
+        // Writing to a vector cannot fail.
         let _ = rmpv::encode::write_value(&mut bytes, &message);
         net.send(conn, &bytes);
     }
 
-    /// Takes what has come in on one of its connections.
+    /// Processes the input of a connection.
     pub fn ready(&mut self, now: u64, net: &mut Net, conn: u64) {
         let ended = net.service(conn).ended.is_some();
         loop {
@@ -356,17 +375,17 @@
             let Ok(value) = read_value(&mut rest) else { break };
             let size = input.len() - rest.len();
             net.consume(conn, size);
-            self.answer(now, conn, &value);
+            self.handle_answer(now, conn, &value);
         }
         if ended {
             net.close(conn);
             for (_, call) in self.conns.remove(&conn).into_iter().flat_map(|c| c.open) {
-                self.tallies[call.want.phase][call.want.source].unanswered += 1;
+                self.tallies[call.request.phase][call.request.source].unanswered += 1;
             }
         }
     }
 
-    fn answer(&mut self, now: u64, conn: u64, value: &Value) {
+    fn handle_answer(&mut self, now: u64, conn: u64, value: &Value) {
         let Some(parts) = value.as_array().filter(|p| p.len() == 4) else { return };
         let id = parts[1].as_u64().unwrap_or(0) as u32;
         let Some(call) = self.conns.get_mut(&conn).and_then(|c| c.open.remove(&id)) else {
@@ -376,23 +395,24 @@
             return;
         };
         self.first_answer_ns.get_or_insert(now);
-        let want = call.want;
-        let class = &self.classes[want.class];
-        let took_ms = (now - call.asked_ns) as f64 / MS;
-        let tally = &mut self.tallies[want.phase][want.source];
+        let request = call.request;
+        let class = &self.classes[request.class];
+        let took_ms = (now - call.sent_ns) as f64 / MS;
+        let tally = &mut self.tallies[request.phase][request.source];
         if parts[2].is_nil() {
-            let wanted = class.aim_ms + class.stretch * want.work_ms / class.threads;
-            let in_time = took_ms <= wanted;
+            let target_ms =
+                class.target_latency_ms + class.target_latency_stretch * request.work_ms / class.threads;
+            let in_time = took_ms <= target_ms;
             tally.served += 1;
             tally.in_time += u64::from(in_time);
-            tally.worth += class.worth * if in_time { 1.0 } else { class.late };
-            tally.returned_served += u64::from(want.told == Some(true));
-            // Within its bounds by the class's deadline.
+            tally.worth += class.worth * if in_time { 1.0 } else { class.late_worth };
+            tally.returned_served += u64::from(request.return_reserved == Some(true));
+            // The deadline of the class keeps the latency within the histogram's bounds.
             let _ = tally.latencies.record(took_ms.ceil() as u64);
             return;
         }
-        let word = parts[2].as_array().and_then(|e| e.first()).and_then(Value::as_str);
-        if word != Some("Backoff") {
+        let error = parts[2].as_array().and_then(|e| e.first()).and_then(Value::as_str);
+        if error != Some("Backoff") {
             tally.failed += 1;
             return;
         }
@@ -400,16 +420,16 @@
         let fields = parts[2].as_array().and_then(|e| e.get(1)).and_then(Value::as_map);
         let backoff = fields.and_then(|f| f.iter().find(|(k, _)| k.as_str() == Some("backoff")));
         let ms: u64 = backoff.and_then(|(_, v)| v.as_str()?.parse().ok()).unwrap_or(100);
-        // A request returns once at most, as soon as it was told to.
-        let promised = ms < self.longest_ms;
-        if want.told.is_none() && (promised || self.rng.gen::<f64>() < self.returning) {
-            self.serial += 1;
-            let key = (now + ms * 1_000_000, self.serial);
-            self.returns.insert(key, Want { told: Some(promised), ..want });
+        // A request returns at most once, at the end of its backoff.
+        let reserved = ms < self.max_retry_after_ms;
+        if request.return_reserved.is_none() && (reserved || self.rng.gen::<f64>() < self.return_share) {
+            self.sequence += 1;
+            let key = (now + ms * 1_000_000, self.sequence);
+            self.returns.insert(key, PlannedRequest { return_reserved: Some(reserved), ..request });
         }
     }
 
-    /// Fills in the percentiles.
+    /// Computes the latency percentiles.
     pub fn finish(&mut self) {
         for tally in self.tallies.iter_mut().flatten() {
             tally.p50_ms = tally.latencies.value_at_quantile(0.5) as f64;
