--- a/crates/testkit/src/schedule.rs
+++ b/crates/testkit/src/schedule.rs
@@ -1,60 +1,62 @@
-//! What breaks, and when: a small text file, the same on each run of a seed. Pure.
+//! Schedules of faults, read from a text file. The same seed selects the same routers.
 //!
-//! One event a line: a time since the start, then what happens. `#` begins a remark. Whom an event of routers is for is said by
-//! a number, by a share such as `50%`, which the seed draws, or by `all`.
+//! Each line holds a time since the start and an event; `#` starts a comment. Routers are selected
+//! by index, by a random share such as `50%`, or by `all`.
 //!
 //! ```text
-//! 5s    list away          # or: well, silent, garbage, half, busy AFTER, closes TIME
-//! 5s    list takes 10      # calls a second
-//! 7s    list anew          # its numbers begin at 1
+//! 5s    list away          # or: well, silent, garbage, half, busy RETRY_AFTER, closes TIME
+//! 5s    list takes 10      # calls per second
+//! 7s    list anew          # restarts the list service, with event numbers from 1
 //! 8s    streams close
 //! 9s    kill 50%
-//! 9.1s  start              # all that are not there
-//! 12s   freeze 3
-//! 15s   wake               # all that stand still
-//! 16s   cut 50%            # from the list service
+//! 9.1s  start              # all routers that do not run
+//! 12s   freeze 3           # SIGSTOP
+//! 15s   wake               # SIGCONT for all paused routers
+//! 16s   cut 50%            # partitions routers from the list service
 //! 19s   mend
-//! 20s   drain 1            # an engine, by its number
-//! 21s   lose 2
-//! 22s   link 3 slow 300ms  # to an engine: or cut, cut-there, cut-back, trickle BYTES, reset, mend
+//! 20s   drain 1            # an engine, by index
+//! 21s   lose 2             # crashes an engine without a notification
+//! 22s   link 3 slow 300ms  # or: cut, cut-there, cut-back, trickle BYTES, reset, mend
 //! ```
 
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 
 use crate::link::Shape;
-use crate::list::Manner;
+use crate::list::Behavior;
 
-/// Which routers.
+/// Routers that an event applies to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Whom {
-    /// All of them.
+pub enum RouterSelector {
+    /// All routers.
     All,
-    /// One, by its number.
+    /// One router, by index.
     One(usize),
-    /// So large a share of them, drawn (share).
+    /// A random share of the routers.
     Share(f64),
 }
 
-impl Whom {
-    fn read(word: &str) -> Option<Whom> {
+impl RouterSelector {
+    fn parse(word: &str) -> Option<RouterSelector> {
         if word == "all" {
-            return Some(Whom::All);
+            return Some(RouterSelector::All);
         }
         match word.strip_suffix('%') {
-            Some(part) => {
-                part.parse().ok().filter(|p| (0.0..=100.0).contains(p)).map(|p: f64| Whom::Share(p / 100.0))
-            }
-            None => word.parse().ok().map(Whom::One),
+            Some(part) => part
+                .parse()
+                .ok()
+                .filter(|p| (0.0..=100.0).contains(p))
+                .map(|p: f64| RouterSelector::Share(p / 100.0)),
+            None => word.parse().ok().map(RouterSelector::One),
         }
     }
 
-    /// Their numbers, of `count`.
-    pub fn of(self, count: usize, draws: &mut StdRng) -> Vec<usize> {
+    /// Indices of the selected routers, out of `count`.
+    pub fn select(self, count: usize, draws: &mut StdRng) -> Vec<usize> {
         match self {
-            Whom::All => (0..count).collect(),
-            Whom::One(at) => (0..count).filter(|i| *i == at).collect(),
-            Whom::Share(share) => {
+            RouterSelector::All => (0..count).collect(),
+            RouterSelector::One(at) => (0..count).filter(|i| *i == at).collect(),
+            RouterSelector::Share(share) => {
                 let mut all: Vec<usize> = (0..count).collect();
                 all.shuffle(draws);
                 all.truncate((count as f64 * share).round() as usize);
@@ -65,51 +67,51 @@
     }
 }
 
-/// Something that breaks, or is mended.
+/// A fault, or its end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// The list service behaves so from here on.
-    List(Manner),
-    /// It takes so many calls a second.
-    Capacity(f64),
-    /// It starts anew, with numbers from 1.
-    Anew,
-    /// It closes all streams.
-    Close,
-    /// Routers are killed.
-    Kill(Whom),
-    /// Those that are not there are started.
+    /// Sets the behavior of the list service.
+    ListBehavior(Behavior),
+    /// Sets the calls per second that the list service accepts.
+    ListCapacity(f64),
+    /// Restarts the list service, with event numbers from 1.
+    RestartList,
+    /// Closes all streams of the list service.
+    CloseStreams,
+    /// Kills routers.
+    Kill(RouterSelector),
+    /// Starts all routers that do not run.
     Start,
-    /// Routers stand still.
-    Freeze(Whom),
-    /// Those that stand still go on.
-    Wake,
-    /// Routers are cut off from the list service.
-    Cut(Whom),
-    /// Their links are mended.
-    Mend,
-    /// An engine drains.
+    /// Pauses routers with SIGSTOP.
+    Pause(RouterSelector),
+    /// Resumes all paused routers.
+    Resume,
+    /// Partitions routers from the list service.
+    Partition(RouterSelector),
+    /// Ends all partitions from the list service.
+    HealPartitions,
+    /// Drains an engine.
     Drain(usize),
-    /// An engine is gone, and nobody is told.
-    Lose(usize),
-    /// What passes to an engine, and back, is shaped so.
-    Link(usize, Shape, Shape),
-    /// All connections to an engine are reset.
-    Reset(usize),
+    /// Crashes an engine without a notification.
+    CrashEngine(usize),
+    /// Shapes the link to an engine, in the direction to it and back.
+    ShapeLink(usize, Shape, Shape),
+    /// Resets all connections of the link to an engine.
+    ResetLink(usize),
 }
 
-/// A fault and its time.
+/// A fault at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// When, since the start (ns).
+    /// Time since the start (ns).
     pub at_ns: u64,
-    /// What.
+    /// The fault.
     pub fault: Fault,
-    /// Its text.
+    /// Text of the event.
     pub text: String,
 }
 
-fn time(word: &str) -> Option<u64> {
+fn parse_time(word: &str) -> Option<u64> {
     let (number, unit) = match word.strip_suffix("ms") {
         Some(number) => (number, 1e6),
         None => (word.strip_suffix('s')?, 1e9),
@@ -117,64 +119,64 @@
     number.parse::<f64>().ok().filter(|n| n.is_finite() && *n >= 0.0).map(|n| (n * unit) as u64)
 }
 
-fn fault(words: &[&str]) -> Option<Fault> {
+fn parse_fault(words: &[&str]) -> Option<Fault> {
     Some(match words {
-        ["list", "well"] => Fault::List(Manner::Well),
-        ["list", "away"] => Fault::List(Manner::Away),
-        ["list", "silent"] => Fault::List(Manner::Silent),
-        ["list", "garbage"] => Fault::List(Manner::Garbage),
-        ["list", "half"] => Fault::List(Manner::Half),
-        ["list", "busy", after @ ..] => Fault::List(Manner::TurnsAway(after.join(" "))),
-        ["list", "closes", after] => Fault::List(Manner::ClosesAfter(time(after)?)),
-        ["list", "takes", calls] => Fault::Capacity(calls.parse().ok().filter(|c: &f64| *c > 0.0)?),
-        ["list", "anew"] => Fault::Anew,
-        ["streams", "close"] => Fault::Close,
-        ["kill", whom] => Fault::Kill(Whom::read(whom)?),
+        ["list", "well"] => Fault::ListBehavior(Behavior::Normal),
+        ["list", "away"] => Fault::ListBehavior(Behavior::Unavailable),
+        ["list", "silent"] => Fault::ListBehavior(Behavior::NoResponse),
+        ["list", "garbage"] => Fault::ListBehavior(Behavior::InvalidResponse),
+        ["list", "half"] => Fault::ListBehavior(Behavior::TruncatedResponse),
+        ["list", "busy", after @ ..] => Fault::ListBehavior(Behavior::Rejecting(after.join(" "))),
+        ["list", "closes", after] => Fault::ListBehavior(Behavior::ClosesAfter(parse_time(after)?)),
+        ["list", "takes", calls] => Fault::ListCapacity(calls.parse().ok().filter(|c: &f64| *c > 0.0)?),
+        ["list", "anew"] => Fault::RestartList,
+        ["streams", "close"] => Fault::CloseStreams,
+        ["kill", selector] => Fault::Kill(RouterSelector::parse(selector)?),
         ["start"] => Fault::Start,
-        ["freeze", whom] => Fault::Freeze(Whom::read(whom)?),
-        ["wake"] => Fault::Wake,
-        ["cut", whom] => Fault::Cut(Whom::read(whom)?),
-        ["mend"] => Fault::Mend,
+        ["freeze", selector] => Fault::Pause(RouterSelector::parse(selector)?),
+        ["wake"] => Fault::Resume,
+        ["cut", selector] => Fault::Partition(RouterSelector::parse(selector)?),
+        ["mend"] => Fault::HealPartitions,
         ["drain", engine] => Fault::Drain(engine.parse().ok()?),
-        ["link", engine, "reset"] => Fault::Reset(engine.parse().ok()?),
+        ["link", engine, "reset"] => Fault::ResetLink(engine.parse().ok()?),
         ["link", engine, how @ ..] => {
-            let well = Shape::default();
-            let cut = Shape { cut: true, ..well };
-            let (there, back) = match how {
-                ["cut"] => (cut, cut),
-                ["cut-there"] => (cut, well),
-                ["cut-back"] => (well, cut),
-                ["mend"] => (well, well),
+            let healthy = Shape::default();
+            let partitioned = Shape { partitioned: true, ..healthy };
+            let (to_engine, from_engine) = match how {
+                ["cut"] => (partitioned, partitioned),
+                ["cut-there"] => (partitioned, healthy),
+                ["cut-back"] => (healthy, partitioned),
+                ["mend"] => (healthy, healthy),
                 ["slow", by] => {
-                    let slow = Shape { delay_ns: time(by)?, ..well };
+                    let slow = Shape { delay_ns: parse_time(by)?, ..healthy };
                     (slow, slow)
                 }
                 ["trickle", bytes] => {
-                    let trickle = Some(bytes.parse().ok().filter(|b| *b > 0)?);
-                    (Shape { trickle, ..well }, Shape { trickle, ..well })
+                    let bytes_per_s = Some(bytes.parse().ok().filter(|b| *b > 0)?);
+                    (Shape { bytes_per_s, ..healthy }, Shape { bytes_per_s, ..healthy })
                 }
                 _ => return None,
             };
-            Fault::Link(engine.parse().ok()?, there, back)
+            Fault::ShapeLink(engine.parse().ok()?, to_engine, from_engine)
         }
-        ["lose", engine] => Fault::Lose(engine.parse().ok()?),
+        ["lose", engine] => Fault::CrashEngine(engine.parse().ok()?),
         _ => return None,
     })
 }
 
-/// Reads a schedule's text: its events by time, those of one moment as they stand.
+/// Parses a schedule. Events are sorted by time; those of the same time stay in order.
 ///
 /// # Errors
-/// Names the first line that can't be read.
+/// Names the first invalid line.
 pub fn read(text: &str) -> Result<Vec<Event>, String> {
     let mut events = Vec::new();
     for (number, line) in text.lines().enumerate() {
         let line = line.split('#').next().unwrap_or_default().trim();
         let words: Vec<&str> = line.split_whitespace().collect();
         let Some((at, what)) = words.split_first() else { continue };
-        let event = time(at)
-            .zip(fault(what))
-            .ok_or_else(|| format!("line {}: {line:?} says nothing that can happen", number + 1));
+        let event = parse_time(at)
+            .zip(parse_fault(what))
+            .ok_or_else(|| format!("line {}: {line:?} is not a valid event", number + 1));
         let (at_ns, fault) = event?;
         events.push(Event { at_ns, fault, text: what.join(" ") });
     }
--- a/tests/fleet_cells.rs
+++ b/tests/fleet_cells.rs
@@ -11,7 +11,7 @@
 use marljunction_discovery::engine_id;
 use marljunction_testkit::fleet::{Fleet, Setup};
 use marljunction_testkit::link::Shape;
-use marljunction_testkit::list::Manner;
+use marljunction_testkit::list::Behavior;
 
 const RELAYS: usize = 2;
 const ROUTERS: usize = 4;
@@ -24,10 +24,10 @@
 
 fn setup(name: &str) -> Setup {
     Setup {
-        operator: Some("start: { budget: 40, longest: 1s, keep: \"{own}\" }\n".into()),
+        operator: Some("start: { budget: 40, longest: 1s, keep: \"{router_file}\" }\n".into()),
         fleet: Some("limits: {}".into()),
         engines: ENGINES,
-        known: false,
+        initial_list: false,
         capacity: 40.0,
         rate: 4.0,
         ..Setup::new(Path::new(env!("CARGO_BIN_EXE_marljunction")), name, RELAYS + ROUTERS)
@@ -80,7 +80,7 @@
 fn fleet(name: &str) -> Fleet {
     let mut fleet = Fleet::new(setup(name)).unwrap();
     let relays: Vec<String> =
-        fleet.between[..RELAYS].iter().map(|link| format!("{:?}", link.address.to_string())).collect();
+        fleet.peer_links[..RELAYS].iter().map(|link| format!("{:?}", link.address.to_string())).collect();
     for at in 0..RELAYS + ROUTERS {
         let text =
             if at < RELAYS { "limits: {}, list: { relay: true }".into() } else { cell_settings(&relays) };
@@ -125,16 +125,16 @@
     let mut fleet = fleet(name);
     fleet.start_all().unwrap();
     wait_for_parts(&mut fleet, &[], TIMEOUT);
-    fleet.ask();
+    fleet.start_clients();
     fleet
 }
 
 fn set_loss(fleet: &mut Fleet, loss: f64) {
     for to in 0..RELAYS + ROUTERS {
-        fleet.shape_between(
+        fleet.shape_peer_link(
             None,
             to,
-            Shape { loss, double: loss / 2.0, jitter_ns: 20_000_000, ..Shape::default() },
+            Shape { loss, duplication: loss / 2.0, jitter_ns: 20_000_000, ..Shape::default() },
         );
     }
 }
@@ -177,7 +177,7 @@
     assert!(served > 0.0, "no request was served");
     // Cell routers do not call the list service.
     assert!(fleet.list.calls.iter().all(|call| call.router < RELAYS), "{:?}", fleet.list.calls);
-    fleet.end_well(TIMEOUT).unwrap();
+    fleet.stop_and_verify(TIMEOUT).unwrap();
 }
 
 #[test]
@@ -190,7 +190,7 @@
         wait_for_parts(&mut fleet, &drained, max_update_delay(Fault::Loss));
     }
     set_loss(&mut fleet, 0.0);
-    fleet.end_well(TIMEOUT).unwrap();
+    fleet.stop_and_verify(TIMEOUT).unwrap();
 }
 
 #[test]
@@ -205,7 +205,7 @@
     wait_for_parts(&mut fleet, &drained, max_update_delay(Fault::RelayReplaced));
     // Kill the other relay, so that all routers depend on the restarted one.
     assert!(
-        fleet.run_until(TIMEOUT, |fleet| fleet.live() == RELAYS).unwrap(),
+        fleet.run_until(TIMEOUT, |fleet| fleet.connected() == RELAYS).unwrap(),
         "the restarted relay has no stream"
     );
     fleet.kill(1 - relay);
@@ -215,45 +215,45 @@
         &drained,
         max_update_delay(Fault::RelayStopped) + max_update_delay(Fault::RelayReplaced),
     );
-    fleet.end_well(TIMEOUT).unwrap();
+    fleet.stop_and_verify(TIMEOUT).unwrap();
 }
 
 #[test]
 fn a_resumed_relay_does_not_revert_its_routers() {
     let mut fleet = started_fleet("cells-freeze");
     let relay = busiest_relay(&mut fleet);
-    fleet.freeze(relay, true);
+    fleet.set_paused(relay, true);
     let drained = drain(&mut fleet, 0);
     wait_for_parts(&mut fleet, &drained, max_update_delay(Fault::RelayStopped));
-    fleet.freeze(relay, false);
+    fleet.set_paused(relay, false);
     let end = fleet.now() + 5_000_000_000;
     while fleet.now() < end {
         wait_for_parts(&mut fleet, &drained, Duration::ZERO);
         fleet.run(Duration::from_millis(20)).unwrap();
     }
-    fleet.end_well(TIMEOUT).unwrap();
+    fleet.stop_and_verify(TIMEOUT).unwrap();
 }
 
 #[test]
 fn relays_supply_a_restarted_router_while_the_list_service_is_down() {
     let mut fleet = started_fleet("cells-away");
-    fleet.set_list(Manner::Away);
+    fleet.set_list_behavior(Behavior::Unavailable);
     fleet.kill(RELAYS);
     fleet.start(RELAYS).unwrap();
     let ready = |fleet: &Fleet| fleet.ready() == RELAYS + ROUTERS;
     assert!(fleet.run_until(TIMEOUT, ready).unwrap(), "the restarted router is not ready");
     wait_for_parts(&mut fleet, &[], TIMEOUT);
-    fleet.set_list(Manner::Well);
+    fleet.set_list_behavior(Behavior::Normal);
     let drained = drain(&mut fleet, 0);
     wait_for_parts(&mut fleet, &drained, max_update_delay(Fault::ServiceUnavailable));
-    fleet.end_well(TIMEOUT).unwrap();
+    fleet.stop_and_verify(TIMEOUT).unwrap();
 }
 
 #[test]
 fn routers_follow_a_list_service_whose_version_restarts() {
     let mut fleet = started_fleet("cells-anew");
     for _ in 0..5 {
-        fleet.tell_again();
+        fleet.republish_list();
     }
     let drained = drain(&mut fleet, 0);
     wait_for_parts(&mut fleet, &drained, max_update_delay(Fault::None));
@@ -261,5 +261,5 @@
     let more = drain(&mut fleet, 1);
     let all: Vec<usize> = drained.into_iter().chain(more).collect();
     wait_for_parts(&mut fleet, &all, max_update_delay(Fault::VersionRestart));
-    fleet.end_well(TIMEOUT).unwrap();
+    fleet.stop_and_verify(TIMEOUT).unwrap();
 }
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -26,7 +26,14 @@
 /// Requests that run for 0.5 s on average and at most 2 s.
 fn class() -> Vec<Class> {
     let usual = classes().swap_remove(0);
-    vec![Class { work_ms: 500.0, spread: 0.4, share: 1.0, aim_ms: 1_500.0, deadline_ms: 2_000.0, ..usual }]
+    vec![Class {
+        work_ms: 500.0,
+        spread: 0.4,
+        share: 1.0,
+        target_latency_ms: 1_500.0,
+        deadline_ms: 2_000.0,
+        ..usual
+    }]
 }
 
 fn setup(name: &str) -> Setup {
@@ -65,12 +72,8 @@
 #[track_caller]
 fn wait_until(fleet: &mut Fleet, limit: Duration, what: &str, condition: impl Fn(&Fleet) -> bool) {
     let reached = fleet.run_until(limit, condition).unwrap();
-    assert!(reached, "not within {limit:?}: {what}; {} running, at most {}", fleet.held(), fleet.held_most);
-    assert!(
-        fleet.held_most <= MAX_CONCURRENT,
-        "{} ran at once, {MAX_CONCURRENT} are allowed",
-        fleet.held_most
-    );
+    assert!(reached, "not within {limit:?}: {what}; {} running, at most {}", fleet.held(), fleet.max_held);
+    assert!(fleet.max_held <= MAX_CONCURRENT, "{} ran at once, {MAX_CONCURRENT} are allowed", fleet.max_held);
 }
 
 /// A fleet whose clients all use router 0, with far more load than its own units allow.
@@ -78,7 +81,7 @@
     let mut fleet = Fleet::new(setup(name)).unwrap();
     fleet.start_all().unwrap();
     wait_until(&mut fleet, TIMEOUT, "all routers are ready", |f| f.ready() == ROUTERS);
-    fleet.ask_at(&[80.0]);
+    fleet.start_clients_at(&[80.0]);
     // Its own two units and those leased from others.
     wait_until(&mut fleet, TIMEOUT, "one router uses the limit", |f| f.held() >= MAX_CONCURRENT - 1);
     fleet
@@ -86,12 +89,8 @@
 
 #[track_caller]
 fn finish(fleet: Fleet) {
-    assert!(
-        fleet.held_most <= MAX_CONCURRENT,
-        "{} ran at once, {MAX_CONCURRENT} are allowed",
-        fleet.held_most
-    );
-    fleet.end_well(TIMEOUT).unwrap();
+    assert!(fleet.max_held <= MAX_CONCURRENT, "{} ran at once, {MAX_CONCURRENT} are allowed", fleet.max_held);
+    fleet.stop_and_verify(TIMEOUT).unwrap();
 }
 
 #[test]
@@ -101,7 +100,7 @@
     // All clients move to another router.
     let mut rates = [0.0; ROUTERS];
     rates[4] = 80.0;
-    fleet.ask_at(&rates);
+    fleet.start_clients_at(&rates);
     let limit = max_idle(Fault::None) + Duration::from_secs(5);
     wait_until(&mut fleet, limit, "another router uses the limit", |f| f.held() >= MAX_CONCURRENT - 1);
     finish(fleet);
@@ -110,17 +109,17 @@
 #[test]
 fn a_partition_leaves_each_half_its_share_within_the_limit() {
     let mut fleet = fleet_with_one_busy_router("halves");
-    fleet.cut_into(&[0, 0, 0, 1, 1, 1]);
+    fleet.partition_into(&[0, 0, 0, 1, 1, 1]);
     // Both halves have load.
-    fleet.ask_at(&[80.0, 0.0, 0.0, 80.0, 0.0, 0.0]);
+    fleet.start_clients_at(&[80.0, 0.0, 0.0, 80.0, 0.0, 0.0]);
     let limit = max_idle(Fault::Partition);
     wait_until(&mut fleet, limit, "both halves use their units", |f| {
-        let open_requests = |router: usize| f.loads[router].open();
+        let open_requests = |router: usize| f.load_generators[router].open();
         open_requests(0) >= 4 && open_requests(3) >= 4 && f.held() >= MAX_CONCURRENT - 2
     });
     fleet.run(Duration::from_secs(3)).unwrap();
-    fleet.cut_into(&[0; ROUTERS]);
-    fleet.ask_at(&[80.0]);
+    fleet.partition_into(&[0; ROUTERS]);
+    fleet.start_clients_at(&[80.0]);
     wait_until(&mut fleet, limit + TIMEOUT, "one router uses the whole limit again", |f| {
         f.held() >= MAX_CONCURRENT - 1
     });
@@ -133,7 +132,7 @@
     fleet.kill(0);
     let mut rates = [0.0; ROUTERS];
     rates[1] = 80.0;
-    fleet.ask_at(&rates);
+    fleet.start_clients_at(&rates);
     wait_until(
         &mut fleet,
         max_idle(Fault::HolderCrashed),
@@ -146,16 +145,16 @@
 #[test]
 fn a_holder_resumed_after_expiry_admits_nothing_on_its_lease() {
     let mut fleet = fleet_with_one_busy_router("holder-frozen");
-    fleet.freeze(0, true);
+    fleet.set_paused(0, true);
     let mut rates = [0.0; ROUTERS];
     rates[2] = 80.0;
-    fleet.ask_at(&rates);
+    fleet.start_clients_at(&rates);
     wait_until(&mut fleet, max_idle(Fault::HolderCrashed), "another router uses the limit", |f| {
         f.held() >= MAX_CONCURRENT - 3
     });
     rates[0] = 80.0;
-    fleet.ask_at(&rates);
-    fleet.freeze(0, false);
+    fleet.start_clients_at(&rates);
+    fleet.set_paused(0, false);
     fleet.run(Duration::from_secs(4)).unwrap();
     finish(fleet);
 }
@@ -168,7 +167,7 @@
         fleet.start(owner).unwrap();
     }
     // The restarted owners need their own units.
-    fleet.ask_at(&[80.0, 20.0, 20.0, 20.0]);
+    fleet.start_clients_at(&[80.0, 20.0, 20.0, 20.0]);
     wait_until(&mut fleet, TIMEOUT, "all routers are ready", |f| f.ready() == ROUTERS);
     fleet.run(Duration::from_secs(6)).unwrap();
     wait_until(&mut fleet, max_idle(Fault::OwnerRestarted), "the limit is used", |f| {
@@ -182,9 +181,11 @@
     let mut fleet = fleet_with_one_busy_router("all-killed");
     (0..ROUTERS).for_each(|router| fleet.kill(router));
     fleet.start_all().unwrap();
-    fleet.ask_at(&[80.0; 2]);
+    fleet.start_clients_at(&[80.0; 2]);
     let limit = max_idle(Fault::AllRestarted);
-    wait_until(&mut fleet, limit, "requests are served again", |f| f.loads[0].first_answer_ns.is_some());
+    wait_until(&mut fleet, limit, "requests are served again", |f| {
+        f.load_generators[0].first_answer_ns.is_some()
+    });
     wait_until(&mut fleet, TIMEOUT, "the limit is used", |f| f.held() >= MAX_CONCURRENT - 1);
     finish(fleet);
 }
@@ -194,17 +195,17 @@
     let mut fleet = fleet_with_one_busy_router("lossy");
     let lossy = Shape {
         loss: 0.3,
-        double: 0.2,
+        duplication: 0.2,
         delay_ns: SECOND_NS / 50,
         jitter_ns: SECOND_NS / 2,
         ..Shape::default()
     };
-    (0..ROUTERS).for_each(|to| fleet.shape_between(None, to, lossy));
-    fleet.ask_at(&[80.0, 0.0, 40.0, 0.0, 20.0, 0.0]);
+    (0..ROUTERS).for_each(|to| fleet.shape_peer_link(None, to, lossy));
+    fleet.start_clients_at(&[80.0, 0.0, 40.0, 0.0, 20.0, 0.0]);
     fleet.run(Duration::from_secs(6)).unwrap();
     // A one-way partition: router 0 receives but cannot send.
     for to in 1..ROUTERS {
-        fleet.shape_between(Some(0), to, Shape { cut: true, ..lossy });
+        fleet.shape_peer_link(Some(0), to, Shape { partitioned: true, ..lossy });
     }
     fleet.run(Duration::from_secs(6)).unwrap();
     finish(fleet);
@@ -217,7 +218,7 @@
     let mut fleet = Fleet::new(Setup { fleet: Some(limits.into()), ..setup("client") }).unwrap();
     fleet.start_all().unwrap();
     wait_until(&mut fleet, TIMEOUT, "all routers are ready", |f| f.ready() == ROUTERS);
-    fleet.ask_at(&[40.0; ROUTERS]);
+    fleet.start_clients_at(&[40.0; ROUTERS]);
     wait_until(&mut fleet, TIMEOUT, "the limit is used", |f| f.held() >= MAX_CONCURRENT - 1);
     // Long enough for each router to lease the others' units of the shared key.
     fleet.run(Duration::from_secs(4)).unwrap();
@@ -228,14 +229,14 @@
 fn a_limit_reduced_on_half_the_fleet_stays_under_the_old_size_until_all_apply_it() {
     let mut fleet = fleet_with_one_busy_router("resized");
     let smaller = LIMITS.replace("at_once: 12", "at_once: 6");
-    let has_applied = |f: &Fleet, router: usize| f.said(router).contains("limit all: changed");
+    let has_applied = |f: &Fleet, router: usize| f.log_text(router).contains("limit all: changed");
     for router in [0, 2, 4] {
         fleet.set_limits(router, &smaller).unwrap();
     }
     wait_until(&mut fleet, TIMEOUT, "half of the routers have applied it", |f| {
         [0, 2, 4].iter().all(|r| has_applied(f, *r))
     });
-    fleet.ask_at(&[60.0; ROUTERS]);
+    fleet.start_clients_at(&[60.0; ROUTERS]);
     fleet.run(Duration::from_secs(4)).unwrap();
     for router in [1, 3, 5] {
         fleet.set_limits(router, &smaller).unwrap();
@@ -253,27 +254,28 @@
         "the old limit of 12 exceeds the new limit of 6 by 100%"
     );
     fleet.run(Duration::from_nanos(resize.overshoot_ns)).unwrap();
-    fleet.held_most = 0;
+    fleet.max_held = 0;
     fleet.run(Duration::from_secs(3)).unwrap();
-    assert!((4..=6).contains(&fleet.held_most), "{} ran at once, 6 are allowed", fleet.held_most);
+    assert!((4..=6).contains(&fleet.max_held), "{} ran at once, 6 are allowed", fleet.max_held);
     finish(fleet);
 }
 
 #[test]
 fn duplicate_router_names_overshoot_by_at_most_one_share_and_are_logged() {
-    let mut fleet = Fleet::new(Setup { doubled: true, ..setup("doubled") }).unwrap();
+    let mut fleet = Fleet::new(Setup { duplicate_identity: true, ..setup("doubled") }).unwrap();
     fleet.start_all().unwrap();
     wait_until(&mut fleet, TIMEOUT, "all routers are ready", |f| f.ready() == ROUTERS);
-    fleet.ask_at(&[40.0; ROUTERS]);
-    let is_logged =
-        |f: &Fleet| [0, ROUTERS - 1].iter().any(|r| f.said(*r).contains("another router has the same name"));
+    fleet.start_clients_at(&[40.0; ROUTERS]);
+    let is_logged = |f: &Fleet| {
+        [0, ROUTERS - 1].iter().any(|r| f.log_text(*r).contains("another router has the same name"))
+    };
     assert!(fleet.run_until(TIMEOUT, is_logged).unwrap(), "neither router logged the duplicate name");
     // No router has the last number, so any lease it might hold must expire before its units are
     // used.
     assert!(
         fleet.run_until(TIMEOUT, |f| f.held() >= MAX_CONCURRENT - 3).unwrap(),
         "{} running at most",
-        fleet.held_most
+        fleet.max_held
     );
     fleet.run(Duration::from_secs(4)).unwrap();
     let fleet_config = fleet_config();
@@ -283,15 +285,15 @@
         Fault::DuplicateNumber,
     );
     let max_allowed = MAX_CONCURRENT + (limit_bound.max_overshoot * MAX_CONCURRENT as f64).round() as usize;
-    assert!(fleet.held_most <= max_allowed, "{} ran at once, {max_allowed} are allowed", fleet.held_most);
-    fleet.held_most = 0;
+    assert!(fleet.max_held <= max_allowed, "{} ran at once, {max_allowed} are allowed", fleet.max_held);
+    fleet.max_held = 0;
     finish(fleet);
 }
 
 #[test]
 fn a_router_reports_its_peers_and_limits() {
     let mut fleet = fleet_with_one_busy_router("asked");
-    let status = fleet.ask_fleet(0).unwrap();
+    let status = fleet.fleet_status(0).unwrap();
     for line in ["router 0 of 6", "peer r5 number 5", "limit all", "owned 2", "passed over: size 0"] {
         assert!(status.contains(line), "{line:?} is not in\n{status}");
     }
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -9,7 +9,7 @@
 use marljunction_pacing::PacingParams;
 use marljunction_testkit::audit::calls_within;
 use marljunction_testkit::fleet::{Fleet, Setup, MEMORY_MB};
-use marljunction_testkit::list::Manner;
+use marljunction_testkit::list::Behavior;
 use rand::SeedableRng;
 
 const ROUTERS: usize = 8;
@@ -37,13 +37,13 @@
 }
 
 fn all_connected(fleet: &Fleet) -> bool {
-    fleet.live() == ROUTERS
+    fleet.connected() == ROUTERS
 }
 
 /// A started fleet, under client load, whose routers all have their list streams.
 fn started_fleet(setup: Setup) -> Fleet {
     let mut fleet = Fleet::new(setup).unwrap();
-    fleet.ask();
+    fleet.start_clients();
     fleet.start_all().unwrap();
     wait_until(&mut fleet, "all routers have their streams", all_connected);
     fleet
@@ -62,7 +62,7 @@
 #[track_caller]
 fn assert_disconnects_within_bound(fleet: &Fleet) {
     let bound = pacing_params().max_reconnect_ns(SILENT_NS) + SCHEDULING_SLACK_NS;
-    let longest_disconnect = fleet.routers.iter().map(|r| r.blind_ns).max().unwrap();
+    let longest_disconnect = fleet.routers.iter().map(|r| r.longest_disconnect_ns).max().unwrap();
     assert!(longest_disconnect <= bound, "{longest_disconnect} ns without a stream, {bound} at most");
 }
 
@@ -82,7 +82,7 @@
 #[track_caller]
 fn assert_reconnects_are_spread(fleet: &mut Fleet) {
     let from = fleet.now();
-    fleet.drop_streams();
+    fleet.close_list_streams();
     wait_until(fleet, "all have their streams", all_connected);
     let (calls, _) = calls_within(&fleet.list.calls, from, fleet.now(), SECOND_NS);
     assert_eq!(calls, ROUTERS, "one call each");
@@ -94,23 +94,23 @@
 /// Stops the fleet and runs the checks that hold for every test.
 #[track_caller]
 fn finish(fleet: Fleet) {
-    assert_eq!(fleet.end_well(TIMEOUT).unwrap().len(), ROUTERS);
+    assert_eq!(fleet.stop_and_verify(TIMEOUT).unwrap().len(), ROUTERS);
 }
 
 #[test]
 fn routers_start_from_configured_engines_when_the_list_service_is_down() {
     let mut fleet = Fleet::new(setup("away-at-start")).unwrap();
-    fleet.set_list(Manner::Away);
-    fleet.ask();
+    fleet.set_list_behavior(Behavior::Unavailable);
+    fleet.start_clients();
     let from = fleet.now();
     fleet.start_all().unwrap();
     wait_until(&mut fleet, "all routers serve", |f| {
-        f.loads.iter().all(|load| load.first_answer_ns.is_some())
+        f.load_generators.iter().all(|load| load.first_answer_ns.is_some())
     });
     run(&mut fleet, 2_000);
-    assert_eq!(fleet.live(), 0);
+    assert_eq!(fleet.connected(), 0);
     assert_calls_within_bound(&fleet, from);
-    fleet.set_list(Manner::Well);
+    fleet.set_list_behavior(Behavior::Normal);
     wait_until(&mut fleet, "all have their streams", all_connected);
     assert_disconnects_within_bound(&fleet);
     finish(fleet);
@@ -120,12 +120,12 @@
 fn list_calls_stay_bounded_during_an_outage_and_a_recovery_at_a_tenth_of_capacity() {
     let mut fleet = started_fleet(setup("away-and-back"));
     let from = fleet.now();
-    fleet.set_list(Manner::Away);
+    fleet.set_list_behavior(Behavior::Unavailable);
     run(&mut fleet, 4_000);
     assert_calls_within_bound(&fleet, from);
     fleet.list.set_capacity(4.0);
     let back = fleet.now();
-    fleet.set_list(Manner::Well);
+    fleet.set_list_behavior(Behavior::Normal);
     wait_until(&mut fleet, "all have their streams", all_connected);
     let (calls, _) = calls_within(&fleet.list.calls, back, fleet.now(), SECOND_NS);
     assert!(calls <= 4 * ROUTERS, "{calls} calls for {ROUTERS} streams");
@@ -135,14 +135,14 @@
 #[test]
 fn list_calls_stay_bounded_when_responses_are_missing_or_invalid() {
     let mut fleet = started_fleet(setup("nonsense"));
-    for behavior in [Manner::Silent, Manner::Garbage, Manner::Half] {
-        fleet.drop_streams();
+    for behavior in [Behavior::NoResponse, Behavior::InvalidResponse, Behavior::TruncatedResponse] {
+        fleet.close_list_streams();
         let from = fleet.now();
-        fleet.set_list(behavior);
+        fleet.set_list_behavior(behavior);
         run(&mut fleet, 2_500);
-        assert_eq!(fleet.live(), 0);
+        assert_eq!(fleet.connected(), 0);
         assert_calls_within_bound(&fleet, from);
-        fleet.set_list(Manner::Well);
+        fleet.set_list_behavior(Behavior::Normal);
         wait_until(&mut fleet, "all have their streams", all_connected);
     }
     assert_disconnects_within_bound(&fleet);
@@ -156,9 +156,9 @@
     let date = httpdate::fmt_http_date(std::time::SystemTime::now() + Duration::from_secs(3_600));
     for (retry_after, min_ms) in [("0", 100), ("1", 950), ("86400", 950), ("soon", 100), (date.as_str(), 950)]
     {
-        fleet.drop_streams();
+        fleet.close_list_streams();
         let from = fleet.now();
-        fleet.set_list(Manner::TurnsAway(retry_after.into()));
+        fleet.set_list_behavior(Behavior::Rejecting(retry_after.into()));
         run(&mut fleet, 2_200);
         for router in 0..ROUTERS {
             let of_router: Vec<u64> =
@@ -168,7 +168,7 @@
             assert!(!waits.is_empty(), "{retry_after}: router {router} did not call again");
             assert!(waits.iter().all(|ms| *ms + 25 >= min_ms), "{retry_after}: waits of {waits:?} ms");
         }
-        fleet.set_list(Manner::Well);
+        fleet.set_list_behavior(Behavior::Normal);
         wait_until(&mut fleet, "all have their streams", all_connected);
     }
     assert_disconnects_within_bound(&fleet);
@@ -179,14 +179,14 @@
 fn closed_streams_back_off_and_reconnect_spread_out() {
     let mut fleet = started_fleet(setup("closed"));
     let from = fleet.now();
-    fleet.set_list(Manner::ClosesAfter(SECOND_NS));
+    fleet.set_list_behavior(Behavior::ClosesAfter(SECOND_NS));
     run(&mut fleet, 6_000);
     // Each stream lasts a second and the waits grow, so there is less than one call per second.
     for router in 0..ROUTERS {
         let calls = fleet.list.calls.iter().filter(|c| c.router == router && c.at_ns >= from).count();
         assert!((1..=5).contains(&calls), "router {router} made {calls} calls");
     }
-    fleet.set_list(Manner::Well);
+    fleet.set_list_behavior(Behavior::Normal);
     wait_until(&mut fleet, "all have their streams", all_connected);
     run(&mut fleet, 1_000);
     assert_reconnects_are_spread(&mut fleet);
@@ -197,7 +197,7 @@
 fn routers_follow_a_list_service_that_restarts_its_event_numbers() {
     let mut fleet = started_fleet(setup("numbers"));
     // Move the event numbers well past those of the restarted service.
-    (0..5).for_each(|_| fleet.tell_again());
+    (0..5).for_each(|_| fleet.republish_list());
     fleet.drain(1);
     run(&mut fleet, 300);
     fleet.restart_list();
@@ -206,7 +206,7 @@
     run(&mut fleet, 1_500);
     for router in 0..ROUTERS {
         assert!(
-            fleet.said(router).contains("restarted its event numbering"),
+            fleet.log_text(router).contains("restarted its event numbering"),
             "router {router} did not follow the new numbers"
         );
     }
@@ -218,14 +218,14 @@
 #[test]
 fn a_drain_reaches_partitioned_routers_once_links_heal() {
     let mut fleet = started_fleet(setup("cut"));
-    (0..ROUTERS / 2).for_each(|router| fleet.cut(router, true));
+    (0..ROUTERS / 2).for_each(|router| fleet.set_partitioned(router, true));
     run(&mut fleet, 500);
     fleet.drain(0);
     // Long enough for the partitioned routers to detect it and to retry.
     run(&mut fleet, 3_000);
-    (0..ROUTERS / 2).for_each(|router| fleet.cut(router, false));
+    (0..ROUTERS / 2).for_each(|router| fleet.set_partitioned(router, false));
     wait_until(&mut fleet, "all routers received the drain", |f| {
-        (0..ROUTERS).all(|router| f.list.told.contains_key(&(router, "e0".to_owned())))
+        (0..ROUTERS).all(|router| f.list.notified_ns.contains_key(&(router, "e0".to_owned())))
     });
     run(&mut fleet, 1_500);
     assert_disconnects_within_bound(&fleet);
@@ -235,11 +235,11 @@
 #[test]
 fn a_drain_during_reconnection_is_honored_by_all_routers() {
     let mut fleet = started_fleet(setup("drain-waiting"));
-    fleet.drop_streams();
-    wait_until(&mut fleet, "half of the routers have their streams", |f| f.live() >= ROUTERS / 2);
+    fleet.close_list_streams();
+    wait_until(&mut fleet, "half of the routers have their streams", |f| f.connected() >= ROUTERS / 2);
     fleet.drain(2);
     wait_until(&mut fleet, "all routers received the drain", |f| {
-        (0..ROUTERS).all(|router| f.list.told.contains_key(&(router, "e2".to_owned())))
+        (0..ROUTERS).all(|router| f.list.notified_ns.contains_key(&(router, "e2".to_owned())))
     });
     run(&mut fleet, 1_500);
     assert_disconnects_within_bound(&fleet);
@@ -251,14 +251,14 @@
     let mut fleet = started_fleet(setup("killed"));
     for _ in 0..2 {
         (0..ROUTERS).for_each(|router| fleet.kill(router));
-        wait_until(&mut fleet, "the service has noticed the disconnects", |f| f.live() == 0);
+        wait_until(&mut fleet, "the service has noticed the disconnects", |f| f.connected() == 0);
         let from = fleet.now();
         fleet.start_all().unwrap();
         wait_until(&mut fleet, "all have their streams", all_connected);
         let (calls, _) = calls_within(&fleet.list.calls, from, fleet.now(), SECOND_NS);
         assert_eq!(calls, ROUTERS);
         wait_until(&mut fleet, "all routers serve", |f| {
-            f.loads.iter().all(|load| load.first_answer_ns.is_some())
+            f.load_generators.iter().all(|load| load.first_answer_ns.is_some())
         });
     }
     assert_disconnects_within_bound(&fleet);
@@ -268,15 +268,15 @@
 #[test]
 fn a_resumed_router_makes_one_list_call() {
     let mut fleet = started_fleet(setup("frozen"));
-    fleet.set_list(Manner::Away);
+    fleet.set_list_behavior(Behavior::Unavailable);
     wait_until(&mut fleet, "the router has made failed calls", |f| {
         f.list.calls.iter().filter(|c| c.router == 3).count() >= 3
     });
-    fleet.freeze(3, true);
+    fleet.set_paused(3, true);
     run(&mut fleet, 5_000);
-    fleet.set_list(Manner::Well);
+    fleet.set_list_behavior(Behavior::Normal);
     let resumed_ns = fleet.now();
-    fleet.freeze(3, false);
+    fleet.set_paused(3, false);
     wait_until(&mut fleet, "all have their streams", all_connected);
     run(&mut fleet, 1_000);
     let calls = fleet.list.calls.iter().filter(|c| c.router == 3 && c.at_ns >= resumed_ns).count();
@@ -296,7 +296,7 @@
 
 #[test]
 fn a_fleet_without_engines_serves_once_the_list_arrives() {
-    let mut fleet = started_fleet(Setup { known: false, ..setup("nothing-known") });
+    let mut fleet = started_fleet(Setup { initial_list: false, ..setup("nothing-known") });
     let before = fleet.audit().sends;
     wait_until(&mut fleet, "work reaches the engines", |f| f.audit().sends > before + 20);
     assert_disconnects_within_bound(&fleet);
@@ -305,16 +305,16 @@
 
 #[test]
 fn a_start_without_the_list_service_uses_a_valid_cached_snapshot() {
-    let operator = Some("start: { budget: 40, longest: 1s, keep: \"{own}\" }\n".into());
+    let operator = Some("start: { budget: 40, longest: 1s, keep: \"{router_file}\" }\n".into());
     let mut fleet = started_fleet(Setup { operator, ..setup("kept") });
     wait_until(&mut fleet, "all routers have saved a snapshot", |f| {
-        (0..ROUTERS).all(|router| f.own(router).exists())
+        (0..ROUTERS).all(|router| f.router_file(router).exists())
     });
-    fleet.set_list(Manner::Away);
+    fleet.set_list_behavior(Behavior::Unavailable);
     (0..ROUTERS).for_each(|router| fleet.kill(router));
     // One engine has crashed before the restart, and some snapshot files are invalid.
-    fleet.lose(1);
-    let original = std::fs::read(fleet.own(0)).unwrap();
+    fleet.crash_engine(1);
+    let original = std::fs::read(fleet.router_file(0)).unwrap();
     let too_large = ListBound::of(MEMORY_MB.into()).file_bytes + 1;
     let newer = String::from_utf8_lossy(&original).replacen(" 1 ", " 2 ", 1);
     let invalid_files: [(&[u8], &str); 4] = [
@@ -324,22 +324,24 @@
         (&vec![b'x'; too_large], "bytes exceed the"),
     ];
     for (router, (bytes, _)) in invalid_files.iter().enumerate() {
-        std::fs::write(fleet.own(router), bytes).unwrap();
+        std::fs::write(fleet.router_file(router), bytes).unwrap();
     }
-    fleet.set_known(false);
+    fleet.set_initial_list(false);
     fleet.start_all().unwrap();
     wait_until(&mut fleet, "the routers with a valid snapshot serve", |f| {
-        f.loads[invalid_files.len()..].iter().all(|load| load.first_answer_ns.is_some())
+        f.load_generators[invalid_files.len()..].iter().all(|load| load.first_answer_ns.is_some())
     });
     wait_until(&mut fleet, "work reaches the engines", |f| f.audit().sends > 0);
     for router in 0..ROUTERS {
-        let said = fleet.said(router);
+        let log_text = fleet.log_text(router);
         match invalid_files.get(router) {
-            Some((_, why)) => assert!(said.contains("is not used") && said.contains(why), "{why}: {said}"),
-            None => assert!(said.contains("starting with 4 engines from the snapshot"), "{said}"),
+            Some((_, why)) => {
+                assert!(log_text.contains("is not used") && log_text.contains(why), "{why}: {log_text}")
+            }
+            None => assert!(log_text.contains("starting with 4 engines from the snapshot"), "{log_text}"),
         }
     }
-    fleet.set_list(Manner::Well);
+    fleet.set_list_behavior(Behavior::Normal);
     wait_until(&mut fleet, "all have their streams", all_connected);
     finish(fleet);
 }
@@ -348,11 +350,11 @@
 fn connections_to_each_engine_stay_within_the_configured_rate() {
     let operator = Some("start: { budget: 40, longest: 1s, connections: 2 }\n".into());
     let mut fleet = Fleet::new(Setup { operator, rate: 40.0, engines: 3, ..setup("connections") }).unwrap();
-    fleet.ask();
+    fleet.start_clients();
     fleet.start_all().unwrap();
     wait_until(&mut fleet, "all routers have their streams", all_connected);
     run(&mut fleet, 3_000);
-    fleet.lose(0);
+    fleet.crash_engine(0);
     run(&mut fleet, 2_000);
     let start_config = StartConfig { connections_per_s: Some(2.0), ..StartConfig::default() };
     let bound = start_config.connection_budget(pacing_params()).unwrap();
@@ -370,7 +372,7 @@
 
 #[test]
 fn engine_link_faults_lose_no_answer_and_run_nothing_twice() {
-    let mut fleet = started_fleet(Setup { links: true, rate: 10.0, ..setup("links") });
+    let mut fleet = started_fleet(Setup { engine_links: true, rate: 10.0, ..setup("links") });
     let mut rng = rand::rngs::StdRng::seed_from_u64(1);
     let faults = "0s link 0 cut-back\n0s link 1 slow 200ms\n0s link 2 trickle 20000\n1s link 1 reset\n\
                   1s link 3 cut-there\n2s link 0 mend\n2s link 3 mend\n2s link 2 reset\n3s link 1 mend\n3s link 2 mend\n";
@@ -388,7 +390,7 @@
 fn dropping_a_fleet_ends_all_its_processes() {
     let mut fleet = started_fleet(setup("survivors"));
     let ids: Vec<u32> = fleet.routers.iter().filter_map(|r| r.process.as_ref()).map(|p| p.id()).collect();
-    fleet.freeze(0, true);
+    fleet.set_paused(0, true);
     drop(fleet);
     assert_eq!(ids.len(), ROUTERS);
     for id in ids {
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -12,7 +12,7 @@
 use marljunction_health::{HealthParams, Message};
 use marljunction_peers::datagram::Kind;
 use marljunction_peers::{Keys, Members, PeerIdentity, Settings};
-use marljunction_testkit::fleet::{classes, Fleet, Setup, KEY};
+use marljunction_testkit::fleet::{classes, Fleet, Setup, FLEET_KEY};
 use marljunction_testkit::link::Shape;
 use marljunction_testkit::load::Class;
 
@@ -33,7 +33,14 @@
 
 fn class() -> Vec<Class> {
     let usual = classes().swap_remove(0);
-    vec![Class { work_ms: 30.0, spread: 0.4, share: 1.0, aim_ms: 1_000.0, deadline_ms: 2_500.0, ..usual }]
+    vec![Class {
+        work_ms: 30.0,
+        spread: 0.4,
+        share: 1.0,
+        target_latency_ms: 1_000.0,
+        deadline_ms: 2_500.0,
+        ..usual
+    }]
 }
 
 /// A started fleet under client load, with all routers connected and all engines used.
@@ -42,7 +49,7 @@
         fleet: Some(FLEET_SETTINGS.into()),
         classes: class(),
         engines: ENGINES,
-        links: true,
+        engine_links: true,
         rate: 15.0,
         ..Setup::new(Path::new(env!("CARGO_BIN_EXE_marljunction")), name, ROUTERS)
     })
@@ -50,7 +57,7 @@
     fleet.start_all().unwrap();
     wait_until(&mut fleet, TIMEOUT, "all routers are ready", |f| f.ready() == ROUTERS);
     wait_for_all_peers(&mut fleet);
-    fleet.ask();
+    fleet.start_clients();
     wait_until(&mut fleet, TIMEOUT, "all engines receive requests", |f| {
         (0..ENGINES).all(|e| f.sent_within(e, 0, u64::MAX) > 5)
     });
@@ -82,8 +89,8 @@
 #[track_caller]
 fn wait_until_excluded(fleet: &mut Fleet, timeout: Duration, engines: &str) {
     let last_excluded = |f: &Fleet, router: usize| {
-        let said = f.said(router);
-        let line = said
+        let log_text = f.log_text(router);
+        let line = log_text
             .lines()
             .rev()
             .find_map(|l| Some(l.split_once("engines excluded fleet-wide:")?.1.trim().to_owned()));
@@ -105,7 +112,7 @@
 
 #[track_caller]
 fn finish(fleet: Fleet) {
-    fleet.end_well(TIMEOUT).unwrap();
+    fleet.stop_and_verify(TIMEOUT).unwrap();
 }
 
 #[test]
@@ -135,14 +142,14 @@
     let mut fleet = started_fleet("crossing");
     assert_eq!(fleet.call(0, "POST", "/fleet/engines/disable", "e1").unwrap().0, 200);
     wait_until_excluded(&mut fleet, max_propagation(), "e1");
-    fleet.cut_into(&[0, 0, 0, 1, 1, 1]);
+    fleet.partition_into(&[0, 0, 0, 1, 1, 1]);
     let back = fleet.call(1, "POST", "/fleet/engines/enable", "e1").unwrap();
     assert!(back.1.starts_with("e1 is back; heard by 2 of "), "{}", back.1);
     // A later override on the other side excludes e1 again, and e2 too.
     assert_eq!(fleet.call(4, "POST", "/fleet/engines/disable", "e1").unwrap().0, 200);
     assert_eq!(fleet.call(4, "POST", "/fleet/engines/disable", "e2").unwrap().0, 200);
     fleet.run(Duration::from_secs(1)).unwrap();
-    fleet.cut_into(&[0; ROUTERS]);
+    fleet.partition_into(&[0; ROUTERS]);
     // The partitioned routers must first rediscover each other.
     let convergence =
         Duration::from_nanos(convergence_bound_ns(&params(), 2) + SCHEDULING_SLACK_NS) + TIMEOUT;
@@ -157,7 +164,7 @@
     assert_eq!(fleet.call(3, "POST", "/fleet/engines/disable", "e4").unwrap().0, 200);
     wait_until_excluded(&mut fleet, max_propagation(), "e4");
     (0..ROUTERS).for_each(|router| fleet.kill(router));
-    std::fs::remove_dir_all(fleet.kept(2)).unwrap();
+    std::fs::remove_dir_all(fleet.state_dir(2)).unwrap();
     fleet.start_all().unwrap();
     wait_until(&mut fleet, TIMEOUT, "all routers are ready", |f| f.ready() == ROUTERS);
     // The router without state may serve before it has synced with its peers, but is not ready
@@ -177,10 +184,10 @@
 fn a_resumed_router_does_not_restore_a_revoked_override() {
     let mut fleet = started_fleet("frozen");
     assert_eq!(fleet.call(1, "POST", "/fleet/engines/disable", "e3").unwrap().0, 200);
-    fleet.freeze(1, true);
+    fleet.set_paused(1, true);
     assert_eq!(fleet.call(0, "POST", "/fleet/engines/enable", "e3").unwrap().0, 200);
     fleet.run(Duration::from_secs(8)).unwrap();
-    fleet.freeze(1, false);
+    fleet.set_paused(1, false);
     wait_until_excluded(&mut fleet, max_propagation() + TIMEOUT, "");
     fleet.run(Duration::from_secs(2)).unwrap();
     wait_until_excluded(&mut fleet, max_propagation(), "");
@@ -203,7 +210,7 @@
         renewal: 0,
     };
     let settings = Settings { routers: number + 1, seeds: vec![seed], ..Settings::default() };
-    let mut members = Members::new(identity, Keys::read(KEY).unwrap(), &settings, 1);
+    let mut members = Members::new(identity, Keys::read(FLEET_KEY).unwrap(), &settings, 1);
     let (mut buffer, mut count, mut last_sent_ns) = ([0; 2_048], 0, 0);
     while !stop.load(Ordering::Relaxed) {
         if let Ok((size, _)) = socket.recv_from(&mut buffer) {
@@ -246,7 +253,7 @@
 fn false_evidence_from_one_router_excludes_nothing() {
     let mut fleet = started_fleet("liar");
     let stop = Arc::new(AtomicBool::new(false));
-    let (stop_flag, seed) = (stop.clone(), fleet.between[0].address);
+    let (stop_flag, seed) = (stop.clone(), fleet.peer_links[0].address);
     let false_reporter = std::thread::spawn(move || false_reporter(seed, &stop_flag));
     let reported = format!("router {ROUTERS} Silent");
     let deadline_ns = fleet.now() + TIMEOUT.as_nanos() as u64;
@@ -257,7 +264,7 @@
     fleet.run(Duration::from_secs(6)).unwrap();
     for router in 0..ROUTERS {
         assert!(
-            !fleet.said(router).contains("is out by what the fleet"),
+            !fleet.log_text(router).contains("is out by what the fleet"),
             "router {router} acted on the false evidence"
         );
     }
@@ -273,20 +280,23 @@
     let name = |e: usize| format!("{:016x}", engine_id(&format!("e{e}")).0);
     let out = format!("engine {} is out by what the fleet", name(2));
     let back = format!("engine {} is back by what the fleet", name(2));
-    let cut = Shape { cut: true, ..Shape::default() };
-    fleet.shape(2, cut, cut);
+    let partitioned = Shape { partitioned: true, ..Shape::default() };
+    fleet.shape(2, partitioned, partitioned);
     wait_until(&mut fleet, TIMEOUT, "all routers exclude the engine", |f| {
-        (0..ROUTERS).all(|r| f.said(r).contains(&out))
+        (0..ROUTERS).all(|r| f.log_text(r).contains(&out))
     });
     fleet.run(Duration::from_secs(4)).unwrap();
     // The other engines stay included.
     for engine in [0, 1, 3, 4] {
         let out = format!("engine {} is out by what the fleet", name(engine));
-        assert!((0..ROUTERS).all(|r| !fleet.said(r).contains(&out)), "healthy engine {engine} was excluded");
+        assert!(
+            (0..ROUTERS).all(|r| !fleet.log_text(r).contains(&out)),
+            "healthy engine {engine} was excluded"
+        );
     }
     fleet.shape(2, Shape::default(), Shape::default());
     wait_until(&mut fleet, TIMEOUT, "all routers readmit the engine", |f| {
-        (0..ROUTERS).all(|r| f.said(r).contains(&back))
+        (0..ROUTERS).all(|r| f.log_text(r).contains(&back))
     });
     let healed = fleet.now();
     wait_until(&mut fleet, TIMEOUT, "the engine receives requests again from the routers", |f| {
--- a/tests/large_list.rs
+++ b/tests/large_list.rs
@@ -75,7 +75,11 @@
         if counter(&counters, name) == value {
             return counters;
         }
-        assert!(since.elapsed() < TIMEOUT && process.runs(), "{name} is not {value}: {}", process.said());
+        assert!(
+            since.elapsed() < TIMEOUT && process.is_running(),
+            "{name} is not {value}: {}",
+            process.log_text()
+        );
         process.signal(Signal::SIGUSR1);
         std::thread::yield_now();
     }
@@ -106,8 +110,8 @@
     let _ = stream.write_all(&event(3, 2 * ENGINES));
     let counters = wait_for(&mut process, "list_too_large", 1);
     assert_eq!(counter(&counters, "list_engines"), ENGINES as u64);
-    let said = process.said();
-    assert_eq!(said.lines().filter(|line| line.contains("too large")).count(), 1, "{said}");
+    let log_text = process.log_text();
+    assert_eq!(log_text.lines().filter(|line| line.contains("too large")).count(), 1, "{log_text}");
     drop(process);
     std::fs::remove_dir_all(&dir).unwrap();
 }
--- a/tests/terms_fleet.rs
+++ b/tests/terms_fleet.rs
@@ -4,11 +4,11 @@
 use std::path::Path;
 use std::time::Duration;
 
-use marljunction_testkit::engine::Cold;
+use marljunction_testkit::engine::ColdStart;
 use marljunction_testkit::fleet::{classes, Fleet, Setup};
-use marljunction_testkit::list::Manner;
+use marljunction_testkit::list::Behavior;
 use marljunction_testkit::load::Class;
-use marljunction_testkit::stage::COLD;
+use marljunction_testkit::test_bed::COLD_START;
 
 /// Share of an engine's budget that routers reserve for light classes, and again for heavy ones:
 /// half of 0.8 of what 0.85 of the cores can do.
@@ -21,10 +21,12 @@
 
 /// Largest ratio of calls to an engine within the overload window to `budget_share` of what the
 /// settings allow at that time, with a statistical margin of 2 square roots plus 2 calls.
-fn max_budget_use(fleet: &Fleet, engine: usize, cold: &Cold, work_ns: f64, budget_share: f64) -> f64 {
+fn max_budget_use(fleet: &Fleet, engine: usize, cold: &ColdStart, work_ns: f64, budget_share: f64) -> f64 {
     let times: Vec<u64> = fleet.engines[engine].sends.iter().flatten().map(|sent| sent.at_ns).collect();
     let allowed = |at: u64| {
-        let calls = budget_share * cold.tip * cold.capacity(at) * cold.overload_window_ns as f64 / work_ns;
+        let calls =
+            budget_share * cold.overload_multiple * cold.capacity(at) * cold.overload_window_ns as f64
+                / work_ns;
         calls + 2.0 * calls.sqrt() + 2.0
     };
     let calls_in_window =
@@ -50,13 +52,13 @@
     assert!(fleet.run_until(TIMEOUT, |f| f.ready() == ROUTERS).unwrap(), "all routers are there");
     // The engine restarts as the burst begins and stays cold for the whole test. At first no router
     // has received the others' reports, so each sends some calls on its own.
-    fleet.ask_at(&[0.5; ROUTERS]);
+    fleet.start_clients_at(&[0.5; ROUTERS]);
     fleet.run(Duration::from_secs(4)).unwrap();
-    fleet.renew_engines();
-    fleet.ask_at(&[100.0; ROUTERS]);
+    fleet.restart_engines_cold();
+    fleet.start_clients_at(&[100.0; ROUTERS]);
     fleet.run(Duration::from_secs(4)).unwrap();
     let cold = fleet.engines[0].cold.clone().unwrap();
-    assert!(fleet.now() < cold.since_ns + COLD.1, "the engine must stay cold to the end");
+    assert!(fleet.now() < cold.started_ns + COLD_START.1, "the engine must stay cold to the end");
     let max_use = max_budget_use(&fleet, 0, &cold, work_ns, 1.0);
     assert!(max_use > 0.0 && max_use <= 1.0, "the engine got {max_use} of its budget");
     let max_use = max_budget_use(&fleet, 0, &cold, work_ns, CLASS_GROUP_SHARE);
@@ -71,19 +73,22 @@
     let routers = std::env::var("TERMS_ROUTERS").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
     let program = Path::new(env!("CARGO_BIN_EXE_marljunction"));
     let mut fleet = Fleet::new(Setup::new(program, "terms-ready", routers)).unwrap();
-    fleet.ask();
+    fleet.start_clients();
     fleet.start_all().unwrap();
-    assert!(fleet.run_until(TIMEOUT, |f| f.live() == routers).unwrap(), "all routers have their streams");
-    fleet.set_list(Manner::Away);
+    assert!(
+        fleet.run_until(TIMEOUT, |f| f.connected() == routers).unwrap(),
+        "all routers have their streams"
+    );
+    fleet.set_list_behavior(Behavior::Unavailable);
     (0..routers).for_each(|router| fleet.kill(router));
     fleet.start_all().unwrap();
-    let served = |f: &Fleet| f.loads.iter().filter(|load| load.first_answer_ns.is_some()).count();
+    let served = |f: &Fleet| f.load_generators.iter().filter(|load| load.first_answer_ns.is_some()).count();
     assert!(
         fleet.run_until(TIMEOUT, |f| served(f) * 10 >= routers * 9).unwrap(),
         "{} of {routers}",
         served(&fleet)
     );
-    let started = fleet.routers.iter().zip(&fleet.loads);
+    let started = fleet.routers.iter().zip(&fleet.load_generators);
     let mut ready_times_ns: Vec<u64> = started
         .map(|(router, load)| {
             load.first_answer_ns.map_or(u64::MAX, |at| at.saturating_sub(router.started_ns))
@@ -97,5 +102,5 @@
         p90_ns / 1_000_000
     );
     assert!(p90_ns <= MAX_READY_TIME_NS, "90% ready after {p90_ns} ns");
-    assert_eq!(fleet.live(), 0, "the list service must stay unavailable");
+    assert_eq!(fleet.connected(), 0, "the list service must stay unavailable");
 }
