--- a/crates/cells/examples/divisions.rs
+++ b/crates/cells/examples/divisions.rs
@@ -140,7 +140,7 @@
     let list: Vec<Engine> = (0..ENGINES).map(engine).collect();
     let update_started = Instant::now();
     relay.apply_update(1, true, list.clone());
-    relay.heard(S, 0);
+    relay.record_service_contact(S, 0);
     let update_ms = update_started.elapsed().as_secs_f64() * 1e3;
     let mut routers: Vec<Subscriber> = (0..ROUTERS).map(|number| subscriber(number, relay_address)).collect();
     let (mut bytes, envelope_bytes) = ([0u64; 2], envelope_bytes());
@@ -162,7 +162,7 @@
                 }
             }
             let started = Instant::now();
-            relay.heard(now, 0);
+            relay.record_service_contact(now, 0);
             let sent = relay.tick(now);
             relay_s += started.elapsed().as_secs_f64();
             for (to, message) in sent {
--- a/crates/cells/src/relay.rs
+++ b/crates/cells/src/relay.rs
@@ -232,7 +232,7 @@
     }
 
     /// Records that the last contact with the list service was `age_ns` nanoseconds ago.
-    pub fn heard(&mut self, now: u64, age_ns: u64) {
+    pub fn record_service_contact(&mut self, now: u64, age_ns: u64) {
         self.detect_pause(now);
         // Also before the first contact: queued input has an unknown age.
         if now >= self.service.untrusted_until_ns {
--- a/crates/cells/tests/common/mod.rs
+++ b/crates/cells/tests/common/mod.rs
@@ -384,7 +384,7 @@
             if let Some(event) = event {
                 machine.apply_update(event.version, event.is_full, event.engines);
             }
-            machine.heard(now, 0);
+            machine.record_service_contact(now, 0);
         }
         for (from, bytes) in std::mem::take(&mut relay.inbox) {
             match Message::decode(&bytes) {
--- a/crates/cells/tests/messages.rs
+++ b/crates/cells/tests/messages.rs
@@ -140,7 +140,7 @@
     };
     let mut relay = Relay::new(S, relay_settings(&bound_params()));
     relay.apply_update(7, true, (0..30_000).map(listed).collect());
-    relay.heard(S, 0);
+    relay.record_service_contact(S, 0);
     let (mut largest, mut engines) = (0, 0);
     for zone in 0..8 {
         let request = Request {
--- a/crates/cells/tests/subscriber.rs
+++ b/crates/cells/tests/subscriber.rs
@@ -439,7 +439,7 @@
     };
     assert!(matches!(responses(&mut relay, 1, S)[..], [Message::NotReady(_)]));
     relay.apply_update(5, false, engines(3));
-    relay.heard(S, 0);
+    relay.record_service_contact(S, 0);
     assert!(matches!(responses(&mut relay, 2, S)[..], [Message::NotReady(_)]), "without a full list");
     let (mut other, _) = self::relay(S);
     other.apply_update(5, true, engines(3));
@@ -455,9 +455,9 @@
 fn a_resumed_relay_does_not_report_queued_updates_as_fresh() {
     let (mut relay, router) = relay(S);
     relay.apply_update(5, true, engines(3));
-    relay.heard(S, 0);
+    relay.record_service_contact(S, 0);
     let resumed = 61 * S;
-    relay.heard(resumed, 0);
+    relay.record_service_contact(resumed, 0);
     relay.receive(resumed, router, request(1, cell_id(0, 2)));
     let age_ms = relay.tick(resumed).into_iter().find_map(|(_, message)| match message {
         Message::Piece(piece) => Some(piece.header.contact_age_ms),
@@ -469,7 +469,7 @@
     while now < resumed + 4 * S {
         now += 20 * MS;
         relay.tick(now);
-        relay.heard(now, 0);
+        relay.record_service_contact(now, 0);
     }
     relay.receive(now, router, request(2, cell_id(0, 2)));
     let fresh = relay.tick(now).into_iter().all(|(_, message)| match message {
@@ -484,7 +484,7 @@
     let (mut relay, router) = relay(S);
     let resumed = 20 * S;
     relay.apply_update(5, true, engines(3));
-    relay.heard(resumed, 0);
+    relay.record_service_contact(resumed, 0);
     relay.receive(resumed, router, request(1, cell_id(0, 2)));
     assert!(matches!(relay.tick(resumed)[..], [(_, Message::NotReady(_))]));
 }
@@ -493,7 +493,7 @@
 fn a_delta_is_sent_at_once_to_affected_routers_only() {
     let (mut relay, first) = relay(S);
     relay.apply_update(5, true, (0..40).map(engine).collect());
-    relay.heard(S, 0);
+    relay.record_service_contact(S, 0);
     let second = address(2, 1);
     relay.receive(S, first, request(1, cell_id(0, 2)));
     relay.receive(S, second, request(1, cell_id(1, 2)));
@@ -512,7 +512,7 @@
     let (mut relay, router) = relay(S);
     let all = engines(100);
     relay.apply_update(5, true, all.clone());
-    relay.heard(S, 0);
+    relay.record_service_contact(S, 0);
     relay.receive(S, router, request(1, cell_id(0, 2)));
     relay.tick(S);
     let reweighted = all.into_iter().map(|engine| Engine { weight: 2.0, ..engine });
@@ -527,7 +527,7 @@
     let few = bound_params();
     let mut relay = Relay::new(S, relay_settings(&few));
     relay.apply_update(5, true, (0..12_000).map(engine).collect());
-    relay.heard(S, 0);
+    relay.record_service_contact(S, 0);
     let budget = relay_settings(&few).budget_per_s() as usize;
     let (mut now, mut sent, mut sequence) = (S, 0, 0);
     while now < 11 * S {
@@ -554,7 +554,7 @@
 fn reordered_or_duplicated_requests_are_not_answered_again() {
     let (mut relay, router) = relay(S);
     relay.apply_update(5, true, engines(3));
-    relay.heard(S, 0);
+    relay.record_service_contact(S, 0);
     for (sequence, is_answered) in [(5, true), (4, false), (5, false), (6, true)] {
         relay.receive(S, router, request(sequence, cell_id(0, 2)));
         assert_eq!(!relay.tick(S).is_empty(), is_answered, "{sequence}");
@@ -568,7 +568,7 @@
     let long = Engine { id: 77, kind: Some("k".repeat(2_000).into()), ..all[0].clone() };
     all.push(long);
     relay.apply_update(5, true, all);
-    relay.heard(S, 0);
+    relay.record_service_contact(S, 0);
     relay.receive(S, router, request(1, cell_id(0, 2)));
     assert_eq!((relay.engines(), relay.rejected().get(RejectReason::InvalidEngine)), (3, 1));
     assert!(relay.tick(S).iter().all(|(_, message)| message.encode().len() < 1_000));
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -205,7 +205,7 @@
     /// Records that the relay last had contact with the list service `age_ns` nanoseconds ago.
     pub fn record_list_service_contact(&mut self, now: u64, age_ns: u64) {
         if let Some(ListMachine::Relay(relay)) = &mut self.list {
-            relay.heard(now, age_ns);
+            relay.record_service_contact(now, age_ns);
         }
     }
 
--- a/crates/lab/src/capacity/cells.rs
+++ b/crates/lab/src/capacity/cells.rs
@@ -140,7 +140,7 @@
         let mut relay = Relay::new(START_NS, settings);
         let all = (0..part * zones).map(|number| engine(number, zones, EngineState::Ready)).collect();
         relay.apply_update(1, true, all);
-        relay.heard(START_NS, 0);
+        relay.record_service_contact(START_NS, 0);
         let relay_endpoint = Endpoint::new(60_000)?;
         let mut fleet = Fleet { now: START_NS, relay, relay_endpoint, routers: Vec::new(), version: 1 };
         for number in 0..routers {
@@ -164,7 +164,7 @@
     fn step(&mut self) {
         self.now += STEP_NS;
         let now = self.now;
-        self.relay.heard(now, 0);
+        self.relay.record_service_contact(now, 0);
         for (subscriber, endpoint) in &mut self.routers {
             let outgoing = timed_at(&mut endpoint.cpu_ns, || subscriber.tick(now));
             endpoint.send(outgoing);
