--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -496,7 +496,7 @@
     /// Submits the requests that the admission queue releases and answers those that it refuses.
     /// The queue is polled again after each, because refusals by the module change its state.
     fn poll_fair_queue(&mut self, now: u64, commands: &mut Vec<Command>) {
-        while let Some(queue_action) = self.fair_queue.as_mut().and_then(|d| d.open(now)) {
+        while let Some(queue_action) = self.fair_queue.as_mut().and_then(|d| d.next_action(now)) {
             match queue_action {
                 QueueAction::Submit(id) => {
                     self.submit_to_controller(now, RequestId(id), commands);
--- a/crates/fair-queue/benches/structures.rs
+++ b/crates/fair-queue/benches/structures.rs
@@ -129,7 +129,7 @@
                         bytes: 100,
                     };
                     fair_queue.enqueue(now, arrival);
-                    while let Some(queue_action) = fair_queue.open(now) {
+                    while let Some(queue_action) = fair_queue.next_action(now) {
                         let QueueAction::Submit(id) = queue_action else { continue };
                         // Half of the load exceeds the capacity: the module runs fifty requests at
                         // a time.
--- a/crates/fair-queue/src/lib.rs
+++ b/crates/fair-queue/src/lib.rs
@@ -194,7 +194,7 @@
     queued_bytes: usize,
     /// Nothing queued fits, and no capacity was freed since that was determined.
     blocked: bool,
-    /// Refusals that [`FairQueue::open`] has not returned yet.
+    /// Refusals that [`FairQueue::next_action`] has not returned yet.
     pending_actions: VecDeque<QueueAction>,
 }
 
@@ -358,7 +358,7 @@
         }
     }
 
-    /// Queues a request. [`FairQueue::open`] submits it at once if it fits.
+    /// Queues a request. [`FairQueue::next_action`] submits it at once if it fits.
     pub fn enqueue(&mut self, now: u64, mut arrival: Arrival) {
         arrival.tenant = arrival.tenant.min(self.tenants.len() - 1);
         let class = &mut self.classes[arrival.class];
@@ -553,14 +553,14 @@
         true
     }
 
-    /// When [`FairQueue::open`] must be called next, if nothing else happens (ns).
+    /// When [`FairQueue::next_action`] must be called next, if nothing else happens (ns).
     pub fn next_due_ns(&self) -> Option<u64> {
         let due = [self.timers.next_due_ns(), self.calendar.next_due_ns()];
         due.into_iter().flatten().min()
     }
 
     /// Returns the next action; to be called until it returns none.
-    pub fn open(&mut self, now: u64) -> Option<QueueAction> {
+    pub fn next_action(&mut self, now: u64) -> Option<QueueAction> {
         while let Some(Reservation { tenant, .. }) = self.calendar.expire(now) {
             self.tenants[tenant].counters.expired_reservations += 1;
         }
--- a/crates/fair-queue/src/settings.rs
+++ b/crates/fair-queue/src/settings.rs
@@ -77,7 +77,7 @@
 
 impl FairQueueConfig {
     /// Returns the first value that is out of range, as an error message. The bounds limit memory.
-    pub fn fault(&self) -> Option<String> {
+    pub fn find_error(&self) -> Option<String> {
         let within = |name: &str, value: usize, min_value: usize, max_value: usize| {
             (value < min_value || value > max_value)
                 .then(|| format!("door: {name} is {value}: must be between {min_value} and {max_value}"))
--- a/crates/fair-queue/tests/common/mod.rs
+++ b/crates/fair-queue/tests/common/mod.rs
@@ -92,7 +92,7 @@
 
     /// Carries out the actions of the fair queue, as the core does.
     pub fn run_actions(&mut self) {
-        while let Some(queue_action) = self.fair_queue.open(self.now) {
+        while let Some(queue_action) = self.fair_queue.next_action(self.now) {
             match queue_action {
                 QueueAction::Refuse(id, retry_after) => self.end(id, End::Refused(retry_after)),
                 QueueAction::Submit(id) => {
--- a/crates/fair-queue/tests/fair_queue.rs
+++ b/crates/fair-queue/tests/fair_queue.rs
@@ -319,7 +319,7 @@
         (sim.fair_queue.queued(), sim.fair_queue.queued_bytes(), sim.fair_queue.next_due_ns().is_some()),
         (0, 0, true)
     );
-    assert_eq!(sim.fair_queue.open(sim.now), None);
+    assert_eq!(sim.fair_queue.next_action(sim.now), None);
 }
 
 #[test]
@@ -365,7 +365,7 @@
     let arrival =
         Arrival { id: 9_000, threads: 4.0, need_ns: 1e8, target_end_ns: T0 + S, ..Arrival::default() };
     sim.fair_queue.enqueue(sim.now, Arrival { expires_ns: T0 + 6 * S, ..arrival });
-    assert_eq!(sim.fair_queue.open(sim.now), Some(QueueAction::Submit(9_000)));
+    assert_eq!(sim.fair_queue.next_action(sim.now), Some(QueueAction::Submit(9_000)));
     sim.fair_queue.accepted(sim.now, 9_000);
     assert_eq!(sim.fair_queue.concurrency_limit().used(), 4.0);
     assert!(!sim.fair_queue.cancel(sim.now + S, 9_000), "it was submitted");
@@ -379,7 +379,7 @@
     for i in 0..200 {
         let id = sim.enqueue(0, i, 10, 10);
         if i % 10 == 0 {
-            assert_eq!(sim.fair_queue.open(sim.now), Some(QueueAction::Submit(id)));
+            assert_eq!(sim.fair_queue.next_action(sim.now), Some(QueueAction::Submit(id)));
             sim.fair_queue.refused(sim.now, id, false);
         }
         sim.advance_ms(10);
--- a/crates/fair-queue/tests/structures.rs
+++ b/crates/fair-queue/tests/structures.rs
@@ -183,11 +183,11 @@
         (r#"{"weights": {"a": -1}}"#, "weight of a is -1"),
     ] {
         let settings: FairQueueConfig = serde_json::from_str(text).unwrap();
-        let fault = settings.fault().unwrap_or_default();
-        assert!(fault.contains(part), "{text}: {fault}");
+        let error = settings.find_error().unwrap_or_default();
+        assert!(error.contains(part), "{text}: {error}");
     }
     assert!(serde_json::from_str::<FairQueueConfig>(r#"{"order": "lifo"}"#).is_err());
     assert!(serde_json::from_str::<FairQueueConfig>(r#"{"wieghts": {}}"#).is_err());
     assert_eq!(serde_json::from_str::<FairQueueConfig>("{}").unwrap(), FairQueueConfig::default());
-    assert_eq!(FairQueueConfig::default().fault(), None);
+    assert_eq!(FairQueueConfig::default().find_error(), None);
 }
--- a/crates/lab/src/fair_queue_cost.rs
+++ b/crates/lab/src/fair_queue_cost.rs
@@ -47,7 +47,7 @@
                 bytes: 100,
             };
             fair_queue.enqueue(now, arrival);
-            while let Some(queue_action) = fair_queue.open(now) {
+            while let Some(queue_action) = fair_queue.next_action(now) {
                 let QueueAction::Submit(id) = queue_action else { continue };
                 if admitted.len() >= 50 {
                     fair_queue.refused(now, id, false);
--- a/src/config.rs
+++ b/src/config.rs
@@ -306,8 +306,8 @@
             return Err(ConfigError::ConflictingPostgres);
         }
         let postgres = postgres.or(operators_postgres);
-        if let Some(fault) = fair_queue.as_ref().and_then(FairQueueConfig::fault) {
-            return Err(ConfigError::FairQueue(fault));
+        if let Some(error) = fair_queue.as_ref().and_then(FairQueueConfig::find_error) {
+            return Err(ConfigError::FairQueue(error));
         }
         let config = Config::read(&text(&self.config)?)?;
         let mut weighted = fair_queue.iter().flat_map(|d| d.weights.keys());
--- a/tests/setup.rs
+++ b/tests/setup.rs
@@ -52,7 +52,7 @@
     let setup = Setup::from_file(&repository_path("deploy/door.conf")).unwrap();
     assert_eq!(setup.fair_queue, Some(FairQueueConfig::default()));
     assert!(setup.postgres.is_none());
-    assert_eq!(FairQueueConfig::default().fault(), None);
+    assert_eq!(FairQueueConfig::default().find_error(), None);
 }
 
 #[test]
