--- a/crates/language/src/diff.rs
+++ b/crates/language/src/diff.rs
@@ -55,7 +55,7 @@
 
 /// The fields of a record or elements of a list.
 fn children(value: Option<&Value>) -> Option<BTreeMap<String, &Value>> {
-    match &value?.what {
+    match &value?.kind {
         ValueKind::Record(record) => Some(fields(record)),
         ValueKind::List(all, _) => Some(elements(all)),
         _ => None,
@@ -63,7 +63,7 @@
 }
 
 fn same_value(from: Option<&Value>, to: Option<&Value>) -> bool {
-    match (from.map(|v| &v.what), to.map(|v| &v.what)) {
+    match (from.map(|v| &v.kind), to.map(|v| &v.kind)) {
         (Some(ValueKind::Number(a)), Some(ValueKind::Number(b))) => a.value == b.value && a.unit == b.unit,
         // Spans are ignored.
         (Some(ValueKind::Disjunction(a, x)), Some(ValueKind::Disjunction(b, y))) => {
@@ -80,8 +80,8 @@
 /// Elements by their `name` if each has a distinct one, so that reordering is not a change; else by
 /// index.
 fn elements(all: &[Value]) -> BTreeMap<String, &Value> {
-    let name = |v: &Value| match &v.what {
-        ValueKind::Record(record) => match &record.fields.get("name")?.value.what {
+    let name = |v: &Value| match &v.kind {
+        ValueKind::Record(record) => match &record.fields.get("name")?.value.kind {
             ValueKind::Text(name) => Some(name.clone()),
             _ => None,
         },
--- a/crates/language/src/eval.rs
+++ b/crates/language/src/eval.rs
@@ -297,7 +297,7 @@
     }
 
     fn value_within(&mut self, node: &Node, scope: &Scope, file: usize, at: Span) -> Value {
-        let what = match node.kind() {
+        let kind = match node.kind() {
             SyntaxKind::Literal => return self.literal(node, at),
             SyntaxKind::Group => match node.children().next() {
                 Some(inner) => return self.value(&inner, scope),
@@ -351,7 +351,7 @@
             SyntaxKind::Record => ValueKind::Record(self.record(node, scope, file)),
             _ => ValueKind::Invalid,
         };
-        Value::new(what, at)
+        Value::new(kind, at)
     }
 
     fn record(&mut self, node: &Node, scope: &Scope, file: usize) -> RecordValue {
@@ -382,7 +382,7 @@
 
     fn literal(&mut self, node: &Node, at: Span) -> Value {
         let Some(token) = tokens(node).next() else { return Value::new(ValueKind::Invalid, at) };
-        let what = match token.kind() {
+        let kind = match token.kind() {
             SyntaxKind::True => ValueKind::Bool(true),
             SyntaxKind::False => ValueKind::Bool(false),
             SyntaxKind::Text => ValueKind::Text(unquote(token.text())),
@@ -408,7 +408,7 @@
             }
             _ => ValueKind::Invalid,
         };
-        Value::new(what, at)
+        Value::new(kind, at)
     }
 
     fn bound(&mut self, node: &Node, scope: &Scope, at: Span) -> Value {
@@ -423,7 +423,7 @@
             })
         });
         let inner = node.children().next().map(|v| self.value(&v, scope));
-        match (comparison, inner.map(|v| v.what)) {
+        match (comparison, inner.map(|v| v.kind)) {
             (Some(comparison), Some(ValueKind::Number(q))) => {
                 Value::new(ValueKind::Bounded(Type::Number(q.unit, false), vec![(comparison, q.value)]), at)
             }
@@ -457,7 +457,7 @@
             } else {
                 token.text().to_owned()
             };
-            let next = match &value.what {
+            let next = match &value.kind {
                 ValueKind::Record(record) => record.fields.get(&part).map(|f| f.value.clone()),
                 ValueKind::Invalid => return value,
                 _ => None,
@@ -496,7 +496,7 @@
 
 /// Closes all records of a definition, at any depth: fields that it does not list are rejected.
 fn close(value: &mut Value) {
-    match &mut value.what {
+    match &mut value.kind {
         ValueKind::Record(record) => {
             record.closed = record.rest.is_none();
             record.fields.values_mut().for_each(|field| close(&mut field.value));
@@ -520,7 +520,7 @@
     diagnostics: &mut Vec<Diagnostic>,
 ) -> Value {
     let join = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
-    let what = match &value.what {
+    let kind = match &value.kind {
         ValueKind::Disjunction(all, Some(default)) => {
             return resolve_defaults(&all[*default], path, enclosing, diagnostics)
         }
@@ -550,5 +550,5 @@
         }
         other => other.clone(),
     };
-    Value::new(what, value.span)
+    Value::new(kind, value.span)
 }
--- a/crates/language/src/unify.rs
+++ b/crates/language/src/unify.rs
@@ -7,7 +7,7 @@
 /// Unifies two values. `path` names the field in messages.
 pub fn unify(a: &Value, b: &Value, path: &str, diagnostics: &mut Vec<Diagnostic>) -> Value {
     let span = reported_span(a.span, b.span);
-    let what = match (&a.what, &b.what) {
+    let kind = match (&a.kind, &b.kind) {
         (ValueKind::Invalid, _) | (_, ValueKind::Invalid) => ValueKind::Invalid,
         (ValueKind::Type(Type::Any), other) | (other, ValueKind::Type(Type::Any)) => other.clone(),
         (ValueKind::Disjunction(..), _) | (_, ValueKind::Disjunction(..)) => {
@@ -40,17 +40,17 @@
             return unify_number(*q, *t, bounds, span, path, diagnostics);
         }
         (ValueKind::Number(x), ValueKind::Number(y)) if x.unit == y.unit && x.value == y.value => {
-            a.what.clone()
+            a.kind.clone()
         }
-        (ValueKind::Text(_), ValueKind::Type(Type::Text)) => a.what.clone(),
-        (ValueKind::Type(Type::Text), ValueKind::Text(_)) => b.what.clone(),
-        (ValueKind::Bool(_), ValueKind::Type(Type::Bool)) => a.what.clone(),
-        (ValueKind::Type(Type::Bool), ValueKind::Bool(_)) => b.what.clone(),
-        (ValueKind::Text(x), ValueKind::Text(y)) if x == y => a.what.clone(),
-        (ValueKind::Bool(x), ValueKind::Bool(y)) if x == y => a.what.clone(),
+        (ValueKind::Text(_), ValueKind::Type(Type::Text)) => a.kind.clone(),
+        (ValueKind::Type(Type::Text), ValueKind::Text(_)) => b.kind.clone(),
+        (ValueKind::Bool(_), ValueKind::Type(Type::Bool)) => a.kind.clone(),
+        (ValueKind::Type(Type::Bool), ValueKind::Bool(_)) => b.kind.clone(),
+        (ValueKind::Text(x), ValueKind::Text(y)) if x == y => a.kind.clone(),
+        (ValueKind::Bool(x), ValueKind::Bool(y)) if x == y => a.kind.clone(),
         _ => return conflict(a, b, path, diagnostics),
     };
-    Value::new(what, span)
+    Value::new(kind, span)
 }
 
 /// The position to report for a conflict: the operator's file rather than the definitions, and
@@ -68,7 +68,7 @@
 }
 
 fn is_concrete(value: &Value) -> bool {
-    !matches!(value.what, ValueKind::Type(_) | ValueKind::Bounded(..) | ValueKind::Disjunction(..))
+    !matches!(value.kind, ValueKind::Type(_) | ValueKind::Bounded(..) | ValueKind::Disjunction(..))
 }
 
 fn conflict(a: &Value, b: &Value, path: &str, diagnostics: &mut Vec<Diagnostic>) -> Value {
@@ -103,7 +103,7 @@
 
 /// Describes an acceptable value.
 fn example(value: &Value) -> String {
-    match &value.what {
+    match &value.kind {
         ValueKind::Type(t) | ValueKind::Bounded(t, _) => match t {
             Type::Number(Unit::Plain, true) => "a whole number".to_owned(),
             Type::Number(Unit::Plain, false) => "a number".to_owned(),
@@ -206,7 +206,7 @@
                 (None, Some(rest)) => {
                     FieldValue { value: unify(rest, &field.value, &path, diagnostics), ..field.clone() }
                 }
-                (None, None) if field.value.what == ValueKind::Invalid => continue,
+                (None, None) if field.value.kind == ValueKind::Invalid => continue,
                 (None, None) if other.closed && !record.closed => {
                     diagnostics.push(unknown_field(name, field.span, path.as_str(), other));
                     continue;
@@ -281,7 +281,7 @@
 }
 
 fn unify_disjunctions(a: &Value, b: &Value, path: &str, diagnostics: &mut Vec<Diagnostic>) -> Value {
-    let alternatives = |v: &Value| match &v.what {
+    let alternatives = |v: &Value| match &v.kind {
         ValueKind::Disjunction(all, default) => (all.clone(), *default),
         _ => (vec![v.clone()], None),
     };
@@ -312,7 +312,7 @@
             let written = if reported_span(a.span, b.span) == a.span { a } else { b };
             let closest = conflicts.into_iter().min_by_key(Vec::len).unwrap_or_default();
             let report_closest =
-                x.len() * y.len() == 1 || matches!(written.what, ValueKind::Record(_) | ValueKind::Number(_));
+                x.len() * y.len() == 1 || matches!(written.kind, ValueKind::Record(_) | ValueKind::Number(_));
             if report_closest && !closest.is_empty() {
                 diagnostics.extend(closest);
                 return invalid(written.span);
--- a/crates/language/src/value.rs
+++ b/crates/language/src/value.rs
@@ -257,8 +257,8 @@
 /// A concrete value or a constraint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Value {
-    /// The content.
-    pub what: ValueKind,
+    /// The content or the constraint.
+    pub kind: ValueKind,
     /// Position in the source.
     pub span: Span,
 }
@@ -288,13 +288,13 @@
 
 impl Value {
     /// A value at a source position.
-    pub fn new(what: ValueKind, span: Span) -> Self {
-        Value { what, span }
+    pub fn new(kind: ValueKind, span: Span) -> Self {
+        Value { kind, span }
     }
 
     /// A short description for messages.
     pub fn describe(&self) -> String {
-        match &self.what {
+        match &self.kind {
             ValueKind::Type(t) => t.name().to_owned(),
             ValueKind::Bounded(t, bounds) => {
                 let unit = if let Type::Number(unit, _) = t { *unit } else { Unit::Plain };
--- a/crates/language/tests/language.rs
+++ b/crates/language/tests/language.rs
@@ -38,13 +38,13 @@
 fn at<'a>(outcome: &'a Outcome, path: &str) -> &'a ValueKind {
     let mut value = &outcome.value;
     for part in path.split('.') {
-        value = match &value.what {
+        value = match &value.kind {
             ValueKind::Record(record) => &record.fields[part].value,
             ValueKind::List(all, _) => &all[part.parse::<usize>().unwrap()],
             other => panic!("{path}: {other:?}"),
         };
     }
-    &value.what
+    &value.kind
 }
 
 #[test]
@@ -92,7 +92,7 @@
     assert_eq!(number("pools.slow.concurrency"), (8.0, Unit::Plain));
     assert_eq!(number("memory"), (64e6, Unit::Size));
     assert_eq!(at(&outcome, "routes.0.when_full"), &ValueKind::Text("refuse".into()));
-    let ValueKind::Record(main) = &outcome.value.what else { panic!("a record") };
+    let ValueKind::Record(main) = &outcome.value.kind else { panic!("a record") };
     assert!(!main.fields.contains_key("door"), "an optional field that is not set stays absent");
 }
 
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -63,7 +63,7 @@
     pub change: Change,
     /// When it takes effect.
     pub applies_on: AppliesOn,
-    /// ValueKind it affects, for operators.
+    /// What it affects, for operators.
     pub what: &'static str,
 }
 
@@ -92,7 +92,7 @@
             AppliesOn::Restart,
             "an unknown section",
         ));
-        let has_section = |value: &Value| match &value.what {
+        let has_section = |value: &Value| match &value.kind {
             marljunction_language::value::ValueKind::Record(record) => {
                 record.fields.contains_key(&section(path))
             }
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -117,7 +117,7 @@
 }
 
 fn record(value: &Value) -> Option<&RecordValue> {
-    if let ValueKind::Record(record) = &value.what {
+    if let ValueKind::Record(record) = &value.kind {
         Some(record)
     } else {
         None
@@ -129,14 +129,14 @@
 }
 
 fn text(record: &RecordValue, name: &str) -> Option<String> {
-    match &field(record, name)?.what {
+    match &field(record, name)?.kind {
         ValueKind::Text(text) => Some(text.clone()),
         _ => None,
     }
 }
 
 fn number(record: &RecordValue, name: &str) -> Option<f64> {
-    match field(record, name)?.what {
+    match field(record, name)?.kind {
         ValueKind::Number(Quantity { value, .. }) => Some(value),
         _ => None,
     }
@@ -148,14 +148,14 @@
 
 fn fair_queue(value: &Value) -> Option<FairQueueConfig> {
     let fair_queue = record(value)?;
-    let client = match &field(fair_queue, "client")?.what {
+    let client = match &field(fair_queue, "client")?.kind {
         ValueKind::Record(of) => ClientKey::Field(text(of, "field")?),
         ValueKind::Text(name) if name == "user" => ClientKey::User,
         ValueKind::Text(name) if name == "application_name" => ClientKey::ApplicationName,
         _ => ClientKey::Peer,
     };
     let weights = field(fair_queue, "weights").and_then(record);
-    let weight = |(name, f): (&String, &marljunction_language::value::FieldValue)| match f.value.what {
+    let weight = |(name, f): (&String, &marljunction_language::value::FieldValue)| match f.value.kind {
         ValueKind::Number(Quantity { value, .. }) => Some((name.clone(), value)),
         _ => None,
     };
@@ -192,8 +192,8 @@
 }
 
 fn text_list(value: &Value) -> Option<Vec<String>> {
-    let ValueKind::List(all, _) = &value.what else { return None };
-    let one = |v: &Value| match &v.what {
+    let ValueKind::List(all, _) = &value.kind else { return None };
+    let one = |v: &Value| match &v.kind {
         ValueKind::Text(text) => Some(text.clone()),
         _ => None,
     };
@@ -286,14 +286,14 @@
 
 fn postgres(value: &Value, consul: Option<ConsulConfig>) -> Option<PostgresConfig> {
     let section = record(value)?;
-    let engines = match &field(section, "engines")?.what {
+    let engines = match &field(section, "engines")?.kind {
         ValueKind::Record(of) => {
             EngineProtocol::Postgres { user: text(of, "user")?, database: text(of, "database")? }
         }
         _ => EngineProtocol::Http,
     };
-    let columns = match &field(section, "columns")?.what {
-        ValueKind::List(all, _) => all.iter().map(|v| match &v.what {
+    let columns = match &field(section, "columns")?.kind {
+        ValueKind::List(all, _) => all.iter().map(|v| match &v.kind {
             ValueKind::Text(name) => Some(name.clone()),
             _ => None,
         }),
