--- a/crates/engine/tests/give_up.rs
+++ b/crates/engine/tests/give_up.rs
@@ -39,14 +39,14 @@
     }
 
     /// Creates a test bed whose engine speaks PostgreSQL.
-    fn with_postgres(room: ConnectionLimits) -> TestBed {
-        TestBed::with_backend(Box::new(PostgresBackend::new("u".into(), "d".into(), 250 * MS)), room)
+    fn with_postgres(limits: ConnectionLimits) -> TestBed {
+        TestBed::with_backend(Box::new(PostgresBackend::new("u".into(), "d".into(), 250 * MS)), limits)
     }
 
-    fn with_backend(backend: Box<dyn Backend>, room: ConnectionLimits) -> TestBed {
+    fn with_backend(backend: Box<dyn Backend>, limits: ConnectionLimits) -> TestBed {
         let poll = Poll::new().unwrap();
         let registry = poll.registry().try_clone().unwrap();
-        let net = Net::new(registry, 10, room);
+        let net = Net::new(registry, 10, limits);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let class = ClassSettings {
             target_latency_ns: 9_000 * MS,
--- a/crates/testkit/tests/engine.rs
+++ b/crates/testkit/tests/engine.rs
@@ -34,7 +34,7 @@
     let completed_share = |queries: usize| {
         let mut engine = CpuModel::new(0, 2.0);
         (0..queries).for_each(|i| engine.start(0, &format!("q{i}"), work_ns(1_000), 1.0, 1, None));
-        let share = |news| if let QueryStatus::Running(share) = news { share } else { 1.0 };
+        let share = |status| if let QueryStatus::Running(share) = status { share } else { 1.0 };
         (0..queries).map(|i| share(engine.poll(100 * MS, &format!("q{i}")))).sum::<f64>()
     };
     assert!(
