--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! It does no input or output. Fronts submit requests and deliver answers; engine clients execute
 //! attempts and report how they end. Events are queued, and [`Router::process_events`] passes them
-//! to the decision module in one batch. Requests may wait in the admission queue (the door) before
-//! the module receives them.
+//! to the decision module in one batch. Requests may wait in the fair queue before the module
+//! receives them.
 
 #![forbid(unsafe_code)]
 
@@ -38,7 +38,7 @@
 /// engine counts from when it received the call, and sockets may add 50 ms.
 const UNCONFIRMED_END_GRACE_NS: u64 = 250_000_000;
 
-/// Maximum number of open requests outside the admission queue.
+/// Maximum number of open requests outside the fair queue.
 const MAX_OPEN_REQUESTS: usize = 1_000;
 /// Share of the memory limit for the statements of open requests.
 const MAX_STATEMENT_MEMORY_SHARE: f64 = 0.15;
@@ -310,13 +310,13 @@
         }
     }
 
-    /// Adds an admission queue before the decision module.
+    /// Adds a fair queue before the decision module.
     pub fn with_fair_queue(mut self, fair_queue: Option<FairQueue>) -> Self {
         self.fair_queue = fair_queue;
         self
     }
 
-    /// Adds fleet-wide limits before the admission queue.
+    /// Adds fleet-wide limits before the fair queue.
     pub fn with_limits(mut self, limits: Option<FleetLimits>) -> Self {
         self.limits = limits;
         self
@@ -338,7 +338,7 @@
         self.limits.as_mut()
     }
 
-    /// The admission queue, if configured.
+    /// The fair queue, if configured.
     pub fn fair_queue(&mut self) -> Option<&mut FairQueue> {
         self.fair_queue.as_mut()
     }
@@ -418,16 +418,16 @@
 
     /// Whether another request may be accepted.
     pub fn has_capacity(&self) -> bool {
-        // The admission queue bounds and evicts its own requests.
+        // The fair queue bounds and evicts its own requests.
         let (queued, bytes, max_queued_bytes) = self
             .fair_queue
             .as_ref()
-            .map_or((0, 0, 0), |d| (d.queued(), d.queued_bytes(), d.max_queued_bytes()));
+            .map_or((0, 0, 0), |queue| (queue.queued(), queue.queued_bytes(), queue.max_queued_bytes()));
         self.open.len() - queued < MAX_OPEN_REQUESTS
             && self.statement_bytes - bytes < self.max_statement_bytes - max_queued_bytes
     }
 
-    /// Maximum statement bytes in the admission queue: half of the total.
+    /// Maximum statement bytes in the fair queue: half of the total.
     pub fn max_queued_bytes(memory_mb: f64) -> usize {
         (memory_mb * MAX_STATEMENT_MEMORY_SHARE * 1e6 / 2.0) as usize
     }
@@ -493,10 +493,10 @@
         self.poll_fair_queue(now_ns, commands);
     }
 
-    /// Submits the requests that the admission queue releases and answers those that it refuses.
+    /// Submits the requests that the fair queue releases and answers those that it refuses.
     /// The queue is polled again after each, because refusals by the module change its state.
     fn poll_fair_queue(&mut self, now: u64, commands: &mut Vec<Command>) {
-        while let Some(queue_action) = self.fair_queue.as_mut().and_then(|d| d.next_action(now)) {
+        while let Some(queue_action) = self.fair_queue.as_mut().and_then(|queue| queue.next_action(now)) {
             match queue_action {
                 QueueAction::Submit(id) => {
                     self.submit_to_controller(now, RequestId(id), commands);
@@ -514,7 +514,7 @@
         }
     }
 
-    /// Describes a request to the admission queue.
+    /// Describes a request to the fair queue.
     fn fair_queue_arrival(&self, id: RequestId, open: &OpenRequest) -> Arrival {
         let (client_request, class) = (&open.client_request, &self.classes[open.client_request.class.0]);
         let threads = class.threads.max(1.0);
@@ -569,9 +569,9 @@
     /// Sends changed verdicts on engines to the decision module.
     fn send_verdicts(&mut self, now: u64, commands: &mut Vec<Command>) {
         let changed = self.health.as_mut().map_or_else(Vec::new, |health| health.changed_verdicts(now));
-        for (engine, queue_action) in changed {
-            debug!("the fleet's verdict on {:016x} is {queue_action:?}", engine.0);
-            self.decide(now, Event::VerdictChanged(engine, queue_action), commands);
+        for (engine, verdict) in changed {
+            debug!("the fleet's verdict on {:016x} is {verdict:?}", engine.0);
+            self.decide(now, Event::VerdictChanged(engine, verdict), commands);
         }
     }
 
@@ -652,10 +652,10 @@
         }
     }
 
-    /// Removes a request whose client left from the admission queue, or notifies the decision
+    /// Removes a request whose client left from the fair queue, or notifies the decision
     /// module.
     fn handle_client_left(&mut self, now: u64, id: RequestId, commands: &mut Vec<Command>) {
-        if !self.fair_queue.as_mut().is_some_and(|d| d.cancel(now, id.0)) {
+        if !self.fair_queue.as_mut().is_some_and(|queue| queue.cancel(now, id.0)) {
             self.notify_client_left(now, id, commands);
         }
         self.remove_if_done(id);
@@ -774,7 +774,7 @@
     /// Ends a request without a decision of the module, and notifies the module if it has the
     /// request.
     fn end_request(&mut self, now: u64, id: RequestId, answer: Answer, commands: &mut Vec<Command>) {
-        let waits = self.fair_queue.as_ref().is_some_and(|d| d.waits(id.0));
+        let waits = self.fair_queue.as_ref().is_some_and(|queue| queue.waits(id.0));
         self.conclude(now, id, answer, commands);
         if !waits {
             self.notify_client_left(now, id, commands);
@@ -878,7 +878,8 @@
                 let Some(open) = self.open.get(&request) else { return };
                 let (after, fault) = (open.last_end, open.fault.clone());
                 let sent = open.attempts > 0;
-                let retry_after = self.fair_queue.as_mut().and_then(|d| d.refused(now, request.0, sent));
+                let retry_after =
+                    self.fair_queue.as_mut().and_then(|queue| queue.refused(now, request.0, sent));
                 let module_ms = retry_after_ns.unwrap_or(100_000_000).div_ceil(1_000_000).max(1);
                 let backoff_ms =
                     retry_after.filter(|_| retry_after_ns.is_some()).map_or(module_ms, retry_after_ms);
--- a/crates/core/tests/fair_queue.rs
+++ b/crates/core/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! The core with an admission queue (the door): each request gets exactly one final answer.
+//! The core with a fair queue: each request gets exactly one final answer.
 
 use std::collections::HashMap;
 
@@ -128,7 +128,7 @@
     }
 
     fn queued(&mut self) -> usize {
-        self.router.fair_queue().map_or(0, |d| d.queued())
+        self.router.fair_queue().map_or(0, |queue| queue.queued())
     }
 
     /// Submits requests until a queue forms; returns all calls.
--- a/src/config.rs
+++ b/src/config.rs
@@ -310,7 +310,7 @@
             return Err(ConfigError::FairQueue(error));
         }
         let config = Config::read(&text(&self.config)?)?;
-        let mut weighted = fair_queue.iter().flat_map(|d| d.weights.keys());
+        let mut weighted = fair_queue.iter().flat_map(|settings| settings.weights.keys());
         if let Some(name) = weighted.find(|name| !config.names.tenants.contains(name)) {
             return Err(ConfigError::UnknownTenant(name.clone()));
         }
