--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -166,13 +166,13 @@
     fleet.start_clients();
     fleet.run(Duration::from_secs(1))?;
     let (from, before) = (fleet.now(), fleet.used()[0].1);
-    let requested_before = fleet.sum(|tally| tally.asked as f64);
+    let requested_before = fleet.sum(|tally| tally.requests as f64);
     fleet.run(MEASURED_TIME)?;
     let seconds = (fleet.now() - from) as f64 / 1e9;
     let used_ms = (fleet.used()[0].1 - before) as f64 / 1e3 / seconds;
-    let asked = (fleet.sum(|tally| tally.asked as f64) - requested_before) / seconds;
+    let request_rate = (fleet.sum(|tally| tally.requests as f64) - requested_before) / seconds;
     // Arrivals are random: scale the processor time to the nominal rate.
-    Ok(used_ms * rate as f64 / asked.max(1.0))
+    Ok(used_ms * rate as f64 / request_rate.max(1.0))
 }
 
 fn split(costs: &Repeated<[f64; 2]>, at: usize) -> Repeated<f64> {
--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -55,7 +55,7 @@
         fleet.run_until(MAX_START_TIME, |f| f.ready() == routers)?;
         fleet.run(Duration::from_secs(16))?;
     }
-    let tallies = |f: &Fleet| (f.sum(|t| t.worth), f.sum(|t| t.worth_asked));
+    let tallies = |f: &Fleet| (f.sum(|t| t.worth), f.sum(|t| t.worth_requested));
     let before = tallies(&fleet);
     if engine_start == EngineStart::InRunningFleet {
         fleet.restart_engines_cold();
--- a/crates/lab/src/fair_queue.rs
+++ b/crates/lab/src/fair_queue.rs
@@ -140,7 +140,7 @@
     /// Worth served over worth requested.
     fn worth_ratio(&self, phase: usize, source: usize) -> f64 {
         let tally = &self.tallies[phase][source];
-        ratio(tally.worth, tally.worth_asked)
+        ratio(tally.worth, tally.worth_requested)
     }
 
     /// Worth ratio of each light tenant, relative to the phase without the heavy tenant.
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -99,7 +99,7 @@
         &mut text,
         format_args!(
             "clients asked {}, served {}, refused {}, failed {}, unanswered {}",
-            all(|t| t.asked),
+            all(|t| t.requests),
             all(|t| t.served),
             all(|t| t.refused),
             all(|t| t.failed),
--- a/crates/lab/src/health.rs
+++ b/crates/lab/src/health.rs
@@ -91,7 +91,7 @@
     let mut fleet = start_fleet(run, name, shared)?;
     let routers = fleet.routers.len();
     let before = failed_attempts(&fleet.counters(TIMEOUT)?);
-    let worth_before = (fleet.sum(|t| t.worth), fleet.sum(|t| t.worth_asked));
+    let worth_before = (fleet.sum(|t| t.worth), fleet.sum(|t| t.worth_requested));
     match fault {
         Fault::Silent => {
             let partitioned = Shape { partitioned: true, ..Shape::default() };
@@ -113,7 +113,7 @@
     }
     let counters = fleet.counters(TIMEOUT)?;
     let lost = failed_attempts(&counters) - before;
-    let worth_after = (fleet.sum(|t| t.worth), fleet.sum(|t| t.worth_asked));
+    let worth_after = (fleet.sum(|t| t.worth), fleet.sum(|t| t.worth_requested));
     let worth = (worth_after.0 - worth_before.0) / (worth_after.1 - worth_before.1).max(1e-9);
     let recovery_start = fleet.now();
     fleet.shape(0, Shape::default(), Shape::default());
--- a/crates/lab/src/start.rs
+++ b/crates/lab/src/start.rs
@@ -115,9 +115,9 @@
     let answered = fleet.stop_clients(Duration::from_secs(8))?;
     let handshakes: u64 = fleet.engines.iter().map(|e| e.accepted).sum();
     let audit = fleet.audit();
-    let (asked, unanswered) = (fleet.sum(|t| t.asked as f64), fleet.sum(|t| t.unanswered as f64));
+    let (requests, unanswered) = (fleet.sum(|t| t.requests as f64), fleet.sum(|t| t.unanswered as f64));
     let twice = fleet.sum(|t| t.twice as f64);
-    let worth = fleet.sum(|t| t.worth) / fleet.sum(|t| t.worth_asked).max(1e-9);
+    let worth = fleet.sum(|t| t.worth) / fleet.sum(|t| t.worth_requested).max(1e-9);
     let (_, ended_well) = fleet.stop(Duration::from_secs(8))?;
     let mean =
         |of: fn(&(u64, u64)) -> u64| used.iter().map(of).sum::<u64>() as f64 / used.len().max(1) as f64;
@@ -140,9 +140,9 @@
         "lost": unanswered,
         "all_answered": answered,
         "ended_well": ended_well,
-        "asked": asked,
+        "asked": requests,
         "worth_kept": worth,
-        "handshakes_a_request": handshakes as f64 / asked.max(1.0),
+        "handshakes_a_request": handshakes as f64 / requests.max(1.0),
         "memory_kb": mean(|u| u.0),
         "start_cpu_ms": mean(|u| u.1) / 1e3,
     }))
@@ -205,14 +205,14 @@
     let peak_overload =
         fleet.engines.iter().filter_map(|e| Some(e.cold.as_ref()?.peak_overload)).fold(0.0, f64::max);
     let down = fleet.engines.iter().filter(|e| !e.is_up()).count();
-    let (worth, asked) = (fleet.sum(|t| t.worth), fleet.sum(|t| t.worth_asked));
+    let (worth, worth_requested) = (fleet.sum(|t| t.worth), fleet.sum(|t| t.worth_requested));
     let handshakes: u64 = fleet.engines.iter().map(|e| e.accepted).sum();
     Ok(json!({
         "engine_peak_over_limit": peak_overload,
         "engines_down": down,
         "worth_10s": worth,
-        "worth_share_10s": worth / asked.max(1e-9),
-        "handshakes_a_request": handshakes as f64 / fleet.sum(|t| t.asked as f64).max(1.0),
+        "worth_share_10s": worth / worth_requested.max(1e-9),
+        "handshakes_a_request": handshakes as f64 / fleet.sum(|t| t.requests as f64).max(1.0),
         "double_runs": fleet.audit().duplicate_runs,
     }))
 }
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -60,11 +60,13 @@
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct RequestStats {
     /// All requests, returns included.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Requests without returns.
     pub first: u64,
     /// Worth of the requests, without returns.
-    pub worth_asked: f64,
+    #[serde(rename = "worth_asked")]
+    pub worth_requested: f64,
     /// Worth of the answers.
     pub worth: f64,
     /// Successful answers.
@@ -94,9 +96,9 @@
 impl Default for RequestStats {
     fn default() -> Self {
         RequestStats {
-            asked: 0,
+            requests: 0,
             first: 0,
-            worth_asked: 0.0,
+            worth_requested: 0.0,
             worth: 0.0,
             served: 0,
             in_time: 0,
@@ -294,7 +296,7 @@
                 let request = self.draw_request(source);
                 let tally = &mut self.tallies[request.phase][source];
                 tally.first += 1;
-                tally.worth_asked += self.classes[request.class].worth;
+                tally.worth_requested += self.classes[request.class].worth;
                 self.next_ns[source] += self.gap_ns(source);
                 self.send_request(now, net, request);
             }
@@ -317,7 +319,7 @@
         let free =
             self.conns.iter().find(|(_, c)| c.open.len() < MAX_CALLS_PER_CONNECTION).map(|(id, _)| *id);
         let tally = &mut self.tallies[request.phase][request.source];
-        tally.asked += 1;
+        tally.requests += 1;
         tally.returned += u64::from(request.return_reserved == Some(true));
         let conn = match free {
             Some(conn) => conn,
