--- a/crates/cells/examples/divisions.rs
+++ b/crates/cells/examples/divisions.rs
@@ -135,7 +135,7 @@
 /// and one change.
 fn measure_cost() {
     let relay_address = address(60_000);
-    let settings = RelaySettings { routers: ROUTERS, ask_ns: S, silence_ns: 3 * S };
+    let settings = RelaySettings { routers: ROUTERS, request_interval_ns: S, silence_ns: 3 * S };
     let mut relay = Relay::new(S, settings);
     let list: Vec<Engine> = (0..ENGINES).map(engine).collect();
     let update_started = Instant::now();
@@ -234,7 +234,7 @@
         router: u64::from(number),
         incarnation: 1,
         relays: vec![relay],
-        ask_ns: S,
+        request_interval_ns: S,
         silence_ns: 3 * S,
         settle_ns: 8 * S,
         spread_ns: S,
--- a/crates/cells/src/bound.rs
+++ b/crates/cells/src/bound.rs
@@ -17,7 +17,7 @@
     /// Number of relays.
     pub relays: u32,
     /// Interval between the requests of a router, in nanoseconds.
-    pub ask_ns: u64,
+    pub request_interval_ns: u64,
     /// Time without contact after which a relay treats the list service as unavailable, in
     /// nanoseconds.
     pub silence_ns: u64,
@@ -43,7 +43,7 @@
         BoundParams {
             routers: 1,
             relays: 1,
-            ask_ns: 1_000_000_000,
+            request_interval_ns: 1_000_000_000,
             silence_ns: 3_000_000_000,
             settle_ns: 10_000_000_000,
             reconnect_ns: 6_500_000_000,
@@ -98,8 +98,8 @@
 impl BoundParams {
     /// Returns the largest number of datagrams that a relay sends per second.
     fn budget_per_s(&self) -> u64 {
-        let (ask_ns, silence_ns) = (self.ask_ns, self.silence_ns);
-        RelaySettings { routers: self.routers, ask_ns, silence_ns }.budget_per_s()
+        let (request_interval_ns, silence_ns) = (self.request_interval_ns, self.silence_ns);
+        RelaySettings { routers: self.routers, request_interval_ns, silence_ns }.budget_per_s()
     }
 
     /// Returns the time in which a relay sends `datagrams` to each of `routers`, in nanoseconds.
@@ -122,13 +122,13 @@
 
     /// Returns the longest time between a response and the next request, in nanoseconds.
     fn max_request_interval_ns(&self) -> u64 {
-        max_jittered(self.ask_ns) + self.tick_ns
+        max_jittered(self.request_interval_ns) + self.tick_ns
     }
 
     /// Returns the longest time between a request without a complete response and the next one, in
     /// nanoseconds.
     fn max_retry_interval_ns(&self) -> u64 {
-        max_jittered(self.ask_ns / RETRY_DIVISOR) + 2 * self.tick_ns + 2 * self.delay_ns
+        max_jittered(self.request_interval_ns / RETRY_DIVISOR) + 2 * self.tick_ns + 2 * self.delay_ns
     }
 
     /// Returns the time over which first requests are spread, so that no relay exceeds its budget,
@@ -169,7 +169,7 @@
     let snapshot_ns =
         bound_params.response_time_ns(bound_params.max_routers_per_relay(), bound_params.pieces);
     let single_ns = bound_params.response_time_ns(bound_params.max_routers_per_relay(), 1);
-    let min_interval_ns = bound_params.ask_ns / MIN_INTERVAL_DIVISOR + bound_params.tick_ns;
+    let min_interval_ns = bound_params.request_interval_ns / MIN_INTERVAL_DIVISOR + bound_params.tick_ns;
     let push_ns = bound_params.send_time_ns(bound_params.max_routers_per_relay(), 1)
         + bound_params.delay_ns
         + 2 * bound_params.tick_ns;
@@ -212,7 +212,7 @@
          datagrams take at most {:.0} ms",
         bound_params.pieces,
         bound_params.relays,
-        seconds(bound_params.ask_ns),
+        seconds(bound_params.request_interval_ns),
         seconds(bound_params.max_age_ns()),
         seconds(bound_params.delay_ns) * 1e3,
     )];
--- a/crates/cells/src/relay.rs
+++ b/crates/cells/src/relay.rs
@@ -37,7 +37,7 @@
     /// may have a new address.
     pub routers: u32,
     /// Interval between the requests of a router, in nanoseconds.
-    pub ask_ns: u64,
+    pub request_interval_ns: u64,
     /// Time without contact after which the list service counts as unavailable, in nanoseconds.
     pub silence_ns: u64,
 }
@@ -46,7 +46,8 @@
     /// Returns the largest number of datagrams sent per second: two per router and request
     /// interval, so that one remaining relay can serve the fleet.
     pub fn budget_per_s(&self) -> u64 {
-        let requests = u64::from(self.routers).saturating_mul(1_000_000_000) / self.ask_ns.max(1);
+        let requests =
+            u64::from(self.routers).saturating_mul(1_000_000_000) / self.request_interval_ns.max(1);
         (2 * requests).max(MIN_BUDGET_PER_S)
     }
 }
@@ -396,7 +397,7 @@
     }
 
     fn expire(&mut self, now: u64) {
-        let expiry_ns = EXPIRY_REQUESTS.saturating_mul(self.settings.ask_ns);
+        let expiry_ns = EXPIRY_REQUESTS.saturating_mul(self.settings.request_interval_ns);
         let is_expired = |(_, subscription): &(&SocketAddr, &Subscription)| {
             now > subscription.last_request_ns.saturating_add(expiry_ns)
         };
--- a/crates/cells/src/relay_selector.rs
+++ b/crates/cells/src/relay_selector.rs
@@ -24,16 +24,16 @@
 pub(crate) struct RelaySelector {
     relays: Vec<Candidate>,
     current: usize,
-    ask_ns: u64,
+    request_interval_ns: u64,
 }
 
 impl RelaySelector {
-    pub(crate) fn new(router: u64, relays: &[SocketAddr], ask_ns: u64) -> RelaySelector {
+    pub(crate) fn new(router: u64, relays: &[SocketAddr], request_interval_ns: u64) -> RelaySelector {
         let mut ranked: Vec<(u64, SocketAddr)> = relays.iter().map(|at| (rank(router, *at), *at)).collect();
         ranked.sort_unstable();
         ranked.dedup();
         let candidate = |(_, address)| Candidate { address, backoff_until_ns: 0, failures: 0 };
-        RelaySelector { relays: ranked.into_iter().map(candidate).collect(), current: 0, ask_ns }
+        RelaySelector { relays: ranked.into_iter().map(candidate).collect(), current: 0, request_interval_ns }
     }
 
     /// Returns the relay in use; `None` if there are no relays.
@@ -61,10 +61,10 @@
     }
 
     fn back_off(&mut self, now: u64, at: usize) {
-        let ask_ns = self.ask_ns;
+        let request_interval_ns = self.request_interval_ns;
         if let Some(relay) = self.relays.get_mut(at) {
             let requests = (INITIAL_BACKOFF_REQUESTS << relay.failures.min(8)).min(MAX_BACKOFF_REQUESTS);
-            relay.backoff_until_ns = now.saturating_add(requests.saturating_mul(ask_ns));
+            relay.backoff_until_ns = now.saturating_add(requests.saturating_mul(request_interval_ns));
             relay.failures += 1;
         }
     }
--- a/crates/cells/src/subscriber.rs
+++ b/crates/cells/src/subscriber.rs
@@ -51,7 +51,7 @@
     /// Addresses of the relays.
     pub relays: Vec<SocketAddr>,
     /// Interval between requests, in nanoseconds.
-    pub ask_ns: u64,
+    pub request_interval_ns: u64,
     /// Contact age from which a relay counts as having lost the list service, in nanoseconds.
     pub silence_ns: u64,
     /// Time for which relays must report restarted event numbers before they are accepted, in
@@ -107,7 +107,7 @@
         let mut jitter = Jitter::new(settings.seed);
         let due_ns = now + jitter.below(settings.spread_ns);
         Subscriber {
-            selector: RelaySelector::new(settings.router, &settings.relays, settings.ask_ns),
+            selector: RelaySelector::new(settings.router, &settings.relays, settings.request_interval_ns),
             jitter,
             held: None,
             assembly: None,
@@ -202,7 +202,7 @@
         } else {
             1
         };
-        self.jitter.apply(self.settings.ask_ns / divisor)
+        self.jitter.apply(self.settings.request_interval_ns / divisor)
     }
 
     fn build_request(&mut self, now: u64, relay: SocketAddr) -> Message {
@@ -224,7 +224,8 @@
 
     /// Moves the next request forward, because the part may be outdated.
     fn request_soon(&mut self, now: u64) {
-        let earliest_ns = (self.tracker.sent_ns + self.settings.ask_ns / MIN_INTERVAL_DIVISOR).max(now);
+        let earliest_ns =
+            (self.tracker.sent_ns + self.settings.request_interval_ns / MIN_INTERVAL_DIVISOR).max(now);
         self.tracker.due_ns = self.tracker.due_ns.min(earliest_ns);
     }
 
@@ -318,7 +319,7 @@
         self.tracker.unanswered_overall = 0;
         if self.selector.current() == Some(from) && self.tracker.unanswered > 0 {
             self.tracker.unanswered = 0;
-            self.tracker.due_ns = self.tracker.sent_ns + self.jitter.apply(self.settings.ask_ns);
+            self.tracker.due_ns = self.tracker.sent_ns + self.jitter.apply(self.settings.request_interval_ns);
         }
     }
 
@@ -441,7 +442,8 @@
         assembly.add(piece.index, engines, piece.header.version, confirmed_ns);
         if !assembly.is_complete() {
             // Missing pieces are requested again.
-            self.tracker.due_ns = self.tracker.due_ns.min(now + self.settings.ask_ns / RETRY_DIVISOR);
+            self.tracker.due_ns =
+                self.tracker.due_ns.min(now + self.settings.request_interval_ns / RETRY_DIVISOR);
             return None;
         }
         self.complete_assembly(now, pending.relay, in_contact)
--- a/crates/cells/tests/common/mod.rs
+++ b/crates/cells/tests/common/mod.rs
@@ -54,7 +54,7 @@
 pub fn relay_settings(bound_params: &BoundParams) -> RelaySettings {
     RelaySettings {
         routers: bound_params.routers,
-        ask_ns: bound_params.ask_ns,
+        request_interval_ns: bound_params.request_interval_ns,
         silence_ns: bound_params.silence_ns,
     }
 }
@@ -250,7 +250,7 @@
             router: at as u64,
             incarnation: self.incarnations,
             relays: self.relays.iter().map(|relay| relay.address).collect(),
-            ask_ns: self.bound_params.ask_ns,
+            request_interval_ns: self.bound_params.request_interval_ns,
             silence_ns: self.bound_params.silence_ns,
             settle_ns: self.bound_params.settle_ns,
             spread_ns: self.bound_params.spread_ns(),
--- a/crates/cells/tests/subscriber.rs
+++ b/crates/cells/tests/subscriber.rs
@@ -23,7 +23,7 @@
         router: 3,
         incarnation: INCARNATION,
         relays: relays(count),
-        ask_ns: S,
+        request_interval_ns: S,
         silence_ns: 3 * S,
         settle_ns: 5 * S,
         spread_ns: 0,
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -61,7 +61,7 @@
     /// Role of this process.
     pub role: ListRole,
     /// Interval between the requests of a router, in nanoseconds.
-    pub ask_ns: u64,
+    pub request_interval_ns: u64,
     /// Longest delivery time of a datagram that bounds assume, in nanoseconds.
     pub delay_ns: u64,
     /// Times derived from how the list service is polled.
@@ -82,7 +82,7 @@
     /// before a router accepts it, in nanoseconds: until relays that lost the service at the same
     /// time have contact again.
     fn settle_ns(&self) -> u64 {
-        self.timing.reconnect_ns + self.ask_ns
+        self.timing.reconnect_ns + self.request_interval_ns
     }
 
     /// Returns the inputs of the bounds for a fleet of `routers`; `None` for a relay, which does
@@ -92,7 +92,7 @@
         Some(BoundParams {
             routers,
             relays: relays.len() as u32,
-            ask_ns: self.ask_ns,
+            request_interval_ns: self.request_interval_ns,
             silence_ns: self.timing.silence_ns,
             settle_ns: self.settle_ns(),
             reconnect_ns: self.timing.reconnect_ns,
@@ -123,7 +123,11 @@
     }
 
     fn relay_settings(&self, routers: u32) -> RelaySettings {
-        RelaySettings { routers, ask_ns: self.ask_ns, silence_ns: self.timing.silence_ns }
+        RelaySettings {
+            routers,
+            request_interval_ns: self.request_interval_ns,
+            silence_ns: self.timing.silence_ns,
+        }
     }
 }
 
@@ -162,7 +166,7 @@
             router: u64::from(identity.number),
             incarnation: now,
             relays: relays.iter().map(|text| parse_address(text)).collect::<Result<_, _>>()?,
-            ask_ns: list.ask_ns,
+            request_interval_ns: list.request_interval_ns,
             silence_ns: list.timing.silence_ns,
             settle_ns: list.settle_ns(),
             spread_ns: bound_params.spread_ns(),
--- a/crates/lab/src/capacity/cells.rs
+++ b/crates/lab/src/capacity/cells.rs
@@ -134,7 +134,7 @@
             BoundParams { routers: FLEET_SIZE.0, relays: FLEET_SIZE.1, ..BoundParams::default() };
         let settings = RelaySettings {
             routers: FLEET_SIZE.0,
-            ask_ns: bound_params.ask_ns,
+            request_interval_ns: bound_params.request_interval_ns,
             silence_ns: bound_params.silence_ns,
         };
         let mut relay = Relay::new(START_NS, settings);
@@ -149,7 +149,7 @@
                 router: number as u64,
                 incarnation: START_NS,
                 relays: vec![fleet.relay_endpoint.address],
-                ask_ns: bound_params.ask_ns,
+                request_interval_ns: bound_params.request_interval_ns,
                 silence_ns: bound_params.silence_ns,
                 settle_ns: bound_params.settle_ns,
                 spread_ns: bound_params.spread_ns(),
@@ -281,7 +281,8 @@
 
 /// Heap of a relay's list (KB), and processor time to apply it (ms).
 fn relay_list_cost(engines: usize) -> Result<[f64; 2], String> {
-    let settings = RelaySettings { routers: FLEET_SIZE.0, ask_ns: SECOND_NS, silence_ns: 3 * SECOND_NS };
+    let settings =
+        RelaySettings { routers: FLEET_SIZE.0, request_interval_ns: SECOND_NS, silence_ns: 3 * SECOND_NS };
     let all: Vec<Engine> = (0..engines).map(|number| engine(number, 25, EngineState::Ready)).collect();
     let before = HEAP.current_usage();
     let mut relay = Relay::new(START_NS, settings);
--- a/crates/lab/src/scale/cells.rs
+++ b/crates/lab/src/scale/cells.rs
@@ -25,7 +25,7 @@
 /// Number of hosts of relays.
 const RELAY_HOSTS: u32 = 2;
 /// Interval between a router's requests (ns), as by default in the operator's configuration file.
-const ASK_NS: u64 = 1_000_000_000;
+const REQUEST_INTERVAL_NS: u64 = 1_000_000_000;
 /// Measured quiet time, and number of published changes (full, quick).
 const QUIET_TIME: [Duration; 2] = [Duration::from_secs(10), Duration::from_millis(1_500)];
 const CHANGES: [u32; 2] = [20, 6];
@@ -144,7 +144,12 @@
         settings: module_settings(routers),
         module: true,
         list: false,
-        cells: Some(CellsPlan { cells: CELLS, relays, hosts: RELAY_HOSTS, ask_ns: ASK_NS }),
+        cells: Some(CellsPlan {
+            cells: CELLS,
+            relays,
+            hosts: RELAY_HOSTS,
+            request_interval_ns: REQUEST_INTERVAL_NS,
+        }),
         fleet: Some(fleet),
         seed: run.seed,
     }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -162,7 +162,7 @@
     let keys = KeyFiles::new("cells").unwrap();
     let fleet =
         FleetSetup { keys: keys.path().to_owned(), seeds: Vec::new(), limit_per_s: None, health: false };
-    let cells = CellsPlan { cells: 2, relays: 3, hosts: 1, ask_ns: 200_000_000 };
+    let cells = CellsPlan { cells: 2, relays: 3, hosts: 1, request_interval_ns: 200_000_000 };
     let mut fleet =
         HollowFleet::start(FleetPlan { list: false, cells: Some(cells), fleet: Some(fleet), ..plan() })
             .unwrap();
--- a/crates/testkit/src/hollow/fleet.rs
+++ b/crates/testkit/src/hollow/fleet.rs
@@ -60,7 +60,7 @@
     /// Number of hosts of relays, beside those of routers.
     pub hosts: u32,
     /// Interval between a router's requests to a relay (ns).
-    pub ask_ns: u64,
+    pub request_interval_ns: u64,
 }
 
 /// Command of the lab that runs a list service.
@@ -200,8 +200,8 @@
         match self.plan.cells {
             None if self.plan.list => ListSource::Service,
             None => ListSource::Disabled,
-            Some(CellsPlan { cells, ask_ns, .. }) => {
-                ListSource::Relays(CellsSetup { cells, ask_ns, relays: self.relays.clone() })
+            Some(CellsPlan { cells, request_interval_ns, .. }) => {
+                ListSource::Relays(CellsSetup { cells, request_interval_ns, relays: self.relays.clone() })
             }
         }
     }
--- a/crates/testkit/src/hollow/fleet_member.rs
+++ b/crates/testkit/src/hollow/fleet_member.rs
@@ -67,7 +67,7 @@
         };
         Some(ListConfig {
             role: if self.relay { ListRole::Relay } else { cell },
-            ask_ns: setup.ask_ns,
+            request_interval_ns: setup.request_interval_ns,
             delay_ns: MAX_DELAY_NS,
             timing: list_timing(),
         })
--- a/crates/testkit/src/hollow/protocol.rs
+++ b/crates/testkit/src/hollow/protocol.rs
@@ -177,7 +177,8 @@
     /// Cells per zone.
     pub cells: u32,
     /// Interval between a router's requests to a relay (ns).
-    pub ask_ns: u64,
+    #[serde(rename = "ask_ns")]
+    pub request_interval_ns: u64,
     /// Datagram addresses of the relays.
     pub relays: Vec<SocketAddr>,
 }
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -251,7 +251,12 @@
         },
     };
     let delay_ns = number(list, "delay").map_or(0, |ns| ns as u64);
-    Some(ListConfig { role, ask_ns: number(list, "ask")? as u64, delay_ns, timing: ListTiming::default() })
+    Some(ListConfig {
+        role,
+        request_interval_ns: number(list, "ask")? as u64,
+        delay_ns,
+        timing: ListTiming::default(),
+    })
 }
 
 fn limit(name: &str, value: &Value) -> Option<LimitConfig> {
--- a/tests/setup.rs
+++ b/tests/setup.rs
@@ -66,7 +66,7 @@
     let read = |name: &str, list: &str| file(name, list).unwrap().fleet.unwrap().list;
     assert_eq!(read("no-list", ""), None);
     let relay = read("relay", ", list: { relay: true }").unwrap();
-    assert_eq!((relay.role, relay.ask_ns), (ListRole::Relay, 1_000_000_000));
+    assert_eq!((relay.role, relay.request_interval_ns), (ListRole::Relay, 1_000_000_000));
     let cell =
         read("cell", ", list: { relays: [\"127.0.0.1:1\"], cells: 4, cell: 3, numbers: \"turns\" }").unwrap();
     assert!(cell.timing.silence_ns > 0 && cell.timing.reconnect_ns > cell.timing.silence_ns);
