--- a/crates/control/tests/rules.rs
+++ b/crates/control/tests/rules.rs
@@ -510,7 +510,7 @@
 #[test]
 fn announced_cold_engine_keeps_its_owners_after_a_refused_connection() {
     // Attempts are running when the start is announced; one connection is refused, one attempt
-    // succeeds. If each of two hundred routers took the engine for one without owners, it could
+    // succeeds. If each of two hundred routers treated the engine as one without owners, it could
     // send half of the budget.
     let mut sent_by_all = 0.0;
     for index in 0..200 {
--- a/crates/limits/src/bound.rs
+++ b/crates/limits/src/bound.rs
@@ -68,7 +68,7 @@
     };
     let max_lease_ns = params.owner_lease_ns() + limit.kind.drain_ns(params);
     // Free units are leased on the next request, and a router that was granted too little waits
-    // before it asks again.
+    // before it requests again.
     let request_delay_ns = params.exhausted_backoff_ns() + params.request_interval_ns();
     let largest_share = (0..params.routers).map(|me| params.share(units, me, 0)).max().unwrap_or(0);
     let ((max_overshoot, overshoot_ns), max_idle_ns) = match fault {
