--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -99,7 +99,7 @@
         let (counts, node) = (self.node.counts, &self.node);
         format!(
             "verdict_news={} verdict_refused={} verdict_suspected={} verdict_words={} verdict_evidence={}",
-            counts.news,
+            counts.merged,
             counts.refused,
             counts.suspected,
             node.overrides().len(),
--- a/crates/health/src/node.rs
+++ b/crates/health/src/node.rs
@@ -28,8 +28,8 @@
 /// Totals for counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Overrides and pieces of evidence that were received and new.
-    pub news: u64,
+    /// Received overrides and pieces of evidence that were new.
+    pub merged: u64,
     /// Overrides rejected for a version too far ahead, an invalid name, or lack of room.
     pub refused: u64,
     /// Number of times that this router became a suspect.
@@ -395,7 +395,7 @@
         // Only this router itself reports its own observations.
         if report.observer != self.local_id && self.table.merge(now, report, self.params.evidence_lifetime_ns)
         {
-            self.counts.news += 1;
+            self.counts.merged += 1;
             self.evaluation_outdated = true;
             self.gossip.push_evidence(report.engine, report.observer, report.finding);
         }
@@ -425,7 +425,7 @@
         }
         match self.overrides.merge(name, entry) {
             MergeOutcome::Updated => {
-                self.counts.news += 1;
+                self.counts.merged += 1;
                 self.revision += 1;
                 self.gossip.push_override(name);
             }
--- a/crates/health/tests/fleet.rs
+++ b/crates/health/tests/fleet.rs
@@ -32,10 +32,10 @@
             let now = fleet.now;
             let version = fleet.node(0).set_override(now, "e3", true).unwrap();
             let bound = propagation_bound_ns(&fleet.params);
-            let took = fleet.run_until(bound, "all routers have the override", |f| {
+            let elapsed_ns = fleet.run_until(bound, "all routers have the override", |f| {
                 f.all(|node| excluded_by_override(node, "e3"))
             });
-            worst = worst.max(took as f64 / bound as f64);
+            worst = worst.max(elapsed_ns as f64 / bound as f64);
             fleet.run_until(2 * bound, "all routers acknowledged it", |f| {
                 f.node(0).acks(version) + 1 == routers
             });
@@ -94,8 +94,8 @@
     let bytes = fleet.bytes;
     fleet.partitioned.clear();
     let bound = convergence_bound_ns(&fleet.params, 100 * 32);
-    let took = fleet.run_until(bound, "all routers agree", |f| f.all(|n| n.overrides().len() == 2_100));
-    println!("converged after {:.1} s and {} KB", took as f64 / 1e9, (fleet.bytes - bytes) / 1_000);
+    let elapsed_ns = fleet.run_until(bound, "all routers agree", |f| f.all(|n| n.overrides().len() == 2_100));
+    println!("converged after {:.1} s and {} KB", elapsed_ns as f64 / 1e9, (fleet.bytes - bytes) / 1_000);
 }
 
 #[test]
@@ -208,10 +208,10 @@
     let mut fleet = Fleet::new(8, 4);
     for round in 0..40u64 {
         // The latency of all engines triples halfway.
-        let took = if round < 20 { 10 * MS } else { 30 * MS };
+        let latency_ns = if round < 20 { 10 * MS } else { 30 * MS };
         for engine in 0..20 {
             (0..8).for_each(|at| {
-                fleet.attempt_ended(at, engine, AttemptOutcome::Served(took + engine * MS / 10))
+                fleet.attempt_ended(at, engine, AttemptOutcome::Served(latency_ns + engine * MS / 10))
             });
         }
         fleet.run(S);
@@ -225,8 +225,8 @@
     for _ in 0..40 {
         for engine in 0..20 {
             for at in 0..4 {
-                let took = if engine == 6 { 35 * MS } else { 10 * MS };
-                fleet.attempt_ended(at, engine, AttemptOutcome::Served(took));
+                let latency_ns = if engine == 6 { 35 * MS } else { 10 * MS };
+                fleet.attempt_ended(at, engine, AttemptOutcome::Served(latency_ns));
             }
         }
         fleet.run(S / 2);
@@ -295,12 +295,12 @@
     fleet.degrade_network();
     fleet.persisted[2] = Default::default();
     fleet.start(2);
-    let took = fleet.run_until(20 * S, "the joining router is ready", |f| {
+    let elapsed_ns = fleet.run_until(20 * S, "the joining router is ready", |f| {
         let now = f.now;
         f.node(2).is_synced(now)
     });
     assert_eq!(fleet.node(2).overrides().len(), 5_000);
-    println!("5,000 overrides after {:.1} s", took as f64 / 1e9);
+    println!("5,000 overrides after {:.1} s", elapsed_ns as f64 / 1e9);
 }
 
 #[test]
@@ -388,11 +388,11 @@
 fn a_new_fleet_of_hundreds_is_ready_soon() {
     for routers in [2, 5, 300] {
         let mut fleet = Fleet::new(routers, 1);
-        let took = fleet.run_until(10 * S, "all routers are ready", |f| {
+        let elapsed_ns = fleet.run_until(10 * S, "all routers are ready", |f| {
             let now = f.now;
             f.all(|n| n.is_synced(now))
         });
-        println!("{routers} routers ready after 3 s plus {:.1} s", took as f64 / 1e9);
+        println!("{routers} routers ready after 3 s plus {:.1} s", elapsed_ns as f64 / 1e9);
     }
 }
 
--- a/crates/limits/src/meter.rs
+++ b/crates/limits/src/meter.rs
@@ -52,10 +52,10 @@
             }
         }
         let Kind::Rate { per_s, burst } = kind else { return };
-        let passed = now.saturating_sub(self.refilled_ns) as f64 / 1e9 / (1.0 + drift);
+        let elapsed_s = now.saturating_sub(self.refilled_ns) as f64 / 1e9 / (1.0 + drift);
         let unit = per_s / f64::from(burst.max(1));
         // A limit has one unit per admission of its burst.
-        self.tokens = (self.tokens + passed * unit * f64::from(usable_throughout)).min(f64::from(usable));
+        self.tokens = (self.tokens + elapsed_s * unit * f64::from(usable_throughout)).min(f64::from(usable));
         self.refilled_ns = self.refilled_ns.max(now);
     }
 
--- a/crates/limits/src/sketch.rs
+++ b/crates/limits/src/sketch.rs
@@ -43,11 +43,11 @@
         let used = f64::from(cell.used);
         let Kind::Rate { per_s, burst } = kind else { return used };
         let at_ns = self.created_ns.saturating_add(u64::from(cell.updated_ms) * 1_000_000);
-        let passed = now.saturating_sub(at_ns) as f64 / 1e9 / (1.0 + drift);
+        let elapsed_s = now.saturating_sub(at_ns) as f64 / 1e9 / (1.0 + drift);
         let rate = per_s / f64::from(burst.max(1)) * f64::from(share);
         // An unused cell starts full, as a new key starts without tokens.
         let used = if cell.updated_ms == 0 { f64::from(share) } else { used };
-        (used - passed * rate).max(0.0)
+        (used - elapsed_s * rate).max(0.0)
     }
 
     /// Upper bound of what a key has used of its share: admissions in flight, or the level of the
--- a/crates/testkit/src/list.rs
+++ b/crates/testkit/src/list.rs
@@ -199,8 +199,8 @@
     }
 
     fn accepts(&mut self, now: u64) -> bool {
-        let passed = now.saturating_sub(self.refilled_at_ns) as f64 / 1e9;
-        self.tokens = (self.tokens + passed * self.capacity).min(self.capacity);
+        let elapsed_s = now.saturating_sub(self.refilled_at_ns) as f64 / 1e9;
+        self.tokens = (self.tokens + elapsed_s * self.capacity).min(self.capacity);
         self.refilled_at_ns = now;
         let accepts = self.tokens >= 1.0;
         self.tokens -= if accepts { 1.0 } else { 0.0 };
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -399,18 +399,18 @@
         self.first_answer_ns.get_or_insert(now);
         let request = call.request;
         let class = &self.classes[request.class];
-        let took_ms = (now - call.sent_ns) as f64 / MS;
+        let latency_ms = (now - call.sent_ns) as f64 / MS;
         let tally = &mut self.tallies[request.phase][request.source];
         if parts[2].is_nil() {
             let target_ms =
                 class.target_latency_ms + class.target_latency_stretch * request.work_ms / class.threads;
-            let in_time = took_ms <= target_ms;
+            let in_time = latency_ms <= target_ms;
             tally.served += 1;
             tally.in_time += u64::from(in_time);
             tally.worth += class.worth * if in_time { 1.0 } else { class.late_worth };
             tally.returned_served += u64::from(request.return_reserved == Some(true));
             // The deadline of the class keeps the latency within the histogram's bounds.
-            let _ = tally.latencies.record(took_ms.ceil() as u64);
+            let _ = tally.latencies.record(latency_ms.ceil() as u64);
             return;
         }
         let error = parts[2].as_array().and_then(|e| e.first()).and_then(Value::as_str);
--- a/crates/testkit/src/test_bed.rs
+++ b/crates/testkit/src/test_bed.rs
@@ -226,14 +226,14 @@
 
     /// Crashes engines and reports them as terminated on the coordinator's stream.
     pub fn kill(&mut self, count: usize) {
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         for engine in self.engines.iter_mut().filter(|e| e.is_up()).take(count) {
             engine.crash(&mut self.net);
-            gone.push(engine_entry(engine, "terminated"));
+            removed.push(engine_entry(engine, "terminated"));
         }
         self.revision += 1;
         let index = self.revision;
-        let event = json!({"index": index, "endpoints": {"rev": index, "all": false, "targets": gone}});
+        let event = json!({"index": index, "endpoints": {"rev": index, "all": false, "targets": removed}});
         self.coordinator.publish(&mut self.net, index, &event);
     }
 
