--- a/crates/lab/src/start.rs
+++ b/crates/lab/src/start.rs
@@ -185,7 +185,7 @@
         operator: (!name.starts_with("against")).then(|| operator_file(capacity, routers_key)),
         engines: 6,
         cold: true,
-        configured_routers: configured_routers,
+        configured_routers,
         rate: COLD_REQUEST_RATE / routers as f64,
         seed: run.seed,
         ..Setup::new(program, &format!("cold-{name}-{}", run.seed), routers)
