--- a/crates/capacity/src/rows/router.rs
+++ b/crates/capacity/src/rows/router.rs
@@ -169,7 +169,7 @@
 
 /// Traffic between routers.
 pub fn peer_rows(m: &Measured) -> Result<Vec<Row>, MissingCost> {
-    Ok(vec![membership(m)?, limits(m)?, verdicts(m)?, cold(m)?])
+    Ok(vec![membership(m)?, limits(m)?, engine_health(m)?, cold(m)?])
 }
 
 fn membership(m: &Measured) -> Result<Row, MissingCost> {
@@ -252,7 +252,7 @@
     })
 }
 
-fn verdicts(m: &Measured) -> Result<Row, MissingCost> {
+fn engine_health(m: &Measured) -> Result<Row, MissingCost> {
     let routers = ROUTERS.value;
     let observers = observers_per_failure();
     let changes = FAILURES.value * engine_share() * observers / DAY_S;
--- a/crates/fleet/src/payloads.rs
+++ b/crates/fleet/src/payloads.rs
@@ -56,7 +56,7 @@
     /// Dispatches a payload by its kind.
     pub(crate) fn handle_payload(&mut self, now: u64, payload: PeerPayload, router: &mut Router) {
         match payload.kind {
-            Kind::Verdicts => self.handle_health(now, &payload, router),
+            Kind::Health => self.handle_health(now, &payload, router),
             Kind::Limits => self.handle_limits(now, &payload, router),
             Kind::List => self.handle_list(now, &payload),
             _ => self.queue_payload(payload),
@@ -92,6 +92,6 @@
         for message in messages {
             answers.extend(health.node().receive(now, payload.from.number, message));
         }
-        self.send(Kind::Verdicts, answers);
+        self.send(Kind::Health, answers);
     }
 }
--- a/crates/fleet/src/runtime.rs
+++ b/crates/fleet/src/runtime.rs
@@ -185,7 +185,7 @@
         }
         if let Some(health) = router.health() {
             let messages = health.node().tick(now);
-            self.send(Kind::Verdicts, messages);
+            self.send(Kind::Health, messages);
             self.log_suspicion(health.node().is_suspect());
             if let Some(file) = &mut self.overrides_file {
                 file.store(health.node());
--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -43,7 +43,7 @@
     /// `GET /fleet`.
     Fleet,
     /// `GET /fleet/verdicts`.
-    Verdicts,
+    EngineHealth,
     /// `POST /drain`.
     Drain,
     /// `POST /undrain`.
@@ -60,7 +60,7 @@
             AdminRequest::DisableForAll(_) => "disable_for_all",
             AdminRequest::EnableForAll(_) => "enable_for_all",
             AdminRequest::Fleet => "fleet",
-            AdminRequest::Verdicts => "verdicts",
+            AdminRequest::EngineHealth => "verdicts",
             AdminRequest::Drain => "drain",
             AdminRequest::Undrain => "undrain",
         }
@@ -163,7 +163,7 @@
         ("POST", "/fleet/engines/disable") => AdminRequest::DisableForAll(engine()?),
         ("POST", "/fleet/engines/enable") => AdminRequest::EnableForAll(engine()?),
         ("GET", "/fleet") => AdminRequest::Fleet,
-        ("GET", "/fleet/verdicts") => AdminRequest::Verdicts,
+        ("GET", "/fleet/verdicts") => AdminRequest::EngineHealth,
         ("POST", "/drain") => AdminRequest::Drain,
         ("POST", "/undrain") => AdminRequest::Undrain,
         (
@@ -291,7 +291,7 @@
         let counts = self.counters.requests.entry(request.name()).or_default();
         counts.0 += 1;
         counts.1 += u64::from((200..300).contains(&response.status));
-        if !matches!(request, AdminRequest::Ready | AdminRequest::Fleet | AdminRequest::Verdicts) {
+        if !matches!(request, AdminRequest::Ready | AdminRequest::Fleet | AdminRequest::EngineHealth) {
             info!("admin API: {} {:?}: {} {}", request.name(), request, response.status, response.text);
         }
         self.end(now, net, conn, Some(response));
--- a/crates/front/tests/admin.rs
+++ b/crates/front/tests/admin.rs
@@ -28,7 +28,7 @@
     );
     let fleet = b"POST /fleet/engines/disable HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-1";
     assert_eq!(parse_request(fleet), Ok(Some(AdminRequest::DisableForAll("s-1".into()))));
-    assert_eq!(parse_request(b"GET /fleet/verdicts HTTP/1.1\r\n\r\n"), Ok(Some(AdminRequest::Verdicts)));
+    assert_eq!(parse_request(b"GET /fleet/verdicts HTTP/1.1\r\n\r\n"), Ok(Some(AdminRequest::EngineHealth)));
     let enable = b"POST /engines/enable HTTP/1.1\r\nContent-Length: 5\r\n\r\n s-1\n";
     assert_eq!(parse_request(enable), Ok(Some(AdminRequest::Enable("s-1".into()))));
 }
--- a/crates/peers/src/datagram.rs
+++ b/crates/peers/src/datagram.rs
@@ -20,7 +20,7 @@
     /// Leases of shared limits.
     Limits,
     /// Engine health.
-    Verdicts,
+    Health,
     /// List of engines.
     List,
 }
@@ -138,7 +138,7 @@
         match head[3] {
             0 => Ok((Kind::Members, content)),
             1 => Ok((Kind::Limits, content)),
-            2 => Ok((Kind::Verdicts, content)),
+            2 => Ok((Kind::Health, content)),
             3 => Ok((Kind::List, content)),
             _ => Err(RejectReason::Content),
         }
--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -49,7 +49,7 @@
             AdminRequest::DisableForAll(id) => return self.override_engine(now, id, true),
             AdminRequest::EnableForAll(id) => return self.override_engine(now, id, false),
             AdminRequest::Fleet => self.describe_fleet(now),
-            AdminRequest::Verdicts => self.describe_health(now),
+            AdminRequest::EngineHealth => self.describe_health(now),
             AdminRequest::Drain => self.drain(now),
             AdminRequest::Undrain => self.undrain(),
         };
--- a/tests/fleet_verdicts.rs
+++ b/tests/fleet_verdicts.rs
@@ -239,7 +239,7 @@
             let payload = rmp_serde::to_vec(&[update]).unwrap();
             let peers: Vec<_> = members.up().map(|who| who.address).collect();
             for at in peers {
-                members.send_payload(at, Kind::Verdicts, &payload);
+                members.send_payload(at, Kind::Health, &payload);
             }
         }
         for (to, datagram) in members.take().0 {
