--- a/crates/cells/examples/divisions.rs
+++ b/crates/cells/examples/divisions.rs
@@ -135,12 +135,12 @@
 /// and one change.
 fn measure_cost() {
     let relay_address = address(60_000);
-    let settings = RelaySettings { routers: ROUTERS, ask_ns: S, silence_ns: 3 * S };
+    let settings = RelaySettings { routers: ROUTERS, request_interval_ns: S, silence_ns: 3 * S };
     let mut relay = Relay::new(S, settings);
     let list: Vec<Engine> = (0..ENGINES).map(engine).collect();
     let update_started = Instant::now();
     relay.apply_update(1, true, list.clone());
-    relay.heard(S, 0);
+    relay.record_service_contact(S, 0);
     let update_ms = update_started.elapsed().as_secs_f64() * 1e3;
     let mut routers: Vec<Subscriber> = (0..ROUTERS).map(|number| subscriber(number, relay_address)).collect();
     let (mut bytes, envelope_bytes) = ([0u64; 2], envelope_bytes());
@@ -162,7 +162,7 @@
                 }
             }
             let started = Instant::now();
-            relay.heard(now, 0);
+            relay.record_service_contact(now, 0);
             let sent = relay.tick(now);
             relay_s += started.elapsed().as_secs_f64();
             for (to, message) in sent {
@@ -234,7 +234,7 @@
         router: u64::from(number),
         incarnation: 1,
         relays: vec![relay],
-        ask_ns: S,
+        request_interval_ns: S,
         silence_ns: 3 * S,
         settle_ns: 8 * S,
         spread_ns: S,
--- a/crates/cells/tests/common/mod.rs
+++ b/crates/cells/tests/common/mod.rs
@@ -54,7 +54,7 @@
 pub fn relay_settings(bound_params: &BoundParams) -> RelaySettings {
     RelaySettings {
         routers: bound_params.routers,
-        ask_ns: bound_params.ask_ns,
+        request_interval_ns: bound_params.request_interval_ns,
         silence_ns: bound_params.silence_ns,
     }
 }
@@ -250,7 +250,7 @@
             router: at as u64,
             incarnation: self.incarnations,
             relays: self.relays.iter().map(|relay| relay.address).collect(),
-            ask_ns: self.bound_params.ask_ns,
+            request_interval_ns: self.bound_params.request_interval_ns,
             silence_ns: self.bound_params.silence_ns,
             settle_ns: self.bound_params.settle_ns,
             spread_ns: self.bound_params.spread_ns(),
@@ -384,7 +384,7 @@
             if let Some(event) = event {
                 machine.apply_update(event.version, event.is_full, event.engines);
             }
-            machine.heard(now, 0);
+            machine.record_service_contact(now, 0);
         }
         for (from, bytes) in std::mem::take(&mut relay.inbox) {
             match Message::decode(&bytes) {
--- a/crates/lab/src/capacity/cells.rs
+++ b/crates/lab/src/capacity/cells.rs
@@ -134,13 +134,13 @@
             BoundParams { routers: FLEET_SIZE.0, relays: FLEET_SIZE.1, ..BoundParams::default() };
         let settings = RelaySettings {
             routers: FLEET_SIZE.0,
-            ask_ns: bound_params.ask_ns,
+            request_interval_ns: bound_params.request_interval_ns,
             silence_ns: bound_params.silence_ns,
         };
         let mut relay = Relay::new(START_NS, settings);
         let all = (0..part * zones).map(|number| engine(number, zones, EngineState::Ready)).collect();
         relay.apply_update(1, true, all);
-        relay.heard(START_NS, 0);
+        relay.record_service_contact(START_NS, 0);
         let relay_endpoint = Endpoint::new(60_000)?;
         let mut fleet = Fleet { now: START_NS, relay, relay_endpoint, routers: Vec::new(), version: 1 };
         for number in 0..routers {
@@ -149,7 +149,7 @@
                 router: number as u64,
                 incarnation: START_NS,
                 relays: vec![fleet.relay_endpoint.address],
-                ask_ns: bound_params.ask_ns,
+                request_interval_ns: bound_params.request_interval_ns,
                 silence_ns: bound_params.silence_ns,
                 settle_ns: bound_params.settle_ns,
                 spread_ns: bound_params.spread_ns(),
@@ -164,7 +164,7 @@
     fn step(&mut self) {
         self.now += STEP_NS;
         let now = self.now;
-        self.relay.heard(now, 0);
+        self.relay.record_service_contact(now, 0);
         for (subscriber, endpoint) in &mut self.routers {
             let outgoing = timed_at(&mut endpoint.cpu_ns, || subscriber.tick(now));
             endpoint.send(outgoing);
@@ -281,7 +281,8 @@
 
 /// Heap of a relay's list (KB), and processor time to apply it (ms).
 fn relay_list_cost(engines: usize) -> Result<[f64; 2], String> {
-    let settings = RelaySettings { routers: FLEET_SIZE.0, ask_ns: SECOND_NS, silence_ns: 3 * SECOND_NS };
+    let settings =
+        RelaySettings { routers: FLEET_SIZE.0, request_interval_ns: SECOND_NS, silence_ns: 3 * SECOND_NS };
     let all: Vec<Engine> = (0..engines).map(|number| engine(number, 25, EngineState::Ready)).collect();
     let before = HEAP.current_usage();
     let mut relay = Relay::new(START_NS, settings);
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -60,11 +60,13 @@
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct RequestStats {
     /// All requests, returns included.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Requests without returns.
     pub first: u64,
     /// Worth of the requests, without returns.
-    pub worth_asked: f64,
+    #[serde(rename = "worth_asked")]
+    pub worth_requested: f64,
     /// Worth of the answers.
     pub worth: f64,
     /// Successful answers.
@@ -94,9 +96,9 @@
 impl Default for RequestStats {
     fn default() -> Self {
         RequestStats {
-            asked: 0,
+            requests: 0,
             first: 0,
-            worth_asked: 0.0,
+            worth_requested: 0.0,
             worth: 0.0,
             served: 0,
             in_time: 0,
@@ -294,7 +296,7 @@
                 let request = self.draw_request(source);
                 let tally = &mut self.tallies[request.phase][source];
                 tally.first += 1;
-                tally.worth_asked += self.classes[request.class].worth;
+                tally.worth_requested += self.classes[request.class].worth;
                 self.next_ns[source] += self.gap_ns(source);
                 self.send_request(now, net, request);
             }
@@ -317,7 +319,7 @@
         let free =
             self.conns.iter().find(|(_, c)| c.open.len() < MAX_CALLS_PER_CONNECTION).map(|(id, _)| *id);
         let tally = &mut self.tallies[request.phase][request.source];
-        tally.asked += 1;
+        tally.requests += 1;
         tally.returned += u64::from(request.return_reserved == Some(true));
         let conn = match free {
             Some(conn) => conn,
@@ -397,18 +399,18 @@
         self.first_answer_ns.get_or_insert(now);
         let request = call.request;
         let class = &self.classes[request.class];
-        let took_ms = (now - call.sent_ns) as f64 / MS;
+        let latency_ms = (now - call.sent_ns) as f64 / MS;
         let tally = &mut self.tallies[request.phase][request.source];
         if parts[2].is_nil() {
             let target_ms =
                 class.target_latency_ms + class.target_latency_stretch * request.work_ms / class.threads;
-            let in_time = took_ms <= target_ms;
+            let in_time = latency_ms <= target_ms;
             tally.served += 1;
             tally.in_time += u64::from(in_time);
             tally.worth += class.worth * if in_time { 1.0 } else { class.late_worth };
             tally.returned_served += u64::from(request.return_reserved == Some(true));
             // The deadline of the class keeps the latency within the histogram's bounds.
-            let _ = tally.latencies.record(took_ms.ceil() as u64);
+            let _ = tally.latencies.record(latency_ms.ceil() as u64);
             return;
         }
         let error = parts[2].as_array().and_then(|e| e.first()).and_then(Value::as_str);
