--- a/crates/control/src/interface.rs
+++ b/crates/control/src/interface.rs
@@ -268,7 +268,7 @@
     pub tenant: Option<TenantId>,
     /// Time left until the client gives up.
     pub time_left_ns: u64,
-    /// Time spent in the admission queue.
+    /// Time spent in the fair queue.
     pub waited_ns: u64,
     /// Its order key, if any.
     pub key: Option<u64>,
