--- a/crates/capacity/src/rows/services.rs
+++ b/crates/capacity/src/rows/services.rs
@@ -138,7 +138,7 @@
             "",
             "one router probes at a time, whatever the number of routers",
             &[],
-            "docs/design/fleet-verdicts.md: at most one probe per second",
+            "docs/design/fleet-health.md: at most one probe per second",
         ),
     ])
 }
--- a/tests/common/harness.rs
+++ b/tests/common/harness.rs
@@ -203,9 +203,9 @@
             (class["effect"], class["dedup_scope"]) = (json!("deduplicated"), json!("all"));
             class["dedup_window_ns"] = json!(5_000_000_000_u64);
         }
-        if has_option("turns by key") {
+        if has_option("serial key") {
             config["settings"]["request_classes"][2]["serial_by_key"] = json!(true);
-            let rest_ns = if has_option("no rest") { 0 } else { 100_000_000_u64 };
+            let rest_ns = if has_option("no order pause") { 0 } else { 100_000_000_u64 };
             config["settings"]["guarantees"]["order_pause_ns"] = json!(rest_ns);
         }
         if has_option("no cancelling") {
@@ -214,7 +214,7 @@
         if has_option("coordinator") {
             config["coordinator"] = json!(coordinator);
         }
-        if has_option("operators' door") {
+        if has_option("admin api") {
             config["operator"] = json!("127.0.0.1:0");
         }
         let mut file = json!({"class": "lookup", "columns": ["c1", "c2", "c3"], "sessions": 8});
@@ -244,7 +244,7 @@
             .args(prlimit_args.iter().filter(|_| has_option("short descriptors")))
             .env("ROUTER_CONFIG", dir.join("config.json"))
             .env("MARLJUNCTION_POSTGRES", dir.join("postgres.json"))
-            .envs(has_option("door").then(|| ("MARLJUNCTION_SETUP", dir.join("door.conf"))))
+            .envs(has_option("fair queue").then(|| ("MARLJUNCTION_SETUP", dir.join("door.conf"))))
             .env("TMPDIR", &dir)
             .stderr(Stdio::piped())
             .spawn()
@@ -252,8 +252,7 @@
         let mut log = BufReader::new(child.stderr.take().unwrap());
         // By index: MessagePack, PostgreSQL, admin API.
         let mut front_addresses = vec![String::new(); 3];
-        let expected =
-            1 + usize::from(has_option("postgres front")) + usize::from(has_option("operators' door"));
+        let expected = 1 + usize::from(has_option("postgres front")) + usize::from(has_option("admin api"));
         for _ in 0..expected {
             let mut line = String::new();
             assert!(log.read_line(&mut line).unwrap() > 0, "the program exited during startup");
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -28,7 +28,7 @@
 #[rstest]
 fn recorded_exchange_matches(
     #[files("tests/exchanges/*.txt")] path: PathBuf,
-    #[values("", "with door\n")] fair_queue: &str,
+    #[values("", "with fair queue\n")] fair_queue: &str,
 ) {
     let script = format!("{fair_queue}{}", std::fs::read_to_string(&path).unwrap());
     let name = format!("{}{}", path.file_stem().unwrap().to_string_lossy(), fair_queue.len());
@@ -57,7 +57,7 @@
     #[values("load_postgres", "load_http")] name: &str,
     #[values("client", "engine", "process")] disconnect: &str,
     #[values(0, 1, 2, 3, 4, 5, 6)] step: usize,
-    #[values("", "with door\n")] fair_queue: &str,
+    #[values("", "with fair queue\n")] fair_queue: &str,
 ) {
     let path = format!("{}/tests/exchanges/disconnects/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     let script = std::fs::read_to_string(path).unwrap();
--- a/tests/terms_fleet.rs
+++ b/tests/service_rules_fleet.rs
@@ -70,7 +70,7 @@
 #[test]
 fn ninety_percent_of_routers_started_without_the_list_service_are_ready_in_time() {
     // The variable allows runs with more routers.
-    let routers = std::env::var("TERMS_ROUTERS").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
+    let routers = std::env::var("RULES_ROUTERS").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
     let program = Path::new(env!("CARGO_BIN_EXE_marljunction"));
     let mut fleet = Fleet::new(Setup::new(program, "terms-ready", routers)).unwrap();
     fleet.start_clients();
